--- a/cmd/ringtrack-keeper/main.go
+++ b/cmd/ringtrack-configstore/main.go
@@ -1,4 +1,4 @@
-// Command ringtrack-keeper is one keeper of the agreed book of rules, and the operators' calls to all of them. See
+// Command ringtrack-configstore is one keeper of the agreed book of rules, and the operators' calls to all of them. See
 // docs/operators/agreed.md.
 package main
 
@@ -19,9 +19,9 @@
 	"github.com/alecthomas/kong"
 	"github.com/pelletier/go-toml/v2"
 
-	"ringtrack.example/ringtrack/internal/agree/link"
-	"ringtrack.example/ringtrack/internal/keeper"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/configstore"
+	"ringtrack.example/ringtrack/internal/configstore/client"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 type commands struct {
@@ -41,13 +41,13 @@
 
 // call asks one keeper after the other. A call that changes something bears an id, so that asking again is harmless.
 func (a *at) call(path string, in, out any) error {
-	caller := link.NewCaller()
+	caller := client.NewCaller()
 	var last error
 	for _, addr := range a.Keepers {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		last = caller.Call(ctx, addr, path, nil, in, out)
 		cancel()
-		if f := (*link.Failure)(nil); last == nil || errors.As(last, &f) && f.Status < 500 {
+		if f := (*client.StatusError)(nil); last == nil || errors.As(last, &f) && f.Status < 500 {
 			return last
 		}
 	}
@@ -60,14 +60,14 @@
 }
 
 func (c *runCommand) Run() error {
-	cfg, err := keeper.Load(c.Config)
+	cfg, err := configstore.Load(c.Config)
 	if err != nil || c.Check {
 		return err
 	}
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	return keeper.Run(stop, cfg, func(a net.Addr) { slog.Info("listening", "name", cfg.Name, "addr", a.String()) })
+	return configstore.Run(stop, cfg, func(a net.Addr) { slog.Info("listening", "name", cfg.Name, "addr", a.String()) })
 }
 
 type publishCommand struct {
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	var b rulebook.Book
+	var b sharedconfig.Config
 	if err := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields().Decode(&b); err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
@@ -97,11 +97,11 @@
 		return err
 	}
 	if c.ID == "" {
-		c.ID = link.NewIncarnation()
+		c.ID = client.NewIncarnation()
 	}
-	var out link.PublishAnswer
-	if err := c.call(link.PathPublish, &link.PublishCall{ID: c.ID, Parent: c.Parent, Book: book, Author: c.Author, Reason: c.Reason}, &out); err != nil {
-		if f := (*link.Failure)(nil); !errors.As(err, &f) || f.Status >= 500 {
+	var out client.PublishResponse
+	if err := c.call(client.PathPublish, &client.PublishRequest{ID: c.ID, Parent: c.Parent, Config: book, Author: c.Author, Reason: c.Reason}, &out); err != nil {
+		if f := (*client.StatusError)(nil); !errors.As(err, &f) || f.Status >= 500 {
 			return fmt.Errorf("not known whether it is published; try again with --id %s: %w", c.ID, err)
 		}
 		return err
@@ -113,26 +113,26 @@
 		if err != nil {
 			continue
 		}
-		if s.Stage >= rulebook.Stage(out.Number) && len(s.HeldUp) == 0 {
+		if s.Epoch >= sharedconfig.EpochOf(out.Number) && len(s.BlockedBy) == 0 {
 			fmt.Printf("in force at %d holders after %v\n", len(s.Holders), time.Since(from).Round(time.Millisecond))
 			return nil
 		}
-		if now := strings.Join(s.HeldUp, ", "); now != held {
+		if now := strings.Join(s.BlockedBy, ", "); now != held {
 			held = now
-			fmt.Printf("stage %d of %d; waits for: %s\n", s.Stage, rulebook.Stage(out.Number), now)
+			fmt.Printf("stage %d of %d; waits for: %s\n", s.Epoch, sharedconfig.EpochOf(out.Number), now)
 		}
 	}
 	return fmt.Errorf("version %d is published and not yet in force everywhere; waits for: %s", out.Number, held)
 }
 
 // leader is the status of the keeper that leads.
-func (a *at) leader() (*link.Status, error) {
-	caller := link.NewCaller()
+func (a *at) leader() (*client.Status, error) {
+	caller := client.NewCaller()
 	last := errors.New("no keeper leads")
 	for _, addr := range a.Keepers {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		s := &link.Status{}
-		err := caller.Call(ctx, addr, link.PathStatus, nil, nil, s)
+		s := &client.Status{}
+		err := caller.Call(ctx, addr, client.PathStatus, nil, nil, s)
 		cancel()
 		if err != nil {
 			last = err
@@ -154,12 +154,12 @@
 		return err
 	}
 	fmt.Printf("# version %d, parent %d, %s, by %s, %s: %s\n", v.Number, v.Parent, v.Digest, v.Author, time.UnixMilli(v.AtMs).UTC().Format(time.RFC3339), v.Reason)
-	return toml.NewEncoder(os.Stdout).Encode(v.Book)
+	return toml.NewEncoder(os.Stdout).Encode(v.Config)
 }
 
-func (a *at) version(n uint64) (*rulebook.Version, error) {
-	v := &rulebook.Version{}
-	if err := a.call(fmt.Sprintf("%s?n=%d", link.PathVersion, n), nil, v); err != nil {
+func (a *at) version(n uint64) (*sharedconfig.Version, error) {
+	v := &sharedconfig.Version{}
+	if err := a.call(fmt.Sprintf("%s?n=%d", client.PathVersion, n), nil, v); err != nil {
 		return nil, err
 	}
 	if v.Number == 0 {
@@ -181,7 +181,7 @@
 		if err != nil {
 			return err
 		}
-		text, err := toml.Marshal(v.Book)
+		text, err := toml.Marshal(v.Config)
 		if err != nil {
 			return err
 		}
@@ -201,19 +201,19 @@
 type historyCommand struct{ at }
 
 func (c *historyCommand) Run() error {
-	var h link.HistoryAnswer
-	if err := c.call(link.PathHistory, nil, &h); err != nil {
+	var h client.HistoryResponse
+	if err := c.call(client.PathHistory, nil, &h); err != nil {
 		return err
 	}
 	for _, v := range h.Versions {
 		mark := " "
-		if v.Number == h.Stage/2 {
+		if v.Number == h.Epoch/2 {
 			mark = "*"
 		}
 		fmt.Printf("%s %d %s %s by %s: %s\n", mark, v.Number, v.Digest, time.UnixMilli(v.AtMs).UTC().Format(time.RFC3339), v.Author, v.Reason)
 	}
-	if h.Stage%2 == 1 {
-		fmt.Printf("between %d and %d: what both permit is in force\n", h.Stage/2, h.Stage/2+1)
+	if h.Epoch%2 == 1 {
+		fmt.Printf("between %d and %d: what both permit is in force\n", h.Epoch/2, h.Epoch/2+1)
 	}
 	return nil
 }
@@ -227,21 +227,21 @@
 
 func (c *membersCommand) Run() error {
 	if c.Add != "" || c.Remove != "" {
-		return c.call(link.PathMembers, &keeper.MembersCall{Add: c.Add, Addr: c.Addr, Remove: c.Remove}, nil)
+		return c.call(client.PathMembers, &configstore.MembersRequest{Add: c.Add, Addr: c.Addr, Remove: c.Remove}, nil)
 	}
-	caller := link.NewCaller()
+	caller := client.NewCaller()
 	for _, addr := range c.Keepers {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		var s link.Status
-		err := caller.Call(ctx, addr, link.PathStatus, nil, nil, &s)
+		var s client.Status
+		err := caller.Call(ctx, addr, client.PathStatus, nil, nil, &s)
 		cancel()
 		if err != nil {
 			fmt.Printf("%s: %v\n", addr, err)
 			continue
 		}
 		fmt.Printf("%s %s: leader %q, term %d, applied %d, stage %d, last version %d, members %s\n", addr, s.Name, s.Leader, s.Term, s.Applied,
-			s.Stage, s.Last, strings.Join(s.Members, ", "))
-		for who, why := range s.Refused {
+			s.Epoch, s.Last, strings.Join(s.Members, ", "))
+		for who, why := range s.Unreachable {
 			fmt.Printf("  not heard: %s: %s\n", who, why)
 		}
 	}
@@ -263,13 +263,13 @@
 	for _, n := range names {
 		fmt.Printf("%s stage %d\n", n, s.Holders[n])
 	}
-	for _, h := range s.HeldUp {
+	for _, h := range s.BlockedBy {
 		fmt.Printf("waited for: %s\n", h)
 	}
 	return nil
 }
 
 func main() {
-	ctx := kong.Parse(&commands{}, kong.Name("ringtrack-keeper"), kong.Description("Keepers of the agreed book of rules."), kong.UsageOnError())
+	ctx := kong.Parse(&commands{}, kong.Name("ringtrack-configstore"), kong.Description("Keepers of the agreed book of rules."), kong.UsageOnError())
 	ctx.FatalIfErrorf(ctx.Run())
 }
--- a/cmd/ringtrack-lab/main.go
+++ b/cmd/ringtrack-lab/main.go
@@ -12,10 +12,10 @@
 
 	"github.com/alecthomas/kong"
 
+	"ringtrack.example/ringtrack/internal/lab/acceptance"
 	"ringtrack.example/ringtrack/internal/lab/cluster"
 	"ringtrack.example/ringtrack/internal/lab/demo"
 	"ringtrack.example/ringtrack/internal/lab/experiment"
-	"ringtrack.example/ringtrack/internal/lab/prove"
 	"ringtrack.example/ringtrack/internal/lab/scale"
 )
 
@@ -49,8 +49,8 @@
 		return err
 	}
 	defer cluster.Clean()
-	o := &prove.Options{Seed: p.Seed, Scale: 1, Log: os.Stderr}
-	r, err := prove.AgreedRun(ctx, o, p)
+	o := &acceptance.Options{Seed: p.Seed, Scale: 1, Log: os.Stderr}
+	r, err := acceptance.AgreedRun(ctx, o, p)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 	}
 	if c.Shrink > 0 {
 		small := cluster.Shrink(p, c.Shrink, func(less *cluster.Plan) bool {
-			r, err := prove.AgreedRun(ctx, o, less)
+			r, err := acceptance.AgreedRun(ctx, o, less)
 			return err == nil && len(r.Short) > 0
 		})
 		if err := small.Save(c.File + ".small"); err != nil {
@@ -85,7 +85,7 @@
 }
 
 func main() {
-	prove.Child()
+	acceptance.Child()
 	scale.Child()
 	if err := run(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "ringtrack-lab:", err)
@@ -205,12 +205,12 @@
 
 func (c *proveCmd) run(ctx context.Context) error {
 	if c.List {
-		for _, p := range prove.All {
+		for _, p := range acceptance.All {
 			fmt.Printf("%-18s %s\n", p.Name, p.About)
 		}
 		return nil
 	}
-	p, ok := prove.Find(c.Name)
+	p, ok := acceptance.Find(c.Name)
 	if !ok {
 		return fmt.Errorf("prove %s: there is no such proof; --list tells them", c.Name)
 	}
@@ -224,7 +224,7 @@
 		c.Seed = uint64(time.Now().UnixNano() % 1e6)
 	}
 	defer cluster.Clean()
-	r, err := p.Run(ctx, &prove.Options{Seed: c.Seed, Scale: c.Scale, Defect: c.Defect, Log: os.Stderr})
+	r, err := p.Run(ctx, &acceptance.Options{Seed: c.Seed, Scale: c.Scale, Defect: c.Defect, Log: os.Stderr})
 	if err != nil {
 		return fmt.Errorf("prove %s: seed %d: %w", p.Name, c.Seed, err)
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -26,84 +26,84 @@
 	maxHead, maxID = 4 << 10, 256
 )
 
-// Figures are what the agent tells of itself. Names are the operators'.
-type Figures struct {
-	Classes []Class // in the order of the settings
-	Written int64   // attempts written whole to backends
-	Open    int64   // requests taken and not ended
-	Listed  int     // backends in the list
-	Out     int     // those of them that the agent avoids now
-	Agreed  *Agreed // nil: there are no keepers
+// Stats are what the agent tells of itself. Names are the operators'.
+type Stats struct {
+	Classes      []Class       // in the order of the settings
+	Written      int64         // attempts written whole to backends
+	Open         int64         // requests taken and not ended
+	Listed       int           // backends in the list
+	Unavailable  int           // those of them that the agent avoids now
+	SharedConfig *SharedConfig // nil: there are no keepers
 }
 
-// Agreed is how the agent stands to the book of rules.
-type Agreed struct {
-	Stage         uint64 // 2n: version n is in force; 2n+1: what n and n+1 both permit
-	LeaseMs       int64  // for how long its lease holds; 0: nothing is tried again
-	Strict, Shut  bool   // it acts by the strictest form; it refuses requests
-	Lapses        int64
-	Asks, Failed  int64 // calls to keepers
-	Relayed       int64 // asks of peers that it carried
-	Unable, Taken int64 // rules it could not take up, and those it did
+// SharedConfig is how the agent stands to the book of rules.
+type SharedConfig struct {
+	Epoch              uint64 // 2n: version n is in force; 2n+1: what n and n+1 both permit
+	LeaseMs            int64  // for how long its lease holds; 0: nothing is tried again
+	Strict, Rejecting  bool   // it acts by the strictest form; it refuses requests
+	Expirations        int64
+	Renewals, Failed   int64 // calls to keepers
+	Relayed            int64 // asks of peers that it carried
+	Unapplied, Adopted int64 // rules it could not take up, and those it did
 }
 
 // Class counts the answers to the requests of one class since the start of the process.
 type Class struct {
-	Name                    string
-	Served, Refused, Failed int64
+	Name                     string
+	Served, Rejected, Failed int64
 }
 
 // String is the figures' text: name=value, a line each.
-func (f *Figures) String() string {
+func (f *Stats) String() string {
 	var out strings.Builder
 	line := func(name string, value int64) {
 		out.WriteString("app." + name + "=" + strconv.FormatInt(value, 10) + "\n")
 	}
 	for _, c := range f.Classes {
 		line("fulfilled."+c.Name, c.Served)
-		line("throttled."+c.Name, c.Refused)
+		line("throttled."+c.Name, c.Rejected)
 		line("faulted."+c.Name, c.Failed)
 	}
 	line("relayed", f.Written)
 	line("open_requests", f.Open)
 	line("registry_entries", int64(f.Listed))
-	line("out_of_rotation", int64(f.Out))
-	if a := f.Agreed; a != nil {
+	line("out_of_rotation", int64(f.Unavailable))
+	if a := f.SharedConfig; a != nil {
 		yes := func(b bool) int64 {
 			if b {
 				return 1
 			}
 			return 0
 		}
-		line("agreed.stage", int64(a.Stage))
+		line("agreed.stage", int64(a.Epoch))
 		line("agreed.lease_ms", a.LeaseMs)
 		line("agreed.strict", yes(a.Strict))
-		line("agreed.shut", yes(a.Shut))
-		line("agreed.lapses", a.Lapses)
-		line("agreed.asks", a.Asks)
+		line("agreed.shut", yes(a.Rejecting))
+		line("agreed.lapses", a.Expirations)
+		line("agreed.asks", a.Renewals)
 		line("agreed.asks_failed", a.Failed)
 		line("agreed.asks_relayed", a.Relayed)
-		line("agreed.unable", a.Unable)
-		line("agreed.taken_up", a.Taken)
+		line("agreed.unable", a.Unapplied)
+		line("agreed.taken_up", a.Adopted)
 	}
 	return out.String()
 }
 
-// ErrUnknown says that a backend of this id was never listed.
-var ErrUnknown = errors.New("no backend of this id was ever listed")
+// ErrBackendNotFound says that a backend of this id was never listed.
+var ErrBackendNotFound = errors.New("no backend of this id was ever listed")
 
 // Agent is what stands behind the door. Its methods may be called from any goroutine and take well under a
 // second.
 type Agent interface {
 	Serving() bool
-	Figures() Figures
-	// Ban has nothing new sent to a backend, or ends that; it returns once that holds. ErrUnknown: there was
+	Stats() Stats
+	// Cordon has nothing new sent to a backend, or ends that; it returns once that holds. ErrUnknown: there was
 	// never such a backend.
-	Ban(id string, on bool) error
+	Cordon(id string, on bool) error
 }
 
-// Door answers operators' calls.
-type Door struct {
+// Server answers operators' calls.
+type Server struct {
 	agent  Agent
 	server *http.Server
 	most   int // callers at once
@@ -114,8 +114,8 @@
 }
 
 // New returns a door to an agent for so many callers at once, MaxCallers at the most.
-func New(a Agent, most int) *Door {
-	d := &Door{agent: a, most: min(max(most, 1), MaxCallers), callers: map[net.Conn]*list.Element{}}
+func New(a Agent, most int) *Server {
+	d := &Server{agent: a, most: min(max(most, 1), MaxCallers), callers: map[net.Conn]*list.Element{}}
 	d.server = &http.Server{Handler: d, ReadTimeout: callTime, WriteTimeout: callTime + answerTime, MaxHeaderBytes: maxHead,
 		ConnState: d.track, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 		DisableGeneralOptionsHandler: true}
@@ -124,7 +124,7 @@
 }
 
 // Serve answers until the door is closed; then it returns nil.
-func (d *Door) Serve(ln net.Listener) error {
+func (d *Server) Serve(ln net.Listener) error {
 	if err := d.server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("admin: %w", err)
 	}
@@ -132,10 +132,10 @@
 }
 
 // Close ends the door and all its connections.
-func (d *Door) Close() { d.server.Close() }
+func (d *Server) Close() { d.server.Close() }
 
 // track keeps the callers' number within its bound.
-func (d *Door) track(nc net.Conn, state http.ConnState) {
+func (d *Server) track(nc net.Conn, state http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch state {
@@ -153,14 +153,14 @@
 }
 
 // heard takes a caller off the silent ones. The lock is held.
-func (d *Door) heard(nc net.Conn) {
+func (d *Server) heard(nc net.Conn) {
 	if e := d.callers[nc]; e != nil {
 		d.silent.Remove(e)
 		d.callers[nc] = nil
 	}
 }
 
-func (d *Door) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (d *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	calls := map[string]struct {
 		method string
 		do     func(w http.ResponseWriter, query url.Values)
@@ -188,7 +188,7 @@
 	call.do(w, query)
 }
 
-func (d *Door) health(w http.ResponseWriter, _ url.Values) {
+func (d *Server) health(w http.ResponseWriter, _ url.Values) {
 	if !d.agent.Serving() {
 		http.Error(w, "starting", http.StatusServiceUnavailable)
 		return
@@ -196,20 +196,20 @@
 	fmt.Fprintln(w, "ok")
 }
 
-func (d *Door) stats(w http.ResponseWriter, _ url.Values) {
-	f := d.agent.Figures()
+func (d *Server) stats(w http.ResponseWriter, _ url.Values) {
+	f := d.agent.Stats()
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	fmt.Fprint(w, f.String())
 }
 
-func (d *Door) ban(w http.ResponseWriter, query url.Values, on bool) {
+func (d *Server) ban(w http.ResponseWriter, query url.Values, on bool) {
 	ids := query["name"]
 	if len(ids) != 1 || ids[0] == "" || len(ids[0]) > maxID {
 		http.Error(w, fmt.Sprintf("name: one id of 1 to %d bytes is needed", maxID), http.StatusBadRequest)
 		return
 	}
-	switch err := d.agent.Ban(ids[0], on); {
-	case errors.Is(err, ErrUnknown):
+	switch err := d.agent.Cordon(ids[0], on); {
+	case errors.Is(err, ErrBackendNotFound):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case err != nil:
 		slog.Warn("ban", "id", ids[0], "on", on, "err", err)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -28,11 +28,11 @@
 	return a.serves
 }
 
-func (a *fakeAgent) Figures() Figures {
-	return Figures{Classes: []Class{{"read", 812, 3, 2}, {"order", 1, 0, 0}}, Written: 900, Open: 14, Listed: 12, Out: 1}
+func (a *fakeAgent) Stats() Stats {
+	return Stats{Classes: []Class{{"read", 812, 3, 2}, {"order", 1, 0, 0}}, Written: 900, Open: 14, Listed: 12, Unavailable: 1}
 }
 
-func (a *fakeAgent) Ban(id string, on bool) error {
+func (a *fakeAgent) Cordon(id string, on bool) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch id {
@@ -42,7 +42,7 @@
 	case "s-busy":
 		return errors.New("busy")
 	}
-	return ErrUnknown
+	return ErrBackendNotFound
 }
 
 func open(t *testing.T) (*fakeAgent, string) {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sync/semaphore"
 
 	"ringtrack.example/ringtrack/internal/core"
-	httpfront "ringtrack.example/ringtrack/internal/front/http"
-	"ringtrack.example/ringtrack/internal/front/thrift"
+	httpfront "ringtrack.example/ringtrack/internal/downstream/http"
+	"ringtrack.example/ringtrack/internal/downstream/thrift"
 	"ringtrack.example/ringtrack/internal/thriftwire"
 	"ringtrack.example/ringtrack/internal/upstream/conns"
 	httpup "ringtrack.example/ringtrack/internal/upstream/http"
@@ -26,13 +26,13 @@
 // what can change without a restart from the configuration that read returns.
 // ln is nil where another process of this agent serves: then the address is listened on once this one can.
 func Run(stop context.Context, reread <-chan os.Signal, read func() (*Config, error), cfg *Config, ln net.Listener) error {
-	return run(stop, cfg, ln, func(l *core.Loop, _ *semaphore.Weighted) {
-		go reload(stop, reread, read, cfg, func(discovery string) { l.Post(func() { l.Rediscover(discovery) }) })
+	return run(stop, cfg, ln, func(l *core.EventLoop, _ *semaphore.Weighted) {
+		go reload(stop, reread, read, cfg, func(discovery string) { l.Post(func() { l.SwitchDiscovery(discovery) }) })
 	})
 }
 
 // run is Run, which also hands out the loop, before it starts, and the memory for bodies.
-func run(stop context.Context, cfg *Config, ln net.Listener, made func(*core.Loop, *semaphore.Weighted)) error {
+func run(stop context.Context, cfg *Config, ln net.Listener, made func(*core.EventLoop, *semaphore.Weighted)) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel() // only after the front: requests held need the loop to the end
 	budget := semaphore.NewWeighted(cfg.budget())
@@ -48,7 +48,7 @@
 		upstreams = append(upstreams, tf.Upstream)
 	}
 	loop := cfg.core()
-	loop.Probe = upstream.Probe
+	loop.HealthCheck = upstream.Probe
 	pair, err := newPair(cfg, &loop)
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
@@ -64,7 +64,7 @@
 	}
 	serve, answer := cfg.ending()
 	f.Loop, f.Linger = l, serve
-	pool.Written = &l.Tally().Written
+	pool.Written = &l.Counters().Written
 	pair.loop = l
 	pair.use = func(n int) {
 		debug.SetMemoryLimit(cfg.MemoryLimit() / int64(n))
@@ -110,7 +110,7 @@
 	}
 	by := time.Now().Add(answer)
 	slog.Info("ending", "serves_for", serve, "answers_within", answer)
-	l.Post(func() { l.EndBy(by) })
+	l.Post(func() { l.ShutDownBy(by) })
 	held := answer - serve + killMargin/4 // the last answers are to be written, too
 	if pair.heir() {
 		f.HandOver(ln)
@@ -125,7 +125,7 @@
 	others.Wait()
 	cancel()
 	<-ended
-	slog.Info("stopped", "figures", fmt.Sprintf("%+v", l.Figures()))
+	slog.Info("stopped", "figures", fmt.Sprintf("%+v", l.Stats()))
 	return nil
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -104,7 +104,7 @@
 			if status == 503 && header.Get("Retry-After") != "0.600" {
 				t.Errorf("refused with Retry-After %q", header.Get("Retry-After"))
 			}
-			if f := a.figures(); f.Backstops+f.Guarded > 0 {
+			if f := a.figures(); f.DeadlineExceeded+f.GuardViolations > 0 {
 				t.Errorf("a guard had to act: %+v", f)
 			}
 		})
@@ -230,7 +230,7 @@
 // and the agent follows its roster all the same.
 func byMode(t *testing.T, test func(t *testing.T, change func(*Config))) {
 	for _, mode := range []string{"on_request", "pushed"} {
-		t.Run(mode, func(t *testing.T) { test(t, func(c *Config) { c.Settings.Membership = mode }) })
+		t.Run(mode, func(t *testing.T) { test(t, func(c *Config) { c.Settings.DiscoveryMode = mode }) })
 	}
 }
 
@@ -329,7 +329,7 @@
 	case <-time.After(patience):
 		t.Fatal("the attempt goes on")
 	}
-	if f := a.figures(); f.Gone != 1 || f.Backstops != 0 {
+	if f := a.figures(); f.Disconnected != 1 || f.DeadlineExceeded != 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
@@ -363,7 +363,7 @@
 func TestUnknownTenant(t *testing.T) {
 	b := newBackend(t, serving)
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) {
-		c.Settings.Tenants = []policy.Tenant{{Name: "acme", Portion: 1}}
+		c.Settings.Tenants = []policy.Tenant{{Name: "acme", QuotaWeight: 1}}
 	})
 	for name, want := range map[string]int{"acme": 200, "nobody": 400, "": 400} {
 		req := newRequest(a.addr, "order", "x")
--- a/internal/agent/agreed.go
+++ b/internal/agent/agreed.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"ringtrack.example/ringtrack/internal/admin"
-	"ringtrack.example/ringtrack/internal/agree/link"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/core"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // publishTime bounds how long the keepers are waited for with an operator's word: with the loop's it is under the
@@ -24,7 +24,7 @@
 		return func() {}, nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	p.link = link.New(cfg.Agreed, cfg.Name, acting{p.loop})
+	p.link = client.New(cfg.Agreed, cfg.Name, acting{p.loop})
 	var ended sync.WaitGroup
 	if cfg.Agreed.Listen != "" {
 		ln, err := net.Listen("tcp", cfg.Agreed.Listen)
@@ -44,7 +44,7 @@
 }
 
 // acting is the loop as its lease has it.
-type acting struct{ loop *core.Loop }
+type acting struct{ loop *core.EventLoop }
 
 // do does something in the loop and waits until it is done.
 func (a acting) do(ctx context.Context, f func()) error {
@@ -59,13 +59,13 @@
 }
 
 // Adopt implements link.Target.
-func (a acting) Adopt(ctx context.Context, stage uint64, book *rulebook.Book, until, lists time.Time) error {
-	return a.do(ctx, func() { a.loop.Adopt(stage, book, until, lists) })
+func (a acting) Adopt(ctx context.Context, stage uint64, book *sharedconfig.Config, until, lists time.Time) error {
+	return a.do(ctx, func() { a.loop.AdoptConfig(stage, book, until, lists) })
 }
 
 // Renew implements link.Target.
 func (a acting) Renew(ctx context.Context, until, lists time.Time) {
-	a.do(ctx, func() { a.loop.Renew(until, lists) })
+	a.do(ctx, func() { a.loop.RenewLease(until, lists) })
 }
 
 // publish has a ban, or its end, published. A ban holds here at once, whether or not the keepers answer; where they
@@ -78,36 +78,36 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), publishTime)
 	defer cancel()
-	number, err := p.link.Ban(ctx, id, on)
+	number, err := p.link.Cordon(ctx, id, on)
 	switch {
 	case err != nil && on:
 		return fmt.Errorf("the ban holds at this agent; whether the keepers have it is not known, say it again: %w", err)
 	case err != nil:
 		return fmt.Errorf("whether the keepers have ended the ban is not known, say it again: %w", err)
 	case p.dir != nil:
-		if err := p.dir.Ban(id, false); err != nil {
+		if err := p.dir.Cordon(id, false); err != nil {
 			return err
 		}
 	}
-	stage := rulebook.Stage(number)
+	stage := sharedconfig.EpochOf(number)
 	if on {
 		stage-- // the step before the version has its bans
 	}
-	p.loop.Post(func() { p.loop.Yield(id, stage) })
+	p.loop.Post(func() { p.loop.ReleaseCordon(id, stage) })
 	return nil
 }
 
 // agreed are the door's figures of the book of rules.
-func (p *pair) agreed() *admin.Agreed {
+func (p *pair) agreed() *admin.SharedConfig {
 	if p.link == nil {
 		return nil
 	}
-	var f core.AgreedFigures
-	got := make(chan core.AgreedFigures, 1)
-	if p.loop.Ask(loopTime/2, func() { now, _ := p.loop.AgreedFigures(); got <- now }) {
+	var f core.SharedConfigStats
+	got := make(chan core.SharedConfigStats, 1)
+	if p.loop.Call(loopTime/2, func() { now, _ := p.loop.SharedConfigStats(); got <- now }) {
 		f = <-got
 	}
-	c := p.link.Figures()
-	return &admin.Agreed{Stage: f.Stage, LeaseMs: p.link.Left().Milliseconds(), Strict: f.Strict, Shut: f.Shut, Lapses: int64(f.Lapses),
-		Asks: c.Asks.Load(), Failed: c.Failed.Load(), Relayed: c.Relayed.Load(), Unable: c.Unable.Load(), Taken: c.Adopted.Load()}
+	c := p.link.Stats()
+	return &admin.SharedConfig{Epoch: f.Epoch, LeaseMs: p.link.Remaining().Milliseconds(), Strict: f.Strict, Rejecting: f.Rejecting, Expirations: int64(f.Expirations),
+		Renewals: c.Renewals.Load(), Failed: c.Failed.Load(), Relayed: c.Relayed.Load(), Unapplied: c.Rejected.Load(), Adopted: c.Adopted.Load()}
 }
--- a/internal/agent/answer_test.go
+++ b/internal/agent/answer_test.go
@@ -185,7 +185,7 @@
 				if strings.Contains(body, "half") || strings.Contains(body, "xx") || b.count() != want[1] {
 					t.Errorf("body %.20q, %d arrivals, want %d", body, b.count(), want[1])
 				}
-				if f := a.figures(); f.Served != 0 || f.Guarded != 0 {
+				if f := a.figures(); f.Served != 0 || f.GuardViolations != 0 {
 					t.Errorf("figures %+v", f)
 				}
 			})
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -13,12 +13,12 @@
 	"time"
 
 	"ringtrack.example/ringtrack/internal/admin"
-	"ringtrack.example/ringtrack/internal/agree/link"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/core"
-	"ringtrack.example/ringtrack/internal/front/thrift"
+	"ringtrack.example/ringtrack/internal/downstream/thrift"
 	"ringtrack.example/ringtrack/internal/membership"
+	"ringtrack.example/ringtrack/internal/membership/discovery"
 	"ringtrack.example/ringtrack/internal/membership/ephemeral"
-	"ringtrack.example/ringtrack/internal/membership/roster"
 	"ringtrack.example/ringtrack/internal/upgrade"
 	"ringtrack.example/ringtrack/internal/upstream/conns"
 	"ringtrack.example/ringtrack/internal/wire"
@@ -44,7 +44,7 @@
 	Ephemeral *ephemeral.Config
 
 	// Agreed says which keepers hold the book of rules; nil: the agent acts by its own file alone.
-	Agreed *link.Config
+	Agreed *client.Config
 
 	// Dir is what two processes of this agent share; nil: there is only this one.
 	Dir *upgrade.Dir
@@ -153,7 +153,7 @@
 		}
 	}
 	if path := getenv("PROXY_AGREED"); path != "" {
-		if c.Agreed, err = link.Load(path); err != nil {
+		if c.Agreed, err = client.Load(path); err != nil {
 			return nil, fmt.Errorf("config: PROXY_AGREED: %w", err)
 		}
 	}
@@ -206,14 +206,14 @@
 
 // core is what of it the loop is told.
 func (c *Config) core() core.Config {
-	out := core.Config{Discovery: c.Discovery, Known: c.Known, Settings: c.Settings, Seed: c.Seed, Zones: c.Zones, Kinds: c.Kinds,
-		Watched: c.Admin != ""}
+	out := core.Config{Discovery: c.Discovery, CachedEndpoints: c.Known, Settings: c.Settings, Seed: c.Seed, Zones: c.Zones, Kinds: c.Kinds,
+		PublishRotation: c.Admin != ""}
 	if c.Agreed != nil {
-		out.Agreed = &core.Agreed{Refuse: c.Agreed.OnLapse == link.LapseRefuse}
+		out.SharedConfig = &core.SharedConfig{RejectWhenStale: c.Agreed.OnExpiry == client.OnExpiryReject}
 	}
 	if c.Ephemeral != nil {
 		out.Merge = c.Ephemeral.Merge()
-		out.Nodes = ephemeral.NewSource(c.Ephemeral).Nodes(func(problem string) { slog.Warn("registry", "problem", problem) })
+		out.WatchNodes = ephemeral.NewSource(c.Ephemeral).Nodes(func(problem string) { slog.Warn("registry", "problem", problem) })
 	}
 	return out
 }
@@ -228,11 +228,11 @@
 	// share, what is open at once while that folder is looked at (four) and while a configuration is read (two).
 	ownFiles = 12
 	// rosterConns is the most that a client of the roster has at once, of which a new one takes the place at SIGHUP.
-	rosterConns = roster.MaxConns + 1
+	rosterConns = discovery.MaxConns + 1
 	// frontFiles: a listener, and a client that has just been accepted and is to be closed, or another in its place.
 	frontFiles = 2
 	// agreedConns and ephemeralConns are those to keepers, with the listener for peers, and to the registry.
-	agreedConns, ephemeralConns = link.MaxConns + 1, 2
+	agreedConns, ephemeralConns = client.MaxConns + 1, 2
 	// leastConns is what each side has however low the limit is.
 	leastConns = 4
 )
@@ -292,7 +292,7 @@
 
 // reports are the names of the values that backends report with their answers.
 func (c *Config) reports() []string {
-	if c.Settings.Report.How != "inline" {
+	if c.Settings.Report.Delivery != "inline" {
 		return nil
 	}
 	return c.Settings.Report.Names
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"ringtrack.example/ringtrack/internal/agree/link"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/membership/ephemeral"
 )
 
@@ -116,8 +116,8 @@
 // large limits of the deployment page nothing but a fixed part is kept.
 func TestSharesOfDescriptors(t *testing.T) {
 	for sockets := minSockets; sockets <= 4096; sockets++ {
-		for _, c := range []Config{{}, {Admin: "x"}, {Thrift: "x"}, {Admin: "x", Thrift: "x"}, {Agreed: &link.Config{}},
-			{Admin: "x", Thrift: "x", Agreed: &link.Config{}, Ephemeral: &ephemeral.Config{}}} {
+		for _, c := range []Config{{}, {Admin: "x"}, {Thrift: "x"}, {Admin: "x", Thrift: "x"}, {Agreed: &client.Config{}},
+			{Admin: "x", Thrift: "x", Agreed: &client.Config{}, Ephemeral: &ephemeral.Config{}}} {
 			c.Sockets = sockets
 			if n := c.backendConns() + c.fronts()*c.clientConns() + c.reserve(); n > sockets && c.share() > leastConns {
 				t.Fatalf("%d of %d descriptors, of them %d kept", n, sockets, c.reserve())
--- a/internal/agent/departure_test.go
+++ b/internal/agent/departure_test.go
@@ -83,26 +83,26 @@
 			for range n {
 				ask("leaves", way.head, way.body)
 			}
-			until(t, "not all were taken", func() bool { return a.figures().Taken == before.Taken+occupy+n })
+			until(t, "not all were taken", func() bool { return a.figures().Accepted == before.Accepted+occupy+n })
 			from := time.Now()
 			for _, c := range conns[occupy:] {
 				way.leave(c)
 			}
 			for gone := 0; gone < n && time.Since(from) < goneWithin; {
 				f := a.figures() // one that was sent at once, and whose body then did not come, has failed
-				now := f.Gone + f.Failed - before.Gone - before.Failed
+				now := f.Disconnected + f.Failed - before.Disconnected - before.Failed
 				for ; gone < now; gone++ {
 					delays = append(delays, time.Since(from))
 				}
 				time.Sleep(time.Millisecond)
 			}
 			// What went at once did not wait; its server may read it late.
-			until(t, "what was written has not come", func() bool { return int64(b.count()) == a.loop.Tally().Written.Load() })
+			until(t, "what was written has not come", func() bool { return int64(b.count()) == a.loop.Counters().Written.Load() })
 			mu.Lock()
 			sent = nil
 			close(gate)
 			mu.Unlock()
-			until(t, "some stay open", func() bool { return a.loop.Tally().Open.Load() == 0 })
+			until(t, "some stay open", func() bool { return a.loop.Counters().Open.Load() == 0 })
 			mu.Lock()
 			for _, id := range sent {
 				if strings.HasPrefix(id, "leaves") {
--- a/internal/agent/ending.go
+++ b/internal/agent/ending.go
@@ -30,7 +30,7 @@
 func (c *Config) longest() time.Duration {
 	longest := 50 * time.Millisecond
 	for _, class := range c.Settings.Classes {
-		longest = max(longest, ms(class.GiveUpMs))
+		longest = max(longest, ms(class.ClientTimeoutMs))
 	}
 	return longest
 }
--- a/internal/agent/ending_test.go
+++ b/internal/agent/ending_test.go
@@ -20,7 +20,7 @@
 		3000: {3000 * time.Millisecond, 3500 * time.Millisecond},
 		6000: {3000 * time.Millisecond, 3500 * time.Millisecond},
 	} {
-		c := &Config{Settings: policy.Settings{Classes: []policy.Class{{GiveUpMs: giveUpMs}, {GiveUpMs: 10}}}}
+		c := &Config{Settings: policy.Settings{Classes: []policy.Class{{ClientTimeoutMs: giveUpMs}, {ClientTimeoutMs: 10}}}}
 		if serve, answer := c.ending(); serve != want[0] || answer != want[1] {
 			t.Errorf("deadlines of %v ms: served for %v, answered by %v, want %v", giveUpMs, serve, answer, want)
 		}
@@ -38,7 +38,7 @@
 			d := newDiscoveryServer(t, target("s-1", b.addr))
 			a := startAgent(t, d, func(c *Config) {
 				for i := range c.Settings.Classes {
-					c.Settings.Classes[i].GiveUpMs = 50
+					c.Settings.Classes[i].ClientTimeoutMs = 50
 				}
 				c.linger = 0
 			})
@@ -59,7 +59,7 @@
 			if got := <-status; got != want {
 				t.Errorf("answered %d, want %d", got, want)
 			}
-			if f := a.loop.Figures(); f.Backstops != 0 || f.Guarded != 0 || f.Failed != 1 {
+			if f := a.loop.Stats(); f.DeadlineExceeded != 0 || f.GuardViolations != 0 || f.Failed != 1 {
 				t.Errorf("figures %+v", f)
 			}
 		})
@@ -87,14 +87,14 @@
 	d := newDiscoveryServer(t)
 	a := startAgentNotReady(t, d, func(c *Config) {
 		for i := range c.Settings.Classes {
-			c.Settings.Classes[i].GiveUpMs = 50
+			c.Settings.Classes[i].ClientTimeoutMs = 50
 		}
 		c.linger = 0
 	})
 	req := newRequest(a.addr, "order", "x")
 	req.Header.Set("Request-Timeout-Ms", "30000")
 	status := statusOf(t, req)
-	for a.figures().Taken == 0 {
+	for a.figures().Accepted == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	a.stop()
@@ -116,7 +116,7 @@
 	wait := make(chan struct{})
 	b.answer = func(c net.Conn, req *http.Request, n int) bool { <-wait; return serving(c, req, n) }
 	io.WriteString(held, rawOrder("/api/a1", "held", "Content-Length: 1\r\n", "x"))
-	for a.figures().Taken == 0 {
+	for a.figures().Accepted == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	a.stop()
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -174,7 +174,7 @@
 	t    *testing.T
 	addr string
 	cfg  *Config
-	loop *core.Loop
+	loop *core.EventLoop
 	// budget is the memory for bodies.
 	budget *semaphore.Weighted
 	stop   context.CancelFunc
@@ -207,7 +207,7 @@
 	a := &testAgent{t: t, cfg: cfg, addr: ln.Addr().String(), stop: stop, done: make(chan error, 1)}
 	started := make(chan bool)
 	go func() {
-		a.done <- run(ctx, cfg, ln, func(l *core.Loop, budget *semaphore.Weighted) { a.loop, a.budget = l, budget; close(started) })
+		a.done <- run(ctx, cfg, ln, func(l *core.EventLoop, budget *semaphore.Weighted) { a.loop, a.budget = l, budget; close(started) })
 	}()
 	<-started
 	t.Cleanup(func() {
@@ -245,9 +245,9 @@
 }
 
 // figures reads the loop's counts, in the loop.
-func (a *testAgent) figures() core.Figures {
-	got := make(chan core.Figures, 1)
-	a.loop.Post(func() { got <- a.loop.Figures() })
+func (a *testAgent) figures() core.Stats {
+	got := make(chan core.Stats, 1)
+	a.loop.Post(func() { got <- a.loop.Stats() })
 	return <-got
 }
 
--- a/internal/agent/pair.go
+++ b/internal/agent/pair.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"ringtrack.example/ringtrack/internal/admin"
-	"ringtrack.example/ringtrack/internal/agree/link"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/core"
 	"ringtrack.example/ringtrack/internal/upgrade"
 	"ringtrack.example/ringtrack/policy"
@@ -30,14 +30,14 @@
 // both share.
 type pair struct {
 	dir     *upgrade.Dir // nil: there is only this process
-	loop    *core.Loop
+	loop    *core.EventLoop
 	changed chan struct{} // a value: the list has changed since it was last kept
 	stale   atomic.Bool   // as core.Config.Stale has it
 	turned  chan struct{} // a value: stale has changed since it was last kept
 	serving atomic.Bool
 	use     func(processes int) // makes its part of the limits this process's bound
 
-	link *link.Link // to the keepers; nil: there are none
+	link *client.Renewer // to the keepers; nil: there are none
 
 	bans sync.Mutex // orders what is kept of bans and what the loop is told of them
 }
@@ -49,7 +49,7 @@
 		return p, nil
 	}
 	var err error
-	if loop.Banned, err = p.dir.Bans(); err != nil {
+	if loop.Cordoned, err = p.dir.Cordoned(); err != nil {
 		return nil, err // to go on would be to send to backends that were banned
 	}
 	if ids, err := p.dir.IDs(); err != nil {
@@ -57,26 +57,26 @@
 	} else {
 		loop.SharedIDs = ids
 	}
-	switch stale, found, err := p.dir.Stale(); {
+	switch stale, found, err := p.dir.DiscoveryStale(); {
 	case err != nil:
 		slog.Warn("not known whether the last process had an answer of discovery's", "err", err)
-		loop.Settings.LastCall = policy.CallUnanswered // to ask sooner harms least
+		loop.Settings.LastPoll = policy.PollUnanswered // to ask sooner harms least
 	case stale:
-		loop.Settings.LastCall = policy.CallUnanswered
+		loop.Settings.LastPoll = policy.PollUnanswered
 	case found:
-		loop.Settings.LastCall = policy.CallAnswered
+		loop.Settings.LastPoll = policy.PollAnswered
 	}
-	loop.Stale = func(stale bool) {
+	loop.DiscoveryStale = func(stale bool) {
 		p.stale.Store(stale)
 		select {
 		case p.turned <- struct{}{}:
 		default:
 		}
 	}
-	if loop.Nodes != nil {
+	if loop.WatchNodes != nil {
 		return p, nil // what the roster says is not all; each process reads it anew
 	}
-	loop.Changed = func() {
+	loop.EndpointsChanged = func() {
 		select {
 		case p.changed <- struct{}{}:
 		default:
@@ -89,7 +89,7 @@
 	if err != nil {
 		slog.Warn("list of the other process not used", "err", err)
 	} else if saved != nil {
-		loop.Known, loop.Seen = saved.List, saved.Seen
+		loop.CachedEndpoints, loop.SeenIDs = saved.List, saved.Seen
 	}
 	return p, nil
 }
@@ -123,12 +123,12 @@
 	go p.dir.Follow(ctx, func() {
 		p.bans.Lock()
 		defer p.bans.Unlock()
-		ids, err := p.dir.Bans()
+		ids, err := p.dir.Cordoned()
 		if err != nil {
 			slog.Warn("bans can't be read, the old ones hold", "err", err)
 			return
 		}
-		p.loop.Post(func() { p.loop.SetBanned(ids) })
+		p.loop.Post(func() { p.loop.SetCordoned(ids) })
 	}, p.share)
 	go p.keep(ctx)
 	go p.keepStale(ctx)
@@ -150,7 +150,7 @@
 			return
 		case <-p.turned:
 		}
-		if err := p.dir.SetStale(p.stale.Load()); err != nil && !failed {
+		if err := p.dir.SetDiscoveryStale(p.stale.Load()); err != nil && !failed {
 			failed = true
 			slog.Warn("a missing answer of discovery's is not kept", "err", err)
 		}
@@ -165,10 +165,10 @@
 			return
 		case <-p.changed:
 		}
-		got := make(chan upgrade.Saved, 1)
+		got := make(chan upgrade.SavedEndpoints, 1)
 		p.loop.Post(func() {
-			var s upgrade.Saved
-			s.List, s.Seen = p.loop.List()
+			var s upgrade.SavedEndpoints
+			s.List, s.Seen = p.loop.Endpoints()
 			got <- s
 		})
 		select {
@@ -218,34 +218,34 @@
 }
 
 // heir tells whether another process takes the requests from now on.
-func (p *pair) heir() bool { return p.dir != nil && p.dir.Heir() }
+func (p *pair) heir() bool { return p.dir != nil && p.dir.HasSuccessor() }
 
 // Serving tells whether this process can serve.
 func (p *pair) Serving() bool { return p.serving.Load() }
 
-// Figures are the agent's.
-func (p *pair) Figures() admin.Figures {
+// Stats are the agent's.
+func (p *pair) Stats() admin.Stats {
 	now := p.loop.Rotation()
-	t := p.loop.Tally()
-	f := admin.Figures{Written: t.Written.Load(), Open: t.Open.Load(), Listed: now.Listed, Out: now.Out}
+	t := p.loop.Counters()
+	f := admin.Stats{Written: t.Written.Load(), Open: t.Open.Load(), Listed: now.Listed, Unavailable: now.Unavailable}
 	for i := range t.Classes {
 		c := &t.Classes[i]
-		f.Classes = append(f.Classes, admin.Class{Name: c.Name, Served: c.Served.Load(), Refused: c.Refused.Load(), Failed: c.Failed.Load()})
+		f.Classes = append(f.Classes, admin.Class{Name: c.Name, Served: c.Served.Load(), Rejected: c.Rejected.Load(), Failed: c.Failed.Load()})
 	}
-	f.Agreed = p.agreed()
+	f.SharedConfig = p.agreed()
 	return f
 }
 
-// Ban keeps and carries out what an operator says of a backend.
-func (p *pair) Ban(id string, on bool) error {
+// Cordon keeps and carries out what an operator says of a backend.
+func (p *pair) Cordon(id string, on bool) error {
 	p.bans.Lock()
 	defer p.bans.Unlock()
 	known := make(chan bool, 1)
-	if !p.loop.Ask(loopTime/2, func() { known <- p.loop.Knows(id) }) {
+	if !p.loop.Call(loopTime/2, func() { known <- p.loop.Known(id) }) {
 		return fmt.Errorf("the agent is too busy")
 	}
 	if !<-known {
-		return admin.ErrUnknown
+		return admin.ErrBackendNotFound
 	}
 	if p.link != nil {
 		return p.publish(id, on)
@@ -256,11 +256,11 @@
 // ban keeps and carries out a ban of this agent alone.
 func (p *pair) ban(id string, on bool) error {
 	if p.dir != nil {
-		if err := p.dir.Ban(id, on); err != nil {
+		if err := p.dir.Cordon(id, on); err != nil {
 			return err
 		}
 	}
-	if !p.loop.Ask(loopTime/2, func() { p.loop.Ban(id, on) }) && on {
+	if !p.loop.Call(loopTime/2, func() { p.loop.Cordon(id, on) }) && on {
 		return fmt.Errorf("the agent is too busy, the ban holds in a moment")
 	}
 	return nil
--- a/internal/agent/probe_test.go
+++ b/internal/agent/probe_test.go
@@ -40,9 +40,9 @@
 			})
 			d := newDiscoveryServer(t, target("s-1", b.addr), target("s-2", well.addr))
 			a := startAgent(t, d, func(c *Config) {
-				c.Settings.Limits.Probing = true
+				c.Settings.Limits.HealthChecks = true
 				for i := range c.Settings.Classes {
-					c.Settings.Classes[i].AimMs = 20 // by which holds are measured
+					c.Settings.Classes[i].LatencyObjectiveMs = 20 // by which holds are measured
 				}
 			})
 			over := time.After(patience)
@@ -58,8 +58,8 @@
 				case <-time.After(2 * time.Millisecond):
 				}
 			}
-			if f := a.figures(); f.Guarded != 0 {
-				t.Errorf("%d guarded", f.Guarded)
+			if f := a.figures(); f.GuardViolations != 0 {
+				t.Errorf("%d guarded", f.GuardViolations)
 			}
 		})
 	}
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"ringtrack.example/ringtrack/internal/membership"
-	"ringtrack.example/ringtrack/internal/membership/roster"
+	"ringtrack.example/ringtrack/internal/membership/discovery"
 )
 
 // wantServedBy asks until a backend serves; others may be asked meanwhile.
@@ -38,8 +38,8 @@
 	wantStatus(t, status, 200)
 
 	next := newDiscoveryServer(t, target("s-2", fresh.addr))
-	before := a.loop.Roster()
-	a.loop.Post(func() { a.loop.Rediscover(next.Addr) })
+	before := a.loop.Discovery()
+	a.loop.Post(func() { a.loop.SwitchDiscovery(next.Addr) })
 	next.wait(t, 1) // the watch goes on from the new list's version
 	wantServedBy(t, a, fresh)
 	select {
@@ -48,7 +48,7 @@
 		t.Error("the old discovery is still asked")
 	}
 	asked, n := d.Calls(), old.count()
-	before.Told(&membership.List{Revision: 2000, Full: true, Entries: []membership.Entry{target("s-1", old.addr)}}, true, nil)
+	before.OnUpdate(&membership.List{Revision: 2000, Full: true, Entries: []membership.Entry{target("s-1", old.addr)}}, true, nil)
 	next.told(t, target("s-3", fresh.addr))
 	for range 10 {
 		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
@@ -60,7 +60,7 @@
 	done := make(chan bool)
 	a.loop.Post(func() {
 		defer close(done)
-		if a.loop.Lists("s-1") || !a.loop.Lists("s-3") {
+		if a.loop.IsListed("s-1") || !a.loop.IsListed("s-3") {
 			t.Error("the table is not the new discovery's")
 		}
 	})
@@ -73,8 +73,8 @@
 	a := startAgent(t, newDiscoveryServer(t, target("s-1", old.addr)), nil)
 	next := newDiscoveryServer(t, target("s-2", fresh.addr))
 	next.SetDown(true)
-	a.loop.Post(func() { a.loop.Rediscover(next.Addr) })
-	for next.Calls() < roster.WholeTries+1 {
+	a.loop.Post(func() { a.loop.SwitchDiscovery(next.Addr) })
+	for next.Calls() < discovery.MaxInitialFetches+1 {
 		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 		time.Sleep(5 * time.Millisecond)
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -105,8 +105,8 @@
 	if n := b.count(); n != 0 {
 		t.Errorf("%d arrivals at the backend", n)
 	}
-	if f := a.figures(); f.Taken != 0 {
-		t.Errorf("the module was asked %d times", f.Taken)
+	if f := a.figures(); f.Accepted != 0 {
+		t.Errorf("the module was asked %d times", f.Accepted)
 	}
 }
 
@@ -198,7 +198,7 @@
 	if b.count() != 3 {
 		t.Errorf("%d arrivals, want 3", b.count())
 	}
-	if f := a.figures(); f.Guarded+f.Backstops > 0 {
+	if f := a.figures(); f.GuardViolations+f.DeadlineExceeded > 0 {
 		t.Errorf("a guard had to act: %+v", f)
 	}
 }
--- a/internal/agent/size_test.go
+++ b/internal/agent/size_test.go
@@ -58,10 +58,10 @@
 		if b.count() != n {
 			t.Errorf("%d arrivals of %d", b.count(), n)
 		}
-		if f := a.figures(); f.Served != n || f.Guarded+f.Backstops > 0 {
+		if f := a.figures(); f.Served != n || f.GuardViolations+f.DeadlineExceeded > 0 {
 			t.Errorf("figures %+v", f)
 		}
-		if tally := a.loop.Tally(); tally.Written.Load() != int64(n) || tally.Open.Load() != 0 {
+		if tally := a.loop.Counters(); tally.Written.Load() != int64(n) || tally.Open.Load() != 0 {
 			t.Errorf("%d attempts written, %d open", tally.Written.Load(), tally.Open.Load())
 		}
 		if short {
@@ -97,7 +97,7 @@
 		}
 		c.Close()
 	}
-	if f := a.figures(); f.Served != 2 || f.Backstops > 0 {
+	if f := a.figures(); f.Served != 2 || f.DeadlineExceeded > 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
@@ -160,7 +160,7 @@
 			if n := len(accepted); n != 1 {
 				t.Errorf("%d connections to the backend", n)
 			}
-			if f := a.figures(); f.Guarded+f.Backstops+f.Served > 0 {
+			if f := a.figures(); f.GuardViolations+f.DeadlineExceeded+f.Served > 0 {
 				t.Errorf("figures %+v", f)
 			}
 		})
@@ -227,7 +227,7 @@
 			if _, err := io.ReadFull(resp.Body, head); err != nil {
 				t.Fatal(err)
 			}
-			if open := a.loop.Tally().Open.Load(); open != 1 {
+			if open := a.loop.Counters().Open.Load(); open != 1 {
 				t.Errorf("%d open while the answer goes on", open)
 			}
 			time.Sleep(500 * time.Millisecond) // longer than the request's time
@@ -236,10 +236,10 @@
 			if err != nil || string(head)+string(got) != first+rest {
 				t.Errorf("%d bytes came, %v", len(got)+1, err)
 			}
-			for end := time.Now().Add(patience); a.loop.Tally().Open.Load() != 0 && time.Now().Before(end); {
+			for end := time.Now().Add(patience); a.loop.Counters().Open.Load() != 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
-			if c := &a.loop.Tally().Classes[2]; c.Served.Load() != 1 || c.Failed.Load() != 0 {
+			if c := &a.loop.Counters().Classes[2]; c.Served.Load() != 1 || c.Failed.Load() != 0 {
 				t.Errorf("served %d, failed %d", c.Served.Load(), c.Failed.Load())
 			}
 			// The connection carries the next request, but where the answer ended with it.
@@ -280,11 +280,11 @@
 				t.Error("the client takes it for whole")
 			}
 			until := time.Now().Add(patience)
-			c := &a.loop.Tally().Classes[2]
+			c := &a.loop.Counters().Classes[2]
 			for c.Failed.Load() != 1 && time.Now().Before(until) {
 				time.Sleep(time.Millisecond)
 			}
-			if c.Served.Load() != 0 || c.Failed.Load() != 1 || b.count() != 1 || a.loop.Tally().Open.Load() != 0 {
+			if c.Served.Load() != 0 || c.Failed.Load() != 1 || b.count() != 1 || a.loop.Counters().Open.Load() != 0 {
 				t.Errorf("served %d, failed %d, %d arrivals", c.Served.Load(), c.Failed.Load(), b.count())
 			}
 		})
--- a/internal/agent/told_test.go
+++ b/internal/agent/told_test.go
@@ -11,7 +11,7 @@
 
 	"ringtrack.example/ringtrack/internal/core"
 	"ringtrack.example/ringtrack/internal/membership"
-	"ringtrack.example/ringtrack/internal/membership/roster"
+	"ringtrack.example/ringtrack/internal/membership/discovery"
 	"ringtrack.example/ringtrack/internal/upgrade"
 	"ringtrack.example/ringtrack/policy"
 )
@@ -82,8 +82,8 @@
 	}{
 		{"answered 503", 0, 7, unavailable},
 		{"reset", 0, 7, broken},
-		{"answered 503, then by SIGHUP", 7, roster.WholeTries, unavailable},
-		{"reset, then by SIGHUP", 7, roster.WholeTries, broken},
+		{"answered 503, then by SIGHUP", 7, discovery.MaxInitialFetches, unavailable},
+		{"reset, then by SIGHUP", 7, discovery.MaxInitialFetches, broken},
 		{"given up behind SIGHUP", 0, 1, held},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -100,13 +100,13 @@
 			}
 			a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(cfg *Config) {
 				cfg.Discovery = first.server.Listener.Addr().String()
-				cfg.Settings.Contract.AskWithinMs = 10_000
+				cfg.Settings.Contract.PollIntervalMs = 10_000
 			})
 			for range c.before {
 				next(t, first.ended, "a failed call to the discovery that is left")
 			}
 			if reload {
-				a.loop.Post(func() { a.loop.Rediscover(last.server.Listener.Addr().String()) })
+				a.loop.Post(func() { a.loop.SwitchDiscovery(last.server.Listener.Addr().String()) })
 			}
 			var failed time.Time
 			for range c.fails {
@@ -117,7 +117,7 @@
 			}
 			until(t, "the list is not taken", func() bool {
 				known := make(chan bool, 1)
-				a.loop.Post(func() { known <- a.loop.Lists("s-2") })
+				a.loop.Post(func() { known <- a.loop.IsListed("s-2") })
 				return <-known
 			})
 		})
@@ -139,14 +139,14 @@
 // place should it be killed; an answer takes that back.
 func TestAMissingAnswerOutlivesItsProcess(t *testing.T) {
 	tmp := t.TempDir()
-	lastCall := func() policy.LastCall {
+	lastCall := func() policy.LastPoll {
 		loop := core.Config{}
 		if _, err := newPair(&Config{Dir: join(t, tmp)}, &loop); err != nil {
 			t.Fatal(err)
 		}
-		return loop.Settings.LastCall
+		return loop.Settings.LastPoll
 	}
-	until := func(want policy.LastCall, when string) {
+	until := func(want policy.LastPoll, when string) {
 		t.Helper()
 		for end := time.Now().Add(patience); lastCall() != want; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
@@ -154,7 +154,7 @@
 			}
 		}
 	}
-	if got := lastCall(); got != policy.CallUnknown {
+	if got := lastCall(); got != policy.PollUnknown {
 		t.Errorf("the first process of all is told of a last call: %v", got)
 	}
 	b := newBackend(t, serving)
@@ -185,14 +185,14 @@
 		c.Dir, c.Discovery = join(t, tmp), server.Listener.Addr().String()
 	})
 	next(t, came, "the first call")
-	until(policy.CallUnanswered, "while the first call is out")
+	until(policy.PollUnanswered, "while the first call is out")
 	close(release)
 	next(t, failed, "the call behind the failed one")
-	if got := lastCall(); got != policy.CallUnanswered {
+	if got := lastCall(); got != policy.PollUnanswered {
 		t.Errorf("behind a failed call the next process is told %v", got)
 	}
 	close(answer)
-	until(policy.CallAnswered, "behind an answer")
+	until(policy.PollAnswered, "behind an answer")
 }
 
 // A process that is killed before its turn at discovery leaves no word of an answer that the one before it had: the next
@@ -200,7 +200,7 @@
 func TestAnOldAnswerIsNoWordOfAProcessThatNeverAsked(t *testing.T) {
 	tmp := t.TempDir()
 	before := join(t, tmp)
-	if err := before.SetStale(false); err != nil {
+	if err := before.SetDiscoveryStale(false); err != nil {
 		t.Fatal(err)
 	}
 	before.Close()
@@ -213,10 +213,10 @@
 	dir := join(t, tmp)
 	startAgent(t, newDiscoveryServer(t, target("s-1", newBackend(t, serving).addr)), func(c *Config) {
 		c.Dir, c.Discovery = dir, server.Listener.Addr().String()
-		c.Settings.Index, c.Settings.Replicas, c.Settings.Contract.AskWithinMs = 9999, 10_000, 600_000 // the last of many: 480 s
+		c.Settings.ReplicaIndex, c.Settings.Replicas, c.Settings.Contract.PollIntervalMs = 9999, 10_000, 600_000 // the last of many: 480 s
 	})
 	until(t, "the word of the process before it stands", func() bool {
-		stale, found, err := dir.Stale()
+		stale, found, err := dir.DiscoveryStale()
 		return err == nil && found && stale
 	})
 	if n := calls.Load(); n > 0 {
--- a/internal/room/room_test.go
+++ b/internal/concurrency/concurrency_test.go
@@ -1,4 +1,4 @@
-package room
+package concurrency
 
 import (
 	"math"
@@ -10,7 +10,7 @@
 // its places taken, for so many seconds; each agent sends whenever its window admits one. It returns the
 // parts of the attempts that were turned away and of the time that the server idled, each agent's served
 // requests, and the windows at the end.
-func play(rng *rand.Rand, windows []Window, places func(now float64) int, workMs float64, seconds float64) (turned, idle float64, served []int) {
+func play(rng *rand.Rand, windows []Limit, places func(now float64) int, workMs float64, seconds float64) (turned, idle float64, served []int) {
 	const step, limitMs = 1.0, 1e9
 	type job struct{ agent int }
 	var queue []job
@@ -26,7 +26,7 @@
 			left = workMs * rng.ExpFloat64()
 			out[j.agent]--
 			served[j.agent]++
-			windows[j.agent].Grow(now)
+			windows[j.agent].Increase(now)
 		}
 		for _, i := range rng.Perm(len(windows)) {
 			if !windows[i].Admits(out[i], now-sentAt[i], workMs) {
@@ -36,7 +36,7 @@
 			sentAt[i] = now
 			if len(queue) >= places(now) {
 				away++
-				windows[i].TurnedAway(now)
+				windows[i].Rejected(now)
 				continue
 			}
 			queue = append(queue, job{i})
@@ -46,8 +46,8 @@
 	return float64(away) / float64(attempts), float64(idled) / (seconds * 1000 / step), served
 }
 
-func windows(n int, size float64) []Window {
-	w := make([]Window, n)
+func windows(n int, size float64) []Limit {
+	w := make([]Limit, n)
 	for i := range w {
 		w[i].Reset(size)
 	}
@@ -100,61 +100,61 @@
 }
 
 func TestWindowRules(t *testing.T) {
-	var w Window
+	var w Limit
 	w.Reset(3)
-	if w.TurnedAway(100); w.Size() != 2.25 || !w.Bounded(100+boundMs-1) || w.Bounded(100+boundMs) {
-		t.Errorf("turned away at 3: %v, bounded %v, %v", w.Size(), w.Bounded(100+boundMs-1), w.Bounded(100+boundMs))
+	if w.Rejected(100); w.Size() != 2.25 || !w.RecentlyRejected(100+boundMs-1) || w.RecentlyRejected(100+boundMs) {
+		t.Errorf("turned away at 3: %v, bounded %v, %v", w.Size(), w.RecentlyRejected(100+boundMs-1), w.RecentlyRejected(100+boundMs))
 	}
 	near := w
-	near.Grow(200)
-	w.Grow(100 + boundMs)
+	near.Increase(200)
+	w.Increase(100 + boundMs)
 	if a, b := near.Size()-2.25, w.Size()-2.25; !(a > 0) || math.Abs(a-boundGrowth*b) > 1e-9 {
 		t.Errorf("grew by %v near a bound, by %v elsewhere", a, b)
 	}
 	for range 20 {
-		w.TurnedAway(7000)
+		w.Rejected(7000)
 	}
 	if w.Size() != 1 {
 		t.Errorf("turned away time and again: %v, want 1", w.Size())
 	}
 	w.Reset(0.25)
-	if w.TurnedAway(1); w.Size() != 0.25 {
+	if w.Rejected(1); w.Size() != 0.25 {
 		t.Errorf("a window under one was widened to %v by a turn-away", w.Size())
 	}
 	if w.Admits(0, 39, 10) || !w.Admits(0, 40, 10) || w.Admits(1, 1000, 10) {
 		t.Error("a window of a quarter is not kept by pausing for four answers' times")
 	}
 	w.Reset(4)
-	if !w.Crowd(1000, 50, 0.5, 1) || w.Size() != 2 {
+	if !w.Decrease(1000, 50, 0.5, 1) || w.Size() != 2 {
 		t.Errorf("crowded: %v, want 2", w.Size())
 	}
-	if w.Crowd(1050, 50, 0.5, 1) || w.Size() != 2 {
+	if w.Decrease(1050, 50, 0.5, 1) || w.Size() != 2 {
 		t.Errorf("cut again for answers that were under way: %v", w.Size())
 	}
-	if w.Crowd(1051, 50, 0.1, 1); w.Size() != 1 {
+	if w.Decrease(1051, 50, 0.1, 1); w.Size() != 1 {
 		t.Errorf("cut under its least: %v", w.Size())
 	}
-	if w.Reset(1.5); w.Bounded(0) {
+	if w.Reset(1.5); w.RecentlyRejected(0) {
 		t.Error("a new process is bounded by what the old one turned away")
 	}
 	if w.Halve(); w.Size() != 1 {
 		t.Errorf("half of 1.5: %v, want 1", w.Size())
 	}
-	var zero Window
-	if zero.Grow(0); zero.Size() != 0 || !zero.Admits(0, math.Inf(1), 0) {
+	var zero Limit
+	if zero.Increase(0); zero.Size() != 0 || !zero.Admits(0, math.Inf(1), 0) {
 		t.Errorf("zero window: %v", zero.Size())
 	}
 }
 
 // What reports tell, and what they can't.
 func TestLoad(t *testing.T) {
-	f := FieldsOf([]string{"qps", "util", "x7", "inflight"})
+	f := NewReportFields([]string{"qps", "util", "x7", "inflight"})
 	if x, ok := f.Inflight([]float32{1, 0.5, 3, 9}); !ok || x != 9 {
 		t.Errorf("inflight %v %v", x, ok)
 	}
 	nan, inf := float32(math.NaN()), float32(math.Inf(1))
 	for name, c := range map[string]struct {
-		fields  Fields
+		fields  ReportFields
 		report  []float32
 		ageMs   float64
 		bounded bool
@@ -166,7 +166,7 @@
 		"report absent":                  {f, nil, 0, false, true},
 		"report absent, turned away":     {f, nil, 0, true, false},
 		"report too short":               {f, []float32{1}, 0, true, false},
-		"no such field":                  {FieldsOf([]string{"qps", "cpu"}), []float32{1, 0}, 0, true, false},
+		"no such field":                  {NewReportFields([]string{"qps", "cpu"}), []float32{1, 0}, 0, true, false},
 		"not a number":                   {f, []float32{1, nan}, 0, true, false},
 		"infinite":                       {f, []float32{1, inf}, 0, true, false},
 		"negative":                       {f, []float32{1, -1}, 0, true, false},
@@ -174,39 +174,39 @@
 		"frozen: idle, old, turned away": {f, []float32{1, 0}, loadMs + 1, true, false},
 		"1.4 s late":                     {f, []float32{1, 0.2}, 1400, false, true},
 	} {
-		var l Load
-		l.Heard(1000, c.fields, c.report)
+		var l LoadReport
+		l.Update(1000, c.fields, c.report)
 		if got := l.Idle(1000+c.ageMs, c.bounded); got != c.idle {
 			t.Errorf("%s: idle %v, want %v", name, got, c.idle)
 		}
 	}
-	var l Load
-	l.Heard(0, f, []float32{1, 0.99})
-	if l.Heard(10, f, []float32{1, nan}); l.Idle(10, false) {
+	var l LoadReport
+	l.Update(0, f, []float32{1, 0.99})
+	if l.Update(10, f, []float32{1, nan}); l.Idle(10, false) {
 		t.Error("a spoilt report wiped out the one before")
 	}
 }
 
 func TestWarm(t *testing.T) {
-	w := NewWarm(3000, 100)
-	w.Sent(0, 0)
-	if w.Is(0, 0) || w.Is(0, 5) {
+	w := NewRecentKeys(3000, 100)
+	w.Add(0, 0)
+	if w.Contains(0, 0) || w.Contains(0, 5) {
 		t.Error("warm without having been sent")
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	sent := map[uint64]float64{}
 	for now := 0.0; now < 60_000; now += 20 { // under 100 keys in half a span: nothing may be lost
 		key := rng.Uint64N(80) + 1
-		w.Sent(now, key)
+		w.Add(now, key)
 		sent[key] = now
 		for k, at := range sent {
-			if got, want := w.Is(now, k), now-at < 3000; got != want {
+			if got, want := w.Contains(now, k), now-at < 3000; got != want {
 				t.Fatalf("at %v key %d, sent at %v: warm %v", now, k, at, got)
 			}
 		}
 	}
 	for now := 60_000.0; now < 61_000; now++ {
-		w.Sent(now, rng.Uint64())
+		w.Add(now, rng.Uint64())
 		if n := len(w.now) + len(w.last); n > 200 {
 			t.Fatalf("%d keys remembered, at most 200", n)
 		}
@@ -218,7 +218,7 @@
 func TestWindowWalk(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		var w Window
+		var w Limit
 		w.Reset(2)
 		now := 0.0
 		for step := range 10_000 {
@@ -226,17 +226,17 @@
 			old := w.Size()
 			switch rng.IntN(6) {
 			case 0:
-				if w.TurnedAway(now); w.Size() > old || w.Size() < min(old, 1) || !w.Bounded(now) {
+				if w.Rejected(now); w.Size() > old || w.Size() < min(old, 1) || !w.RecentlyRejected(now) {
 					t.Fatalf("seed %d step %d: turned away at %v: %v", seed, step, old, w.Size())
 				}
 			case 1:
-				if w.Crowd(now, 50, 0.85, 0.1); w.Size() > old || w.Size() < min(old, 0.1) {
+				if w.Decrease(now, 50, 0.85, 0.1); w.Size() > old || w.Size() < min(old, 0.1) {
 					t.Fatalf("seed %d step %d: crowd at %v: %v", seed, step, old, w.Size())
 				}
 			case 2:
 				w.Halve()
 			default:
-				if w.Grow(now); w.Size() < old || w.Size() > old+1 {
+				if w.Increase(now); w.Size() < old || w.Size() > old+1 {
 					t.Fatalf("seed %d step %d: grew from %v to %v", seed, step, old, w.Size())
 				}
 			}
--- a/internal/room/window.go
+++ b/internal/concurrency/limit.go
@@ -1,10 +1,10 @@
-// Package room knows what each server can bear now: how many requests of one agent at a time (Window), whether
+// Package concurrency knows what each server can bear now: how many requests of one agent at a time (Window), whether
 // its last report says that its cores idle (Load), and which keys it has likely served so lately that they cost
 // less (Warm). It owns no request and decides nothing about one; the decision module asks it.
 //
 // It has no I/O, no clock, no goroutine and no randomness: times come in as arguments, in milliseconds of one
 // clock that never goes back. Nothing in it is safe for concurrent use.
-package room
+package concurrency
 
 import "math"
 
@@ -21,8 +21,8 @@
 	turnedPart, boundGrowth = 0.75, 0.1
 )
 
-// Window is the number of attempts that one agent may have out on a server. The zero value admits one at a time.
-type Window struct {
+// Limit is the number of attempts that one agent may have out on a server. The zero value admits one at a time.
+type Limit struct {
 	size     float64 // below one: by pausing between single attempts
 	cutAt    float64 // last cut for a crowd
 	turnedAt float64 // last turn-away
@@ -30,34 +30,34 @@
 }
 
 // Reset forgets all and begins with so many attempts: the server is another process now.
-func (w *Window) Reset(size float64) { *w = Window{size: size} }
+func (w *Limit) Reset(size float64) { *w = Limit{size: size} }
 
 // Size is the window, in attempts.
-func (w *Window) Size() float64 { return w.size }
+func (w *Limit) Size() float64 { return w.size }
 
 // Admits tells whether one more attempt fits beside so many that are out, where the last one was sent
 // sinceMs ago and answers take rttMs on the mean. A window under one is kept by pausing: of many agents
 // even one attempt each can be too much, and a server that tipped needs rest to recover.
-func (w *Window) Admits(out int, sinceMs, rttMs float64) bool {
+func (w *Limit) Admits(out int, sinceMs, rttMs float64) bool {
 	return out < max(int(w.size), 1) && !(w.size < 1 && sinceMs < rttMs/w.size)
 }
 
-// TurnedAway notes that the server had no room: what it holds it still answers in time, so the window keeps
+// Rejected notes that the server had no room: what it holds it still answers in time, so the window keeps
 // at least one.
-func (w *Window) TurnedAway(now float64) {
+func (w *Limit) Rejected(now float64) {
 	w.size = min(w.size, max(w.size*turnedPart, 1))
 	w.cutAt, w.turnedAt, w.bounded = now, now, true
 }
 
-// Bounded tells whether the server turned an attempt away within boundMs: it keeps its queue short by itself.
-func (w *Window) Bounded(now float64) bool { return w.bounded && now-w.turnedAt < boundMs }
+// RecentlyRejected tells whether the server turned an attempt away within boundMs: it keeps its queue short by itself.
+func (w *Limit) RecentlyRejected(now float64) bool { return w.bounded && now-w.turnedAt < boundMs }
 
 // Halve leaves half, and at least one: the server failed.
-func (w *Window) Halve() { w.size = max(w.size/2, 1) }
+func (w *Limit) Halve() { w.size = max(w.size/2, 1) }
 
-// Crowd leaves the given part, and at least so much, because answers take too long. Answers that were
+// Decrease leaves the given part, and at least so much, because answers take too long. Answers that were
 // under way when it was last cut, for rttMs, tell nothing new; it is left alone then and false is returned.
-func (w *Window) Crowd(now, rttMs, part, least float64) bool {
+func (w *Limit) Decrease(now, rttMs, part, least float64) bool {
 	if now-w.cutAt <= rttMs {
 		return false
 	}
@@ -65,11 +65,11 @@
 	return true
 }
 
-// Grow widens a window that is in use, by about one each time as many are answered as it holds; near a bound
+// Increase widens a window that is in use, by about one each time as many are answered as it holds; near a bound
 // that has shown itself much slower.
-func (w *Window) Grow(now float64) {
+func (w *Limit) Increase(now float64) {
 	by := min(1/w.size, w.size)
-	if w.Bounded(now) {
+	if w.RecentlyRejected(now) {
 		by *= boundGrowth
 	}
 	if by > 0 && !math.IsInf(by, 0) {
--- a/internal/room/load.go
+++ b/internal/concurrency/loadreport.go
@@ -1,4 +1,4 @@
-package room
+package concurrency
 
 import "math"
 
@@ -10,14 +10,14 @@
 	loadMs = 3000.0
 )
 
-// Fields says where in a report the values stand that are understood. Values of other names are passed over.
-type Fields struct {
+// ReportFields says where in a report the values stand that are understood. Values of other names are passed over.
+type ReportFields struct {
 	util, inflight int // index, or -1
 }
 
-// FieldsOf finds them by the names that the settings list.
-func FieldsOf(names []string) Fields {
-	f := Fields{util: -1, inflight: -1}
+// NewReportFields finds them by the names that the settings list.
+func NewReportFields(names []string) ReportFields {
+	f := ReportFields{util: -1, inflight: -1}
 	for i, name := range names {
 		switch name {
 		case "util":
@@ -31,7 +31,7 @@
 
 // Inflight is the reported number of requests in the server, of all agents, and false where it is not told or
 // makes no sense.
-func (f Fields) Inflight(report []float32) (float64, bool) { return value(report, f.inflight) }
+func (f ReportFields) Inflight(report []float32) (float64, bool) { return value(report, f.inflight) }
 
 func value(report []float32, i int) (float64, bool) {
 	if i < 0 || i >= len(report) {
@@ -41,15 +41,15 @@
 	return x, x >= 0 && !math.IsInf(x, 0)
 }
 
-// Load is what a server last reported of itself. The zero value has heard nothing.
-type Load struct {
+// LoadReport is what a server last reported of itself. The zero value has heard nothing.
+type LoadReport struct {
 	util float64
 	at   float64
 	told bool
 }
 
-// Heard takes the report of an answer. Without core use that makes sense nothing changes.
-func (l *Load) Heard(now float64, f Fields, report []float32) {
+// Update takes the report of an answer. Without core use that makes sense nothing changes.
+func (l *LoadReport) Update(now float64, f ReportFields, report []float32) {
 	if x, ok := value(report, f.util); ok {
 		l.util, l.at, l.told = x, now, true
 	}
@@ -58,7 +58,7 @@
 // Idle tells whether the server likely has cores without work: by what it reported lately. One that
 // reports nothing, or not for long, idles unless it has turned attempts away of late, which bounded says. A fresh
 // report is believed as it is: where it lies, the window, which the caller asks anyhow, is what bounds.
-func (l *Load) Idle(now float64, bounded bool) bool {
+func (l *LoadReport) Idle(now float64, bounded bool) bool {
 	if !l.told || now-l.at > loadMs {
 		return !bounded
 	}
--- a/internal/keeper/api.go
+++ b/internal/configstore/api.go
@@ -1,4 +1,4 @@
-package keeper
+package configstore
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"ringtrack.example/ringtrack/internal/agree"
-	"ringtrack.example/ringtrack/internal/agree/link"
 	"ringtrack.example/ringtrack/internal/clock"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/configstore/client"
+	"ringtrack.example/ringtrack/internal/lease"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 const (
@@ -30,7 +30,7 @@
 	mostCalls = 4096
 )
 
-func (k *Keeper) now() float64 { return clock.Steady() }
+func (k *Replica) now() float64 { return clock.Steady() }
 
 // identityBox is the identity as calls may read it, from any goroutine.
 type identityBox struct {
@@ -42,7 +42,7 @@
 func (b *identityBox) get() Identity    { b.mu.Lock(); defer b.mu.Unlock(); return b.id }
 
 // handler answers calls. Each that needs the loop waits for it, for a bounded time.
-func (k *Keeper) handler(id *identityBox) http.Handler {
+func (k *Replica) handler(id *identityBox) http.Handler {
 	room := make(chan struct{}, mostCalls)
 	mux := http.NewServeMux()
 	call := func(pattern string, most int64, f func(req *http.Request, body []byte) (any, error)) {
@@ -95,13 +95,13 @@
 			http.Error(w, "busy", http.StatusServiceUnavailable)
 		}
 	})
-	call("POST "+link.PathRenew, 16<<10, k.renew)
-	call("POST "+link.PathPublish, link.MostAnswer, k.publish)
-	call("POST "+link.PathBan, 16<<10, k.ban)
-	call("POST "+link.PathMembers, 16<<10, k.members)
-	call("GET "+link.PathHistory, 0, k.history)
-	call("GET "+link.PathVersion, 0, k.version)
-	call("GET "+link.PathStatus, 0, k.status)
+	call("POST "+client.PathRenew, 16<<10, k.renew)
+	call("POST "+client.PathPublish, client.MaxResponseBytes, k.publish)
+	call("POST "+client.PathCordon, 16<<10, k.ban)
+	call("POST "+client.PathMembers, 16<<10, k.members)
+	call("GET "+client.PathHistory, 0, k.history)
+	call("GET "+client.PathVersion, 0, k.version)
+	call("GET "+client.PathStatus, 0, k.status)
 	return mux
 }
 
@@ -111,13 +111,13 @@
 // status is HTTP's word for an error. Below 500 nothing was done; else that is open.
 func status(err error) int {
 	var bad badCall
-	var f *link.Failure
+	var f *client.StatusError
 	switch {
 	case errors.As(err, &f):
 		return f.Status
-	case errors.Is(err, agree.ErrParent):
+	case errors.Is(err, lease.ErrParentMismatch):
 		return http.StatusConflict
-	case errors.Is(err, agree.ErrAhead):
+	case errors.Is(err, lease.ErrTooManyPending):
 		return http.StatusTooManyRequests
 	case errors.As(err, &bad):
 		return http.StatusUnprocessableEntity
@@ -126,8 +126,8 @@
 }
 
 // forward has the keeper that leads answer a call: once, as a call that was forwarded is not again.
-func (k *Keeper) forward(req *http.Request, in, out any, within time.Duration) error {
-	if req.Header.Get(link.Forwarded) != "" {
+func (k *Replica) forward(req *http.Request, in, out any, within time.Duration) error {
+	if req.Header.Get(client.Forwarded) != "" {
 		return errNotLeading
 	}
 	addr := make(chan string, 1)
@@ -141,14 +141,14 @@
 		if to == "" || to == k.cfg.Members[k.cfg.Name] {
 			return errors.New("no keeper leads")
 		}
-		return k.ask.Call(ctx, to, req.URL.RequestURI(), http.Header{link.Forwarded: {"1"}}, in, out)
+		return k.ask.Call(ctx, to, req.URL.RequestURI(), http.Header{client.Forwarded: {"1"}}, in, out)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
 // asked puts an ask to the loop and waits for its answer.
-func (k *Keeper) asked(ctx context.Context, a *ask) granted {
+func (k *Replica) asked(ctx context.Context, a *ask) granted {
 	a.answer = make(chan granted, 1)
 	if !k.do(ctx, func() { k.take(a) }) {
 		return granted{err: errNotLeading}
@@ -163,20 +163,20 @@
 	}
 }
 
-func (k *Keeper) renew(req *http.Request, body []byte) (any, error) {
-	var c link.RenewCall
+func (k *Replica) renew(req *http.Request, body []byte) (any, error) {
+	var c client.RenewRequest
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, badCall{err}
 	}
-	if c.Name == "" || len(c.Name) > rulebook.MostWord || c.Inc == "" || len(c.Inc) > 64 || len(c.Unable) > 4096 || !(c.WaitMs >= 0 && c.WaitMs <= 10_000) {
+	if c.Name == "" || len(c.Name) > sharedconfig.MaxNameBytes || c.Incarnation == "" || len(c.Incarnation) > 64 || len(c.Problem) > 4096 || !(c.WaitMs >= 0 && c.WaitMs <= 10_000) {
 		return nil, badCall{errors.New("renew: name, inc, unable or wait_ms is out of bounds")}
 	}
 	wait := min(c.WaitMs, k.cfg.LeaseMs/3)
 	ctx, cancel := context.WithTimeout(req.Context(), time.Duration(wait*float64(time.Millisecond))+forwardTime)
 	defer cancel()
-	g := k.asked(ctx, &ask{Ask: agree.Ask{Holder: agree.Holder{Name: c.Name, Inc: c.Inc}, Has: c.Has, Unable: c.Unable}, due: k.now() + wait})
+	g := k.asked(ctx, &ask{Request: lease.Request{Holder: lease.Holder{Name: c.Name, Incarnation: c.Incarnation}, Epoch: c.Epoch, Problem: c.Problem}, due: k.now() + wait})
 	if errors.Is(g.err, errNotLeading) {
-		var out link.RenewAnswer
+		var out client.RenewResponse
 		return &out, k.forward(req, &c, &out, time.Duration(wait*float64(time.Millisecond))+forwardTime)
 	}
 	if g.err != nil {
@@ -185,11 +185,11 @@
 	if g.text != nil {
 		return encoded(g.text), nil
 	}
-	return &link.RenewAnswer{Stage: g.grant.Stage, LeaseMs: g.grant.LeaseMs, ListMs: g.grant.ListMs}, nil
+	return &client.RenewResponse{Epoch: g.grant.Epoch, LeaseMs: g.grant.LeaseMs, EndpointsMs: g.grant.EndpointsMs}, nil
 }
 
 // proposal puts an entry to the loop and waits until it is applied.
-func (k *Keeper) proposal(req *http.Request, id string, op *agree.Op, in any) (any, error) {
+func (k *Replica) proposal(req *http.Request, id string, op *lease.Command, in any) (any, error) {
 	answer := make(chan result, 1)
 	ctx, cancel := context.WithTimeout(req.Context(), publishTime)
 	defer cancel()
@@ -200,34 +200,34 @@
 	case r := <-answer:
 		switch {
 		case errors.Is(r.err, errNotLeading):
-			var out link.PublishAnswer
+			var out client.PublishResponse
 			return &out, k.forward(req, in, &out, publishTime)
 		case r.err != nil && !r.applied: // it may still be on its way
 			return nil, r.err
-		case r.err != nil && (errors.Is(r.err, agree.ErrParent) || errors.Is(r.err, agree.ErrAhead)):
+		case r.err != nil && (errors.Is(r.err, lease.ErrParentMismatch) || errors.Is(r.err, lease.ErrTooManyPending)):
 			return nil, r.err
 		case r.err != nil:
 			return nil, badCall{r.err}
 		}
-		return &link.PublishAnswer{Number: r.v.Number, Digest: r.v.Digest}, nil
+		return &client.PublishResponse{Number: r.v.Number, Digest: r.v.Digest}, nil
 	case <-ctx.Done():
 		return nil, errors.New("whether it was published is not known: publish it again, under the same id")
 	}
 }
 
-func (k *Keeper) publish(req *http.Request, body []byte) (any, error) {
-	var c link.PublishCall
+func (k *Replica) publish(req *http.Request, body []byte) (any, error) {
+	var c client.PublishRequest
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, badCall{err}
 	}
-	book, err := rulebook.Decode(c.Book)
+	book, err := sharedconfig.Decode(c.Config)
 	if err != nil {
 		return nil, badCall{err}
 	}
 	if err := words(c.ID, c.Author, c.Reason); err != nil {
 		return nil, err
 	}
-	return k.proposal(req, c.ID, &agree.Op{Publish: &agree.Publish{ID: c.ID, Parent: c.Parent, Book: book, Author: c.Author, Reason: c.Reason,
+	return k.proposal(req, c.ID, &lease.Command{Publish: &lease.Publish{ID: c.ID, Parent: c.Parent, Config: book, Author: c.Author, Reason: c.Reason,
 		AtMs: time.Now().UnixMilli()}}, &c)
 }
 
@@ -237,26 +237,26 @@
 		return badCall{errors.New("publish: id: must have 1 to 64 bytes")}
 	}
 	for _, w := range more {
-		if len(w) > rulebook.MostWord {
-			return badCall{fmt.Errorf("publish: author and reason have %d bytes at the most", rulebook.MostWord)}
+		if len(w) > sharedconfig.MaxNameBytes {
+			return badCall{fmt.Errorf("publish: author and reason have %d bytes at the most", sharedconfig.MaxNameBytes)}
 		}
 	}
 	return nil
 }
 
-func (k *Keeper) ban(req *http.Request, body []byte) (any, error) {
-	var c link.BanCall
+func (k *Replica) ban(req *http.Request, body []byte) (any, error) {
+	var c client.CordonRequest
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, badCall{err}
 	}
 	if err := words(c.ID, c.Author, c.Server); err != nil || c.Server == "" {
 		return nil, errors.Join(badCall{errors.New("ban: id, server and author are needed")}, err)
 	}
-	return k.proposal(req, c.ID, &agree.Op{Ban: &agree.Ban{ID: c.ID, Server: c.Server, On: c.On, Author: c.Author, AtMs: time.Now().UnixMilli()}}, &c)
+	return k.proposal(req, c.ID, &lease.Command{Cordon: &lease.Cordon{ID: c.ID, Server: c.Server, On: c.On, Author: c.Author, AtMs: time.Now().UnixMilli()}}, &c)
 }
 
 // read has the loop do something once a majority has said that this keeper leads; whoever does not forwards.
-func (k *Keeper) read(req *http.Request, out any, f func() error) (any, error) {
+func (k *Replica) read(req *http.Request, out any, f func() error) (any, error) {
 	ctx, cancel := context.WithTimeout(req.Context(), forwardTime)
 	defer cancel()
 	g := k.asked(ctx, &ask{read: true})
@@ -278,24 +278,24 @@
 	}
 }
 
-func (k *Keeper) history(req *http.Request, _ []byte) (any, error) {
-	out := &link.HistoryAnswer{}
+func (k *Replica) history(req *http.Request, _ []byte) (any, error) {
+	out := &client.HistoryResponse{}
 	return k.read(req, out, func() error {
-		out.Stage, out.Dropped = k.state.Book.Stage, k.state.Book.Dropped
+		out.Epoch, out.Dropped = k.state.Book.Epoch, k.state.Book.Dropped
 		out.Versions = slices.Clone(k.state.Book.Versions)
 		for i := range out.Versions {
-			out.Versions[i].Book = nil
+			out.Versions[i].Config = nil
 		}
 		return nil
 	})
 }
 
-func (k *Keeper) version(req *http.Request, _ []byte) (any, error) {
+func (k *Replica) version(req *http.Request, _ []byte) (any, error) {
 	n, err := strconv.ParseUint(req.URL.Query().Get("n"), 10, 64)
 	if err != nil {
 		return nil, badCall{errors.New("version: n: a number is needed; 0 is the last")}
 	}
-	out := &rulebook.Version{}
+	out := &sharedconfig.Version{}
 	return k.read(req, out, func() error {
 		b := &k.state.Book
 		if n == 0 && b.Last() == 0 {
@@ -314,8 +314,8 @@
 }
 
 // status is this keeper's own word, asked of nobody else.
-func (k *Keeper) status(req *http.Request, _ []byte) (any, error) {
-	out := &link.Status{}
+func (k *Replica) status(req *http.Request, _ []byte) (any, error) {
+	out := &client.Status{}
 	done := make(chan struct{})
 	ctx, cancel := context.WithTimeout(req.Context(), forwardTime)
 	defer cancel()
@@ -330,10 +330,10 @@
 	}
 }
 
-func (k *Keeper) tell(s *link.Status) {
+func (k *Replica) tell(s *client.Status) {
 	b := k.rn.BasicStatus()
-	*s = link.Status{Name: k.cfg.Name, ID: k.id.ID, Leader: k.state.Members[k.soft.Lead].Name, Term: b.GetTerm(), Applied: k.applied,
-		Stage: k.state.Book.Stage, Last: k.state.Book.Last(), Refused: map[string]string{}, Loop: k.holds.status()}
+	*s = client.Status{Name: k.cfg.Name, ID: k.id.ID, Leader: k.state.Members[k.soft.Lead].Name, Term: b.GetTerm(), Applied: k.applied,
+		Epoch: k.state.Book.Epoch, Last: k.state.Book.Last(), Unreachable: map[string]string{}, Loop: k.holds.status()}
 	for id, m := range k.state.Members {
 		word := m.Name + " " + m.Addr
 		if slices.Contains(k.conf.GetLearners(), id) {
@@ -344,30 +344,30 @@
 	slices.Sort(s.Members)
 	for id, why := range k.seen.Refused {
 		if m, in := k.state.Members[id]; in {
-			s.Refused[m.Name] = why
+			s.Unreachable[m.Name] = why
 		}
 	}
 	for _, p := range k.peers {
 		if p.refused != "" {
-			s.Refused[k.cfg.Name+" by "+k.state.Members[p.id].Name] = p.refused
+			s.Unreachable[k.cfg.Name+" by "+k.state.Members[p.id].Name] = p.refused
 		}
 	}
 	if k.desk != nil {
 		now := k.now()
-		s.Holders = maps.Clone(k.desk.Holding(now))
-		_, s.HeldUp = k.desk.Taken(now, k.state.Book.Stage, k.state.Book.Words)
+		s.Holders = maps.Clone(k.desk.Holders(now))
+		_, s.BlockedBy = k.desk.Adopted(now, k.state.Book.Epoch, k.state.Book.EndpointsChanged)
 	}
 }
 
-// MembersCall adds a keeper, which learns first, or removes one.
-type MembersCall struct {
+// MembersRequest adds a keeper, which learns first, or removes one.
+type MembersRequest struct {
 	Add    string `json:"add,omitempty"` // name
 	Addr   string `json:"addr,omitempty"`
 	Remove string `json:"remove,omitempty"` // name
 }
 
-func (k *Keeper) members(req *http.Request, body []byte) (any, error) {
-	var c MembersCall
+func (k *Replica) members(req *http.Request, body []byte) (any, error) {
+	var c MembersRequest
 	if err := json.Unmarshal(body, &c); err != nil {
 		return nil, badCall{err}
 	}
@@ -404,7 +404,7 @@
 }
 
 // alter proposes a change of members, if none is going on.
-func (k *Keeper) alter(c *MembersCall, add *Identity) error {
+func (k *Replica) alter(c *MembersRequest, add *Identity) error {
 	if k.soft.RaftState != raft.StateLeader {
 		return errNotLeading
 	}
--- a/internal/agree/link/config.go
+++ b/internal/configstore/client/config.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 
 // What a lapsed agent does once its list is over as well.
 const (
-	LapseRefuse = "refuse"
-	LapseServe  = "serve"
+	OnExpiryReject = "refuse"
+	OnExpiryServe  = "serve"
 )
 
 // mostAddrs bounds keepers and peers that are named.
@@ -19,17 +19,17 @@
 
 // Config is what deploy/agreed.toml says. Keys, units and defaults are on the operators' page.
 type Config struct {
-	Keepers []string `toml:"keepers"`
-	Peers   []string `toml:"peers"`   // agents that may relay an ask
-	Listen  string   `toml:"listen"`  // where peers bring theirs; "": nowhere
-	CallMs  float64  `toml:"call_ms"` // for an answer, beside what the keeper may wait
-	WaitMs  float64  `toml:"wait_ms"` // for how long a keeper may wait for something new
-	OnLapse string   `toml:"on_lapse"`
+	Replicas []string `toml:"keepers"`
+	Peers    []string `toml:"peers"`   // agents that may relay an ask
+	Listen   string   `toml:"listen"`  // where peers bring theirs; "": nowhere
+	CallMs   float64  `toml:"call_ms"` // for an answer, beside what the keeper may wait
+	WaitMs   float64  `toml:"wait_ms"` // for how long a keeper may wait for something new
+	OnExpiry string   `toml:"on_lapse"`
 }
 
 // Load reads and checks a file.
 func Load(path string) (*Config, error) {
-	c := &Config{CallMs: 400, WaitMs: 500, OnLapse: LapseRefuse}
+	c := &Config{CallMs: 400, WaitMs: 500, OnExpiry: OnExpiryReject}
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("agreed: %w", err)
@@ -38,10 +38,10 @@
 	if err := toml.NewDecoder(f).DisallowUnknownFields().Decode(c); err != nil {
 		return nil, fmt.Errorf("agreed: %s: %w", path, err)
 	}
-	if len(c.Keepers) == 0 {
+	if len(c.Replicas) == 0 {
 		return nil, fmt.Errorf("agreed: keepers: none named")
 	}
-	for key, addrs := range map[string][]string{"keepers": c.Keepers, "peers": c.Peers} {
+	for key, addrs := range map[string][]string{"keepers": c.Replicas, "peers": c.Peers} {
 		if len(addrs) > mostAddrs {
 			return nil, fmt.Errorf("agreed: %s: %d, %d at the most", key, len(addrs), mostAddrs)
 		}
@@ -60,8 +60,8 @@
 			return nil, fmt.Errorf("agreed: %s: must be %v to %v, is %v", v.key, v.least, v.most, v.value)
 		}
 	}
-	if c.OnLapse != LapseRefuse && c.OnLapse != LapseServe {
-		return nil, fmt.Errorf("agreed: on_lapse: %q is neither %q nor %q", c.OnLapse, LapseRefuse, LapseServe)
+	if c.OnExpiry != OnExpiryReject && c.OnExpiry != OnExpiryServe {
+		return nil, fmt.Errorf("agreed: on_lapse: %q is neither %q nor %q", c.OnExpiry, OnExpiryReject, OnExpiryServe)
 	}
 	return c, nil
 }
--- a/internal/agree/link/lab.go
+++ b/internal/configstore/client/lab.go
@@ -1,6 +1,6 @@
 //go:build lab
 
-package link
+package client
 
 import (
 	"context"
@@ -18,14 +18,14 @@
 	case "from-answer":
 		countFrom = func(float64) float64 { return clock.Steady() }
 	case "back-on-start":
-		adopted = func(l *Link, a *RenewAnswer) {
-			if _, err := os.Stat(kept); err != nil && a.Stage > 0 {
+		adopted = func(l *Renewer, a *RenewResponse) {
+			if _, err := os.Stat(kept); err != nil && a.Epoch > 0 {
 				text, _ := json.Marshal(a)
 				os.WriteFile(kept, text, 0o600)
 			}
 		}
-		began = func(ctx context.Context, l *Link) {
-			var a RenewAnswer
+		began = func(ctx context.Context, l *Renewer) {
+			var a RenewResponse
 			if text, err := os.ReadFile(kept); err == nil && json.Unmarshal(text, &a) == nil {
 				l.take(ctx, clock.Steady(), &a)
 			}
--- a/internal/agree/link/link.go
+++ b/internal/configstore/client/link.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 	"sync/atomic"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/agree"
 	"ringtrack.example/ringtrack/internal/clock"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/lease"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 const (
@@ -32,30 +32,30 @@
 	mostAsk = 4 << 10
 )
 
-// Target is who acts under the lease. Both methods return once what they say is so.
-type Target interface {
+// Applier is who acts under the lease. Both methods return once what they say is so.
+type Applier interface {
 	// Adopt has it act on terms; book nil: on its own file's. An error says why it can't, and that it goes on as before.
-	Adopt(ctx context.Context, stage uint64, book *rulebook.Book, until, lists time.Time) error
+	Adopt(ctx context.Context, stage uint64, book *sharedconfig.Config, until, lists time.Time) error
 	// Renew has it go on as it does.
 	Renew(ctx context.Context, until, lists time.Time)
 }
 
-// Link keeps one holder's lease. Run's goroutine owns lease; the rest may be used from any.
-type Link struct {
+// Renewer keeps one holder's lease. Run's goroutine owns lease; the rest may be used from any.
+type Renewer struct {
 	cfg    *Config
-	holder agree.Holder
-	target Target
+	holder lease.Holder
+	target Applier
 	caller *Caller
-	lease  agree.Lease
+	lease  lease.Lease
 	last   int // the keeper, or behind them the peer, that answered last
 
 	until   atomic.Int64 // of the lease, us of the steady clock
-	figures Figures
+	figures Stats
 	relay   chan struct{}
 }
 
-// Figures are counts for operators.
-type Figures struct{ Asks, Failed, Relayed, Adopted, Unable atomic.Int64 }
+// Stats are counts for operators.
+type Stats struct{ Renewals, Failed, Relayed, Adopted, Rejected atomic.Int64 }
 
 // NewIncarnation draws what tells one start of a name from another.
 func NewIncarnation() string {
@@ -65,33 +65,33 @@
 }
 
 // New returns a link for an agent of this name.
-func New(cfg *Config, name string, target Target) *Link {
-	l := &Link{cfg: cfg, holder: agree.Holder{Name: name, Inc: NewIncarnation()}, target: target, caller: NewCaller(),
-		last: mrand.IntN(len(cfg.Keepers)), relay: make(chan struct{}, relays)}
+func New(cfg *Config, name string, target Applier) *Renewer {
+	l := &Renewer{cfg: cfg, holder: lease.Holder{Name: name, Incarnation: NewIncarnation()}, target: target, caller: NewCaller(),
+		last: mrand.IntN(len(cfg.Replicas)), relay: make(chan struct{}, relays)}
 	l.until.Store(math.MinInt64 / 2)
 	return l
 }
 
-// Figures are the link's counts.
-func (l *Link) Figures() *Figures { return &l.figures }
+// Stats are the link's counts.
+func (l *Renewer) Stats() *Stats { return &l.figures }
 
-// Left is for how long the lease holds, 0 where it does not.
-func (l *Link) Left() time.Duration {
+// Remaining is for how long the lease holds, 0 where it does not.
+func (l *Renewer) Remaining() time.Duration {
 	return max(time.Duration(l.until.Load()-int64(clock.Steady()*1000))*time.Microsecond, 0)
 }
 
 // addr is the i-th of keepers and peers, and whether it is a peer.
-func (l *Link) addr(i int) (string, bool) {
-	k := len(l.cfg.Keepers)
+func (l *Renewer) addr(i int) (string, bool) {
+	k := len(l.cfg.Replicas)
 	if i < k {
-		return l.cfg.Keepers[i], false
+		return l.cfg.Replicas[i], false
 	}
 	return l.cfg.Peers[i-k], true
 }
 
 // next is whom to ask behind a number of calls in a row that failed: each keeper once, then the peers, and so on.
-func (l *Link) next(failed int) int {
-	k, all := len(l.cfg.Keepers), len(l.cfg.Keepers)+len(l.cfg.Peers)
+func (l *Renewer) next(failed int) int {
+	k, all := len(l.cfg.Replicas), len(l.cfg.Replicas)+len(l.cfg.Peers)
 	switch turn := failed % all; {
 	case turn == 0:
 		return 0
@@ -105,17 +105,17 @@
 }
 
 // Run keeps the lease until ctx ends.
-func (l *Link) Run(ctx context.Context) {
+func (l *Renewer) Run(ctx context.Context) {
 	pause, unable, failed := pauseLeast, "", 0
 	began(ctx, l)
 	for ctx.Err() == nil {
 		addr, peer := l.addr(l.last)
-		call := &RenewCall{Name: l.holder.Name, Inc: l.holder.Inc, Has: l.lease.Stage, Unable: unable, WaitMs: l.cfg.WaitMs}
+		call := &RenewRequest{Name: l.holder.Name, Incarnation: l.holder.Incarnation, Epoch: l.lease.Epoch, Problem: unable, WaitMs: l.cfg.WaitMs}
 		if failed > 0 || unable != "" {
 			call.WaitMs = 0
 		}
 		asked := clock.Steady()
-		var answer RenewAnswer
+		var answer RenewResponse
 		header := http.Header{}
 		if peer {
 			header.Set(Relayed, "1")
@@ -124,7 +124,7 @@
 		try, cancel := context.WithTimeout(ctx, within)
 		err := l.caller.Call(try, addr, PathRenew, header, call, &answer)
 		cancel()
-		l.figures.Asks.Add(1)
+		l.figures.Renewals.Add(1)
 		if err == nil {
 			var was string
 			was, unable = unable, ""
@@ -134,9 +134,9 @@
 			}
 			if err != nil {
 				if unable = err.Error(); unable != was {
-					slog.Error("agreed: the rules can't be taken up", "stage", answer.Stage, "err", err)
+					slog.Error("agreed: the rules can't be taken up", "stage", answer.Epoch, "err", err)
 				}
-				l.figures.Unable.Add(1)
+				l.figures.Rejected.Add(1)
 			}
 		} else {
 			l.figures.Failed.Add(1)
@@ -150,7 +150,7 @@
 				slog.Info("agreed: answered again", "addr", addr, "failed", failed)
 			}
 			if failed, pause = 0, pauseLeast; peer {
-				l.last = mrand.IntN(len(l.cfg.Keepers)) // a keeper's own word is wanted next time
+				l.last = mrand.IntN(len(l.cfg.Replicas)) // a keeper's own word is wanted next time
 			}
 			continue
 		}
@@ -166,53 +166,53 @@
 var countFrom = func(asked float64) float64 { return asked }
 
 // began is called as a holder starts. A lab build may have it act before it has asked.
-var began = func(context.Context, *Link) {}
+var began = func(context.Context, *Renewer) {}
 
 // adopted is called with each book that was taken up.
-var adopted = func(l *Link, a *RenewAnswer) {}
+var adopted = func(l *Renewer, a *RenewResponse) {}
 
 // take takes up what was granted.
-func (l *Link) take(ctx context.Context, asked float64, a *RenewAnswer) error {
+func (l *Renewer) take(ctx context.Context, asked float64, a *RenewResponse) error {
 	next := l.lease
-	if !next.Take(countFrom(asked), clock.Steady(), agree.Grant{Stage: a.Stage, LeaseMs: a.LeaseMs, ListMs: a.ListMs}) {
-		return fmt.Errorf("a grant of stage %d, %.0f ms after it was asked for, with stage %d in hand", a.Stage, clock.Steady()-asked, l.lease.Stage)
+	if !next.Accept(countFrom(asked), clock.Steady(), lease.Grant{Epoch: a.Epoch, LeaseMs: a.LeaseMs, EndpointsMs: a.EndpointsMs}) {
+		return fmt.Errorf("a grant of stage %d, %.0f ms after it was asked for, with stage %d in hand", a.Epoch, clock.Steady()-asked, l.lease.Epoch)
 	}
-	until, lists := clock.At(next.Until), clock.At(next.Lists)
-	if a.Stage == l.lease.Stage && l.figures.Adopted.Load() > 0 {
+	until, lists := clock.At(next.Until), clock.At(next.EndpointsUntil)
+	if a.Epoch == l.lease.Epoch && l.figures.Adopted.Load() > 0 {
 		l.target.Renew(ctx, until, lists)
 	} else {
-		var book *rulebook.Book
-		if a.Stage > 0 {
+		var book *sharedconfig.Config
+		if a.Epoch > 0 {
 			var err error
-			if book, err = rulebook.Decode(a.Book); err != nil {
+			if book, err = sharedconfig.Decode(a.Config); err != nil {
 				return err
 			}
 		}
-		if err := l.target.Adopt(ctx, a.Stage, book, until, lists); err != nil {
+		if err := l.target.Adopt(ctx, a.Epoch, book, until, lists); err != nil {
 			return err
 		}
 		l.figures.Adopted.Add(1)
 		adopted(l, a)
-		slog.Info("agreed: rules taken up", "stage", a.Stage, "left_ms", int(next.Until-clock.Steady()))
+		slog.Info("agreed: rules taken up", "stage", a.Epoch, "left_ms", int(next.Until-clock.Steady()))
 	}
 	l.lease = next
 	l.until.Store(int64(next.Until * 1000))
 	return nil
 }
 
-// Ban has an operator's word on a server published. It returns once a majority of the keepers has it, so that it comes
+// Cordon has an operator's word on a server published. It returns once a majority of the keepers has it, so that it comes
 // into force everywhere, and the number of the version that has it; an error that is no Failure leaves that open.
-func (l *Link) Ban(ctx context.Context, server string, on bool) (number uint64, err error) {
-	call := &BanCall{ID: NewIncarnation(), Server: server, On: on, Author: l.holder.Name}
+func (l *Renewer) Cordon(ctx context.Context, server string, on bool) (number uint64, err error) {
+	call := &CordonRequest{ID: NewIncarnation(), Server: server, On: on, Author: l.holder.Name}
 	var first error
-	for i := range l.cfg.Keepers {
+	for i := range l.cfg.Replicas {
 		// The same id each time: a second try is not a second version.
-		addr := l.cfg.Keepers[i]
+		addr := l.cfg.Replicas[i]
 		try, cancel := context.WithTimeout(ctx, time.Duration(l.cfg.CallMs*float64(time.Millisecond)))
-		var answer PublishAnswer
-		err := l.caller.Call(try, addr, PathBan, nil, call, &answer)
+		var answer PublishResponse
+		err := l.caller.Call(try, addr, PathCordon, nil, call, &answer)
 		cancel()
-		if f := (*Failure)(nil); err == nil || errors.As(err, &f) && f.Status < 500 {
+		if f := (*StatusError)(nil); err == nil || errors.As(err, &f) && f.Status < 500 {
 			return answer.Number, err
 		}
 		if first = err; ctx.Err() != nil {
@@ -224,7 +224,7 @@
 
 // Serve carries asks of peers to the keepers, until ctx ends: one hop, a bounded number at once, and only while this
 // agent's own lease holds.
-func (l *Link) Serve(ctx context.Context, ln net.Listener) error {
+func (l *Renewer) Serve(ctx context.Context, ln net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathRenew, l.carry)
 	s := &http.Server{Handler: mux, ReadTimeout: 2 * time.Second, WriteTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 8 << 10}
@@ -237,7 +237,7 @@
 	return nil
 }
 
-func (l *Link) carry(w http.ResponseWriter, req *http.Request) {
+func (l *Renewer) carry(w http.ResponseWriter, req *http.Request) {
 	select {
 	case l.relay <- struct{}{}:
 		defer func() { <-l.relay }()
@@ -245,22 +245,22 @@
 		http.Error(w, "too many asks are carried", http.StatusServiceUnavailable)
 		return
 	}
-	var call RenewCall
+	var call RenewRequest
 	if err := json.NewDecoder(io.LimitReader(req.Body, mostAsk)).Decode(&call); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if l.Left() == 0 {
+	if l.Remaining() == 0 {
 		http.Error(w, "this agent holds no lease itself", http.StatusServiceUnavailable)
 		return
 	}
 	call.WaitMs = 0
 	// One keeper after the other, as long as the peer waits.
-	from := mrand.IntN(len(l.cfg.Keepers))
-	for i := range l.cfg.Keepers {
-		var answer RenewAnswer
+	from := mrand.IntN(len(l.cfg.Replicas))
+	for i := range l.cfg.Replicas {
+		var answer RenewResponse
 		try, cancel := context.WithTimeout(req.Context(), time.Duration(l.cfg.CallMs/2*float64(time.Millisecond)))
-		err := l.caller.Call(try, l.cfg.Keepers[(from+i)%len(l.cfg.Keepers)], PathRenew, nil, &call, &answer)
+		err := l.caller.Call(try, l.cfg.Replicas[(from+i)%len(l.cfg.Replicas)], PathRenew, nil, &call, &answer)
 		cancel()
 		if err == nil {
 			l.figures.Relayed.Add(1)
--- a/internal/agree/link/link_test.go
+++ b/internal/configstore/client/link_test.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"context"
@@ -11,14 +11,16 @@
 	"testing"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // holder takes up whatever it is granted.
 type holder struct{}
 
-func (holder) Adopt(context.Context, uint64, *rulebook.Book, time.Time, time.Time) error { return nil }
-func (holder) Renew(context.Context, time.Time, time.Time)                               {}
+func (holder) Adopt(context.Context, uint64, *sharedconfig.Config, time.Time, time.Time) error {
+	return nil
+}
+func (holder) Renew(context.Context, time.Time, time.Time) {}
 
 // An agent that no keeper answers asks each of them once, and then its peers in turn, from whichever keeper it begins;
 // while nobody answers it goes round so again and again.
@@ -40,7 +42,7 @@
 							cancel()
 						}
 						if i == 3+answers {
-							json.NewEncoder(w).Encode(&RenewAnswer{LeaseMs: 60_000})
+							json.NewEncoder(w).Encode(&RenewResponse{LeaseMs: 60_000})
 							cancel()
 							return
 						}
@@ -49,7 +51,7 @@
 					defer s.Close()
 					addrs[i] = s.Listener.Addr().String()
 				}
-				l := New(&Config{Keepers: addrs[:3], Peers: addrs[3:], CallMs: 10_000}, "a", holder{})
+				l := New(&Config{Replicas: addrs[:3], Peers: addrs[3:], CallMs: 10_000}, "a", holder{})
 				l.last = start
 				l.Run(ctx)
 				cancel()
--- a/internal/keeper/config.go
+++ b/internal/configstore/config.go
@@ -1,4 +1,4 @@
-package keeper
+package configstore
 
 import (
 	"fmt"
@@ -10,19 +10,19 @@
 
 // Config is what deploy/keeper.toml says. Keys, units and defaults are on the operators' page.
 type Config struct {
-	Name    string            `toml:"name"`
-	Listen  string            `toml:"listen"`
-	Data    string            `toml:"data"`    // folder
-	Members map[string]string `toml:"members"` // addresses by name, this keeper among them
-	Join    bool              `toml:"join"`    // waits to be added to keepers that there are
-	LeaseMs float64           `toml:"lease_ms"`
-	ListMs  float64           `toml:"list_ms"` // behind a lease, for which its word on servers may be gone by
-	TickMs  float64           `toml:"tick_ms"`
+	Name        string            `toml:"name"`
+	Listen      string            `toml:"listen"`
+	Data        string            `toml:"data"`    // folder
+	Members     map[string]string `toml:"members"` // addresses by name, this keeper among them
+	Join        bool              `toml:"join"`    // waits to be added to keepers that there are
+	LeaseMs     float64           `toml:"lease_ms"`
+	EndpointsMs float64           `toml:"list_ms"` // behind a lease, for which its word on servers may be gone by
+	TickMs      float64           `toml:"tick_ms"`
 }
 
 // Load reads and checks a file.
 func Load(path string) (*Config, error) {
-	c := &Config{LeaseMs: 2000, ListMs: 3000, TickMs: 25}
+	c := &Config{LeaseMs: 2000, EndpointsMs: 3000, TickMs: 25}
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("keeper: %w", err)
@@ -60,8 +60,8 @@
 	if !(c.LeaseMs >= 200 && c.LeaseMs <= 60_000) {
 		return bad("lease_ms", "must be 200 to 60000, is %v", c.LeaseMs)
 	}
-	if !(c.ListMs >= 0 && c.ListMs <= 3_600_000) {
-		return bad("list_ms", "must be 0 to 3600000, is %v", c.ListMs)
+	if !(c.EndpointsMs >= 0 && c.EndpointsMs <= 3_600_000) {
+		return bad("list_ms", "must be 0 to 3600000, is %v", c.EndpointsMs)
 	}
 	if !(c.TickMs >= 5 && c.TickMs <= 1000) {
 		return bad("tick_ms", "must be 5 to 1000, is %v", c.TickMs)
--- a/internal/keeper/holds.go
+++ b/internal/configstore/holds.go
@@ -1,4 +1,4 @@
-package keeper
+package configstore
 
 import (
 	"log/slog"
@@ -6,7 +6,7 @@
 
 	"go.etcd.io/raft/v3"
 
-	"ringtrack.example/ringtrack/internal/agree/link"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 )
 
 // The kinds of what takes a keeper's time, as operators see them in status and behind an election.
@@ -25,7 +25,7 @@
 	most, recent, before map[string]float64 // ms
 	turned               float64            // when recent began
 	ticked, heard        float64            // the last tick, the last word of the leader
-	loop                 link.Loop
+	loop                 client.EventLoopStatus
 }
 
 func newHolds() holds {
@@ -71,7 +71,7 @@
 }
 
 // told tells, where an election begins, what held this keeper up before it.
-func (k *Keeper) told(was, now raft.SoftState) {
+func (k *Replica) told(was, now raft.SoftState) {
 	if now.RaftState == raft.StateLeader {
 		k.holds.heard = long // it hears nobody while it leads
 	}
@@ -90,7 +90,7 @@
 }
 
 // status is the count for status.
-func (h *holds) status() link.Loop {
+func (h *holds) status() client.EventLoopStatus {
 	out := h.loop
 	out.LongestMs = maps.Clone(h.most)
 	return out
--- a/internal/keeper/identity.go
+++ b/internal/configstore/identity.go
@@ -1,4 +1,4 @@
-package keeper
+package configstore
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/agree/link"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/disk"
 )
 
@@ -44,7 +44,7 @@
 	}
 	for _, f := range []string{logFile, snapFile} {
 		if old, _ := d.Names(f); len(old) > 0 {
-			return nil, fmt.Errorf("%w: there is a %s and no %s", ErrDamaged, f, identityFile)
+			return nil, fmt.Errorf("%w: there is a %s and no %s", ErrCorrupt, f, identityFile)
 		}
 	}
 	*id = Identity{Name: name, ID: draw(name)}
@@ -72,7 +72,7 @@
 
 // form asks the other first members for their identities until all are known, or one that has formed already tells:
 // only then, and so only with all folders as they are at the very first, is there anything to vote on.
-func (id *Identity) form(ctx context.Context, members map[string]string, ask *link.Caller) error {
+func (id *Identity) form(ctx context.Context, members map[string]string, ask *client.Caller) error {
 	for formed := map[string]uint64{id.Name: id.ID}; ; {
 		for name, addr := range members {
 			if name == id.Name {
--- a/internal/keeper/lab.go
+++ b/internal/configstore/lab.go
@@ -1,6 +1,6 @@
 //go:build lab
 
-package keeper
+package configstore
 
 import (
 	"hash/fnv"
@@ -11,7 +11,7 @@
 // whose folder was wiped votes as before, and nobody notes how far it had come.
 func init() {
 	if os.Getenv("RINGTRACK_LAB_DEFECT") == "loop-waits" {
-		hand = (*Keeper).await
+		hand = (*Replica).await
 	}
 	if os.Getenv("RINGTRACK_LAB_DEFECT") == "wiped-votes" {
 		draw = func(name string) uint64 {
--- a/internal/keeper/peer.go
+++ b/internal/configstore/peer.go
@@ -1,4 +1,4 @@
-package keeper
+package configstore
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"go.etcd.io/raft/v3/tracker"
 	"google.golang.org/protobuf/proto"
 
-	"ringtrack.example/ringtrack/internal/agree/link"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 )
 
 const (
@@ -45,7 +45,7 @@
 // peer is the way to one other keeper. run's goroutines make the calls, one at a time of each queue: a heartbeat does not
 // wait until the other has taken entries or a snapshot.
 type peer struct {
-	k       *Keeper
+	k       *Replica
 	id      uint64
 	addr    string
 	beats   chan *pb.Message
@@ -55,7 +55,7 @@
 }
 
 // connect makes the ways those to the members as they are now.
-func (k *Keeper) connect() {
+func (k *Replica) connect() {
 	for id := range k.state.Members {
 		if p := k.peers[id]; id == k.id.ID || p != nil && p.addr == k.addr(id) {
 			continue
@@ -77,7 +77,7 @@
 }
 
 // addr is where this keeper reaches another: by its own file, else as it was added; "": there is none.
-func (k *Keeper) addr(id uint64) string {
+func (k *Replica) addr(id uint64) string {
 	m := k.state.Members[id]
 	if own := k.cfg.Members[m.Name]; own != "" {
 		return own
@@ -86,7 +86,7 @@
 }
 
 // send hands a message to its way; what finds no room is dropped.
-func (k *Keeper) send(m *pb.Message) {
+func (k *Replica) send(m *pb.Message) {
 	p := k.peers[m.GetTo()]
 	if p == nil {
 		return
@@ -156,7 +156,7 @@
 }
 
 // do has the loop do something; it tells whether it will.
-func (k *Keeper) do(ctx context.Context, f func()) bool {
+func (k *Replica) do(ctx context.Context, f func()) bool {
 	select {
 	case k.inbox <- f:
 		return true
@@ -168,7 +168,7 @@
 }
 
 // stamp fills in who sends.
-func (k *Keeper) stamp(t *parcel) {
+func (k *Replica) stamp(t *parcel) {
 	t.Cluster, t.From, t.Name, t.Nonce = k.id.Cluster, k.id.ID, k.id.Name, k.nonce
 	t.Last, _ = k.st.LastIndex()
 	if k.soft.RaftState == raft.StateLeader {
@@ -177,9 +177,9 @@
 }
 
 // sent takes how a call ended.
-func (k *Keeper) sent(p *peer, err error, snap bool) {
+func (k *Replica) sent(p *peer, err error, snap bool) {
 	why := ""
-	if f := (*link.Failure)(nil); errors.As(err, &f) && f.Status == http.StatusForbidden {
+	if f := (*client.StatusError)(nil); errors.As(err, &f) && f.Status == http.StatusForbidden {
 		why = f.Text
 	}
 	if why != p.refused {
@@ -200,7 +200,7 @@
 }
 
 // receive takes a parcel; an error is why it is refused.
-func (k *Keeper) receive(t *parcel) error {
+func (k *Replica) receive(t *parcel) error {
 	if t.To != k.id.ID {
 		return fmt.Errorf("this is keeper %d, another folder than %d; it was wiped or replaced", k.id.ID, t.To)
 	}
@@ -244,7 +244,7 @@
 }
 
 // changed follows a change of members.
-func (k *Keeper) changed(cc *pb.ConfChangeV2) {
+func (k *Replica) changed(cc *pb.ConfChangeV2) {
 	k.changing = long
 	for _, c := range cc.GetChanges() {
 		switch c.GetType() {
@@ -263,7 +263,7 @@
 }
 
 // promote makes a learner that has come up a voter.
-func (k *Keeper) promote(now float64) {
+func (k *Replica) promote(now float64) {
 	if now < k.changing {
 		return
 	}
@@ -276,7 +276,7 @@
 }
 
 // change proposes a change of one member.
-func (k *Keeper) change(kind pb.ConfChangeType, id uint64, m *member) error {
+func (k *Replica) change(kind pb.ConfChangeType, id uint64, m *member) error {
 	var context []byte
 	if m != nil {
 		var err error
--- a/internal/keeper/keeper.go
+++ b/internal/configstore/replica.go
@@ -1,7 +1,7 @@
-// Package keeper is the process that holds the agreed versions: one of 3, 5 or 7 that keep a replicated log of the book
+// Package configstore is the process that holds the agreed versions: one of 3, 5 or 7 that keep a replicated log of the book
 // of rules and give leases on it. It is thin round a consensus library (go.etcd.io/raft) and agree, which decides. It
 // owns its folder, the links to the other keepers and the calls of agents and operators; every goroutine ends with Run.
-package keeper
+package configstore
 
 import (
 	"context"
@@ -21,11 +21,11 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"ringtrack.example/ringtrack/internal/agree"
-	"ringtrack.example/ringtrack/internal/agree/link"
 	"ringtrack.example/ringtrack/internal/clock"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/disk"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/lease"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 const (
@@ -39,7 +39,7 @@
 	// transferTime bounds how long a planned end waits for another leader.
 	transferTime = time.Second
 	// mostPending bounds asks and publishes that wait in a keeper.
-	mostPending = agree.MostHolders
+	mostPending = lease.MaxHolders
 )
 
 // member is one keeper as the log knows it.
@@ -50,19 +50,19 @@
 
 // state is what entries of the log change, and a snapshot holds.
 type state struct {
-	Book    agree.Book        `json:"book"`
+	Book    lease.History     `json:"book"`
 	Members map[uint64]member `json:"members"`
 }
 
-// Keeper is one process. Its fields belong to the loop, Run's goroutine, but for what is said otherwise.
-type Keeper struct {
+// Replica is one process. Its fields belong to the loop, Run's goroutine, but for what is said otherwise.
+type Replica struct {
 	cfg   *Config
 	dir   *disk.Dir
 	id    *Identity
 	st    *storage
 	rn    *raft.RawNode
 	nonce uint64 // of this start
-	ask   *link.Caller
+	ask   *client.Caller
 	ctx   context.Context
 
 	inbox   chan func()
@@ -79,7 +79,7 @@
 	soft    raft.SoftState
 	terms   termsCache
 
-	desk     *agree.Desk // nil unless this keeper leads and has an entry of its own term applied
+	desk     *lease.Lessor // nil unless this keeper leads and has an entry of its own term applied
 	deskTerm uint64
 	proposed uint64  // the stage that was last proposed to be left, and when
 	at       float64 // ms of the steady clock
@@ -102,28 +102,28 @@
 }
 
 // hand gives the disk's writer a job. A lab build has one that waits for it in its place.
-var hand = (*Keeper).enqueue
+var hand = (*Replica).enqueue
 
 // long is a time long ago: a clock may begin anywhere.
 var long = math.Inf(-1)
 
 // ask is one that waits for a lease, or with no holder for a read.
 type ask struct {
-	agree.Ask
+	lease.Request
 	read   bool
 	due    float64
 	answer chan granted // of capacity one
 }
 
 type granted struct {
-	grant agree.Grant
+	grant lease.Grant
 	text  []byte // the whole answer, shared and read only, where the holder needs the terms too; else nil
 	err   error
 }
 
 // result is what came of a publish. Unless it was applied an error leaves open whether it will be.
 type result struct {
-	v       *rulebook.Version
+	v       *sharedconfig.Version
 	err     error
 	applied bool
 }
@@ -187,8 +187,8 @@
 }
 
 // newKeeper is one that has not begun.
-func newKeeper(ctx context.Context, cfg *Config, dir *disk.Dir, id *Identity) *Keeper {
-	k := &Keeper{cfg: cfg, dir: dir, id: id, ctx: ctx, ask: link.NewCallerOf(mostCalls), inbox: make(chan func(), 1024),
+func newKeeper(ctx context.Context, cfg *Config, dir *disk.Dir, id *Identity) *Replica {
+	k := &Replica{cfg: cfg, dir: dir, id: id, ctx: ctx, ask: client.NewCallerWithConns(mostCalls), inbox: make(chan func(), 1024),
 		state: state{Members: map[uint64]member{}}, opens: map[string][]chan result{}, peers: map[uint64]*peer{},
 		at: long, changing: long}
 	k.seen.at, k.holds = long, newHolds()
@@ -201,7 +201,7 @@
 }
 
 // begin makes raft's node of what the folder has.
-func (k *Keeper) begin() (err error) {
+func (k *Replica) begin() (err error) {
 	if k.st, err = load(k.dir); err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 		}
 		first := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
 		if last, _ := k.st.LastIndex(); last > 0 {
-			return fmt.Errorf("%w: there are entries and no snapshot", ErrDamaged)
+			return fmt.Errorf("%w: there are entries and no snapshot", ErrCorrupt)
 		}
 		if err := k.st.first(first); err != nil {
 			return err
@@ -246,10 +246,10 @@
 }
 
 // restore makes a snapshot the state.
-func (k *Keeper) restore(snap *pb.Snapshot) error {
+func (k *Replica) restore(snap *pb.Snapshot) error {
 	var s state
 	if err := json.Unmarshal(snap.GetData(), &s); err != nil {
-		return fmt.Errorf("%w: snapshot: %w", ErrDamaged, err)
+		return fmt.Errorf("%w: snapshot: %w", ErrCorrupt, err)
 	}
 	k.state, k.conf, k.applied = s, snap.GetMetadata().GetConfState(), snap.GetMetadata().GetIndex()
 	k.connect()
@@ -257,7 +257,7 @@
 }
 
 // loop owns all state until stop is done or the disk fails.
-func (k *Keeper) loop(stop context.Context) error {
+func (k *Replica) loop(stop context.Context) error {
 	tick := time.NewTicker(time.Duration(k.cfg.TickMs * float64(time.Millisecond)))
 	defer tick.Stop()
 	defer k.failAll(errors.New("this keeper ends"))
@@ -302,7 +302,7 @@
 }
 
 // heir is the voter that is to lead after this keeper; 0: this one does not lead, or there is none.
-func (k *Keeper) heir() (to uint64) {
+func (k *Replica) heir() (to uint64) {
 	if k.soft.RaftState != raft.StateLeader {
 		return 0
 	}
@@ -316,7 +316,7 @@
 }
 
 // hear carries out the calls that wait, f before them. Of those that come meanwhile it leaves the rest to the next turn.
-func (k *Keeper) hear(f func()) {
+func (k *Replica) hear(f func()) {
 	from, n := k.now(), len(k.inbox)
 	if f != nil {
 		f()
@@ -330,7 +330,7 @@
 
 // step carries out what raft wants: the disk makes last what is to, and what must not be known before that waits for it.
 // All else goes on: an answer of the disk that takes long holds up neither ticks nor heartbeats.
-func (k *Keeper) step() error {
+func (k *Replica) step() error {
 	for k.rn.HasReady() && k.begun-k.ended < mostJobs {
 		rd := k.rn.Ready()
 		if rd.SoftState != nil {
@@ -382,7 +382,7 @@
 }
 
 // save has the disk make last what raft has of new; then raft hears of it, and others the responses.
-func (k *Keeper) save(rd *raft.Ready, responses []*pb.Message) error {
+func (k *Replica) save(rd *raft.Ready, responses []*pb.Message) error {
 	j, voted, err := k.st.save(rd)
 	if err != nil {
 		return err
@@ -413,14 +413,14 @@
 }
 
 // enqueue gives the disk's writer a job, and goes on.
-func (k *Keeper) enqueue(j *job) error {
+func (k *Replica) enqueue(j *job) error {
 	k.begun++
 	k.disk.jobs <- j
 	return nil
 }
 
 // await gives the disk's writer a job and waits until it has come back.
-func (k *Keeper) await(j *job) error {
+func (k *Replica) await(j *job) error {
 	k.begun++
 	k.disk.jobs <- j
 	for {
@@ -432,7 +432,7 @@
 }
 
 // lasts takes a job back.
-func (k *Keeper) lasts(j *job) error {
+func (k *Replica) lasts(j *job) error {
 	k.ended++
 	kind := holdSave
 	if j.do != nil {
@@ -454,11 +454,11 @@
 }
 
 // stalled tells whether the disk has not answered for so long that this keeper is to be taken for one that is dead.
-func (k *Keeper) stalled() bool { return k.still >= stallTicks }
+func (k *Replica) stalled() bool { return k.still >= stallTicks }
 
 // emit sends what raft lets be known before its entries last. Who has not kept its term and vote could lead, or vote,
 // twice in the same term, so all waits for these.
-func (k *Keeper) emit(msgs []*pb.Message) {
+func (k *Replica) emit(msgs []*pb.Message) {
 	for _, m := range msgs {
 		switch {
 		case k.stalled():
@@ -474,7 +474,7 @@
 }
 
 // turned follows who leads.
-func (k *Keeper) turned(now raft.SoftState) {
+func (k *Replica) turned(now raft.SoftState) {
 	if now.RaftState != k.soft.RaftState || now.Lead != k.soft.Lead {
 		slog.Info("raft", "state", now.RaftState.String(), "leader", k.state.Members[now.Lead].Name)
 	}
@@ -487,32 +487,32 @@
 }
 
 // apply carries out one entry that is committed.
-func (k *Keeper) apply(e *pb.Entry) error {
+func (k *Replica) apply(e *pb.Entry) error {
 	k.applied = e.GetIndex()
 	switch e.GetType() {
 	case pb.EntryNormal:
 		if len(e.GetData()) == 0 {
 			break
 		}
-		var op agree.Op
+		var op lease.Command
 		if err := json.Unmarshal(e.GetData(), &op); err != nil {
-			return fmt.Errorf("%w: entry %d: %w", ErrDamaged, e.GetIndex(), err)
+			return fmt.Errorf("%w: entry %d: %w", ErrCorrupt, e.GetIndex(), err)
 		}
-		was := k.state.Book.Stage
+		was := k.state.Book.Epoch
 		v, err := k.state.Book.Apply(&op)
 		id := ""
 		switch {
 		case op.Publish != nil:
 			id = op.Publish.ID
-		case op.Ban != nil:
-			id = op.Ban.ID
+		case op.Cordon != nil:
+			id = op.Cordon.ID
 		}
 		for _, c := range k.opens[id] {
 			c <- result{v, err, true}
 		}
 		delete(k.opens, id)
-		if k.state.Book.Stage != was {
-			slog.Info("in force", "stage", k.state.Book.Stage)
+		if k.state.Book.Epoch != was {
+			slog.Info("in force", "stage", k.state.Book.Epoch)
 			k.wake()
 		}
 	case pb.EntryConfChange, pb.EntryConfChangeV2:
@@ -532,14 +532,14 @@
 	}
 	// Its own entry of the term says that all of before is applied: from here on this keeper may give leases.
 	if t := k.rn.BasicStatus(); k.soft.RaftState == raft.StateLeader && e.GetTerm() == t.GetTerm() && (k.desk == nil || k.deskTerm != e.GetTerm()) {
-		k.desk, k.deskTerm = agree.NewDesk(clock.Steady(), k.cfg.LeaseMs, k.cfg.ListMs), e.GetTerm()
+		k.desk, k.deskTerm = lease.NewLessor(clock.Steady(), k.cfg.LeaseMs, k.cfg.EndpointsMs), e.GetTerm()
 	}
 	return nil
 }
 
 // ticked takes a tick. What lies there by then is carried out before it: a leader whose word does is not one that is
 // silent, and a disk that has answered none that does not.
-func (k *Keeper) ticked() error {
+func (k *Replica) ticked() error {
 	k.hear(nil)
 	for range len(k.disk.done) {
 		if err := k.lasts(<-k.disk.done); err != nil {
@@ -551,7 +551,7 @@
 }
 
 // tick does what time asks for.
-func (k *Keeper) tick() {
+func (k *Replica) tick() {
 	now := clock.Steady()
 	k.holds.tick(now, k.cfg.TickMs, k.cfg.TickMs*electionTicks*2)
 	k.rn.Tick()
@@ -579,30 +579,30 @@
 }
 
 // advance proposes the next stage once nobody acts on a stage before this one.
-func (k *Keeper) advance(now float64) {
+func (k *Replica) advance(now float64) {
 	b := &k.state.Book
-	if k.desk == nil || !b.Wants() {
+	if k.desk == nil || !b.CanAdvance() {
 		return
 	}
-	if b.Stage == k.proposed && now-k.at < k.cfg.TickMs*electionTicks {
+	if b.Epoch == k.proposed && now-k.at < k.cfg.TickMs*electionTicks {
 		return // it is on its way
 	}
-	if k.desk.MayAdvance(now, b.Stage, b.Words) {
-		stage := b.Stage
-		if data, err := json.Marshal(&agree.Op{Advance: &stage}); err == nil && k.rn.Propose(data) == nil {
+	if k.desk.MayAdvance(now, b.Epoch, b.EndpointsChanged) {
+		stage := b.Epoch
+		if data, err := json.Marshal(&lease.Command{Advance: &stage}); err == nil && k.rn.Propose(data) == nil {
 			k.proposed, k.at = stage, now
 		}
 	}
 }
 
 // wake has all who waited for something new asked for at the next round.
-func (k *Keeper) wake() {
+func (k *Replica) wake() {
 	k.pending = append(k.pending, k.waiting...)
 	k.waiting = nil
 }
 
 // serve begins and ends rounds: one for all asks that are there, confirmed by a majority after they were.
-func (k *Keeper) serve() {
+func (k *Replica) serve() {
 	now := clock.Steady()
 	k.advance(now)
 	if k.desk == nil {
@@ -625,37 +625,37 @@
 }
 
 // post has the loop run once more, if it is not going to anyway.
-func (k *Keeper) post(f func()) {
+func (k *Replica) post(f func()) {
 	select {
 	case k.inbox <- f:
 	default:
 	}
 }
 
-func (k *Keeper) grant(now float64, a *ask) {
+func (k *Replica) grant(now float64, a *ask) {
 	if a.read {
 		a.answer <- granted{}
 		return
 	}
 	b := &k.state.Book
-	if t := k.terms.of(b); t != nil && !t.Book.May(a.Name) {
+	if t := k.terms.of(b); t != nil && !t.Config.AllowsAgent(a.Name) {
 		a.answer <- granted{err: fmt.Errorf("agent %q is not in the list of agents", a.Name)}
 		return
 	}
-	g, ok := k.desk.Grant(now, a.Ask, b.Stage)
+	g, ok := k.desk.Grant(now, a.Request, b.Epoch)
 	if !ok {
-		a.answer <- granted{err: fmt.Errorf("no lease: the agent has stage %d, in force is %d", a.Has, b.Stage)}
+		a.answer <- granted{err: fmt.Errorf("no lease: the agent has stage %d, in force is %d", a.Epoch, b.Epoch)}
 		return
 	}
 	out := granted{grant: g}
-	if a.Has != g.Stage {
+	if a.Epoch != g.Epoch {
 		out.text, out.err = k.terms.answer(b, g)
 	}
 	a.answer <- out
 }
 
 // take takes an ask.
-func (k *Keeper) take(a *ask) {
+func (k *Replica) take(a *ask) {
 	switch {
 	case k.soft.RaftState != raft.StateLeader:
 		a.answer <- granted{err: errNotLeading}
@@ -666,16 +666,16 @@
 	}
 	now := clock.Steady()
 	if k.desk != nil && !a.read {
-		k.desk.Hear(now, a.Ask)
+		k.desk.Observe(now, a.Request)
 	}
-	if !a.read && a.Has == k.state.Book.Stage && a.due > now && k.desk != nil {
+	if !a.read && a.Epoch == k.state.Book.Epoch && a.due > now && k.desk != nil {
 		k.waiting = append(k.waiting, a)
 		return
 	}
 	k.pending = append(k.pending, a)
 }
 
-func (k *Keeper) failAsks(err error) {
+func (k *Replica) failAsks(err error) {
 	for _, l := range []*[]*ask{&k.waiting, &k.pending, &k.round} {
 		for _, a := range *l {
 			a.answer <- granted{err: err}
@@ -684,7 +684,7 @@
 	}
 }
 
-func (k *Keeper) failAll(err error) {
+func (k *Replica) failAll(err error) {
 	k.failAsks(err)
 	for id, l := range k.opens {
 		for _, c := range l {
@@ -695,7 +695,7 @@
 }
 
 // propose hands an entry to raft; the answer comes when it is applied, if ever.
-func (k *Keeper) propose(id string, op *agree.Op, answer chan result) {
+func (k *Replica) propose(id string, op *lease.Command, answer chan result) {
 	if k.soft.RaftState != raft.StateLeader {
 		answer <- result{err: errNotLeading}
 		return
--- a/internal/keeper/seen.go
+++ b/internal/configstore/seen.go
@@ -1,4 +1,4 @@
-package keeper
+package configstore
 
 import (
 	"encoding/json"
@@ -84,7 +84,7 @@
 }
 
 // watermarks notes, in the leader, how far each follower has come, and keeps what is known, now and then.
-func (k *Keeper) watermarks() {
+func (k *Replica) watermarks() {
 	if k.soft.RaftState == raft.StateLeader {
 		commit := k.rn.BasicStatus().GetCommit()
 		now := map[uint64]uint64{}
--- a/internal/keeper/slowdisk_test.go
+++ b/internal/configstore/slowdisk_test.go
@@ -1,4 +1,4 @@
-package keeper
+package configstore
 
 import (
 	"context"
@@ -12,25 +12,25 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"ringtrack.example/ringtrack/internal/agree"
 	"ringtrack.example/ringtrack/internal/disk"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/lease"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // trio is a few keepers without goroutines, sockets and timers: the test makes their ticks, carries their messages and
 // has their disks answer.
 type trio struct {
 	t       *testing.T
-	ks      []*Keeper
-	stalled map[*Keeper]bool // disks that don't answer
-	dead    map[*Keeper]bool
+	ks      []*Replica
+	stalled map[*Replica]bool // disks that don't answer
+	dead    map[*Replica]bool
 	version uint64
 	// sent are the messages that were carried, for a test to look at before they are.
-	sent func(from *Keeper, m *pb.Message)
+	sent func(from *Replica, m *pb.Message)
 }
 
 func newTrio(t *testing.T, n int) *trio {
-	s := &trio{t: t, stalled: map[*Keeper]bool{}, dead: map[*Keeper]bool{}, sent: func(*Keeper, *pb.Message) {}}
+	s := &trio{t: t, stalled: map[*Replica]bool{}, dead: map[*Replica]bool{}, sent: func(*Replica, *pb.Message) {}}
 	formed, members := map[string]uint64{}, map[string]string{}
 	for i := range n {
 		name := fmt.Sprintf("k%d", i+1)
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { dir.Close() })
-		k := newKeeper(t.Context(), &Config{Name: name, Members: members, LeaseMs: 2000, ListMs: 3000, TickMs: 25}, dir,
+		k := newKeeper(t.Context(), &Config{Name: name, Members: members, LeaseMs: 2000, EndpointsMs: 3000, TickMs: 25}, dir,
 			&Identity{Name: name, ID: uint64(i + 1), Cluster: 1, Formed: formed})
 		k.carry = func(*peer, context.Context) {}
 		if err := k.seen.load(dir); err != nil {
@@ -123,7 +123,7 @@
 }
 
 // leads ticks until one leads, and returns it and after how many ticks.
-func (s *trio) leads(most int) (*Keeper, int) {
+func (s *trio) leads(most int) (*Replica, int) {
 	s.t.Helper()
 	for n := range most {
 		for _, k := range s.ks {
@@ -145,11 +145,11 @@
 }
 
 // publish proposes a version at a keeper; its answer comes once it is applied there.
-func (s *trio) publish(k *Keeper) chan result {
+func (s *trio) publish(k *Replica) chan result {
 	s.version++
 	answer := make(chan result, 1)
 	id := fmt.Sprint("p", s.version)
-	k.propose(id, &agree.Op{Publish: &agree.Publish{ID: id, Parent: s.version - 1, Book: &rulebook.Book{Bans: []string{id}}}}, answer)
+	k.propose(id, &lease.Command{Publish: &lease.Publish{ID: id, Parent: s.version - 1, Config: &sharedconfig.Config{Cordoned: []string{id}}}}, answer)
 	return answer
 }
 
@@ -235,7 +235,7 @@
 				s.dead[lead], s.stalled[lead] = x.what == "ended", true
 				s.publish(lead)
 				took := 0
-				var next *Keeper
+				var next *Replica
 				for ; next == nil && took < 4*x.most; took++ {
 					s.tick()
 					for _, k := range s.ks {
@@ -266,7 +266,7 @@
 // it itself after a crash; else it could do so once more in the same term.
 func TestNothingIsSentBeforeTermAndVoteLast(t *testing.T) {
 	s := newTrio(t, 3)
-	s.sent = func(from *Keeper, m *pb.Message) {
+	s.sent = func(from *Replica, m *pb.Message) {
 		state, _, _ := from.st.InitialState()
 		if m.GetType() != pb.MsgPreVote && m.GetType() != pb.MsgPreVoteResp && m.GetTerm() > state.GetTerm() {
 			t.Errorf("%s sent %v of term %d and has kept term %d", from.cfg.Name, m.GetType(), m.GetTerm(), state.GetTerm())
--- a/internal/keeper/storage.go
+++ b/internal/configstore/storage.go
@@ -1,4 +1,4 @@
-package keeper
+package configstore
 
 import (
 	"encoding/binary"
@@ -33,8 +33,8 @@
 	recState
 )
 
-// ErrDamaged says that a file holds what was never written so. A keeper with one is not to go on: it is replaced.
-var ErrDamaged = errors.New("keeper: damaged")
+// ErrCorrupt says that a file holds what was never written so. A keeper with one is not to go on: it is replaced.
+var ErrCorrupt = errors.New("keeper: damaged")
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
@@ -45,7 +45,7 @@
 
 func open(name string, sealed []byte) ([]byte, error) {
 	if len(sealed) < 4 || crc32.Checksum(sealed[4:], table) != binary.BigEndian.Uint32(sealed) {
-		return nil, fmt.Errorf("%w: %s: the checksum does not fit", ErrDamaged, name)
+		return nil, fmt.Errorf("%w: %s: the checksum does not fit", ErrCorrupt, name)
 	}
 	return sealed[4:], nil
 }
@@ -61,7 +61,7 @@
 	}
 	if err == nil {
 		if err = json.Unmarshal(text, into); err != nil {
-			err = fmt.Errorf("%w: %s: %w", ErrDamaged, name, err)
+			err = fmt.Errorf("%w: %s: %w", ErrCorrupt, name, err)
 		}
 	}
 	return err == nil, err
@@ -109,7 +109,7 @@
 		}
 		var snap pb.Snapshot
 		if err := proto.Unmarshal(text, &snap); err != nil {
-			return nil, fmt.Errorf("%w: %s: %w", ErrDamaged, snapFile, err)
+			return nil, fmt.Errorf("%w: %s: %w", ErrCorrupt, snapFile, err)
 		}
 		if err := s.ApplySnapshot(&snap); err != nil {
 			return nil, err
@@ -151,16 +151,16 @@
 		case recState:
 			var st pb.HardState
 			if err := proto.Unmarshal(body, &st); err != nil {
-				return 0, fmt.Errorf("%w: log at byte %d: %w", ErrDamaged, at, err)
+				return 0, fmt.Errorf("%w: log at byte %d: %w", ErrCorrupt, at, err)
 			}
 			s.SetHardState(&st)
 		case recEntry:
 			var e pb.Entry
 			if err := proto.Unmarshal(body, &e); err != nil {
-				return 0, fmt.Errorf("%w: log at byte %d: %w", ErrDamaged, at, err)
+				return 0, fmt.Errorf("%w: log at byte %d: %w", ErrCorrupt, at, err)
 			}
 			if last, _ := s.LastIndex(); e.GetIndex() > last+1 {
-				return 0, fmt.Errorf("%w: log at byte %d: entry %d behind %d", ErrDamaged, at, e.GetIndex(), last)
+				return 0, fmt.Errorf("%w: log at byte %d: entry %d behind %d", ErrCorrupt, at, e.GetIndex(), last)
 			}
 			if e.GetIndex() > base {
 				if err := s.Append([]*pb.Entry{&e}); err != nil {
@@ -168,21 +168,21 @@
 				}
 			}
 		default:
-			return 0, fmt.Errorf("%w: log at byte %d: a record of kind %d", ErrDamaged, at, kind)
+			return 0, fmt.Errorf("%w: log at byte %d: a record of kind %d", ErrCorrupt, at, kind)
 		}
 		at = next
 	}
 	// Behind the last good record there may be one that is not whole. A good one behind it says that it was.
 	for i := at + 1; i < len(text) && i < at+mostTail; i++ {
 		if _, _, _, ok := record(text, i); ok {
-			return 0, fmt.Errorf("%w: log at byte %d: the checksum does not fit, and records follow", ErrDamaged, at)
+			return 0, fmt.Errorf("%w: log at byte %d: the checksum does not fit, and records follow", ErrCorrupt, at)
 		}
 	}
 	// A last record that is whole by its length may be torn within, or flipped later: that can't be told from here,
 	// unless it was known to be committed; the other keepers know how far this one had come (seen.go).
 	state, _, _ := s.InitialState()
 	if last, _ := s.LastIndex(); state.GetCommit() > last {
-		return 0, fmt.Errorf("%w: log: entry %d was committed, the last is %d", ErrDamaged, state.GetCommit(), last)
+		return 0, fmt.Errorf("%w: log: entry %d was committed, the last is %d", ErrCorrupt, state.GetCommit(), last)
 	}
 	return at, nil
 }
--- a/internal/keeper/terms.go
+++ b/internal/configstore/terms.go
@@ -1,11 +1,11 @@
-package keeper
+package configstore
 
 import (
 	"encoding/json"
 
-	"ringtrack.example/ringtrack/internal/agree"
-	"ringtrack.example/ringtrack/internal/agree/link"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/configstore/client"
+	"ringtrack.example/ringtrack/internal/lease"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // encoded is an answer that is JSON text already.
@@ -17,32 +17,32 @@
 // is shared and never changed.
 type termsCache struct {
 	known bool
-	basis agree.Basis
-	terms *rulebook.Terms
-	grant agree.Grant // of text
+	basis lease.Source
+	terms *sharedconfig.Transition
+	grant lease.Grant // of text
 	text  []byte      // nil: not made yet
 }
 
 // of is the book's Terms.
-func (c *termsCache) of(b *agree.Book) *rulebook.Terms {
-	if basis := b.Basis(); !c.known || c.basis != basis {
-		*c = termsCache{known: true, basis: basis, terms: b.Terms()}
+func (c *termsCache) of(b *lease.History) *sharedconfig.Transition {
+	if basis := b.Source(); !c.known || c.basis != basis {
+		*c = termsCache{known: true, basis: basis, terms: b.Transition()}
 	}
 	return c.terms
 }
 
 // answer is the answer's text for a holder that needs the book's terms too; nil at stage 0, which has none.
-func (c *termsCache) answer(b *agree.Book, g agree.Grant) ([]byte, error) {
+func (c *termsCache) answer(b *lease.History, g lease.Grant) ([]byte, error) {
 	terms := c.of(b)
 	if terms == nil {
 		return nil, nil
 	}
 	if c.text == nil || c.grant != g {
-		book, err := json.Marshal(terms.Book)
+		book, err := json.Marshal(terms.Config)
 		if err != nil {
 			return nil, err
 		}
-		text, err := json.Marshal(&link.RenewAnswer{Stage: g.Stage, LeaseMs: g.LeaseMs, ListMs: g.ListMs, Book: book})
+		text, err := json.Marshal(&client.RenewResponse{Epoch: g.Epoch, LeaseMs: g.LeaseMs, EndpointsMs: g.EndpointsMs, Config: book})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/keeper/terms_test.go
+++ b/internal/configstore/terms_test.go
@@ -1,4 +1,4 @@
-package keeper
+package configstore
 
 import (
 	"bytes"
@@ -8,14 +8,14 @@
 	"runtime"
 	"testing"
 
-	"ringtrack.example/ringtrack/internal/agree"
-	"ringtrack.example/ringtrack/internal/agree/link"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/configstore/client"
+	"ringtrack.example/ringtrack/internal/lease"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 	"ringtrack.example/ringtrack/policy"
 )
 
 // copied is a log's state as a snapshot carries it.
-func copied(t *testing.T, b *agree.Book) (out agree.Book) {
+func copied(t *testing.T, b *lease.History) (out lease.History) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(asText(t, b)), &out); err != nil {
 		t.Fatal(err)
@@ -38,26 +38,26 @@
 	kept, steps := 0, 0
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var logs [3]agree.Book
+		var logs [3]lease.History
 		var c termsCache
 		b := &logs[0]
 		for i := range 60 {
 			switch rng.IntN(7) {
 			case 0, 1:
-				book := &rulebook.Book{MaxAttempts: 1 + rng.IntN(2), Bans: []string{fmt.Sprintf("<%d&>", rng.IntN(2))}}
-				b.Apply(&agree.Op{Publish: &agree.Publish{ID: fmt.Sprint(i), Parent: b.Last(), Book: book}})
+				book := &sharedconfig.Config{MaxAttempts: 1 + rng.IntN(2), Cordoned: []string{fmt.Sprintf("<%d&>", rng.IntN(2))}}
+				b.Apply(&lease.Command{Publish: &lease.Publish{ID: fmt.Sprint(i), Parent: b.Last(), Config: book}})
 			case 2:
-				b.Apply(&agree.Op{Ban: &agree.Ban{ID: fmt.Sprint(i), Server: "a", On: rng.IntN(2) == 0}})
+				b.Apply(&lease.Command{Cordon: &lease.Cordon{ID: fmt.Sprint(i), Server: "a", On: rng.IntN(2) == 0}})
 			case 3, 4:
-				at := b.Stage
-				b.Apply(&agree.Op{Advance: &at})
+				at := b.Epoch
+				b.Apply(&lease.Command{Advance: &at})
 			case 5:
 				b = &logs[rng.IntN(len(logs))]
 				*b = copied(t, b)
 			case 6: // another log that goes on from here
 				logs[rng.IntN(len(logs))] = copied(t, b)
 			}
-			before, want := c.terms, b.Terms()
+			before, want := c.terms, b.Transition()
 			got := c.of(b)
 			if asText(t, got) != asText(t, want) {
 				t.Fatalf("seed %d, step %d: the cache has %s, the book %s", seed, i, asText(t, got), asText(t, want))
@@ -65,16 +65,16 @@
 			if steps++; got != nil && got == before {
 				kept++
 			}
-			g := agree.Grant{Stage: b.Stage, LeaseMs: []float64{600, 2000}[rng.IntN(2)], ListMs: 0.5}
+			g := lease.Grant{Epoch: b.Epoch, LeaseMs: []float64{600, 2000}[rng.IntN(2)], EndpointsMs: 0.5}
 			text, err := c.answer(b, g)
 			if err != nil || (text == nil) != (want == nil) {
-				t.Fatalf("seed %d, step %d: at stage %d: %q, %v", seed, i, b.Stage, text, err)
+				t.Fatalf("seed %d, step %d: at stage %d: %q, %v", seed, i, b.Epoch, text, err)
 			}
 			if want == nil {
 				continue
 			}
 			var plain bytes.Buffer
-			json.NewEncoder(&plain).Encode(&link.RenewAnswer{Stage: g.Stage, LeaseMs: g.LeaseMs, ListMs: g.ListMs, Book: json.RawMessage(asText(t, want.Book))})
+			json.NewEncoder(&plain).Encode(&client.RenewResponse{Epoch: g.Epoch, LeaseMs: g.LeaseMs, EndpointsMs: g.EndpointsMs, Config: json.RawMessage(asText(t, want.Config))})
 			if !bytes.Equal(text, plain.Bytes()) {
 				t.Fatalf("seed %d, step %d: the answer is %s, the encoder's %s", seed, i, text, plain.Bytes())
 			}
@@ -87,28 +87,28 @@
 
 // leading is a keeper that leads with n holders on the stage before the one in force, which is a step between versions
 // of so many classes.
-func leading(t *testing.T, n, classes int) (k *Keeper, now float64) {
-	k = &Keeper{cfg: &Config{TickMs: 50, LeaseMs: 2000, ListMs: 3000}, at: long}
+func leading(t *testing.T, n, classes int) (k *Replica, now float64) {
+	k = &Replica{cfg: &Config{TickMs: 50, LeaseMs: 2000, EndpointsMs: 3000}, at: long}
 	now = 1e6
-	k.desk = agree.NewDesk(0, k.cfg.LeaseMs, k.cfg.ListMs)
+	k.desk = lease.NewLessor(0, k.cfg.LeaseMs, k.cfg.EndpointsMs)
 	for v := range uint64(2) {
-		book := &rulebook.Book{MaxAttempts: int(v) + 1, Classes: map[string]rulebook.Class{}}
+		book := &sharedconfig.Config{MaxAttempts: int(v) + 1, Classes: map[string]sharedconfig.Class{}}
 		for c := range classes {
-			book.Classes[fmt.Sprint("class", c)] = rulebook.Class{Effect: policy.SingleShot}
+			book.Classes[fmt.Sprint("class", c)] = sharedconfig.Class{Effect: policy.NonIdempotent}
 		}
-		if _, err := k.state.Book.Apply(&agree.Op{Publish: &agree.Publish{ID: fmt.Sprint(v), Parent: v, Book: book}}); err != nil {
+		if _, err := k.state.Book.Apply(&lease.Command{Publish: &lease.Publish{ID: fmt.Sprint(v), Parent: v, Config: book}}); err != nil {
 			t.Fatal(err)
 		}
-		for k.state.Book.Stage < 2*v+2-v {
-			at := k.state.Book.Stage
-			k.state.Book.Apply(&agree.Op{Advance: &at})
+		for k.state.Book.Epoch < 2*v+2-v {
+			at := k.state.Book.Epoch
+			k.state.Book.Apply(&lease.Command{Advance: &at})
 		}
 	}
-	if k.state.Book.Stage != 3 {
-		t.Fatalf("stage %d", k.state.Book.Stage)
+	if k.state.Book.Epoch != 3 {
+		t.Fatalf("stage %d", k.state.Book.Epoch)
 	}
 	for i := range n {
-		k.desk.Grant(now, agree.Ask{Holder: agree.Holder{Name: fmt.Sprint(i), Inc: "a"}, Has: 2}, 2)
+		k.desk.Grant(now, lease.Request{Holder: lease.Holder{Name: fmt.Sprint(i), Incarnation: "a"}, Epoch: 2}, 2)
 	}
 	return k, now
 }
@@ -119,21 +119,21 @@
 	k, now := leading(t, n, 82)
 	asks := make([]*ask, n-1)
 	for i := range asks {
-		asks[i] = &ask{Ask: agree.Ask{Holder: agree.Holder{Name: fmt.Sprint(i), Inc: "a"}, Has: 2}, answer: make(chan granted, 1)}
+		asks[i] = &ask{Request: lease.Request{Holder: lease.Holder{Name: fmt.Sprint(i), Incarnation: "a"}, Epoch: 2}, answer: make(chan granted, 1)}
 	}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for _, a := range asks {
 		k.grant(now, a)
 		k.advance(now)
-		taken := a.Ask
-		taken.Has = 3
-		k.desk.Hear(now, taken)
+		taken := a.Request
+		taken.Epoch = 3
+		k.desk.Observe(now, taken)
 		k.advance(now)
 	}
 	runtime.ReadMemStats(&after)
 	for _, a := range asks {
-		if g := <-a.answer; g.err != nil || g.grant.Stage != 3 {
+		if g := <-a.answer; g.err != nil || g.grant.Epoch != 3 {
 			t.Fatalf("%+v", g)
 		}
 	}
--- a/internal/keeper/writer.go
+++ b/internal/configstore/writer.go
@@ -1,4 +1,4 @@
-package keeper
+package configstore
 
 import "ringtrack.example/ringtrack/internal/clock"
 
--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -24,7 +24,7 @@
 	Proxies     []ProxyReport                 `json:"proxies"`
 	LastDrain   *DrainReport                  `json:"last_drain,omitempty"`
 	Counts      map[string]int64              `json:"counts"`
-	Evidence    assign.Counts                 `json:"evidence"`
+	Evidence    assign.EvidenceCounts         `json:"evidence"`
 	Assignments map[string]*assign.Assignment `json:"assignments"` // by zone; "": of proxies in none
 }
 
@@ -70,8 +70,8 @@
 				"stalled": h.counts.Stalled.Load(), "ended": h.counts.Ended.Load(),
 				"rejections": h.counts.Nacks.Load(), "refused": h.counts.Refused.Load()}}
 		for id, v := range h.assigner.Views(now) {
-			r.Servers = append(r.Servers, ServerReport{ID: id, State: stateNames[v.State], SinceMs: v.SinceMs,
-				Usable: v.Usable, Ramp: v.Ramp, Strikes: v.Strikes})
+			r.Servers = append(r.Servers, ServerReport{ID: id, State: stateNames[v.State], SinceMs: v.StateSinceMs,
+				Usable: v.Usable, Ramp: v.Capacity, Strikes: v.ConsecutiveFailures})
 		}
 		slices.SortFunc(r.Servers, func(a, b ServerReport) int { return cmp.Compare(a.ID, b.ID) })
 		h.groups.Range(func(zone, g any) bool {
--- a/internal/control/assign/assign.go
+++ b/internal/control/assign/assign.go
@@ -34,16 +34,16 @@
 	Settings policy.Settings
 	Zones    []string // by the module's number
 	Kinds    []string
-	// LapseMs is how long a server stays Unhealthy, and then pending, before it is tried again; each
+	// EjectionMs is how long a server stays Unhealthy, and then pending, before it is tried again; each
 	// further strike doubles it.
-	LapseMs float64
+	EjectionMs float64
 	// ReportMs is how often proxies report load; what they saw is judged as often.
 	ReportMs float64
-	// LingerMs is how long a proxy that left counts as one that still sends by its last assignment.
-	LingerMs float64
-	// SettleMs is how long after the start proxies may hold assignments that this process knows
+	// DisconnectGraceMs is how long a proxy that left counts as one that still sends by its last assignment.
+	DisconnectGraceMs float64
+	// StartupHoldMs is how long after the start proxies may hold assignments that this process knows
 	// nothing of: until then cold servers are held back.
-	SettleMs float64
+	StartupHoldMs float64
 }
 
 // validate reports the first figure that makes no sense, by its key in deploy/control.toml.
@@ -52,8 +52,8 @@
 		key   string
 		value float64
 		least float64
-	}{{"evidence.lapse_ms", c.LapseMs, 100}, {"evidence.report_ms", c.ReportMs, 100},
-		{"proxies.linger_ms", c.LingerMs, 0}, {"proxies.settle_ms", c.SettleMs, 0}} {
+	}{{"evidence.lapse_ms", c.EjectionMs, 100}, {"evidence.report_ms", c.ReportMs, 100},
+		{"proxies.linger_ms", c.DisconnectGraceMs, 0}, {"proxies.settle_ms", c.StartupHoldMs, 0}} {
 		if !(f.value >= f.least) || f.value > 3_600_000 {
 			return fmt.Errorf("%s: must be %v to 3600000, is %v", f.key, f.least, f.value)
 		}
@@ -67,9 +67,9 @@
 // The tiers, best first. A server that is held back stands last whatever its state: sent to only
 // where nothing else is left.
 const (
-	Healthy Tier = iota // Connected, Unknown
-	Pending             // UnhealthyPending
-	Last                // Unhealthy, or held back
+	Healthy    Tier = iota // Connected, Unknown
+	Pending                // UnhealthyPending
+	LastResort             // Unhealthy, or held back
 )
 
 // Endpoint is one server in an assignment.
@@ -78,7 +78,7 @@
 	Tier           Tier
 	Draining       bool   // listed, and to get nothing new
 	Weight         uint32 // 1 at least
-	Cold           bool
+	SlowStart      bool
 }
 
 // Assignment is what all proxies of a group are to hold. It is never changed once made, so that it
@@ -86,10 +86,10 @@
 type Assignment struct {
 	Zone      string // of the group
 	Endpoints []Endpoint
-	// Shed is the part of requests that proxies are to refuse at once, in 1/100.
-	Shed int
-	// Own is the weight of a server of the group's own zone, in 1/100 of another's.
-	Own int
+	// ShedPercent is the part of requests that proxies are to refuse at once, in 1/100.
+	ShedPercent int
+	// LocalityWeightPercent is the weight of a server of the group's own zone, in 1/100 of another's.
+	LocalityWeightPercent int
 
 	index map[string]int
 	total float64 // weight of the best tier that has a usable server, own zone counted
@@ -116,7 +116,7 @@
 func (a *Assignment) weight(e *Endpoint) float64 {
 	w := float64(e.Weight)
 	if e.Zone == a.Zone {
-		w *= float64(a.Own) / 100
+		w *= float64(a.LocalityWeightPercent) / 100
 	}
 	return w
 }
@@ -124,7 +124,7 @@
 // seal counts what Share needs.
 func (a *Assignment) seal() *Assignment {
 	a.index = make(map[string]int, len(a.Endpoints))
-	a.best = Last
+	a.best = LastResort
 	for i := range a.Endpoints {
 		e := &a.Endpoints[i]
 		a.index[e.ID] = i
@@ -141,7 +141,7 @@
 }
 
 func (a *Assignment) equal(b *Assignment) bool {
-	return b != nil && a.Zone == b.Zone && a.Shed == b.Shed && a.Own == b.Own && slices.Equal(a.Endpoints, b.Endpoints)
+	return b != nil && a.Zone == b.Zone && a.ShedPercent == b.ShedPercent && a.LocalityWeightPercent == b.LocalityWeightPercent && slices.Equal(a.Endpoints, b.Endpoints)
 }
 
 // server is what is known of a listed server beside the module's view.
@@ -171,7 +171,7 @@
 	problems []string
 	proxies  map[string]*proxy
 	groups   map[string]*group // by zone
-	counts   Counts
+	counts   EvidenceCounts
 	dirty    bool
 	views    []policy.View
 }
@@ -182,10 +182,10 @@
 	last *Assignment
 }
 
-// Counts are what the evidence had that was not used, for the admin page.
-type Counts struct {
+// EvidenceCounts are what the evidence had that was not used, for the admin page.
+type EvidenceCounts struct {
 	Reports      uint64 `json:"reports"`
-	Absurd       uint64 `json:"absurd"`       // lines with figures that can't be
+	Invalid      uint64 `json:"absurd"`       // lines with figures that can't be
 	Late         uint64 `json:"late"`         // windows that began before the server's state
 	Contradicted uint64 `json:"contradicted"` // failures that a majority of proxies did not see
 	Unknown      uint64 `json:"unknown"`      // lines about what is not listed
@@ -196,7 +196,7 @@
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
-	cfg.Settings.Limits.Probing = false // proxies' requests validate, the service sends none
+	cfg.Settings.Limits.HealthChecks = false // proxies' requests validate, the service sends none
 	// The seed plays no part: the module draws only where it places requests.
 	module, err := policy.New(cfg.Settings, 1)
 	if err != nil {
@@ -212,7 +212,7 @@
 	a.listed, a.dirty, a.problems = true, true, nil
 	named := make(map[string]bool, len(entries))
 	clear(a.byAddr)
-	events := make([]policy.Entry, 0, len(entries))
+	events := make([]policy.Endpoint, 0, len(entries))
 	for i := range entries {
 		e := entries[i]
 		if other := a.byAddr[e.Addr]; other != nil {
@@ -227,7 +227,7 @@
 		named[e.ID] = true
 		s := a.servers[e.ID]
 		if s == nil {
-			name := membership.Addr(e.ID, func(n policy.Addr) bool { return a.byName[n] != nil })
+			name := membership.ServerAddr(e.ID, func(n policy.Addr) bool { return a.byName[n] != nil })
 			s = &server{name: name}
 			a.servers[e.ID], a.byName[name] = s, s
 		}
@@ -237,11 +237,11 @@
 		p.Server = s.name
 		// What is known of a start outlives the listing: a server that vanished and came back with an
 		// older start, or with none, is as cold as it was.
-		if old, ok := a.starts[e.ID]; ok && old.atMs > p.SinceMs {
-			p.SinceMs = old.atMs
+		if old, ok := a.starts[e.ID]; ok && old.atMs > p.StartedMs {
+			p.StartedMs = old.atMs
 		}
-		if p.SinceMs > 0 && now-p.SinceMs < a.cfg.Settings.Contract.ColdMs {
-			a.starts[e.ID] = started{p.SinceMs, now}
+		if p.StartedMs > 0 && now-p.StartedMs < a.cfg.Settings.Contract.SlowStartMs {
+			a.starts[e.ID] = started{p.StartedMs, now}
 		}
 		events = append(events, p)
 	}
@@ -252,11 +252,11 @@
 		}
 	}
 	for id, s := range a.starts {
-		if now-s.atMs >= a.cfg.Settings.Contract.ColdMs {
+		if now-s.atMs >= a.cfg.Settings.Contract.SlowStartMs {
 			delete(a.starts, id)
 		}
 	}
-	a.module.Handle(now, &policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: events}, nil)
+	a.module.Handle(now, &policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateComplete, Endpoints: events}, nil)
 }
 
 func (a *Assigner) problem(text string) {
@@ -269,7 +269,7 @@
 func (a *Assigner) Problems() []string { return a.problems }
 
 // Counts tells what of the evidence was not used.
-func (a *Assigner) Counts() Counts { return a.counts }
+func (a *Assigner) Counts() EvidenceCounts { return a.counts }
 
 // Views returns the module's view of all servers, by id.
 func (a *Assigner) Views(now float64) map[string]policy.View {
@@ -290,14 +290,14 @@
 func (a *Assigner) NextMs(now float64) float64 {
 	next := a.judgedMs + a.cfg.ReportMs
 	if a.anyCold(now) {
-		next = min(next, a.builtMs+a.cfg.Settings.Contract.ColdMs/levels/2)
+		next = min(next, a.builtMs+a.cfg.Settings.Contract.SlowStartMs/levels/2)
 	}
 	return max(next, now+1)
 }
 
 func (a *Assigner) anyCold(now float64) bool {
 	for _, s := range a.starts {
-		if now-s.atMs < a.cfg.Settings.Contract.ColdMs {
+		if now-s.atMs < a.cfg.Settings.Contract.SlowStartMs {
 			return true
 		}
 	}
@@ -312,7 +312,7 @@
 		a.judgedMs = now
 	}
 	a.forget(now)
-	if !a.listed || !a.dirty && now-a.builtMs < a.cfg.Settings.Contract.ColdMs/levels/2 {
+	if !a.listed || !a.dirty && now-a.builtMs < a.cfg.Settings.Contract.SlowStartMs/levels/2 {
 		return nil
 	}
 	a.dirty, a.builtMs = false, now
@@ -351,7 +351,7 @@
 func (a *Assigner) group(zone string) *group {
 	g := a.groups[zone]
 	if g == nil {
-		g = &group{own: policy.OwnLeast}
+		g = &group{own: policy.MinLocalityWeight}
 		a.groups[zone] = g
 	}
 	return g
@@ -383,15 +383,15 @@
 			continue
 		}
 		e := &s.entry
-		l := baseLine{Endpoint: Endpoint{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Cold: v.Ramp < 1},
-			full: max(v.Weight*unit, 1), share: v.Share}
+		l := baseLine{Endpoint: Endpoint{ID: e.ID, Addr: e.Addr, Zone: e.Zone, SlowStart: v.Capacity < 1},
+			full: max(v.Weight*unit, 1), share: v.LoadShare}
 		switch {
 		case v.State == policy.UnhealthyPending:
 			l.Tier = Pending
 		case v.State == policy.Unhealthy:
-			l.Tier = Last
-			a.bad[e.ID] = v.SinceMs
-		case v.State == policy.Unknown && v.Strikes > 0:
+			l.Tier = LastResort
+			a.bad[e.ID] = v.StateSinceMs
+		case v.State == policy.Unknown && v.ConsecutiveFailures > 0:
 			// It came back by lapse, on no proof: until somebody is served it gets little.
 			l.full = max(l.full*trialShare, 1)
 		}
@@ -416,14 +416,14 @@
 // build makes the assignment of a group.
 func (a *Assigner) build(zone string, g *group, base []baseLine, budget map[string]int) *Assignment {
 	out := &Assignment{Zone: zone, Endpoints: make([]Endpoint, 0, len(base)),
-		Shed: int(math.Round(a.module.Shed() * 100)), Own: int(math.Round(g.own*10)) * 10}
+		ShedPercent: int(math.Round(a.module.ShedFraction() * 100)), LocalityWeightPercent: int(math.Round(g.own*10)) * 10}
 	for i := range base {
 		e := base[i].Endpoint
 		w := base[i].full
-		if e.Cold {
+		if e.SlowStart {
 			level := budget[e.ID]
 			if level == 0 {
-				e.Tier, level = Last, 1
+				e.Tier, level = LastResort, 1
 			}
 			w *= float64(level) / levels
 		}
--- a/internal/control/assign/assign_test.go
+++ b/internal/control/assign/assign_test.go
@@ -14,19 +14,19 @@
 func testSettings() policy.Settings {
 	return policy.Settings{
 		Classes: []policy.Class{
-			{Name: "read", AimMs: 200, GiveUpMs: 800, Effect: policy.Free, Credit: 1},
-			{Name: "send", AimMs: 300, GiveUpMs: 600, Effect: policy.Guarded, Group: policy.GroupAll, KeyTTLMs: 1200, Credit: 2},
-			{Name: "order", AimMs: 500, GiveUpMs: 1200, Effect: policy.SingleShot, Credit: 5},
+			{Name: "read", LatencyObjectiveMs: 200, ClientTimeoutMs: 800, Effect: policy.Idempotent, PriorityWeight: 1},
+			{Name: "send", LatencyObjectiveMs: 300, ClientTimeoutMs: 600, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeAll, IdempotencyWindowMs: 1200, PriorityWeight: 2},
+			{Name: "order", LatencyObjectiveMs: 500, ClientTimeoutMs: 1200, Effect: policy.NonIdempotent, PriorityWeight: 5},
 		},
-		Limits:     policy.Limits{MaxAttempts: 3, MaxRetryAfterMs: 600, ConnectTimeoutMs: 150},
-		Contract:   policy.Contract{AskWithinMs: 10000, ColdFrom: 0.31, ColdMs: 8600, DrainGraceMs: 250, FallMultiple: 2.5, TipAfterMs: 1000},
-		Prices:     policy.Prices{CrossZone: 0.02},
-		Membership: "on_request", Replicas: 1, RoundMs: 5,
+		Limits:        policy.Limits{MaxAttempts: 3, MaxRetryAfterMs: 600, ConnectTimeoutMs: 150},
+		Contract:      policy.Contract{PollIntervalMs: 10000, SlowStartMinCapacity: 0.31, SlowStartMs: 8600, DrainGraceMs: 250, OverloadFactor: 2.5, OverloadWindowMs: 1000},
+		Prices:        policy.Prices{CrossZone: 0.02},
+		DiscoveryMode: "on_request", Replicas: 1, BatchIntervalMs: 5,
 	}
 }
 
 func testConfig() Config {
-	return Config{Settings: testSettings(), Zones: []string{"east", "west"}, LapseMs: 5000, ReportMs: 1000, LingerMs: 60_000}
+	return Config{Settings: testSettings(), Zones: []string{"east", "west"}, EjectionMs: 5000, ReportMs: 1000, DisconnectGraceMs: 60_000}
 }
 
 // bench drives one Assigner by hand.
@@ -88,7 +88,7 @@
 // report lets proxies from..to-1 tell what they saw of a server.
 func (b *bench) report(from, to, server int, served, failed float64) {
 	for p := from; p < to; p++ {
-		b.a.Report(b.now, fmt.Sprintf("p-%d", p), &Report{IntervalMs: 1000, Loads: []Load{{Addr: b.entries[server].Addr, Served: served, Failed: failed}}})
+		b.a.Report(b.now, fmt.Sprintf("p-%d", p), &Report{IntervalMs: 1000, Loads: []ServerLoad{{Addr: b.entries[server].Addr, Served: served, Failed: failed}}})
 	}
 }
 
@@ -111,7 +111,7 @@
 	b.report(0, 4, 1, 0, 20)
 	b.report(0, 4, 0, 20, 0)
 	b.after(1000)
-	if e := b.get("east", 1); e.Tier != Last {
+	if e := b.get("east", 1); e.Tier != LastResort {
 		t.Errorf("failing: %+v", e)
 	}
 	b.after(6000)
@@ -157,7 +157,7 @@
 		b.report(0, 100, i, 10, 0)
 	}
 	b.after(1100)
-	if e := b.get("east", 0); e.Tier != Last {
+	if e := b.get("east", 0); e.Tier != LastResort {
 		t.Errorf("60 of 100 see it dead: %+v", e)
 	}
 }
@@ -169,28 +169,28 @@
 	b.after(100)
 	for _, x := range []float64{math.NaN(), -1, math.Inf(1), 1 << 63} {
 		for p := range 2 {
-			b.a.Report(b.now, fmt.Sprintf("p-%d", p), &Report{IntervalMs: x, Issued: x, Loads: []Load{
-				{Addr: b.entries[0].Addr, Failed: x}, {Addr: b.entries[0].Addr, Served: 1, TurnedAway: x}}})
+			b.a.Report(b.now, fmt.Sprintf("p-%d", p), &Report{IntervalMs: x, Issued: x, Loads: []ServerLoad{
+				{Addr: b.entries[0].Addr, Failed: x}, {Addr: b.entries[0].Addr, Served: 1, Rejected: x}}})
 		}
 	}
-	b.a.Report(b.now, "nobody", &Report{IntervalMs: 1000, Loads: []Load{{Addr: b.entries[0].Addr, Failed: 10}}})
-	b.a.Report(b.now, "p-0", &Report{IntervalMs: 1000, Loads: []Load{{Addr: "10.9.9.9:1", Failed: 10}}})
+	b.a.Report(b.now, "nobody", &Report{IntervalMs: 1000, Loads: []ServerLoad{{Addr: b.entries[0].Addr, Failed: 10}}})
+	b.a.Report(b.now, "p-0", &Report{IntervalMs: 1000, Loads: []ServerLoad{{Addr: "10.9.9.9:1", Failed: 10}}})
 	b.after(1100)
 	if e := b.get("east", 0); e.Tier != Healthy {
 		t.Errorf("absurd reports: %+v", e)
 	}
-	if c := b.a.Counts(); c.Absurd != 16 || c.Unknown != 2 {
+	if c := b.a.Counts(); c.Invalid != 16 || c.Unknown != 2 {
 		t.Errorf("counts %+v, want 16 absurd and 2 unknown", c)
 	}
 	// A server that failed: what was served before that says nothing.
 	b.report(0, 2, 0, 0, 10)
 	b.after(1000)
-	if e := b.get("east", 0); e.Tier != Last {
+	if e := b.get("east", 0); e.Tier != LastResort {
 		t.Fatalf("failing: %+v", e)
 	}
-	b.a.Report(b.now, "p-0", &Report{IntervalMs: 30_000, Loads: []Load{{Addr: b.entries[0].Addr, Served: 500}}})
+	b.a.Report(b.now, "p-0", &Report{IntervalMs: 30_000, Loads: []ServerLoad{{Addr: b.entries[0].Addr, Served: 500}}})
 	b.after(1000)
-	if e := b.get("east", 0); e.Tier != Last || b.a.Counts().Late != 1 {
+	if e := b.get("east", 0); e.Tier != LastResort || b.a.Counts().Late != 1 {
 		t.Errorf("late report: %+v, counts %+v", e, b.a.Counts())
 	}
 }
@@ -204,11 +204,11 @@
 		if e := b.get("east", 0); e.Tier != Healthy {
 			t.Fatalf("too soon: %+v", e)
 		}
-		b.a.Report(b.now, "p-0", &Report{IntervalMs: 1000, Loads: []Load{{Addr: b.entries[0].Addr, InProgress: 5}}})
+		b.a.Report(b.now, "p-0", &Report{IntervalMs: 1000, Loads: []ServerLoad{{Addr: b.entries[0].Addr, InProgress: 5}}})
 		b.report(0, 2, 1, 10, 0)
 		b.after(1000)
 	}
-	if e := b.get("east", 0); e.Tier != Last {
+	if e := b.get("east", 0); e.Tier != LastResort {
 		t.Errorf("hangs: %+v", e)
 	}
 }
@@ -272,7 +272,7 @@
 	b := newBench(t, 10, nil)
 	b.connect(10)
 	b.set(4, func(e *membership.Entry) { e.StartedMs = b.now })
-	if e := b.get("east", 4); e.Tier != Last || !e.Cold {
+	if e := b.get("east", 4); e.Tier != LastResort || !e.SlowStart {
 		t.Errorf("while proxies hold its full weight: %+v", e)
 	}
 	b.ackAll(10)
@@ -318,7 +318,7 @@
 				t.Errorf("share %v beside two old ones, %v without", got, all)
 			}
 			if gone { // after the linger they no longer count
-				b.now += b.a.cfg.LingerMs
+				b.now += b.a.cfg.DisconnectGraceMs
 				b.set(4, func(e *membership.Entry) { e.StartedMs = b.now })
 				b.ackAll(8)
 				if s := b.share(4); s != all {
@@ -331,10 +331,10 @@
 
 // A process that has just started knows nothing of what is out: cold servers wait.
 func TestColdWaitsAfterTheStart(t *testing.T) {
-	b := newBench(t, 4, func(c *Config) { c.SettleMs = 3000 })
+	b := newBench(t, 4, func(c *Config) { c.StartupHoldMs = 3000 })
 	b.set(1, func(e *membership.Entry) { e.StartedMs = b.now })
 	b.connect(2)
-	if e := b.get("east", 1); e.Tier != Last {
+	if e := b.get("east", 1); e.Tier != LastResort {
 		t.Errorf("at the start: %+v", e)
 	}
 	b.after(3100)
@@ -376,7 +376,7 @@
 		b.after(100)
 	}
 	b.ackAll(2)
-	if e := b.get("east", 1); !e.Cold || e.Weight > unit/3 {
+	if e := b.get("east", 1); !e.SlowStart || e.Weight > unit/3 {
 		t.Errorf("after flapping: %+v", e)
 	}
 }
@@ -440,7 +440,7 @@
 					warm++
 				}
 			}
-			full = view.Share / warm * total
+			full = view.LoadShare / warm * total
 			held := 0.0
 			for _, p := range b.a.proxies {
 				held += p.rate * p.held.Share(id)
@@ -479,12 +479,12 @@
 			for _, i := range rng.Perm(len(final)) {
 				list = append(list, final[i])
 				if rng.IntN(3) == 0 {
-					set.Tell("roster", 1e9, &membership.List{Revision: uint64(len(list)), Full: true, Entries: list})
+					set.Update("roster", 1e9, &membership.List{Revision: uint64(len(list)), Full: true, Entries: list})
 					a.Members(1e9, set.Entries())
 					a.Tick(1e9)
 				}
 			}
-			set.Tell("roster", 1e9, &membership.List{Revision: 1000, Full: true, Entries: list})
+			set.Update("roster", 1e9, &membership.List{Revision: 1000, Full: true, Entries: list})
 			a.Members(1e9, set.Entries())
 			got := map[string]*Assignment{}
 			for _, z := range []string{"east", "west", ""} {
@@ -502,10 +502,10 @@
 
 func TestConfigErrors(t *testing.T) {
 	for key, change := range map[string]func(*Config){
-		"evidence.lapse_ms":  func(c *Config) { c.LapseMs = 0 },
+		"evidence.lapse_ms":  func(c *Config) { c.EjectionMs = 0 },
 		"evidence.report_ms": func(c *Config) { c.ReportMs = math.NaN() },
-		"proxies.linger_ms":  func(c *Config) { c.LingerMs = -1 },
-		"proxies.settle_ms":  func(c *Config) { c.SettleMs = math.Inf(1) },
+		"proxies.linger_ms":  func(c *Config) { c.DisconnectGraceMs = -1 },
+		"proxies.settle_ms":  func(c *Config) { c.StartupHoldMs = math.Inf(1) },
 		"settings":           func(c *Config) { c.Settings.Classes = nil },
 	} {
 		cfg := testConfig()
@@ -592,13 +592,13 @@
 	say := func(served, turned float64) {
 		for range 3 {
 			for p := range 2 {
-				b.a.Report(b.now, fmt.Sprint("p-", p), &Report{IntervalMs: 1000, Loads: []Load{{Addr: b.entries[0].Addr, Served: served, TurnedAway: turned}}})
+				b.a.Report(b.now, fmt.Sprint("p-", p), &Report{IntervalMs: 1000, Loads: []ServerLoad{{Addr: b.entries[0].Addr, Served: served, Rejected: turned}}})
 			}
 			b.after(1000)
 		}
 	}
 	say(20, 180)
-	if s := b.a.Assignment(b.now, "east").Shed; s < 50 || s > 80 {
+	if s := b.a.Assignment(b.now, "east").ShedPercent; s < 50 || s > 80 {
 		t.Errorf("%d of 100 are shed", s)
 	}
 	if e := b.get("east", 0); e.Tier != Healthy {
@@ -607,7 +607,7 @@
 	for range 5 {
 		say(100, 0)
 	}
-	if s := b.a.Assignment(b.now, "east").Shed; s != 0 {
+	if s := b.a.Assignment(b.now, "east").ShedPercent; s != 0 {
 		t.Errorf("%d of 100 are shed in a calm", s)
 	}
 }
--- a/internal/control/assign/budget.go
+++ b/internal/control/assign/budget.go
@@ -70,7 +70,7 @@
 // forget drops proxies that left too long ago, and groups without any proxy.
 func (a *Assigner) forget(now float64) {
 	for id, p := range a.proxies {
-		if p.connected == 0 && now-p.leftMs >= a.cfg.LingerMs {
+		if p.connected == 0 && now-p.leftMs >= a.cfg.DisconnectGraceMs {
 			delete(a.proxies, id)
 			a.dirty = true
 		}
@@ -132,7 +132,7 @@
 	for i := range base {
 		switch l := &base[i]; {
 		case l.Draining || l.Tier != Healthy:
-		case l.Cold:
+		case l.SlowStart:
 			cold = append(cold, l)
 		default:
 			warm += l.full
@@ -150,7 +150,7 @@
 		}
 		return levelOf
 	}
-	if now-a.bornMs < a.cfg.SettleMs {
+	if now-a.bornMs < a.cfg.StartupHoldMs {
 		return levelOf
 	}
 	senders, total := a.senders()
@@ -159,7 +159,7 @@
 	for zone, g := range a.groups {
 		own := math.Round(g.own*10) / 10
 		for i := range base {
-			if l := &base[i]; !l.Draining && l.Tier == Healthy && !l.Cold {
+			if l := &base[i]; !l.Draining && l.Tier == Healthy && !l.SlowStart {
 				w := l.full
 				if l.Zone == zone {
 					w *= own
@@ -214,7 +214,7 @@
 // policyOwnMost is the most that the module ever weighs a server of the own zone.
 func policyOwnMost(own bool) float64 {
 	if own {
-		return policy.OwnMost
+		return policy.MaxLocalityWeight
 	}
 	return 1
 }
--- a/internal/control/assign/evidence.go
+++ b/internal/control/assign/evidence.go
@@ -7,19 +7,19 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Load is what a proxy saw of one server since its last report.
-type Load struct {
+// ServerLoad is what a proxy saw of one server since its last report.
+type ServerLoad struct {
 	Addr                       string // host:port
 	Served, Failed, InProgress float64
 	Issued                     float64
-	TurnedAway                 float64 // by a named metric, where there is one
+	Rejected                   float64 // by a named metric, where there is one
 }
 
 // Report is what a proxy saw since its last report.
 type Report struct {
 	IntervalMs float64 // how long that is, as the proxy says
 	Issued     float64 // requests that it told of without naming the server
-	Loads      []Load
+	Loads      []ServerLoad
 }
 
 const (
@@ -34,7 +34,7 @@
 
 // sight is what was seen of a server since the evidence was judged last: a line a proxy.
 type sight struct {
-	lines map[string]Load // by proxy
+	lines map[string]ServerLoad // by proxy
 	hung  int
 }
 
@@ -63,8 +63,8 @@
 		l := r.Loads[i]
 		s := a.byAddr[l.Addr]
 		switch {
-		case !sound(l.Served, l.Failed, l.InProgress, l.Issued, l.TurnedAway):
-			a.counts.Absurd++
+		case !sound(l.Served, l.Failed, l.InProgress, l.Issued, l.Rejected):
+			a.counts.Invalid++
 			continue
 		case s == nil:
 			a.counts.Unknown++
@@ -76,13 +76,13 @@
 			if l.Served > 0 {
 				a.counts.Late++
 			}
-			l.Served, l.TurnedAway = 0, 0
+			l.Served, l.Rejected = 0, 0
 		}
 		if s.sight.lines == nil {
-			s.sight.lines = map[string]Load{}
+			s.sight.lines = map[string]ServerLoad{}
 		}
 		old := s.sight.lines[id]
-		old.Served, old.Failed, old.TurnedAway = old.Served+l.Served, old.Failed+l.Failed, old.TurnedAway+l.TurnedAway
+		old.Served, old.Failed, old.Rejected = old.Served+l.Served, old.Failed+l.Failed, old.Rejected+l.Rejected
 		old.InProgress = l.InProgress
 		s.sight.lines[id] = old
 	}
@@ -124,10 +124,10 @@
 	}
 	for zone, g := range a.groups {
 		if n := tries[zone]; n > 0 {
-			g.own = policy.OwnWeight(g.own, a.cfg.Settings.Prices.CrossZone, missed[zone]/n)
+			g.own = policy.NextLocalityWeight(g.own, a.cfg.Settings.Prices.CrossZone, missed[zone]/n)
 		}
 	}
-	a.module.Observe(now, a.cfg.LapseMs, seen)
+	a.module.Observe(now, a.cfg.EjectionMs, seen)
 	a.dirty = true
 }
 
@@ -138,7 +138,7 @@
 	inProgress := 0.0
 	for _, l := range s.lines {
 		inProgress += l.InProgress
-		n := l.Served + l.Failed + l.TurnedAway
+		n := l.Served + l.Failed + l.Rejected
 		if n == 0 {
 			continue
 		}
@@ -163,19 +163,19 @@
 	slices.Sort(counts)
 	most := max(counts[len(counts)/2], 1) // no proxy counts for more than the middle one
 	for _, l := range s.lines {
-		n := l.Served + l.Failed + l.TurnedAway
+		n := l.Served + l.Failed + l.Rejected
 		if n == 0 {
 			continue
 		}
 		k := min(most/n, 1)
 		e.Served += l.Served * k
-		e.TurnedAway += l.TurnedAway * k
+		e.Rejected += l.Rejected * k
 		if l.Failed > n/2 && 2*dead <= dead+well {
 			contradicted++ // seen by a minority, or by as many as see it well
 			continue
 		}
 		e.Failed += l.Failed * k
 	}
-	e.Silent = e.Served == 0 && e.TurnedAway == 0
+	e.Silent = e.Served == 0 && e.Rejected == 0
 	return e, contradicted
 }
--- a/internal/control/assign/routes.go
+++ b/internal/control/assign/routes.go
@@ -6,24 +6,24 @@
 
 // Route is what proxies are to do with requests of one class.
 type Route struct {
-	Class     string // "" for whatever no class is named of
-	TimeoutMs float64
-	Retries   int // further attempts at the most; never two at once
-	On        Retry
+	Class      string // "" for whatever no class is named of
+	TimeoutMs  float64
+	MaxRetries int // further attempts at the most; never two at once
+	RetryOn    RetryOn
 	// Backoff bounds the pause before a further attempt, drawn by the proxy.
-	BackoffLeastMs, BackoffMostMs float64
-	// BudgetPercent is the part of running requests that may be further attempts, in 1/100.
-	BudgetPercent float64
+	BackoffBaseMs, BackoffMaxMs float64
+	// RetryBudgetPercent is the part of running requests that may be further attempts, in 1/100.
+	RetryBudgetPercent float64
 }
 
-// Retry tells after which endings a further attempt is allowed.
-type Retry uint8
+// RetryOn tells after which endings a further attempt is allowed.
+type RetryOn uint8
 
 // The rules of further attempts.
 const (
 	// NeverRan: only where the attempt can't have run: no connection came up, the stream was refused,
 	// or the answer says Not-Started.
-	NeverRan Retry = iota
+	NeverRan RetryOn = iota
 	// AnyFailure: after any failure, also one after which the attempt may have run.
 	AnyFailure
 )
@@ -44,18 +44,18 @@
 // The last route is for what names no class, taken as unsafe, with the shortest time of all.
 func Routes(s *policy.Settings) []Route {
 	routes := make([]Route, 0, len(s.Classes)+1)
-	rest := Route{On: NeverRan}
+	rest := Route{RetryOn: NeverRan}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		r := Route{Class: c.Name, TimeoutMs: c.GiveUpMs, On: NeverRan}
+		r := Route{Class: c.Name, TimeoutMs: c.ClientTimeoutMs, RetryOn: NeverRan}
 		switch {
-		case c.Effect == policy.Free:
-			r.On = AnyFailure
-		case c.Effect == policy.Guarded && c.Group == policy.GroupAll && c.KeyTTLMs >= c.GiveUpMs+windowMargin:
-			r.On = AnyFailure
+		case c.Effect == policy.Idempotent:
+			r.RetryOn = AnyFailure
+		case c.Effect == policy.IdempotentByKey && c.DedupScope == policy.ScopeAll && c.IdempotencyWindowMs >= c.ClientTimeoutMs+windowMargin:
+			r.RetryOn = AnyFailure
 		}
-		if rest.TimeoutMs == 0 || c.GiveUpMs < rest.TimeoutMs {
-			rest.TimeoutMs = c.GiveUpMs
+		if rest.TimeoutMs == 0 || c.ClientTimeoutMs < rest.TimeoutMs {
+			rest.TimeoutMs = c.ClientTimeoutMs
 		}
 		routes = append(routes, r)
 	}
@@ -63,9 +63,9 @@
 	for i := range routes {
 		r := &routes[i]
 		r.TimeoutMs -= min(answerMargin, r.TimeoutMs/8)
-		r.Retries = max(min(s.Limits.MaxAttempts, 3)-1, 0)
-		r.BackoffLeastMs, r.BackoffMostMs = backoffLeastMs, backoffMostMs
-		r.BudgetPercent = policy.AgainShare * 100
+		r.MaxRetries = max(min(s.Limits.MaxAttempts, 3)-1, 0)
+		r.BackoffBaseMs, r.BackoffMaxMs = backoffLeastMs, backoffMostMs
+		r.RetryBudgetPercent = policy.RetryTokensPerSuccess * 100
 	}
 	return routes
 }
--- a/internal/control/assign/routes_test.go
+++ b/internal/control/assign/routes_test.go
@@ -23,20 +23,20 @@
 		return true
 	}
 	switch c.Effect {
-	case policy.Free:
+	case policy.Idempotent:
 		return true
-	case policy.Guarded:
-		return c.Group == policy.GroupAll && c.KeyTTLMs > c.GiveUpMs
+	case policy.IdempotentByKey:
+		return c.DedupScope == policy.ScopeAll && c.IdempotencyWindowMs > c.ClientTimeoutMs
 	}
 	return false
 }
 
 func TestRoutesKeepRuleTwo(t *testing.T) {
 	var classes []policy.Class
-	for _, effect := range []policy.Effect{policy.Free, policy.Guarded, policy.SingleShot} {
-		for _, group := range []policy.Group{policy.GroupAll, policy.GroupZone, policy.GroupCell} {
+	for _, effect := range []policy.Effect{policy.Idempotent, policy.IdempotentByKey, policy.NonIdempotent} {
+		for _, group := range []policy.DedupScope{policy.ScopeAll, policy.ScopeZone, policy.ScopeCell} {
 			for _, ttl := range []float64{0, 300, 599, 600, 640, 660, 5000} {
-				classes = append(classes, policy.Class{Name: string(effect) + string(group), AimMs: 100, GiveUpMs: 600, Effect: effect, Group: group, KeyTTLMs: ttl})
+				classes = append(classes, policy.Class{Name: string(effect) + string(group), LatencyObjectiveMs: 100, ClientTimeoutMs: 600, Effect: effect, DedupScope: group, IdempotencyWindowMs: ttl})
 			}
 		}
 	}
@@ -48,24 +48,24 @@
 			t.Fatalf("%d routes", len(routes))
 		}
 		for i, r := range routes {
-			c := policy.Class{Effect: policy.SingleShot, GiveUpMs: 600}
+			c := policy.Class{Effect: policy.NonIdempotent, ClientTimeoutMs: 600}
 			if i < len(classes) {
 				c = classes[i]
 			}
-			if r.Retries != want {
-				t.Errorf("%d attempts allowed: %d retries, want %d", attempts, r.Retries, want)
+			if r.MaxRetries != want {
+				t.Errorf("%d attempts allowed: %d retries, want %d", attempts, r.MaxRetries, want)
 			}
-			if !(r.TimeoutMs > 0 && r.TimeoutMs < c.GiveUpMs) {
-				t.Errorf("%+v: time-out %v of %v", c, r.TimeoutMs, c.GiveUpMs)
+			if !(r.TimeoutMs > 0 && r.TimeoutMs < c.ClientTimeoutMs) {
+				t.Errorf("%+v: time-out %v of %v", c, r.TimeoutMs, c.ClientTimeoutMs)
 			}
 			for _, e := range endings {
-				again := !e.mayRun || r.On == AnyFailure
+				again := !e.mayRun || r.RetryOn == AnyFailure
 				if again && !modelAllows(c, e) {
 					t.Errorf("%+v is tried again after %q", c, e.name)
 				}
 			}
 			// And what is plainly allowed is used.
-			if c.Effect == policy.Free && r.On != AnyFailure || c.Effect == policy.Guarded && c.Group == policy.GroupAll && c.KeyTTLMs == 5000 && r.On != AnyFailure {
+			if c.Effect == policy.Idempotent && r.RetryOn != AnyFailure || c.Effect == policy.IdempotentByKey && c.DedupScope == policy.ScopeAll && c.IdempotencyWindowMs == 5000 && r.RetryOn != AnyFailure {
 				t.Errorf("%+v is not tried again", c)
 			}
 		}
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -229,8 +229,8 @@
 
 func (c *Config) assign() assign.Config {
 	return assign.Config{Settings: c.settings, Zones: c.zones, Kinds: c.kinds,
-		LapseMs: c.Evidence.LapseMs, ReportMs: c.Evidence.ReportMs,
-		LingerMs: c.Proxies.LingerMs, SettleMs: c.Proxies.SettleMs}
+		EjectionMs: c.Evidence.LapseMs, ReportMs: c.Evidence.ReportMs,
+		DisconnectGraceMs: c.Proxies.LingerMs, StartupHoldMs: c.Proxies.SettleMs}
 }
 
 func (c *Config) service() *resource.Service {
--- a/internal/control/hard_test.go
+++ b/internal/control/hard_test.go
@@ -257,7 +257,7 @@
 	w.await(p, "the drain", usable("s-001", false))
 	n := p.Count.Load()
 	w.roster.Replace()
-	w.eventually("it said", func(r *control.Report) bool { return strings.Contains(r.Membership[0].Why, "not believed") })
+	w.eventually("it said", func(r *control.Report) bool { return strings.Contains(r.Membership[0].Reason, "not believed") })
 	w.eventually("it said to be stale", func(r *control.Report) bool { return r.Membership[0].Stale })
 	w.roster.SetDown(true)
 	w.eventually("it said to be lost", func(r *control.Report) bool { return r.Membership[0].Stale && r.Membership[0].Entries == 6 })
--- a/internal/control/hub.go
+++ b/internal/control/hub.go
@@ -138,7 +138,7 @@
 		now := h.clock.Ms()
 		next := h.assigner.NextMs(now)
 		if h.merge != nil {
-			next = min(next, h.merge.NextMs())
+			next = min(next, h.merge.NextDeadlineMs())
 		}
 		for _, at := range []float64{h.pendAt, h.watchAt} {
 			if at > 0 {
@@ -402,11 +402,11 @@
 		if h.merge != nil {
 			switch {
 			case err != nil:
-				h.merge.RosterLost(err)
+				h.merge.DiscoveryLost(err)
 			case l == nil:
-				h.merge.RosterAlive(now)
+				h.merge.DiscoveryAlive(now)
 			default:
-				h.merge.Roster(now, l)
+				h.merge.UpdateDiscovery(now, l)
 			}
 			h.merged(now)
 			return
@@ -416,7 +416,7 @@
 			h.set.Lost("roster", err)
 		case l == nil:
 			h.set.Alive("roster", now)
-		case h.set.Tell("roster", now, l):
+		case h.set.Update("roster", now, l):
 			h.assigner.Members(now, h.set.Entries())
 		}
 	})
@@ -433,7 +433,7 @@
 
 // merged hands on what the merge has to tell, if anything.
 func (h *hub) merged(now float64) {
-	if len(h.merge.Take(now)) > 0 {
+	if len(h.merge.Changes(now)) > 0 {
 		h.assigner.Members(now, h.merge.Entries())
 	}
 }
--- a/internal/control/lrs.go
+++ b/internal/control/lrs.go
@@ -75,7 +75,7 @@
 					}
 					i = len(r.Loads)
 					at[addr] = i
-					r.Loads = append(r.Loads, assign.Load{Addr: addr})
+					r.Loads = append(r.Loads, assign.ServerLoad{Addr: addr})
 				}
 				line := &r.Loads[i]
 				line.Served += float64(e.GetTotalSuccessfulRequests())
@@ -84,7 +84,7 @@
 				line.Issued += float64(e.GetTotalIssuedRequests())
 				for _, m := range e.GetLoadMetricStats() {
 					if m.GetMetricName() == turnedAway {
-						line.TurnedAway += m.GetTotalMetricValue()
+						line.Rejected += m.GetTotalMetricValue()
 					}
 				}
 			}
--- a/internal/control/resource/endpoints.go
+++ b/internal/control/resource/endpoints.go
@@ -125,7 +125,7 @@
 		split = protowire.AppendBytes(split, append(head, leds...))
 		out.Collections[collection] = p.set
 	}
-	policy, err := proto.MarshalOptions{Deterministic: true}.Marshal(&endpointv3.ClusterLoadAssignment{Policy: dropPolicy(a.Shed)})
+	policy, err := proto.MarshalOptions{Deterministic: true}.Marshal(&endpointv3.ClusterLoadAssignment{Policy: dropPolicy(a.ShedPercent)})
 	if err != nil {
 		return nil, fmt.Errorf("drop policy: %w", err)
 	}
@@ -219,7 +219,7 @@
 		}
 	}
 	if at.zone == a.Zone {
-		sum *= float64(a.Own) / 100
+		sum *= float64(a.LocalityWeightPercent) / 100
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(&endpointv3.LocalityLbEndpoints{
 		Locality:            &corev3.Locality{Zone: at.zone},
--- a/internal/control/resource/resource_test.go
+++ b/internal/control/resource/resource_test.go
@@ -23,10 +23,10 @@
 
 func testService() *Service {
 	s := policy.Settings{Classes: []policy.Class{
-		{Name: "read", AimMs: 200, GiveUpMs: 800, Effect: policy.Free},
-		{Name: "send", AimMs: 300, GiveUpMs: 600, Effect: policy.Guarded, Group: policy.GroupAll, KeyTTLMs: 1200},
-		{Name: "order", AimMs: 500, GiveUpMs: 1200, Effect: policy.SingleShot},
-	}, Limits: policy.Limits{MaxAttempts: 3, ConnectTimeoutMs: 150, OpenCap: 5000}}
+		{Name: "read", LatencyObjectiveMs: 200, ClientTimeoutMs: 800, Effect: policy.Idempotent},
+		{Name: "send", LatencyObjectiveMs: 300, ClientTimeoutMs: 600, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeAll, IdempotencyWindowMs: 1200},
+		{Name: "order", LatencyObjectiveMs: 500, ClientTimeoutMs: 1200, Effect: policy.NonIdempotent},
+	}, Limits: policy.Limits{MaxAttempts: 3, ConnectTimeoutMs: 150, MaxOpenRequests: 5000}}
 	return &Service{Name: "orders", Listen: "0.0.0.0:8080", Balancer: "ring_hash", AffinityHeader: "X-Affinity", Settings: s, Routes: assign.Routes(&s)}
 }
 
@@ -42,7 +42,7 @@
 	if change != nil {
 		change(es)
 	}
-	return &assign.Assignment{Zone: "east", Own: 150, Endpoints: es}
+	return &assign.Assignment{Zone: "east", LocalityWeightPercent: 150, Endpoints: es}
 }
 
 func decode[M proto.Message](t *testing.T, r *Resource, m M) M {
@@ -103,10 +103,10 @@
 func TestWholeSet(t *testing.T) {
 	a := assignment(func(es []assign.Endpoint) {
 		es[1].Draining = true
-		es[2].Tier = assign.Last
+		es[2].Tier = assign.LastResort
 		es[3].Weight = 90
 	})
-	a.Shed = 25
+	a.ShedPercent = 25
 	set := decode(t, render(t, NewRenderer("orders"), a).Whole, &endpointv3.ClusterLoadAssignment{})
 	if set.GetPolicy().GetOverprovisioningFactor().GetValue() != overprovision || set.GetPolicy().GetDropOverloads()[0].GetDropPercentage().GetNumerator() != 25 {
 		t.Errorf("policy %+v", set.GetPolicy())
@@ -299,7 +299,7 @@
 				es = append(es, e)
 			}
 			r := NewRenderer("orders")
-			if _, err := r.Render(&assign.Assignment{Zone: "east", Own: 150, Endpoints: es}); err != nil {
+			if _, err := r.Render(&assign.Assignment{Zone: "east", LocalityWeightPercent: 150, Endpoints: es}); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
@@ -307,7 +307,7 @@
 				next := slices.Clone(es)
 				next[i%n].Draining = true
 				for _, zone := range []string{"east", "west", "south", ""} { // all groups
-					if _, err := r.Render(&assign.Assignment{Zone: zone, Own: 150, Endpoints: next}); err != nil {
+					if _, err := r.Render(&assign.Assignment{Zone: zone, LocalityWeightPercent: 150, Endpoints: next}); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/control/resource/service.go
+++ b/internal/control/resource/service.go
@@ -91,7 +91,7 @@
 				LocalityConfigSpecifier: &clusterv3.Cluster_CommonLbConfig_LocalityWeightedLbConfig_{
 					LocalityWeightedLbConfig: &clusterv3.Cluster_CommonLbConfig_LocalityWeightedLbConfig{}},
 				ConsistentHashingLbConfig: &clusterv3.Cluster_CommonLbConfig_ConsistentHashingLbConfig{
-					HashBalanceFactor: wrapperspb.UInt32(uint32(policy.CapFactor * 100))},
+					HashBalanceFactor: wrapperspb.UInt32(uint32(policy.BoundedLoadFactor * 100))},
 			},
 			// A server that is gone is gone at once, whatever health checks a proxy does of its own.
 			IgnoreHealthOnHostRemoval: true,
@@ -101,7 +101,7 @@
 				// Where there is no server to be had a request waits here; soon it is turned away.
 				MaxPendingRequests: wrapperspb.UInt32(maxPending),
 				RetryBudget: &clusterv3.CircuitBreakers_Thresholds_RetryBudget{
-					BudgetPercent:       &typev3.Percent{Value: r.BudgetPercent},
+					BudgetPercent:       &typev3.Percent{Value: r.RetryBudgetPercent},
 					MinRetryConcurrency: wrapperspb.UInt32(uint32(againMost))},
 				TrackRemaining: true,
 			}}},
@@ -129,8 +129,8 @@
 )
 
 func openCap(s *policy.Settings) int {
-	if s.Limits.OpenCap > 0 && s.Limits.OpenCap < math.MaxInt32 {
-		return s.Limits.OpenCap
+	if s.Limits.MaxOpenRequests > 0 && s.Limits.MaxOpenRequests < math.MaxInt32 {
+		return s.Limits.MaxOpenRequests
 	}
 	return 1024
 }
@@ -180,14 +180,14 @@
 // retryPolicy never asks for a second attempt beside one that is out: no hedging, no time for a try.
 func retryPolicy(r *assign.Route, maxRetryAfterMs float64) *routev3.RetryPolicy {
 	p := &routev3.RetryPolicy{
-		NumRetries: wrapperspb.UInt32(uint32(r.Retries)),
+		NumRetries: wrapperspb.UInt32(uint32(r.MaxRetries)),
 		// What never ran: no connection came up, the stream was refused, or the answer says so.
 		RetryOn: "connect-failure,refused-stream,retriable-headers",
 		RetriableHeaders: []*routev3.HeaderMatcher{{Name: NotStarted,
 			HeaderMatchSpecifier: &routev3.HeaderMatcher_StringMatch{StringMatch: &matcherv3.StringMatcher{
 				MatchPattern: &matcherv3.StringMatcher_Exact{Exact: "1"}}}}},
 		RetryBackOff: &routev3.RetryPolicy_RetryBackOff{
-			BaseInterval: duration(r.BackoffLeastMs), MaxInterval: duration(r.BackoffMostMs)},
+			BaseInterval: duration(r.BackoffBaseMs), MaxInterval: duration(r.BackoffMaxMs)},
 		// A server that says when to come back is not asked before.
 		RateLimitedRetryBackOff: &routev3.RetryPolicy_RateLimitedRetryBackOff{MaxInterval: duration(max(maxRetryAfterMs, 1)),
 			ResetHeaders: []*routev3.RetryPolicy_ResetHeader{{Name: "Retry-After", Format: routev3.RetryPolicy_SECONDS}}},
@@ -195,7 +195,7 @@
 		RetryHostPredicate: []*routev3.RetryPolicy_RetryHostPredicate{{Name: "envoy.retry_host_predicates.previous_hosts",
 			ConfigType: &routev3.RetryPolicy_RetryHostPredicate_TypedConfig{TypedConfig: mustAny(&previousv3.PreviousHostsPredicate{})}}},
 	}
-	if r.On == assign.AnyFailure {
+	if r.RetryOn == assign.AnyFailure {
 		p.RetryOn = "5xx,reset," + p.RetryOn
 	}
 	return p
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -27,8 +27,8 @@
 	"google.golang.org/grpc/status"
 
 	"ringtrack.example/ringtrack/internal/membership"
+	"ringtrack.example/ringtrack/internal/membership/discovery"
 	"ringtrack.example/ringtrack/internal/membership/ephemeral"
-	"ringtrack.example/ringtrack/internal/membership/roster"
 )
 
 const (
@@ -94,7 +94,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { s.hub.run(inner) })
 	running.Go(func() {
-		source := roster.Source{Addr: cfg.Roster.Addr}
+		source := discovery.Source{Addr: cfg.Roster.Addr}
 		source.Run(inner, func(l *membership.List, err error) {
 			if err != nil {
 				s.log.Warn("roster", "err", err)
--- a/internal/core/agreed.go
+++ b/internal/core/agreed.go
@@ -5,19 +5,19 @@
 	"slices"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Agreed says that the loop acts by a book of rules on which all agents agree, for as long as it holds a lease on it.
-type Agreed struct {
-	// Refuse: once the list is over, too, requests are refused with advice, instead of sent by what is known last.
-	Refuse bool
+// SharedConfig says that the loop acts by a book of rules on which all agents agree, for as long as it holds a lease on it.
+type SharedConfig struct {
+	// RejectWhenStale: once the list is over, too, requests are refused with advice, instead of sent by what is known last.
+	RejectWhenStale bool
 }
 
 // agreed is what the loop has of the book of rules. A nil one says that nothing is agreed on.
 type agreed struct {
-	Agreed
+	SharedConfig
 	own    policy.Settings // as the agent's file has them
 	rules  policy.Settings // as the book narrows them
 	stage  uint64
@@ -31,16 +31,18 @@
 }
 
 // agree has the loop begin as one that knows nothing yet: it refuses, or serves by the strictest form of its file.
-func (l *Loop) agree() {
-	l.agreed = &agreed{Agreed: *l.cfg.Agreed, own: l.cfg.Settings, rules: l.cfg.Settings, yield: map[string]uint64{}}
+func (l *EventLoop) agree() {
+	l.agreed = &agreed{SharedConfig: *l.cfg.SharedConfig, own: l.cfg.Settings, rules: l.cfg.Settings, yield: map[string]uint64{}}
 	l.agreed.lapse = time.AfterFunc(time.Hour, func() { l.Post(l.lapsed) })
 	l.agreed.lapse.Stop()
-	l.agreed.known = !l.agreed.Refuse
-	l.use(rulebook.Strict(l.cfg.Settings), true)
+	l.agreed.known = !l.agreed.RejectWhenStale
+	l.use(sharedconfig.Strict(l.cfg.Settings), true)
 }
 
 // shut tells whether requests are refused, for nothing is known of servers that is young enough.
-func (a *agreed) shut(now time.Time) bool { return a != nil && a.Refuse && !now.Before(a.lists) }
+func (a *agreed) shut(now time.Time) bool {
+	return a != nil && a.RejectWhenStale && !now.Before(a.lists)
+}
 
 // by is until when an attempt may be begun: behind the lease nothing is tried again, behind the list's end nothing is
 // sent, if that is how it is to be. The earlier of it and window counts; zero is none.
@@ -54,7 +56,7 @@
 		if end.IsZero() {
 			end = time.Unix(1, 0) // no lease yet
 		}
-	case a.Refuse:
+	case a.RejectWhenStale:
 		end = a.lists
 		if end.IsZero() {
 			end = time.Unix(1, 0)
@@ -66,22 +68,22 @@
 	return end
 }
 
-// Adopt has the loop act by the book of a stage until the lease ends, and choose servers by it until lists. book is nil
+// AdoptConfig has the loop act by the book of a stage until the lease ends, and choose servers by it until lists. book is nil
 // where there is none yet: then the agent's own file holds. It is called in the loop.
-func (l *Loop) Adopt(stage uint64, book *rulebook.Book, until, lists time.Time) {
+func (l *EventLoop) AdoptConfig(stage uint64, book *sharedconfig.Config, until, lists time.Time) {
 	a := l.agreed
 	rules := a.own
 	if book != nil {
 		rules = book.Settings(a.own)
 	}
 	a.stage, a.rules = stage, rules
-	l.Renew(until, lists)
+	l.RenewLease(until, lists)
 	l.use(rules, false)
 	l.reword(book)
 }
 
-// Renew has the lease end later. It is called in the loop.
-func (l *Loop) Renew(until, lists time.Time) {
+// RenewLease has the lease end later. It is called in the loop.
+func (l *EventLoop) RenewLease(until, lists time.Time) {
 	a := l.agreed
 	a.until, a.lists = until, lists
 	a.lapse.Reset(time.Until(until))
@@ -96,24 +98,24 @@
 
 // lapsed makes the settings the strictest once the lease is over. The guard has forbidden what needs one from its very
 // end on; this lets the module know.
-func (l *Loop) lapsed() {
+func (l *EventLoop) lapsed() {
 	if a := l.agreed; !a.strict && !time.Now().Before(a.until) {
 		a.lapses++
-		l.use(rulebook.Strict(a.rules), true)
+		l.use(sharedconfig.Strict(a.rules), true)
 	}
 }
 
 // use has loop and module act by these settings. Requests that are open keep the narrowest that they had: one that was
 // sent under a wider rule is repeated under the stricter of both.
-func (l *Loop) use(s policy.Settings, strict bool) {
+func (l *EventLoop) use(s policy.Settings, strict bool) {
 	was := l.cfg.Settings
 	l.cfg.Settings, l.agreed.strict = s, strict
-	l.balancer.Adopt(s)
+	l.balancer.UpdateSettings(s)
 	for _, r := range l.requests {
 		c := &s.Classes[r.call.Class]
-		of := rulebook.Class{Effect: c.Effect}
-		if c.Effect == policy.Guarded {
-			of.Group, of.KeyTTLMs = c.Group, c.KeyTTLMs
+		of := sharedconfig.Class{Effect: c.Effect}
+		if c.Effect == policy.IdempotentByKey {
+			of.DedupScope, of.IdempotencyWindowMs = c.DedupScope, c.IdempotencyWindowMs
 		}
 		was := was.Classes[r.call.Class]
 		if r.class != nil {
@@ -121,25 +123,25 @@
 		}
 		n := of.Narrow(was)
 		if r.class = &n; n != was && r.out > 0 && len(r.attempts) > 1 {
-			r.call.Outdated.Store(true)
+			r.call.Superseded.Store(true)
 		}
 	}
 }
 
-// Yield has a ban that was told here end, as such, with the stage at which the book tells it. It is called in the loop.
-func (l *Loop) Yield(id string, stage uint64) {
+// ReleaseCordon has a ban that was told here end, as such, with the stage at which the book tells it. It is called in the loop.
+func (l *EventLoop) ReleaseCordon(id string, stage uint64) {
 	if l.agreed.stage < stage {
 		l.agreed.yield[id] = stage
 		return
 	}
-	l.Ban(id, false) // the book has it by now, or has ended it
+	l.Cordon(id, false) // the book has it by now, or has ended it
 }
 
 // reword takes the book's word on servers and tells the module, and the connections, of those of which it says
 // something else than before.
-func (l *Loop) reword(book *rulebook.Book) {
+func (l *EventLoop) reword(book *sharedconfig.Config) {
 	t := l.table
-	was := make(map[*Backend]policy.Entry, len(t.byID))
+	was := make(map[*Backend]policy.Endpoint, len(t.byID))
 	for _, b := range t.byID {
 		was[b] = t.entry(b)
 	}
@@ -150,7 +152,7 @@
 			delete(t.banned, id)
 		}
 	}
-	var entries []policy.Entry
+	var entries []policy.Endpoint
 	for b, before := range was {
 		if e := t.entry(b); e != before && !b.gone && b.told.ID != "" {
 			entries = append(entries, e)
@@ -160,27 +162,27 @@
 		}
 	}
 	if len(entries) > 0 {
-		slices.SortFunc(entries, func(a, b policy.Entry) int { return bytes.Compare(a.Server[:], b.Server[:]) })
-		l.handle(&policy.Event{Kind: policy.EvList, List: policy.ListOther, Entries: entries})
+		slices.SortFunc(entries, func(a, b policy.Endpoint) int { return bytes.Compare(a.Server[:], b.Server[:]) })
+		l.handle(&policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateOtherSource, Endpoints: entries})
 	}
 	l.publish()
 	l.tellReady()
 }
 
-// AgreedFigures are for operators.
-type AgreedFigures struct {
-	Stage  uint64
-	Strict bool // no lease holds: nothing is tried again
-	Shut   bool // and requests are refused
-	Lapses int
+// SharedConfigStats are for operators.
+type SharedConfigStats struct {
+	Epoch       uint64
+	Strict      bool // no lease holds: nothing is tried again
+	Rejecting   bool // and requests are refused
+	Expirations int
 }
 
-// AgreedFigures tells how the loop stands to the book of rules; ok is false where nothing is agreed on. It is called in
+// SharedConfigStats tells how the loop stands to the book of rules; ok is false where nothing is agreed on. It is called in
 // the loop.
-func (l *Loop) AgreedFigures() (f AgreedFigures, ok bool) {
+func (l *EventLoop) SharedConfigStats() (f SharedConfigStats, ok bool) {
 	if l.agreed == nil {
 		return f, false
 	}
 	a := l.agreed
-	return AgreedFigures{Stage: a.stage, Strict: a.strict, Shut: a.shut(time.Now()), Lapses: a.lapses}, true
+	return SharedConfigStats{Epoch: a.stage, Strict: a.strict, Rejecting: a.shut(time.Now()), Expirations: a.lapses}, true
 }
--- a/internal/core/agreed_test.go
+++ b/internal/core/agreed_test.go
@@ -6,12 +6,12 @@
 	"time"
 
 	"ringtrack.example/ringtrack/internal/membership"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 	"ringtrack.example/ringtrack/policy"
 )
 
 // agreeing returns a loop that does not run and acts by a book, and what its upstream was asked.
-func agreeing(t *testing.T, refuse bool) (*Loop, chan *Call) {
+func agreeing(t *testing.T, refuse bool) (*EventLoop, chan *Call) {
 	t.Helper()
 	sent := make(chan *Call, 100)
 	u := stub{do: func(ctx context.Context, _ *Backend, c *Call) Result {
@@ -20,16 +20,16 @@
 		return Result{Status: policy.Cancelled}
 	}}
 	l := newTestLoop(t, u)
-	l.cfg.Agreed = &Agreed{Refuse: refuse}
+	l.cfg.SharedConfig = &SharedConfig{RejectWhenStale: refuse}
 	l.agree()
-	l.list(&membership.List{Revision: 1, Full: true, Entries: []membership.Entry{target("s-1"), target("s-2")}}, policy.ListDelta, true)
+	l.list(&membership.List{Revision: 1, Full: true, Entries: []membership.Entry{target("s-1"), target("s-2")}}, policy.UpdateDelta, true)
 	return l, sent
 }
 
-func (l *Loop) take(t *testing.T, id string, class int) (*Request, *Answer) {
+func (l *EventLoop) take(t *testing.T, id string, class int) (*Request, *Answer) {
 	t.Helper()
 	c := newCall(l.upstreams[0], id, class)
-	r := l.Take(c)
+	r := l.Submit(c)
 	select {
 	case a := <-c.Answer:
 		return r, &a
@@ -41,17 +41,17 @@
 // An agent that never had a lease refuses; one whose list is over refuses again, and one that is to serve does not.
 func TestNothingKnownIsRefused(t *testing.T) {
 	l, sent := agreeing(t, true)
-	if _, a := l.take(t, "1", 0); a == nil || a.Verdict != Refused || a.AfterMs != 600 {
+	if _, a := l.take(t, "1", 0); a == nil || a.Outcome != Rejected || a.RetryAfterMs != 600 {
 		t.Fatalf("before any lease: %+v", a)
 	}
 	now := time.Now()
-	l.Adopt(2, &rulebook.Book{}, now.Add(time.Hour), now.Add(2*time.Hour))
+	l.AdoptConfig(2, &sharedconfig.Config{}, now.Add(time.Hour), now.Add(2*time.Hour))
 	if _, a := l.take(t, "2", 0); a != nil {
 		t.Fatalf("with a lease: %+v", a)
 	}
 	<-sent
-	l.Renew(now.Add(-2*time.Second), now.Add(-time.Second))
-	if _, a := l.take(t, "3", 0); a == nil || a.Verdict != Refused {
+	l.RenewLease(now.Add(-2*time.Second), now.Add(-time.Second))
+	if _, a := l.take(t, "3", 0); a == nil || a.Outcome != Rejected {
 		t.Fatalf("the list is over: %+v", a)
 	}
 	l, sent = agreeing(t, false)
@@ -59,7 +59,7 @@
 		t.Fatalf("one that is to serve: %+v", a)
 	}
 	<-sent
-	if l.cfg.Settings.Limits.MaxAttempts != 1 || l.cfg.Settings.Classes[0].Effect != policy.SingleShot {
+	if l.cfg.Settings.Limits.MaxAttempts != 1 || l.cfg.Settings.Classes[0].Effect != policy.NonIdempotent {
 		t.Errorf("it serves by %+v", l.cfg.Settings)
 	}
 }
@@ -72,30 +72,30 @@
 		want int
 	}{{time.Hour, 1}, {-time.Millisecond, 0}} {
 		l, sent := agreeing(t, true)
-		l.Adopt(2, &rulebook.Book{}, time.Now().Add(time.Hour), time.Now().Add(2*time.Hour))
+		l.AdoptConfig(2, &sharedconfig.Config{}, time.Now().Add(time.Hour), time.Now().Add(2*time.Hour))
 		r, _ := l.take(t, "1", 0)
 		<-sent
 		r.attempts[0].done = true // it may have run, and its end is still to come
 		r.out = 0
-		l.Renew(time.Now().Add(c.left), time.Now().Add(time.Hour))
-		l.send(&policy.Action{Kind: policy.ActSend, Request: r.id, Server: l.table.byID["s-1"].name, Ms: 1000})
-		if r.out != c.want || l.figures.Guarded != 1-c.want {
-			t.Errorf("%v left: %d sent again, %d stopped", c.left, r.out, l.figures.Guarded)
+		l.RenewLease(time.Now().Add(c.left), time.Now().Add(time.Hour))
+		l.send(&policy.Action{Kind: policy.ActionForward, Request: r.id, Server: l.table.byID["s-1"].name, DurationMs: 1000})
+		if r.out != c.want || l.figures.GuardViolations != 1-c.want {
+			t.Errorf("%v left: %d sent again, %d stopped", c.left, r.out, l.figures.GuardViolations)
 		}
 		if c.want == 1 {
-			if again := <-sent; again.RepeatBy.IsZero() {
+			if again := <-sent; again.RetryBefore.IsZero() {
 				t.Error("its upstream does not know until when it may be begun")
 			}
 		}
 	}
 	l, _ := agreeing(t, true)
-	l.Adopt(2, &rulebook.Book{}, time.Now().Add(-time.Millisecond), time.Now().Add(time.Hour))
+	l.AdoptConfig(2, &sharedconfig.Config{}, time.Now().Add(-time.Millisecond), time.Now().Add(time.Hour))
 	l.lapsed()
-	if f, _ := l.AgreedFigures(); !f.Strict || f.Lapses != 1 || l.cfg.Settings.Limits.MaxAttempts != 1 {
+	if f, _ := l.SharedConfigStats(); !f.Strict || f.Expirations != 1 || l.cfg.Settings.Limits.MaxAttempts != 1 {
 		t.Errorf("lapsed: %+v", f)
 	}
-	l.Renew(time.Now().Add(time.Hour), time.Now().Add(time.Hour))
-	if f, _ := l.AgreedFigures(); f.Strict || l.cfg.Settings.Limits.MaxAttempts != 3 || l.cfg.Settings.Classes[1].Effect != policy.Guarded {
+	l.RenewLease(time.Now().Add(time.Hour), time.Now().Add(time.Hour))
+	if f, _ := l.SharedConfigStats(); f.Strict || l.cfg.Settings.Limits.MaxAttempts != 3 || l.cfg.Settings.Classes[1].Effect != policy.IdempotentByKey {
 		t.Errorf("a lease again: %+v, %+v", f, l.cfg.Settings)
 	}
 }
@@ -104,28 +104,28 @@
 func TestOpenRequestsKeepTheNarrowestRules(t *testing.T) {
 	l, sent := agreeing(t, true)
 	far := time.Now().Add(time.Hour)
-	l.Adopt(2, &rulebook.Book{}, far, far)
+	l.AdoptConfig(2, &sharedconfig.Config{}, far, far)
 	first, _ := l.take(t, "1", 1)
 	c := <-sent
 	again, _ := l.take(t, "2", 1)
 	d := <-sent
 	again.attempts = append(again.attempts, again.attempts[0])
-	l.Adopt(3, &rulebook.Book{Classes: map[string]rulebook.Class{"send": {Effect: policy.Guarded, Group: policy.GroupZone, KeyTTLMs: 500}}}, far, far)
-	if k := l.class(first); k.Group != policy.GroupZone || k.KeyTTLMs != 500 || c.Outdated.Load() {
-		t.Errorf("narrowed to %+v, outdated %v", k, c.Outdated.Load())
+	l.AdoptConfig(3, &sharedconfig.Config{Classes: map[string]sharedconfig.Class{"send": {Effect: policy.IdempotentByKey, DedupScope: policy.ScopeZone, IdempotencyWindowMs: 500}}}, far, far)
+	if k := l.class(first); k.DedupScope != policy.ScopeZone || k.IdempotencyWindowMs != 500 || c.Superseded.Load() {
+		t.Errorf("narrowed to %+v, outdated %v", k, c.Superseded.Load())
 	}
-	if !d.Outdated.Load() {
+	if !d.Superseded.Load() {
 		t.Error("a repeat by the old rules may still be begun")
 	}
-	l.Adopt(4, &rulebook.Book{}, far, far)
-	if k := l.class(first); k.Group != policy.GroupZone || k.KeyTTLMs != 500 {
+	l.AdoptConfig(4, &sharedconfig.Config{}, far, far)
+	if k := l.class(first); k.DedupScope != policy.ScopeZone || k.IdempotencyWindowMs != 500 {
 		t.Errorf("widened to %+v", k)
 	}
-	if now, _ := l.take(t, "3", 1); l.class(now).KeyTTLMs != 8000 {
+	if now, _ := l.take(t, "3", 1); l.class(now).IdempotencyWindowMs != 8000 {
 		t.Errorf("a new one has %+v", l.class(now))
 	}
-	l.Adopt(5, &rulebook.Book{Classes: map[string]rulebook.Class{"read": {Effect: policy.Free}, "order": {Effect: policy.Free}}}, far, far)
-	if l.cfg.Settings.Classes[2].Effect != policy.SingleShot {
+	l.AdoptConfig(5, &sharedconfig.Config{Classes: map[string]sharedconfig.Class{"read": {Effect: policy.Idempotent}, "order": {Effect: policy.Idempotent}}}, far, far)
+	if l.cfg.Settings.Classes[2].Effect != policy.NonIdempotent {
 		t.Error("the book widened what the agent's file permits")
 	}
 }
@@ -139,7 +139,7 @@
 		t.Helper()
 		got := map[string]bool{}
 		for id, b := range l.table.byID {
-			if b.Closed() {
+			if b.Unavailable() {
 				got[id] = true
 			}
 		}
@@ -153,25 +153,25 @@
 		}
 	}
 	shut("at first")
-	l.Adopt(2, &rulebook.Book{Bans: []string{"s-1"}}, far, far)
+	l.AdoptConfig(2, &sharedconfig.Config{Cordoned: []string{"s-1"}}, far, far)
 	shut("banned", "s-1")
-	l.list(&membership.List{Revision: 2, Entries: []membership.Entry{target("s-1"), target("s-3")}}, policy.ListDelta, false)
+	l.list(&membership.List{Revision: 2, Entries: []membership.Entry{target("s-1"), target("s-3")}}, policy.UpdateDelta, false)
 	shut("listed as up", "s-1")
-	l.Ban("s-1", true)
-	l.Yield("s-1", 5)
-	l.Adopt(3, &rulebook.Book{Listed: true, Servers: map[string]rulebook.Server{"s-1": {}, "s-2": {Weight: 3}, "s-9": {}}}, far, far)
+	l.Cordon("s-1", true)
+	l.ReleaseCordon("s-1", 5)
+	l.AdoptConfig(3, &sharedconfig.Config{Listed: true, Servers: map[string]sharedconfig.Server{"s-1": {}, "s-2": {Weight: 3}, "s-9": {}}}, far, far)
 	shut("not in the book, and banned here", "s-1", "s-3")
 	if e := l.table.entry(l.table.byID["s-2"]); e.Weight != 3 {
 		t.Errorf("weight %v", e.Weight)
 	}
-	l.Adopt(5, &rulebook.Book{}, far, far)
+	l.AdoptConfig(5, &sharedconfig.Config{}, far, far)
 	shut("the book has the word")
-	l.Ban("s-2", true)
-	l.Yield("s-2", 4)
+	l.Cordon("s-2", true)
+	l.ReleaseCordon("s-2", 4)
 	shut("a ban that the book has ended by now")
 	drains := target("s-2")
 	drains.State = membership.Draining
-	l.list(&membership.List{Revision: 3, Entries: []membership.Entry{drains}}, policy.ListDelta, false)
-	l.Adopt(6, &rulebook.Book{Listed: true, Servers: map[string]rulebook.Server{"s-1": {}, "s-2": {}, "s-3": {}}}, far, far)
+	l.list(&membership.List{Revision: 3, Entries: []membership.Entry{drains}}, policy.UpdateDelta, false)
+	l.AdoptConfig(6, &sharedconfig.Config{Listed: true, Servers: map[string]sharedconfig.Server{"s-1": {}, "s-2": {}, "s-3": {}}}, far, far)
 	shut("the roster says it drains", "s-2")
 }
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -17,45 +17,45 @@
 	moved := target("s-1") // the id of the first server, in another place
 	moved.Zone, moved.Cell = "west", 2
 	for name, c := range map[string]struct {
-		group  policy.Group
+		group  policy.DedupScope
 		effect policy.Effect
 		mayRun int
 		to     membership.Entry
 		ago    time.Duration // since the first send; the window is 1 s
 		want   bool
 	}{
-		"within both":               {policy.GroupZone, policy.Guarded, 1, target("s-3"), 0, true},
-		"another zone":              {policy.GroupZone, policy.Guarded, 1, far, 0, false},
-		"another cell":              {policy.GroupCell, policy.Guarded, 1, far, 0, false},
-		"every server drops":        {policy.GroupAll, policy.Guarded, 1, far, 0, true},
-		"the id in another zone":    {policy.GroupZone, policy.Guarded, 1, moved, 0, false},
-		"the id in another cell":    {policy.GroupCell, policy.Guarded, 1, moved, 0, false},
-		"just within the window":    {policy.GroupAll, policy.Guarded, 1, target("s-3"), 900 * time.Millisecond, true},
-		"the window is over":        {policy.GroupAll, policy.Guarded, 1, target("s-3"), time.Second, false},
-		"nothing ran, long ago":     {policy.GroupZone, policy.Guarded, 0, far, time.Minute, true},
-		"safe, anywhere, long ago":  {policy.GroupZone, policy.Free, 1, far, time.Minute, true},
-		"unsafe, whatever is known": {policy.GroupAll, policy.SingleShot, 1, target("s-3"), 0, false},
+		"within both":               {policy.ScopeZone, policy.IdempotentByKey, 1, target("s-3"), 0, true},
+		"another zone":              {policy.ScopeZone, policy.IdempotentByKey, 1, far, 0, false},
+		"another cell":              {policy.ScopeCell, policy.IdempotentByKey, 1, far, 0, false},
+		"every server drops":        {policy.ScopeAll, policy.IdempotentByKey, 1, far, 0, true},
+		"the id in another zone":    {policy.ScopeZone, policy.IdempotentByKey, 1, moved, 0, false},
+		"the id in another cell":    {policy.ScopeCell, policy.IdempotentByKey, 1, moved, 0, false},
+		"just within the window":    {policy.ScopeAll, policy.IdempotentByKey, 1, target("s-3"), 900 * time.Millisecond, true},
+		"the window is over":        {policy.ScopeAll, policy.IdempotentByKey, 1, target("s-3"), time.Second, false},
+		"nothing ran, long ago":     {policy.ScopeZone, policy.IdempotentByKey, 0, far, time.Minute, true},
+		"safe, anywhere, long ago":  {policy.ScopeZone, policy.Idempotent, 1, far, time.Minute, true},
+		"unsafe, whatever is known": {policy.ScopeAll, policy.NonIdempotent, 1, target("s-3"), 0, false},
 	} {
 		u := stub{func(context.Context, *Backend, *Call) Result { return Result{Status: policy.Cancelled} }}
 		l := newTestLoop(t, u)
 		l.table = newTable([]string{"", "west"}, nil)
 		class := &l.cfg.Settings.Classes[1]
-		class.Group, class.Effect, class.KeyTTLMs = c.group, c.effect, 1000
+		class.DedupScope, class.Effect, class.IdempotencyWindowMs = c.group, c.effect, 1000
 		first := target("s-1")
 		l.table.apply(&membership.List{Entries: []membership.Entry{first}}, false)
 		r := &Request{id: 1, call: newCall(u, "1", 1), attempts: []*attempt{{done: true}}, mayRun: c.mayRun}
 		r.ran, r.ranOn = time.Now().Add(-c.ago), l.table.entry(l.table.byID["s-1"])
 		l.requests[1] = r
 		l.table.apply(&membership.List{Entries: []membership.Entry{c.to}}, false)
-		l.send(&policy.Action{Kind: policy.ActSend, Request: 1, Server: l.table.byID[c.to.ID].name, Ms: 1000})
-		if sent := r.out; (sent == 1) != c.want || (l.figures.Guarded == 0) != c.want {
-			t.Errorf("%s: %d sent, %d stopped", name, sent, l.figures.Guarded)
+		l.send(&policy.Action{Kind: policy.ActionForward, Request: 1, Server: l.table.byID[c.to.ID].name, DurationMs: 1000})
+		if sent := r.out; (sent == 1) != c.want || (l.figures.GuardViolations == 0) != c.want {
+			t.Errorf("%s: %d sent, %d stopped", name, sent, l.figures.GuardViolations)
 		}
 		if to := l.table.entry(l.table.byID[c.to.ID]); c.mayRun == 0 && (time.Since(r.ran) > patience || r.ranOn.Zone != to.Zone) {
 			t.Errorf("%s: first sent %v ago, to %+v", name, time.Since(r.ran), r.ranOn)
 		}
-		if repeat := c.mayRun > 0 && c.effect == policy.Guarded; c.want && r.call.RepeatBy.IsZero() == repeat {
-			t.Errorf("%s: its upstream is told %v", name, r.call.RepeatBy)
+		if repeat := c.mayRun > 0 && c.effect == policy.IdempotentByKey; c.want && r.call.RetryBefore.IsZero() == repeat {
+			t.Errorf("%s: its upstream is told %v", name, r.call.RetryBefore)
 		}
 	}
 }
