--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -12,7 +12,7 @@
 
 	"ringtrack.example/ringtrack/internal/clock"
 	"ringtrack.example/ringtrack/internal/membership"
-	"ringtrack.example/ringtrack/internal/membership/roster"
+	"ringtrack.example/ringtrack/internal/membership/discovery"
 	"ringtrack.example/ringtrack/policy"
 )
 
@@ -29,17 +29,17 @@
 	pushedLeast, pushedMost = 100 * time.Millisecond, time.Second
 )
 
-// Loop owns the module and all state of requests. One goroutine runs it; all
+// EventLoop owns the module and all state of requests. One goroutine runs it; all
 // else reaches it through Post. It never blocks: what may wait runs in
 // goroutines of its own.
-type Loop struct {
+type EventLoop struct {
 	cfg       Config
 	ctx       context.Context
 	balancer  *policy.Balancer
 	table     *table
 	upstreams []Upstream
 	budget    *semaphore.Weighted // memory for bodies
-	disc      *roster.Client
+	disc      *discovery.Client
 	limit     *rate.Limiter // the log is bounded work on one core
 	lines     chan func()   // log lines on their way to whoever reads the log
 
@@ -61,8 +61,8 @@
 	fetching bool
 	stale    bool // no answer has come since the watch broke, or to the first call
 	ready    func()
-	figures  Figures
-	tally    *Tally
+	figures  Stats
+	tally    *Counters
 	rotation atomic.Pointer[Rotation]
 	agreed   *agreed // nil: no rules are agreed on with others
 
@@ -70,9 +70,9 @@
 	due   *time.Timer       // when the merge has something to tell by time alone
 }
 
-// Figures are counted for the log at the end.
-type Figures struct {
-	Taken, Served, Refused, Failed, Gone, Backstops, Guarded int
+// Stats are counted for the log at the end.
+type Stats struct {
+	Accepted, Served, Rejected, Failed, Disconnected, DeadlineExceeded, GuardViolations int
 }
 
 // Request is a call in the loop, kept until it is answered and no attempt is out.
@@ -83,10 +83,10 @@
 	class    *policy.Class // the narrowest that its rules were while it was open; nil: they never changed
 	streams  bool          // its answer's rest is still on its way to the client
 	attempts []*attempt
-	out      int          // attempts out
-	mayRun   int          // attempts that are out or may have run
-	ran      time.Time    // of a keyed one: when the first of them was sent
-	ranOn    policy.Entry // and where to, as that was listed then
+	out      int             // attempts out
+	mayRun   int             // attempts that are out or may have run
+	ran      time.Time       // of a keyed one: when the first of them was sent
+	ranOn    policy.Endpoint // and where to, as that was listed then
 	spent    bool
 	cut      bool // its time was cut short by the end of the process
 	claimed  bool // its id is taken from the agent's other processes
@@ -101,26 +101,26 @@
 
 // New returns a loop that has not started. budget is the memory for bodies, which fronts and upstreams
 // share; ready is called whenever a backend is known to be in service.
-func New(ctx context.Context, cfg Config, budget *semaphore.Weighted, upstreams []Upstream, ready func()) (*Loop, error) {
+func New(ctx context.Context, cfg Config, budget *semaphore.Weighted, upstreams []Upstream, ready func()) (*EventLoop, error) {
 	balancer, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	l := &Loop{cfg: cfg, ctx: ctx, balancer: balancer, table: newTable(cfg.Zones, cfg.Kinds),
+	l := &EventLoop{cfg: cfg, ctx: ctx, balancer: balancer, table: newTable(cfg.Zones, cfg.Kinds),
 		budget: budget, limit: rate.NewLimiter(5, 50), lines: make(chan func(), 64), inbox: make(chan func(), 4096),
 		clock:    clock.New(),
 		requests: map[policy.RequestID]*Request{}, ids: map[string]*Request{}, once: newOnce(), ready: ready}
 	l.upstreams, l.tally = upstreams, newTally(cfg.Settings.Classes)
-	for _, id := range cfg.Banned {
+	for _, id := range cfg.Cordoned {
 		l.table.banned[id] = true
 	}
-	for _, id := range cfg.Seen {
+	for _, id := range cfg.SeenIDs {
 		l.table.see(id)
 	}
-	if cfg.Nodes != nil {
+	if cfg.WatchNodes != nil {
 		l.merge = membership.NewMerge(cfg.Merge)
 	}
-	if cfg.Agreed != nil {
+	if cfg.SharedConfig != nil {
 		l.agree()
 	}
 	l.discover(cfg.Discovery)
@@ -129,13 +129,13 @@
 
 // discover makes an address the one that is asked. What another still has to say is
 // dropped: it comes late, and its versions are not those of this one.
-func (l *Loop) discover(addr string) {
-	d := roster.NewClient(l.ctx, addr)
+func (l *EventLoop) discover(addr string) {
+	d := discovery.NewClient(l.ctx, addr)
 	if l.pushed() {
-		d.Eager()
+		d.PollFrequently()
 	}
-	d.Turn(l.cfg.Settings.Index, l.cfg.Settings.Replicas)
-	d.Quiet = func(err error) {
+	d.SetPollSlot(l.cfg.Settings.ReplicaIndex, l.cfg.Settings.Replicas)
+	d.OnSilent = func(err error) {
 		l.Post(func() {
 			if l.disc == d {
 				l.lost(err)
@@ -143,14 +143,14 @@
 			}
 		})
 	}
-	d.Alive = func() {
+	d.OnAlive = func() {
 		l.Post(func() {
 			if l.disc == d {
 				l.setStale(false)
 			}
 		})
 	}
-	d.Told = func(list *membership.List, watch bool, err error) {
+	d.OnUpdate = func(list *membership.List, watch bool, err error) {
 		l.Post(func() {
 			if l.disc == d {
 				l.onList(list, watch, err)
@@ -162,14 +162,14 @@
 
 // pushed tells whether lists come unasked, as the module has it. On sockets somebody has to ask all the same,
 // and the module, which never will, must not be left with the list that came with the start.
-func (l *Loop) pushed() bool { return l.cfg.Settings.Membership == "pushed" }
+func (l *EventLoop) pushed() bool { return l.cfg.Settings.DiscoveryMode == "pushed" }
 
 // watch follows the discovery of now: until it fails, which the module is told, or for good where it counts
 // on being told.
-func (l *Loop) watch() {
+func (l *EventLoop) watch() {
 	l.watching = true
 	if !l.asked && !l.table.usable() {
-		go l.disc.First()
+		go l.disc.FetchInitial()
 	}
 	l.asked = true
 	if l.pushed() {
@@ -181,17 +181,17 @@
 }
 
 // setStale notes whether what is known may be older than what discovery has told others, for whoever keeps it.
-func (l *Loop) setStale(stale bool) {
-	if l.cfg.Stale == nil || l.pushed() || l.stale == stale {
+func (l *EventLoop) setStale(stale bool) {
+	if l.cfg.DiscoveryStale == nil || l.pushed() || l.stale == stale {
 		return
 	}
 	l.stale = stale
-	l.cfg.Stale(stale)
+	l.cfg.DiscoveryStale(stale)
 }
 
-// Rediscover leaves the discovery for another and asks that for its whole list. Until
+// SwitchDiscovery leaves the discovery for another and asks that for its whole list. Until
 // it comes the table stays as it is.
-func (l *Loop) Rediscover(addr string) {
+func (l *EventLoop) SwitchDiscovery(addr string) {
 	if addr == l.disc.Addr {
 		return
 	}
@@ -202,23 +202,23 @@
 }
 
 // tellReady tells that requests can be served, if they can.
-func (l *Loop) tellReady() {
+func (l *EventLoop) tellReady() {
 	if l.table.usable() && (l.agreed == nil || l.agreed.known) {
 		l.ready()
 	}
 }
 
 // Post hands the loop something to do; it may wait, so the loop itself never calls it.
-func (l *Loop) Post(f func()) {
+func (l *EventLoop) Post(f func()) {
 	select {
 	case l.inbox <- f:
 	case <-l.ctx.Done():
 	}
 }
 
-// Ask has the loop do something and waits for it, for so long at the most; it tells whether it was done by then.
+// Call has the loop do something and waits for it, for so long at the most; it tells whether it was done by then.
 // What was not may still be done.
-func (l *Loop) Ask(within time.Duration, f func()) bool {
+func (l *EventLoop) Call(within time.Duration, f func()) bool {
 	over := time.NewTimer(within)
 	defer over.Stop()
 	done := make(chan struct{})
@@ -239,12 +239,12 @@
 }
 
 // Run is the loop; it ends with the context.
-func (l *Loop) Run() {
+func (l *EventLoop) Run() {
 	go l.writeLog()
 	l.carryOut(l.balancer.Start(l.now(), l.actions[:0]))
 	l.setStale(true) // what is known now is the list of a process before this one
 	// The list as last had comes with the start, however old, as at the simulator.
-	l.list(&l.cfg.Known, policy.ListCached, true)
+	l.list(&l.cfg.CachedEndpoints, policy.UpdateCached, true)
 	l.drain()
 	l.tellReady()
 	if l.pushed() && !l.watching {
@@ -254,10 +254,10 @@
 		followed := make(chan struct{})
 		go func() {
 			defer close(followed)
-			l.cfg.Nodes(l.ctx, func(apply func(*membership.Merge, float64)) {
+			l.cfg.WatchNodes(l.ctx, func(apply func(*membership.Merge, float64)) {
 				l.Post(func() {
 					apply(l.merge, l.now())
-					l.merged(policy.ListOther)
+					l.merged(policy.UpdateOtherSource)
 				})
 			})
 		}()
@@ -266,7 +266,7 @@
 	sweep := time.NewTicker(sweepEvery)
 	defer sweep.Stop()
 	var count <-chan time.Time // nil: nobody asks
-	if l.cfg.Watched {
+	if l.cfg.PublishRotation {
 		publish := time.NewTicker(publishEvery)
 		defer publish.Stop()
 		count = publish.C
@@ -281,7 +281,7 @@
 			l.publish()
 		case <-sweep.C:
 			for _, u := range l.upstreams {
-				u.Sweep()
+				u.CloseExpired()
 			}
 		case <-l.ctx.Done():
 			return
@@ -290,47 +290,47 @@
 }
 
 // now is the clock in ms: Unix time, as started_ms of the list, that only advances.
-func (l *Loop) now() float64 { return l.clock.Ms() }
+func (l *EventLoop) now() float64 { return l.clock.Ms() }
 
 // handle gives the module one event and carries out what it answers.
-func (l *Loop) handle(ev *policy.Event) {
+func (l *EventLoop) handle(ev *policy.Event) {
 	l.carryOut(l.balancer.Handle(l.now(), ev, l.actions[:0]))
 }
 
 // hangUp closes the idle connections to a backend.
-func (l *Loop) hangUp(b *Backend) {
+func (l *EventLoop) hangUp(b *Backend) {
 	for _, u := range l.upstreams {
-		u.HangUp(b)
+		u.CloseIdle(b)
 	}
 }
 
-// EndBy tells that the process ends: what is open, and what is taken from now on, has its answer by then, whatever
+// ShutDownBy tells that the process ends: what is open, and what is taken from now on, has its answer by then, whatever
 // time its client would give it. A process that waited for the longest would be killed first, and a request that it
 // still held then is lost. It is called in the loop.
-func (l *Loop) EndBy(t time.Time) {
+func (l *EventLoop) ShutDownBy(t time.Time) {
 	l.endBy = t
-	left, backstop := Times(time.Until(t))
+	left, backstop := RequestTimeouts(time.Until(t))
 	for _, r := range l.requests {
 		if r.answered || !r.call.Deadline.After(t) {
 			continue
 		}
 		r.call.Deadline, r.cut = t, true
 		r.backstop.Reset(max(backstop, 0))
-		l.handle(&policy.Event{Kind: policy.EvHurried, Request: r.id, LeftMs: float64(max(left, 0).Microseconds()) / 1000})
+		l.handle(&policy.Event{Kind: policy.EventDeadlineShortened, Request: r.id, RemainingMs: float64(max(left, 0).Microseconds()) / 1000})
 	}
 }
 
-// Figures are the counts so far. It is called in the loop, or after its end.
-func (l *Loop) Figures() Figures { return l.figures }
+// Stats are the counts so far. It is called in the loop, or after its end.
+func (l *EventLoop) Stats() Stats { return l.figures }
 
-// Roster is the discovery that is asked now. It is called in the loop, or before it runs.
-func (l *Loop) Roster() *roster.Client { return l.disc }
+// Discovery is the discovery that is asked now. It is called in the loop, or before it runs.
+func (l *EventLoop) Discovery() *discovery.Client { return l.disc }
 
-// Lists tells whether a backend of this id is known. It is called in the loop.
-func (l *Loop) Lists(id string) bool { return l.table.byID[id] != nil }
+// IsListed tells whether a backend of this id is known. It is called in the loop.
+func (l *EventLoop) IsListed(id string) bool { return l.table.byID[id] != nil }
 
 // drain handles the events that carrying out actions has raised.
-func (l *Loop) drain() {
+func (l *EventLoop) drain() {
 	for len(l.pending) > 0 {
 		ev := l.pending[0]
 		l.pending = l.pending[1:]
@@ -339,48 +339,48 @@
 	l.pending = nil
 }
 
-func (l *Loop) carryOut(actions []policy.Action) {
+func (l *EventLoop) carryOut(actions []policy.Action) {
 	l.actions = actions
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
-		case policy.ActSend:
+		case policy.ActionForward:
 			l.send(a)
-		case policy.ActCancel:
+		case policy.ActionCancel:
 			if r := l.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 				if t := r.attempts[a.Attempt]; !t.done && t.cancel != nil {
 					t.cancel()
 				}
 			}
-		case policy.ActRefuse:
+		case policy.ActionReject:
 			if r := l.requests[a.Request]; r != nil {
-				l.refuse(r, a.Ms)
+				l.refuse(r, a.DurationMs)
 			}
-		case policy.ActFail:
+		case policy.ActionFail:
 			if r := l.requests[a.Request]; r != nil {
-				l.finish(r, Answer{Verdict: Failed})
+				l.finish(r, Answer{Outcome: Failed})
 			}
-		case policy.ActTimer:
+		case policy.ActionTimer:
 			token := a.Token
-			time.AfterFunc(ms(a.Ms), func() {
-				l.Post(func() { l.handle(&policy.Event{Kind: policy.EvTimer, Token: token}) })
+			time.AfterFunc(ms(a.DurationMs), func() {
+				l.Post(func() { l.handle(&policy.Event{Kind: policy.EventTimer, Token: token}) })
 			})
-		case policy.ActFollow:
+		case policy.ActionWatchEndpoints:
 			if !l.watching { // one watch is enough; it tells what another would
 				l.watch()
 			}
-		case policy.ActFetch:
+		case policy.ActionFetchEndpoints:
 			if !l.fetching {
 				l.fetching = true
 				go l.disc.Fetch()
 			}
-		case policy.ActClose:
+		case policy.ActionCloseIdle:
 			if b := l.table.byAddr[a.Server]; b != nil {
 				l.hangUp(b)
 			}
-		case policy.ActLog:
+		case policy.ActionLog:
 			l.log(slog.LevelInfo, "module", "text", a.Text)
-		case policy.ActProbe:
+		case policy.ActionHealthCheck:
 			l.probe(a.Server)
 		}
 	}
@@ -388,130 +388,130 @@
 
 // ---- requests ----
 
-// Take gives a call to the module. Beyond openCap nothing is taken on, as at the
+// Submit gives a call to the module. Beyond openCap nothing is taken on, as at the
 // simulator, where such requests never reach the instance.
-func (l *Loop) Take(c *Call) *Request {
-	l.figures.Taken++
+func (l *EventLoop) Submit(c *Call) *Request {
+	l.figures.Accepted++
 	l.nextID++
 	r := &Request{id: l.nextID, call: c}
 	l.open++
 	l.tally.Open.Add(1)
 	if l.ids[c.ID] != nil || l.once.has(time.Now(), c.ID) || !l.claim(r) {
 		// Somebody else's, or its own that may still run, or has: neither is to be touched.
-		l.finish(r, Answer{Verdict: Failed, Fault: Duplicate})
+		l.finish(r, Answer{Outcome: Failed, Reason: Duplicate})
 		return r
 	}
 	if !l.endBy.IsZero() {
 		c.Deadline = earliest(c.Deadline, l.endBy)
 	}
 	left := time.Until(c.Deadline)
-	if c.Left > 0 {
-		left = c.Left
+	if c.TimeAfterBody > 0 {
+		left = c.TimeAfterBody
 	}
-	most := l.cfg.Settings.Limits.OpenCap
-	if left <= 0 || c.NoRoom || most > 0 && l.open > most || l.agreed.shut(time.Now()) {
+	most := l.cfg.Settings.Limits.MaxOpenRequests
+	if left <= 0 || c.NoConnections || most > 0 && l.open > most || l.agreed.shut(time.Now()) {
 		l.release(r)
 		l.refuse(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
 		return r
 	}
 	l.requests[r.id], l.ids[c.ID] = r, r
-	left, backstop := Times(left)
-	if c.Left > 0 {
+	left, backstop := RequestTimeouts(left)
+	if c.TimeAfterBody > 0 {
 		backstop = time.Until(c.Deadline)
 		c.written = func(at time.Time) { l.Post(func() { l.written(r, at) }) }
 	}
 	r.backstop = time.AfterFunc(backstop, func() {
 		l.Post(func() { l.late(r) })
 	})
-	l.handle(&policy.Event{Kind: policy.EvRequest, Stream: c.Left > 0, Request: r.id, Class: c.Class, Tenant: c.Tenant,
-		Key: c.Key, LeftMs: float64(left.Microseconds()) / 1000, HintMs: c.HintMs,
-		HasHint: c.HasHint, Retry: c.Retry})
+	l.handle(&policy.Event{Kind: policy.EventRequest, StreamedBody: c.TimeAfterBody > 0, Request: r.id, Class: c.Class, Tenant: c.Tenant,
+		Key: c.Key, RemainingMs: float64(left.Microseconds()) / 1000, WorkHintMs: c.HintMs,
+		HasWorkHint: c.HasHint, Retry: c.Retry})
 	return r
 }
 
 // written begins a streamed call's time: its last byte has gone to a backend.
-func (l *Loop) written(r *Request, at time.Time) {
+func (l *EventLoop) written(r *Request, at time.Time) {
 	if r.answered {
 		return
 	}
-	r.call.Deadline = at.Add(r.call.Left)
+	r.call.Deadline = at.Add(r.call.TimeAfterBody)
 	if !l.endBy.IsZero() {
 		r.call.Deadline = earliest(r.call.Deadline, l.endBy)
 	}
-	left, backstop := Times(time.Until(r.call.Deadline))
+	left, backstop := RequestTimeouts(time.Until(r.call.Deadline))
 	r.backstop.Reset(max(backstop, 0))
-	l.handle(&policy.Event{Kind: policy.EvWritten, Request: r.id, Attempt: len(r.attempts) - 1,
-		LeftMs: float64(max(left, 0).Microseconds()) / 1000})
+	l.handle(&policy.Event{Kind: policy.EventBodyWritten, Request: r.id, Attempt: len(r.attempts) - 1,
+		RemainingMs: float64(max(left, 0).Microseconds()) / 1000})
 }
 
 // late is the backstop: the module should have ended the request before. That it
 // did not is a bug or a stall, so it is logged and counted; unless its time was cut short
 // under an attempt, which then has more.
-func (l *Loop) late(r *Request) {
+func (l *EventLoop) late(r *Request) {
 	if r.answered {
 		return
 	}
 	if !r.cut {
-		l.figures.Backstops++
+		l.figures.DeadlineExceeded++
 		l.log(slog.LevelWarn, "backstop ended a request", "attempts", len(r.attempts), "out", r.out,
 			"late_ms", float64(time.Since(r.call.Deadline.Add(-backstopMargin)).Microseconds())/1000)
 	}
-	l.finish(r, Answer{Verdict: Failed, Fault: Expired})
+	l.finish(r, Answer{Outcome: Failed, Reason: DeadlineExceeded})
 	l.abandon(r)
 }
 
-// Left is called when a client has gone away.
-func (l *Loop) Left(r *Request) {
+// ClientDisconnected is called when a client has gone away.
+func (l *EventLoop) ClientDisconnected(r *Request) {
 	if r.answered {
 		select {
 		case a := <-r.call.Answer: // nobody will
-			l.budget.Release(a.Held)
+			l.budget.Release(a.ReservedBytes)
 			if drop(a.Reply); streamed(a.Reply) {
-				l.tally.End(r.call.Class, Failed)
+				l.tally.CountStreamed(r.call.Class, Failed)
 			}
 		default:
 		}
 		return
 	}
-	l.figures.Gone++
+	l.figures.Disconnected++
 	l.close(r)
 	l.abandon(r)
 }
 
 // abandon tells the module that a request is over, and withdraws its attempts.
-func (l *Loop) abandon(r *Request) {
+func (l *EventLoop) abandon(r *Request) {
 	for _, t := range r.attempts {
 		if !t.done && t.cancel != nil {
 			t.cancel()
 		}
 	}
-	l.handle(&policy.Event{Kind: policy.EvDropped, Request: r.id})
+	l.handle(&policy.Event{Kind: policy.EventClientDisconnected, Request: r.id})
 }
 
 // refuse answers that a retry is harmless, unless an attempt may have run that
 // makes it harmful: then the request has failed.
-func (l *Loop) refuse(r *Request, afterMs float64) {
-	if !MayRefuse(l.class(r), r.mayRun) {
+func (l *EventLoop) refuse(r *Request, afterMs float64) {
+	if !MayReject(l.class(r), r.mayRun) {
 		l.guard("refusal after an attempt that may have run")
-		l.finish(r, Answer{Verdict: Failed})
+		l.finish(r, Answer{Outcome: Failed})
 		return
 	}
-	l.finish(r, Answer{Verdict: Refused, AfterMs: afterMs})
+	l.finish(r, Answer{Outcome: Rejected, RetryAfterMs: afterMs})
 }
 
 // finish gives the final answer; only the first counts.
-func (l *Loop) finish(r *Request, a Answer) {
+func (l *EventLoop) finish(r *Request, a Answer) {
 	if r.answered {
 		return
 	}
 	if r.streams = streamed(a.Reply); !r.streams { // else its front says how it ends
-		l.tally.Count(r.call.Class, a.Verdict)
+		l.tally.Count(r.call.Class, a.Outcome)
 	}
-	switch a.Verdict {
+	switch a.Outcome {
 	case Served:
 		l.figures.Served++
-	case Refused:
-		l.figures.Refused++
+	case Rejected:
+		l.figures.Rejected++
 	case Failed:
 		l.figures.Failed++
 	}
@@ -520,7 +520,7 @@
 }
 
 // close marks a request as over and forgets it as soon as no attempt is out.
-func (l *Loop) close(r *Request) {
+func (l *EventLoop) close(r *Request) {
 	if !r.answered {
 		r.answered = true
 		l.open--
@@ -535,7 +535,7 @@
 }
 
 // forget drops a request that is over once no attempt is out.
-func (l *Loop) forget(r *Request) {
+func (l *EventLoop) forget(r *Request) {
 	if r.answered && r.out == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
 		delete(l.ids, r.call.ID)
@@ -550,7 +550,7 @@
 
 // ---- attempts ----
 
-func (l *Loop) send(a *policy.Action) {
+func (l *EventLoop) send(a *policy.Action) {
 	r := l.requests[a.Request]
 	if r == nil {
 		// The request is over and forgotten: nothing can be sent, or counted.
@@ -563,29 +563,29 @@
 	r.attempts = append(r.attempts, t)
 	until := r.call.Deadline.Add(-backstopMargin)
 	now := time.Now()
-	if a.Ms != 0 && r.call.Left == 0 {
-		until = earliest(until, now.Add(ms(a.Ms)))
+	if a.DurationMs != 0 && r.call.TimeAfterBody == 0 {
+		until = earliest(until, now.Add(ms(a.DurationMs)))
 	}
 	var repeatBy time.Time
-	if r.mayRun > 0 && l.class(r).Effect == policy.Guarded {
-		repeatBy = r.ran.Add(RepeatFor(l.class(r)))
+	if r.mayRun > 0 && l.class(r).Effect == policy.IdempotentByKey {
+		repeatBy = r.ran.Add(RetryWindow(l.class(r)))
 	}
 	if why := l.forbidden(r, b, now, until, repeatBy); why != "" {
 		l.guard(why)
 		t.done = true
-		if len(r.attempts) > MostSends(l.cfg.Settings.Limits.MaxAttempts) {
-			l.finish(r, Answer{Verdict: Failed})
+		if len(r.attempts) > MaxForwardActions(l.cfg.Settings.Limits.MaxAttempts) {
+			l.finish(r, Answer{Outcome: Failed})
 			return
 		}
-		l.pending = append(l.pending, policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: index,
-			Server: a.Server, Status: policy.Moot, Final: r.answered})
+		l.pending = append(l.pending, policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: index,
+			Server: a.Server, Status: policy.NotStarted, Final: r.answered})
 		return
 	}
-	if r.mayRun == 0 && l.class(r).Effect == policy.Guarded {
+	if r.mayRun == 0 && l.class(r).Effect == policy.IdempotentByKey {
 		r.ran, r.ranOn = now, l.table.entry(b)
 	}
-	r.call.RepeatBy = l.agreed.by(index, repeatBy) // no attempt is out that could read it
-	r.call.Outdated.Store(false)
+	r.call.RetryBefore = l.agreed.by(index, repeatBy) // no attempt is out that could read it
+	r.call.Superseded.Store(false)
 	r.out++
 	r.mayRun++
 	b.out++
@@ -593,7 +593,7 @@
 	t.cancel = cancel
 	addr := b.addr
 	go func() {
-		res := r.call.Via.Do(ctx, b, addr, r.call, now, until)
+		res := r.call.Upstream.Do(ctx, b, addr, r.call, now, until)
 		cancel()
 		l.Post(func() { l.ended(r, index, &res) })
 	}()
@@ -601,23 +601,23 @@
 
 // forbidden guards the contract whatever the module says; "" allows the attempt. repeatBy is until when it may
 // repeat one that may have run; zero: it repeats none, or at any time.
-func (l *Loop) forbidden(r *Request, b *Backend, now, until, repeatBy time.Time) string {
+func (l *EventLoop) forbidden(r *Request, b *Backend, now, until, repeatBy time.Time) string {
 	c := l.class(r)
-	g := Guard{Answered: r.answered, Listed: b != nil && b.addr != "", Timely: until.After(now), Out: r.out, MayRun: r.mayRun,
-		Spent: r.spent, Made: len(r.attempts), Most: l.cfg.Settings.Limits.MaxAttempts, Effect: c.Effect}
-	g.Closed = g.Listed && b.closed.Load()
+	g := Guard{Completed: r.answered, Listed: b != nil && b.addr != "", HasTime: until.After(now), InFlight: r.out, MayHaveRun: r.mayRun,
+		BodyConsumed: r.spent, Attempts: len(r.attempts), MaxAttempts: l.cfg.Settings.Limits.MaxAttempts, Effect: c.Effect}
+	g.Unavailable = g.Listed && b.closed.Load()
 	if by := l.agreed.by(len(r.attempts)-1, time.Time{}); !by.IsZero() {
-		g.Lapsed = !now.Before(by)
+		g.LeaseExpired = !now.Before(by)
 	}
 	if g.Listed && !repeatBy.IsZero() {
 		to := l.table.entry(b)
-		g.Expired, g.Foreign = now.After(repeatBy), !InGroup(c.Group, &r.ranOn, &to)
+		g.WindowExpired, g.OutsideScope = now.After(repeatBy), !InDedupScope(c.DedupScope, &r.ranOn, &to)
 	}
-	return g.Forbids()
+	return g.Violation()
 }
 
 // class is a request's.
-func (l *Loop) class(r *Request) *policy.Class {
+func (l *EventLoop) class(r *Request) *policy.Class {
 	if r.class != nil {
 		return r.class
 	}
@@ -625,10 +625,10 @@
 }
 
 // ended takes the end of an attempt.
-func (l *Loop) ended(r *Request, index int, res *Result) {
+func (l *EventLoop) ended(r *Request, index int, res *Result) {
 	t := r.attempts[index]
 	t.done = true
-	r.spent = r.spent || res.Spent
+	r.spent = r.spent || res.BodyConsumed
 	t.backend.out--
 	r.out--
 	if res.Status.NeverRan() {
@@ -636,32 +636,32 @@
 	}
 	switch {
 	case r.answered:
-		l.budget.Release(res.Held)
+		l.budget.Release(res.ReservedBytes)
 		drop(res.Reply)
-	case res.Gone:
-		l.Left(r) // its front will notice, too; by then the request is over
+	case res.ClientDisconnected:
+		l.ClientDisconnected(r) // its front will notice, too; by then the request is over
 	case res.Status == policy.OK:
-		l.finish(r, Answer{Verdict: Served, Reply: res.Reply, Held: res.Held})
-	case res.Status == policy.Cancelled && res.Unanswered:
-		l.finish(r, Answer{Verdict: Served})
-	case res.Status == policy.Cancelled && res.Blamed:
+		l.finish(r, Answer{Outcome: Served, Reply: res.Reply, ReservedBytes: res.ReservedBytes})
+	case res.Status == policy.Cancelled && res.NoReplyExpected:
+		l.finish(r, Answer{Outcome: Served})
+	case res.Status == policy.Cancelled && res.BadRequest:
 		// The backend found fault with the request: so would any other.
-		l.finish(r, Answer{Verdict: Failed, Fault: Blamed, Reply: res.Reply, Held: res.Held})
-	case res.Unread:
-		l.budget.Release(res.Held)
-		l.finish(r, Answer{Verdict: Failed, Fault: Unread})
-	case res.Spent:
+		l.finish(r, Answer{Outcome: Failed, Reason: BadRequest, Reply: res.Reply, ReservedBytes: res.ReservedBytes})
+	case res.IncompleteRequest:
+		l.budget.Release(res.ReservedBytes)
+		l.finish(r, Answer{Outcome: Failed, Reason: IncompleteRequest})
+	case res.BodyConsumed:
 		// Nothing is left that could be sent again.
-		l.budget.Release(res.Held)
-		if MayRefuse(l.class(r), r.mayRun) {
-			l.finish(r, Answer{Verdict: Refused, AfterMs: l.cfg.Settings.Limits.MaxRetryAfterMs})
+		l.budget.Release(res.ReservedBytes)
+		if MayReject(l.class(r), r.mayRun) {
+			l.finish(r, Answer{Outcome: Rejected, RetryAfterMs: l.cfg.Settings.Limits.MaxRetryAfterMs})
 		} else {
-			l.finish(r, Answer{Verdict: Failed})
+			l.finish(r, Answer{Outcome: Failed})
 		}
 	default:
-		l.budget.Release(res.Held)
+		l.budget.Release(res.ReservedBytes)
 	}
-	l.handle(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: index, Server: t.backend.name,
+	l.handle(&policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: index, Server: t.backend.name,
 		Status: res.Status, LatencyMs: res.LatencyMs, Final: r.answered, Report: res.Report})
 	l.forget(r)
 	l.table.forget(t.backend)
@@ -671,20 +671,20 @@
 
 // probe asks a backend how it is. The module gets exactly one answer, whatever becomes of it: it bounds the
 // probes that are out, and one that it waits for for ever would be the last.
-func (l *Loop) probe(name policy.Addr) {
+func (l *EventLoop) probe(name policy.Addr) {
 	b := l.table.byAddr[name]
-	if b == nil || b.addr == "" || b.closed.Load() || l.cfg.Probe == nil || !l.cfg.Settings.Limits.Probing {
+	if b == nil || b.addr == "" || b.closed.Load() || l.cfg.HealthCheck == nil || !l.cfg.Settings.Limits.HealthChecks {
 		l.guard("probe of a backend that is not to be asked")
-		l.pending = append(l.pending, policy.Event{Kind: policy.EvProbed, Server: name, Status: policy.Moot})
+		l.pending = append(l.pending, policy.Event{Kind: policy.EventHealthCheckEnded, Server: name, Status: policy.NotStarted})
 		return
 	}
 	b.out++
 	addr, now := b.addr, time.Now()
 	go func() {
-		res := l.cfg.Probe(l.ctx, b, addr, now, now.Add(probeTimeout))
+		res := l.cfg.HealthCheck(l.ctx, b, addr, now, now.Add(probeTimeout))
 		l.Post(func() {
 			b.out--
-			l.handle(&policy.Event{Kind: policy.EvProbed, Server: name, Status: res.Status, LatencyMs: res.LatencyMs, Report: res.Report})
+			l.handle(&policy.Event{Kind: policy.EventHealthCheckEnded, Server: name, Status: res.Status, LatencyMs: res.LatencyMs, Report: res.Report})
 			l.table.forget(b)
 		})
 	}()
@@ -697,7 +697,7 @@
 // which is how a discovery that started again from nothing says so. That one was
 // asked for after the list at hand had come: an older call's answer, read late, is an
 // older list, and would take back a drain.
-func (l *Loop) onList(list *membership.List, watch bool, err error) {
+func (l *EventLoop) onList(list *membership.List, watch bool, err error) {
 	if watch && err != nil {
 		l.watching = l.pushed() // there it goes on by itself
 	} else if !watch {
@@ -709,83 +709,83 @@
 	if err != nil {
 		l.lost(err)
 		if !watch || !l.pushed() { // it hears of what it asked for
-			l.handle(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
+			l.handle(&policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateFailed})
 		}
 		return
 	}
-	again := watch && list.Full && (list.Asked.IsZero() || !list.Asked.Before(l.since))
+	again := watch && list.Full && (list.RequestedAt.IsZero() || !list.RequestedAt.Before(l.since))
 	if list.Revision < l.version && !again {
 		return
 	}
-	kind := policy.ListDelta
+	kind := policy.UpdateDelta
 	if list.Full {
-		kind = policy.ListFull
+		kind = policy.UpdateComplete
 	}
 	l.list(list, kind, list.Full)
 	l.tellReady()
 }
 
 // lost tells that the roster has failed to answer.
-func (l *Loop) lost(err error) {
+func (l *EventLoop) lost(err error) {
 	if l.merge != nil {
-		l.merge.RosterLost(err)
+		l.merge.DiscoveryLost(err)
 	}
 	l.log(slog.LevelWarn, "discovery call failed", "err", err)
 }
 
-func (l *Loop) list(list *membership.List, kind policy.ListKind, full bool) {
+func (l *EventLoop) list(list *membership.List, kind policy.UpdateKind, full bool) {
 	l.version, l.since, l.unknown = list.Revision, time.Now(), l.unknown && !full
 	if l.merge != nil {
-		l.merge.Roster(l.now(), list)
-		l.merged(policy.ListDelta)
+		l.merge.UpdateDiscovery(l.now(), list)
+		l.merged(policy.UpdateDelta)
 		return
 	}
 	l.tell(list, kind, full)
 }
 
 // merged tells what the merge has to tell now, and comes back when time alone will have more.
-func (l *Loop) merged(kind policy.ListKind) {
+func (l *EventLoop) merged(kind policy.UpdateKind) {
 	now := l.now()
-	changes := membership.List{Entries: l.merge.Take(now)}
-	if len(changes.Entries) > 0 || kind != policy.ListOther {
+	changes := membership.List{Entries: l.merge.Changes(now)}
+	if len(changes.Entries) > 0 || kind != policy.UpdateOtherSource {
 		l.tell(&changes, kind, false)
 	}
 	if l.due != nil {
 		l.due.Stop()
 		l.due = nil
 	}
-	if next := l.merge.NextMs(); !math.IsInf(next, 1) {
+	if next := l.merge.NextDeadlineMs(); !math.IsInf(next, 1) {
 		l.due = time.AfterFunc(max(ms(next-now), time.Millisecond), func() {
-			l.Post(func() { l.merged(policy.ListOther) })
+			l.Post(func() { l.merged(policy.UpdateOtherSource) })
 		})
 	}
 	l.tellReady()
 }
 
 // tell takes a list into the table and gives it to the module.
-func (l *Loop) tell(list *membership.List, kind policy.ListKind, full bool) {
+func (l *EventLoop) tell(list *membership.List, kind policy.UpdateKind, full bool) {
 	entries, stale, gone := l.table.apply(list, full)
 	for _, b := range stale {
 		l.hangUp(b)
 	}
-	l.handle(&policy.Event{Kind: policy.EvList, List: kind, Entries: entries})
+	l.handle(&policy.Event{Kind: policy.EventEndpointUpdate, Update: kind, Endpoints: entries})
 	for _, b := range gone {
 		l.table.forget(b)
 	}
 	l.publish()
-	if l.cfg.Changed != nil {
-		l.cfg.Changed()
+	if l.cfg.EndpointsChanged != nil {
+		l.cfg.EndpointsChanged()
 	}
 }
 
 // ---- the log ----
 
-func (l *Loop) guard(what string) {
-	l.figures.Guarded++
+func (l *EventLoop) guard(what string) {
+	l.figures.GuardViolations++
 	l.log(slog.LevelError, "guard: "+what)
 }
 
-func (l *Loop) log(level slog.Level, text string, args ...any) {
+func (l *EventLoop) log(level slog.Level, text string, args ...any) {
 	if !l.limit.Allow() {
 		return
 	}
@@ -797,7 +797,7 @@
 
 // writeLog writes the loop's log lines. The loop does not write itself: a log that
 // nobody reads blocks its writer, and every request with it.
-func (l *Loop) writeLog() {
+func (l *EventLoop) writeLog() {
 	for {
 		select {
 		case line := <-l.lines:
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -24,26 +24,26 @@
 func (s stub) Do(ctx context.Context, b *Backend, _ string, c *Call, _, _ time.Time) Result {
 	return s.do(ctx, b, c)
 }
-func (stub) HangUp(*Backend) {}
-func (stub) Sweep()          {}
+func (stub) CloseIdle(*Backend) {}
+func (stub) CloseExpired()      {}
 
 func target(id string) membership.Entry {
 	return membership.Entry{ID: id, Addr: "127.0.0.1:1", State: membership.Up, Weight: 1}
 }
 
 func testConfig() Config {
-	return Config{Discovery: "127.0.0.1:1", Seed: 7, Known: membership.List{Revision: 1, Full: true, Entries: []membership.Entry{target("s-1")}},
+	return Config{Discovery: "127.0.0.1:1", Seed: 7, CachedEndpoints: membership.List{Revision: 1, Full: true, Entries: []membership.Entry{target("s-1")}},
 		Settings: policy.Settings{Classes: []policy.Class{
-			{Name: "read", AimMs: 2000, GiveUpMs: 4000, Effect: policy.Free, Credit: 1},
-			{Name: "send", AimMs: 2000, GiveUpMs: 4000, Effect: policy.Guarded, Group: policy.GroupAll, KeyTTLMs: 8000, Credit: 2},
-			{Name: "order", AimMs: 2000, GiveUpMs: 4000, Effect: policy.SingleShot, Credit: 5}},
-			Limits:     policy.Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 600, OpenCap: 1000},
-			Contract:   policy.Contract{AskWithinMs: 60_000, ColdFrom: 0.3, ColdMs: 8000, DrainGraceMs: 250, FallMultiple: 2.5, TipAfterMs: 1000},
-			Membership: "on_request", Replicas: 1, RoundMs: 5}}
+			{Name: "read", LatencyObjectiveMs: 2000, ClientTimeoutMs: 4000, Effect: policy.Idempotent, PriorityWeight: 1},
+			{Name: "send", LatencyObjectiveMs: 2000, ClientTimeoutMs: 4000, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeAll, IdempotencyWindowMs: 8000, PriorityWeight: 2},
+			{Name: "order", LatencyObjectiveMs: 2000, ClientTimeoutMs: 4000, Effect: policy.NonIdempotent, PriorityWeight: 5}},
+			Limits:        policy.Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 600, MaxOpenRequests: 1000},
+			Contract:      policy.Contract{PollIntervalMs: 60_000, SlowStartMinCapacity: 0.3, SlowStartMs: 8000, DrainGraceMs: 250, OverloadFactor: 2.5, OverloadWindowMs: 1000},
+			DiscoveryMode: "on_request", Replicas: 1, BatchIntervalMs: 5}}
 }
 
 // newTestLoop returns a loop that does not run.
-func newTestLoop(t *testing.T, u Upstream) *Loop {
+func newTestLoop(t *testing.T, u Upstream) *EventLoop {
 	t.Helper()
 	l, err := New(t.Context(), testConfig(), semaphore.NewWeighted(1<<20), []Upstream{u}, func() {})
 	if err != nil {
@@ -53,13 +53,13 @@
 }
 
 // running starts a loop, which ends with the test.
-func running(t *testing.T, u Upstream) *Loop {
+func running(t *testing.T, u Upstream) *EventLoop {
 	t.Helper()
 	return start(t, newTestLoop(t, u))
 }
 
 // start runs a loop, which ends with the test.
-func start(t *testing.T, l *Loop) *Loop {
+func start(t *testing.T, l *EventLoop) *EventLoop {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -70,12 +70,12 @@
 }
 
 func newCall(u Upstream, id string, class int) *Call {
-	return &Call{ID: id, Class: class, Via: u, Deadline: time.Now().Add(2 * time.Second), Answer: make(chan Answer, 1)}
+	return &Call{ID: id, Class: class, Upstream: u, Deadline: time.Now().Add(2 * time.Second), Answer: make(chan Answer, 1)}
 }
 
-func (l *Loop) ask(t *testing.T, c *Call) Answer {
+func (l *EventLoop) ask(t *testing.T, c *Call) Answer {
 	t.Helper()
-	l.Post(func() { l.Take(c) })
+	l.Post(func() { l.Submit(c) })
 	select {
 	case a := <-c.Answer:
 		return a
@@ -91,31 +91,31 @@
 		status policy.Status
 		blamed bool
 		class  int
-		want   Verdict
-		fault  Fault
+		want   Outcome
+		fault  FailureReason
 		more   bool // tried again where there is another backend
 	}{
-		"served":                        {policy.OK, false, 2, Served, NoFault, false},
-		"unsafe, error":                 {policy.Error, false, 2, Failed, NoFault, false},
-		"unsafe, reset":                 {policy.Reset, false, 2, Failed, NoFault, false},
-		"unsafe, never ran":             {policy.Full, false, 2, Refused, NoFault, true},
-		"safe, error":                   {policy.Error, false, 0, Refused, NoFault, true},
-		"keyed, reset":                  {policy.Reset, false, 1, Refused, NoFault, true},
-		"unsafe, the request is blamed": {policy.Cancelled, true, 2, Failed, Blamed, false},
+		"served":                        {policy.OK, false, 2, Served, NoReason, false},
+		"unsafe, error":                 {policy.Error, false, 2, Failed, NoReason, false},
+		"unsafe, reset":                 {policy.Reset, false, 2, Failed, NoReason, false},
+		"unsafe, never ran":             {policy.Rejected, false, 2, Rejected, NoReason, true},
+		"safe, error":                   {policy.Error, false, 0, Rejected, NoReason, true},
+		"keyed, reset":                  {policy.Reset, false, 1, Rejected, NoReason, true},
+		"unsafe, the request is blamed": {policy.Cancelled, true, 2, Failed, BadRequest, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tries := make(chan struct{}, 100)
 			u := stub{func(context.Context, *Backend, *Call) Result {
 				tries <- struct{}{}
-				return Result{Status: c.status, Blamed: c.blamed, LatencyMs: 1, Reply: "reply"}
+				return Result{Status: c.status, BadRequest: c.blamed, LatencyMs: 1, Reply: "reply"}
 			}}
 			l := newTestLoop(t, u)
-			l.cfg.Known.Entries = append(l.cfg.Known.Entries, target("s-2"), target("s-3"), target("s-4"))
+			l.cfg.CachedEndpoints.Entries = append(l.cfg.CachedEndpoints.Entries, target("s-2"), target("s-3"), target("s-4"))
 			ended := make(chan struct{})
 			go func() { defer close(ended); l.Run() }()
 			t.Cleanup(func() { <-ended })
 			a := l.ask(t, newCall(u, "1", c.class))
-			if a.Verdict != c.want || a.Fault != c.fault || (c.want == Served || c.fault == Blamed) != (a.Reply == "reply") {
+			if a.Outcome != c.want || a.Reason != c.fault || (c.want == Served || c.fault == BadRequest) != (a.Reply == "reply") {
 				t.Errorf("answered %+v", a)
 			}
 			if n := len(tries); c.more && n < 2 || !c.more && n != 1 || n > 3 {
@@ -134,12 +134,12 @@
 	}}
 	l := running(t, u)
 	first := newCall(u, "1", 0)
-	l.Post(func() { l.Take(first) })
-	if a := l.ask(t, newCall(u, "1", 0)); a.Verdict != Failed || a.Fault != Duplicate {
+	l.Post(func() { l.Submit(first) })
+	if a := l.ask(t, newCall(u, "1", 0)); a.Outcome != Failed || a.Reason != Duplicate {
 		t.Errorf("answered %+v", a)
 	}
 	close(release)
-	if a := <-first.Answer; a.Verdict != Served {
+	if a := <-first.Answer; a.Outcome != Served {
 		t.Errorf("the first: %+v", a)
 	}
 }
@@ -152,11 +152,11 @@
 	r := &Request{id: 1, call: c}
 	l.requests[1], l.open = r, 1
 	l.late(r)
-	if a := <-c.Answer; a.Verdict != Failed || a.Fault != Expired {
+	if a := <-c.Answer; a.Outcome != Failed || a.Reason != DeadlineExceeded {
 		t.Errorf("answered %+v, want a late failure", a)
 	}
-	l.finish(r, Answer{Verdict: Served})
-	if len(c.Answer) != 0 || l.figures.Backstops != 1 || l.open != 0 || len(l.requests) != 0 {
+	l.finish(r, Answer{Outcome: Served})
+	if len(c.Answer) != 0 || l.figures.DeadlineExceeded != 1 || l.open != 0 || len(l.requests) != 0 {
 		t.Errorf("%d further answers, figures %+v, %d open", len(c.Answer), l.figures, l.open)
 	}
 }
@@ -165,7 +165,7 @@
 func TestGuards(t *testing.T) {
 	up := func() *Backend { return &Backend{addr: "127.0.0.1:1"} }
 	drained := up()
-	drained.Close()
+	drained.MarkUnavailable()
 	now := time.Now()
 	l := newTestLoop(t, stub{})
 	for _, test := range []struct {
@@ -192,7 +192,7 @@
 	// A refusal after an attempt that may have run is turned into a failure.
 	c := newCall(stub{}, "1", 2)
 	l.refuse(&Request{id: 1 << 30, call: c, mayRun: 1}, 1)
-	if a := <-c.Answer; a.Verdict != Failed {
+	if a := <-c.Answer; a.Outcome != Failed {
 		t.Errorf("answered %+v, want a failure", a)
 	}
 }
@@ -203,18 +203,18 @@
 func TestForbiddenProbeIsAnswered(t *testing.T) {
 	l := newTestLoop(t, stub{})
 	asked := false
-	l.cfg.Probe = func(context.Context, *Backend, string, time.Time, time.Time) Result { asked = true; return Result{} }
+	l.cfg.HealthCheck = func(context.Context, *Backend, string, time.Time, time.Time) Result { asked = true; return Result{} }
 	b := l.table.backend("s-1")
 	for name, spoil := range map[string]func(){
 		"not listed":  func() { b.addr = "" },
 		"drains":      func() { b.closed.Store(true) },
-		"not allowed": func() { l.cfg.Settings.Limits.Probing = false },
+		"not allowed": func() { l.cfg.Settings.Limits.HealthChecks = false },
 	} {
-		b.addr, l.cfg.Settings.Limits.Probing = "127.0.0.1:1", true
+		b.addr, l.cfg.Settings.Limits.HealthChecks = "127.0.0.1:1", true
 		b.closed.Store(false)
 		spoil()
-		l.carryOut([]policy.Action{{Kind: policy.ActProbe, Server: b.name}})
-		if len(l.pending) != 1 || l.pending[0].Kind != policy.EvProbed || l.pending[0].Server != b.name || l.pending[0].Status != policy.Moot || asked {
+		l.carryOut([]policy.Action{{Kind: policy.ActionHealthCheck, Server: b.name}})
+		if len(l.pending) != 1 || l.pending[0].Kind != policy.EventHealthCheckEnded || l.pending[0].Server != b.name || l.pending[0].Status != policy.NotStarted || asked {
 			t.Errorf("%s: %+v", name, l.pending)
 		}
 		l.pending = nil
@@ -230,19 +230,19 @@
 		drains.State = membership.Draining
 		l.onList(&membership.List{Revision: 9, Entries: []membership.Entry{drains}}, true, nil)
 		l.onList(&membership.List{Revision: 8, Full: true, Entries: []membership.Entry{target("s-1")}}, false, nil)
-		if !l.table.byID["s-1"].Closed() {
+		if !l.table.byID["s-1"].Unavailable() {
 			t.Error("an older list took back a drain")
 		}
 		// Nor does one on the watch that was asked for before that came and read after it; a discovery that
 		// started again is asked later.
 		asked := l.since.Add(-time.Millisecond)
-		old := membership.List{Revision: 8, Full: true, Entries: []membership.Entry{target("s-1"), target("s-2")}, Asked: asked}
+		old := membership.List{Revision: 8, Full: true, Entries: []membership.Entry{target("s-1"), target("s-2")}, RequestedAt: asked}
 		l.onList(&old, true, nil)
-		if !l.table.byID["s-1"].Closed() {
+		if !l.table.byID["s-1"].Unavailable() {
 			t.Error("an older call's answer took back a drain")
 		}
-		old.Asked = l.since.Add(time.Millisecond)
-		if l.onList(&old, true, nil); l.version != 8 || l.table.byID["s-1"].Closed() || l.table.byID["s-2"] == nil {
+		old.RequestedAt = l.since.Add(time.Millisecond)
+		if l.onList(&old, true, nil); l.version != 8 || l.table.byID["s-1"].Unavailable() || l.table.byID["s-2"] == nil {
 			t.Error("a discovery that started again is not believed")
 		}
 		l.onList(&membership.List{Revision: 10, Full: true}, true, nil)
@@ -286,7 +286,7 @@
 	case <-time.After(patience):
 		t.Fatal("the loop waits for the log")
 	}
-	if a := l.ask(t, newCall(u, "1", 2)); a.Verdict != Served {
+	if a := l.ask(t, newCall(u, "1", 2)); a.Outcome != Served {
 		t.Errorf("answered %+v", a)
 	}
 }
--- a/internal/core/once.go
+++ b/internal/core/once.go
@@ -32,7 +32,7 @@
 
 // concerns tells whether the id of a call may come again, and its work must not run twice.
 func (o *once) concerns(class *policy.Class, c *Call) bool {
-	return class.Effect != policy.Free && !c.Unique
+	return class.Effect != policy.Idempotent && !c.Unique
 }
 
 // add notes an id.
@@ -70,12 +70,12 @@
 	Claim(id string) bool
 	// Release gives an id back whose request has not run.
 	Release(id string)
-	// Keep has an id known for a minute more.
-	Keep(id string)
+	// Retain has an id known for a minute more.
+	Retain(id string)
 }
 
 // claim takes a request's id from the agent's other processes, where there may be any.
-func (l *Loop) claim(r *Request) bool {
+func (l *EventLoop) claim(r *Request) bool {
 	if l.cfg.SharedIDs == nil || !l.once.concerns(l.class(r), r.call) {
 		return true
 	}
@@ -84,15 +84,15 @@
 }
 
 // release gives the id of a request back that has not run.
-func (l *Loop) release(r *Request) {
+func (l *EventLoop) release(r *Request) {
 	if r.claimed {
 		l.cfg.SharedIDs.Release(r.call.ID)
 	}
 }
 
 // keep has the id of a request known that is over and may have run.
-func (l *Loop) keep(r *Request) {
+func (l *EventLoop) keep(r *Request) {
 	if r.claimed {
-		l.cfg.SharedIDs.Keep(r.call.ID)
+		l.cfg.SharedIDs.Retain(r.call.ID)
 	}
 }
--- a/internal/core/once_test.go
+++ b/internal/core/once_test.go
@@ -37,7 +37,7 @@
 			before := tries
 			first = false
 			a := l.ask(t, newCall(u, "1", c.class))
-			if sent := tries > before; sent != c.again || !sent && (a.Verdict != Failed || a.Fault != Duplicate) {
+			if sent := tries > before; sent != c.again || !sent && (a.Outcome != Failed || a.Reason != Duplicate) {
 				t.Errorf("sent %v, answered %+v", sent, a)
 			}
 		})
--- a/internal/core/rotation_test.go
+++ b/internal/core/rotation_test.go
@@ -19,7 +19,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			cfg := testConfig()
-			cfg.Watched = c.watched
+			cfg.PublishRotation = c.watched
 			l, err := New(ctx, cfg, semaphore.NewWeighted(1<<20), []Upstream{stub{}}, func() {})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/core/shared_test.go
+++ b/internal/core/shared_test.go
@@ -30,7 +30,7 @@
 	delete(s.taken, id)
 }
 
-func (s *sharedIDs) Keep(string) {}
+func (s *sharedIDs) Retain(string) {}
 
 // An id whose request one process of an agent has taken does not run at the other one, while it is open and afterwards,
 // unless it never ran or may be repeated.
@@ -59,7 +59,7 @@
 				sent++
 				return Result{Status: result, LatencyMs: 1, Reply: "reply"}
 			}}
-			process := func() *Loop {
+			process := func() *EventLoop {
 				l := newTestLoop(t, u)
 				l.cfg.SharedIDs = shared
 				return start(t, l)
@@ -69,7 +69,7 @@
 			before := sent
 			result = policy.OK
 			a := other.ask(t, newCall(u, "1", c.class))
-			if again := sent > before; again != c.again || !again && (a.Verdict != Failed || a.Fault != Duplicate) {
+			if again := sent > before; again != c.again || !again && (a.Outcome != Failed || a.Reason != Duplicate) {
 				t.Errorf("sent again %v, answered %+v", again, a)
 			}
 		})
--- a/internal/core/table.go
+++ b/internal/core/table.go
@@ -2,7 +2,7 @@
 
 import (
 	"ringtrack.example/ringtrack/internal/membership"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 	"ringtrack.example/ringtrack/policy"
 )
 
@@ -14,7 +14,7 @@
 	byAddr map[policy.Addr]*Backend // the same
 	banned map[string]bool          // ids that an operator wants left alone, listed or not; upgrade.MaxBans at the most
 	seen   map[string]bool          // ids that were ever listed, as far as maxSeen goes
-	word   *rulebook.Book           // what all agents agree on of servers; nil: nothing
+	word   *sharedconfig.Config     // what all agents agree on of servers; nil: nothing
 }
 
 // maxSeen bounds the ids that are remembered as once listed; beyond it only those listed now are known.
@@ -31,7 +31,7 @@
 	if b := t.byID[id]; b != nil {
 		return b
 	}
-	b := &Backend{id: id, name: membership.Addr(id, func(a policy.Addr) bool { return t.byAddr[a] != nil })}
+	b := &Backend{id: id, name: membership.ServerAddr(id, func(a policy.Addr) bool { return t.byAddr[a] != nil })}
 	t.byID[id], t.byAddr[b.name] = b, b
 	t.see(id)
 	return b
@@ -62,7 +62,7 @@
 
 // apply takes a list into the table and returns the module's entries, the backends
 // whose idle connections are of no more use, and those gone.
-func (t *table) apply(l *membership.List, full bool) (entries []policy.Entry, stale, gone []*Backend) {
+func (t *table) apply(l *membership.List, full bool) (entries []policy.Endpoint, stale, gone []*Backend) {
 	named := make(map[string]bool, len(l.Entries))
 	for i := range l.Entries {
 		s := &l.Entries[i]
@@ -77,11 +77,11 @@
 			stale = append(stale, b)
 			b.addr = s.Addr
 		}
-		shut := e.Health != policy.Ready || e.Banned
+		shut := e.Health != policy.Ready || e.Cordoned
 		if b.closed.Store(shut); shut {
 			stale = append(stale, b)
 		}
-		if b.gone = e.Health == policy.Gone; b.gone {
+		if b.gone = e.Health == policy.Removed; b.gone {
 			gone = append(gone, b)
 		}
 		entries = append(entries, e)
@@ -99,11 +99,11 @@
 }
 
 // entry is a backend as the module is told of it.
-func (t *table) entry(b *Backend) policy.Entry {
+func (t *table) entry(b *Backend) policy.Endpoint {
 	e := t.names.Policy(&b.told)
-	e.Server, e.Banned = b.name, t.banned[b.id]
+	e.Server, e.Cordoned = b.name, t.banned[b.id]
 	if t.word != nil {
-		e.Banned = e.Banned || !t.word.Open(b.id)
+		e.Cordoned = e.Cordoned || !t.word.Allows(b.id)
 		if w := t.word.Servers[b.id].Weight; w > 0 {
 			e.Weight = w
 		}
@@ -114,7 +114,7 @@
 // shut tells whether nothing new is to go to a backend.
 func (t *table) shut(b *Backend) bool {
 	e := t.entry(b)
-	return e.Health != policy.Ready || e.Banned
+	return e.Health != policy.Ready || e.Cordoned
 }
 
 // ban notes that an operator wants nothing new at the backend of an id, or that he does again. It returns the
--- a/internal/core/tally.go
+++ b/internal/core/tally.go
@@ -7,22 +7,22 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Tally counts what the agent has done since its start, for operators. It may be read and written from any
+// Counters counts what the agent has done since its start, for operators. It may be read and written from any
 // goroutine. A request counts once, when its one answer is given, or when a streamed answer has ended.
-type Tally struct {
-	Classes []ClassTally // in the order of the settings
-	Written atomic.Int64 // attempts written whole to backends
-	Open    atomic.Int64 // requests taken that have no answer yet
+type Counters struct {
+	Classes []ClassCounters // in the order of the settings
+	Written atomic.Int64    // attempts written whole to backends
+	Open    atomic.Int64    // requests taken that have no answer yet
 }
 
-// ClassTally counts the answers to requests of one class.
-type ClassTally struct {
-	Name                    string
-	Served, Refused, Failed atomic.Int64
+// ClassCounters counts the answers to requests of one class.
+type ClassCounters struct {
+	Name                     string
+	Served, Rejected, Failed atomic.Int64
 }
 
-func newTally(classes []policy.Class) *Tally {
-	t := &Tally{Classes: make([]ClassTally, len(classes))}
+func newTally(classes []policy.Class) *Counters {
+	t := &Counters{Classes: make([]ClassCounters, len(classes))}
 	for i, c := range classes {
 		t.Classes[i].Name = c.Name
 	}
@@ -30,36 +30,36 @@
 }
 
 // Count counts one answer to a request of a class.
-func (t *Tally) Count(class int, v Verdict) {
+func (t *Counters) Count(class int, v Outcome) {
 	c := &t.Classes[class]
 	switch v {
 	case Served:
 		c.Served.Add(1)
-	case Refused:
-		c.Refused.Add(1)
+	case Rejected:
+		c.Rejected.Add(1)
 	case Failed:
 		c.Failed.Add(1)
 	}
 }
 
-// End counts a streamed answer, which has ended now.
-func (t *Tally) End(class int, v Verdict) {
+// CountStreamed counts a streamed answer, which has ended now.
+func (t *Counters) CountStreamed(class int, v Outcome) {
 	t.Count(class, v)
 	t.Open.Add(-1)
 }
 
 // Rotation is how many backends there are and how many of them the agent avoids.
 type Rotation struct {
-	Listed int
-	Out    int // told to drain, banned by an operator, or held Unhealthy by the module
+	Listed      int
+	Unavailable int // told to drain, banned by an operator, or held Unhealthy by the module
 }
 
-// Tally is the loop's count. It may be called from any goroutine.
-func (l *Loop) Tally() *Tally { return l.tally }
+// Counters is the loop's count. It may be called from any goroutine.
+func (l *EventLoop) Counters() *Counters { return l.tally }
 
 // Rotation is how many backends there were publishEvery ago at the most, where the loop is Watched. It may be called from any goroutine, and
 // waits for nobody.
-func (l *Loop) Rotation() Rotation {
+func (l *EventLoop) Rotation() Rotation {
 	if r := l.rotation.Load(); r != nil {
 		return *r
 	}
@@ -67,12 +67,12 @@
 }
 
 // publish counts backends as they are now.
-func (l *Loop) publish() {
+func (l *EventLoop) publish() {
 	r := l.count()
 	l.rotation.Store(&r)
 }
 
-func (l *Loop) count() (r Rotation) {
+func (l *EventLoop) count() (r Rotation) {
 	avoided := map[policy.Addr]bool{}
 	for _, v := range l.balancer.View(l.now(), nil) {
 		avoided[v.Server] = v.State == policy.Unhealthy
@@ -83,26 +83,26 @@
 		}
 		r.Listed++
 		if b.closed.Load() || avoided[b.name] {
-			r.Out++
+			r.Unavailable++
 		}
 	}
 	return r
 }
 
-// List is all that is listed now, in no order, and the ids that were once. It is called in the loop.
-func (l *Loop) List() (list membership.List, seen []string) { return l.table.list(l.version) }
+// Endpoints is all that is listed now, in no order, and the ids that were once. It is called in the loop.
+func (l *EventLoop) Endpoints() (list membership.List, seen []string) { return l.table.list(l.version) }
 
-// Knows tells whether a backend of this id is, or was ever, listed. It is called in the loop.
-func (l *Loop) Knows(id string) bool { return l.table.knows(id) }
+// Known tells whether a backend of this id is, or was ever, listed. It is called in the loop.
+func (l *EventLoop) Known(id string) bool { return l.table.knows(id) }
 
-// Ban has nothing new sent to a backend, or ends that; a ban holds whatever the list says of the backend
+// Cordon has nothing new sent to a backend, or ends that; a ban holds whatever the list says of the backend
 // meanwhile. It is called in the loop.
-func (l *Loop) Ban(id string, on bool) {
+func (l *EventLoop) Cordon(id string, on bool) {
 	b := l.table.ban(id, on)
 	if b == nil {
 		return
 	}
-	l.handle(&policy.Event{Kind: policy.EvList, List: policy.ListOther, Entries: []policy.Entry{l.table.entry(b)}})
+	l.handle(&policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateOtherSource, Endpoints: []policy.Endpoint{l.table.entry(b)}})
 	if on {
 		l.hangUp(b)
 	}
@@ -110,17 +110,17 @@
 	l.publish()
 }
 
-// SetBanned makes the given ids the banned ones: another process of this agent may have been told. It is
+// SetCordoned makes the given ids the banned ones: another process of this agent may have been told. It is
 // called in the loop.
-func (l *Loop) SetBanned(ids []string) {
+func (l *EventLoop) SetCordoned(ids []string) {
 	banned := map[string]bool{}
 	for _, id := range ids {
 		banned[id] = true
-		l.Ban(id, true)
+		l.Cordon(id, true)
 	}
 	for id := range l.table.banned {
 		if !banned[id] {
-			l.Ban(id, false)
+			l.Cordon(id, false)
 		}
 	}
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -14,107 +14,107 @@
 
 // Call is a client's request as a front took it, and where its answer goes.
 type Call struct {
-	ID       string // open once at a time over all fronts
-	Class    int
-	Tenant   int
-	Key      uint64
-	HintMs   float64
-	HasHint  bool
-	Retry    bool
-	Deadline time.Time
-	Via      Upstream
-	Payload  any         // the front's, for its upstream
-	Answer   chan Answer // of capacity one: the loop never waits for a client
-	Unique   bool        // the id is the front's own and never comes again
-	NoRoom   bool        // its front has no connections left for more: it is refused
-
-	// RepeatBy, where it is not zero, is until when the attempt that is made now may be begun: it repeats one
+	ID            string // open once at a time over all fronts
+	Class         int
+	Tenant        int
+	Key           uint64
+	HintMs        float64
+	HasHint       bool
+	Retry         bool
+	Deadline      time.Time
+	Upstream      Upstream
+	Payload       any         // the front's, for its upstream
+	Answer        chan Answer // of capacity one: the loop never waits for a client
+	Unique        bool        // the id is the front's own and never comes again
+	NoConnections bool        // its front has no connections left for more: it is refused
+
+	// RetryBefore, where it is not zero, is until when the attempt that is made now may be begun: it repeats one
 	// that may have run, and behind that its key is no longer known; or behind that the agent's lease is over.
 	// The loop's; an attempt's upstream reads it.
-	RepeatBy time.Time
-	// Outdated says that the attempt that is out was decided by rules that no longer stand: if nothing of it is
+	RetryBefore time.Time
+	// Superseded says that the attempt that is out was decided by rules that no longer stand: if nothing of it is
 	// written yet, nothing is to be. The loop's; an attempt's upstream reads it.
-	Outdated atomic.Bool
-	// Gone, where it is set, asks the client's connection whether its client has left, which its front may not have
+	Superseded atomic.Bool
+	// Disconnected, where it is set, asks the client's connection whether its client has left, which its front may not have
 	// noticed yet. An attempt's upstream asks it right before the first byte; from any goroutine, and it never waits.
-	Gone func() bool
+	Disconnected func() bool
 
-	// Left, where it is not 0, is the time that a streamed call has from its last byte on: a part of it still
+	// TimeAfterBody, where it is not 0, is the time that a streamed call has from its last byte on: a part of it still
 	// comes while it is sent. Deadline is then how long that may take in all.
-	Left    time.Duration
-	written func(at time.Time)
+	TimeAfterBody time.Duration
+	written       func(at time.Time)
 }
 
-// Written tells that the last byte of a streamed call has gone to a backend, and returns when an attempt that
+// BodyWritten tells that the last byte of a streamed call has gone to a backend, and returns when an attempt that
 // was written then is to end. Its upstream calls it, once an attempt.
-func (c *Call) Written(at time.Time) (until time.Time) {
+func (c *Call) BodyWritten(at time.Time) (until time.Time) {
 	c.written(at)
-	return at.Add(c.Left - backstopMargin)
+	return at.Add(c.TimeAfterBody - backstopMargin)
 }
 
-// Verdict is how a call ends.
-type Verdict uint8
+// Outcome is how a call ends.
+type Outcome uint8
 
 // The verdicts.
 const (
-	Served  Verdict = iota
-	Refused         // trying again is harmless
-	Failed          // promises nothing
+	Served   Outcome = iota
+	Rejected         // trying again is harmless
+	Failed           // promises nothing
 )
 
-// Fault says why a call has failed, where a front has a word of its own for it.
-type Fault uint8
+// FailureReason says why a call has failed, where a front has a word of its own for it.
+type FailureReason uint8
 
 // The faults.
 const (
-	NoFault   Fault = iota
-	Duplicate       // its id is that of a call that is open, may still run, or has run and must not again
-	Expired         // the backstop ended it
-	Blamed          // the backend found fault with the request
-	Unread          // its client did not bring it whole
+	NoReason          FailureReason = iota
+	Duplicate                       // its id is that of a call that is open, may still run, or has run and must not again
+	DeadlineExceeded                // the backstop ended it
+	BadRequest                      // the backend found fault with the request
+	IncompleteRequest               // its client did not bring it whole
 )
 
 // Answer is the one final answer to a call.
 type Answer struct {
-	Verdict Verdict
-	AfterMs float64 // Refused: when the client may come back
-	Fault   Fault   // Failed
-	Reply   any     // the upstream's, for its front: Served, or Failed with Blamed
-	Held    int64   // of the budget of memory; given back once the answer is written
+	Outcome       Outcome
+	RetryAfterMs  float64       // Refused: when the client may come back
+	Reason        FailureReason // Failed
+	Reply         any           // the upstream's, for its front: Served, or Failed with Blamed
+	ReservedBytes int64         // of the budget of memory; given back once the answer is written
 }
 
-// Open is a reply whose rest still comes. The call is open until the front has called Close, with whether the
+// StreamedReply is a reply whose rest still comes. The call is open until the front has called Close, with whether the
 // client has it whole.
-type Open interface{ Close(whole bool) }
+type StreamedReply interface{ Close(whole bool) }
 
 // drop ends with a reply that nobody will have.
 func drop(reply any) {
-	if o, ok := reply.(Open); ok {
+	if o, ok := reply.(StreamedReply); ok {
 		o.Close(false)
 	}
 }
 
 // streamed tells whether a reply's rest still comes.
 func streamed(reply any) bool {
-	_, ok := reply.(Open)
+	_, ok := reply.(StreamedReply)
 	return ok
 }
 
 // Result is how one attempt ended.
 type Result struct {
-	Status    policy.Status
-	LatencyMs float64
-	Report    []float32
-	Blamed    bool // with Cancelled: the backend's word that the request is bad
-	// Unanswered, with Cancelled: written whole, and no answer will ever come, as the protocol has it.
+	Status     policy.Status
+	LatencyMs  float64
+	Report     []float32
+	BadRequest bool // with Cancelled: the backend's word that the request is bad
+	// NoReplyExpected, with Cancelled: written whole, and no answer will ever come, as the protocol has it.
 	// It may have run, and for its client it is served.
-	Unanswered bool
-	// Spent: a part of a streamed call has gone, and no other attempt can be made of it. Unread: by its client's
+	NoReplyExpected bool
+	// BodyConsumed: a part of a streamed call has gone, and no other attempt can be made of it. IncompleteRequest: by its client's
 	// fault.
-	Spent, Unread bool
-	Gone          bool // with Moot: nothing was begun, as the client has left
-	Reply         any
-	Held          int64 // of the budget, for the reply; whoever ends with the reply gives it back
+	BodyConsumed, IncompleteRequest bool
+	ClientDisconnected              bool // with Moot: nothing was begun, as the client has left
+	Reply                           any
+	ReservedBytes                   int64 // of the budget, for the reply; whoever ends with the reply gives it back
 }
 
 // Upstream makes attempts of one protocol. All methods may be called from any goroutine.
@@ -122,10 +122,10 @@
 	// Do makes one attempt and returns how it ended, exactly once. It never sends anything twice.
 	// Cancelling ctx withdraws it. Nothing is begun once b.Closed.
 	Do(ctx context.Context, b *Backend, addr string, c *Call, sent, deadline time.Time) Result
-	// HangUp closes the idle connections to a backend.
-	HangUp(b *Backend)
-	// Sweep closes connections that have idled too long. It is called once a second.
-	Sweep()
+	// CloseIdle closes the idle connections to a backend.
+	CloseIdle(b *Backend)
+	// CloseExpired closes connections that have idled too long. It is called once a second.
+	CloseExpired()
 }
 
 // Backend is one listed server. Its fields belong to the loop, but for what Closed tells.
@@ -139,45 +139,45 @@
 	closed atomic.Bool
 }
 
-// Closed tells whether the backend was told to drain or gone, or an operator banned it: asked just before a write.
-func (b *Backend) Closed() bool { return b.closed.Load() }
+// Unavailable tells whether the backend was told to drain or gone, or an operator banned it: asked just before a write.
+func (b *Backend) Unavailable() bool { return b.closed.Load() }
 
-// Close makes Closed true, as the loop does when it is told so. It is for tests of upstreams.
-func (b *Backend) Close() { b.closed.Store(true) }
+// MarkUnavailable makes Closed true, as the loop does when it is told so. It is for tests of upstreams.
+func (b *Backend) MarkUnavailable() { b.closed.Store(true) }
 
 // Config is what the loop is told.
 type Config struct {
-	Discovery string // host:port of the roster
-	Known     membership.List
-	Settings  policy.Settings
-	Seed      uint64
-	Zones     []string
-	Kinds     []string
-
-	// Probe asks a backend how it is, beside its requests, and returns how that ended, exactly once. It is
+	Discovery       string // host:port of the roster
+	CachedEndpoints membership.List
+	Settings        policy.Settings
+	Seed            uint64
+	Zones           []string
+	Kinds           []string
+
+	// HealthCheck asks a backend how it is, beside its requests, and returns how that ended, exactly once. It is
 	// called only where the settings allow probes. What says nothing of the backend is Moot.
-	Probe func(ctx context.Context, b *Backend, addr string, sent, deadline time.Time) Result
+	HealthCheck func(ctx context.Context, b *Backend, addr string, sent, deadline time.Time) Result
 
 	SharedIDs SharedIDs // nil: no other process can be this agent
 
-	Banned []string // ids of backends that an operator wants left alone, from the start on
-	Seen   []string // ids that were listed once, as another process of this agent had it
-	// Changed, where it is set, is called in the loop after each change of the list. It is not to wait.
-	Changed func()
-	// Watched says that operators may ask for Rotation: it is counted anew each publishEvery, which wakes a process that
+	Cordoned []string // ids of backends that an operator wants left alone, from the start on
+	SeenIDs  []string // ids that were listed once, as another process of this agent had it
+	// EndpointsChanged, where it is set, is called in the loop after each change of the list. It is not to wait.
+	EndpointsChanged func()
+	// PublishRotation says that operators may ask for Rotation: it is counted anew each publishEvery, which wakes a process that
 	// would rest, and else when the list or a ban changes.
-	Watched bool
+	PublishRotation bool
 
-	// Stale, where it is set, is called in the loop when a call to a discovery that is asked goes out with no watch
+	// DiscoveryStale, where it is set, is called in the loop when a call to a discovery that is asked goes out with no watch
 	// open, or a watch breaks (true), and when a call is answered behind that (false). It is not to wait.
-	Stale func(stale bool)
+	DiscoveryStale func(stale bool)
 
-	// Nodes follows a registry of what runs, until ctx ends, and has each thing it learns applied to the
+	// WatchNodes follows a registry of what runs, until ctx ends, and has each thing it learns applied to the
 	// merge, in the loop. nil: the roster alone says which backends there are.
-	Nodes func(ctx context.Context, told func(apply func(m *membership.Merge, now float64)))
-	Merge membership.MergeConfig // with Nodes
+	WatchNodes func(ctx context.Context, told func(apply func(m *membership.Merge, now float64)))
+	Merge      membership.MergeConfig // with Nodes
 
-	// Agreed, where it is set, has the loop act by a book of rules and a lease on it (Adopt, Renew). nil: by its own
+	// SharedConfig, where it is set, has the loop act by a book of rules and a lease on it (Adopt, Renew). nil: by its own
 	// file alone.
-	Agreed *Agreed
+	SharedConfig *SharedConfig
 }
--- a/internal/core/window_test.go
+++ b/internal/core/window_test.go
@@ -19,7 +19,7 @@
 		most   int
 	}{
 		{0, policy.Reset, 1}, {1, policy.Reset, 1}, {9, policy.Reset, 1}, {10, policy.Reset, 1}, {30, policy.Reset, 1},
-		{8000, policy.Reset, 3}, {0, policy.Full, 3}, {9, policy.Full, 3},
+		{8000, policy.Reset, 3}, {0, policy.Rejected, 3}, {9, policy.Rejected, 3},
 	} {
 		t.Run(fmt.Sprint(test.ttlMs, " ms, status ", test.status), func(t *testing.T) {
 			t.Parallel()
@@ -34,12 +34,12 @@
 				return Result{Status: test.status, LatencyMs: 1}
 			}}
 			l := newTestLoop(t, u)
-			l.cfg.Settings.Classes[1].KeyTTLMs = test.ttlMs
+			l.cfg.Settings.Classes[1].IdempotencyWindowMs = test.ttlMs
 			var err error
 			if l.balancer, err = policy.New(l.cfg.Settings, 7); err != nil {
 				t.Fatal(err)
 			}
-			l.cfg.Known.Entries = append(l.cfg.Known.Entries, target("s-2"), target("s-3"), target("s-4"))
+			l.cfg.CachedEndpoints.Entries = append(l.cfg.CachedEndpoints.Entries, target("s-2"), target("s-3"), target("s-4"))
 			ended := make(chan struct{})
 			go func() { defer close(ended); l.Run() }()
 			t.Cleanup(func() { <-ended })
@@ -47,11 +47,11 @@
 			if n := len(began); n < min(test.most, 2) || n > test.most {
 				t.Errorf("%d attempts, want %d at the most; answered %+v", n, test.most, a)
 			}
-			if a.Verdict == Served || test.status == policy.Reset && test.most == 1 && a.Verdict != Failed {
+			if a.Outcome == Served || test.status == policy.Reset && test.most == 1 && a.Outcome != Failed {
 				t.Errorf("answered %+v", a)
 			}
 			guarded := make(chan int, 1)
-			l.Post(func() { guarded <- l.Figures().Guarded })
+			l.Post(func() { guarded <- l.Stats().GuardViolations })
 			if n := <-guarded; n != 0 {
 				t.Errorf("a guard had to act %d times", n)
 			}
@@ -63,7 +63,7 @@
 func TestRepeatForStaysWithinTheWindow(t *testing.T) {
 	for _, ms := range []float64{0, 0.1, 1, 5, 9, 40, 700, 8000} {
 		ttl := time.Duration(ms * float64(time.Millisecond))
-		if got := RepeatFor(&policy.Class{KeyTTLMs: ms}); got < 0 || got > ttl || ms > 0 && got == ttl {
+		if got := RetryWindow(&policy.Class{IdempotencyWindowMs: ms}); got < 0 || got > ttl || ms > 0 && got == ttl {
 			t.Errorf("%v ms: %v", ms, got)
 		}
 	}
--- a/internal/front/gone_test.go
+++ b/internal/downstream/gone_test.go
@@ -119,14 +119,14 @@
 				leave(t, w, c, way)
 				left := time.Now()
 				close(b.gate)
-				until(t, "the request stays open", func() bool { return w.Loop.Tally().Open.Load() == 0 })
+				until(t, "the request stays open", func() bool { return w.Loop.Counters().Open.Load() == 0 })
 				noticed := time.Since(left)
 				f := w.Figures()
 				w.Stop() // nothing is out any more
 				if n := b.began.Load(); n != 1 {
 					t.Errorf("%d attempts began, want the first one alone (%v until noticed)", n, noticed)
 				}
-				if f.Gone != 1 || f.Taken != 1 || f.Guarded != 0 {
+				if f.Disconnected != 1 || f.Accepted != 1 || f.GuardViolations != 0 {
 					t.Errorf("figures %+v", f)
 				}
 			})
@@ -166,23 +166,23 @@
 				}
 				w.Roster.Remove("s-0") // what is out there goes on, and nothing further may begin
 				inLoop("the end of s-0 is not known", func() bool {
-					list, _ := w.Loop.List()
+					list, _ := w.Loop.Endpoints()
 					return len(list.Entries) == 0
 				})
 				close(first.gate)
-				inLoop("the first attempt does not end", func() bool { return !w.Loop.Lists("s-0") })
-				if n := w.Loop.Tally().Open.Load(); n != 1 {
+				inLoop("the first attempt does not end", func() bool { return !w.Loop.IsListed("s-0") })
+				if n := w.Loop.Counters().Open.Load(); n != 1 {
 					t.Fatalf("%d requests are open in the pause, want 1", n)
 				}
 				leave(t, w, c, way)
 				w.Roster.Set(entry("s-1", next))
-				until(t, "the request stays open", func() bool { return w.Loop.Tally().Open.Load() == 0 })
+				until(t, "the request stays open", func() bool { return w.Loop.Counters().Open.Load() == 0 })
 				f := w.Figures()
 				w.Stop() // nothing is out any more
 				if n := next.began.Load(); n != 0 {
 					t.Errorf("%d further attempts began", n)
 				}
-				if f.Gone != 1 || f.Taken != 1 || f.Guarded != 0 {
+				if f.Disconnected != 1 || f.Accepted != 1 || f.GuardViolations != 0 {
 					t.Errorf("figures %+v", f)
 				}
 			})
--- a/internal/front/http/front.go
+++ b/internal/downstream/http/front.go
@@ -46,8 +46,8 @@
 
 // Front serves clients on one listener.
 type Front struct {
-	Loop   *core.Loop    // set before Serve
-	Linger time.Duration // for how long Shutdown still serves as ever; 0: half a second
+	Loop   *core.EventLoop // set before Serve
+	Linger time.Duration   // for how long Shutdown still serves as ever; 0: half a second
 
 	settings *policy.Settings
 	upstream core.Upstream
@@ -209,7 +209,7 @@
 		if c.Deadline = time.Now().Add(c.time); more {
 			body = whole
 			c.out.Rest, c.out.Length = body, req.ContentLength
-			c.Left, c.Deadline = c.time, c.Deadline.Add(slowest(MaxBody))
+			c.TimeAfterBody, c.Deadline = c.time, c.Deadline.Add(slowest(MaxBody))
 			// An answer may come before the body's end: it is written at once, and the body read to its end.
 			_ = http.NewResponseController(w).EnableFullDuplex()
 		}
@@ -217,17 +217,17 @@
 	if !f.conns.taken(req.Context()) {
 		panic(http.ErrAbortHandler) // nothing was sent on
 	}
-	c.NoRoom = f.conns.crowded()
+	c.NoConnections = f.conns.crowded()
 	if ok {
-		if c.Gone = nc.disconnect.gone; body != nil {
+		if c.Disconnected = nc.disconnect.gone; body != nil {
 			nc.disconnect.begin() // until it is read on
 		}
 	}
 	took := make(chan *core.Request, 1)
-	f.Loop.Post(func() { took <- f.Loop.Take(&c.Call) })
+	f.Loop.Post(func() { took <- f.Loop.Submit(&c.Call) })
 	select {
 	case a := <-c.Answer:
-		defer f.budget.Release(a.Held) // also where a long answer is broken off
+		defer f.budget.Release(a.ReservedBytes) // also where a long answer is broken off
 		if s, ok := a.Reply.(*upstream.Stream); ok {
 			defer context.AfterFunc(req.Context(), s.Withdraw)()
 		}
@@ -243,7 +243,7 @@
 
 // abandon ends with a request whose client has left.
 func (f *Front) abandon(took <-chan *core.Request) {
-	f.Loop.Post(func() { f.Loop.Left(<-took) })
+	f.Loop.Post(func() { f.Loop.ClientDisconnected(<-took) })
 	// To return would be to answer 200 with nothing, to a client that has only ended its sending.
 	panic(http.ErrAbortHandler)
 }
@@ -268,7 +268,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	switch {
-	case a.Verdict == core.Served:
+	case a.Outcome == core.Served:
 		if s, ok := a.Reply.(*upstream.Stream); ok {
 			f.pass(w, s, class)
 			return
@@ -281,19 +281,19 @@
 		w.WriteHeader(http.StatusOK)
 		// A client that has gone by now is told nothing more: no one to report to.
 		_, _ = w.Write(r.Body)
-	case a.Verdict == core.Refused:
-		if a.AfterMs > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(a.AfterMs/1000, 'f', 3, 64))
+	case a.Outcome == core.Rejected:
+		if a.RetryAfterMs > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfterMs/1000, 'f', 3, 64))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case a.Fault == core.Blamed:
+	case a.Reason == core.BadRequest:
 		status := a.Reply.(*upstream.Reply).Status
 		reject(w, badf(status, "%s", http.StatusText(status)))
-	case a.Fault == core.Duplicate:
+	case a.Reason == core.Duplicate:
 		reject(w, badf(http.StatusConflict, "%s", http.StatusText(http.StatusConflict)))
-	case a.Fault == core.Unread:
+	case a.Reason == core.IncompleteRequest:
 		reject(w, badf(http.StatusBadRequest, "body can't be read"))
-	case a.Fault == core.Expired:
+	case a.Reason == core.DeadlineExceeded:
 		w.WriteHeader(http.StatusGatewayTimeout)
 	default:
 		w.WriteHeader(http.StatusBadGateway)
@@ -306,7 +306,7 @@
 	verdict := core.Failed
 	defer func() {
 		s.Close(verdict == core.Served)
-		if f.Loop.Tally().End(class, verdict); verdict != core.Served {
+		if f.Loop.Counters().CountStreamed(class, verdict); verdict != core.Served {
 			panic(http.ErrAbortHandler) // net/http then closes the connection
 		}
 	}()
--- a/internal/front/http/front_test.go
+++ b/internal/downstream/http/front_test.go
@@ -76,8 +76,8 @@
 
 // The check never passes what is not for a backend, whatever the bytes.
 func FuzzRequest(f *testing.F) {
-	front := New(&policy.Settings{Classes: []policy.Class{{Name: "read", Effect: policy.Free}, {Name: "send", Effect: policy.Guarded},
-		{Name: "order", Effect: policy.SingleShot}}}, nil, nil, 16, 16)
+	front := New(&policy.Settings{Classes: []policy.Class{{Name: "read", Effect: policy.Idempotent}, {Name: "send", Effect: policy.IdempotentByKey},
+		{Name: "order", Effect: policy.NonIdempotent}}}, nil, nil, 16, 16)
 	f.Add(rawOrder("/api/a1", "1", "Content-Length: 1\r\n", "x"))
 	f.Add(rawOrder("/api/a1", "1", "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"))
 	f.Add("GET / HTTP/1.0\r\n\r\n")
--- a/internal/front/http/request.go
+++ b/internal/downstream/http/request.go
@@ -75,7 +75,7 @@
 			return refuse("%s more than once", name)
 		}
 	}
-	c := &call{Call: core.Call{ID: h.Get("Request-Id"), Via: f.upstream, Answer: make(chan core.Answer, 1)},
+	c := &call{Call: core.Call{ID: h.Get("Request-Id"), Upstream: f.upstream, Answer: make(chan core.Answer, 1)},
 		out: upstream.Call{Method: req.Method, Target: req.RequestURI, Host: req.Host, Header: h}}
 	c.Payload = &c.out
 	var ok bool
@@ -92,9 +92,9 @@
 	}
 	_, keyed := h["Idempotency-Key"]
 	switch effect := f.settings.Classes[c.Class].Effect; {
-	case (effect == policy.Free) != (req.Method == http.MethodGet):
+	case (effect == policy.Idempotent) != (req.Method == http.MethodGet):
 		return refuse("method %s does not fit the class", req.Method)
-	case keyed != (effect == policy.Guarded):
+	case keyed != (effect == policy.IdempotentByKey):
 		return refuse("Idempotency-Key does not fit the class")
 	case keyed && !token(h.Get("Idempotency-Key")):
 		return refuse("Idempotency-Key is no token of 1 to %d characters", maxToken)
--- a/internal/front/rules_test.go
+++ b/internal/downstream/rules_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"ringtrack.example/ringtrack/internal/core"
-	"ringtrack.example/ringtrack/internal/front/thrift"
+	"ringtrack.example/ringtrack/internal/downstream/thrift"
 	"ringtrack.example/ringtrack/internal/lab"
 	"ringtrack.example/ringtrack/internal/lab/thriftlab"
 	"ringtrack.example/ringtrack/internal/lab/world"
@@ -285,7 +285,7 @@
 		until(t, "no call came", func() bool { return w.Begun() > 0 })
 		c.Close()
 		w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // it left by itself
-		until(t, "nobody noticed", func() bool { return w.Figures().Gone == 1 })
+		until(t, "nobody noticed", func() bool { return w.Figures().Disconnected == 1 })
 	}},
 	{name: "a client that leaves behind what it sent ahead", run: func(t *testing.T, w *world.World) {
 		w.Set(lab.Silent)
@@ -301,8 +301,8 @@
 		from := time.Now()
 		c.Close()
 		w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // it left by itself
-		until(t, "nobody noticed", func() bool { f := w.Figures(); return f.Gone+f.Failed == 1 })
-		if f := w.Figures(); f.Gone != 1 || f.Taken != 1 {
+		until(t, "nobody noticed", func() bool { f := w.Figures(); return f.Disconnected+f.Failed == 1 })
+		if f := w.Figures(); f.Disconnected != 1 || f.Accepted != 1 {
 			t.Errorf("noticed only as its time was over, %v later: %+v", time.Since(from), f)
 		}
 		if n := w.Begun(); n != 1 {
@@ -598,7 +598,7 @@
 				t.Errorf("let go after %v", took)
 			}
 			call(t, w, "order", long, lab.Served)
-			if f := w.Figures(); f != (core.Figures{Taken: 1, Served: 1}) {
+			if f := w.Figures(); f != (core.Stats{Accepted: 1, Served: 1}) {
 				t.Errorf("figures %+v", f)
 			}
 		})
--- a/internal/front/thrift/config_test.go
+++ b/internal/downstream/thrift/config_test.go
@@ -14,9 +14,9 @@
 
 // Bad configuration names its key.
 var testClasses = []policy.Class{
-	{Name: "read", AimMs: 1000, GiveUpMs: 2000, Effect: policy.Free, Credit: 1},
-	{Name: "send", AimMs: 1000, GiveUpMs: 2000, Effect: policy.Guarded, Group: policy.GroupAll, KeyTTLMs: 8000, Credit: 2},
-	{Name: "order", AimMs: 1000, GiveUpMs: 2000, Effect: policy.SingleShot, Credit: 5}}
+	{Name: "read", LatencyObjectiveMs: 1000, ClientTimeoutMs: 2000, Effect: policy.Idempotent, PriorityWeight: 1},
+	{Name: "send", LatencyObjectiveMs: 1000, ClientTimeoutMs: 2000, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeAll, IdempotencyWindowMs: 8000, PriorityWeight: 2},
+	{Name: "order", LatencyObjectiveMs: 1000, ClientTimeoutMs: 2000, Effect: policy.NonIdempotent, PriorityWeight: 5}}
 
 func TestConfigNamesTheKey(t *testing.T) {
 	load := func(text string) error {
--- a/internal/front/thrift/front.go
+++ b/internal/downstream/thrift/front.go
@@ -55,7 +55,7 @@
 
 // Front serves clients on one listener.
 type Front struct {
-	Loop     *core.Loop
+	Loop     *core.EventLoop
 	Upstream core.Upstream
 	Budget   *semaphore.Weighted // memory for messages over the first few KiB
 	Table    *Table
@@ -356,17 +356,17 @@
 			left = float64(int64(fd.Int))
 		}
 	}
-	call := &core.Call{ID: "thrift-" + strconv.FormatUint(f.seq.Add(1), 36), Unique: true, Class: what.class, Via: f.Upstream, NoRoom: crowded,
+	call := &core.Call{ID: "thrift-" + strconv.FormatUint(f.seq.Add(1), 36), Unique: true, Class: what.class, Upstream: f.Upstream, NoConnections: crowded,
 		Deadline: m.at.Add(time.Duration(left * float64(time.Millisecond))), Answer: make(chan core.Answer, 1),
 		Payload: &upstream.Call{Message: m.msg, Head: m.head, Transport: c.t, Oneway: oneway, NeverRan: what.neverRan}}
 	if what.key >= 0 {
 		call.Key = keyOf(m.msg, &m.head.Fields[what.key])
 	}
 	if !oneway {
-		call.Gone = func() bool { return socket.HungUp(c.Conn) }
+		call.Disconnected = func() bool { return socket.HungUp(c.Conn) }
 	}
 	took := make(chan *core.Request, 1)
-	f.Loop.Post(func() { took <- f.Loop.Take(call) })
+	f.Loop.Post(func() { took <- f.Loop.Submit(call) })
 	var look <-chan time.Time
 	for {
 		if len(c.ahead) >= mostAhead || len(c.ahead) > 0 && c.ahead[len(c.ahead)-1].err != nil {
@@ -381,15 +381,15 @@
 		case a := <-call.Answer:
 			return f.answer(c, m, a, oneway)
 		case <-look:
-			if call.Gone() {
-				f.Loop.Post(func() { f.Loop.Left(<-took) })
+			if call.Disconnected() {
+				f.Loop.Post(func() { f.Loop.ClientDisconnected(<-took) })
 				return false
 			}
 		case next := <-in:
 			if next.err != nil && !oneway {
 				// The client has left, or sends what can't be read: nobody waits for the answer.
 				f.Budget.Release(next.held)
-				f.Loop.Post(func() { f.Loop.Left(<-took) })
+				f.Loop.Post(func() { f.Loop.ClientDisconnected(<-took) })
 				return false
 			}
 			c.ahead = append(c.ahead, next) // it waits for its turn
@@ -412,21 +412,21 @@
 
 // answer writes the one answer to a call. A oneway call has none.
 func (f *Front) answer(c *client, m *incoming, a core.Answer, oneway bool) bool {
-	defer f.Budget.Release(a.Held)
+	defer f.Budget.Release(a.ReservedBytes)
 	if oneway {
 		return true
 	}
-	if r, ok := a.Reply.(*upstream.Reply); ok && (a.Verdict == core.Served || a.Fault == core.Blamed) {
+	if r, ok := a.Reply.(*upstream.Reply); ok && (a.Outcome == core.Served || a.Reason == core.BadRequest) {
 		return f.write(c, r.Head.AppendHeadWithSeq(frameRoom(c.t, len(r.Message)), r.Message, m.head.Seq), r.Head.Rest(r.Message))
 	}
 	switch {
-	case a.Verdict == core.Refused:
-		after := a.AfterMs
+	case a.Outcome == core.Rejected:
+		after := a.RetryAfterMs
 		if after <= 0 {
 			after = f.AfterMs
 		}
 		return f.except(c, &m.head, Refused, refusal(after))
-	case a.Fault == core.Expired:
+	case a.Reason == core.DeadlineExceeded:
 		return f.except(c, &m.head, Expired, "failed: the time was over, it may have run")
 	}
 	return f.except(c, &m.head, Failed, "failed: it may have run")
--- a/internal/front/thrift/routes.go
+++ b/internal/downstream/thrift/routes.go
@@ -116,7 +116,7 @@
 			ms = c.DeadlineMs
 		}
 		if ms == 0 {
-			ms = classes[class].GiveUpMs
+			ms = classes[class].ClientTimeoutMs
 		}
 		if !(ms >= 1 && ms <= mostDeadline) {
 			return 0, fmt.Errorf("thrift: %s: must be 1 to %d ms, is %v", at, mostDeadline, ms)
@@ -128,7 +128,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if classes[i].Effect != policy.SingleShot {
+		if classes[i].Effect != policy.NonIdempotent {
 			return nil, fmt.Errorf("thrift: class: %q may run twice: what is not listed is taken as unsafe", c.Class)
 		}
 		t.rest = &method{class: i, key: -1, deadline: -1}
--- a/internal/emu/agent.go
+++ b/internal/emulator/agent.go
@@ -1,10 +1,10 @@
-package emu
+package emulator
 
 import (
 	"time"
 
-	"ringtrack.example/ringtrack/internal/book"
 	"ringtrack.example/ringtrack/internal/core"
+	"ringtrack.example/ringtrack/internal/invariant"
 	"ringtrack.example/ringtrack/policy"
 )
 
@@ -20,7 +20,7 @@
 	w     *World
 	index int
 	agentPlan
-	atStart  []policy.Entry // the list of the run's start
+	atStart  []policy.Endpoint // the list of the run's start
 	b        Balancer
 	nextID   policy.RequestID
 	requests map[policy.RequestID]*request
@@ -49,8 +49,8 @@
 	attempts []*attempt
 	out      int
 	mayRun   int
-	ran      Time         // when the first of them was sent
-	ranOn    policy.Entry // and where to
+	ran      Time            // when the first of them was sent
+	ranOn    policy.Endpoint // and where to
 }
 
 // attempt is one send.
@@ -102,7 +102,7 @@
 		case a.connected:
 			a.end(policy.Timeout)
 		case a.until-a.sent < connectTimeoutMs*Millisecond:
-			a.end(policy.Moot) // it had no time to come up
+			a.end(policy.NotStarted) // it had no time to come up
 		default:
 			a.end(policy.ConnectFailed)
 		}
@@ -110,10 +110,10 @@
 		if a.connected {
 			a.end(policy.Cancelled)
 		} else {
-			a.end(policy.Moot)
+			a.end(policy.NotStarted)
 		}
 	case attemptMoot:
-		a.end(policy.Moot)
+		a.end(policy.NotStarted)
 	}
 }
 
@@ -121,7 +121,7 @@
 func (a *attempt) write() {
 	g := a.r.agent
 	if g.closed[a.s.index] {
-		a.end(policy.Moot)
+		a.end(policy.NotStarted)
 		return
 	}
 	if d, ok := g.w.delay(g.zone, a.s.zone, false); ok {
@@ -135,7 +135,7 @@
 		return
 	}
 	a.done = true
-	if (status == policy.OK || status == policy.Full || status == policy.Error) && a.life == a.s.life {
+	if (status == policy.OK || status == policy.Rejected || status == policy.Error) && a.life == a.s.life {
 		a.r.agent.idle[a.s.index]++
 	}
 	a.r.agent.ended(a, status)
@@ -173,7 +173,7 @@
 	if t.b != t.g.b {
 		return
 	}
-	t.g.event(&policy.Event{Kind: policy.EvTimer, Token: t.token})
+	t.g.event(&policy.Event{Kind: policy.EventTimer, Token: t.token})
 }
 
 func (g *agent) carryOut(actions []policy.Action) {
@@ -181,35 +181,35 @@
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
-		case policy.ActSend:
+		case policy.ActionForward:
 			g.send(a)
-		case policy.ActCancel:
+		case policy.ActionCancel:
 			if r := g.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 				if t := r.attempts[a.Attempt]; !t.done {
 					g.w.after(20*Microsecond, t, attemptCancelled)
 				}
 			}
-		case policy.ActRefuse:
+		case policy.ActionReject:
 			if r := g.requests[a.Request]; r != nil {
-				g.refuse(r, a.Ms)
+				g.refuse(r, a.DurationMs)
 			}
-		case policy.ActFail:
+		case policy.ActionFail:
 			if r := g.requests[a.Request]; r != nil {
-				g.finish(r, book.Failed, 0)
+				g.finish(r, invariant.Failed, 0)
 			}
-		case policy.ActTimer:
-			g.w.after(ns(a.Ms), &timer{g, g.b, a.Token}, 0)
-		case policy.ActFollow:
+		case policy.ActionTimer:
+			g.w.after(ns(a.DurationMs), &timer{g, g.b, a.Token}, 0)
+		case policy.ActionWatchEndpoints:
 			if !g.watching {
 				g.watching = true
 				g.w.asked(g, false)
 			}
-		case policy.ActFetch:
+		case policy.ActionFetchEndpoints:
 			if !g.fetching {
 				g.fetching = true
 				g.w.asked(g, true)
 			}
-		case policy.ActClose:
+		case policy.ActionCloseIdle:
 			if s := g.w.byAddr[a.Server]; s != nil {
 				g.idle[s.index] = 0
 			}
@@ -222,15 +222,15 @@
 	g.nextID++
 	r := &request{agent: g, op: o, id: g.nextID, deadline: g.w.now + left}
 	g.open++
-	if most := g.w.settings.Limits.OpenCap; left <= 0 || most > 0 && g.open > most {
+	if most := g.w.settings.Limits.MaxOpenRequests; left <= 0 || most > 0 && g.open > most {
 		g.refuse(r, g.w.settings.Limits.MaxRetryAfterMs)
 		return
 	}
 	g.requests[r.id] = r
-	module, backstop := core.Times(time.Duration(left))
+	module, backstop := core.RequestTimeouts(time.Duration(left))
 	g.w.after(Time(backstop), r, 0)
-	g.event(&policy.Event{Kind: policy.EvRequest, Request: r.id, Class: o.class, Tenant: o.tenant, Key: o.key,
-		LeftMs: float64(module.Microseconds()) / 1000, Retry: o.tries > 1})
+	g.event(&policy.Event{Kind: policy.EventRequest, Request: r.id, Class: o.class, Tenant: o.tenant, Key: o.key,
+		RemainingMs: float64(module.Microseconds()) / 1000, Retry: o.tries > 1})
 }
 
 // fire is the backstop.
@@ -239,25 +239,25 @@
 		return
 	}
 	r.agent.backstop++
-	r.agent.finish(r, book.Failed, 0)
+	r.agent.finish(r, invariant.Failed, 0)
 	for _, t := range r.attempts {
 		if !t.done {
 			r.agent.w.after(20*Microsecond, t, attemptCancelled)
 		}
 	}
-	r.agent.event(&policy.Event{Kind: policy.EvDropped, Request: r.id})
+	r.agent.event(&policy.Event{Kind: policy.EventClientDisconnected, Request: r.id})
 }
 
 func (g *agent) refuse(r *request, afterMs float64) {
-	if !core.MayRefuse(&g.w.settings.Classes[r.op.class], r.mayRun) {
+	if !core.MayReject(&g.w.settings.Classes[r.op.class], r.mayRun) {
 		g.guarded++
-		g.finish(r, book.Failed, 0)
+		g.finish(r, invariant.Failed, 0)
 		return
 	}
-	g.finish(r, book.Refused, afterMs)
+	g.finish(r, invariant.Rejected, afterMs)
 }
 
-func (g *agent) finish(r *request, v book.Verdict, afterMs float64) {
+func (g *agent) finish(r *request, v invariant.Outcome, afterMs float64) {
 	if r.answered {
 		return
 	}
@@ -282,35 +282,35 @@
 	s := g.w.byAddr[a.Server]
 	t := &attempt{r: r, s: s, index: len(r.attempts), sent: g.w.now}
 	r.attempts = append(r.attempts, t)
-	_, backstop := core.Times(time.Duration(r.deadline - g.w.now))
+	_, backstop := core.RequestTimeouts(time.Duration(r.deadline - g.w.now))
 	t.until = g.w.now + Time(backstop)
-	if a.Ms != 0 {
-		t.until = min(t.until, g.w.now+ns(a.Ms))
+	if a.DurationMs != 0 {
+		t.until = min(t.until, g.w.now+ns(a.DurationMs))
 	}
 	class := &g.w.settings.Classes[r.op.class]
-	guard := core.Guard{Answered: r.answered, Listed: s != nil && g.listed[s.index], Timely: t.until > g.w.now, Out: r.out, MayRun: r.mayRun,
-		Made: len(r.attempts), Most: g.w.settings.Limits.MaxAttempts, Effect: class.Effect}
+	guard := core.Guard{Completed: r.answered, Listed: s != nil && g.listed[s.index], HasTime: t.until > g.w.now, InFlight: r.out, MayHaveRun: r.mayRun,
+		Attempts: len(r.attempts), MaxAttempts: g.w.settings.Limits.MaxAttempts, Effect: class.Effect}
 	if guard.Listed {
-		guard.Closed = g.closed[s.index]
+		guard.Unavailable = g.closed[s.index]
 		if r.mayRun > 0 {
 			to := s.entry()
-			guard.Foreign = !core.InGroup(class.Group, &r.ranOn, &to)
-			guard.Expired = g.w.now > r.ran+Time(core.RepeatFor(class))
+			guard.OutsideScope = !core.InDedupScope(class.DedupScope, &r.ranOn, &to)
+			guard.WindowExpired = g.w.now > r.ran+Time(core.RetryWindow(class))
 		}
 	}
 	if g.w.freely {
-		guard = core.Guard{Answered: r.answered, Listed: s != nil, Timely: guard.Timely, Made: len(r.attempts), Most: guard.Most}
+		guard = core.Guard{Completed: r.answered, Listed: s != nil, HasTime: guard.HasTime, Attempts: len(r.attempts), MaxAttempts: guard.MaxAttempts}
 	}
-	if why := guard.Forbids(); why != "" {
+	if why := guard.Violation(); why != "" {
 		g.guarded++
 		g.w.guards[why]++
 		t.done = true
-		if len(r.attempts) > core.MostSends(guard.Most) {
-			g.finish(r, book.Failed, 0)
+		if len(r.attempts) > core.MaxForwardActions(guard.MaxAttempts) {
+			g.finish(r, invariant.Failed, 0)
 			return
 		}
-		g.pending = append(g.pending, policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: t.index, Server: a.Server,
-			Status: policy.Moot, Final: r.answered})
+		g.pending = append(g.pending, policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: t.index, Server: a.Server,
+			Status: policy.NotStarted, Final: r.answered})
 		return
 	}
 	if r.mayRun == 0 {
@@ -353,13 +353,13 @@
 		r.mayRun--
 	}
 	if !r.answered && status == policy.OK {
-		g.finish(r, book.Served, 0)
+		g.finish(r, invariant.Served, 0)
 	}
 	report := a.report[:]
-	if a.silent || status != policy.OK && status != policy.Full && status != policy.Error {
+	if a.silent || status != policy.OK && status != policy.Rejected && status != policy.Error {
 		report = nil
 	}
-	g.event(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: a.index, Server: a.s.addr, Status: status,
+	g.event(&policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: a.index, Server: a.s.addr, Status: status,
 		LatencyMs: float64(g.w.now-a.sent) / float64(Millisecond), Final: r.answered, Report: report})
 	g.forget(r)
 }
--- a/internal/emu/dist.go
+++ b/internal/emulator/dist.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"fmt"
--- a/internal/emu/emu_test.go
+++ b/internal/emulator/emu_test.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"encoding/json"
@@ -25,11 +25,11 @@
 
 func (b *direct) Handle(_ float64, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.Kind {
-	case policy.EvList:
-		for _, e := range ev.Entries {
+	case policy.EventEndpointUpdate:
+		for _, e := range ev.Endpoints {
 			b.all = append(b.all, e.Server)
 		}
-	case policy.EvRequest:
+	case policy.EventRequest:
 		best := b.all[b.rng.IntN(len(b.all))]
 		for range b.d - 1 {
 			if x := b.all[b.rng.IntN(len(b.all))]; b.active[x] < b.active[best] {
@@ -37,11 +37,11 @@
 			}
 		}
 		b.active[best]++
-		out = append(out, policy.Action{Kind: policy.ActSend, Request: ev.Request, Server: best})
-	case policy.EvOutcome:
+		out = append(out, policy.Action{Kind: policy.ActionForward, Request: ev.Request, Server: best})
+	case policy.EventAttemptEnded:
 		b.active[ev.Server]--
 		if !ev.Final {
-			out = append(out, policy.Action{Kind: policy.ActFail, Request: ev.Request})
+			out = append(out, policy.Action{Kind: policy.ActionFail, Request: ev.Request})
 		}
 	}
 	return out
@@ -250,10 +250,10 @@
 	stray := Policy{Name: "stray", New: func(policy.Settings, uint64) (Balancer, error) {
 		return balancerFunc(func(ev *policy.Event) []policy.Action {
 			switch ev.Kind {
-			case policy.EvRequest:
-				return []policy.Action{{Kind: policy.ActSend, Request: ev.Request, Server: policy.Addr{9}}, {Kind: policy.ActSend, Request: 1 << 30}}
-			case policy.EvOutcome:
-				return []policy.Action{{Kind: policy.ActSend, Request: ev.Request, Server: policy.Addr{9}}}
+			case policy.EventRequest:
+				return []policy.Action{{Kind: policy.ActionForward, Request: ev.Request, Server: policy.Addr{9}}, {Kind: policy.ActionForward, Request: 1 << 30}}
+			case policy.EventAttemptEnded:
+				return []policy.Action{{Kind: policy.ActionForward, Request: ev.Request, Server: policy.Addr{9}}}
 			}
 			return nil
 		}), nil
--- a/internal/emu/engine.go
+++ b/internal/emulator/engine.go
@@ -1,9 +1,9 @@
-// Package emu is a discrete-event emulator of what the product serves: order servers, the network, the
+// Package emulator is a discrete-event emulator of what the product serves: order servers, the network, the
 // roster, clients and agents, in virtual time. It has no sockets, reads no clock and starts no goroutine; the
 // same seed gives the same results, to the byte. The decisions under test are the product's own module, or a
 // peer written against the same events; the contract's guard is core's; the four rules are counted by the
 // book that the lab's ledger uses on sockets.
-package emu
+package emulator
 
 // Time is virtual time in ns from the start of a run.
 type Time = int64
--- a/internal/emu/fault.go
+++ b/internal/emulator/fault.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"math"
@@ -95,9 +95,9 @@
 		case "drain":
 			if s.draining = begins; begins {
 				// Told is when the last agent has heard: the 250 ms count from there.
-				s.acct.Told(w.time().Add(time.Duration(max(w.rosterDown-w.now, 0) + ns(2*w.sc.Roster.LagMs))))
+				s.acct.NotifiedDraining(w.time().Add(time.Duration(max(w.rosterDown-w.now, 0) + ns(2*w.sc.Roster.LagMs))))
 			} else {
-				s.acct.Up()
+				s.acct.InService()
 			}
 			w.tell(s)
 		case "stop", "dark":
--- a/internal/emu/hold.go
+++ b/internal/emulator/hold.go
@@ -1,6 +1,6 @@
-package emu
+package emulator
 
-import "ringtrack.example/ringtrack/internal/book"
+import "ringtrack.example/ringtrack/internal/invariant"
 
 // hold is a call whose server waits for the calls that it makes in turn, one after the other. It keeps its worker. Its
 // calls have what is left of its attempt's time; one that fails, is refused or times out for good makes the answer an
@@ -30,7 +30,7 @@
 		}
 		g := s.calls[h.at]
 		h.at++
-		h.out = &op{Op: book.Op{Effect: o.effect}, w: s.w, agent: g, class: o.class, tenant: o.tenant, effect: o.effect,
+		h.out = &op{Operation: invariant.Operation{Effect: o.effect}, w: s.w, agent: g, class: o.class, tenant: o.tenant, effect: o.effect,
 			key: o.key ^ uint64(g.service+1)*0x9e3779b97f4a7c15, began: s.w.now, until: s.w.now + left, top: o.top, hop: o.hop + 1, hold: h}
 		s.w.graph.asked(h.out)
 		h.out.try()
--- a/internal/emu/paths.go
+++ b/internal/emulator/paths.go
@@ -1,9 +1,9 @@
-package emu
+package emulator
 
 import (
 	"errors"
 
-	"ringtrack.example/ringtrack/internal/book"
+	"ringtrack.example/ringtrack/internal/invariant"
 	"ringtrack.example/ringtrack/policy"
 )
 
@@ -45,11 +45,11 @@
 }
 
 // ended notes that an operation has its last answer, and lets go on who waits for it.
-func (g *graphRun) ended(o *op, v book.Verdict) {
+func (g *graphRun) ended(o *op, v invariant.Outcome) {
 	if g == nil {
 		return
 	}
-	served := v == book.Served && g.w.now <= o.until
+	served := v == invariant.Served && g.w.now <= o.until
 	if served && o.top.counts {
 		g.hops[o.hop].Served++
 	}
@@ -143,7 +143,7 @@
 	if g.w.graph != nil {
 		part := float64(g.w.graph.Services[g.service].Height) / float64(g.w.graph.Spec.Depth)
 		for i := range out.Classes {
-			out.Classes[i].AimMs *= part
+			out.Classes[i].LatencyObjectiveMs *= part
 		}
 	}
 	return out
--- a/internal/emu/peers/peers.go
+++ b/internal/emulator/peers/peers.go
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"ringtrack.example/ringtrack/internal/emu"
+	"ringtrack.example/ringtrack/internal/emulator"
 	"ringtrack.example/ringtrack/policy"
 )
 
@@ -85,25 +85,25 @@
 
 // Start follows the list.
 func (p *peer) Start(now float64, out []policy.Action) []policy.Action {
-	return append(out, policy.Action{Kind: policy.ActFollow})
+	return append(out, policy.Action{Kind: policy.ActionWatchEndpoints})
 }
 
 // Handle takes an event.
 func (p *peer) Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action {
 	p.now, p.out = now, out
 	switch ev.Kind {
-	case policy.EvList:
+	case policy.EventEndpointUpdate:
 		p.list(ev)
-	case policy.EvRequest:
-		r := &request{class: ev.Class, key: ev.Key, until: now + ev.LeftMs}
+	case policy.EventRequest:
+		r := &request{class: ev.Class, key: ev.Key, until: now + ev.RemainingMs}
 		p.requests[ev.Request] = r
 		p.send(ev.Request, r)
-	case policy.EvOutcome:
+	case policy.EventAttemptEnded:
 		p.outcome(ev)
-	case policy.EvDropped:
+	case policy.EventClientDisconnected:
 		delete(p.requests, ev.Request)
-	case policy.EvTimer:
-		p.do(policy.Action{Kind: policy.ActFollow})
+	case policy.EventTimer:
+		p.do(policy.Action{Kind: policy.ActionWatchEndpoints})
 	}
 	return p.out
 }
@@ -111,12 +111,12 @@
 func (p *peer) do(a policy.Action) { p.out = append(p.out, a) }
 
 func (p *peer) list(ev *policy.Event) {
-	if ev.List == policy.ListFailed {
-		p.do(policy.Action{Kind: policy.ActTimer, Ms: 1000})
+	if ev.Update == policy.UpdateFailed {
+		p.do(policy.Action{Kind: policy.ActionTimer, DurationMs: 1000})
 		return
 	}
-	for i := range ev.Entries {
-		e := &ev.Entries[i]
+	for i := range ev.Endpoints {
+		e := &ev.Endpoints[i]
 		s := p.byAddr[e.Server]
 		if s == nil {
 			s = &server{addr: e.Server}
@@ -159,13 +159,13 @@
 	s := p.pick(r)
 	if s == nil {
 		delete(p.requests, id)
-		p.do(policy.Action{Kind: policy.ActRefuse, Request: id, Ms: 100})
+		p.do(policy.Action{Kind: policy.ActionReject, Request: id, DurationMs: 100})
 		return
 	}
 	r.on, r.tries = s, r.tries+1
 	r.tried = append(r.tried, s)
 	s.active++
-	p.do(policy.Action{Kind: policy.ActSend, Request: id, Server: s.addr, Ms: max(r.until-p.now, 1)})
+	p.do(policy.Action{Kind: policy.ActionForward, Request: id, Server: s.addr, DurationMs: max(r.until-p.now, 1)})
 }
 
 func (p *peer) outcome(ev *policy.Event) {
@@ -173,7 +173,7 @@
 	if s != nil && s.active > 0 {
 		s.active--
 	}
-	if s != nil && ev.Status != policy.Moot && ev.Status != policy.Cancelled {
+	if s != nil && ev.Status != policy.NotStarted && ev.Status != policy.Cancelled {
 		if p.seen != nil {
 			p.seen(s, ev)
 		}
@@ -192,8 +192,8 @@
 	r.mayRun = r.mayRun || !ev.Status.NeverRan()
 	// Proxies know no effects: they go again on connect failures, resets and gateway errors where their
 	// routes say so, as operators commonly write ("connect-failure,refused-stream,gateway-error").
-	again := ev.Status == policy.ConnectFailed || ev.Status == policy.Full || ev.Status == policy.Moot ||
-		p.set.Classes[r.class].Effect != policy.SingleShot && (ev.Status == policy.Error || ev.Status == policy.Reset)
+	again := ev.Status == policy.ConnectFailed || ev.Status == policy.Rejected || ev.Status == policy.NotStarted ||
+		p.set.Classes[r.class].Effect != policy.NonIdempotent && (ev.Status == policy.Error || ev.Status == policy.Reset)
 	if again && r.tries <= p.retries && r.until-p.now > 5 && float64(p.retrying) < max(p.budget*float64(len(p.requests)), float64(p.least)) {
 		p.retrying++
 		p.send(ev.Request, r)
@@ -201,9 +201,9 @@
 	}
 	delete(p.requests, ev.Request)
 	if r.mayRun {
-		p.do(policy.Action{Kind: policy.ActFail, Request: ev.Request})
+		p.do(policy.Action{Kind: policy.ActionFail, Request: ev.Request})
 	} else {
-		p.do(policy.Action{Kind: policy.ActRefuse, Request: ev.Request, Ms: 100})
+		p.do(policy.Action{Kind: policy.ActionReject, Request: ev.Request, DurationMs: 100})
 	}
 }
 
@@ -246,7 +246,7 @@
 }
 
 // Random picks evenly at random; one retry elsewhere.
-func Random(set policy.Settings, seed uint64) (emu.Balancer, error) {
+func Random(set policy.Settings, seed uint64) (emulator.Balancer, error) {
 	p := newPeer(set, seed)
 	p.retries, p.budget, p.least = 1, 0.2, 3
 	p.pick = func(r *request) *server { a, _ := some(p, r); return a }
@@ -254,7 +254,7 @@
 }
 
 // RoundRobin takes one after the other.
-func RoundRobin(set policy.Settings, seed uint64) (emu.Balancer, error) {
+func RoundRobin(set policy.Settings, seed uint64) (emulator.Balancer, error) {
 	p := envoy(newPeer(set, seed))
 	next := p.rng.IntN(1 << 20)
 	p.pick = func(r *request) *server {
@@ -271,7 +271,7 @@
 // LeastRequest is Envoy's LEAST_REQUEST of equal weights: two choices at random, the one with fewer active
 // requests; outlier detection, panic threshold 50 %, a retry budget of 20 % (Envoy's pages "Supported load
 // balancers", "Outlier detection", "Panic threshold", "Circuit breaking").
-func LeastRequest(set policy.Settings, seed uint64) (emu.Balancer, error) {
+func LeastRequest(set policy.Settings, seed uint64) (emulator.Balancer, error) {
 	p := envoy(newPeer(set, seed))
 	p.pick = func(r *request) *server {
 		a, b := some(p, r)
@@ -286,7 +286,7 @@
 // RingHash is Envoy's RING_HASH with bounded loads (hash_balance_factor 150): the key's point on a ring of
 // 100 points a server, on to the next where a server has more than 1.5 times the mean of active requests
 // (Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads").
-func RingHash(set policy.Settings, seed uint64) (emu.Balancer, error) {
+func RingHash(set policy.Settings, seed uint64) (emulator.Balancer, error) {
 	p := envoy(newPeer(set, seed))
 	type point struct {
 		at uint64
@@ -352,7 +352,7 @@
 // errors added as eps by qps times the penalty 1.0; a weight counts after a blackout of 10 s, a server
 // without one gets the mean's; with outlier detection by A50 as Envoy's consecutive failures. Weights are
 // updated each second there and with each report here.
-func WeightedRoundRobin(set policy.Settings, seed uint64) (emu.Balancer, error) {
+func WeightedRoundRobin(set policy.Settings, seed uint64) (emulator.Balancer, error) {
 	p := envoy(newPeer(set, seed))
 	weight := func(s *server) float64 {
 		if s.seenAt == 0 || p.now-s.seenAt < 10_000 || s.util <= 0 || s.qps <= 0 {
@@ -406,7 +406,7 @@
 // moving average of the round trip (decay 10 s) times what is out there and one more; failure accrual after 5
 // failures in a row, away for 5 to 300 s, equal jittered; a retry budget of 20 % and 10 a second. Its
 // aperture is left out: each agent here sends little and would use a few servers only.
-func PeakEWMA(set policy.Settings, seed uint64) (emu.Balancer, error) {
+func PeakEWMA(set policy.Settings, seed uint64) (emulator.Balancer, error) {
 	const decay = 10_000
 	p := newPeer(set, seed)
 	p.retries, p.budget, p.least = 2, 0.2, 10
@@ -445,7 +445,7 @@
 // Gradient is least request under a limit for each server by the gradient of its answer times (Netflix,
 // "concurrency-limits", Gradient2Limit with its defaults: initial limit 20, smoothing 0.2, tolerance 1.5, queue size
 // 4, long window 600): what finds no server under its limit is refused at once.
-func Gradient(set policy.Settings, seed uint64) (emu.Balancer, error) {
+func Gradient(set policy.Settings, seed uint64) (emulator.Balancer, error) {
 	p := envoy(newPeer(set, seed))
 	limit := func(s *server) float64 {
 		if s.limit == 0 {
@@ -468,7 +468,7 @@
 			gradient := max(0.5, min(1, 1.5*s.calm/max(ev.LatencyMs, 1e-3)))
 			s.limit = max(0.8*s.limit+0.2*(s.limit*gradient+4), 1)
 			s.limit = min(s.limit, 200)
-		case policy.Full, policy.Timeout:
+		case policy.Rejected, policy.Timeout:
 			s.limit = max(limit(s)*0.9, 1)
 		}
 	}
@@ -487,7 +487,7 @@
 }
 
 // All are the peers, by name. None is held to the contract: the book says what each breaks.
-var All = []emu.Policy{
+var All = []emulator.Policy{
 	{Name: "random", Freely: true, New: Random},
 	{Name: "round_robin", Freely: true, New: RoundRobin},
 	{Name: "least_request", Freely: true, New: LeastRequest},
--- a/internal/emu/roster.go
+++ b/internal/emulator/roster.go
@@ -1,7 +1,7 @@
-package emu
+package emulator
 
 import (
-	"ringtrack.example/ringtrack/internal/book"
+	"ringtrack.example/ringtrack/internal/invariant"
 	"ringtrack.example/ringtrack/policy"
 )
 
@@ -64,19 +64,19 @@
 	if c.b != g.b {
 		return
 	}
-	ev := policy.Event{Kind: policy.EvList, List: policy.ListDelta}
+	ev := policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateDelta}
 	g.fetching = g.fetching && !c.fetch
 	switch {
 	case g.w.now < g.w.rosterDown || c.failed:
-		ev.List = policy.ListFailed
+		ev.Update = policy.UpdateFailed
 		g.watching = g.watching && c.fetch
 	case c.fetch:
-		ev.List = policy.ListFull
-		ev.Entries = g.known()
+		ev.Update = policy.UpdateComplete
+		ev.Endpoints = g.known()
 	default:
 		g.follows = true
 		if g.w.line.CallsPerS > 0 {
-			ev.Entries = g.known() // what it has missed
+			ev.Endpoints = g.known() // what it has missed
 			g.w.res.LastFollowS = float64(g.w.now) / float64(Second)
 		}
 	}
@@ -84,8 +84,8 @@
 }
 
 // known is the list as the roster has it, which the agent takes over.
-func (g *agent) known() []policy.Entry {
-	var out []policy.Entry
+func (g *agent) known() []policy.Endpoint {
+	var out []policy.Endpoint
 	for _, s := range g.w.servers {
 		if !g.listed[s.index] {
 			continue
@@ -133,9 +133,9 @@
 		if !r.answered {
 			r.answered = true
 			g.w.res.Killed++
-			r.op.answered(book.Failed, 0) // as its client sees it
+			r.op.answered(invariant.Failed, 0) // as its client sees it
 		}
 	}
 	g.carryOut(g.b.Start(g.now(), nil))
-	g.event(&policy.Event{Kind: policy.EvList, List: policy.ListCached, Entries: g.atStart})
+	g.event(&policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateCached, Endpoints: g.atStart})
 }
--- a/internal/emu/scenario.go
+++ b/internal/emulator/scenario.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"fmt"
@@ -270,37 +270,37 @@
 func (s *Scenario) settings(index, zone int) policy.Settings {
 	var out policy.Settings
 	for _, c := range s.Classes {
-		p := policy.Class{Name: c.Name, AimMs: c.AimMs, GiveUpMs: c.GiveUpMs, Credit: 1, LateShare: 0.2}
+		p := policy.Class{Name: c.Name, LatencyObjectiveMs: c.AimMs, ClientTimeoutMs: c.GiveUpMs, PriorityWeight: 1, LateCredit: 0.2}
 		switch c.Effect {
 		case "safe":
-			p.Effect = policy.Free
+			p.Effect = policy.Idempotent
 		case "keyed":
-			p.Effect, p.Group, p.KeyTTLMs, p.Credit = policy.Guarded, policy.GroupAll, 1200, 2
+			p.Effect, p.DedupScope, p.IdempotencyWindowMs, p.PriorityWeight = policy.IdempotentByKey, policy.ScopeAll, 1200, 2
 		default:
-			p.Effect, p.Credit = policy.SingleShot, 5
+			p.Effect, p.PriorityWeight = policy.NonIdempotent, 5
 		}
 		if c.Worth > 0 {
-			p.Credit = c.Worth
+			p.PriorityWeight = c.Worth
 		}
 		out.Classes = append(out.Classes, p)
 	}
 	for i, t := range s.Tenants {
-		out.Tenants = append(out.Tenants, policy.Tenant{Name: t.Name, Portion: t.Portion, QuotaPerS: s.purses()[i].asks.perS})
+		out.Tenants = append(out.Tenants, policy.Tenant{Name: t.Name, QuotaWeight: t.Portion, QuotaPerS: s.purses()[i].asks.perS})
 	}
-	out.OverShareWorth = 1
+	out.OverQuotaWeight = 1
 	if len(s.Tenants) > 0 {
-		out.OverShareWorth = overWorth
+		out.OverQuotaWeight = overWorth
 	}
-	out.Limits = policy.Limits{Cancelling: true, ConnectTimeoutMs: connectTimeoutMs, KeepaliveMs: 60_000, MaxAttempts: 3, MaxRetryAfterMs: 600, RetryAfter: true, OpenCap: 10_000}
+	out.Limits = policy.Limits{Cancelling: true, ConnectTimeoutMs: connectTimeoutMs, KeepaliveMs: 60_000, MaxAttempts: 3, MaxRetryAfterMs: 600, RetryAfter: true, MaxOpenRequests: 10_000}
 	g := &s.Servers[0]
-	out.Contract = policy.Contract{AnswerSlackMs: 20, AskWithinMs: 10_000, ColdFrom: g.ColdFrom, ColdMs: g.ColdMs, DrainGraceMs: 250, FallMultiple: 2.5, TipAfterMs: 1000}
-	out.Objective.Whole = 1
+	out.Contract = policy.Contract{AnswerSlackMs: 20, PollIntervalMs: 10_000, SlowStartMinCapacity: g.ColdFrom, SlowStartMs: g.ColdMs, DrainGraceMs: 250, OverloadFactor: 2.5, OverloadWindowMs: 1000}
+	out.Objective.Total = 1
 	out.FamilyInfo.WarmKeys = g.Warm.Gain > 0
 	out.Prices.CrossZone = 0.02
-	out.Report = policy.Report{How: "inline", Names: reportNames}
-	out.Membership, out.Replicas, out.RoundMs = "on_request", s.Agents, 5
-	out.Weights, out.WorthBy = "nominal", "request"
-	out.Index, out.Zone = index, zone
+	out.Report = policy.ReportFormat{Delivery: "inline", Names: reportNames}
+	out.DiscoveryMode, out.Replicas, out.BatchIntervalMs = "on_request", s.Agents, 5
+	out.Weights, out.PriorityUnit = "nominal", "request"
+	out.ReplicaIndex, out.Zone = index, zone
 	return out
 }
 
--- a/internal/emu/server.go
+++ b/internal/emulator/server.go
@@ -1,10 +1,10 @@
-package emu
+package emulator
 
 import (
 	"math"
 	"math/rand/v2"
 
-	"ringtrack.example/ringtrack/internal/book"
+	"ringtrack.example/ringtrack/internal/invariant"
 	"ringtrack.example/ringtrack/policy"
 )
 
@@ -21,7 +21,7 @@
 	calls         []*agent
 	group         *ServerGroup
 	rng           *rand.Rand
-	acct          book.Account
+	acct          invariant.Server
 
 	stopped, dark, draining bool
 	life                    uint32 // counts its processes: what an older one held is lost
@@ -82,12 +82,12 @@
 		s.reply(a, policy.Reset)
 		return
 	}
-	s.w.book.Began(&s.acct, s.w.time())
+	s.w.book.RequestReceived(&s.acct, s.w.time())
 	if s.pushedOver() {
 		return
 	}
 	if s.turnPart > 0 && s.rng.Float64() < s.turnPart {
-		s.reply(a, policy.Full)
+		s.reply(a, policy.Rejected)
 		return
 	}
 	switch {
@@ -96,7 +96,7 @@
 	case len(s.queue)-s.head < s.group.Queue:
 		s.queue = append(s.queue, a)
 	default:
-		s.reply(a, policy.Full)
+		s.reply(a, policy.Rejected)
 	}
 }
 
@@ -146,7 +146,7 @@
 	s.area()
 	s.busy++
 	t := s.group.Service.draw(s.rng) * s.w.sc.Classes[a.r.op.class].Work / s.ramp()
-	if a.r.op.runs && a.r.op.effect == book.Keyed {
+	if a.r.op.runs && a.r.op.effect == invariant.IdempotentByKey {
 		t /= 10 // a repeat is found among the keys, and answered as it was
 	}
 	if s.slow > 0 {
@@ -165,7 +165,7 @@
 	if a.life != s.life {
 		return
 	}
-	if len(s.calls) > 0 && !(a.r.op.whole && a.r.op.effect == book.Keyed) {
+	if len(s.calls) > 0 && !(a.r.op.whole && a.r.op.effect == invariant.IdempotentByKey) {
 		(&hold{s: s, a: a}).next()
 		return
 	}
@@ -183,7 +183,7 @@
 	}
 	a.r.op.runs = true
 	a.r.op.whole = a.r.op.whole || !broken
-	s.w.book.Ran(&s.acct, &a.r.op.Op, s.w.time())
+	s.w.book.Executed(&s.acct, &a.r.op.Operation, s.w.time())
 	status := policy.OK
 	switch {
 	case broken:
--- a/internal/emu/warm.go
+++ b/internal/emulator/warm.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 // Warm is what servers save on keys that they met of late.
 type Warm struct {
--- a/internal/emu/world.go
+++ b/internal/emulator/world.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"ringtrack.example/ringtrack/internal/book"
+	"ringtrack.example/ringtrack/internal/invariant"
 	"ringtrack.example/ringtrack/internal/membership"
 	"ringtrack.example/ringtrack/policy"
 )
@@ -38,7 +38,7 @@
 	servers  []*server
 	agents   []*agent
 	byAddr   map[policy.Addr]*server
-	book     book.Book
+	book     invariant.Checker
 	freely   bool
 	guards   map[string]int
 
@@ -129,7 +129,7 @@
 }
 
 func newWorld(sc *Scenario, p *Policy, seed uint64) (*World, error) {
-	w := &World{sc: sc, seed: seed, byAddr: map[policy.Addr]*server{}, book: book.Book{Rules: book.DefaultRules()}, freely: p.Freely, guards: map[string]int{},
+	w := &World{sc: sc, seed: seed, byAddr: map[policy.Addr]*server{}, book: invariant.Checker{Rules: invariant.DefaultRules()}, freely: p.Freely, guards: map[string]int{},
 		netRng: stream(seed, "net", 0), clientRng: stream(seed, "clients", 0), rosterRng: stream(seed, "roster", 0),
 		cut: make([]bool, sc.Zones), late: make([]Time, sc.Zones), settings: sc.settings(0, 0), line: line{RosterLine: sc.Roster.Line}, policy: p,
 		hist: hdrhistogram.New(1, 120_000_000, 3)}
@@ -143,7 +143,7 @@
 			n := len(w.servers)
 			id := fmt.Sprintf("s-%04d", n)
 			s := &server{w: w, index: n, zone: n % sc.Zones, service: i, group: &sc.Servers[i], rng: stream(seed, "server", n), errClass: -1,
-				acct: book.Account{Name: id}, addr: membership.Addr(id, func(a policy.Addr) bool { return w.byAddr[a] != nil })}
+				acct: invariant.Server{Name: id}, addr: membership.ServerAddr(id, func(a policy.Addr) bool { return w.byAddr[a] != nil })}
 			w.servers = append(w.servers, s)
 			w.byAddr[s.addr] = s
 		}
@@ -169,7 +169,7 @@
 			of.from.calls = append(of.from.calls, g)
 		}
 		g.carryOut(g.b.Start(g.now(), nil))
-		g.event(&policy.Event{Kind: policy.EvList, List: policy.ListCached, Entries: g.atStart})
+		g.event(&policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateCached, Endpoints: g.atStart})
 	}
 	for i := range sc.Faults {
 		w.plan(&sc.Faults[i])
@@ -234,10 +234,10 @@
 
 // ---- the roster ----
 
-func (s *server) entry() policy.Entry {
-	e := policy.Entry{Server: s.addr, Zone: s.zone, Weight: s.group.Weight, Health: policy.Ready}
+func (s *server) entry() policy.Endpoint {
+	e := policy.Endpoint{Server: s.addr, Zone: s.zone, Weight: s.group.Weight, Health: policy.Ready}
 	if s.life > 0 {
-		e.SinceMs = epochMs + float64(s.started)/float64(Millisecond)
+		e.StartedMs = epochMs + float64(s.started)/float64(Millisecond)
 	}
 	if s.draining {
 		e.Health = policy.Draining
@@ -248,7 +248,7 @@
 // telling is a change on its way to one agent.
 type telling struct {
 	g *agent
-	e policy.Entry
+	e policy.Endpoint
 	s *server
 }
 
@@ -260,7 +260,7 @@
 	if t.e.Health != policy.Ready {
 		t.g.idle[t.s.index] = 0
 	}
-	t.g.event(&policy.Event{Kind: policy.EvList, List: policy.ListDelta, Entries: []policy.Entry{t.e}})
+	t.g.event(&policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateDelta, Endpoints: []policy.Endpoint{t.e}})
 }
 
 // tell has the roster tell what a server is now, later, to each agent at another moment.
@@ -280,12 +280,12 @@
 
 // op is a client's operation over its tries.
 type op struct {
-	book.Op
+	invariant.Operation
 	w        *World
 	agent    *agent
 	class    int
 	tenant   int
-	effect   book.Effect
+	effect   invariant.Effect
 	key      uint64
 	began    Time
 	until    Time
@@ -324,8 +324,8 @@
 		o.class++
 	}
 	c := &w.sc.Classes[o.class]
-	o.effect = book.Effect(c.Effect)
-	o.Op = book.Op{Effect: o.effect}
+	o.effect = invariant.Effect(c.Effect)
+	o.Operation = invariant.Operation{Effect: o.effect}
 	if len(w.sc.Tenants) > 0 {
 		o.tenant = w.sc.drawTenant(rng.Float64())
 	}
@@ -334,7 +334,7 @@
 	}
 	if o.counts {
 		p := &w.purses[o.tenant]
-		p.asked += worthOf(&p.asks, w.now, w.settings.Classes[o.class].Credit)
+		p.asked += worthOf(&p.asks, w.now, w.settings.Classes[o.class].PriorityWeight)
 	}
 	if w.keys != nil {
 		o.key = uint64(w.keys.draw(rng))*0x9e3779b97f4a7c15 + 1
@@ -391,7 +391,7 @@
 		o.Name = "op"
 	}
 	left := o.until - o.w.now
-	o.w.book.Asked(&o.Op, o.w.time().Add(time.Duration(left)))
+	o.w.book.AttemptStarted(&o.Operation, o.w.time().Add(time.Duration(left)))
 	if o.counts {
 		o.w.res.Tries++
 	}
@@ -405,15 +405,15 @@
 )
 
 // answered takes the answer to a try, and comes back where that is allowed.
-func (o *op) answered(v book.Verdict, afterMs float64) {
+func (o *op) answered(v invariant.Outcome, afterMs float64) {
 	w := o.w
-	w.book.Answered(&o.Op, v, w.time())
+	w.book.Answered(&o.Operation, v, w.time())
 	wait := Time(-1)
 	switch {
-	case v == book.Served, v == book.Failed && o.effect == book.Unsafe:
+	case v == invariant.Served, v == invariant.Failed && o.effect == invariant.NonIdempotent:
 	case o.rude:
 		wait = 0
-	case v == book.Failed:
+	case v == invariant.Failed:
 		wait = 10 * Millisecond
 	default:
 		wait = ns(afterMs/2 + w.clientRng.Float64()*afterMs/2)
@@ -433,7 +433,7 @@
 	}
 	w.res.Timeline[2*second]++
 	switch {
-	case v == book.Served && w.now <= o.until:
+	case v == invariant.Served && w.now <= o.until:
 		w.res.Served++
 		w.res.Timeline[2*second+1]++
 		took := w.now - o.began
@@ -441,9 +441,9 @@
 		if took <= ns(w.sc.Classes[o.class].AimMs) {
 			w.res.InAim++
 			p := &w.purses[o.tenant]
-			p.won += worthOf(&p.gets, w.now, w.settings.Classes[o.class].Credit)
+			p.won += worthOf(&p.gets, w.now, w.settings.Classes[o.class].PriorityWeight)
 		}
-	case v == book.Refused:
+	case v == invariant.Rejected:
 		w.res.Refused++
 	default:
 		w.res.Failed++
@@ -488,14 +488,14 @@
 	for _, s := range w.servers {
 		r.ByServer = append(r.ByServer, s.served)
 		r.Falls += s.falls
-		w.book.Cold(&s.acct)
+		w.book.CheckSlowStart(&s.acct)
 	}
 	for _, g := range w.agents {
 		r.Guarded += g.guarded
 		r.Backstop += g.backstop
 	}
 	r.Guards = w.guards
-	r.Breaches, r.Words = w.book.Breaches()
+	r.Breaches, r.Words = w.book.Violations()
 	r.Events = w.fired
 	r.Path = w.graph.path()
 	return r
--- a/internal/lab/prove/agreed.go
+++ b/internal/lab/acceptance/agreed.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/lab/agreemodel"
 	"ringtrack.example/ringtrack/internal/lab/cluster"
+	"ringtrack.example/ringtrack/internal/lab/leasemodel"
 )
 
 // agreedPlan is a run at a scale: 5 keepers, 40 agents and 24 servers in full, 3, 6 and 6 at the least.
@@ -123,23 +123,23 @@
 // AgreedModel checks the deciders of agree on a model: all states within bounds, and random walks beyond.
 func AgreedModel(ctx context.Context, o *Options) (*Report, error) {
 	r := &Report{Proof: "agreed-model", Seed: o.Seed, Scale: o.Scale}
-	d := agreemodel.None
+	d := leasemodel.None
 	if o.Defect {
-		d = agreemodel.NoQuiet
+		d = leasemodel.NoQuiet
 	}
-	found := func(f *agreemodel.Found) {
+	found := func(f *leasemodel.Found) {
 		if f != nil {
 			r.short("%s: %v", f.Why, f.Path)
 		}
 	}
 	for _, b := range []struct {
 		name string
-		agreemodel.Bounds
-	}{{"small", agreemodel.Small}, {"pairs", agreemodel.Pairs}, {"whole", agreemodel.Whole}} {
+		leasemodel.Bounds
+	}{{"small", leasemodel.Small}, {"pairs", leasemodel.Pairs}, {"whole", leasemodel.Whole}} {
 		if b.name != "small" && o.Scale < 1 || o.Defect { // a defect the walks find sooner
 			continue
 		}
-		n, all, f := agreemodel.Exhaust(b.Bounds, d, 12_000_000)
+		n, all, f := leasemodel.Exhaust(b.Bounds, d, 12_000_000)
 		name := "all states, " + b.name
 		if !all {
 			name = "states (not all), " + b.name
@@ -148,7 +148,7 @@
 		found(f)
 	}
 	runs := o.scaled(1_000_000, 1000)
-	made, f := agreemodel.Random(agreemodel.Long, d, runs, 150, o.Seed)
+	made, f := leasemodel.Random(leasemodel.Long, d, runs, 150, o.Seed)
 	r.add("random walks", float64(runs), "")
 	r.add("steps", float64(made), "")
 	found(f)
--- a/internal/lab/prove/cold.go
+++ b/internal/lab/acceptance/cold.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"context"
@@ -102,7 +102,7 @@
 	}
 	e.Weight = 1.0001 // a change that a roster without starts would tell as well
 	roster.Set(e)
-	length := rules.ColdFor + time.Second
+	length := rules.SlowStart + time.Second
 	if o.Scale < 1 {
 		length = max(time.Duration(float64(length)*o.Scale), 3*time.Second)
 	}
@@ -125,8 +125,8 @@
 	r.add("capacity_per_s", capacity, "")
 	r.add("most_in_any_1s", worst, "x its capacity then")
 	r.add("share_at_the_end", warmShare*servers, "of an even one")
-	if worst > rules.Multiple {
-		r.short("%.2f times its capacity began at the cold server within 1 s, %v allowed", worst, rules.Multiple)
+	if worst > rules.OverloadFactor {
+		r.short("%.2f times its capacity began at the cold server within 1 s, %v allowed", worst, rules.OverloadFactor)
 	}
 	if o.Scale >= 1 && !o.Defect && warmShare*servers < 0.7 {
 		r.short("warm again it gets %.2f of an even share", warmShare*servers)
--- a/internal/lab/prove/drains.go
+++ b/internal/lab/acceptance/drains.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"context"
@@ -179,7 +179,7 @@
 	slices.Sort(lag)
 	t := ledger.Totals
 	r.add("drains", float64(drains), "")
-	r.add("requests", float64(t.Begun), "")
+	r.add("requests", float64(t.Received), "")
 	r.add("begun_later_than_250ms", float64(broken[3]), "")
 	r.add("latest_after_told", millis(t.LatestAfterDrain), "ms")
 	r.add("told_to_applied_p50", millis(percentile(lag, 0.5)), "ms")
@@ -191,8 +191,8 @@
 	if broken[2] > 0 {
 		r.short("rule 2 broken %d times: %v", broken[2], words[0])
 	}
-	if t.Begun < drains {
-		r.short("only %d requests began: the proof says nothing", t.Begun)
+	if t.Received < drains {
+		r.short("only %d requests began: the proof says nothing", t.Received)
 	}
 	if m := lag[len(lag)-1]; m > 250*time.Millisecond {
 		r.short("a proxy applied a drain %v after it was told", m)
--- a/internal/lab/prove/ephemeral.go
+++ b/internal/lab/acceptance/ephemeral.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"context"
@@ -186,7 +186,7 @@
 	broken, words := w.Ledger.Breaches(time.Now().Add(time.Minute))
 	t := w.Ledger.Totals
 	r.add("deletes", float64(n), "")
-	r.add("requests", float64(t.Begun), "")
+	r.add("requests", float64(t.Received), "")
 	r.add("begun_later_than_250ms", float64(broken[3]), "")
 	r.add("delete_to_last_p50", millis(percentile(lag, 0.5)), "ms")
 	r.add("p99", millis(percentile(lag, 0.99)), "ms")
@@ -194,8 +194,8 @@
 	if len(broken) > 0 {
 		r.short("rules broken %v: %v", broken, words[0])
 	}
-	if t.Begun < 5*n {
-		r.short("only %d requests began: the proof says little", t.Begun)
+	if t.Received < 5*n {
+		r.short("only %d requests began: the proof says little", t.Received)
 	}
 	return nil
 }
@@ -278,7 +278,7 @@
 		return 0, 0, fmt.Errorf("rules broken %v: %v", broken, words)
 	}
 	t := w.Ledger.Totals
-	return float64(t.Failed), float64(t.Served) / float64(t.Served+t.Failed+t.Refused), nil
+	return float64(t.Failed), float64(t.Served) / float64(t.Served+t.Failed+t.Rejected), nil
 }
 
 // Flap lets a server's node come and go ten times a second, then another's whose process restarts each time:
@@ -385,7 +385,7 @@
 	r.add("flaps", float64(flaps), "")
 	r.add("steady_share_after", warm, "")
 	r.add("restarted_of_cold_capacity", coldest, "")
-	r.add("requests", float64(w.Ledger.Totals.Begun), "")
+	r.add("requests", float64(w.Ledger.Totals.Received), "")
 	if warm < 0.7 {
 		r.short("a server that never restarted gets %.2f of an even share once its node stays", warm)
 	}
--- a/internal/lab/prove/ephemeralfaults.go
+++ b/internal/lab/acceptance/ephemeralfaults.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"context"
@@ -161,11 +161,11 @@
 	}
 	broken, words := w.Ledger.Breaches(time.Now().Add(time.Minute))
 	t := w.Ledger.Totals
-	share := float64(t.Served) / float64(max(t.Served+t.Failed+t.Refused, 1))
+	share := float64(t.Served) / float64(max(t.Served+t.Failed+t.Rejected, 1))
 	r.add("steps", float64(n), "")
 	r.add("drains", float64(drains), "")
 	r.add("restarts", float64(restarts), "")
-	r.add("requests", float64(t.Begun), "")
+	r.add("requests", float64(t.Received), "")
 	r.add("served_share", share, "")
 	r.add("cold_of_capacity", w.Ledger.Coldest(), "")
 	r.add("idle_once_well", float64(idle), "")
--- a/internal/lab/prove/ephemeralsize.go
+++ b/internal/lab/acceptance/ephemeralsize.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"context"
@@ -49,7 +49,7 @@
 	go func() {
 		defer close(ended)
 		ephemeral.NewSource(c).Run(ctx, func(u ephemeral.Update) {
-			for _, s := range u.Steps {
+			for _, s := range u.Changes {
 				if s.Gone {
 					delete(there, s.Name)
 					if gone != nil {
--- a/internal/lab/prove/flat.go
+++ b/internal/lab/acceptance/flat.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"context"
@@ -42,14 +42,14 @@
 	if d.keep {
 		d.kept = append(d.kept, c)
 	}
-	statuses := [...]policy.Status{policy.Error, policy.Full, policy.ConnectFailed, policy.Reset, policy.Timeout}
+	statuses := [...]policy.Status{policy.Error, policy.Rejected, policy.ConnectFailed, policy.Reset, policy.Timeout}
 	if i := d.rng.IntN(100); i < len(statuses) {
 		return core.Result{Status: statuses[i], LatencyMs: 1}
 	}
 	return core.Result{Status: policy.OK, LatencyMs: 1, Reply: "reply"}
 }
-func (*drawn) HangUp(*core.Backend) {}
-func (*drawn) Sweep()               {}
+func (*drawn) CloseIdle(*core.Backend) {}
+func (*drawn) CloseExpired()           {}
 
 // Flat walks 2 million requests through the loop and the module, with ids, keys and backends that change all the
 // time and clients that leave. Counted: the heap at each tenth. The seeded defect is an upstream that keeps its
@@ -77,7 +77,7 @@
 	up := &drawn{rng: o.rng(), keep: o.Defect}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	loop, err := core.New(ctx, core.Config{Discovery: roster.Addr, Known: roster.List(), Settings: settings, Seed: o.Seed, Zones: zones},
+	loop, err := core.New(ctx, core.Config{Discovery: roster.Addr, CachedEndpoints: roster.List(), Settings: settings, Seed: o.Seed, Zones: zones},
 		semaphore.NewWeighted(1<<20), []core.Upstream{up}, func() {})
 	if err != nil {
 		return nil, err
@@ -96,28 +96,28 @@
 		return float64(m.HeapAlloc) / (1 << 20)
 	}
 	var tenths []float64
-	answers := make(chan core.Verdict, flatOut)
+	answers := make(chan core.Outcome, flatOut)
 	var waiting sync.WaitGroup
-	verdicts := map[core.Verdict]int{}
+	verdicts := map[core.Outcome]int{}
 	for n := 1; n <= requests && ctx.Err() == nil; n++ {
 		open <- struct{}{}
 		for len(answers) > 0 {
 			verdicts[<-answers]++
 		}
 		c := &core.Call{ID: fmt.Sprintf("%016x", rng.Uint64()), Class: n % len(settings.Classes), Key: rng.Uint64() >> rng.IntN(60),
-			Via: up, Deadline: time.Now().Add(600 * time.Millisecond), Answer: make(chan core.Answer, 1)}
+			Upstream: up, Deadline: time.Now().Add(600 * time.Millisecond), Answer: make(chan core.Answer, 1)}
 		leaves := rng.IntN(50) == 0
 		waiting.Go(func() {
 			took := make(chan *core.Request, 1)
 			loop.Post(func() {
-				q := loop.Take(c)
+				q := loop.Submit(c)
 				took <- q
 				if leaves {
-					loop.Left(q)
+					loop.ClientDisconnected(q)
 				}
 			})
 			if <-took; !leaves {
-				answers <- (<-c.Answer).Verdict
+				answers <- (<-c.Answer).Outcome
 			}
 			<-open
 		})
--- a/internal/lab/prove/histories.go
+++ b/internal/lab/acceptance/histories.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"ringtrack.example/ringtrack/internal/agree/link"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/lab/cluster"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // bookOp is what a client of the book did: a publish behind a parent, or a read of the last version.
@@ -117,23 +117,23 @@
 	var mu sync.Mutex
 	var all []porcupine.Operation
 	var wg sync.WaitGroup
-	for client := range 3 {
-		rng := rand.New(rand.NewPCG(seed, uint64(client)))
+	for proposer := range 3 {
+		rng := rand.New(rand.NewPCG(seed, uint64(proposer)))
 		wg.Go(func() {
 			last := uint64(0)
 			for n := 0; run.Err() == nil; n++ {
-				op := bookOp{read: rng.IntN(2) == 0, id: fmt.Sprintf("c%d-%d", client, n), parent: last}
+				op := bookOp{read: rng.IntN(2) == 0, id: fmt.Sprintf("c%d-%d", proposer, n), parent: last}
 				at := c.Keepers[rng.IntN(3)]
 				from := time.Since(begun)
 				try, stop := context.WithTimeout(ctx, 250*time.Millisecond)
 				var out bookAnswer
 				if op.read {
-					v := &rulebook.Version{}
-					err := c.Call(try, at, link.PathVersion+"?n=0", nil, v)
+					v := &sharedconfig.Version{}
+					err := c.Call(try, at, client.PathVersion+"?n=0", nil, v)
 					out = bookAnswer{unknown: err != nil, number: v.Number, id: v.ID}
 				} else {
-					p, err := c.Publish(try, at, op.id, op.parent, &rulebook.Book{MaxAttempts: 1 + rng.IntN(3)})
-					var f *link.Failure
+					p, err := c.Publish(try, at, op.id, op.parent, &sharedconfig.Config{MaxAttempts: 1 + rng.IntN(3)})
+					var f *client.StatusError
 					switch {
 					case err == nil:
 						out.number = p.Number
@@ -158,10 +158,10 @@
 					to = time.Hour // it may still take effect
 				}
 				mu.Lock()
-				all = append(all, porcupine.Operation{ClientId: client, Input: op, Call: int64(from), Output: out, Return: int64(to)})
+				all = append(all, porcupine.Operation{ClientId: proposer, Input: op, Call: int64(from), Output: out, Return: int64(to)})
 				mu.Unlock()
 				if out.unknown {
-					client += 3 // a client has one operation open at a time; this one stays so
+					proposer += 3 // a client has one operation open at a time; this one stays so
 				}
 				time.Sleep(time.Duration(rng.IntN(30)) * time.Millisecond)
 			}
--- a/internal/lab/prove/keepers.go
+++ b/internal/lab/acceptance/keepers.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"sync/atomic"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/agree/link"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/lab/cluster"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // keeperRig starts n keepers and waits until one leads.
@@ -73,7 +73,7 @@
 	var parent uint64
 	digests := map[uint64]string{}
 	publish := func() error {
-		b := &rulebook.Book{Bans: []string{fmt.Sprintf("s-%d", parent)}}
+		b := &sharedconfig.Config{Cordoned: []string{fmt.Sprintf("s-%d", parent)}}
 		id := fmt.Sprintf("p-%d", parent)
 		return cluster.Until(ctx, "a publish is taken", 20*time.Second, func() bool {
 			for _, i := range rng.Perm(len(c.Keepers)) {
@@ -87,7 +87,7 @@
 					parent, digests[out.Number] = out.Number, out.Digest
 					return true
 				}
-				if f := (*link.Failure)(nil); errors.As(err, &f) && f.Status == http.StatusConflict {
+				if f := (*client.StatusError)(nil); errors.As(err, &f) && f.Status == http.StatusConflict {
 					r.short("publish behind %d: %v", parent, err)
 					return true
 				}
@@ -113,7 +113,7 @@
 		on.Go(func() {
 			try, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 			defer cancel()
-			c.Publish(try, victims[0], fmt.Sprintf("p-%d", parent), parent, &rulebook.Book{Bans: []string{fmt.Sprintf("s-%d", parent)}})
+			c.Publish(try, victims[0], fmt.Sprintf("p-%d", parent), parent, &sharedconfig.Config{Cordoned: []string{fmt.Sprintf("s-%d", parent)}})
 		})
 		time.Sleep(time.Duration(rng.IntN(3000)) * time.Microsecond)
 		for _, v := range victims {
@@ -147,11 +147,11 @@
 			o.logf("%d kills, %d versions", n+1, parent)
 		}
 	}
-	var h link.HistoryAnswer
+	var h client.HistoryResponse
 	if err := cluster.Until(ctx, "the history is told", 20*time.Second, func() bool {
-		h = link.HistoryAnswer{}
+		h = client.HistoryResponse{}
 		lead, _ := c.Leader(ctx)
-		return lead != nil && c.Call(ctx, lead, link.PathHistory, nil, &h) == nil
+		return lead != nil && c.Call(ctx, lead, client.PathHistory, nil, &h) == nil
 	}); err != nil {
 		r.short("%v", err)
 	}
@@ -175,7 +175,7 @@
 // idle is a holder that does nothing.
 type idle struct{ stage atomic.Uint64 }
 
-func (i *idle) Adopt(_ context.Context, stage uint64, _ *rulebook.Book, _, _ time.Time) error {
+func (i *idle) Adopt(_ context.Context, stage uint64, _ *sharedconfig.Config, _, _ time.Time) error {
 	i.stage.Store(stage)
 	return nil
 }
@@ -203,27 +203,27 @@
 	defer cancel()
 	var wg sync.WaitGroup
 	defer func() { cancel(); wg.Wait() }()
-	var all []*link.Link
+	var all []*client.Renewer
 	acts := make([]*idle, n)
-	cfg := &link.Config{CallMs: 400, WaitMs: 500}
+	cfg := &client.Config{CallMs: 400, WaitMs: 500}
 	for _, k := range c.Keepers {
-		cfg.Keepers = append(cfg.Keepers, k.Addr)
+		cfg.Replicas = append(cfg.Replicas, k.Addr)
 	}
 	for i := range n {
 		acts[i] = &idle{}
-		l := link.New(cfg, fmt.Sprintf("h%d", i), acts[i])
+		l := client.New(cfg, fmt.Sprintf("h%d", i), acts[i])
 		all = append(all, l)
 		wg.Go(func() { l.Run(holders) })
 	}
 	asks := func() (sum int64) {
 		for _, l := range all {
-			sum += l.Figures().Asks.Load()
+			sum += l.Stats().Renewals.Load()
 		}
 		return sum
 	}
 	if err := cluster.Until(ctx, "all hold", 30*time.Second, func() bool {
 		for _, l := range all {
-			if l.Left() == 0 {
+			if l.Remaining() == 0 {
 				return false
 			}
 		}
@@ -246,12 +246,12 @@
 	var took []time.Duration
 	for v := range uint64(o.scaled(40, 3)) {
 		from := time.Now()
-		if _, err := c.Publish(ctx, c.Keepers[0], fmt.Sprintf("v%d", v), v, &rulebook.Book{Bans: []string{fmt.Sprint("s", v)}}); err != nil {
+		if _, err := c.Publish(ctx, c.Keepers[0], fmt.Sprintf("v%d", v), v, &sharedconfig.Config{Cordoned: []string{fmt.Sprint("s", v)}}); err != nil {
 			return err
 		}
 		if err := cluster.Until(ctx, "all have it", 20*time.Second, func() bool {
 			for _, a := range acts {
-				if a.stage.Load() < rulebook.Stage(v+1) {
+				if a.stage.Load() < sharedconfig.EpochOf(v+1) {
 					return false
 				}
 			}
--- a/internal/lab/prove/latency_test.go
+++ b/internal/lab/acceptance/latency_test.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"runtime"
--- a/internal/lab/prove/prove.go
+++ b/internal/lab/acceptance/prove.go
@@ -1,6 +1,6 @@
-// Package prove holds the long proofs: each runs the product on loopback beside stand-ins, counts at
+// Package acceptance holds the long proofs: each runs the product on loopback beside stand-ins, counts at
 // the stand-ins, and says by how much it holds. `ringtrack-lab prove NAME` runs them.
-package prove
+package acceptance
 
 import (
 	"context"
--- a/internal/lab/prove/slowdisk.go
+++ b/internal/lab/acceptance/slowdisk.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"ringtrack.example/ringtrack/internal/lab/cluster"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // KeeperSlowDisk publishes while the disks of keepers, in turn that of the leader, of the others and of all, take 36
@@ -57,7 +57,7 @@
 		if err := cluster.Until(ctx, "a publish is taken", 20*time.Second, func() bool {
 			for _, k := range c.Keepers {
 				try, cancel := context.WithTimeout(ctx, 2*time.Second)
-				out, err := c.Publish(try, k, fmt.Sprintf("p-%d", n), n, &rulebook.Book{Bans: []string{fmt.Sprint("s-", n)}})
+				out, err := c.Publish(try, k, fmt.Sprintf("p-%d", n), n, &sharedconfig.Config{Cordoned: []string{fmt.Sprint("s-", n)}})
 				cancel()
 				if err == nil {
 					if out.Number != n+1 {
--- a/internal/lab/prove/soak.go
+++ b/internal/lab/acceptance/soak.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"context"
@@ -104,9 +104,9 @@
 	r.add("crowd", float64(plan.crowd), "")
 	r.add("hanging", float64(plan.hanging), "")
 	r.add("ends", float64(f.ends), "")
-	r.add("requests", float64(t.Tries), "")
+	r.add("requests", float64(t.Attempts), "")
 	r.add("served", float64(t.Served), "")
-	r.add("refused", float64(t.Refused), "")
+	r.add("refused", float64(t.Rejected), "")
 	r.add("failed", float64(t.Failed), "")
 	r.add("connections_refused", float64(turned), "")
 	r.add("reset_at_an_end", float64(f.resets), "")
--- a/internal/lab/prove/thriftkill.go
+++ b/internal/lab/acceptance/thriftkill.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"context"
@@ -105,7 +105,7 @@
 	r.add("calls", float64(calls), "")
 	r.add("resets", float64(kills.Load()), "")
 	r.add("served", float64(t.Served), "")
-	r.add("refused", float64(t.Refused), "")
+	r.add("refused", float64(t.Rejected), "")
 	r.add("failed", float64(t.Failed), "")
 	r.add("unanswered", float64(unanswered.Load()), "")
 	r.add("ran_twice", float64(broken[2]), "")
--- a/internal/lab/prove/wholefleet.go
+++ b/internal/lab/acceptance/wholefleet.go
@@ -1,4 +1,4 @@
-package prove
+package acceptance
 
 import (
 	"context"
@@ -242,13 +242,13 @@
 	r.add("starts", float64(f.starts), "")
 	r.add("ends", float64(f.ends), "")
 	r.add("kills", float64(f.kills), "")
-	r.add("requests", float64(t.Tries), "")
+	r.add("requests", float64(t.Attempts), "")
 	r.add("served", float64(t.Served), "")
-	r.add("refused", float64(t.Refused), "")
+	r.add("refused", float64(t.Rejected), "")
 	r.add("failed", float64(t.Failed), "")
 	r.add("ids_twice", float64(f.repeats), "")
 	r.add("reset_at_an_end", float64(f.resets), "")
-	r.add("begun", float64(t.Begun), "")
+	r.add("begun", float64(t.Received), "")
 	r.add("latest_after_drain", millis(t.LatestAfterDrain), "ms")
 	r.add("slowest_end", millis(f.slowestEnd), "ms")
 	r.add("slowest_ready", millis(f.slowestReady), "ms")
--- a/internal/lab/cluster/acts.go
+++ b/internal/lab/cluster/acts.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/rulebook"
-	"ringtrack.example/ringtrack/internal/rulebook/meet"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
+	"ringtrack.example/ringtrack/internal/sharedconfig/intersect"
 	"ringtrack.example/ringtrack/policy"
 )
 
@@ -30,14 +30,14 @@
 }
 
 // History tells which versions were gone to, and from which: those between never were in force.
-func (a *Acts) History(all []rulebook.Version) {
+func (a *Acts) History(all []sharedconfig.Version) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.froms, a.stages = map[uint64]uint64{}, []uint64{0}
 	for _, v := range all {
-		if v.Stepped {
+		if v.Transitioned {
 			a.froms[v.Number] = v.From
-			a.stages = append(a.stages, rulebook.Stage(v.Number)-1, rulebook.Stage(v.Number))
+			a.stages = append(a.stages, sharedconfig.EpochOf(v.Number)-1, sharedconfig.EpochOf(v.Number))
 		}
 	}
 }
@@ -52,7 +52,7 @@
 
 type version struct {
 	number uint64
-	book   *rulebook.Book
+	book   *sharedconfig.Config
 	sent   time.Time
 	forced time.Time // zero: not yet
 }
@@ -89,7 +89,7 @@
 }
 
 // Published notes a version whose publish was begun at sent.
-func (a *Acts) Published(number uint64, b *rulebook.Book, sent time.Time) {
+func (a *Acts) Published(number uint64, b *sharedconfig.Config, sent time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.versions = append(a.versions, version{number: number, book: b, sent: sent})
@@ -105,7 +105,7 @@
 	}
 	a.force = append(a.force, inForce{stage, at})
 	for i := range a.versions {
-		if v := &a.versions[i]; v.forced.IsZero() && rulebook.Stage(v.number) <= stage {
+		if v := &a.versions[i]; v.forced.IsZero() && sharedconfig.EpochOf(v.number) <= stage {
 			v.forced = at
 		}
 	}
@@ -159,7 +159,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	slices.SortStableFunc(a.acts, func(x, y act) int { return x.at.Compare(y.at) })
-	terms := map[uint64]*rulebook.Book{}
+	terms := map[uint64]*sharedconfig.Config{}
 	last := map[uint64]time.Duration{}
 	tries := map[string][]act{}
 	type needs struct {
@@ -247,13 +247,13 @@
 	}
 	for _, v := range a.versions {
 		if v.sent.Before(t) {
-			high = max(high, rulebook.Stage(v.number))
+			high = max(high, sharedconfig.EpochOf(v.number))
 		}
 	}
 	return low, max(low, high)
 }
 
-func (a *Acts) book(n uint64) *rulebook.Book {
+func (a *Acts) book(n uint64) *sharedconfig.Config {
 	for i := range a.versions {
 		if a.versions[i].number == n {
 			return a.versions[i].book
@@ -262,19 +262,19 @@
 	return nil
 }
 
-func (a *Acts) terms(stage uint64) *rulebook.Book {
+func (a *Acts) terms(stage uint64) *sharedconfig.Config {
 	if stage%2 == 0 {
 		return a.book(stage / 2)
 	}
-	return meet.Meet(a.book(a.froms[stage/2+1]), a.book(stage/2+1))
+	return intersect.Intersect(a.book(a.froms[stage/2+1]), a.book(stage/2+1))
 }
 
 // permits says by itself why a book forbids an act; "": it does not.
-func (a *Acts) permits(b *rulebook.Book, before []act, x act) string {
+func (a *Acts) permits(b *sharedconfig.Config, before []act, x act) string {
 	if b == nil {
-		b = &rulebook.Book{}
+		b = &sharedconfig.Config{}
 	}
-	if slices.Contains(b.Bans, x.server) {
+	if slices.Contains(b.Cordoned, x.server) {
 		return "banned"
 	}
 	if _, in := b.Servers[x.server]; b.Listed && !in {
@@ -292,15 +292,15 @@
 			own = c
 		}
 	}
-	for _, c := range []rulebook.Class{{Effect: own.Effect, Group: own.Group, KeyTTLMs: own.KeyTTLMs}, b.Classes[own.Name]} {
+	for _, c := range []sharedconfig.Class{{Effect: own.Effect, DedupScope: own.DedupScope, IdempotencyWindowMs: own.IdempotencyWindowMs}, b.Classes[own.Name]} {
 		switch c.Effect {
-		case policy.SingleShot:
+		case policy.NonIdempotent:
 			return "a repeat of what must not run twice"
-		case policy.Guarded:
-			if c.KeyTTLMs > 0 && x.at.Sub(before[0].at) > time.Duration(c.KeyTTLMs*float64(time.Millisecond)) {
+		case policy.IdempotentByKey:
+			if c.IdempotencyWindowMs > 0 && x.at.Sub(before[0].at) > time.Duration(c.IdempotencyWindowMs*float64(time.Millisecond)) {
 				return "a repeat past its window"
 			}
-			if c.Group == policy.GroupZone && a.Zone[x.server] != a.Zone[before[0].server] {
+			if c.DedupScope == policy.ScopeZone && a.Zone[x.server] != a.Zone[before[0].server] {
 				return "a repeat in another zone"
 			}
 		}
--- a/internal/lab/cluster/agents_test.go
+++ b/internal/lab/cluster/agents_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/agree/link"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/lab"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 	"ringtrack.example/ringtrack/policy"
 )
 
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(tr.Close)
-	if err := tr.AddAgents(c, agents, peers, link.LapseRefuse); err != nil {
+	if err := tr.AddAgents(c, agents, peers, client.OnExpiryReject); err != nil {
 		t.Fatal(err)
 	}
 	for _, a := range c.Agents {
@@ -47,10 +47,10 @@
 	if err := Until(ctx, "the stage is in force", 20*time.Second, func() bool {
 		at := time.Now()
 		_, s := c.Leader(ctx)
-		if s == nil || s.Stage < stage || len(s.HeldUp) > 0 {
+		if s == nil || s.Epoch < stage || len(s.BlockedBy) > 0 {
 			return false
 		}
-		tr.Acts.InForce(s.Stage, at)
+		tr.Acts.InForce(s.Epoch, at)
 		return true
 	}); err != nil {
 		t.Fatal(err)
@@ -62,20 +62,20 @@
 func TestAgentsActByWhatIsInForce(t *testing.T) {
 	c, tr, ctx := fleet(t, 4, 0)
 	tr.Servers[1].Set(lab.Failing)
-	single := &rulebook.Book{Classes: map[string]rulebook.Class{"send": {Effect: policy.SingleShot}}, Bans: []string{"s-02"}}
-	zone := &rulebook.Book{Classes: map[string]rulebook.Class{"send": {Effect: policy.Guarded, Group: policy.GroupZone, KeyTTLMs: 500}}, MaxAttempts: 2}
-	for i, b := range []*rulebook.Book{{}, single, zone, {Bans: []string{"s-00"}}, single, {}} {
+	single := &sharedconfig.Config{Classes: map[string]sharedconfig.Class{"send": {Effect: policy.NonIdempotent}}, Cordoned: []string{"s-02"}}
+	zone := &sharedconfig.Config{Classes: map[string]sharedconfig.Class{"send": {Effect: policy.IdempotentByKey, DedupScope: policy.ScopeZone, IdempotencyWindowMs: 500}}, MaxAttempts: 2}
+	for i, b := range []*sharedconfig.Config{{}, single, zone, {Cordoned: []string{"s-00"}}, single, {}} {
 		if i == 4 {
 			c.Cut("a1", c.Keepers, Stall, Pass) // it does not hear of it, and its lease has to end first
 		}
 		sent := time.Now()
 		n := c.publish(t, ctx, uint64(i), b)
 		tr.Acts.Published(n, b, sent)
-		c.forced(t, ctx, tr, rulebook.Stage(n))
+		c.forced(t, ctx, tr, sharedconfig.EpochOf(n))
 		time.Sleep(400 * time.Millisecond) // traffic under it
 	}
-	var h link.HistoryAnswer
-	if err := c.Call(ctx, c.leads(t, ctx), link.PathHistory, nil, &h); err != nil {
+	var h client.HistoryResponse
+	if err := c.Call(ctx, c.leads(t, ctx), client.PathHistory, nil, &h); err != nil {
 		t.Fatal(err)
 	}
 	tr.Acts.History(h.Versions)
@@ -137,10 +137,10 @@
 	}
 	goes("at first", true, c.Agents...)
 	door(c.Agents[0], "cordon", http.StatusOK)
-	c.forced(t, ctx, tr, rulebook.Stage(1))
+	c.forced(t, ctx, tr, sharedconfig.EpochOf(1))
 	goes("banned at one door", false, c.Agents...)
 	door(c.Agents[1], "uncordon", http.StatusOK)
-	c.forced(t, ctx, tr, rulebook.Stage(2))
+	c.forced(t, ctx, tr, sharedconfig.EpochOf(2))
 	goes("the ban ended at another", true, c.Agents...)
 	for _, k := range c.Keepers {
 		k.Kill()
@@ -154,7 +154,7 @@
 	}
 	c.leads(t, ctx)
 	door(c.Agents[0], "cordon", http.StatusOK)
-	c.forced(t, ctx, tr, rulebook.Stage(3))
+	c.forced(t, ctx, tr, sharedconfig.EpochOf(3))
 	goes("banned once they are back", false, c.Agents...)
 }
 
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -19,8 +19,8 @@
 	"sync/atomic"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/agree/link"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/configstore/client"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // Cluster is what is run.
@@ -36,7 +36,7 @@
 	all   map[string]*Process
 	ways  map[[2]string]*way
 	gates map[[2]string]*gate
-	lab   *link.Caller // the lab's own calls, past all faults
+	lab   *client.Caller // the lab's own calls, past all faults
 
 	Keepers, Agents []*Process
 
@@ -72,7 +72,7 @@
 	if err != nil {
 		return "", err
 	}
-	args := append(append([]string{"build"}, b.args...), "-o", dir+"/", "ringtrack.example/ringtrack/cmd/ringtrack", "ringtrack.example/ringtrack/cmd/ringtrack-keeper")
+	args := append(append([]string{"build"}, b.args...), "-o", dir+"/", "ringtrack.example/ringtrack/cmd/ringtrack", "ringtrack.example/ringtrack/cmd/ringtrack-configstore")
 	if out, err := exec.CommandContext(ctx, "go", args...).CombinedOutput(); err != nil {
 		os.RemoveAll(dir)
 		b.err = fmt.Errorf("cluster: build: %w: %s", err, out)
@@ -97,7 +97,7 @@
 // New makes a cluster in a folder, without processes.
 func New(dir, bin string, leaseMs float64) *Cluster {
 	return &Cluster{host: ownHost(), Dir: dir, Bin: bin, LeaseMs: leaseMs, ListMs: leaseMs / 2, all: map[string]*Process{}, ways: map[[2]string]*way{},
-		gates: map[[2]string]*gate{}, lab: link.NewCaller()}
+		gates: map[[2]string]*gate{}, lab: client.NewCaller()}
 }
 
 // Addrs are n addresses that the kernel chose and that are free again, all held until the last is chosen. They are on a
@@ -275,7 +275,7 @@
 }
 
 func (c *Cluster) keeper(name, addr string, members map[string]string, join bool) (*Process, error) {
-	p, err := c.Process(name, addr, true, nil, "ringtrack-keeper", "run", "--config", "keeper.toml")
+	p, err := c.Process(name, addr, true, nil, "ringtrack-configstore", "run", "--config", "keeper.toml")
 	if err != nil {
 		return nil, err
 	}
@@ -369,13 +369,13 @@
 }
 
 // Leader is the keeper that leads, by its own word, and its status.
-func (c *Cluster) Leader(ctx context.Context) (*Process, *link.Status) {
-	var best *link.Status
+func (c *Cluster) Leader(ctx context.Context) (*Process, *client.Status) {
+	var best *client.Status
 	var leader *Process
 	for _, k := range c.Keepers {
-		s := &link.Status{}
+		s := &client.Status{}
 		try, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
-		if c.Call(try, k, link.PathStatus, nil, s) == nil && s.Leader == s.Name && (best == nil || s.Term > best.Term) {
+		if c.Call(try, k, client.PathStatus, nil, s) == nil && s.Leader == s.Name && (best == nil || s.Term > best.Term) {
 			best, leader = s, k
 		}
 		cancel()
@@ -399,11 +399,11 @@
 }
 
 // Publish publishes a book behind a parent at a keeper.
-func (c *Cluster) Publish(ctx context.Context, k *Process, id string, parent uint64, b *rulebook.Book) (*link.PublishAnswer, error) {
+func (c *Cluster) Publish(ctx context.Context, k *Process, id string, parent uint64, b *sharedconfig.Config) (*client.PublishResponse, error) {
 	text, err := json.Marshal(b)
 	if err != nil {
 		return nil, err
 	}
-	out := &link.PublishAnswer{}
-	return out, c.Call(ctx, k, link.PathPublish, &link.PublishCall{ID: id, Parent: parent, Book: text, Author: "lab", Reason: id}, out)
+	out := &client.PublishResponse{}
+	return out, c.Call(ctx, k, client.PathPublish, &client.PublishRequest{ID: id, Parent: parent, Config: text, Author: "lab", Reason: id}, out)
 }
--- a/internal/lab/cluster/keepers_test.go
+++ b/internal/lab/cluster/keepers_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 func TestMain(m *testing.M) {
@@ -60,7 +60,7 @@
 }
 
 // publish publishes until a keeper says yes, always under one id.
-func (c *Cluster) publish(t *testing.T, ctx context.Context, parent uint64, b *rulebook.Book) uint64 {
+func (c *Cluster) publish(t *testing.T, ctx context.Context, parent uint64, b *sharedconfig.Config) uint64 {
 	t.Helper()
 	var n uint64
 	id := fmt.Sprintf("p-%d-%s", parent, b.Digest())
@@ -80,7 +80,7 @@
 	return n
 }
 
-func bans(ids ...string) *rulebook.Book { return &rulebook.Book{Bans: ids} }
+func bans(ids ...string) *sharedconfig.Config { return &sharedconfig.Config{Cordoned: ids} }
 
 // Three keepers start in any order, agree, survive the loss of the one that leads, and keep what was published over the
 // end of all of them.
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/agree/link"
-	"ringtrack.example/ringtrack/internal/keeper"
+	"ringtrack.example/ringtrack/internal/configstore"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/lab"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 	"ringtrack.example/ringtrack/policy"
 )
 
@@ -118,8 +118,8 @@
 func (r *runner) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		at := time.Now()
-		if _, s := r.c.Leader(ctx); s != nil && len(s.HeldUp) == 0 {
-			r.t.Acts.InForce(s.Stage, at)
+		if _, s := r.c.Leader(ctx); s != nil && len(s.BlockedBy) == 0 {
+			r.t.Acts.InForce(s.Epoch, at)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -144,27 +144,27 @@
 	id     string
 	number uint64 // 0: it was never acknowledged
 	digest string
-	book   *rulebook.Book
+	book   *sharedconfig.Config
 	sent   time.Time
 }
 
 // book draws a book that differs from others in what an agent may do.
-func (r *runner) book(rng *rand.Rand) *rulebook.Book {
-	b := &rulebook.Book{Classes: map[string]rulebook.Class{}}
+func (r *runner) book(rng *rand.Rand) *sharedconfig.Config {
+	b := &sharedconfig.Config{Classes: map[string]sharedconfig.Class{}}
 	switch rng.IntN(4) {
 	case 0:
-		b.Classes["send"] = rulebook.Class{Effect: policy.SingleShot}
+		b.Classes["send"] = sharedconfig.Class{Effect: policy.NonIdempotent}
 	case 1:
-		b.Classes["send"] = rulebook.Class{Effect: policy.Guarded, Group: policy.GroupZone, KeyTTLMs: 200 + float64(rng.IntN(3))*300}
+		b.Classes["send"] = sharedconfig.Class{Effect: policy.IdempotentByKey, DedupScope: policy.ScopeZone, IdempotencyWindowMs: 200 + float64(rng.IntN(3))*300}
 	case 2:
-		b.Classes["send"] = rulebook.Class{Effect: policy.Guarded, Group: policy.GroupAll, KeyTTLMs: 300}
+		b.Classes["send"] = sharedconfig.Class{Effect: policy.IdempotentByKey, DedupScope: policy.ScopeAll, IdempotencyWindowMs: 300}
 	}
 	if rng.IntN(3) == 0 {
 		b.MaxAttempts = 1 + rng.IntN(2)
 	}
 	for i := range r.p.Servers {
-		if rng.IntN(3) == 0 && len(b.Bans) < r.p.Servers/3 {
-			b.Bans = append(b.Bans, fmt.Sprintf("s-%02d", i))
+		if rng.IntN(3) == 0 && len(b.Cordoned) < r.p.Servers/3 {
+			b.Cordoned = append(b.Cordoned, fmt.Sprintf("s-%02d", i))
 		}
 	}
 	return b
@@ -187,7 +187,7 @@
 				k.number, k.digest = out.Number, out.Digest
 				break
 			}
-			if f := (*link.Failure)(nil); errors.As(err, &f) && f.Status < 500 && f.Status != http.StatusTooManyRequests {
+			if f := (*client.StatusError)(nil); errors.As(err, &f) && f.Status < 500 && f.Status != http.StatusTooManyRequests {
 				r.mu.Lock()
 				r.o.Lost = append(r.o.Lost, fmt.Sprintf("publish %s behind %d is refused: %v", k.id, parent, err))
 				r.mu.Unlock()
@@ -201,7 +201,7 @@
 		all = append(all, k)
 		// Mostly the next comes once this one is in force; now and then it does not wait.
 		wait := time.Now().Add(time.Duration(rng.IntN(3)) * 150 * time.Millisecond)
-		for time.Now().Before(wait) && run.Err() == nil && !r.inForce(rulebook.Stage(k.number)) {
+		for time.Now().Before(wait) && run.Err() == nil && !r.inForce(sharedconfig.EpochOf(k.number)) {
 			time.Sleep(5 * time.Millisecond)
 		}
 		time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
@@ -218,21 +218,21 @@
 
 // settle waits until all is well again and compares what was acknowledged with what is there.
 func (r *runner) settle(ctx context.Context, all []known) {
-	var h link.HistoryAnswer
-	var last *link.Status
+	var h client.HistoryResponse
+	var last *client.Status
 	var lastErr error
 	err := Until(ctx, "a keeper leads again, and all that is published is in force", 10*time.Second, func() bool {
 		at := time.Now()
 		k, s := r.c.Leader(ctx)
 		last = s
-		if k == nil || s.Stage < rulebook.Stage(s.Last) || len(s.HeldUp) > 0 {
+		if k == nil || s.Epoch < sharedconfig.EpochOf(s.Last) || len(s.BlockedBy) > 0 {
 			return false
 		}
-		r.t.Acts.InForce(s.Stage, at)
+		r.t.Acts.InForce(s.Epoch, at)
 		try, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		h = link.HistoryAnswer{}
-		lastErr = r.c.Call(try, k, link.PathHistory, nil, &h)
+		h = client.HistoryResponse{}
+		lastErr = r.c.Call(try, k, client.PathHistory, nil, &h)
 		return lastErr == nil
 	})
 	if err != nil {
@@ -468,7 +468,7 @@
 
 // Replace removes a keeper from the members and adds it again with an empty folder.
 func (c *Cluster) Replace(ctx context.Context, p *Process) error {
-	members := func(what string, call *keeper.MembersCall) error {
+	members := func(what string, call *configstore.MembersRequest) error {
 		var last error
 		if err := Until(ctx, what, 8*time.Second, func() bool {
 			for _, k := range c.Keepers {
@@ -476,7 +476,7 @@
 					continue
 				}
 				try, cancel := context.WithTimeout(ctx, 2*time.Second)
-				last = c.Call(try, k, link.PathMembers, call, nil)
+				last = c.Call(try, k, client.PathMembers, call, nil)
 				if cancel(); last == nil {
 					return true
 				}
@@ -509,7 +509,7 @@
 			return now == want
 		})
 	}
-	if err := errors.Join(members("it is removed", &keeper.MembersCall{Remove: p.Name}), in("out")); err != nil {
+	if err := errors.Join(members("it is removed", &configstore.MembersRequest{Remove: p.Name}), in("out")); err != nil {
 		return err
 	}
 	p.Kill()
@@ -527,5 +527,5 @@
 	if err := p.Start(); err != nil {
 		return err
 	}
-	return errors.Join(members("it is added", &keeper.MembersCall{Add: p.Name, Addr: p.Addr}), in("in"))
+	return errors.Join(members("it is added", &configstore.MembersRequest{Add: p.Name, Addr: p.Addr}), in("in"))
 }
--- a/internal/lab/cluster/script.go
+++ b/internal/lab/cluster/script.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/agree/link"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/configstore/client"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // Script runs the smallest form: three keepers, six agents, and at each step the one fault that a wrong lease, a missing
@@ -25,7 +25,7 @@
 	t.Clients(ctx, c.Agents, time.Duration(p.PauseMs)*time.Millisecond, seed)
 	var all []known
 	publish := func(bans ...string) error {
-		k := known{id: fmt.Sprintf("step-%d", len(all)), book: &rulebook.Book{Bans: bans}, sent: time.Now()}
+		k := known{id: fmt.Sprintf("step-%d", len(all)), book: &sharedconfig.Config{Cordoned: bans}, sent: time.Now()}
 		t.Acts.Published(uint64(len(all)+1), k.book, k.sent)
 		if err := Until(ctx, "a publish is taken", 10*time.Second, func() bool {
 			for _, at := range c.Keepers {
@@ -44,10 +44,10 @@
 		if err := Until(ctx, "it is in force", 10*time.Second, func() bool {
 			at := time.Now()
 			_, s := c.Leader(ctx)
-			if s == nil || s.Stage < rulebook.Stage(k.number) || len(s.HeldUp) > 0 {
+			if s == nil || s.Epoch < sharedconfig.EpochOf(k.number) || len(s.BlockedBy) > 0 {
 				return false
 			}
-			t.Acts.InForce(s.Stage, at)
+			t.Acts.InForce(s.Epoch, at)
 			return true
 		}); err != nil {
 			return err
@@ -124,7 +124,7 @@
 	if err := c.AddKeepers(p.Keepers); err != nil {
 		return r, end, err
 	}
-	if err := t.AddAgents(c, p.Agents, 2, link.LapseRefuse); err != nil {
+	if err := t.AddAgents(c, p.Agents, 2, client.OnExpiryReject); err != nil {
 		return r, end, err
 	}
 	for i, a := range append(append([]*Process(nil), c.Keepers...), c.Agents...) {
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -137,7 +137,7 @@
 	cancel()
 	running.Wait()
 	broken, words := ledger.Breaches(time.Now())
-	fmt.Fprintf(w, "\nThe ledger, kept by the stand-ins, over %d requests:\n", ledger.Totals.Tries)
+	fmt.Fprintf(w, "\nThe ledger, kept by the stand-ins, over %d requests:\n", ledger.Totals.Attempts)
 	for rule, what := range []string{"", "every request has one answer, in time", "nothing takes effect twice",
 		"nothing new later than 250 ms after a drain was told", "no cold server is pushed over"} {
 		if rule == 0 {
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -22,8 +22,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"ringtrack.example/ringtrack/internal/emu"
-	"ringtrack.example/ringtrack/internal/emu/peers"
+	"ringtrack.example/ringtrack/internal/emulator"
+	"ringtrack.example/ringtrack/internal/emulator/peers"
 )
 
 const (
@@ -41,16 +41,16 @@
 	Seeds     int      `toml:"seeds"`
 	FirstSeed uint64   `toml:"first_seed"`
 	// By is what policies are compared by: "goodput" (also where it is empty) or "worth".
-	By       string         `toml:"by"`
-	Scenario []emu.Scenario `toml:"scenario"`
+	By       string              `toml:"by"`
+	Scenario []emulator.Scenario `toml:"scenario"`
 
 	sum uint32
 }
 
 // Policies are all that there are, the product first.
-func Policies() []emu.Policy { return append([]emu.Policy{emu.Product}, peers.All...) }
+func Policies() []emulator.Policy { return append([]emulator.Policy{emulator.Product}, peers.All...) }
 
-func policy(name string) *emu.Policy {
+func policy(name string) *emulator.Policy {
 	for _, p := range Policies() {
 		if p.Name == name {
 			return &p
@@ -146,7 +146,7 @@
 
 // Run runs the cells that the folder has no result of, and returns all results. progress is called with each
 // cell that ends.
-func (e *Experiment) Run(ctx context.Context, dir string, progress func(done, all int)) ([]*emu.Result, error) {
+func (e *Experiment) Run(ctx context.Context, dir string, progress func(done, all int)) ([]*emulator.Result, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
@@ -156,7 +156,7 @@
 	}
 	defer f.Close()
 	cells := e.cells()
-	have := map[cell]*emu.Result{}
+	have := map[cell]*emulator.Result{}
 	at := map[string]int{}
 	for i := range e.Scenario {
 		at[e.Scenario[i].Name] = i
@@ -173,7 +173,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
 			for c := range todo {
-				r, err := emu.Run(&e.Scenario[c.scenario], policy(c.policy), c.seed)
+				r, err := emulator.Run(&e.Scenario[c.scenario], policy(c.policy), c.seed)
 				mu.Lock()
 				if err == nil {
 					err = appendLine(f, r)
@@ -207,7 +207,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	out := make([]*emu.Result, len(cells))
+	out := make([]*emulator.Result, len(cells))
 	for i, c := range cells {
 		out[i] = have[c]
 	}
@@ -224,16 +224,16 @@
 }
 
 // open opens the results, begins them where there are none, and cuts off a line that was not written whole.
-func (e *Experiment) open(name string) (*os.File, []*emu.Result, error) {
+func (e *Experiment) open(name string) (*os.File, []*emulator.Result, error) {
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, nil, fmt.Errorf("experiment: %w", err)
 	}
-	fail := func(err error) (*os.File, []*emu.Result, error) {
+	fail := func(err error) (*os.File, []*emulator.Result, error) {
 		f.Close()
 		return nil, nil, fmt.Errorf("experiment: %s: %w", name, err)
 	}
-	var out []*emu.Result
+	var out []*emulator.Result
 	in := bufio.NewReader(f)
 	whole := int64(0)
 	for n := 0; ; n++ {
@@ -256,7 +256,7 @@
 				return fail(errors.New("holds the results of another experiment, or of an older file of this"))
 			}
 		} else {
-			r := &emu.Result{}
+			r := &emulator.Result{}
 			if err := json.Unmarshal(line, r); err != nil {
 				return fail(fmt.Errorf("line %d: %w", n+1, err))
 			}
@@ -296,8 +296,8 @@
 }
 
 // Table compares each policy with the experiment's first.
-func (e *Experiment) Table(results []*emu.Result) []Row {
-	by := map[[2]string][]*emu.Result{}
+func (e *Experiment) Table(results []*emulator.Result) []Row {
+	by := map[[2]string][]*emulator.Result{}
 	for _, r := range results {
 		k := [2]string{r.Scenario, r.Policy}
 		by[k] = append(by[k], r)
@@ -309,7 +309,7 @@
 			list := by[[2]string{e.Scenario[i].Name, p}]
 			row := Row{Scenario: e.Scenario[i].Name, Policy: p}
 			diff := make([]float64, len(list))
-			by := func(r *emu.Result) float64 {
+			by := func(r *emulator.Result) float64 {
 				if e.By == "worth" {
 					return r.Worth
 				}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"ringtrack.example/ringtrack/internal/emu"
+	"ringtrack.example/ringtrack/internal/emulator"
 )
 
 const small = `
@@ -114,11 +114,11 @@
 }
 
 func TestTable(t *testing.T) {
-	e := &Experiment{Policies: []string{"x", "y"}, Scenario: []emu.Scenario{{Name: "s"}}}
-	var results []*emu.Result
+	e := &Experiment{Policies: []string{"x", "y"}, Scenario: []emulator.Scenario{{Name: "s"}}}
+	var results []*emulator.Result
 	for i := range 10 {
-		results = append(results, &emu.Result{Scenario: "s", Policy: "x", Goodput: 0.9 + float64(i)/1000},
-			&emu.Result{Scenario: "s", Policy: "y", Goodput: 0.8 + float64(i)/1000, Breaches: map[int]int{2: 1, 4: 1}, Falls: 1})
+		results = append(results, &emulator.Result{Scenario: "s", Policy: "x", Goodput: 0.9 + float64(i)/1000},
+			&emulator.Result{Scenario: "s", Policy: "y", Goodput: 0.8 + float64(i)/1000, Breaches: map[int]int{2: 1, 4: 1}, Falls: 1})
 	}
 	rows := e.Table(results)
 	if len(rows) != 2 || math.Abs(rows[0].Goodput-0.9045) > 1e-9 || rows[1].Breaches != 20 || rows[1].Falls != 10 {
--- a/internal/lab/agreemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -1,7 +1,7 @@
-// Package agreemodel checks agree's invariants on a model of the world around it: holders that ask, crash and stand
+// Package leasemodel checks agree's invariants on a model of the world around it: holders that ask, crash and stand
 // still, messages that are lost, repeated and come in any order, leaders that follow one another and of which an old one
 // may still answer what was confirmed for it. The deciders are the product's own; the world and the judge are here.
-package agreemodel
+package leasemodel
 
 import (
 	"crypto/sha256"
@@ -10,8 +10,8 @@
 	"slices"
 	"strings"
 
-	"ringtrack.example/ringtrack/internal/agree"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/lease"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // Defect is one that the lab seeds, each a way in which the deciders could be used wrongly.
@@ -49,27 +49,27 @@
 	desk    int  // of a confirmed ask
 	asked   float64
 	has     uint64
-	granted agree.Grant
+	granted lease.Grant
 }
 
 // holder is one name.
 type holder struct {
 	inc   int
-	lease agree.Lease
+	lease lease.Lease
 	floor uint64 // the highest stage that any start of it acted on
 	asks  int    // asks that it has out
 }
 
 // leader is a desk and the log as its keeper has applied it. The log of a leader that was replaced stays as it was.
 type leader struct {
-	desk *agree.Desk
+	desk *lease.Lessor
 	log  *log
 }
 
 // log is the keepers' book, and the stages there were in order with the word on servers of each. It is not changed but
 // copied: worlds share it.
 type log struct {
-	book   agree.Book
+	book   lease.History
 	stages []uint64
 	words  []uint64 // a number that grows where the word changes
 }
@@ -92,7 +92,7 @@
 	if n%3 == 2 {
 		ban--
 	}
-	if _, err := c.book.Apply(&agree.Op{Publish: &agree.Publish{ID: fmt.Sprint(n), Parent: n - 1, Book: &rulebook.Book{Bans: []string{fmt.Sprint(ban)}}}}); err != nil {
+	if _, err := c.book.Apply(&lease.Command{Publish: &lease.Publish{ID: fmt.Sprint(n), Parent: n - 1, Config: &sharedconfig.Config{Cordoned: []string{fmt.Sprint(ban)}}}}); err != nil {
 		panic(err)
 	}
 	return c
@@ -102,19 +102,19 @@
 func (l *log) advance(d Defect) *log {
 	c := l.copy()
 	for range 2 {
-		var was, now *rulebook.Book
-		if t := c.book.Terms(); t != nil {
-			was = t.Book
+		var was, now *sharedconfig.Config
+		if t := c.book.Transition(); t != nil {
+			was = t.Config
 		}
-		stage := c.book.Stage
-		c.book.Apply(&agree.Op{Advance: &stage})
-		now = c.book.Terms().Book
+		stage := c.book.Epoch
+		c.book.Apply(&lease.Command{Advance: &stage})
+		now = c.book.Transition().Config
 		word := c.words[len(c.words)-1]
-		if was == nil || !was.SameWord(now) {
+		if was == nil || !was.SameEndpoints(now) {
 			word++
 		}
-		c.stages, c.words = append(c.stages, c.book.Stage), append(c.words, word)
-		if d != NoMeet || c.book.Stage%2 == 0 {
+		c.stages, c.words = append(c.stages, c.book.Epoch), append(c.words, word)
+		if d != NoMeet || c.book.Epoch%2 == 0 {
 			break
 		}
 	}
@@ -132,8 +132,8 @@
 	differs string // where the desk's index and its holders gave two answers
 }
 
-func (l *log) wordsBut(d Defect) agree.Words {
-	return func(from, to uint64) bool { return d != NoWord && l.book.Words(from, to) }
+func (l *log) wordsBut(d Defect) lease.EndpointsChanged {
+	return func(from, to uint64) bool { return d != NoWord && l.book.EndpointsChanged(from, to) }
 }
 
 func start(b Bounds, d Defect) *world {
@@ -143,11 +143,11 @@
 	return w
 }
 
-func (w *world) desk() *agree.Desk {
+func (w *world) desk() *lease.Lessor {
 	if w.defect == NoQuiet {
-		return agree.NewDesk(w.now-100*leaseMs, leaseMs, listMs)
+		return lease.NewLessor(w.now-100*leaseMs, leaseMs, listMs)
 	}
-	return agree.NewDesk(w.now, leaseMs, listMs)
+	return lease.NewLessor(w.now, leaseMs, listMs)
 }
 
 func (w *world) clone() *world {
@@ -164,7 +164,7 @@
 func (w *world) clock(i int) float64 {
 	rate := 1.0
 	if w.left.Drift {
-		rate += agree.DriftMost * 0.99 * float64(1-2*(i%2))
+		rate += lease.MaxClockDrift * 0.99 * float64(1-2*(i%2))
 	}
 	return w.now*rate + float64(i)*3600
 }
@@ -181,11 +181,11 @@
 	}
 	for i := range w.holders {
 		h := &w.holders[i]
-		fmt.Fprintf(&b, "H%d,%d,%.3f,%.3f,%d,%d|", h.inc, h.lease.Stage, max(h.lease.Until-w.clock(i), 0), max(h.lease.Lists-w.clock(i), 0), h.floor, h.asks)
+		fmt.Fprintf(&b, "H%d,%d,%.3f,%.3f,%d,%d|", h.inc, h.lease.Epoch, max(h.lease.Until-w.clock(i), 0), max(h.lease.EndpointsUntil-w.clock(i), 0), h.floor, h.asks)
 	}
 	words := make([]string, len(w.msgs))
 	for i, m := range w.msgs {
-		words[i] = fmt.Sprintf("%d.%d%c%d %.3f %d %d", m.holder, m.inc, m.kind, m.desk, m.asked-w.clock(m.holder), m.has, m.granted.Stage)
+		words[i] = fmt.Sprintf("%d.%d%c%d %.3f %d %d", m.holder, m.inc, m.kind, m.desk, m.asked-w.clock(m.holder), m.has, m.granted.Epoch)
 	}
 	slices.Sort(words)
 	b.WriteString(strings.Join(words, ";"))
@@ -210,17 +210,17 @@
 			add(fmt.Sprintf("ask %d", i), func(w *world) {
 				h := &w.holders[i]
 				h.asks++
-				w.msgs = append(w.msgs, message{holder: i, inc: h.inc, kind: 'a', asked: w.clock(i), has: h.lease.Stage})
+				w.msgs = append(w.msgs, message{holder: i, inc: h.inc, kind: 'a', asked: w.clock(i), has: h.lease.Epoch})
 			})
 		}
-		if w.left.Crashes > 0 && (h.lease.Stage > 0 || h.asks > 0) {
+		if w.left.Crashes > 0 && (h.lease.Epoch > 0 || h.asks > 0) {
 			add(fmt.Sprintf("crash %d", i), func(w *world) {
 				w.left.Crashes--
 				h := &w.holders[i]
 				was := h.lease
-				h.inc, h.lease, h.asks = h.inc+1, agree.Lease{}, 0
+				h.inc, h.lease, h.asks = h.inc+1, lease.Lease{}, 0
 				if w.defect == BackOnStart {
-					h.lease = agree.Lease{Stage: was.Stage - was.Stage%2, Until: w.clock(i) + leaseMs, Lists: w.clock(i) + leaseMs, Taken: true}
+					h.lease = lease.Lease{Epoch: was.Epoch - was.Epoch%2, Until: w.clock(i) + leaseMs, EndpointsUntil: w.clock(i) + leaseMs, Granted: true}
 				}
 			})
 		}
@@ -256,10 +256,10 @@
 			l.log = l.log.publish()
 		})
 	}
-	if l.log.book.Wants() {
-		may := l.desk.MayAdvance(w.now, l.log.book.Stage, l.log.wordsBut(w.defect))
-		if all, _, hold := l.desk.Next(w.now, l.log.book.Stage, l.log.wordsBut(w.defect)); all != may && w.differs == "" {
-			w.differs = fmt.Sprintf("whether stage %d may be left: %v by the index, held up by %v", l.log.book.Stage, may, hold)
+	if l.log.book.CanAdvance() {
+		may := l.desk.MayAdvance(w.now, l.log.book.Epoch, l.log.wordsBut(w.defect))
+		if all, _, hold := l.desk.Next(w.now, l.log.book.Epoch, l.log.wordsBut(w.defect)); all != may && w.differs == "" {
+			w.differs = fmt.Sprintf("whether stage %d may be left: %v by the index, held up by %v", l.log.book.Epoch, may, hold)
 		}
 		if may {
 			add("advance", func(w *world) {
@@ -275,15 +275,15 @@
 
 func (w *world) deliver(m message) {
 	lead := len(w.leaders) - 1
-	of := agree.Ask{Holder: agree.Holder{Name: fmt.Sprint(m.holder), Inc: fmt.Sprint(m.inc)}, Has: m.has}
+	of := lease.Request{Holder: lease.Holder{Name: fmt.Sprint(m.holder), Incarnation: fmt.Sprint(m.inc)}, Epoch: m.has}
 	switch m.kind {
 	case 'a': // the majority's word is had at the moment the ask is there; what comes of it may come much later
-		w.leaders[lead].desk.Hear(w.now, of)
+		w.leaders[lead].desk.Observe(w.now, of)
 		m.kind, m.desk = 'c', lead
 		w.msgs = append(w.msgs, m)
 	case 'c':
 		l := &w.leaders[m.desk]
-		g, ok := l.desk.Grant(w.now, of, l.log.book.Stage)
+		g, ok := l.desk.Grant(w.now, of, l.log.book.Epoch)
 		if !ok {
 			if m.inc == w.holders[m.holder].inc {
 				w.holders[m.holder].asks--
@@ -291,8 +291,8 @@
 			return
 		}
 		if w.defect == WordForIt {
-			of.Has = g.Stage
-			l.desk.Hear(w.now, of)
+			of.Epoch = g.Epoch
+			l.desk.Observe(w.now, of)
 		}
 		m.kind, m.granted = 'g', g
 		w.msgs = append(w.msgs, m)
@@ -306,7 +306,7 @@
 		if w.defect == FromAnswer {
 			asked = w.clock(m.holder)
 		}
-		h.lease.Take(asked, w.clock(m.holder), m.granted)
+		h.lease.Accept(asked, w.clock(m.holder), m.granted)
 	}
 }
 
@@ -320,18 +320,18 @@
 	least, most := uint64(1<<62), uint64(0)
 	for i := range w.holders {
 		h := &w.holders[i]
-		if h.lease.HoldsList(w.clock(i)) {
-			word := l.words[l.place(h.lease.Stage)]
+		if h.lease.HoldsEndpoints(w.clock(i)) {
+			word := l.words[l.place(h.lease.Epoch)]
 			least, most = min(least, word), max(most, word)
 		}
 		if !h.lease.Holds(w.clock(i)) {
 			continue
 		}
-		low, high = min(low, l.place(h.lease.Stage)), max(high, l.place(h.lease.Stage))
-		if h.lease.Stage < h.floor {
-			return fmt.Sprintf("invariant 2: holder %d acts on stage %d and did on %d", i, h.lease.Stage, h.floor)
+		low, high = min(low, l.place(h.lease.Epoch)), max(high, l.place(h.lease.Epoch))
+		if h.lease.Epoch < h.floor {
+			return fmt.Sprintf("invariant 2: holder %d acts on stage %d and did on %d", i, h.lease.Epoch, h.floor)
 		}
-		h.floor = h.lease.Stage
+		h.floor = h.lease.Epoch
 	}
 	if low < high && high-low > 1 {
 		return fmt.Sprintf("invariant 1: stages %d and %d are acted on", l.stages[low], l.stages[high])
--- a/internal/lab/agreemodel/model_test.go
+++ b/internal/lab/leasemodel/model_test.go
@@ -1,4 +1,4 @@
-package agreemodel
+package leasemodel
 
 import "testing"
 
--- a/internal/lab/ledger.go
+++ b/internal/lab/ledger.go
@@ -4,58 +4,58 @@
 	"sync"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/book"
+	"ringtrack.example/ringtrack/internal/invariant"
 )
 
 // What the book knows, by the lab's names.
 type (
-	Effect  = book.Effect
-	Verdict = book.Verdict
-	Rules   = book.Rules
+	Effect  = invariant.Effect
+	Verdict = invariant.Outcome
+	Rules   = invariant.Rules
 )
 
 // The effects and verdicts.
 const (
-	Safe   = book.Safe
-	Keyed  = book.Keyed
-	Unsafe = book.Unsafe
+	Safe   = invariant.Idempotent
+	Keyed  = invariant.IdempotentByKey
+	Unsafe = invariant.NonIdempotent
 
-	Served  = book.Served
-	Refused = book.Refused
-	Failed  = book.Failed
+	Served  = invariant.Served
+	Refused = invariant.Rejected
+	Failed  = invariant.Failed
 )
 
 // DefaultRules are those of the brief.
-func DefaultRules() Rules { return book.DefaultRules() }
+func DefaultRules() Rules { return invariant.DefaultRules() }
 
 // Ledger keeps what clients and servers saw, by their names, and checks the four rules on it. It knows
 // nothing of the system between them. It may be used from any goroutine.
 type Ledger struct {
 	mu sync.Mutex
-	book.Book
-	ops     map[string]*book.Op
-	servers map[string]*book.Account
+	invariant.Checker
+	ops     map[string]*invariant.Operation
+	servers map[string]*invariant.Server
 }
 
 // NewLedger returns a ledger for these rules.
 func NewLedger(rules Rules) *Ledger {
-	return &Ledger{Book: book.Book{Rules: rules}, ops: map[string]*book.Op{}, servers: map[string]*book.Account{}}
+	return &Ledger{Checker: invariant.Checker{Rules: rules}, ops: map[string]*invariant.Operation{}, servers: map[string]*invariant.Server{}}
 }
 
-func (l *Ledger) server(id string) *book.Account {
+func (l *Ledger) server(id string) *invariant.Server {
 	a := l.servers[id]
 	if a == nil {
-		a = &book.Account{Name: id}
+		a = &invariant.Server{Name: id}
 		l.servers[id] = a
 	}
 	return a
 }
 
-func (l *Ledger) op(id string) *book.Op {
+func (l *Ledger) op(id string) *invariant.Operation {
 	if o := l.ops[id]; o != nil {
 		return o
 	}
-	return &book.Op{Name: id} // that nobody asked for
+	return &invariant.Operation{Name: id} // that nobody asked for
 }
 
 // Asked notes a client's try of an operation, and when its time is over.
@@ -64,31 +64,31 @@
 	defer l.mu.Unlock()
 	o := l.ops[id]
 	if o == nil {
-		o = &book.Op{Name: id, Effect: effect}
+		o = &invariant.Operation{Name: id, Effect: effect}
 		l.ops[id] = o
 	}
-	l.Book.Asked(o, until)
+	l.Checker.AttemptStarted(o, until)
 }
 
 // Answered notes the answer of the try that is open.
 func (l *Ledger) Answered(id string, v Verdict, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Book.Answered(l.op(id), v, at)
+	l.Checker.Answered(l.op(id), v, at)
 }
 
 // Unanswered notes that a try's connection ended without an answer.
 func (l *Ledger) Unanswered(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Book.Unanswered(l.op(id))
+	l.Checker.Unanswered(l.op(id))
 }
 
 // Began notes that the first byte of a request came to a server.
 func (l *Ledger) Began(server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Book.Began(l.server(server), at)
+	l.Checker.RequestReceived(l.server(server), at)
 }
 
 // Ran notes that an operation took effect at a server.
@@ -96,9 +96,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o := l.ops[id]; o != nil {
-		l.Book.Ran(l.server(server), o, at)
+		l.Checker.Executed(l.server(server), o, at)
 	} else {
-		l.Stray(l.server(server), id)
+		l.UnknownRequest(l.server(server), id)
 	}
 }
 
@@ -113,21 +113,21 @@
 func (l *Ledger) Told(server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.server(server).Told(at)
+	l.server(server).NotifiedDraining(at)
 }
 
 // Up notes that a server is in service.
 func (l *Ledger) Up(server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.server(server).Up()
+	l.server(server).InService()
 }
 
 // Started notes that a server's process started cold.
 func (l *Ledger) Started(server string, at time.Time, capacity float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Book.Started(l.server(server), at, capacity)
+	l.Checker.Started(l.server(server), at, capacity)
 }
 
 // Coldest returns the most that was begun at a started server in any window, as a multiple of what it
@@ -137,7 +137,7 @@
 	defer l.mu.Unlock()
 	worst := 0.0
 	for _, a := range l.servers {
-		worst = max(worst, l.Multiple(a))
+		worst = max(worst, l.Overload(a))
 	}
 	return worst
 }
@@ -151,7 +151,7 @@
 		l.Close(o, now)
 	}
 	for _, a := range l.servers {
-		l.Cold(a)
+		l.CheckSlowStart(a)
 	}
-	return l.Book.Breaches()
+	return l.Checker.Violations()
 }
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // The aimed size, and what control may use of an agent's machine.
@@ -227,7 +227,7 @@
 				}
 			}
 		}
-		if n := s.Books[rulebook.Stage(r.version)]; len(n) != 1 {
+		if n := s.Books[sharedconfig.EpochOf(r.version)]; len(n) != 1 {
 			rep.short("%s: the last version came to its agents as %v", z.p.Name, n)
 		}
 	}
--- a/internal/lab/scale/controlphases.go
+++ b/internal/lab/scale/controlphases.go
@@ -8,7 +8,7 @@
 
 	"ringtrack.example/ringtrack/internal/lab/cluster"
 	"ringtrack.example/ringtrack/internal/membership"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // controlPhase is a day, compressed to seconds.
@@ -101,7 +101,7 @@
 		}
 	}
 	r.roster.Tell(back...)
-	times, err := r.held(ctx, names, rulebook.Stage(r.version), before.at, 60*time.Second)
+	times, err := r.held(ctx, names, sharedconfig.EpochOf(r.version), before.at, 60*time.Second)
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 				return err
 			}
 		}
-		if _, err := r.held(ctx, names, rulebook.Stage(r.version), time.Now(), 30*time.Second); err != nil {
+		if _, err := r.held(ctx, names, sharedconfig.EpochOf(r.version), time.Now(), 30*time.Second); err != nil {
 			return err
 		}
 	}
@@ -222,7 +222,7 @@
 	last := r.version
 	from := time.Now()
 	cut(cluster.Pass)
-	back, err := r.held(ctx, b, rulebook.Stage(last), from, 30*time.Second)
+	back, err := r.held(ctx, b, sharedconfig.EpochOf(last), from, 30*time.Second)
 	if err != nil {
 		return err
 	}
@@ -265,7 +265,7 @@
 			return err
 		}
 	}
-	times, err := r.held(ctx, names, rulebook.Stage(r.version), before.at, 60*time.Second)
+	times, err := r.held(ctx, names, sharedconfig.EpochOf(r.version), before.at, 60*time.Second)
 	if err != nil {
 		return err
 	}
@@ -321,7 +321,7 @@
 				return err
 			}
 		}
-		if err := cluster.Until(ctx, "the keepers are back", 30*time.Second, func() bool { return r.up(ctx, lost, rulebook.Stage(r.version)) }); err != nil {
+		if err := cluster.Until(ctx, "the keepers are back", 30*time.Second, func() bool { return r.up(ctx, lost, sharedconfig.EpochOf(r.version)) }); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/scale/controlrig.go
+++ b/internal/lab/scale/controlrig.go
@@ -16,11 +16,11 @@
 	"sync/atomic"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/agree/link"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/lab"
 	"ringtrack.example/ringtrack/internal/lab/cluster"
 	"ringtrack.example/ringtrack/internal/membership"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // zoneNames are the six zones of two regions, three each; kindNames the kinds of machines.
@@ -47,13 +47,13 @@
 
 // bookOf is the book of a version: a class each service, a mark that differs from version to version, and for every
 // other version another ban, so that its word on servers differs too.
-func bookOf(version uint64) *rulebook.Book {
-	b := &rulebook.Book{Classes: map[string]rulebook.Class{}, FallMultiple: 1 + float64(version)/1000}
+func bookOf(version uint64) *sharedconfig.Config {
+	b := &sharedconfig.Config{Classes: map[string]sharedconfig.Class{}, OverloadFactor: 1 + float64(version)/1000}
 	for i := range services {
-		b.Classes[fmt.Sprintf("svc-%02d-keyed", i)] = rulebook.Class{Effect: "guarded", Group: "zone", KeyTTLMs: 1000}
+		b.Classes[fmt.Sprintf("svc-%02d-keyed", i)] = sharedconfig.Class{Effect: "guarded", DedupScope: "zone", IdempotencyWindowMs: 1000}
 	}
 	if n := version / 2; n > 0 {
-		b.Bans = []string{fmt.Sprintf("b-%04d", n%50)}
+		b.Cordoned = []string{fmt.Sprintf("b-%04d", n%50)}
 	}
 	return b
 }
@@ -391,7 +391,7 @@
 			return err
 		}
 	}
-	if _, err := r.held(ctx, r.names(nil), rulebook.Stage(r.version), from, 60*time.Second); err != nil {
+	if _, err := r.held(ctx, r.names(nil), sharedconfig.EpochOf(r.version), from, 60*time.Second); err != nil {
 		return err
 	}
 	return r.followed(ctx)
@@ -457,8 +457,8 @@
 			asked.Go(func() {
 				try, cancel := context.WithTimeout(ctx, 3*time.Second)
 				defer cancel()
-				s := &link.Status{}
-				if r.Call(try, k, link.PathStatus, nil, s) != nil {
+				s := &client.Status{}
+				if r.Call(try, k, client.PathStatus, nil, s) != nil {
 					return
 				}
 				for was := last.Load(); s.Term > was && !last.CompareAndSwap(was, s.Term); was = last.Load() {
@@ -484,9 +484,9 @@
 			}
 		}
 		r.told[k.Name] = max(r.told[k.Name], fresh)
-		s := &link.Status{}
+		s := &client.Status{}
 		try, cancel := context.WithTimeout(ctx, time.Second)
-		if err := r.Call(try, k, link.PathStatus, nil, s); err != nil {
+		if err := r.Call(try, k, client.PathStatus, nil, s); err != nil {
 			r.o.logf("  %s, %s: %v", when, k.Name, err)
 		} else {
 			longest := map[string]int{}
@@ -504,11 +504,11 @@
 // up tells whether keepers answer and have a stage.
 func (r *controlRig) up(ctx context.Context, ks []*cluster.Process, stage uint64) bool {
 	for _, k := range ks {
-		s := &link.Status{}
+		s := &client.Status{}
 		try, cancel := context.WithTimeout(ctx, time.Second)
-		err := r.Call(try, k, link.PathStatus, nil, s)
+		err := r.Call(try, k, client.PathStatus, nil, s)
 		cancel()
-		if err != nil || s.Stage < stage {
+		if err != nil || s.Epoch < stage {
 			return false
 		}
 	}
@@ -558,7 +558,7 @@
 		if err != nil {
 			return took, err
 		}
-		times, err := r.held(ctx, names, rulebook.Stage(r.version), from, 30*time.Second)
+		times, err := r.held(ctx, names, sharedconfig.EpochOf(r.version), from, 30*time.Second)
 		if err != nil {
 			return took, err
 		}
--- a/internal/lab/scale/controlslow.go
+++ b/internal/lab/scale/controlslow.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"ringtrack.example/ringtrack/internal/lab/cluster"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 const (
@@ -146,10 +146,10 @@
 	if err := r.Heal(); err != nil {
 		return err
 	}
-	if err := cluster.Until(ctx, "the keepers are back", 30*time.Second, func() bool { return r.up(ctx, r.Keepers, rulebook.Stage(r.version)) }); err != nil {
+	if err := cluster.Until(ctx, "the keepers are back", 30*time.Second, func() bool { return r.up(ctx, r.Keepers, sharedconfig.EpochOf(r.version)) }); err != nil {
 		return err
 	}
-	if _, err := r.held(ctx, r.names(nil), rulebook.Stage(r.version), time.Now(), 60*time.Second); err != nil {
+	if _, err := r.held(ctx, r.names(nil), sharedconfig.EpochOf(r.version), time.Now(), 60*time.Second); err != nil {
 		return err
 	}
 	return r.disks(true)
--- a/internal/lab/scale/controltools.go
+++ b/internal/lab/scale/controltools.go
@@ -11,7 +11,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
 // toolNames are the operators' calls that are measured, each a process of the product.
@@ -42,7 +42,7 @@
 	run := func(args ...string) (c toolCost, out string, err error) {
 		ctx, cancel := context.WithTimeout(ctx, 30*time.Second)
 		defer cancel()
-		cmd := exec.CommandContext(ctx, filepath.Join(r.Bin, "ringtrack-keeper"), args...)
+		cmd := exec.CommandContext(ctx, filepath.Join(r.Bin, "ringtrack-configstore"), args...)
 		cmd.Env = append(os.Environ(), "RINGTRACK_KEEPERS="+strings.Join(addrs, ","))
 		from, before := time.Now(), bytes()
 		var text strings.Builder
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	r.version, costs["publish"] = next, c
-	_, err = r.held(ctx, r.names(nil), rulebook.Stage(next), time.Now(), 30*time.Second)
+	_, err = r.held(ctx, r.names(nil), sharedconfig.EpochOf(next), time.Now(), 30*time.Second)
 	return costs, err
 }
 
@@ -120,7 +120,7 @@
 			of         func(toolCost) float64
 		}{{"processor", "ms", func(c toolCost) float64 { return c.cpuMs }}, {"memory", "MB", func(c toolCost) float64 { return c.mb }},
 			{"bytes", "KB", func(c toolCost) float64 { return c.kb }}, {"time", "ms", func(c toolCost) float64 { return c.ms }}} {
-			lines = append(lines, controlLine{"ringtrack-keeper " + name + ", " + x.what, x.unit, func(c *sizeCost) float64 { return x.of(c.tools[name]) }})
+			lines = append(lines, controlLine{"ringtrack-configstore " + name + ", " + x.what, x.unit, func(c *sizeCost) float64 { return x.of(c.tools[name]) }})
 		}
 	}
 	return lines
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -14,10 +14,10 @@
 
 	"golang.org/x/sync/semaphore"
 
-	"ringtrack.example/ringtrack/internal/agree/link"
+	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/core"
 	"ringtrack.example/ringtrack/internal/membership"
-	"ringtrack.example/ringtrack/internal/rulebook"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
 	"ringtrack.example/ringtrack/internal/wire"
 )
 
@@ -82,13 +82,13 @@
 // hollow is one of them: the stand-in for its data path, which notes what rules it is given and until when.
 type hollow struct {
 	h            *hollows
-	loop         *core.Loop
+	loop         *core.EventLoop
 	until, lists time.Time // under h.mu
 }
 
 // Adopt implements link.Target as the agent does, and notes the book's content.
-func (a *hollow) Adopt(ctx context.Context, stage uint64, book *rulebook.Book, until, lists time.Time) error {
-	if err := a.do(ctx, func() { a.loop.Adopt(stage, book, until, lists) }); err != nil {
+func (a *hollow) Adopt(ctx context.Context, stage uint64, book *sharedconfig.Config, until, lists time.Time) error {
+	if err := a.do(ctx, func() { a.loop.AdoptConfig(stage, book, until, lists) }); err != nil {
 		return err
 	}
 	digest := ""
@@ -107,7 +107,7 @@
 
 // Renew implements link.Target.
 func (a *hollow) Renew(ctx context.Context, until, lists time.Time) {
-	a.do(ctx, func() { a.loop.Renew(until, lists) })
+	a.do(ctx, func() { a.loop.RenewLease(until, lists) })
 	a.note(until, lists)
 }
 
@@ -183,8 +183,8 @@
 	if err != nil {
 		return err
 	}
-	cfg := core.Config{Discovery: spec.Discovery, Known: spec.Known, Settings: settings, Seed: uint64(of.Index), Zones: zoneNames, Kinds: kindNames,
-		Agreed: &core.Agreed{Refuse: true}}
+	cfg := core.Config{Discovery: spec.Discovery, CachedEndpoints: spec.Known, Settings: settings, Seed: uint64(of.Index), Zones: zoneNames, Kinds: kindNames,
+		SharedConfig: &core.SharedConfig{RejectWhenStale: true}}
 	a := &hollow{h: h}
 	if a.loop, err = core.New(h.ctx, cfg, semaphore.NewWeighted(1<<20), nil, func() {}); err != nil {
 		return err
@@ -192,11 +192,11 @@
 	h.mu.Lock()
 	h.all[of.Name] = a
 	h.mu.Unlock()
-	keepers := &link.Config{Keepers: spec.Keepers, CallMs: 400, WaitMs: 500, OnLapse: link.LapseRefuse} // as deploy/agreed.toml
+	keepers := &client.Config{Replicas: spec.Keepers, CallMs: 400, WaitMs: 500, OnExpiry: client.OnExpiryReject} // as deploy/agreed.toml
 	if spec.Defect == noWait {
 		keepers.WaitMs = 0
 	}
-	l := link.New(keepers, of.Name, a)
+	l := client.New(keepers, of.Name, a)
 	go a.loop.Run()
 	go l.Run(h.ctx)
 	return nil
--- a/internal/lab/scale/paths.go
+++ b/internal/lab/scale/paths.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 
-	"ringtrack.example/ringtrack/internal/emu"
+	"ringtrack.example/ringtrack/internal/emulator"
 )
 
 // paths measures what calls inside calls cost, in the emulator: over the hops of a chain of services, and over the number
@@ -38,14 +38,14 @@
 func (o *Options) seconds() float64 { return max(10*o.Scale, 0.6) }
 
 // emulate runs a scenario under the product's module, and says where a rule was broken.
-func (o *Options) emulate(ctx context.Context, r *Report, sc *emu.Scenario) (*emu.Result, error) {
+func (o *Options) emulate(ctx context.Context, r *Report, sc *emulator.Scenario) (*emulator.Result, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
 	if err := sc.Check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", sc.Name, err)
 	}
-	res, err := emu.Run(sc, &emu.Product, o.Seed)
+	res, err := emulator.Run(sc, &emulator.Product, o.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", sc.Name, err)
 	}
@@ -65,12 +65,12 @@
 	for depth := 1; depth <= aimedDepth; depth++ {
 		at := func(list []Point, v float64) []Point { return append(list, Point{float64(depth), v}) }
 		for _, part := range []float64{0, 0.5} {
-			sc := &emu.Scenario{Name: fmt.Sprintf("chain of %d, errors %v", depth, part), Seconds: o.warmUp() + o.seconds(), WarmSeconds: o.warmUp(), Zones: 3,
-				Classes: []emu.ClassLoad{{Name: "read", Effect: "safe", Share: 1, AimMs: 200, GiveUpMs: 800}},
-				Graph: &emu.GraphSpec{Seed: o.Seed, Services: depth, Depth: depth, Least: 6, Most: 6, Further: -1, Edges: 60, Busy: 0.5,
+			sc := &emulator.Scenario{Name: fmt.Sprintf("chain of %d, errors %v", depth, part), Seconds: o.warmUp() + o.seconds(), WarmSeconds: o.warmUp(), Zones: 3,
+				Classes: []emulator.ClassLoad{{Name: "read", Effect: "safe", Share: 1, AimMs: 200, GiveUpMs: 800}},
+				Graph: &emulator.GraphSpec{Seed: o.Seed, Services: depth, Depth: depth, Least: 6, Most: 6, Further: -1, Edges: 60, Busy: 0.5,
 					CallsPerS: float64(depth) * 500 * min(1, max(o.Scale*4, 0.4))}}
 			if part > 0 {
-				sc.Faults = []emu.Fault{{Kind: "errors", Share: 1, Part: part}}
+				sc.Faults = []emulator.Fault{{Kind: "errors", Share: 1, Part: part}}
 			}
 			res, err := o.emulate(ctx, r, sc)
 			if err != nil {
@@ -116,8 +116,8 @@
 		at := func(list []Point, v float64) []Point { return append(list, Point{float64(n), v}) }
 		servers := aimedServers * n / aimedServices
 		rate := aimedCallsPerS * float64(n) / aimedServices * min(1, max(o.Scale*4, 0.05))
-		sc := &emu.Scenario{Name: fmt.Sprintf("graph of %d services, %d servers", n, servers), Seconds: o.warmUp() + o.seconds(), WarmSeconds: o.warmUp(), Zones: 6,
-			Graph: &emu.GraphSpec{Seed: o.Seed, Services: n, Depth: aimedDepth, Servers: servers, Regions: 2, CallsPerS: rate}}
+		sc := &emulator.Scenario{Name: fmt.Sprintf("graph of %d services, %d servers", n, servers), Seconds: o.warmUp() + o.seconds(), WarmSeconds: o.warmUp(), Zones: 6,
+			Graph: &emulator.GraphSpec{Seed: o.Seed, Services: n, Depth: aimedDepth, Servers: servers, Regions: 2, CallsPerS: rate}}
 		res, err := o.emulate(ctx, r, sc)
 		if err != nil {
 			return err
--- a/internal/lab/world/protocol.go
+++ b/internal/lab/world/protocol.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/front/thrift"
+	"ringtrack.example/ringtrack/internal/downstream/thrift"
 	"ringtrack.example/ringtrack/internal/lab"
 	"ringtrack.example/ringtrack/internal/lab/thriftlab"
 )
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -15,8 +15,8 @@
 	"golang.org/x/sync/semaphore"
 
 	"ringtrack.example/ringtrack/internal/core"
-	httpfront "ringtrack.example/ringtrack/internal/front/http"
-	thriftfront "ringtrack.example/ringtrack/internal/front/thrift"
+	httpfront "ringtrack.example/ringtrack/internal/downstream/http"
+	thriftfront "ringtrack.example/ringtrack/internal/downstream/thrift"
 	"ringtrack.example/ringtrack/internal/lab"
 	"ringtrack.example/ringtrack/internal/lab/thriftlab"
 	"ringtrack.example/ringtrack/internal/membership"
@@ -38,12 +38,12 @@
 // Settings are those of a world that says nothing else: one class of each effect, 2 s to answer.
 func Settings() policy.Settings {
 	return policy.Settings{Classes: []policy.Class{
-		{Name: "read", AimMs: 1000, GiveUpMs: 2000, Effect: policy.Free, Credit: 1},
-		{Name: "send", AimMs: 1000, GiveUpMs: 2000, Effect: policy.Guarded, Group: policy.GroupAll, KeyTTLMs: 8000, Credit: 2},
-		{Name: "order", AimMs: 1000, GiveUpMs: 2000, Effect: policy.SingleShot, Credit: 5}},
-		Limits:     policy.Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 600, OpenCap: 1000},
-		Contract:   policy.Contract{AskWithinMs: 800, ColdFrom: 0.3, ColdMs: 8000, DrainGraceMs: 250, FallMultiple: 2.5, TipAfterMs: 1000},
-		Membership: "on_request", Replicas: 1, RoundMs: 5}
+		{Name: "read", LatencyObjectiveMs: 1000, ClientTimeoutMs: 2000, Effect: policy.Idempotent, PriorityWeight: 1},
+		{Name: "send", LatencyObjectiveMs: 1000, ClientTimeoutMs: 2000, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeAll, IdempotencyWindowMs: 8000, PriorityWeight: 2},
+		{Name: "order", LatencyObjectiveMs: 1000, ClientTimeoutMs: 2000, Effect: policy.NonIdempotent, PriorityWeight: 5}},
+		Limits:        policy.Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 600, MaxOpenRequests: 1000},
+		Contract:      policy.Contract{PollIntervalMs: 800, SlowStartMinCapacity: 0.3, SlowStartMs: 8000, DrainGraceMs: 250, OverloadFactor: 2.5, OverloadWindowMs: 1000},
+		DiscoveryMode: "on_request", Replicas: 1, BatchIntervalMs: 5}
 }
 
 // effects are what methods do; over HTTP they are classes. "stamp" is an order whose exceptions prove
@@ -99,7 +99,7 @@
 type World struct {
 	Protocol Protocol
 	Addr     string // of the front
-	Loop     *core.Loop
+	Loop     *core.EventLoop
 	Ledger   *lab.Ledger
 	Roster   *lab.Roster
 	Servers  []*Server
@@ -141,13 +141,13 @@
 	if zones == nil {
 		zones = []string{"east"}
 	}
-	cfg := core.Config{Discovery: w.Roster.Addr, Known: w.Roster.List(), Settings: settings, Seed: o.Seed, Zones: zones}
+	cfg := core.Config{Discovery: w.Roster.Addr, CachedEndpoints: w.Roster.List(), Settings: settings, Seed: o.Seed, Zones: zones}
 	if o.Registry != "" {
 		c, err := ephemeral.Load(o.Registry)
 		if err != nil {
 			return w, err
 		}
-		cfg.Merge, cfg.Nodes = c.Merge(), ephemeral.NewSource(c).Nodes(nil)
+		cfg.Merge, cfg.WatchNodes = c.Merge(), ephemeral.NewSource(c).Nodes(nil)
 	}
 	return w, w.start(cfg, o.Refuse)
 }
@@ -254,9 +254,9 @@
 }
 
 // Figures are the core's.
-func (w *World) Figures() core.Figures {
-	got := make(chan core.Figures, 1)
-	w.Loop.Post(func() { got <- w.Loop.Figures() })
+func (w *World) Figures() core.Stats {
+	got := make(chan core.Stats, 1)
+	w.Loop.Post(func() { got <- w.Loop.Stats() })
 	return <-got
 }
 
--- a/internal/agree/behind.go
+++ b/internal/lease/behind.go
@@ -1,4 +1,4 @@
-package agree
+package lease
 
 // behind is the index of the holders that may hold up a stage, so that asking at each step whether the next one may come
 // costs no look at each holder each time. Times never go back. Its invariants, which the tests name:
@@ -41,13 +41,13 @@
 }
 
 // acts tells whether any of the span holds: the settings, or a word on servers that is another.
-func (s span) acts(now float64, words Words, has, to uint64) bool {
+func (s span) acts(now float64, words EndpointsChanged, has, to uint64) bool {
 	return s.until > now || s.lists > now && words(has, to)
 }
 
 // MayAdvance tells what Next does first, whether the stage behind this one may come, and nobody's name. All holders are
 // looked at once a stage; beyond that once or twice each until they have taken it up, and again where it says yes.
-func (d *Desk) MayAdvance(now float64, stage uint64, words Words) bool {
+func (d *Lessor) MayAdvance(now float64, stage uint64, words EndpointsChanged) bool {
 	if stage > 0 && (span{d.quiet, d.quietOn}).acts(now, words, stage-1, stage+1) {
 		return false
 	}
