--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -21,15 +21,15 @@
 func testSettings() Settings {
 	s := Settings{
 		Classes: []Class{
-			{Name: "free", AimMs: 300, GiveUpMs: 1000, Effect: Free, Credit: 1},
-			{Name: "once", AimMs: 300, GiveUpMs: 1000, Effect: SingleShot, Credit: 4},
-			{Name: "keyed", AimMs: 300, GiveUpMs: 1000, Effect: Guarded, Group: GroupCell, KeyTTLMs: 500, Credit: 2},
+			{Name: "free", LatencyObjectiveMs: 300, ClientTimeoutMs: 1000, Effect: Idempotent, PriorityWeight: 1},
+			{Name: "once", LatencyObjectiveMs: 300, ClientTimeoutMs: 1000, Effect: NonIdempotent, PriorityWeight: 4},
+			{Name: "keyed", LatencyObjectiveMs: 300, ClientTimeoutMs: 1000, Effect: IdempotentByKey, DedupScope: ScopeCell, IdempotencyWindowMs: 500, PriorityWeight: 2},
 		},
-		Limits: Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 500, ParallelTries: true,
+		Limits: Limits{Cancelling: true, MaxAttempts: 3, MaxRetryAfterMs: 500, HedgedRequests: true,
 			ConnectTimeoutMs: 100},
-		Contract: Contract{AnswerSlackMs: 20, AskWithinMs: 8000, ColdFrom: 0.2, ColdMs: 10000, DrainGraceMs: 500,
-			FallMultiple: 3, TipAfterMs: 1000},
-		Membership: "pushed", Replicas: 3, RoundMs: 5, WorthBy: "request", Weights: "nominal",
+		Contract: Contract{AnswerSlackMs: 20, PollIntervalMs: 8000, SlowStartMinCapacity: 0.2, SlowStartMs: 10000, DrainGraceMs: 500,
+			OverloadFactor: 3, OverloadWindowMs: 1000},
+		DiscoveryMode: "pushed", Replicas: 3, BatchIntervalMs: 5, PriorityUnit: "request", Weights: "nominal",
 	}
 	s.Clients.MarksRetry = true
 	return s
@@ -43,18 +43,18 @@
 	}
 	r := &rig{t: t, b: b, now: 1e6}
 	b.Start(r.now, nil)
-	entries := make([]Entry, servers)
+	entries := make([]Endpoint, servers)
 	for i := range entries {
-		entries[i] = Entry{Server: addr(i), Health: Ready, Weight: 1, Cell: i % 2, Zone: i % 2}
+		entries[i] = Endpoint{Server: addr(i), Health: Ready, Weight: 1, Cell: i % 2, Zone: i % 2}
 	}
-	r.list(ListCached, entries...)
+	r.list(UpdateCached, entries...)
 	return r
 }
 
 func (r *rig) do(ev Event) []Action { return r.b.Handle(r.now, &ev, nil) }
 
-func (r *rig) list(kind ListKind, entries ...Entry) []Action {
-	return r.do(Event{Kind: EvList, List: kind, Entries: entries})
+func (r *rig) list(kind UpdateKind, entries ...Endpoint) []Action {
+	return r.do(Event{Kind: EventEndpointUpdate, Update: kind, Endpoints: entries})
 }
 
 func (r *rig) ask(class int, key uint64) (RequestID, []Action) {
@@ -62,11 +62,11 @@
 	if !r.popular {
 		r.b.keys, r.b.keyed = map[uint64]float64{}, keyMemory*float64(len(r.b.servers))/keyPart-1
 	}
-	return r.id, r.do(Event{Kind: EvRequest, Request: r.id, Class: class, Key: key, LeftMs: 600})
+	return r.id, r.do(Event{Kind: EventRequest, Request: r.id, Class: class, Key: key, RemainingMs: 600})
 }
 
 func (r *rig) outcome(id RequestID, try int, s Addr, st Status, rtt float64) []Action {
-	return r.do(Event{Kind: EvOutcome, Request: id, Attempt: try, Server: s, Status: st, LatencyMs: rtt, Final: st == OK})
+	return r.do(Event{Kind: EventAttemptEnded, Request: id, Attempt: try, Server: s, Status: st, LatencyMs: rtt, Final: st == OK})
 }
 
 func find(actions []Action, kind ActionKind) *Action {
@@ -82,7 +82,7 @@
 func (r *rig) sent(class int, key uint64) (RequestID, Addr) {
 	r.t.Helper()
 	id, actions := r.ask(class, key)
-	a := find(actions, ActSend)
+	a := find(actions, ActionForward)
 	if a == nil {
 		r.t.Fatalf("request %d of class %d was not sent: %+v", id, class, actions)
 	}
@@ -92,7 +92,7 @@
 // tick fires the running timer after ms.
 func (r *rig) tick(ms float64) []Action {
 	r.now += ms
-	return r.do(Event{Kind: EvTimer, Token: tickToken})
+	return r.do(Event{Kind: EventTimer, Token: tickToken})
 }
 
 func TestStateTransitions(t *testing.T) {
@@ -116,10 +116,10 @@
 	if srv.state != Unhealthy {
 		t.Fatalf("error: state %d, want Unhealthy", srv.state)
 	}
-	if find(actions, ActFetch) == nil {
+	if find(actions, ActionFetchEndpoints) == nil {
 		t.Error("a demotion did not force a refresh of the list")
 	}
-	if a := find(actions, ActSend); a == nil || a.Server == s {
+	if a := find(actions, ActionForward); a == nil || a.Server == s {
 		t.Errorf("the free request did not go on to another server: %+v", actions)
 	}
 	// While it is Unhealthy its key goes elsewhere; after its hold the next
@@ -142,36 +142,36 @@
 func TestFullDemotesNobody(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	id, s := r.sent(1, 7)
-	actions := r.outcome(id, 0, s, Full, 1)
+	actions := r.outcome(id, 0, s, Rejected, 1)
 	if got := r.b.byAddr[s].state; got == Unhealthy {
 		t.Error("full demoted the server")
 	}
-	if a := find(actions, ActSend); a == nil || a.Server == s {
+	if a := find(actions, ActionForward); a == nil || a.Server == s {
 		t.Errorf("a request that was turned away did not go elsewhere: %+v", actions)
 	}
 }
 
 func TestProbesValidateWhereAllowed(t *testing.T) {
 	set := testSettings()
-	set.Limits.Probing = true
+	set.Limits.HealthChecks = true
 	r := newRig(t, set, 3)
 	id, s := r.sent(0, 7)
 	r.outcome(id, 0, s, Error, 5)
 	r.now += 2 * r.b.holdFor(r.b.byAddr[s])
 	_, actions := r.ask(0, 7)
-	if p := find(actions, ActProbe); p == nil || p.Server != s {
+	if p := find(actions, ActionHealthCheck); p == nil || p.Server != s {
 		t.Fatalf("no probe of the pending server: %+v", actions)
 	}
-	if a := find(actions, ActSend); a == nil || a.Server == s {
+	if a := find(actions, ActionForward); a == nil || a.Server == s {
 		t.Error("a request went to a pending server before its probe")
 	}
-	r.do(Event{Kind: EvProbed, Server: s, Status: Timeout, LatencyMs: 100})
+	r.do(Event{Kind: EventHealthCheckEnded, Server: s, Status: Timeout, LatencyMs: 100})
 	if r.b.byAddr[s].state != Unhealthy {
 		t.Error("a failed probe did not demote")
 	}
 	r.now += 10 * r.b.holdFor(r.b.byAddr[s])
 	r.ask(0, 8)
-	r.do(Event{Kind: EvProbed, Server: s, Status: OK, LatencyMs: 5})
+	r.do(Event{Kind: EventHealthCheckEnded, Server: s, Status: OK, LatencyMs: 5})
 	if r.b.byAddr[s].state != Connected {
 		t.Error("a good probe did not set Connected")
 	}
@@ -193,13 +193,13 @@
 		r := newRig(t, testSettings(), 3)
 		id, s := r.sent(1, 5)
 		actions := r.outcome(id, 0, s, st, 50)
-		if find(actions, ActSend) != nil || find(actions, ActRefuse) != nil || find(actions, ActFail) == nil {
+		if find(actions, ActionForward) != nil || find(actions, ActionReject) != nil || find(actions, ActionFail) == nil {
 			t.Errorf("ending %d: want a failure and nothing else, got %+v", st, actions)
 		}
 	}
 	r := newRig(t, testSettings(), 3)
 	id, s := r.sent(1, 5)
-	if actions := r.outcome(id, 0, s, ConnectFailed, 50); find(actions, ActSend) == nil {
+	if actions := r.outcome(id, 0, s, ConnectFailed, 50); find(actions, ActionForward) == nil {
 		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
 	}
 }
@@ -208,20 +208,20 @@
 	r := newRig(t, testSettings(), 6)
 	id, s := r.sent(2, 5)
 	actions := r.outcome(id, 0, s, Error, 20)
-	a := find(actions, ActSend)
+	a := find(actions, ActionForward)
 	if a == nil || r.b.byAddr[a.Server].cell != r.b.byAddr[s].cell {
 		t.Fatalf("a guarded repeat did not stay in its cell: %+v", actions)
 	}
 	r.now += 496 // just inside the 500 ms less the margin
 	actions = r.outcome(id, 1, a.Server, Error, 20)
-	if find(actions, ActSend) != nil || find(actions, ActFail) == nil && len(r.b.held) == 0 {
+	if find(actions, ActionForward) != nil || find(actions, ActionFail) == nil && len(r.b.held) == 0 {
 		t.Errorf("a guarded repeat went out after its time: %+v", actions)
 	}
 }
 
 func TestDrainingAndGoneGetNothing(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	r.list(ListDelta, Entry{Server: addr(0), Health: Draining, Weight: 1})
+	r.list(UpdateDelta, Endpoint{Server: addr(0), Health: Draining, Weight: 1})
 	for key := range uint64(20) {
 		id, s := r.sent(0, key+1)
 		if s == addr(0) {
@@ -229,7 +229,7 @@
 		}
 		r.outcome(id, 0, s, OK, 20)
 	}
-	r.list(ListFull, Entry{Server: addr(0), Health: Ready, Weight: 1})
+	r.list(UpdateComplete, Endpoint{Server: addr(0), Health: Ready, Weight: 1})
 	for key := range uint64(20) {
 		id, s := r.sent(0, key+1)
 		if s == addr(1) {
@@ -243,7 +243,7 @@
 	r := newRig(t, testSettings(), 0)
 	id, actions := r.ask(1, 1)
 	for range 130 {
-		if a := find(actions, ActRefuse); a != nil {
+		if a := find(actions, ActionReject); a != nil {
 			if a.Request != id {
 				t.Fatalf("refused %d, want %d", a.Request, id)
 			}
@@ -257,7 +257,7 @@
 // A cold server gets no more than its share by ramp, even after a quiet time.
 func TestColdServerBudget(t *testing.T) {
 	r := newRig(t, testSettings(), 5)
-	r.list(ListDelta, Entry{Server: addr(4), Health: Ready, Weight: 1, SinceMs: r.now - 10})
+	r.list(UpdateDelta, Endpoint{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now - 10})
 	got, all := 0, 2000
 	for range all {
 		r.now++
@@ -324,7 +324,7 @@
 		t.Errorf("limit %.2f with a high calm, want %.2f", l, crowdShare)
 	}
 	r := newRig(t, testSettings(), 1)
-	r.list(ListDelta, Entry{Server: addr(1), Health: Ready, Weight: 1, SinceMs: r.now})
+	r.list(UpdateDelta, Endpoint{Server: addr(1), Health: Ready, Weight: 1, StartedMs: r.now})
 	r.b.calmLat = 0.2
 	if cold, warm := r.b.limit(r.b.byAddr[addr(1)]), r.b.limit(r.b.byAddr[addr(0)]); cold < 2*warm {
 		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", cold, warm)
@@ -352,7 +352,7 @@
 		id, s := r.sent(0, uint64(r.b.rng.Int64()))
 		r.outcome(id, 0, s, OK, 20)
 	}
-	r.list(ListDelta, Entry{Server: addr(2), Health: Ready, Weight: 1, SinceMs: r.now})
+	r.list(UpdateDelta, Endpoint{Server: addr(2), Health: Ready, Weight: 1, StartedMs: r.now})
 	r.b.byAddr[addr(2)].sentAt = 0
 	for i := range 2 {
 		r.b.demote(r.b.byAddr[addr(i)], true)
@@ -367,7 +367,7 @@
 	r := newRig(t, testSettings(), 3)
 	id, s := r.sent(0, 9)
 	r.outcome(id, 0, s, ConnectFailed, 100)
-	r.now += r.b.set.Contract.TipAfterMs + 500
+	r.now += r.b.set.Contract.OverloadWindowMs + 500
 	for key := uint64(9); ; key++ {
 		id, to := r.sent(0, 9)
 		r.now += 20
@@ -462,7 +462,7 @@
 	}
 	free := 0
 	for key := uint64(100); key < 140; key++ {
-		if _, actions := r.ask(0, key); find(actions, ActSend) != nil {
+		if _, actions := r.ask(0, key); find(actions, ActionForward) != nil {
 			free++
 		}
 	}
@@ -483,7 +483,7 @@
 	}
 	grown := srv.window.Size()
 	for range 200 {
-		if id, actions := r.ask(0, 1); find(actions, ActSend) != nil {
+		if id, actions := r.ask(0, 1); find(actions, ActionForward) != nil {
 			r.now += 140
 			r.outcome(id, 0, srv.id, OK, 140)
 		}
@@ -503,10 +503,10 @@
 	r := newRig(t, testSettings(), 1)
 	id, s := r.sent(0, 5)
 	r.now += 200
-	r.do(Event{Kind: EvDropped, Request: id})
+	r.do(Event{Kind: EventClientDisconnected, Request: id})
 	r.outcome(id, 0, s, Cancelled, 200)
 	r.id++
-	r.do(Event{Kind: EvRequest, Request: r.id, Class: 0, Key: 5, LeftMs: 600, Retry: true})
+	r.do(Event{Kind: EventRequest, Request: r.id, Class: 0, Key: 5, RemainingMs: 600, Retry: true})
 	if q := r.b.requests[r.id]; q == nil || q.aimAt-r.now > 101 {
 		t.Error("a retry was given the whole aim again")
 	}
@@ -514,21 +514,21 @@
 
 func TestListIsFollowedAgainAfterFailures(t *testing.T) {
 	set := testSettings()
-	set.Membership = "on_request"
+	set.DiscoveryMode = "on_request"
 	b, err := New(set, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := find(b.Start(0, nil), ActTimer)
-	if first == nil || first.Ms > set.Contract.AskWithinMs {
+	first := find(b.Start(0, nil), ActionTimer)
+	if first == nil || first.DurationMs > set.Contract.PollIntervalMs {
 		t.Fatalf("no subscription within the contract's time: %+v", first)
 	}
-	if find(b.Handle(first.Ms, &Event{Kind: EvTimer, Token: first.Token}, nil), ActFollow) == nil {
+	if find(b.Handle(first.DurationMs, &Event{Kind: EventTimer, Token: first.Token}, nil), ActionWatchEndpoints) == nil {
 		t.Fatal("the timer did not subscribe")
 	}
 	for range 8 {
-		again := find(b.Handle(first.Ms, &Event{Kind: EvList, List: ListFailed}, nil), ActTimer)
-		if again == nil || again.Ms > set.Contract.AskWithinMs {
+		again := find(b.Handle(first.DurationMs, &Event{Kind: EventEndpointUpdate, Update: UpdateFailed}, nil), ActionTimer)
+		if again == nil || again.DurationMs > set.Contract.PollIntervalMs {
 			t.Fatalf("a failed call was not repeated in the contract's time: %+v", again)
 		}
 	}
@@ -543,15 +543,15 @@
 		within, most float64
 	}{{1, 10_000, 1000}, {6, 10_000, 1000}, {30, 10_000, 1800}, {80, 10_000, 4000}, {300, 10_000, 4000}, {470, 60_000, 4000}, {300, 1600, 1600}} {
 		set := testSettings()
-		set.Membership, set.Contract.AskWithinMs, set.Replicas = "on_request", c.within, c.agents
+		set.DiscoveryMode, set.Contract.PollIntervalMs, set.Replicas = "on_request", c.within, c.agents
 		b, err := New(set, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.Start(0, nil)
 		for n := range 200 {
-			again := find(b.Handle(float64(n), &Event{Kind: EvList, List: ListFailed}, nil), ActTimer)
-			if again == nil || again.Ms > c.most || n > 20 && again.Ms < c.most/2 {
+			again := find(b.Handle(float64(n), &Event{Kind: EventEndpointUpdate, Update: UpdateFailed}, nil), ActionTimer)
+			if again == nil || again.DurationMs > c.most || n > 20 && again.DurationMs < c.most/2 {
 				t.Fatalf("%d agents, asked within %v ms: failure %d is followed by %+v, want %v ms at the most", c.agents, c.within, n+1, again, c.most)
 			}
 		}
@@ -561,12 +561,12 @@
 func TestSettingsThatMakeNoSense(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
 		"classes":             func(s *Settings) { s.Classes = nil },
-		"classes[0].aimMs":    func(s *Settings) { s.Classes[0].AimMs = math.NaN() },
-		"classes[1].giveUpMs": func(s *Settings) { s.Classes[1].GiveUpMs = -1 },
+		"classes[0].aimMs":    func(s *Settings) { s.Classes[0].LatencyObjectiveMs = math.NaN() },
+		"classes[1].giveUpMs": func(s *Settings) { s.Classes[1].ClientTimeoutMs = -1 },
 		"classes[0].effect":   func(s *Settings) { s.Classes[0].Effect = "maybe" },
-		"classes[2].group":    func(s *Settings) { s.Classes[2].Group = "moon" },
-		"contract.coldMs":     func(s *Settings) { s.Contract.ColdMs = -5 },
-		"membershipMode":      func(s *Settings) { s.Membership = "" },
+		"classes[2].group":    func(s *Settings) { s.Classes[2].DedupScope = "moon" },
+		"contract.coldMs":     func(s *Settings) { s.Contract.SlowStartMs = -5 },
+		"membershipMode":      func(s *Settings) { s.DiscoveryMode = "" },
 	} {
 		s := testSettings()
 		spoil(&s)
@@ -587,10 +587,10 @@
 
 func ExampleBalancer() {
 	settings := Settings{
-		Classes:    []Class{{Name: "read", AimMs: 200, GiveUpMs: 800, Effect: Free, Credit: 1}},
-		Limits:     Limits{MaxAttempts: 3},
-		Membership: "pushed",
-		RoundMs:    5,
+		Classes:         []Class{{Name: "read", LatencyObjectiveMs: 200, ClientTimeoutMs: 800, Effect: Idempotent, PriorityWeight: 1}},
+		Limits:          Limits{MaxAttempts: 3},
+		DiscoveryMode:   "pushed",
+		BatchIntervalMs: 5,
 	}
 	b, err := New(settings, 42)
 	if err != nil {
@@ -599,10 +599,10 @@
 	}
 	now := 1000.0
 	b.Start(now, nil)
-	list := []Entry{{Server: Addr{10, 0, 0, 1, 0x1f, 0x90}, Health: Ready, Weight: 1}}
-	b.Handle(now, &Event{Kind: EvList, List: ListFull, Entries: list}, nil)
-	for _, a := range b.Handle(now, &Event{Kind: EvRequest, Request: 1, Key: 7, LeftMs: 800}, nil) {
-		if a.Kind == ActSend {
+	list := []Endpoint{{Server: Addr{10, 0, 0, 1, 0x1f, 0x90}, Health: Ready, Weight: 1}}
+	b.Handle(now, &Event{Kind: EventEndpointUpdate, Update: UpdateComplete, Endpoints: list}, nil)
+	for _, a := range b.Handle(now, &Event{Kind: EventRequest, Request: 1, Key: 7, RemainingMs: 800}, nil) {
+		if a.Kind == ActionForward {
 			fmt.Println("send request", a.Request, "to", a.Server)
 		}
 	}
@@ -626,8 +626,8 @@
 	for range 40 {
 		ids, tos = ids[:0], tos[:0]
 		for range 3 {
-			if id, actions := r.ask(0, r.b.rng.Uint64()); find(actions, ActSend) != nil {
-				ids, tos = append(ids, id), append(tos, find(actions, ActSend).Server)
+			if id, actions := r.ask(0, r.b.rng.Uint64()); find(actions, ActionForward) != nil {
+				ids, tos = append(ids, id), append(tos, find(actions, ActionForward).Server)
 			}
 		}
 		r.now += 20
@@ -643,7 +643,7 @@
 // i7e1314: the class of least worth was starved though the worst class counts.
 func TestWorstClassCountsAmongHeld(t *testing.T) {
 	set := testSettings()
-	set.Objective = Objective{Whole: 0.5, WorstClass: 0.5}
+	set.Objective = Objective{Total: 0.5, WorstClass: 0.5}
 	r := newRig(t, set, 2)
 	once, free := &request{class: 1, aimAt: r.now + 500}, &request{class: 0, aimAt: r.now + 500}
 	for range 500 { // of class 1 all are served, of class 0 none
@@ -683,16 +683,16 @@
 	r := newRig(t, set, 4)
 	id, s := r.sent(0, 3)
 	r.now += 30
-	r.do(Event{Kind: EvStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
+	r.do(Event{Kind: EventResponseStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
 	for range 200 {
 		for _, a := range r.tick(10) {
-			if a.Request == id && a.Kind != ActTimer {
+			if a.Request == id && a.Kind != ActionTimer {
 				t.Fatalf("action %+v for a request whose answer streams", a)
 			}
 		}
 	}
-	actions := r.do(Event{Kind: EvOutcome, Request: id, Attempt: 0, Server: s, Status: Reset, LatencyMs: 2000, Final: true})
-	if find(actions, ActSend) != nil || find(actions, ActFail) != nil || len(r.b.requests) != 0 {
+	actions := r.do(Event{Kind: EventAttemptEnded, Request: id, Attempt: 0, Server: s, Status: Reset, LatencyMs: 2000, Final: true})
+	if find(actions, ActionForward) != nil || find(actions, ActionFail) != nil || len(r.b.requests) != 0 {
 		t.Errorf("a stream that broke: %+v, %d requests kept", actions, len(r.b.requests))
 	}
 }
@@ -701,14 +701,14 @@
 // cold server many times its share.
 func TestColdServerEarnsByWhatIsServedOnly(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	r.list(ListDelta, Entry{Server: addr(4), Health: Ready, Weight: 1, SinceMs: r.now})
+	r.list(UpdateDelta, Endpoint{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now})
 	cold := r.b.byAddr[addr(4)]
 	first := cold.credit
 	for range 50 {
 		r.now += 5
 		id, actions := r.ask(1, r.b.rng.Uint64())
-		if a := find(actions, ActSend); a != nil {
-			r.outcome(id, 0, a.Server, Full, 1)
+		if a := find(actions, ActionForward); a != nil {
+			r.outcome(id, 0, a.Server, Rejected, 1)
 		}
 	}
 	if cold.credit > first || r.b.flow > 0 {
@@ -758,7 +758,7 @@
 				continue
 			}
 			for try := 0; ; try++ {
-				a := find(r.outcome(id, try, s, Full, 1), ActSend)
+				a := find(r.outcome(id, try, s, Rejected, 1), ActionForward)
 				if a == nil {
 					break
 				}
@@ -780,13 +780,13 @@
 		closes          bool
 	}{{1000, 0.05, 0.05, true}, {10, 0.05, 0.05, false}, {1000, 0, 0, false}, {1000, 0, 0.05, false}} {
 		set := testSettings()
-		set.Replicas, set.Prices.Open, set.Prices.Handshake = c.agents, c.open, c.handshake
+		set.Replicas, set.Prices.Connection, set.Prices.Handshake = c.agents, c.open, c.handshake
 		r := newRig(t, set, 8)
 		closed := 0
 		for range 200 {
 			r.now += 50
 			id, s := r.sent(0, r.b.rng.Uint64())
-			if a := find(r.outcome(id, 0, s, OK, 20), ActClose); a != nil && a.Server == s {
+			if a := find(r.outcome(id, 0, s, OK, 20), ActionCloseIdle); a != nil && a.Server == s {
 				closed++
 			}
 		}
@@ -800,7 +800,7 @@
 // and each request sent the next.
 func TestProbesAreFewerThanRequests(t *testing.T) {
 	set := testSettings()
-	set.Limits.Probing = true
+	set.Limits.HealthChecks = true
 	r := newRig(t, set, 6)
 	for i := range 4 {
 		r.b.demote(r.b.byAddr[addr(i)], true)
@@ -809,15 +809,15 @@
 	for range 200 {
 		r.now += 50
 		id, actions := r.ask(0, r.b.rng.Uint64())
-		sent := find(actions, ActSend)
+		sent := find(actions, ActionForward)
 		for _, a := range actions {
-			if a.Kind == ActProbe {
+			if a.Kind == ActionHealthCheck {
 				probes++
-				r.do(Event{Kind: EvProbed, Server: a.Server, Status: Full, LatencyMs: 1})
+				r.do(Event{Kind: EventHealthCheckEnded, Server: a.Server, Status: Rejected, LatencyMs: 1})
 			}
 		}
 		if sent != nil {
-			r.outcome(id, 0, sent.Server, Full, 1)
+			r.outcome(id, 0, sent.Server, Rejected, 1)
 		}
 	}
 	if probes == 0 || probes > 30 {
@@ -832,7 +832,7 @@
 		end  Status
 		rtt  float64
 		want bool
-	}{{OK, 20, false}, {OK, 500, true}, {Full, 1, true}, {Timeout, 600, true}, {Error, 5, false}} {
+	}{{OK, 20, false}, {OK, 500, true}, {Rejected, 1, true}, {Timeout, 600, true}, {Error, 5, false}} {
 		set := testSettings()
 		set.Limits.MaxAttempts = 1
 		r := newRig(t, set, 6)
@@ -840,10 +840,10 @@
 		for range 200 {
 			r.now += 500
 			id, actions := r.ask(0, r.b.rng.Uint64())
-			if a := find(actions, ActSend); a != nil {
+			if a := find(actions, ActionForward); a != nil {
 				r.now += c.rtt
 				r.outcome(id, 0, a.Server, c.end, c.rtt)
-			} else if find(actions, ActRefuse) != nil {
+			} else if find(actions, ActionReject) != nil {
 				refused++
 			}
 		}
@@ -862,19 +862,19 @@
 		passed bool
 	}{{"calm", false}, {"full", true}, {"late", true}, {"reported", true}, {"all", false}} {
 		set := testSettings()
-		set.Report = Report{How: "inline", Names: []string{"eps", "inflight"}}
+		set.Report = ReportFormat{Delivery: "inline", Names: []string{"eps", "inflight"}}
 		r := newRig(t, set, 6)
 		for range 40 {
 			r.now += 500
 			id, s := r.sent(0, r.b.rng.Uint64())
-			r.do(Event{Kind: EvOutcome, Request: id, Server: s, Status: OK, LatencyMs: 20, Final: true,
+			r.do(Event{Kind: EventAttemptEnded, Request: id, Server: s, Status: OK, LatencyMs: 20, Final: true,
 				Report: []float32{0, 2}})
 		}
 		id, s := r.sent(0, 7)
-		ev := Event{Kind: EvOutcome, Request: id, Server: s, Status: OK, LatencyMs: 20, Final: true}
+		ev := Event{Kind: EventAttemptEnded, Request: id, Server: s, Status: OK, LatencyMs: 20, Final: true}
 		switch c.crowd {
 		case "full":
-			ev.Status, ev.Final = Full, false
+			ev.Status, ev.Final = Rejected, false
 		case "late":
 			ev.LatencyMs = 400
 		case "reported":
@@ -905,7 +905,7 @@
 	}
 	id, s := r.sent(0, 7)
 	r.now++
-	r.do(Event{Kind: EvOutcome, Request: id, Server: s, Status: Full, LatencyMs: 1})
+	r.do(Event{Kind: EventAttemptEnded, Request: id, Server: s, Status: Rejected, LatencyMs: 1})
 	r.b.byAddr[s].window.Reset(9)
 	if _, again := r.sent(0, 7); again != s {
 		t.Errorf("the key's next request went to %v after %v", again, s)
@@ -926,7 +926,7 @@
 				s.window.Reset(100) // the cap alone is to bound it
 			}
 			id, actions := r.ask(0, 7)
-			if a := find(actions, ActSend); a != nil {
+			if a := find(actions, ActionForward); a != nil {
 				n[a.Server]++
 				ids, at = append(ids, id), append(at, a.Server)
 			}
@@ -945,21 +945,21 @@
 	for range 300 { // half of the attempts are turned away, as each goes again
 		r.now += 10
 		id, actions := r.ask(0, r.b.rng.Uint64())
-		for n, st := range []Status{Full, OK} {
-			if a := find(actions, ActSend); a != nil {
+		for n, st := range []Status{Rejected, OK} {
+			if a := find(actions, ActionForward); a != nil {
 				actions = r.outcome(id, n, a.Server, st, 1)
 			}
 		}
-		r.do(Event{Kind: EvDropped, Request: id})
+		r.do(Event{Kind: EventClientDisconnected, Request: id})
 	}
 	turned := burst(r)
 	for range 3000 {
 		r.now += 10
 		id, actions := r.ask(0, r.b.rng.Uint64())
-		if a := find(actions, ActSend); a != nil {
+		if a := find(actions, ActionForward); a != nil {
 			r.outcome(id, 0, a.Server, OK, 20)
 		}
-		r.do(Event{Kind: EvDropped, Request: id})
+		r.do(Event{Kind: EventClientDisconnected, Request: id})
 	}
 	if again := burst(r); turned >= calm || again < calm {
 		t.Errorf("at one server at most %d of 12 when calm, %d while attempts are turned away, %d after", calm, turned, again)
@@ -969,7 +969,7 @@
 // Reports may be nonsense; none of it reaches a decision.
 func TestReportsOfNonsenseAreNoCrowd(t *testing.T) {
 	set := testSettings()
-	set.Report = Report{How: "inline", Names: []string{"inflight"}}
+	set.Report = ReportFormat{Delivery: "inline", Names: []string{"inflight"}}
 	r := newRig(t, set, 3)
 	nan, inf := float32(math.NaN()), float32(math.Inf(1))
 	for _, report := range [][]float32{nil, {nan}, {inf}, {-inf}, {-3}} {
@@ -989,14 +989,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		entries := make([]Entry, 20)
+		entries := make([]Endpoint, 20)
 		for i := range entries {
-			entries[i] = Entry{Server: addr(i), Health: Ready, Weight: 1}
+			entries[i] = Endpoint{Server: addr(i), Health: Ready, Weight: 1}
 		}
 		r.b = b
-		r.list(ListFull, entries...)
-		entries[19].SinceMs = r.now - 2000
-		r.list(ListFull, entries...)
+		r.list(UpdateComplete, entries...)
+		entries[19].StartedMs = r.now - 2000
+		r.list(UpdateComplete, entries...)
 		for range 20 {
 			r.now += 100
 			id, s := r.sent(0, r.b.rng.Uint64())
@@ -1021,7 +1021,7 @@
 		for range 400 {
 			r.now += 500
 			id, actions := r.ask(0, r.b.rng.Uint64())
-			if a := find(actions, ActSend); a != nil {
+			if a := find(actions, ActionForward); a != nil {
 				r.now += rtt
 				r.outcome(id, 0, a.Server, OK, rtt)
 			}
@@ -1032,7 +1032,7 @@
 		t.Errorf("own zone in time: weight %.1f, want much", w)
 	}
 	for _, w := range []float64{weight(0.1, 500), weight(0, 20)} {
-		if w != OwnLeast {
+		if w != MinLocalityWeight {
 			t.Errorf("own zone late, or crossing free: weight %.1f, want the least", w)
 		}
 	}
@@ -1044,9 +1044,9 @@
 	for _, c := range []struct {
 		after float64
 		want  ActionKind
-	}{{100, ActRefuse}, {550, ActFail}} {
+	}{{100, ActionReject}, {550, ActionFail}} {
 		set := testSettings()
-		set.Classes[2].Group, set.Limits.MaxAttempts = GroupAll, 1
+		set.Classes[2].DedupScope, set.Limits.MaxAttempts = ScopeAll, 1
 		r := newRig(t, set, 4)
 		id, s := r.sent(2, 5)
 		r.now += c.after
@@ -1060,12 +1060,12 @@
 func TestNumbersThatMakeNoSense(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, math.MaxFloat64} {
 		r := newRig(t, testSettings(), 3)
-		r.list(ListFull, Entry{Server: addr(0), Health: Ready, Weight: x, SinceMs: x},
-			Entry{Server: addr(1), Health: Ready, Weight: 1, SinceMs: -x})
+		r.list(UpdateComplete, Endpoint{Server: addr(0), Health: Ready, Weight: x, StartedMs: x},
+			Endpoint{Server: addr(1), Health: Ready, Weight: 1, StartedMs: -x})
 		id, s := r.sent(0, 7)
-		r.do(Event{Kind: EvOutcome, Request: id, Server: s, Status: OK, LatencyMs: x, Final: true})
-		r.do(Event{Kind: EvRequest, Request: 99, LeftMs: x, HintMs: x, HasHint: true, Attempt: -1})
-		r.do(Event{Kind: EvOutcome, Request: 99, Attempt: -1, Server: s, Status: OK})
+		r.do(Event{Kind: EventAttemptEnded, Request: id, Server: s, Status: OK, LatencyMs: x, Final: true})
+		r.do(Event{Kind: EventRequest, Request: 99, RemainingMs: x, WorkHintMs: x, HasWorkHint: true, Attempt: -1})
+		r.do(Event{Kind: EventAttemptEnded, Request: 99, Attempt: -1, Server: s, Status: OK})
 		for _, srv := range r.b.servers {
 			if w := r.b.score(&request{spot: 3}, srv); math.IsNaN(w) || math.IsNaN(srv.lat) || srv.startedAt > r.now {
 				t.Errorf("%v: server %v has score %v, time %v, start %v", x, srv.id, w, srv.lat, srv.startedAt)
@@ -1090,9 +1090,9 @@
 		}
 		for _, a := range r.outcome(id, 0, s, status, 5) {
 			switch a.Kind {
-			case ActRefuse, ActFail:
+			case ActionReject, ActionFail:
 				refused++
-			case ActSend:
+			case ActionForward:
 				r.outcome(id, 1, a.Server, OK, 5)
 			}
 		}
@@ -1139,17 +1139,17 @@
 func TestNothingSentEndsBeforeHalfTheTime(t *testing.T) {
 	for _, reached := range []bool{false, true} {
 		set := testSettings()
-		set.Classes[0].LateShare, set.Classes[0].AimMs = 0.5, 1000 // so that patience ends later
+		set.Classes[0].LateCredit, set.Classes[0].LatencyObjectiveMs = 0.5, 1000 // so that patience ends later
 		r := newRig(t, set, 1)
 		srv := r.b.byAddr[addr(0)]
 		srv.window.Reset(1)
 		if reached {
 			id, s := r.sent(0, 7)
-			r.outcome(id, 0, s, Full, 1)
+			r.outcome(id, 0, s, Rejected, 1)
 		}
 		srv.usable = false // no room for anyone
 		id, actions := r.ask(0, 7)
-		if find(actions, ActSend) != nil {
+		if find(actions, ActionForward) != nil {
 			t.Fatal("sent to a server that is not usable")
 		}
 		q := r.b.requests[id]
@@ -1158,7 +1158,7 @@
 		ended := math.Inf(1)
 		for from := r.now; r.now < q.deadline && math.IsInf(ended, 1); {
 			for _, a := range r.tick(5) {
-				if a.Request == id && (a.Kind == ActRefuse || a.Kind == ActFail) {
+				if a.Request == id && (a.Kind == ActionReject || a.Kind == ActionFail) {
 					ended = r.now - from
 				}
 			}
@@ -1173,13 +1173,13 @@
 // may tell of the restart later, or never.
 func TestBannedServer(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	entry := func(banned bool) Entry {
-		return Entry{Server: addr(0), Health: Ready, Weight: 1, Banned: banned}
+	entry := func(banned bool) Endpoint {
+		return Endpoint{Server: addr(0), Health: Ready, Weight: 1, Cordoned: banned}
 	}
 	sent := func(n int) (to [2]int) {
 		for range n {
 			id, out := r.ask(0, 0)
-			if a := find(out, ActSend); a != nil {
+			if a := find(out, ActionForward); a != nil {
 				to[a.Server[3]]++
 				r.outcome(id, 0, a.Server, OK, 5)
 			}
@@ -1190,12 +1190,12 @@
 	if to := sent(200); to[0] == 0 {
 		t.Fatal("the server is never used")
 	}
-	r.list(ListOther, entry(true))
-	r.list(ListFull, entry(true), Entry{Server: addr(1), Health: Ready, Weight: 1})
+	r.list(UpdateOtherSource, entry(true))
+	r.list(UpdateComplete, entry(true), Endpoint{Server: addr(1), Health: Ready, Weight: 1})
 	if to := sent(200); to[0] != 0 || to[1] != 200 {
 		t.Errorf("while banned: %v", to)
 	}
-	r.list(ListOther, entry(false))
+	r.list(UpdateOtherSource, entry(false))
 	s := r.b.byAddr[addr(0)]
 	if s.state != Unknown || r.b.ramp(s) >= 1 || s.window.Size() != 1 {
 		t.Errorf("after the ban: state %v, ramp %v, window %v: not cold", s.state, r.b.ramp(s), s.window.Size())
@@ -1204,14 +1204,14 @@
 		t.Errorf("in the first 4 s after the ban: %v", to)
 	}
 	// Whatever the list has told of a restart meanwhile.
-	r.list(ListOther, entry(true))
+	r.list(UpdateOtherSource, entry(true))
 	r.now += 5000
 	told := entry(true)
-	told.SinceMs = r.now - 3000
-	r.list(ListDelta, told)
+	told.StartedMs = r.now - 3000
+	r.list(UpdateDelta, told)
 	r.now += 1000
-	told.Banned = false
-	r.list(ListOther, told)
+	told.Cordoned = false
+	r.list(UpdateOtherSource, told)
 	if s.startedAt != r.now || s.state != Unknown {
 		t.Errorf("called back at %v, counted from %v", r.now, s.startedAt)
 	}
@@ -1223,16 +1223,16 @@
 	r := newRig(t, testSettings(), 1)
 	r.id++
 	id := r.id
-	out := r.do(Event{Kind: EvRequest, Request: id, Class: 1, LeftMs: 600, Stream: true})
-	if find(out, ActSend) == nil {
+	out := r.do(Event{Kind: EventRequest, Request: id, Class: 1, RemainingMs: 600, StreamedBody: true})
+	if find(out, ActionForward) == nil {
 		t.Fatal("not sent")
 	}
 	s := r.b.byAddr[addr(0)]
 	for range 100 { // 10 s, with others on the server
 		r.now += 100
-		r.do(Event{Kind: EvTimer, Token: tickToken})
+		r.do(Event{Kind: EventTimer, Token: tickToken})
 		other, out := r.ask(1, 0)
-		if find(out, ActSend) == nil {
+		if find(out, ActionForward) == nil {
 			t.Fatal("the server is taken")
 		}
 		r.outcome(other, 0, addr(0), OK, 20)
@@ -1240,12 +1240,12 @@
 	if s.state != Connected || len(s.out) != 0 || r.b.inflight != 0 {
 		t.Errorf("state %v, %d out, %d in flight", s.state, len(s.out), r.b.inflight)
 	}
-	r.do(Event{Kind: EvWritten, Request: id, Attempt: 0, LeftMs: 600})
+	r.do(Event{Kind: EventBodyWritten, Request: id, Attempt: 0, RemainingMs: 600})
 	q := r.b.requests[id]
 	if len(s.out) != 1 || r.b.inflight != 1 || q.deadline < r.now+590 || q.deadline > r.now+600 || q.aimAt != r.now+300 {
 		t.Errorf("written: %d out, deadline in %v, aim in %v", len(s.out), q.deadline-r.now, q.aimAt-r.now)
 	}
-	r.do(Event{Kind: EvWritten, Request: id, Attempt: 0, LeftMs: 600}) // told twice
+	r.do(Event{Kind: EventBodyWritten, Request: id, Attempt: 0, RemainingMs: 600}) // told twice
 	r.outcome(id, 0, addr(0), OK, 20)
 	if len(s.out) != 0 || r.b.inflight != 0 || len(r.b.requests) != 0 {
 		t.Errorf("in the end %d out, %d in flight, %d requests", len(s.out), r.b.inflight, len(r.b.requests))
@@ -1253,8 +1253,8 @@
 	// One that ends before it is written takes nothing back that it never took.
 	r.id++
 	id = r.id
-	r.do(Event{Kind: EvRequest, Request: id, Class: 1, LeftMs: 600, Stream: true})
-	r.do(Event{Kind: EvOutcome, Request: id, Attempt: 0, Server: addr(0), Status: Moot, Final: true})
+	r.do(Event{Kind: EventRequest, Request: id, Class: 1, RemainingMs: 600, StreamedBody: true})
+	r.do(Event{Kind: EventAttemptEnded, Request: id, Attempt: 0, Server: addr(0), Status: NotStarted, Final: true})
 	if len(s.out) != 0 || r.b.inflight != 0 || len(r.b.requests) != 0 {
 		t.Errorf("withdrawn: %d out, %d in flight, %d requests", len(s.out), r.b.inflight, len(r.b.requests))
 	}
@@ -1276,7 +1276,7 @@
 		var out []RequestID
 		for range crowd {
 			id, actions := r.ask(1, 0)
-			if find(actions, ActSend) != nil {
+			if find(actions, ActionForward) != nil {
 				out = append(out, id)
 			}
 		}
@@ -1289,12 +1289,12 @@
 			r.now += 115
 			actions := r.outcome(id, 0, addr(0), OK, 115)
 			for _, a := range actions {
-				if a.Kind == ActSend {
+				if a.Kind == ActionForward {
 					out = append(out, a.Request)
 				}
 			}
 			next, actions := r.ask(1, 0)
-			if a := find(actions, ActSend); a != nil && a.Request == next {
+			if a := find(actions, ActionForward); a != nil && a.Request == next {
 				out = append(out, next)
 			}
 		}
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -19,7 +19,7 @@
 	next     RequestID
 	reqs     map[RequestID]*worldReq
 	timers   []worldTimer
-	list     map[Addr]Entry
+	list     map[Addr]Endpoint
 	badSince map[Addr]float64 // told that it drains or is gone
 	history  []Action
 	// ticking: where nothing is held and no server is silent, it ticks at each step though not asked to.
@@ -49,22 +49,22 @@
 
 func randomSettings(rng *rand.Rand) Settings {
 	s := testSettings()
-	s.Limits.ParallelTries = rng.IntN(2) == 0
+	s.Limits.HedgedRequests = rng.IntN(2) == 0
 	s.Limits.Cancelling = rng.IntN(2) == 0
-	s.Limits.Probing = rng.IntN(2) == 0
+	s.Limits.HealthChecks = rng.IntN(2) == 0
 	s.Limits.MaxAttempts = 1 + rng.IntN(5)
-	s.Classes[2].Group = []Group{GroupAll, GroupZone, GroupCell}[rng.IntN(3)]
-	s.Classes[2].KeyTTLMs = 100 + 900*rng.Float64()
+	s.Classes[2].DedupScope = []DedupScope{ScopeAll, ScopeZone, ScopeCell}[rng.IntN(3)]
+	s.Classes[2].IdempotencyWindowMs = 100 + 900*rng.Float64()
 	for i := range s.Classes {
-		s.Classes[i].AimMs = 50 + 400*rng.Float64()
-		s.Classes[i].LateShare = []float64{0, 0.2}[rng.IntN(2)]
+		s.Classes[i].LatencyObjectiveMs = 50 + 400*rng.Float64()
+		s.Classes[i].LateCredit = []float64{0, 0.2}[rng.IntN(2)]
 	}
 	if rng.IntN(2) == 0 {
-		s.Membership = "on_request"
+		s.DiscoveryMode = "on_request"
 	}
 	if rng.IntN(2) == 0 {
-		s.Tenants = []Tenant{{Name: "a", Portion: 0.7}, {Name: "b", Portion: 0.3}}
-		s.OverShareWorth = 0.1
+		s.Tenants = []Tenant{{Name: "a", QuotaWeight: 0.7}, {Name: "b", QuotaWeight: 0.3}}
+		s.OverQuotaWeight = 0.1
 	}
 	s.Clients.MarksRetry = rng.IntN(2) == 0
 	return s
@@ -75,15 +75,15 @@
 	for _, a := range actions {
 		r := w.reqs[a.Request]
 		switch a.Kind {
-		case ActSend:
+		case ActionForward:
 			w.checkSend(r, &a)
 			ends := w.now + 1 + 150*w.rng.Float64()
-			st := []Status{OK, OK, OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset}[w.rng.IntN(10)]
+			st := []Status{OK, OK, OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset}[w.rng.IntN(10)]
 			if st == Timeout {
-				ends = w.now + a.Ms
+				ends = w.now + a.DurationMs
 			}
-			r.tries = append(r.tries, &worldTry{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.Ms), status: st})
-		case ActRefuse, ActFail:
+			r.tries = append(r.tries, &worldTry{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.DurationMs), status: st})
+		case ActionReject, ActionFail:
 			if r.final++; r.final > 1 {
 				w.t.Fatalf("request %d: a second final answer", a.Request)
 			}
@@ -91,22 +91,22 @@
 				w.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, w.now-r.deadline)
 			}
 			c := w.set.Classes[r.class]
-			if a.Kind == ActRefuse && r.mayHaveRun() && (c.Effect == SingleShot || c.Effect == Guarded && c.Group != GroupAll) {
+			if a.Kind == ActionReject && r.mayHaveRun() && (c.Effect == NonIdempotent || c.Effect == IdempotentByKey && c.DedupScope != ScopeAll) {
 				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Effect)
 			}
-		case ActCancel:
+		case ActionCancel:
 			if !w.set.Limits.Cancelling {
 				w.t.Fatal("cancelled where it is not allowed")
 			}
 			if try := r.tries[a.Attempt]; !try.ended {
 				try.status, try.endsAt = Cancelled, w.now+5
 			}
-		case ActProbe:
-			if !w.set.Limits.Probing {
+		case ActionHealthCheck:
+			if !w.set.Limits.HealthChecks {
 				w.t.Fatal("probed where it is not allowed")
 			}
-		case ActTimer:
-			w.timers = append(w.timers, worldTimer{w.now + a.Ms, a.Token})
+		case ActionTimer:
+			w.timers = append(w.timers, worldTimer{w.now + a.DurationMs, a.Token})
 		}
 	}
 }
@@ -127,7 +127,7 @@
 		w.t.Fatalf("sent to %v %.0f ms after it was told to drain", a.Server, w.now-since)
 	}
 	for _, t := range r.tries {
-		if !t.ended && !w.set.Limits.ParallelTries {
+		if !t.ended && !w.set.Limits.HedgedRequests {
 			w.t.Fatalf("request %d: two attempts out at once", a.Request)
 		}
 		if t.ended && t.status.NeverRan() {
@@ -135,11 +135,11 @@
 		}
 		x, y := w.list[t.server], w.list[a.Server]
 		switch {
-		case c.Effect == SingleShot:
+		case c.Effect == NonIdempotent:
 			w.t.Fatalf("request %d sent again though it may have run", a.Request)
-		case c.Effect == Guarded && w.now-t.sentAt > c.KeyTTLMs:
+		case c.Effect == IdempotentByKey && w.now-t.sentAt > c.IdempotencyWindowMs:
 			w.t.Fatalf("request %d sent again %.0f ms after it may have run", a.Request, w.now-t.sentAt)
-		case c.Effect == Guarded && (c.Group == GroupZone && x.Zone != y.Zone || c.Group == GroupCell && x.Cell != y.Cell):
+		case c.Effect == IdempotentByKey && (c.DedupScope == ScopeZone && x.Zone != y.Zone || c.DedupScope == ScopeCell && x.Cell != y.Cell):
 			w.t.Fatalf("request %d sent again outside its group", a.Request)
 		}
 	}
@@ -148,17 +148,17 @@
 func (w *world) handle(ev Event) { w.apply(w.b.Handle(w.now, &ev, nil)) }
 
 func (w *world) step() {
-	w.now += w.set.RoundMs
+	w.now += w.set.BatchIntervalMs
 	for i := 0; i < len(w.timers); i++ {
 		if t := w.timers[i]; t.at <= w.now {
 			w.timers = slices.Delete(w.timers, i, i+1)
 			i--
-			w.handle(Event{Kind: EvTimer, Token: t.token})
+			w.handle(Event{Kind: EventTimer, Token: t.token})
 		}
 	}
 	if w.ticking && len(w.b.held) == 0 && w.b.inflight > 0 && w.b.silentAt() > w.now && w.b.tickAt > w.now+1 {
 		w.ticks++
-		w.handle(Event{Kind: EvTimer, Token: tickToken})
+		w.handle(Event{Kind: EventTimer, Token: tickToken})
 	}
 	for id := RequestID(1); id <= w.next; id++ {
 		r := w.reqs[id]
@@ -179,7 +179,7 @@
 				r.final++ // a second copy's answer changes nothing
 				r.final = min(r.final, 1)
 			}
-			w.handle(Event{Kind: EvOutcome, Request: id, Attempt: i, Server: t.server, Status: t.status,
+			w.handle(Event{Kind: EventAttemptEnded, Request: id, Attempt: i, Server: t.server, Status: t.status,
 				LatencyMs: w.now - t.sentAt, Final: r.final > 0})
 		}
 		if r.final == 0 && w.now > r.deadline+w.set.Contract.AnswerSlackMs {
@@ -193,10 +193,10 @@
 
 func (w *world) changeList() {
 	s := addr(w.rng.IntN(8))
-	e := Entry{Server: s, Zone: int(s[3]) % 2, Cell: int(s[3]) % 3, Weight: 1 + w.rng.Float64(),
-		Health: []Health{Ready, Ready, Draining, Gone}[w.rng.IntN(4)]}
+	e := Endpoint{Server: s, Zone: int(s[3]) % 2, Cell: int(s[3]) % 3, Weight: 1 + w.rng.Float64(),
+		Health: []Health{Ready, Ready, Draining, Removed}[w.rng.IntN(4)]}
 	if w.rng.IntN(3) == 0 {
-		e.SinceMs = w.now - 100*w.rng.Float64()
+		e.StartedMs = w.now - 100*w.rng.Float64()
 	}
 	w.list[s] = e
 	if e.Health == Ready {
@@ -204,7 +204,7 @@
 	} else if _, told := w.badSince[s]; !told {
 		w.badSince[s] = w.now
 	}
-	w.handle(Event{Kind: EvList, List: ListDelta, Entries: []Entry{e}})
+	w.handle(Event{Kind: EventEndpointUpdate, Update: UpdateDelta, Endpoints: []Endpoint{e}})
 }
 
 func play(t *testing.T, seed uint64) []Action { return newWorld(t, seed).play(seed, 3) }
@@ -212,7 +212,7 @@
 func newWorld(t *testing.T, seed uint64) *world {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	return &world{t: t, rng: rng, set: randomSettings(rng), now: 5000, reqs: map[RequestID]*worldReq{},
-		list: map[Addr]Entry{}, badSince: map[Addr]float64{}}
+		list: map[Addr]Endpoint{}, badSince: map[Addr]float64{}}
 }
 
 // play lets a request come in one of so many steps.
@@ -233,8 +233,8 @@
 			left := 20 + 800*rng.Float64()
 			class := rng.IntN(len(w.set.Classes))
 			w.reqs[w.next] = &worldReq{class: class, deadline: w.now + left}
-			w.handle(Event{Kind: EvRequest, Request: w.next, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
-				LeftMs: left, HasHint: rng.IntN(2) == 0, HintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
+			w.handle(Event{Kind: EventRequest, Request: w.next, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
+				RemainingMs: left, HasWorkHint: rng.IntN(2) == 0, WorkHintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
 		}
 		switch rng.IntN(40) {
 		case 0:
@@ -242,13 +242,13 @@
 		case 1:
 			if r := w.reqs[w.next]; r != nil && r.final == 0 {
 				r.final = 1
-				w.handle(Event{Kind: EvDropped, Request: w.next})
+				w.handle(Event{Kind: EventClientDisconnected, Request: w.next})
 			}
 		case 2: // what is unknown or over is ignored
-			w.handle(Event{Kind: EvOutcome, Request: 1 << 30, Server: addr(1), Status: OK})
-			w.handle(Event{Kind: EvDropped, Request: 1 << 30})
-			w.handle(Event{Kind: EvTimer, Token: 99})
-			w.handle(Event{Kind: EvList, List: ListFailed})
+			w.handle(Event{Kind: EventAttemptEnded, Request: 1 << 30, Server: addr(1), Status: OK})
+			w.handle(Event{Kind: EventClientDisconnected, Request: 1 << 30})
+			w.handle(Event{Kind: EventTimer, Token: 99})
+			w.handle(Event{Kind: EventEndpointUpdate, Update: UpdateFailed})
 		}
 	}
 	if n := len(w.b.requests); n != 0 || len(w.b.held) != 0 || w.b.inflight != 0 {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -10,38 +10,38 @@
 	for i, c := range s.Classes {
 		at := func(key string) string { return fmt.Sprintf("settings: classes[%d].%s", i, key) }
 		switch {
-		case !(c.AimMs > 0):
-			return fmt.Errorf("%s: must be above 0, is %v", at("aimMs"), c.AimMs)
-		case !(c.GiveUpMs > 0):
-			return fmt.Errorf("%s: must be above 0, is %v", at("giveUpMs"), c.GiveUpMs)
-		case !(c.Credit >= 0):
-			return fmt.Errorf("%s: must not be negative, is %v", at("credit"), c.Credit)
-		case c.Effect != Free && c.Effect != Guarded && c.Effect != SingleShot:
+		case !(c.LatencyObjectiveMs > 0):
+			return fmt.Errorf("%s: must be above 0, is %v", at("aimMs"), c.LatencyObjectiveMs)
+		case !(c.ClientTimeoutMs > 0):
+			return fmt.Errorf("%s: must be above 0, is %v", at("giveUpMs"), c.ClientTimeoutMs)
+		case !(c.PriorityWeight >= 0):
+			return fmt.Errorf("%s: must not be negative, is %v", at("credit"), c.PriorityWeight)
+		case c.Effect != Idempotent && c.Effect != IdempotentByKey && c.Effect != NonIdempotent:
 			return fmt.Errorf("%s: unknown effect %q", at("effect"), c.Effect)
-		case c.Effect == Guarded && c.Group != GroupAll && c.Group != GroupZone && c.Group != GroupCell:
-			return fmt.Errorf("%s: unknown group %q", at("group"), c.Group)
-		case c.Effect == Guarded && !(c.KeyTTLMs >= 0):
-			return fmt.Errorf("%s: must not be negative, is %v", at("keyTtlMs"), c.KeyTTLMs)
+		case c.Effect == IdempotentByKey && c.DedupScope != ScopeAll && c.DedupScope != ScopeZone && c.DedupScope != ScopeCell:
+			return fmt.Errorf("%s: unknown group %q", at("group"), c.DedupScope)
+		case c.Effect == IdempotentByKey && !(c.IdempotencyWindowMs >= 0):
+			return fmt.Errorf("%s: must not be negative, is %v", at("keyTtlMs"), c.IdempotencyWindowMs)
 		}
 	}
-	if s.Membership != "pushed" && s.Membership != "on_request" {
-		return fmt.Errorf("settings: membershipMode: unknown mode %q", s.Membership)
+	if s.DiscoveryMode != "pushed" && s.DiscoveryMode != "on_request" {
+		return fmt.Errorf("settings: membershipMode: unknown mode %q", s.DiscoveryMode)
 	}
 	for _, f := range []struct {
 		key   string
 		value float64
 	}{
 		{"contract.answerSlackMs", s.Contract.AnswerSlackMs},
-		{"contract.askWithinMs", s.Contract.AskWithinMs},
-		{"contract.coldFrom", s.Contract.ColdFrom},
-		{"contract.coldMs", s.Contract.ColdMs},
+		{"contract.askWithinMs", s.Contract.PollIntervalMs},
+		{"contract.coldFrom", s.Contract.SlowStartMinCapacity},
+		{"contract.coldMs", s.Contract.SlowStartMs},
 		{"contract.drainGraceMs", s.Contract.DrainGraceMs},
-		{"contract.fallMultiple", s.Contract.FallMultiple},
-		{"contract.tipAfterMs", s.Contract.TipAfterMs},
+		{"contract.fallMultiple", s.Contract.OverloadFactor},
+		{"contract.tipAfterMs", s.Contract.OverloadWindowMs},
 		{"limits.maxAttempts", float64(s.Limits.MaxAttempts)},
 		{"limits.maxRetryAfterMs", s.Limits.MaxRetryAfterMs},
 		{"replicasOfMe", float64(s.Replicas)},
-		{"roundMs", s.RoundMs},
+		{"roundMs", s.BatchIntervalMs},
 	} {
 		if !(f.value >= 0) {
 			return fmt.Errorf("settings: %s: must not be negative, is %v", f.key, f.value)
--- a/policy/shut_test.go
+++ b/policy/shut_test.go
@@ -14,10 +14,10 @@
 		before int // class of what comes while servers are late, and of what comes then
 		then   int
 		ending Status
-	}{{"late, one class", 0, 0, OK}, {"late, then another class", 1, 0, OK}, {"late, then a class worth more", 0, 1, OK}, {"turned away", 1, 0, Full}} {
+	}{{"late, one class", 0, 0, OK}, {"late, then another class", 1, 0, OK}, {"late, then a class worth more", 0, 1, OK}, {"turned away", 1, 0, Rejected}} {
 		set := testSettings()
 		set.Limits.MaxAttempts = 1
-		set.Objective = Objective{Whole: 0.8, WorstWindow: 0.1, WorstClass: 0.1}
+		set.Objective = Objective{Total: 0.8, WorstWindow: 0.1, WorstClass: 0.1}
 		r := newRig(t, set, 12)
 		for i := range 400 { // both classes are asked for, and all ends badly
 			class := c.before
@@ -26,21 +26,21 @@
 			}
 			r.now += 500
 			id, actions := r.ask(class, 0)
-			if a := find(actions, ActSend); a != nil {
+			if a := find(actions, ActionForward); a != nil {
 				r.now += 400
 				r.outcome(id, 0, a.Server, c.ending, 400)
-			} else if find(actions, ActRefuse) == nil {
+			} else if find(actions, ActionReject) == nil {
 				t.Fatalf("%s: neither sent nor refused", c.name)
 			}
 		}
-		if x := r.b.Shed(); x < 0.7 {
+		if x := r.b.ShedFraction(); x < 0.7 {
 			t.Fatalf("%s: sheds %.2f of a crowd", c.name, x)
 		}
 		row, longest, shut := 0, 0, 0
 		for i := range 400 { // the servers are calm
 			r.now += 250
 			id, actions := r.ask(c.then, 0)
-			if a := find(actions, ActSend); a != nil {
+			if a := find(actions, ActionForward); a != nil {
 				r.now += 20
 				r.outcome(id, 0, a.Server, OK, 20)
 				row = 0
@@ -52,7 +52,7 @@
 				shut++
 			}
 		}
-		t.Logf("%s: %d in a row not sent, %d of the last 100, sheds %.2f", c.name, longest, shut, r.b.Shed())
+		t.Logf("%s: %d in a row not sent, %d of the last 100, sheds %.2f", c.name, longest, shut, r.b.ShedFraction())
 		if longest > 12 {
 			t.Errorf("%s: %d in a row not sent to calm servers", c.name, longest)
 		}
@@ -69,12 +69,12 @@
 		set := testSettings()
 		set.Replicas = c.agents
 		for i := range set.Classes {
-			set.Classes[i].GiveUpMs = 20_000
+			set.Classes[i].ClientTimeoutMs = 20_000
 		}
 		r := newRig(t, set, c.servers)
 		ask := func() bool {
 			r.id++
-			return find(r.do(Event{Kind: EvRequest, Request: r.id, LeftMs: 20_000}), ActSend) != nil
+			return find(r.do(Event{Kind: EventRequest, Request: r.id, RemainingMs: 20_000}), ActionForward) != nil
 		}
 		r.b.most = 3
 		for range 3 {
@@ -90,7 +90,7 @@
 			}
 			longest = max(longest, r.now-last)
 			for _, h := range slices.Clone(r.b.held) { // what waits in vain
-				r.do(Event{Kind: EvDropped, Request: h.id})
+				r.do(Event{Kind: EventClientDisconnected, Request: h.id})
 			}
 		}
 		if sent < c.least || sent > c.most {
--- a/policy/slowed_test.go
+++ b/policy/slowed_test.go
@@ -70,18 +70,18 @@
 func newYard(t *testing.T, seed uint64, agents, servers int) *yard {
 	t.Helper()
 	y := &yard{rng: rand.New(rand.NewPCG(seed, 7)), at: map[Addr]*slowed{}, set: testSettings()}
-	y.set.Classes = []Class{{Name: "free", AimMs: 2400, GiveUpMs: 12_000, Effect: Free, Credit: 5},
-		{Name: "once", AimMs: 2000, GiveUpMs: 8000, Effect: SingleShot, Credit: 2}}
+	y.set.Classes = []Class{{Name: "free", LatencyObjectiveMs: 2400, ClientTimeoutMs: 12_000, Effect: Idempotent, PriorityWeight: 5},
+		{Name: "once", LatencyObjectiveMs: 2000, ClientTimeoutMs: 8000, Effect: NonIdempotent, PriorityWeight: 2}}
 	y.set.Limits.MaxAttempts, y.set.Limits.MaxRetryAfterMs = 6, 2000
 	y.set.Clients.MarksRetry = false
-	y.set.Objective = Objective{Whole: 0.8, WorstWindow: 0.1, WorstClass: 0.1}
+	y.set.Objective = Objective{Total: 0.8, WorstWindow: 0.1, WorstClass: 0.1}
 	y.fleet = newFleet(t, y.set, agents)
 	y.did, y.now = y.does, 1e6
-	var entries []Entry
+	var entries []Endpoint
 	for i := range servers {
 		s := &slowed{addr: addr(i), speed: []float64{1.3, 0.97, 0.7}[i%3], open: map[int]int{}, overAt: y.now, fullAt: y.now}
 		y.servers, y.at[s.addr] = append(y.servers, s), s
-		entries = append(entries, Entry{Server: s.addr, Health: Ready, Weight: 1})
+		entries = append(entries, Endpoint{Server: s.addr, Health: Ready, Weight: 1})
 	}
 	for i := range y.agents {
 		y.tries, y.quiet = append(y.tries, map[RequestID]yardTry{}), append(y.quiet, quiet{since: y.now})
@@ -93,13 +93,13 @@
 func (y *yard) ask(agent int, try yardTry, after float64) {
 	y.made++
 	y.tries[agent][RequestID(y.made)] = try
-	y.later(after, agent, Event{Kind: EvRequest, Request: RequestID(y.made), Class: try.class, LeftMs: try.deadline - y.now - after})
+	y.later(after, agent, Event{Kind: EventRequest, Request: RequestID(y.made), Class: try.class, RemainingMs: try.deadline - y.now - after})
 }
 
 func (y *yard) does(agent int, a *Action) {
 	q := &y.quiet[agent]
 	switch a.Kind {
-	case ActRefuse, ActFail:
+	case ActionReject, ActionFail:
 		q.refused++
 		q.look(y.now)
 		try := y.tries[agent][a.Request]
@@ -108,11 +108,11 @@
 		if try.nth++; try.nth < 3 && y.rng.Float64() < 0.6 && y.now+wait < try.deadline {
 			y.ask(agent, try, wait)
 		}
-	case ActSend:
+	case ActionForward:
 		q.look(y.now)
 		q.since, q.refused = y.now, 0
 		s, r := y.at[a.Server], y.agents[agent].requests[a.Request]
-		j := &job{agent: agent, attempt: len(r.attempts) - 1, id: a.Request, io: yardIO, sentAt: y.now, until: y.now + a.Ms,
+		j := &job{agent: agent, attempt: len(r.attempts) - 1, id: a.Request, io: yardIO, sentAt: y.now, until: y.now + a.DurationMs,
 			work: yardWork * math.Exp(0.9*y.rng.NormFloat64()-0.4)}
 		if s.open[agent] > 0 {
 			s.open[agent]--
@@ -128,11 +128,11 @@
 
 // over ends an attempt.
 func (y *yard) over(s *slowed, j *job, status Status) {
-	y.later(0, j.agent, Event{Kind: EvOutcome, Request: j.id, Attempt: j.attempt, Server: s.addr, Status: status,
+	y.later(0, j.agent, Event{Kind: EventAttemptEnded, Request: j.id, Attempt: j.attempt, Server: s.addr, Status: status,
 		LatencyMs: y.now - j.sentAt, Final: status == OK})
 	if try := y.tries[j.agent][j.id]; status == OK {
 		delete(y.tries[j.agent], j.id)
-		if s.open[j.agent]++; y.now <= try.first+y.set.Classes[try.class].AimMs {
+		if s.open[j.agent]++; y.now <= try.first+y.set.Classes[try.class].LatencyObjectiveMs {
 			y.inTime++
 		}
 	}
@@ -199,7 +199,7 @@
 				if y.rng.IntN(5) == 0 {
 					class = 1
 				}
-				y.ask(i, yardTry{class: class, first: y.now + at, deadline: y.now + at + y.set.Classes[class].GiveUpMs}, at)
+				y.ask(i, yardTry{class: class, first: y.now + at, deadline: y.now + at + y.set.Classes[class].ClientTimeoutMs}, at)
 			}
 		}
 		y.until(y.now + yardTick)
--- a/policy/state.go
+++ b/policy/state.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"slices"
 
+	"ringtrack.example/ringtrack/internal/concurrency"
 	"ringtrack.example/ringtrack/internal/limits"
-	"ringtrack.example/ringtrack/internal/room"
 )
 
 // This file holds what a Balancer remembers and plain arithmetic on it; the
@@ -36,8 +36,8 @@
 	heard     float64    // when it last answered anything
 	lat       float64    // mean answer time as a part of the aim
 	samples   int
-	window    room.Window
-	load      room.Load
+	window    concurrency.Limit
+	load      concurrency.LoadReport
 	sentAt    float64 // last attempt
 	gap       float64 // mean time between attempts
 	restUntil float64 // passed over in its tier
@@ -97,9 +97,9 @@
 	first float64
 }
 
-// Adopt has it go on by other rules: effects, groups, windows, attempts and contract may differ from those it was
+// UpdateSettings has it go on by other rules: effects, groups, windows, attempts and contract may differ from those it was
 // made with, nothing else. What is out stays out; what is decided from now on goes by them.
-func (b *Balancer) Adopt(set Settings) {
+func (b *Balancer) UpdateSettings(set Settings) {
 	if len(set.Classes) == len(b.set.Classes) {
 		b.set.Classes, b.set.Limits.MaxAttempts, b.set.Contract = set.Classes, set.Limits.MaxAttempts, set.Contract
 	}
@@ -148,12 +148,12 @@
 	answers   float64 // served so far
 	fleetLat  float64 // mean answer time as a part of the aim, all servers
 	calmLat   float64 // the same when nothing is crowded
-	warmed    *room.Warm
-	fields    room.Fields
-	portions  *limits.Portions
+	warmed    *concurrency.RecentKeys
+	fields    concurrency.ReportFields
+	portions  *limits.FairShare
 	flows     []float64 // scratch of weights
-	patience  limits.Patience
-	levels    limits.Levels
+	patience  limits.QueueTimeout
+	levels    limits.LoadShedder
 	usage     []float64 // tenants' shares of requests
 	asked     []float64 // classes' shares of requests
 	won       []float64 // and of those served in time
@@ -179,7 +179,7 @@
 		if i == class {
 			b.asked[i] += 1 - fade
 		}
-		b.credit += b.asked[i] * c.Credit
+		b.credit += b.asked[i] * c.PriorityWeight
 	}
 }
 
@@ -238,7 +238,7 @@
 		return
 	}
 	b.pasts = slices.DeleteFunc(b.pasts, func(p past) bool {
-		return b.now-p.first > b.set.Classes[p.class].GiveUpMs
+		return b.now-p.first > b.set.Classes[p.class].ClientTimeoutMs
 	})
 	if len(b.pasts) < maxHeld {
 		b.pasts = append(b.pasts, past{r.class, r.key, r.first})
@@ -282,10 +282,10 @@
 func (b *Balancer) ramp(s *server) float64 {
 	c := &b.set.Contract
 	age := b.now - s.startedAt
-	if s.startedAt <= 0 || age >= c.ColdMs || s.startedAt != s.listedAt && age > c.AskWithinMs {
+	if s.startedAt <= 0 || age >= c.SlowStartMs || s.startedAt != s.listedAt && age > c.PollIntervalMs {
 		return 1 // long past, or assumed and not borne out by the list in its time
 	}
-	return c.ColdFrom + (1-c.ColdFrom)*max(age, 0)/c.ColdMs
+	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*max(age, 0)/c.SlowStartMs
 }
 
 // warmWeight is the weight of the servers of the top tier that are not cold, counted
@@ -307,7 +307,7 @@
 // costly request counts as one of mean work; a small one is not scaled up, as its
 // time is mostly the network's.
 func (b *Balancer) partOfAim(r *request, rtt float64) float64 {
-	x := rtt / b.set.Classes[r.class].AimMs
+	x := rtt / b.set.Classes[r.class].LatencyObjectiveMs
 	if r.hint > 0 {
 		x *= min(b.meanHint/r.hint, 1)
 	}
@@ -379,7 +379,7 @@
 // finite is the event with numbers that make sense.
 func (ev *Event) finite() *Event {
 	e := *ev
-	e.LeftMs, e.HintMs, e.LatencyMs = finite(e.LeftMs), finite(e.HintMs), finite(e.LatencyMs)
+	e.RemainingMs, e.WorkHintMs, e.LatencyMs = finite(e.RemainingMs), finite(e.WorkHintMs), finite(e.LatencyMs)
 	return &e
 }
 
--- a/policy/tick_test.go
+++ b/policy/tick_test.go
@@ -24,26 +24,26 @@
 	act := func(actions []Action) {
 		for _, a := range actions {
 			switch a.Kind {
-			case ActTimer:
+			case ActionTimer:
 				if r.now-start > 1000 && r.now-start < 2000 {
 					ticks++
 				}
-				later(r.now+a.Ms, Event{Kind: EvTimer, Token: a.Token})
-			case ActSend:
+				later(r.now+a.DurationMs, Event{Kind: EventTimer, Token: a.Token})
+			case ActionForward:
 				if a.Server == addr(0) && r.now-start >= silentFrom {
 					continue
 				}
 				took := 40 + float64((int(a.Request)*31+seed)%20)
-				later(r.now+took, Event{Kind: EvOutcome, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Status: OK, LatencyMs: took, Final: true})
+				later(r.now+took, Event{Kind: EventAttemptEnded, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Status: OK, LatencyMs: took, Final: true})
 			}
 		}
 	}
 	for at := r.now; at < end; at += 20 {
-		later(at, Event{Kind: EvRequest, Request: RequestID(at), Class: 0, Key: uint64(at)*2654435761 + 1, LeftMs: 1000})
+		later(at, Event{Kind: EventRequest, Request: RequestID(at), Class: 0, Key: uint64(at)*2654435761 + 1, RemainingMs: 1000})
 	}
 	if extraMs > 0 {
 		for at := r.now + silentFrom; at < end-400; at += extraMs {
-			later(at, Event{Kind: EvTimer, Token: 99}) // looked at below
+			later(at, Event{Kind: EventTimer, Token: 99}) // looked at below
 		}
 	}
 	for len(todo) > 0 {
@@ -98,7 +98,7 @@
 			ticks.ticking = true
 			var got [2][]Action
 			for i, w := range []*world{rests, ticks} {
-				got[i] = slices.DeleteFunc(w.play(seed, 10+int(seed%4)*10), func(a Action) bool { return a.Kind == ActTimer })
+				got[i] = slices.DeleteFunc(w.play(seed, 10+int(seed%4)*10), func(a Action) bool { return a.Kind == ActionTimer })
 			}
 			if ticks.ticks < 30 {
 				t.Fatalf("ticked %d times only", ticks.ticks)
@@ -114,10 +114,10 @@
 // turned away: it waits as long as in a burst.
 func TestAQueueIsEmptyWhileTheModuleRests(t *testing.T) {
 	set := testSettings()
-	set.Classes[1] = Class{Name: "slow", AimMs: 1200, GiveUpMs: 5000, Effect: Free, Credit: 1}
+	set.Classes[1] = Class{Name: "slow", LatencyObjectiveMs: 1200, ClientTimeoutMs: 5000, Effect: Idempotent, PriorityWeight: 1}
 	r := newRig(t, set, 2)
 	const id = 1
-	a := find(r.do(Event{Kind: EvRequest, Request: id, Class: 1, LeftMs: 5000}), ActSend)
+	a := find(r.do(Event{Kind: EventRequest, Request: id, Class: 1, RemainingMs: 5000}), ActionForward)
 	if a == nil {
 		t.Fatal("not sent")
 	}
@@ -125,19 +125,19 @@
 	if s == other {
 		other = addr(0)
 	}
-	r.list(ListDelta, Entry{Server: other, Health: Ready, Weight: 1, Banned: true}) // the attempt has nowhere else to go
+	r.list(UpdateDelta, Endpoint{Server: other, Health: Ready, Weight: 1, Cordoned: true}) // the attempt has nowhere else to go
 	r.b.calmLat = 0.05
 	for range 5000 {
-		r.b.patience.Ended(false) // nearly all is refused: a queue that stands has the short wait, 180 ms
+		r.b.patience.RequestEnded(false) // nearly all is refused: a queue that stands has the short wait, 180 ms
 	}
 	r.now += 400 // over the least aim, by which a queue counts as standing
-	if find(r.outcome(id, 0, s, Full, 400), ActRefuse) != nil || len(r.b.held) != 1 {
+	if find(r.outcome(id, 0, s, Rejected, 400), ActionReject) != nil || len(r.b.held) != 1 {
 		t.Fatalf("%d held behind a turn-away", len(r.b.held))
 	}
-	if find(r.tick(10), ActRefuse) != nil {
+	if find(r.tick(10), ActionReject) != nil {
 		t.Error("given up after 410 ms, as if the queue had stood since the last event")
 	}
-	if find(r.tick(80), ActRefuse) == nil {
+	if find(r.tick(80), ActionReject) == nil {
 		t.Error("still held after 490 ms, 480 at the most wanted")
 	}
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -29,40 +29,40 @@
 
 // The effects a class may have.
 const (
-	Free       Effect = "free"        // safe to repeat
-	Guarded    Effect = "guarded"     // repeats are dropped within a group of servers, for a time
-	SingleShot Effect = "single_shot" // must never run twice
+	Idempotent      Effect = "free"        // safe to repeat
+	IdempotentByKey Effect = "guarded"     // repeats are dropped within a group of servers, for a time
+	NonIdempotent   Effect = "single_shot" // must never run twice
 )
 
-// Group tells which servers drop repeats of a guarded request.
-type Group string
+// DedupScope tells which servers drop repeats of a guarded request.
+type DedupScope string
 
 // The groups a guarded class may have.
 const (
-	GroupAll  Group = "all"
-	GroupZone Group = "zone"
-	GroupCell Group = "cell"
+	ScopeAll  DedupScope = "all"
+	ScopeZone DedupScope = "zone"
+	ScopeCell DedupScope = "cell"
 )
 
 // Class is one class of requests.
 type Class struct {
-	Name       string  `json:"name"`
-	AimMs      float64 `json:"aimMs"`
-	AimStretch float64 `json:"aimStretch"`
-	GiveUpMs   float64 `json:"giveUpMs"`
-	Effect     Effect  `json:"effect"`
-	Group      Group   `json:"group"`
-	KeyTTLMs   float64 `json:"keyTtlMs"`
-	Credit     float64 `json:"credit"`
-	LateShare  float64 `json:"lateShare"`
-	Streamed   bool    `json:"streamed"`
+	Name                string     `json:"name"`
+	LatencyObjectiveMs  float64    `json:"aimMs"`
+	ObjectiveStretch    float64    `json:"aimStretch"`
+	ClientTimeoutMs     float64    `json:"giveUpMs"`
+	Effect              Effect     `json:"effect"`
+	DedupScope          DedupScope `json:"group"`
+	IdempotencyWindowMs float64    `json:"keyTtlMs"`
+	PriorityWeight      float64    `json:"credit"`
+	LateCredit          float64    `json:"lateShare"`
+	Streamed            bool       `json:"streamed"`
 }
 
 // Tenant is a customer with a share of what the servers can do.
 type Tenant struct {
-	Name      string  `json:"name"`
-	QuotaPerS float64 `json:"quotaPerS"`
-	Portion   float64 `json:"portion"`
+	Name        string  `json:"name"`
+	QuotaPerS   float64 `json:"quotaPerS"`
+	QuotaWeight float64 `json:"portion"`
 }
 
 // Limits is what a deployment permits an agent.
@@ -72,84 +72,84 @@
 	KeepaliveMs      float64 `json:"keepaliveMs"`
 	MaxAttempts      int     `json:"maxAttempts"`
 	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`
-	ParallelTries    bool    `json:"parallelTries"`
-	Probing          bool    `json:"probing"`
+	HedgedRequests   bool    `json:"parallelTries"`
+	HealthChecks     bool    `json:"probing"`
 	RetryAfter       bool    `json:"retryAfter"`
-	OpenCap          int     `json:"openCap"`
+	MaxOpenRequests  int     `json:"openCap"`
 }
 
 // Contract holds the figures of the four rules.
 type Contract struct {
-	AnswerSlackMs float64 `json:"answerSlackMs"`
-	AskWithinMs   float64 `json:"askWithinMs"`
-	ColdFrom      float64 `json:"coldFrom"`
-	ColdMs        float64 `json:"coldMs"`
-	DrainGraceMs  float64 `json:"drainGraceMs"`
-	FallMultiple  float64 `json:"fallMultiple"`
-	TipAfterMs    float64 `json:"tipAfterMs"`
+	AnswerSlackMs        float64 `json:"answerSlackMs"`
+	PollIntervalMs       float64 `json:"askWithinMs"`
+	SlowStartMinCapacity float64 `json:"coldFrom"`
+	SlowStartMs          float64 `json:"coldMs"`
+	DrainGraceMs         float64 `json:"drainGraceMs"`
+	OverloadFactor       float64 `json:"fallMultiple"`
+	OverloadWindowMs     float64 `json:"tipAfterMs"`
 }
 
 // Prices are points taken off the result, each times its share or rate.
 type Prices struct {
-	CrossZone float64 `json:"crossZone"`
-	Handshake float64 `json:"handshake"`
-	Open      float64 `json:"connection"`
-	LateFail  float64 `json:"lateFail"`
-	Probe     float64 `json:"probe"`
-	Waste     float64 `json:"waste"`
-	List      float64 `json:"membershipMode"`
+	CrossZone    float64 `json:"crossZone"`
+	Handshake    float64 `json:"handshake"`
+	Connection   float64 `json:"connection"`
+	LateFailure  float64 `json:"lateFail"`
+	HealthCheck  float64 `json:"probe"`
+	Waste        float64 `json:"waste"`
+	EndpointList float64 `json:"membershipMode"`
 }
 
 // Objective holds the weights of the result's components.
 type Objective struct {
-	Whole       float64 `json:"whole"`
+	Total       float64 `json:"whole"`
 	WorstWindow float64 `json:"worstWindow"`
 	WorstClass  float64 `json:"worstClass"`
 	WorstTenant float64 `json:"worstTenant"`
 }
 
-// Report names the values of the servers' load reports.
-type Report struct {
-	How   string   `json:"how"`
-	Names []string `json:"names"`
+// ReportFormat names the values of the servers' load reports.
+type ReportFormat struct {
+	Delivery string   `json:"how"`
+	Names    []string `json:"names"`
 }
 
 // Settings is what an agent is told at its start.
 type Settings struct {
-	Classes    []Class   `json:"classes"`
-	Tenants    []Tenant  `json:"tenants"`
-	Limits     Limits    `json:"limits"`
-	Contract   Contract  `json:"contract"`
-	Prices     Prices    `json:"prices"`
-	Objective  Objective `json:"objectiveMix"`
-	Report     Report    `json:"report"`
-	Membership string    `json:"membershipMode"` // "pushed" or "on_request"
-	Clients    struct {
+	Classes       []Class      `json:"classes"`
+	Tenants       []Tenant     `json:"tenants"`
+	Limits        Limits       `json:"limits"`
+	Contract      Contract     `json:"contract"`
+	Prices        Prices       `json:"prices"`
+	Objective     Objective    `json:"objectiveMix"`
+	Report        ReportFormat `json:"report"`
+	DiscoveryMode string       `json:"membershipMode"` // "pushed" or "on_request"
+	Clients       struct {
 		MarksRetry bool `json:"marksRetry"`
 	} `json:"clients"`
 	FamilyInfo struct {
 		WarmKeys bool `json:"warmKeys"`
 	} `json:"familyInfo"`
-	Index          int     `json:"index"`
-	Replicas       int     `json:"replicasOfMe"`
-	OverShareWorth float64 `json:"overShareWorth"`
-	RoundMs        float64 `json:"roundMs"`
-	Weights        string  `json:"weights"` // "off", "nominal", "rough" or "live"
-	WorthBy        string  `json:"worthBy"` // "request" or "work"
-	Zone           int     `json:"zone"`
-
-	// LastCall is how the last call to discovery of the agent's process before this one ended.
-	LastCall LastCall `json:"-"`
+	ReplicaIndex    int     `json:"index"`
+	Replicas        int     `json:"replicasOfMe"`
+	OverQuotaWeight float64 `json:"overShareWorth"`
+	BatchIntervalMs float64 `json:"roundMs"`
+	Weights         string  `json:"weights"` // "off", "nominal", "rough" or "live"
+	PriorityUnit    string  `json:"worthBy"` // "request" or "work"
+	Zone            int     `json:"zone"`
+
+	// LastPoll is how the last call to discovery of the agent's process before this one ended.
+	LastPoll LastPoll `json:"-"`
 }
 
-// LastCall is how a process's last call to discovery ended.
-type LastCall uint8
+// LastPoll is how a process's last call to discovery ended.
+type LastPoll uint8
 
 // How a last call ended. Nobody knows it of a first start, and of a process whose folder went with it.
 const (
-	CallUnknown LastCall = iota
-	CallAnswered
-	CallUnanswered
+	PollUnknown LastPoll = iota
+	PollAnswered
+	PollUnanswered
 )
 
 // Health is what the list says of a server.
@@ -159,31 +159,31 @@
 const (
 	Draining Health = iota
 	Ready
-	Gone
+	Removed
 )
 
-// Entry is one line of the list of servers.
-type Entry struct {
-	Server  Addr
-	Zone    int
-	Cell    int
-	Kind    int
-	SinceMs float64 // clock time of the latest start; 0: long past
-	Health  Health
-	Banned  bool // an operator wants nothing new there, whatever Health says
-	Weight  float64
+// Endpoint is one line of the list of servers.
+type Endpoint struct {
+	Server      Addr
+	Zone        int
+	Cell        int
+	MachineType int
+	StartedMs   float64 // clock time of the latest start; 0: long past
+	Health      Health
+	Cordoned    bool // an operator wants nothing new there, whatever Health says
+	Weight      float64
 }
 
-// ListKind tells how a list event changes the list at hand.
-type ListKind uint8
+// UpdateKind tells how a list event changes the list at hand.
+type UpdateKind uint8
 
 // The kinds of list events.
 const (
-	ListDelta ListKind = iota
-	ListFull
-	ListCached
-	ListFailed
-	ListOther // changes told by other than discovery, of whose calls it says nothing
+	UpdateDelta UpdateKind = iota
+	UpdateComplete
+	UpdateCached
+	UpdateFailed
+	UpdateOtherSource // changes told by other than discovery, of whose calls it says nothing
 )
 
 // Status is how an attempt or a probe ended.
@@ -193,55 +193,55 @@
 const (
 	OK            Status = 100
 	Error         Status = 301
-	Full          Status = 302
+	Rejected      Status = 302
 	Timeout       Status = 303
 	ConnectFailed Status = 304
 	Reset         Status = 305
 	Cancelled     Status = 306
-	Moot          Status = 307
+	NotStarted    Status = 307
 )
 
 // NeverRan tells whether the ending proves that the attempt did not run.
-func (s Status) NeverRan() bool { return s == Full || s == ConnectFailed || s == Moot }
+func (s Status) NeverRan() bool { return s == Rejected || s == ConnectFailed || s == NotStarted }
 
 // EventKind tells which fields of an Event count.
 type EventKind uint8
 
 // The events.
 const (
-	EvRequest EventKind = iota + 1 // Request, Class, Tenant, Key, LeftMs, HintMs, HasHint, Retry
-	EvOutcome                      // Request, Attempt, Server, Status, LatencyMs, Final, Report
-	EvStarted                      // Request, Attempt, Server, LatencyMs: a streamed answer began
-	EvDropped                      // Request: the client left
-	EvList                         // List, Entries
-	EvProbed                       // Server, Status, LatencyMs, Report
-	EvTimer                        // Token
-	EvPeer                         // a message of another agent; carries nothing that is used
-	EvWritten                      // Request, Attempt, LeftMs: a streamed request's body is written whole
-	EvHurried                      // Request, LeftMs: it has no more time than that, whatever was told before
+	EventRequest            EventKind = iota + 1 // Request, Class, Tenant, Key, LeftMs, HintMs, HasHint, Retry
+	EventAttemptEnded                            // Request, Attempt, Server, Status, LatencyMs, Final, Report
+	EventResponseStarted                         // Request, Attempt, Server, LatencyMs: a streamed answer began
+	EventClientDisconnected                      // Request: the client left
+	EventEndpointUpdate                          // List, Entries
+	EventHealthCheckEnded                        // Server, Status, LatencyMs, Report
+	EventTimer                                   // Token
+	EventPeerMessage                             // a message of another agent; carries nothing that is used
+	EventBodyWritten                             // Request, Attempt, LeftMs: a streamed request's body is written whole
+	EventDeadlineShortened                       // Request, LeftMs: it has no more time than that, whatever was told before
 )
 
 // Event is something that happened to one agent.
 type Event struct {
-	Kind      EventKind
-	Request   RequestID
-	Class     int
-	Tenant    int
-	Key       uint64 // 0: none
-	LeftMs    float64
-	HintMs    float64
-	HasHint   bool
-	Retry     bool
-	Stream    bool // the body still comes while the request is sent; LeftMs runs from its end
-	Attempt   int
-	Server    Addr
-	Status    Status
-	LatencyMs float64
-	Final     bool // the request is finished
-	Report    []float32
-	List      ListKind
-	Entries   []Entry // not changed and not kept by the Balancer
-	Token     uint32
+	Kind         EventKind
+	Request      RequestID
+	Class        int
+	Tenant       int
+	Key          uint64 // 0: none
+	RemainingMs  float64
+	WorkHintMs   float64
+	HasWorkHint  bool
+	Retry        bool
+	StreamedBody bool // the body still comes while the request is sent; LeftMs runs from its end
+	Attempt      int
+	Server       Addr
+	Status       Status
+	LatencyMs    float64
+	Final        bool // the request is finished
+	Report       []float32
+	Update       UpdateKind
+	Endpoints    []Endpoint // not changed and not kept by the Balancer
+	Token        uint32
 }
 
 // ActionKind tells which fields of an Action count.
@@ -249,50 +249,50 @@
 
 // The actions.
 const (
-	ActSend   ActionKind = iota + 1 // Request, Server, Ms: time-out
-	ActCancel                       // Request, Attempt
-	ActRefuse                       // Request, Ms: advice
-	ActFail                         // Request
-	ActProbe                        // Server
-	ActTimer                        // Ms, Token
-	ActFollow                       // subscribe to the list
-	ActFetch                        // ask for the whole list once
-	ActLog                          // Text
-	ActClose                        // Server: close idle connections
+	ActionForward        ActionKind = iota + 1 // Request, Server, Ms: time-out
+	ActionCancel                               // Request, Attempt
+	ActionReject                               // Request, Ms: advice
+	ActionFail                                 // Request
+	ActionHealthCheck                          // Server
+	ActionTimer                                // Ms, Token
+	ActionWatchEndpoints                       // subscribe to the list
+	ActionFetchEndpoints                       // ask for the whole list once
+	ActionLog                                  // Text
+	ActionCloseIdle                            // Server: close idle connections
 )
 
 // Action is something the agent is to do, in the order given.
 type Action struct {
-	Kind    ActionKind
-	Request RequestID
-	Server  Addr
-	Attempt int
-	Ms      float64
-	Token   uint32
-	Text    string
+	Kind       ActionKind
+	Request    RequestID
+	Server     Addr
+	Attempt    int
+	DurationMs float64
+	Token      uint32
+	Text       string
 }
 
 // Evidence is what others saw of a server since it was last told, in numbers of attempts.
 // What is negative or no number counts as none.
 type Evidence struct {
-	Server     Addr
-	Served     float64
-	Failed     float64 // errors, resets, time-outs, failed connects
-	TurnedAway float64 // refused unseen: the server runs and is crowded
-	Silent     bool    // the failures are no answers but silence or failed connects
+	Server   Addr
+	Served   float64
+	Failed   float64 // errors, resets, time-outs, failed connects
+	Rejected float64 // refused unseen: the server runs and is crowded
+	Silent   bool    // the failures are no answers but silence or failed connects
 }
 
 // View is what the module holds of a listed server.
 type View struct {
-	Server    Addr
-	State     State
-	SinceMs   float64 // when it entered the state
-	StartedMs float64 // start of its process, by the list or assumed; 0: long past
-	Usable    bool    // listed as ready
-	Zone      int
-	Cell      int
-	Weight    float64
-	Ramp      float64 // the part of its capacity that it has by the contract, 1 when warm
-	Share     float64 // the part of an even share that it may be sent, 1 when warm
-	Strikes   int     // failures of late
+	Server              Addr
+	State               State
+	StateSinceMs        float64 // when it entered the state
+	StartedMs           float64 // start of its process, by the list or assumed; 0: long past
+	Usable              bool    // listed as ready
+	Zone                int
+	Cell                int
+	Weight              float64
+	Capacity            float64 // the part of its capacity that it has by the contract, 1 when warm
+	LoadShare           float64 // the part of an even share that it may be sent, 1 when warm
+	ConsecutiveFailures int     // failures of late
 }
