--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -206,7 +206,7 @@
 
 // core is what of it the loop is told.
 func (c *Config) core() core.Config {
-	out := core.Config{Discovery: c.Discovery, CachedEndpoints: c.Known, Settings: c.Settings, Seed: c.Seed, Zones: c.Zones, Kinds: c.Kinds,
+	out := core.Config{Discovery: c.Discovery, CachedEndpoints: c.Known, Settings: c.Settings, Seed: c.Seed, Zones: c.Zones, MachineTypes: c.Kinds,
 		PublishRotation: c.Admin != ""}
 	if c.Agreed != nil {
 		out.SharedConfig = &core.SharedConfig{RejectWhenStale: c.Agreed.OnExpiry == client.OnExpiryReject}
--- a/internal/core/agreed_test.go
+++ b/internal/core/agreed_test.go
@@ -10,8 +10,8 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// agreeing returns a loop that does not run and acts by a book, and what its upstream was asked.
-func agreeing(t *testing.T, refuse bool) (*EventLoop, chan *Call) {
+// newSharedConfigLoop returns a loop that does not run and acts by a book, and what its upstream was asked.
+func newSharedConfigLoop(t *testing.T, refuse bool) (*EventLoop, chan *Call) {
 	t.Helper()
 	sent := make(chan *Call, 100)
 	u := stub{do: func(ctx context.Context, _ *Backend, c *Call) Result {
@@ -21,12 +21,12 @@
 	}}
 	l := newTestLoop(t, u)
 	l.cfg.SharedConfig = &SharedConfig{RejectWhenStale: refuse}
-	l.agree()
-	l.list(&membership.List{Revision: 1, Full: true, Entries: []membership.Entry{target("s-1"), target("s-2")}}, policy.UpdateDelta, true)
+	l.initSharedConfig()
+	l.updateEndpoints(&membership.List{Revision: 1, Full: true, Entries: []membership.Entry{listedBackend("s-1"), listedBackend("s-2")}}, policy.UpdateDelta, true)
 	return l, sent
 }
 
-func (l *EventLoop) take(t *testing.T, id string, class int) (*Request, *Answer) {
+func (l *EventLoop) submit(t *testing.T, id string, class int) (*Request, *Answer) {
 	t.Helper()
 	c := newCall(l.upstreams[0], id, class)
 	r := l.Submit(c)
@@ -40,22 +40,22 @@
 
 // An agent that never had a lease refuses; one whose list is over refuses again, and one that is to serve does not.
 func TestNothingKnownIsRefused(t *testing.T) {
-	l, sent := agreeing(t, true)
-	if _, a := l.take(t, "1", 0); a == nil || a.Outcome != Rejected || a.RetryAfterMs != 600 {
+	l, sent := newSharedConfigLoop(t, true)
+	if _, a := l.submit(t, "1", 0); a == nil || a.Outcome != Rejected || a.RetryAfterMs != 600 {
 		t.Fatalf("before any lease: %+v", a)
 	}
 	now := time.Now()
 	l.AdoptConfig(2, &sharedconfig.Config{}, now.Add(time.Hour), now.Add(2*time.Hour))
-	if _, a := l.take(t, "2", 0); a != nil {
+	if _, a := l.submit(t, "2", 0); a != nil {
 		t.Fatalf("with a lease: %+v", a)
 	}
 	<-sent
 	l.RenewLease(now.Add(-2*time.Second), now.Add(-time.Second))
-	if _, a := l.take(t, "3", 0); a == nil || a.Outcome != Rejected {
+	if _, a := l.submit(t, "3", 0); a == nil || a.Outcome != Rejected {
 		t.Fatalf("the list is over: %+v", a)
 	}
-	l, sent = agreeing(t, false)
-	if _, a := l.take(t, "1", 0); a != nil {
+	l, sent = newSharedConfigLoop(t, false)
+	if _, a := l.submit(t, "1", 0); a != nil {
 		t.Fatalf("one that is to serve: %+v", a)
 	}
 	<-sent
@@ -71,16 +71,16 @@
 		left time.Duration
 		want int
 	}{{time.Hour, 1}, {-time.Millisecond, 0}} {
-		l, sent := agreeing(t, true)
+		l, sent := newSharedConfigLoop(t, true)
 		l.AdoptConfig(2, &sharedconfig.Config{}, time.Now().Add(time.Hour), time.Now().Add(2*time.Hour))
-		r, _ := l.take(t, "1", 0)
+		r, _ := l.submit(t, "1", 0)
 		<-sent
 		r.attempts[0].done = true // it may have run, and its end is still to come
-		r.out = 0
+		r.inFlight = 0
 		l.RenewLease(time.Now().Add(c.left), time.Now().Add(time.Hour))
-		l.send(&policy.Action{Kind: policy.ActionForward, Request: r.id, Server: l.table.byID["s-1"].name, DurationMs: 1000})
-		if r.out != c.want || l.figures.GuardViolations != 1-c.want {
-			t.Errorf("%v left: %d sent again, %d stopped", c.left, r.out, l.figures.GuardViolations)
+		l.forward(&policy.Action{Kind: policy.ActionForward, Request: r.id, Server: l.endpoints.byID["s-1"].name, DurationMs: 1000})
+		if r.inFlight != c.want || l.stats.GuardViolations != 1-c.want {
+			t.Errorf("%v left: %d sent again, %d stopped", c.left, r.inFlight, l.stats.GuardViolations)
 		}
 		if c.want == 1 {
 			if again := <-sent; again.RetryBefore.IsZero() {
@@ -88,9 +88,9 @@
 			}
 		}
 	}
-	l, _ := agreeing(t, true)
+	l, _ := newSharedConfigLoop(t, true)
 	l.AdoptConfig(2, &sharedconfig.Config{}, time.Now().Add(-time.Millisecond), time.Now().Add(time.Hour))
-	l.lapsed()
+	l.leaseExpired()
 	if f, _ := l.SharedConfigStats(); !f.Strict || f.Expirations != 1 || l.cfg.Settings.Limits.MaxAttempts != 1 {
 		t.Errorf("lapsed: %+v", f)
 	}
@@ -102,12 +102,12 @@
 
 // A request that is open while the rules change keeps the narrowest; a repeat that is on its way out is not begun.
 func TestOpenRequestsKeepTheNarrowestRules(t *testing.T) {
-	l, sent := agreeing(t, true)
+	l, sent := newSharedConfigLoop(t, true)
 	far := time.Now().Add(time.Hour)
 	l.AdoptConfig(2, &sharedconfig.Config{}, far, far)
-	first, _ := l.take(t, "1", 1)
+	first, _ := l.submit(t, "1", 1)
 	c := <-sent
-	again, _ := l.take(t, "2", 1)
+	again, _ := l.submit(t, "2", 1)
 	d := <-sent
 	again.attempts = append(again.attempts, again.attempts[0])
 	l.AdoptConfig(3, &sharedconfig.Config{Classes: map[string]sharedconfig.Class{"send": {Effect: policy.IdempotentByKey, DedupScope: policy.ScopeZone, IdempotencyWindowMs: 500}}}, far, far)
@@ -121,7 +121,7 @@
 	if k := l.class(first); k.DedupScope != policy.ScopeZone || k.IdempotencyWindowMs != 500 {
 		t.Errorf("widened to %+v", k)
 	}
-	if now, _ := l.take(t, "3", 1); l.class(now).IdempotencyWindowMs != 8000 {
+	if now, _ := l.submit(t, "3", 1); l.class(now).IdempotencyWindowMs != 8000 {
 		t.Errorf("a new one has %+v", l.class(now))
 	}
 	l.AdoptConfig(5, &sharedconfig.Config{Classes: map[string]sharedconfig.Class{"read": {Effect: policy.Idempotent}, "order": {Effect: policy.Idempotent}}}, far, far)
@@ -133,12 +133,12 @@
 // The book's word on servers: bans, servers that it does not list, weights; the roster's word holds beside it, and a ban
 // that was told here ends with the book's.
 func TestTheBooksWordOnServers(t *testing.T) {
-	l, _ := agreeing(t, true)
+	l, _ := newSharedConfigLoop(t, true)
 	far := time.Now().Add(time.Hour)
 	shut := func(what string, want ...string) {
 		t.Helper()
 		got := map[string]bool{}
-		for id, b := range l.table.byID {
+		for id, b := range l.endpoints.byID {
 			if b.Unavailable() {
 				got[id] = true
 			}
@@ -155,13 +155,13 @@
 	shut("at first")
 	l.AdoptConfig(2, &sharedconfig.Config{Cordoned: []string{"s-1"}}, far, far)
 	shut("banned", "s-1")
-	l.list(&membership.List{Revision: 2, Entries: []membership.Entry{target("s-1"), target("s-3")}}, policy.UpdateDelta, false)
+	l.updateEndpoints(&membership.List{Revision: 2, Entries: []membership.Entry{listedBackend("s-1"), listedBackend("s-3")}}, policy.UpdateDelta, false)
 	shut("listed as up", "s-1")
 	l.Cordon("s-1", true)
 	l.ReleaseCordon("s-1", 5)
 	l.AdoptConfig(3, &sharedconfig.Config{Listed: true, Servers: map[string]sharedconfig.Server{"s-1": {}, "s-2": {Weight: 3}, "s-9": {}}}, far, far)
 	shut("not in the book, and banned here", "s-1", "s-3")
-	if e := l.table.entry(l.table.byID["s-2"]); e.Weight != 3 {
+	if e := l.endpoints.endpoint(l.endpoints.byID["s-2"]); e.Weight != 3 {
 		t.Errorf("weight %v", e.Weight)
 	}
 	l.AdoptConfig(5, &sharedconfig.Config{}, far, far)
@@ -169,9 +169,9 @@
 	l.Cordon("s-2", true)
 	l.ReleaseCordon("s-2", 4)
 	shut("a ban that the book has ended by now")
-	drains := target("s-2")
+	drains := listedBackend("s-2")
 	drains.State = membership.Draining
-	l.list(&membership.List{Revision: 3, Entries: []membership.Entry{drains}}, policy.UpdateDelta, false)
+	l.updateEndpoints(&membership.List{Revision: 3, Entries: []membership.Entry{drains}}, policy.UpdateDelta, false)
 	l.AdoptConfig(6, &sharedconfig.Config{Listed: true, Servers: map[string]sharedconfig.Server{"s-1": {}, "s-2": {}, "s-3": {}}}, far, far)
 	shut("the roster says it drains", "s-2")
 }
--- a/internal/core/ban_test.go
+++ b/internal/core/ban_test.go
@@ -18,13 +18,13 @@
 	l = newTestLoop(t, u)
 	ids := []string{"s-1", "s-2"}
 	list := func(full bool, entries ...membership.Entry) {
-		l.list(&membership.List{Revision: l.version + 1, Full: full, Entries: entries}, policy.UpdateDelta, full)
+		l.updateEndpoints(&membership.List{Revision: l.revision + 1, Full: full, Entries: entries}, policy.UpdateDelta, full)
 	}
-	list(true, target(ids[0]), target(ids[1]))
+	list(true, listedBackend(ids[0]), listedBackend(ids[1]))
 	step := func(what string, closed0 bool, out int) {
 		t.Helper()
 		r := l.Rotation()
-		if got := l.table.backend(ids[0]).Unavailable(); got != closed0 || r.Unavailable != out {
+		if got := l.endpoints.getOrCreate(ids[0]).Unavailable(); got != closed0 || r.Unavailable != out {
 			t.Errorf("%s: closed %v, %+v", what, got, r)
 		}
 	}
@@ -35,27 +35,27 @@
 	l.Cordon("s-1", true)
 	l.Cordon("s-1", true)
 	step("banned twice", true, 1)
-	list(false, target("s-1"))
+	list(false, listedBackend("s-1"))
 	step("listed as up meanwhile", true, 1)
-	gone := target("s-1")
+	gone := listedBackend("s-1")
 	gone.State = membership.Removed
 	list(false, gone)
 	if r := l.Rotation(); r != (Rotation{Listed: 1}) || !l.Known("s-1") {
 		t.Errorf("gone: %+v", r)
 	}
-	back := target("s-1")
+	back := listedBackend("s-1")
 	back.StartedMs = l.now() - 100
 	list(false, back)
 	step("back and still banned", true, 1)
 	for _, v := range l.balancer.View(l.now(), nil) {
-		if v.Usable != (v.Server != l.table.byID["s-1"].name) {
+		if v.Usable != (v.Server != l.endpoints.byID["s-1"].name) {
 			t.Errorf("the module has %+v", v)
 		}
 	}
 	l.SetCordoned(nil) // the other process was told
 	step("no longer", false, 0)
 	l.SetCordoned([]string{"s-2"})
-	if !l.table.backend("s-2").Unavailable() {
+	if !l.endpoints.getOrCreate("s-2").Unavailable() {
 		t.Error("the other process's ban does not hold here")
 	}
 	l.Cordon("s-2", false)
@@ -71,7 +71,7 @@
 	l := running(t, u)
 	want := map[string]Outcome{"a": Served, "b": Failed, "c": Rejected}
 	for _, id := range []string{"a", "b", "c"} {
-		if a := l.ask(t, newCall(u, id, 2)); a.Outcome != want[id] {
+		if a := l.roundTrip(t, newCall(u, id, 2)); a.Outcome != want[id] {
 			t.Errorf("%s: %+v", id, a)
 		}
 	}
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// moduleMargin is taken off the time that the module is told a request has: what
+	// policyMargin is taken off the time that the module is told a request has: what
 	// its last attempt's end takes to become an answer at the client.
-	moduleMargin = 8 * time.Millisecond
+	policyMargin = 8 * time.Millisecond
 	// backstopMargin is how long before the client's deadline the backstop answers,
 	// well after the module should have.
 	backstopMargin = 4 * time.Millisecond
@@ -18,7 +18,7 @@
 // RequestTimeouts are what becomes of the time that a request has: what the module is told of it, and after how long
 // the backstop answers. Of a very short time each margin is a part.
 func RequestTimeouts(left time.Duration) (module, backstop time.Duration) {
-	return left - min(moduleMargin, left/8), left - min(backstopMargin, left/16)
+	return left - min(policyMargin, left/8), left - min(backstopMargin, left/16)
 }
 
 // Guard is what the contract asks of an attempt that the module wants, whatever the module says. The loop
@@ -41,15 +41,15 @@
 	LeaseExpired bool // the agent's lease on the rules, by which it was decided, is over
 }
 
-// windowMargin is taken off the time in which repeats of a keyed request are dropped: what the way from the last
+// dedupWindowMargin is taken off the time in which repeats of a keyed request are dropped: what the way from the last
 // look to the backend's may take. The module stops earlier, by two of its rounds.
-const windowMargin = 5 * time.Millisecond
+const dedupWindowMargin = 5 * time.Millisecond
 
 // RetryWindow is for how long, from the send of its first attempt that may have run, a keyed request may be sent again.
 // An attempt that has to connect first is asked again before its first byte.
 func RetryWindow(c *policy.Class) time.Duration {
 	ttl := time.Duration(c.IdempotencyWindowMs * float64(time.Millisecond))
-	return ttl - min(windowMargin, ttl/8)
+	return ttl - min(dedupWindowMargin, ttl/8)
 }
 
 // InDedupScope tells whether a backend, as it is listed, drops repeats of what another, as it was listed, may have run.
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -17,57 +17,57 @@
 )
 
 const (
-	// sweepEvery is how often connections that idle too long are closed.
-	sweepEvery = time.Second
-	// publishEvery is how often the rotation of backends is counted anew for operators.
-	publishEvery = 200 * time.Millisecond
-	// probeTimeout is how long the answer to a probe may take: it is given beside the queue, so that whoever
+	// closeExpiredInterval is how often connections that idle too long are closed.
+	closeExpiredInterval = time.Second
+	// rotationInterval is how often the rotation of backends is counted anew for operators.
+	rotationInterval = 200 * time.Millisecond
+	// healthCheckTimeout is how long the answer to a probe may take: it is given beside the queue, so that whoever
 	// is silent for longer stands still.
-	probeTimeout = 500 * time.Millisecond
-	// pushedLeast and pushedMost bound the pause after a call that failed, where lists are pushed: the roster
+	healthCheckTimeout = 500 * time.Millisecond
+	// pushedMinBackoff and pushedMost bound the pause after a call that failed, where lists are pushed: the roster
 	// is then on the agent's own machine, and a call costs nobody else anything.
-	pushedLeast, pushedMost = 100 * time.Millisecond, time.Second
+	pushedMinBackoff, pushedMaxBackoff = 100 * time.Millisecond, time.Second
 )
 
 // EventLoop owns the module and all state of requests. One goroutine runs it; all
 // else reaches it through Post. It never blocks: what may wait runs in
 // goroutines of its own.
 type EventLoop struct {
-	cfg       Config
-	ctx       context.Context
-	balancer  *policy.Balancer
-	table     *table
-	upstreams []Upstream
-	budget    *semaphore.Weighted // memory for bodies
-	disc      *discovery.Client
-	limit     *rate.Limiter // the log is bounded work on one core
-	lines     chan func()   // log lines on their way to whoever reads the log
-
-	inbox    chan func()
-	clock    clock.Clock
-	nextID   policy.RequestID
-	requests map[policy.RequestID]*Request // bound: openCap open ones, and those answered whose attempts still end
-	ids      map[string]*Request           // the same by the clients' ids
-	once     *once                         // ids of requests that are over and must not run again
-	open     int                           // requests that have no answer yet
-	pending  []policy.Event
-	actions  []policy.Action
-	version  uint64    // of the list
-	since    time.Time // when that version came
-	unknown  bool      // of this discovery no whole list has come yet
-	endBy    time.Time // the process ends: by then what is taken from now on has its answer
-	watching bool
-	asked    bool // discovery was, at least once
-	fetching bool
-	stale    bool // no answer has come since the watch broke, or to the first call
-	ready    func()
-	figures  Stats
-	tally    *Counters
-	rotation atomic.Pointer[Rotation]
-	agreed   *agreed // nil: no rules are agreed on with others
-
-	merge *membership.Merge // of the roster with what runs; nil: there is the roster alone
-	due   *time.Timer       // when the merge has something to tell by time alone
+	cfg             Config
+	ctx             context.Context
+	balancer        *policy.Balancer
+	endpoints       *endpointTable
+	upstreams       []Upstream
+	bodyBudget      *semaphore.Weighted // memory for bodies
+	discoveryClient *discovery.Client
+	logLimiter      *rate.Limiter // the log is bounded work on one core
+	logLines        chan func()   // log lines on their way to whoever reads the log
+
+	inbox                chan func()
+	clock                clock.Clock
+	nextID               policy.RequestID
+	requests             map[policy.RequestID]*Request // bound: openCap open ones, and those answered whose attempts still end
+	requestsByClientID   map[string]*Request           // the same by the clients' ids
+	dedup                *recentIDs                    // ids of requests that are over and must not run again
+	openRequests         int                           // requests that have no answer yet
+	pendingEvents        []policy.Event
+	actions              []policy.Action
+	revision             uint64    // of the list
+	revisionReceivedAt   time.Time // when that version came
+	awaitingCompleteList bool      // of this discovery no whole list has come yet
+	shutdownDeadline     time.Time // the process ends: by then what is taken from now on has its answer
+	watching             bool
+	contacted            bool // discovery was, at least once
+	fetching             bool
+	discoveryStale       bool // no answer has come since the watch broke, or to the first call
+	onReady              func()
+	stats                Stats
+	counters             *Counters
+	rotation             atomic.Pointer[Rotation]
+	shared               *sharedConfigState // nil: no rules are agreed on with others
+
+	merge      *membership.Merge // of the roster with what runs; nil: there is the roster alone
+	mergeTimer *time.Timer       // when the merge has something to tell by time alone
 }
 
 // Stats are counted for the log at the end.
@@ -77,20 +77,20 @@
 
 // Request is a call in the loop, kept until it is answered and no attempt is out.
 type Request struct {
-	id       policy.RequestID
-	call     *Call
-	answered bool
-	class    *policy.Class // the narrowest that its rules were while it was open; nil: they never changed
-	streams  bool          // its answer's rest is still on its way to the client
-	attempts []*attempt
-	out      int             // attempts out
-	mayRun   int             // attempts that are out or may have run
-	ran      time.Time       // of a keyed one: when the first of them was sent
-	ranOn    policy.Endpoint // and where to, as that was listed then
-	spent    bool
-	cut      bool // its time was cut short by the end of the process
-	claimed  bool // its id is taken from the agent's other processes
-	backstop *time.Timer
+	id                policy.RequestID
+	call              *Call
+	answered          bool
+	narrowestClass    *policy.Class // the narrowest that its rules were while it was open; nil: they never changed
+	streaming         bool          // its answer's rest is still on its way to the client
+	attempts          []*attempt
+	inFlight          int             // attempts out
+	mayHaveRun        int             // attempts that are out or may have run
+	firstSentAt       time.Time       // of a keyed one: when the first of them was sent
+	firstSentTo       policy.Endpoint // and where to, as that was listed then
+	bodyConsumed      bool
+	deadlineShortened bool // its time was cut short by the end of the process
+	idClaimed         bool // its id is taken from the agent's other processes
+	backstop          *time.Timer
 }
 
 type attempt struct {
@@ -106,105 +106,105 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &EventLoop{cfg: cfg, ctx: ctx, balancer: balancer, table: newTable(cfg.Zones, cfg.Kinds),
-		budget: budget, limit: rate.NewLimiter(5, 50), lines: make(chan func(), 64), inbox: make(chan func(), 4096),
+	l := &EventLoop{cfg: cfg, ctx: ctx, balancer: balancer, endpoints: newEndpointTable(cfg.Zones, cfg.MachineTypes),
+		bodyBudget: budget, logLimiter: rate.NewLimiter(5, 50), logLines: make(chan func(), 64), inbox: make(chan func(), 4096),
 		clock:    clock.New(),
-		requests: map[policy.RequestID]*Request{}, ids: map[string]*Request{}, once: newOnce(), ready: ready}
-	l.upstreams, l.tally = upstreams, newTally(cfg.Settings.Classes)
+		requests: map[policy.RequestID]*Request{}, requestsByClientID: map[string]*Request{}, dedup: newRecentIDs(), onReady: ready}
+	l.upstreams, l.counters = upstreams, newCounters(cfg.Settings.Classes)
 	for _, id := range cfg.Cordoned {
-		l.table.banned[id] = true
+		l.endpoints.cordoned[id] = true
 	}
 	for _, id := range cfg.SeenIDs {
-		l.table.see(id)
+		l.endpoints.addSeen(id)
 	}
 	if cfg.WatchNodes != nil {
 		l.merge = membership.NewMerge(cfg.Merge)
 	}
 	if cfg.SharedConfig != nil {
-		l.agree()
+		l.initSharedConfig()
 	}
-	l.discover(cfg.Discovery)
+	l.useDiscovery(cfg.Discovery)
 	return l, nil
 }
 
-// discover makes an address the one that is asked. What another still has to say is
+// useDiscovery makes an address the one that is asked. What another still has to say is
 // dropped: it comes late, and its versions are not those of this one.
-func (l *EventLoop) discover(addr string) {
+func (l *EventLoop) useDiscovery(addr string) {
 	d := discovery.NewClient(l.ctx, addr)
-	if l.pushed() {
+	if l.updatesPushed() {
 		d.PollFrequently()
 	}
 	d.SetPollSlot(l.cfg.Settings.ReplicaIndex, l.cfg.Settings.Replicas)
 	d.OnSilent = func(err error) {
 		l.Post(func() {
-			if l.disc == d {
-				l.lost(err)
-				l.setStale(true)
+			if l.discoveryClient == d {
+				l.discoveryFailed(err)
+				l.setDiscoveryStale(true)
 			}
 		})
 	}
 	d.OnAlive = func() {
 		l.Post(func() {
-			if l.disc == d {
-				l.setStale(false)
+			if l.discoveryClient == d {
+				l.setDiscoveryStale(false)
 			}
 		})
 	}
 	d.OnUpdate = func(list *membership.List, watch bool, err error) {
 		l.Post(func() {
-			if l.disc == d {
-				l.onList(list, watch, err)
+			if l.discoveryClient == d {
+				l.discoveryAnswered(list, watch, err)
 			}
 		})
 	}
-	l.disc = d
+	l.discoveryClient = d
 }
 
-// pushed tells whether lists come unasked, as the module has it. On sockets somebody has to ask all the same,
+// updatesPushed tells whether lists come unasked, as the module has it. On sockets somebody has to ask all the same,
 // and the module, which never will, must not be left with the list that came with the start.
-func (l *EventLoop) pushed() bool { return l.cfg.Settings.DiscoveryMode == "pushed" }
+func (l *EventLoop) updatesPushed() bool { return l.cfg.Settings.DiscoveryMode == "pushed" }
 
-// watch follows the discovery of now: until it fails, which the module is told, or for good where it counts
+// startWatch follows the discovery of now: until it fails, which the module is told, or for good where it counts
 // on being told.
-func (l *EventLoop) watch() {
+func (l *EventLoop) startWatch() {
 	l.watching = true
-	if !l.asked && !l.table.usable() {
-		go l.disc.FetchInitial()
+	if !l.contacted && !l.endpoints.usable() {
+		go l.discoveryClient.FetchInitial()
 	}
-	l.asked = true
-	if l.pushed() {
-		go l.disc.Follow(pushedLeast, pushedMost)
+	l.contacted = true
+	if l.updatesPushed() {
+		go l.discoveryClient.Follow(pushedMinBackoff, pushedMaxBackoff)
 		return
 	}
-	l.setStale(true)
-	go l.disc.Watch(l.version, l.unknown)
+	l.setDiscoveryStale(true)
+	go l.discoveryClient.Watch(l.revision, l.awaitingCompleteList)
 }
 
-// setStale notes whether what is known may be older than what discovery has told others, for whoever keeps it.
-func (l *EventLoop) setStale(stale bool) {
-	if l.cfg.DiscoveryStale == nil || l.pushed() || l.stale == stale {
+// setDiscoveryStale notes whether what is known may be older than what discovery has told others, for whoever keeps it.
+func (l *EventLoop) setDiscoveryStale(stale bool) {
+	if l.cfg.DiscoveryStale == nil || l.updatesPushed() || l.discoveryStale == stale {
 		return
 	}
-	l.stale = stale
+	l.discoveryStale = stale
 	l.cfg.DiscoveryStale(stale)
 }
 
 // SwitchDiscovery leaves the discovery for another and asks that for its whole list. Until
 // it comes the table stays as it is.
 func (l *EventLoop) SwitchDiscovery(addr string) {
-	if addr == l.disc.Addr {
+	if addr == l.discoveryClient.Addr {
 		return
 	}
-	l.disc.Close()
-	l.discover(addr)
-	l.version, l.unknown, l.fetching = 0, true, false
-	l.watch()
+	l.discoveryClient.Close()
+	l.useDiscovery(addr)
+	l.revision, l.awaitingCompleteList, l.fetching = 0, true, false
+	l.startWatch()
 }
 
-// tellReady tells that requests can be served, if they can.
-func (l *EventLoop) tellReady() {
-	if l.table.usable() && (l.agreed == nil || l.agreed.known) {
-		l.ready()
+// notifyReady tells that requests can be served, if they can.
+func (l *EventLoop) notifyReady() {
+	if l.endpoints.usable() && (l.shared == nil || l.shared.serving) {
+		l.onReady()
 	}
 }
 
@@ -241,14 +241,14 @@
 // Run is the loop; it ends with the context.
 func (l *EventLoop) Run() {
 	go l.writeLog()
-	l.carryOut(l.balancer.Start(l.now(), l.actions[:0]))
-	l.setStale(true) // what is known now is the list of a process before this one
+	l.dispatch(l.balancer.Start(l.now(), l.actions[:0]))
+	l.setDiscoveryStale(true) // what is known now is the list of a process before this one
 	// The list as last had comes with the start, however old, as at the simulator.
-	l.list(&l.cfg.CachedEndpoints, policy.UpdateCached, true)
-	l.drain()
-	l.tellReady()
-	if l.pushed() && !l.watching {
-		l.watch()
+	l.updateEndpoints(&l.cfg.CachedEndpoints, policy.UpdateCached, true)
+	l.handlePending()
+	l.notifyReady()
+	if l.updatesPushed() && !l.watching {
+		l.startWatch()
 	}
 	if l.merge != nil {
 		followed := make(chan struct{})
@@ -257,28 +257,28 @@
 			l.cfg.WatchNodes(l.ctx, func(apply func(*membership.Merge, float64)) {
 				l.Post(func() {
 					apply(l.merge, l.now())
-					l.merged(policy.UpdateOtherSource)
+					l.applyMergeChanges(policy.UpdateOtherSource)
 				})
 			})
 		}()
 		defer func() { <-followed }()
 	}
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(closeExpiredInterval)
 	defer sweep.Stop()
 	var count <-chan time.Time // nil: nobody asks
 	if l.cfg.PublishRotation {
-		publish := time.NewTicker(publishEvery)
+		publish := time.NewTicker(rotationInterval)
 		defer publish.Stop()
 		count = publish.C
 	}
-	l.publish()
+	l.publishRotation()
 	for {
 		select {
 		case f := <-l.inbox:
 			f()
-			l.drain()
+			l.handlePending()
 		case <-count:
-			l.publish()
+			l.publishRotation()
 		case <-sweep.C:
 			for _, u := range l.upstreams {
 				u.CloseExpired()
@@ -294,11 +294,11 @@
 
 // handle gives the module one event and carries out what it answers.
 func (l *EventLoop) handle(ev *policy.Event) {
-	l.carryOut(l.balancer.Handle(l.now(), ev, l.actions[:0]))
+	l.dispatch(l.balancer.Handle(l.now(), ev, l.actions[:0]))
 }
 
-// hangUp closes the idle connections to a backend.
-func (l *EventLoop) hangUp(b *Backend) {
+// closeIdle closes the idle connections to a backend.
+func (l *EventLoop) closeIdle(b *Backend) {
 	for _, u := range l.upstreams {
 		u.CloseIdle(b)
 	}
@@ -308,44 +308,44 @@
 // time its client would give it. A process that waited for the longest would be killed first, and a request that it
 // still held then is lost. It is called in the loop.
 func (l *EventLoop) ShutDownBy(t time.Time) {
-	l.endBy = t
+	l.shutdownDeadline = t
 	left, backstop := RequestTimeouts(time.Until(t))
 	for _, r := range l.requests {
 		if r.answered || !r.call.Deadline.After(t) {
 			continue
 		}
-		r.call.Deadline, r.cut = t, true
+		r.call.Deadline, r.deadlineShortened = t, true
 		r.backstop.Reset(max(backstop, 0))
 		l.handle(&policy.Event{Kind: policy.EventDeadlineShortened, Request: r.id, RemainingMs: float64(max(left, 0).Microseconds()) / 1000})
 	}
 }
 
 // Stats are the counts so far. It is called in the loop, or after its end.
-func (l *EventLoop) Stats() Stats { return l.figures }
+func (l *EventLoop) Stats() Stats { return l.stats }
 
 // Discovery is the discovery that is asked now. It is called in the loop, or before it runs.
-func (l *EventLoop) Discovery() *discovery.Client { return l.disc }
+func (l *EventLoop) Discovery() *discovery.Client { return l.discoveryClient }
 
 // IsListed tells whether a backend of this id is known. It is called in the loop.
-func (l *EventLoop) IsListed(id string) bool { return l.table.byID[id] != nil }
+func (l *EventLoop) IsListed(id string) bool { return l.endpoints.byID[id] != nil }
 
-// drain handles the events that carrying out actions has raised.
-func (l *EventLoop) drain() {
-	for len(l.pending) > 0 {
-		ev := l.pending[0]
-		l.pending = l.pending[1:]
+// handlePending handles the events that carrying out actions has raised.
+func (l *EventLoop) handlePending() {
+	for len(l.pendingEvents) > 0 {
+		ev := l.pendingEvents[0]
+		l.pendingEvents = l.pendingEvents[1:]
 		l.handle(&ev)
 	}
-	l.pending = nil
+	l.pendingEvents = nil
 }
 
-func (l *EventLoop) carryOut(actions []policy.Action) {
+func (l *EventLoop) dispatch(actions []policy.Action) {
 	l.actions = actions
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
 		case policy.ActionForward:
-			l.send(a)
+			l.forward(a)
 		case policy.ActionCancel:
 			if r := l.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 				if t := r.attempts[a.Attempt]; !t.done && t.cancel != nil {
@@ -354,34 +354,34 @@
 			}
 		case policy.ActionReject:
 			if r := l.requests[a.Request]; r != nil {
-				l.refuse(r, a.DurationMs)
+				l.reject(r, a.DurationMs)
 			}
 		case policy.ActionFail:
 			if r := l.requests[a.Request]; r != nil {
-				l.finish(r, Answer{Outcome: Failed})
+				l.complete(r, Answer{Outcome: Failed})
 			}
 		case policy.ActionTimer:
 			token := a.Token
-			time.AfterFunc(ms(a.DurationMs), func() {
+			time.AfterFunc(durationFromMs(a.DurationMs), func() {
 				l.Post(func() { l.handle(&policy.Event{Kind: policy.EventTimer, Token: token}) })
 			})
 		case policy.ActionWatchEndpoints:
 			if !l.watching { // one watch is enough; it tells what another would
-				l.watch()
+				l.startWatch()
 			}
 		case policy.ActionFetchEndpoints:
 			if !l.fetching {
 				l.fetching = true
-				go l.disc.Fetch()
+				go l.discoveryClient.Fetch()
 			}
 		case policy.ActionCloseIdle:
-			if b := l.table.byAddr[a.Server]; b != nil {
-				l.hangUp(b)
+			if b := l.endpoints.byAddr[a.Server]; b != nil {
+				l.closeIdle(b)
 			}
 		case policy.ActionLog:
 			l.log(slog.LevelInfo, "module", "text", a.Text)
 		case policy.ActionHealthCheck:
-			l.probe(a.Server)
+			l.startHealthCheck(a.Server)
 		}
 	}
 }
@@ -391,37 +391,37 @@
 // Submit gives a call to the module. Beyond openCap nothing is taken on, as at the
 // simulator, where such requests never reach the instance.
 func (l *EventLoop) Submit(c *Call) *Request {
-	l.figures.Accepted++
+	l.stats.Accepted++
 	l.nextID++
 	r := &Request{id: l.nextID, call: c}
-	l.open++
-	l.tally.Open.Add(1)
-	if l.ids[c.ID] != nil || l.once.has(time.Now(), c.ID) || !l.claim(r) {
+	l.openRequests++
+	l.counters.Open.Add(1)
+	if l.requestsByClientID[c.ID] != nil || l.dedup.contains(time.Now(), c.ID) || !l.claimID(r) {
 		// Somebody else's, or its own that may still run, or has: neither is to be touched.
-		l.finish(r, Answer{Outcome: Failed, Reason: Duplicate})
+		l.complete(r, Answer{Outcome: Failed, Reason: Duplicate})
 		return r
 	}
-	if !l.endBy.IsZero() {
-		c.Deadline = earliest(c.Deadline, l.endBy)
+	if !l.shutdownDeadline.IsZero() {
+		c.Deadline = earliest(c.Deadline, l.shutdownDeadline)
 	}
 	left := time.Until(c.Deadline)
 	if c.TimeAfterBody > 0 {
 		left = c.TimeAfterBody
 	}
 	most := l.cfg.Settings.Limits.MaxOpenRequests
-	if left <= 0 || c.NoConnections || most > 0 && l.open > most || l.agreed.shut(time.Now()) {
-		l.release(r)
-		l.refuse(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
+	if left <= 0 || c.NoConnections || most > 0 && l.openRequests > most || l.shared.rejecting(time.Now()) {
+		l.releaseID(r)
+		l.reject(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
 		return r
 	}
-	l.requests[r.id], l.ids[c.ID] = r, r
+	l.requests[r.id], l.requestsByClientID[c.ID] = r, r
 	left, backstop := RequestTimeouts(left)
 	if c.TimeAfterBody > 0 {
 		backstop = time.Until(c.Deadline)
-		c.written = func(at time.Time) { l.Post(func() { l.written(r, at) }) }
+		c.onBodyWritten = func(at time.Time) { l.Post(func() { l.bodyWritten(r, at) }) }
 	}
 	r.backstop = time.AfterFunc(backstop, func() {
-		l.Post(func() { l.late(r) })
+		l.Post(func() { l.deadlineExceeded(r) })
 	})
 	l.handle(&policy.Event{Kind: policy.EventRequest, StreamedBody: c.TimeAfterBody > 0, Request: r.id, Class: c.Class, Tenant: c.Tenant,
 		Key: c.Key, RemainingMs: float64(left.Microseconds()) / 1000, WorkHintMs: c.HintMs,
@@ -429,14 +429,14 @@
 	return r
 }
 
-// written begins a streamed call's time: its last byte has gone to a backend.
-func (l *EventLoop) written(r *Request, at time.Time) {
+// bodyWritten begins a streamed call's time: its last byte has gone to a backend.
+func (l *EventLoop) bodyWritten(r *Request, at time.Time) {
 	if r.answered {
 		return
 	}
 	r.call.Deadline = at.Add(r.call.TimeAfterBody)
-	if !l.endBy.IsZero() {
-		r.call.Deadline = earliest(r.call.Deadline, l.endBy)
+	if !l.shutdownDeadline.IsZero() {
+		r.call.Deadline = earliest(r.call.Deadline, l.shutdownDeadline)
 	}
 	left, backstop := RequestTimeouts(time.Until(r.call.Deadline))
 	r.backstop.Reset(max(backstop, 0))
@@ -444,19 +444,19 @@
 		RemainingMs: float64(max(left, 0).Microseconds()) / 1000})
 }
 
-// late is the backstop: the module should have ended the request before. That it
+// deadlineExceeded is the backstop: the module should have ended the request before. That it
 // did not is a bug or a stall, so it is logged and counted; unless its time was cut short
 // under an attempt, which then has more.
-func (l *EventLoop) late(r *Request) {
+func (l *EventLoop) deadlineExceeded(r *Request) {
 	if r.answered {
 		return
 	}
-	if !r.cut {
-		l.figures.DeadlineExceeded++
-		l.log(slog.LevelWarn, "backstop ended a request", "attempts", len(r.attempts), "out", r.out,
+	if !r.deadlineShortened {
+		l.stats.DeadlineExceeded++
+		l.log(slog.LevelWarn, "backstop ended a request", "attempts", len(r.attempts), "out", r.inFlight,
 			"late_ms", float64(time.Since(r.call.Deadline.Add(-backstopMargin)).Microseconds())/1000)
 	}
-	l.finish(r, Answer{Outcome: Failed, Reason: DeadlineExceeded})
+	l.complete(r, Answer{Outcome: Failed, Reason: DeadlineExceeded})
 	l.abandon(r)
 }
 
@@ -465,15 +465,15 @@
 	if r.answered {
 		select {
 		case a := <-r.call.Answer: // nobody will
-			l.budget.Release(a.ReservedBytes)
-			if drop(a.Reply); streamed(a.Reply) {
-				l.tally.CountStreamed(r.call.Class, Failed)
+			l.bodyBudget.Release(a.ReservedBytes)
+			if closeReply(a.Reply); isStreamed(a.Reply) {
+				l.counters.CountStreamed(r.call.Class, Failed)
 			}
 		default:
 		}
 		return
 	}
-	l.figures.Disconnected++
+	l.stats.Disconnected++
 	l.close(r)
 	l.abandon(r)
 }
@@ -488,32 +488,32 @@
 	l.handle(&policy.Event{Kind: policy.EventClientDisconnected, Request: r.id})
 }
 
-// refuse answers that a retry is harmless, unless an attempt may have run that
+// reject answers that a retry is harmless, unless an attempt may have run that
 // makes it harmful: then the request has failed.
-func (l *EventLoop) refuse(r *Request, afterMs float64) {
-	if !MayReject(l.class(r), r.mayRun) {
-		l.guard("refusal after an attempt that may have run")
-		l.finish(r, Answer{Outcome: Failed})
+func (l *EventLoop) reject(r *Request, afterMs float64) {
+	if !MayReject(l.class(r), r.mayHaveRun) {
+		l.reportViolation("refusal after an attempt that may have run")
+		l.complete(r, Answer{Outcome: Failed})
 		return
 	}
-	l.finish(r, Answer{Outcome: Rejected, RetryAfterMs: afterMs})
+	l.complete(r, Answer{Outcome: Rejected, RetryAfterMs: afterMs})
 }
 
-// finish gives the final answer; only the first counts.
-func (l *EventLoop) finish(r *Request, a Answer) {
+// complete gives the final answer; only the first counts.
+func (l *EventLoop) complete(r *Request, a Answer) {
 	if r.answered {
 		return
 	}
-	if r.streams = streamed(a.Reply); !r.streams { // else its front says how it ends
-		l.tally.Count(r.call.Class, a.Outcome)
+	if r.streaming = isStreamed(a.Reply); !r.streaming { // else its front says how it ends
+		l.counters.Count(r.call.Class, a.Outcome)
 	}
 	switch a.Outcome {
 	case Served:
-		l.figures.Served++
+		l.stats.Served++
 	case Rejected:
-		l.figures.Rejected++
+		l.stats.Rejected++
 	case Failed:
-		l.figures.Failed++
+		l.stats.Failed++
 	}
 	l.close(r) // first: who has the answer may bring the id of what never ran to another process at once
 	r.call.Answer <- a
@@ -523,9 +523,9 @@
 func (l *EventLoop) close(r *Request) {
 	if !r.answered {
 		r.answered = true
-		l.open--
-		if !r.streams {
-			l.tally.Open.Add(-1)
+		l.openRequests--
+		if !r.streaming {
+			l.counters.Open.Add(-1)
 		}
 	}
 	if r.backstop != nil {
@@ -536,243 +536,243 @@
 
 // forget drops a request that is over once no attempt is out.
 func (l *EventLoop) forget(r *Request) {
-	if r.answered && r.out == 0 && l.requests[r.id] == r {
+	if r.answered && r.inFlight == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
-		delete(l.ids, r.call.ID)
-		if r.mayRun > 0 && l.once.concerns(l.class(r), r.call) {
-			l.once.add(time.Now(), r.call.ID)
-			l.keep(r)
+		delete(l.requestsByClientID, r.call.ID)
+		if r.mayHaveRun > 0 && l.dedup.applies(l.class(r), r.call) {
+			l.dedup.add(time.Now(), r.call.ID)
+			l.retainID(r)
 		} else {
-			l.release(r)
+			l.releaseID(r)
 		}
 	}
 }
 
 // ---- attempts ----
 
-func (l *EventLoop) send(a *policy.Action) {
+func (l *EventLoop) forward(a *policy.Action) {
 	r := l.requests[a.Request]
 	if r == nil {
 		// The request is over and forgotten: nothing can be sent, or counted.
-		l.guard("attempt for a request that is over")
+		l.reportViolation("attempt for a request that is over")
 		return
 	}
 	index := len(r.attempts)
-	b := l.table.byAddr[a.Server]
+	b := l.endpoints.byAddr[a.Server]
 	t := &attempt{backend: b}
 	r.attempts = append(r.attempts, t)
 	until := r.call.Deadline.Add(-backstopMargin)
 	now := time.Now()
 	if a.DurationMs != 0 && r.call.TimeAfterBody == 0 {
-		until = earliest(until, now.Add(ms(a.DurationMs)))
+		until = earliest(until, now.Add(durationFromMs(a.DurationMs)))
 	}
 	var repeatBy time.Time
-	if r.mayRun > 0 && l.class(r).Effect == policy.IdempotentByKey {
-		repeatBy = r.ran.Add(RetryWindow(l.class(r)))
+	if r.mayHaveRun > 0 && l.class(r).Effect == policy.IdempotentByKey {
+		repeatBy = r.firstSentAt.Add(RetryWindow(l.class(r)))
 	}
-	if why := l.forbidden(r, b, now, until, repeatBy); why != "" {
-		l.guard(why)
+	if why := l.violation(r, b, now, until, repeatBy); why != "" {
+		l.reportViolation(why)
 		t.done = true
 		if len(r.attempts) > MaxForwardActions(l.cfg.Settings.Limits.MaxAttempts) {
-			l.finish(r, Answer{Outcome: Failed})
+			l.complete(r, Answer{Outcome: Failed})
 			return
 		}
-		l.pending = append(l.pending, policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: index,
+		l.pendingEvents = append(l.pendingEvents, policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: index,
 			Server: a.Server, Status: policy.NotStarted, Final: r.answered})
 		return
 	}
-	if r.mayRun == 0 && l.class(r).Effect == policy.IdempotentByKey {
-		r.ran, r.ranOn = now, l.table.entry(b)
+	if r.mayHaveRun == 0 && l.class(r).Effect == policy.IdempotentByKey {
+		r.firstSentAt, r.firstSentTo = now, l.endpoints.endpoint(b)
 	}
-	r.call.RetryBefore = l.agreed.by(index, repeatBy) // no attempt is out that could read it
+	r.call.RetryBefore = l.shared.startDeadline(index, repeatBy) // no attempt is out that could read it
 	r.call.Superseded.Store(false)
-	r.out++
-	r.mayRun++
-	b.out++
+	r.inFlight++
+	r.mayHaveRun++
+	b.inFlight++
 	ctx, cancel := context.WithCancel(l.ctx)
 	t.cancel = cancel
 	addr := b.addr
 	go func() {
 		res := r.call.Upstream.Do(ctx, b, addr, r.call, now, until)
 		cancel()
-		l.Post(func() { l.ended(r, index, &res) })
+		l.Post(func() { l.attemptEnded(r, index, &res) })
 	}()
 }
 
-// forbidden guards the contract whatever the module says; "" allows the attempt. repeatBy is until when it may
+// violation guards the contract whatever the module says; "" allows the attempt. repeatBy is until when it may
 // repeat one that may have run; zero: it repeats none, or at any time.
-func (l *EventLoop) forbidden(r *Request, b *Backend, now, until, repeatBy time.Time) string {
+func (l *EventLoop) violation(r *Request, b *Backend, now, until, repeatBy time.Time) string {
 	c := l.class(r)
-	g := Guard{Completed: r.answered, Listed: b != nil && b.addr != "", HasTime: until.After(now), InFlight: r.out, MayHaveRun: r.mayRun,
-		BodyConsumed: r.spent, Attempts: len(r.attempts), MaxAttempts: l.cfg.Settings.Limits.MaxAttempts, Effect: c.Effect}
-	g.Unavailable = g.Listed && b.closed.Load()
-	if by := l.agreed.by(len(r.attempts)-1, time.Time{}); !by.IsZero() {
+	g := Guard{Completed: r.answered, Listed: b != nil && b.addr != "", HasTime: until.After(now), InFlight: r.inFlight, MayHaveRun: r.mayHaveRun,
+		BodyConsumed: r.bodyConsumed, Attempts: len(r.attempts), MaxAttempts: l.cfg.Settings.Limits.MaxAttempts, Effect: c.Effect}
+	g.Unavailable = g.Listed && b.unavailable.Load()
+	if by := l.shared.startDeadline(len(r.attempts)-1, time.Time{}); !by.IsZero() {
 		g.LeaseExpired = !now.Before(by)
 	}
 	if g.Listed && !repeatBy.IsZero() {
-		to := l.table.entry(b)
-		g.WindowExpired, g.OutsideScope = now.After(repeatBy), !InDedupScope(c.DedupScope, &r.ranOn, &to)
+		to := l.endpoints.endpoint(b)
+		g.WindowExpired, g.OutsideScope = now.After(repeatBy), !InDedupScope(c.DedupScope, &r.firstSentTo, &to)
 	}
 	return g.Violation()
 }
 
 // class is a request's.
 func (l *EventLoop) class(r *Request) *policy.Class {
-	if r.class != nil {
-		return r.class
+	if r.narrowestClass != nil {
+		return r.narrowestClass
 	}
 	return &l.cfg.Settings.Classes[r.call.Class]
 }
 
-// ended takes the end of an attempt.
-func (l *EventLoop) ended(r *Request, index int, res *Result) {
+// attemptEnded takes the end of an attempt.
+func (l *EventLoop) attemptEnded(r *Request, index int, res *Result) {
 	t := r.attempts[index]
 	t.done = true
-	r.spent = r.spent || res.BodyConsumed
-	t.backend.out--
-	r.out--
+	r.bodyConsumed = r.bodyConsumed || res.BodyConsumed
+	t.backend.inFlight--
+	r.inFlight--
 	if res.Status.NeverRan() {
-		r.mayRun--
+		r.mayHaveRun--
 	}
 	switch {
 	case r.answered:
-		l.budget.Release(res.ReservedBytes)
-		drop(res.Reply)
+		l.bodyBudget.Release(res.ReservedBytes)
+		closeReply(res.Reply)
 	case res.ClientDisconnected:
 		l.ClientDisconnected(r) // its front will notice, too; by then the request is over
 	case res.Status == policy.OK:
-		l.finish(r, Answer{Outcome: Served, Reply: res.Reply, ReservedBytes: res.ReservedBytes})
+		l.complete(r, Answer{Outcome: Served, Reply: res.Reply, ReservedBytes: res.ReservedBytes})
 	case res.Status == policy.Cancelled && res.NoReplyExpected:
-		l.finish(r, Answer{Outcome: Served})
+		l.complete(r, Answer{Outcome: Served})
 	case res.Status == policy.Cancelled && res.BadRequest:
 		// The backend found fault with the request: so would any other.
-		l.finish(r, Answer{Outcome: Failed, Reason: BadRequest, Reply: res.Reply, ReservedBytes: res.ReservedBytes})
+		l.complete(r, Answer{Outcome: Failed, Reason: BadRequest, Reply: res.Reply, ReservedBytes: res.ReservedBytes})
 	case res.IncompleteRequest:
-		l.budget.Release(res.ReservedBytes)
-		l.finish(r, Answer{Outcome: Failed, Reason: IncompleteRequest})
+		l.bodyBudget.Release(res.ReservedBytes)
+		l.complete(r, Answer{Outcome: Failed, Reason: IncompleteRequest})
 	case res.BodyConsumed:
 		// Nothing is left that could be sent again.
-		l.budget.Release(res.ReservedBytes)
-		if MayReject(l.class(r), r.mayRun) {
-			l.finish(r, Answer{Outcome: Rejected, RetryAfterMs: l.cfg.Settings.Limits.MaxRetryAfterMs})
+		l.bodyBudget.Release(res.ReservedBytes)
+		if MayReject(l.class(r), r.mayHaveRun) {
+			l.complete(r, Answer{Outcome: Rejected, RetryAfterMs: l.cfg.Settings.Limits.MaxRetryAfterMs})
 		} else {
-			l.finish(r, Answer{Outcome: Failed})
+			l.complete(r, Answer{Outcome: Failed})
 		}
 	default:
-		l.budget.Release(res.ReservedBytes)
+		l.bodyBudget.Release(res.ReservedBytes)
 	}
 	l.handle(&policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: index, Server: t.backend.name,
 		Status: res.Status, LatencyMs: res.LatencyMs, Final: r.answered, Report: res.Report})
 	l.forget(r)
-	l.table.forget(t.backend)
+	l.endpoints.forget(t.backend)
 }
 
 // ---- probes ----
 
-// probe asks a backend how it is. The module gets exactly one answer, whatever becomes of it: it bounds the
+// startHealthCheck asks a backend how it is. The module gets exactly one answer, whatever becomes of it: it bounds the
 // probes that are out, and one that it waits for for ever would be the last.
-func (l *EventLoop) probe(name policy.Addr) {
-	b := l.table.byAddr[name]
-	if b == nil || b.addr == "" || b.closed.Load() || l.cfg.HealthCheck == nil || !l.cfg.Settings.Limits.HealthChecks {
-		l.guard("probe of a backend that is not to be asked")
-		l.pending = append(l.pending, policy.Event{Kind: policy.EventHealthCheckEnded, Server: name, Status: policy.NotStarted})
+func (l *EventLoop) startHealthCheck(name policy.Addr) {
+	b := l.endpoints.byAddr[name]
+	if b == nil || b.addr == "" || b.unavailable.Load() || l.cfg.HealthCheck == nil || !l.cfg.Settings.Limits.HealthChecks {
+		l.reportViolation("probe of a backend that is not to be asked")
+		l.pendingEvents = append(l.pendingEvents, policy.Event{Kind: policy.EventHealthCheckEnded, Server: name, Status: policy.NotStarted})
 		return
 	}
-	b.out++
+	b.inFlight++
 	addr, now := b.addr, time.Now()
 	go func() {
-		res := l.cfg.HealthCheck(l.ctx, b, addr, now, now.Add(probeTimeout))
+		res := l.cfg.HealthCheck(l.ctx, b, addr, now, now.Add(healthCheckTimeout))
 		l.Post(func() {
-			b.out--
+			b.inFlight--
 			l.handle(&policy.Event{Kind: policy.EventHealthCheckEnded, Server: name, Status: res.Status, LatencyMs: res.LatencyMs, Report: res.Report})
-			l.table.forget(b)
+			l.endpoints.forget(b)
 		})
 	}()
 }
 
 // ---- discovery ----
 
-// onList takes an answer of discovery. A watch and a fetch may cross: what is
+// discoveryAnswered takes an answer of discovery. A watch and a fetch may cross: what is
 // older than the list at hand is dropped, but for a whole list on the watch,
 // which is how a discovery that started again from nothing says so. That one was
 // asked for after the list at hand had come: an older call's answer, read late, is an
 // older list, and would take back a drain.
-func (l *EventLoop) onList(list *membership.List, watch bool, err error) {
+func (l *EventLoop) discoveryAnswered(list *membership.List, watch bool, err error) {
 	if watch && err != nil {
-		l.watching = l.pushed() // there it goes on by itself
+		l.watching = l.updatesPushed() // there it goes on by itself
 	} else if !watch {
 		l.fetching = false
 	}
 	if watch {
-		l.setStale(err != nil)
+		l.setDiscoveryStale(err != nil)
 	}
 	if err != nil {
-		l.lost(err)
-		if !watch || !l.pushed() { // it hears of what it asked for
+		l.discoveryFailed(err)
+		if !watch || !l.updatesPushed() { // it hears of what it asked for
 			l.handle(&policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateFailed})
 		}
 		return
 	}
-	again := watch && list.Full && (list.RequestedAt.IsZero() || !list.RequestedAt.Before(l.since))
-	if list.Revision < l.version && !again {
+	again := watch && list.Full && (list.RequestedAt.IsZero() || !list.RequestedAt.Before(l.revisionReceivedAt))
+	if list.Revision < l.revision && !again {
 		return
 	}
 	kind := policy.UpdateDelta
 	if list.Full {
 		kind = policy.UpdateComplete
 	}
-	l.list(list, kind, list.Full)
-	l.tellReady()
+	l.updateEndpoints(list, kind, list.Full)
+	l.notifyReady()
 }
 
-// lost tells that the roster has failed to answer.
-func (l *EventLoop) lost(err error) {
+// discoveryFailed tells that the roster has failed to answer.
+func (l *EventLoop) discoveryFailed(err error) {
 	if l.merge != nil {
 		l.merge.DiscoveryLost(err)
 	}
 	l.log(slog.LevelWarn, "discovery call failed", "err", err)
 }
 
-func (l *EventLoop) list(list *membership.List, kind policy.UpdateKind, full bool) {
-	l.version, l.since, l.unknown = list.Revision, time.Now(), l.unknown && !full
+func (l *EventLoop) updateEndpoints(list *membership.List, kind policy.UpdateKind, full bool) {
+	l.revision, l.revisionReceivedAt, l.awaitingCompleteList = list.Revision, time.Now(), l.awaitingCompleteList && !full
 	if l.merge != nil {
 		l.merge.UpdateDiscovery(l.now(), list)
-		l.merged(policy.UpdateDelta)
+		l.applyMergeChanges(policy.UpdateDelta)
 		return
 	}
-	l.tell(list, kind, full)
+	l.applyEndpoints(list, kind, full)
 }
 
-// merged tells what the merge has to tell now, and comes back when time alone will have more.
-func (l *EventLoop) merged(kind policy.UpdateKind) {
+// applyMergeChanges tells what the merge has to tell now, and comes back when time alone will have more.
+func (l *EventLoop) applyMergeChanges(kind policy.UpdateKind) {
 	now := l.now()
 	changes := membership.List{Entries: l.merge.Changes(now)}
 	if len(changes.Entries) > 0 || kind != policy.UpdateOtherSource {
-		l.tell(&changes, kind, false)
+		l.applyEndpoints(&changes, kind, false)
 	}
-	if l.due != nil {
-		l.due.Stop()
-		l.due = nil
+	if l.mergeTimer != nil {
+		l.mergeTimer.Stop()
+		l.mergeTimer = nil
 	}
 	if next := l.merge.NextDeadlineMs(); !math.IsInf(next, 1) {
-		l.due = time.AfterFunc(max(ms(next-now), time.Millisecond), func() {
-			l.Post(func() { l.merged(policy.UpdateOtherSource) })
+		l.mergeTimer = time.AfterFunc(max(durationFromMs(next-now), time.Millisecond), func() {
+			l.Post(func() { l.applyMergeChanges(policy.UpdateOtherSource) })
 		})
 	}
-	l.tellReady()
+	l.notifyReady()
 }
 
-// tell takes a list into the table and gives it to the module.
-func (l *EventLoop) tell(list *membership.List, kind policy.UpdateKind, full bool) {
-	entries, stale, gone := l.table.apply(list, full)
+// applyEndpoints takes a list into the table and gives it to the module.
+func (l *EventLoop) applyEndpoints(list *membership.List, kind policy.UpdateKind, full bool) {
+	entries, stale, gone := l.endpoints.apply(list, full)
 	for _, b := range stale {
-		l.hangUp(b)
+		l.closeIdle(b)
 	}
 	l.handle(&policy.Event{Kind: policy.EventEndpointUpdate, Update: kind, Endpoints: entries})
 	for _, b := range gone {
-		l.table.forget(b)
+		l.endpoints.forget(b)
 	}
-	l.publish()
+	l.publishRotation()
 	if l.cfg.EndpointsChanged != nil {
 		l.cfg.EndpointsChanged()
 	}
@@ -780,17 +780,17 @@
 
 // ---- the log ----
 
-func (l *EventLoop) guard(what string) {
-	l.figures.GuardViolations++
+func (l *EventLoop) reportViolation(what string) {
+	l.stats.GuardViolations++
 	l.log(slog.LevelError, "guard: "+what)
 }
 
 func (l *EventLoop) log(level slog.Level, text string, args ...any) {
-	if !l.limit.Allow() {
+	if !l.logLimiter.Allow() {
 		return
 	}
 	select {
-	case l.lines <- func() { slog.Log(l.ctx, level, text, args...) }:
+	case l.logLines <- func() { slog.Log(l.ctx, level, text, args...) }:
 	default:
 	}
 }
@@ -800,7 +800,7 @@
 func (l *EventLoop) writeLog() {
 	for {
 		select {
-		case line := <-l.lines:
+		case line := <-l.logLines:
 			line()
 		case <-l.ctx.Done():
 			return
@@ -808,7 +808,7 @@
 	}
 }
 
-func ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+func durationFromMs(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
 func earliest(a, b time.Time) time.Time {
 	if a.Before(b) {
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -13,8 +13,8 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// patience bounds every wait of the tests; none of them needs more than a part of it.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of the tests; none of them needs more than a part of it.
+const testTimeout = 20 * time.Second
 
 // stub is an upstream whose attempts end as a test says.
 type stub struct {
@@ -27,12 +27,12 @@
 func (stub) CloseIdle(*Backend) {}
 func (stub) CloseExpired()      {}
 
-func target(id string) membership.Entry {
+func listedBackend(id string) membership.Entry {
 	return membership.Entry{ID: id, Addr: "127.0.0.1:1", State: membership.Up, Weight: 1}
 }
 
 func testConfig() Config {
-	return Config{Discovery: "127.0.0.1:1", Seed: 7, CachedEndpoints: membership.List{Revision: 1, Full: true, Entries: []membership.Entry{target("s-1")}},
+	return Config{Discovery: "127.0.0.1:1", Seed: 7, CachedEndpoints: membership.List{Revision: 1, Full: true, Entries: []membership.Entry{listedBackend("s-1")}},
 		Settings: policy.Settings{Classes: []policy.Class{
 			{Name: "read", LatencyObjectiveMs: 2000, ClientTimeoutMs: 4000, Effect: policy.Idempotent, PriorityWeight: 1},
 			{Name: "send", LatencyObjectiveMs: 2000, ClientTimeoutMs: 4000, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeAll, IdempotencyWindowMs: 8000, PriorityWeight: 2},
@@ -73,13 +73,13 @@
 	return &Call{ID: id, Class: class, Upstream: u, Deadline: time.Now().Add(2 * time.Second), Answer: make(chan Answer, 1)}
 }
 
-func (l *EventLoop) ask(t *testing.T, c *Call) Answer {
+func (l *EventLoop) roundTrip(t *testing.T, c *Call) Answer {
 	t.Helper()
 	l.Post(func() { l.Submit(c) })
 	select {
 	case a := <-c.Answer:
 		return a
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no answer")
 	}
 	return Answer{}
@@ -110,11 +110,11 @@
 				return Result{Status: c.status, BadRequest: c.blamed, LatencyMs: 1, Reply: "reply"}
 			}}
 			l := newTestLoop(t, u)
-			l.cfg.CachedEndpoints.Entries = append(l.cfg.CachedEndpoints.Entries, target("s-2"), target("s-3"), target("s-4"))
+			l.cfg.CachedEndpoints.Entries = append(l.cfg.CachedEndpoints.Entries, listedBackend("s-2"), listedBackend("s-3"), listedBackend("s-4"))
 			ended := make(chan struct{})
 			go func() { defer close(ended); l.Run() }()
 			t.Cleanup(func() { <-ended })
-			a := l.ask(t, newCall(u, "1", c.class))
+			a := l.roundTrip(t, newCall(u, "1", c.class))
 			if a.Outcome != c.want || a.Reason != c.fault || (c.want == Served || c.fault == BadRequest) != (a.Reply == "reply") {
 				t.Errorf("answered %+v", a)
 			}
@@ -135,7 +135,7 @@
 	l := running(t, u)
 	first := newCall(u, "1", 0)
 	l.Post(func() { l.Submit(first) })
-	if a := l.ask(t, newCall(u, "1", 0)); a.Outcome != Failed || a.Reason != Duplicate {
+	if a := l.roundTrip(t, newCall(u, "1", 0)); a.Outcome != Failed || a.Reason != Duplicate {
 		t.Errorf("answered %+v", a)
 	}
 	close(release)
@@ -150,14 +150,14 @@
 	// A request that the module was never told of stands for one that it forgot.
 	c := newCall(stub{}, "1", 2)
 	r := &Request{id: 1, call: c}
-	l.requests[1], l.open = r, 1
-	l.late(r)
+	l.requests[1], l.openRequests = r, 1
+	l.deadlineExceeded(r)
 	if a := <-c.Answer; a.Outcome != Failed || a.Reason != DeadlineExceeded {
 		t.Errorf("answered %+v, want a late failure", a)
 	}
-	l.finish(r, Answer{Outcome: Served})
-	if len(c.Answer) != 0 || l.figures.DeadlineExceeded != 1 || l.open != 0 || len(l.requests) != 0 {
-		t.Errorf("%d further answers, figures %+v, %d open", len(c.Answer), l.figures, l.open)
+	l.complete(r, Answer{Outcome: Served})
+	if len(c.Answer) != 0 || l.stats.DeadlineExceeded != 1 || l.openRequests != 0 || len(l.requests) != 0 {
+		t.Errorf("%d further answers, figures %+v, %d open", len(c.Answer), l.stats, l.openRequests)
 	}
 }
 
@@ -178,20 +178,20 @@
 		{"allowed", Request{}, up(), now.Add(time.Second), true},
 		{"drained", Request{}, drained, now.Add(time.Second), false},
 		{"unknown backend", Request{}, nil, now.Add(time.Second), false},
-		{"one out", Request{out: 1}, up(), now.Add(time.Second), false},
+		{"one out", Request{inFlight: 1}, up(), now.Add(time.Second), false},
 		{"answered", Request{answered: true}, up(), now.Add(time.Second), false},
-		{"may have run", Request{mayRun: 1}, up(), now.Add(time.Second), false},
+		{"may have run", Request{mayHaveRun: 1}, up(), now.Add(time.Second), false},
 		{"fourth attempt", Request{attempts: make([]*attempt, 4)}, up(), now.Add(time.Second), false},
 		{"no time", Request{}, up(), now, false},
 	} {
 		test.r.call = &Call{Class: 2}
-		if why := l.forbidden(&test.r, test.b, now, test.until, time.Time{}); (why == "") != test.want {
+		if why := l.violation(&test.r, test.b, now, test.until, time.Time{}); (why == "") != test.want {
 			t.Errorf("%s: %q", test.name, why)
 		}
 	}
 	// A refusal after an attempt that may have run is turned into a failure.
 	c := newCall(stub{}, "1", 2)
-	l.refuse(&Request{id: 1 << 30, call: c, mayRun: 1}, 1)
+	l.reject(&Request{id: 1 << 30, call: c, mayHaveRun: 1}, 1)
 	if a := <-c.Answer; a.Outcome != Failed {
 		t.Errorf("answered %+v, want a failure", a)
 	}
@@ -204,20 +204,20 @@
 	l := newTestLoop(t, stub{})
 	asked := false
 	l.cfg.HealthCheck = func(context.Context, *Backend, string, time.Time, time.Time) Result { asked = true; return Result{} }
-	b := l.table.backend("s-1")
+	b := l.endpoints.getOrCreate("s-1")
 	for name, spoil := range map[string]func(){
 		"not listed":  func() { b.addr = "" },
-		"drains":      func() { b.closed.Store(true) },
+		"drains":      func() { b.unavailable.Store(true) },
 		"not allowed": func() { l.cfg.Settings.Limits.HealthChecks = false },
 	} {
 		b.addr, l.cfg.Settings.Limits.HealthChecks = "127.0.0.1:1", true
-		b.closed.Store(false)
+		b.unavailable.Store(false)
 		spoil()
-		l.carryOut([]policy.Action{{Kind: policy.ActionHealthCheck, Server: b.name}})
-		if len(l.pending) != 1 || l.pending[0].Kind != policy.EventHealthCheckEnded || l.pending[0].Server != b.name || l.pending[0].Status != policy.NotStarted || asked {
-			t.Errorf("%s: %+v", name, l.pending)
+		l.dispatch([]policy.Action{{Kind: policy.ActionHealthCheck, Server: b.name}})
+		if len(l.pendingEvents) != 1 || l.pendingEvents[0].Kind != policy.EventHealthCheckEnded || l.pendingEvents[0].Server != b.name || l.pendingEvents[0].Status != policy.NotStarted || asked {
+			t.Errorf("%s: %+v", name, l.pendingEvents)
 		}
-		l.pending = nil
+		l.pendingEvents = nil
 	}
 }
 
@@ -226,27 +226,27 @@
 	done := make(chan bool)
 	l.Post(func() {
 		defer close(done)
-		drains := target("s-1")
+		drains := listedBackend("s-1")
 		drains.State = membership.Draining
-		l.onList(&membership.List{Revision: 9, Entries: []membership.Entry{drains}}, true, nil)
-		l.onList(&membership.List{Revision: 8, Full: true, Entries: []membership.Entry{target("s-1")}}, false, nil)
-		if !l.table.byID["s-1"].Unavailable() {
+		l.discoveryAnswered(&membership.List{Revision: 9, Entries: []membership.Entry{drains}}, true, nil)
+		l.discoveryAnswered(&membership.List{Revision: 8, Full: true, Entries: []membership.Entry{listedBackend("s-1")}}, false, nil)
+		if !l.endpoints.byID["s-1"].Unavailable() {
 			t.Error("an older list took back a drain")
 		}
 		// Nor does one on the watch that was asked for before that came and read after it; a discovery that
 		// started again is asked later.
-		asked := l.since.Add(-time.Millisecond)
-		old := membership.List{Revision: 8, Full: true, Entries: []membership.Entry{target("s-1"), target("s-2")}, RequestedAt: asked}
-		l.onList(&old, true, nil)
-		if !l.table.byID["s-1"].Unavailable() {
+		asked := l.revisionReceivedAt.Add(-time.Millisecond)
+		old := membership.List{Revision: 8, Full: true, Entries: []membership.Entry{listedBackend("s-1"), listedBackend("s-2")}, RequestedAt: asked}
+		l.discoveryAnswered(&old, true, nil)
+		if !l.endpoints.byID["s-1"].Unavailable() {
 			t.Error("an older call's answer took back a drain")
 		}
-		old.RequestedAt = l.since.Add(time.Millisecond)
-		if l.onList(&old, true, nil); l.version != 8 || l.table.byID["s-1"].Unavailable() || l.table.byID["s-2"] == nil {
+		old.RequestedAt = l.revisionReceivedAt.Add(time.Millisecond)
+		if l.discoveryAnswered(&old, true, nil); l.revision != 8 || l.endpoints.byID["s-1"].Unavailable() || l.endpoints.byID["s-2"] == nil {
 			t.Error("a discovery that started again is not believed")
 		}
-		l.onList(&membership.List{Revision: 10, Full: true}, true, nil)
-		if len(l.table.byID) != 0 || len(l.table.byAddr) != 0 {
+		l.discoveryAnswered(&membership.List{Revision: 10, Full: true}, true, nil)
+		if len(l.endpoints.byID) != 0 || len(l.endpoints.byAddr) != 0 {
 			t.Error("a backend that is gone is kept")
 		}
 	})
@@ -254,13 +254,13 @@
 }
 
 func TestNamesAreTheSameAtEveryAgentAndNeverCollide(t *testing.T) {
-	x, y := newTable(nil, nil), newTable(nil, nil)
-	a, b := x.backend("s-1"), y.backend("s-1")
+	x, y := newEndpointTable(nil, nil), newEndpointTable(nil, nil)
+	a, b := x.getOrCreate("s-1"), y.getOrCreate("s-1")
 	if a.name != b.name {
 		t.Error("two agents name one backend differently")
 	}
 	delete(y.byID, "s-1") // now its name is taken by another id
-	if c := y.backend("s-1"); c.name == b.name {
+	if c := y.getOrCreate("s-1"); c.name == b.name {
 		t.Error("two backends have one name")
 	}
 }
@@ -270,23 +270,23 @@
 	u := stub{func(context.Context, *Backend, *Call) Result { return Result{Status: policy.OK} }}
 	l := running(t, u)
 	blocked, held := make(chan struct{}), make(chan struct{})
-	l.lines <- func() { close(held); <-blocked }
+	l.logLines <- func() { close(held); <-blocked }
 	defer close(blocked)
 	<-held
 	done := make(chan struct{})
 	l.Post(func() {
-		l.limit.SetLimit(rate.Inf)
-		for range 2 * cap(l.lines) {
+		l.logLimiter.SetLimit(rate.Inf)
+		for range 2 * cap(l.logLines) {
 			l.log(slog.LevelDebug, "line")
 		}
 		close(done)
 	})
 	select {
 	case <-done:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the loop waits for the log")
 	}
-	if a := l.ask(t, newCall(u, "1", 2)); a.Outcome != Served {
+	if a := l.roundTrip(t, newCall(u, "1", 2)); a.Outcome != Served {
 		t.Errorf("answered %+v", a)
 	}
 }
--- a/internal/core/once_test.go
+++ b/internal/core/once_test.go
@@ -33,10 +33,10 @@
 				return Result{Status: policy.OK, LatencyMs: 1, Reply: "reply"}
 			}}
 			l := running(t, u)
-			l.ask(t, newCall(u, "1", c.class))
+			l.roundTrip(t, newCall(u, "1", c.class))
 			before := tries
 			first = false
-			a := l.ask(t, newCall(u, "1", c.class))
+			a := l.roundTrip(t, newCall(u, "1", c.class))
 			if sent := tries > before; sent != c.again || !sent && (a.Outcome != Failed || a.Reason != Duplicate) {
 				t.Errorf("sent %v, answered %+v", sent, a)
 			}
@@ -46,25 +46,25 @@
 
 // Ids are known for onceFor at the least, and not for ever: neither their age nor their number grows without bound.
 func TestIDsAreForgotten(t *testing.T) {
-	o, now := newOnce(), time.Now()
+	o, now := newRecentIDs(), time.Now()
 	o.add(now, "a")
-	if !o.has(now.Add(onceFor), "a") || o.has(now, "b") {
+	if !o.contains(now.Add(dedupWindow), "a") || o.contains(now, "b") {
 		t.Error("within its time")
 	}
-	o.add(now.Add(onceFor), "b")
-	if later := now.Add(2 * onceFor); o.has(later, "a") || !o.has(later, "b") {
+	o.add(now.Add(dedupWindow), "b")
+	if later := now.Add(2 * dedupWindow); o.contains(later, "a") || !o.contains(later, "b") {
 		t.Error("a minute later")
 	}
-	if later := now.Add(5 * onceFor); o.has(later, "b") || len(o.now)+len(o.old) != 0 {
-		t.Errorf("after silence %d ids are left", len(o.now)+len(o.old))
+	if later := now.Add(5 * dedupWindow); o.contains(later, "b") || len(o.current)+len(o.previous) != 0 {
+		t.Errorf("after silence %d ids are left", len(o.current)+len(o.previous))
 	}
-	for i := range 3 * onceMost {
-		o.add(now.Add(6*onceFor), strconv.Itoa(i))
-		if n := len(o.now) + len(o.old); n > onceMost {
+	for i := range 3 * maxRecentIDs {
+		o.add(now.Add(6*dedupWindow), strconv.Itoa(i))
+		if n := len(o.current) + len(o.previous); n > maxRecentIDs {
 			t.Fatalf("%d ids", n)
 		}
 	}
-	if at := now.Add(6 * onceFor); !o.has(at, strconv.Itoa(3*onceMost-1)) || !o.has(at, strconv.Itoa(3*onceMost-onceMost/2)) {
+	if at := now.Add(6 * dedupWindow); !o.contains(at, strconv.Itoa(3*maxRecentIDs-1)) || !o.contains(at, strconv.Itoa(3*maxRecentIDs-maxRecentIDs/2)) {
 		t.Error("the last half is not known")
 	}
 }
--- a/internal/core/shared_test.go
+++ b/internal/core/shared_test.go
@@ -65,10 +65,10 @@
 				return start(t, l)
 			}
 			one, other := process(), process()
-			one.ask(t, newCall(u, "1", c.class))
+			one.roundTrip(t, newCall(u, "1", c.class))
 			before := sent
 			result = policy.OK
-			a := other.ask(t, newCall(u, "1", c.class))
+			a := other.roundTrip(t, newCall(u, "1", c.class))
 			if again := sent > before; again != c.again || !again && (a.Outcome != Failed || a.Reason != Duplicate) {
 				t.Errorf("sent again %v, answered %+v", again, a)
 			}
--- a/internal/core/table.go
+++ b/internal/core/table.go
@@ -6,54 +6,54 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// table holds the backends that discovery listed, by id and by the module's
+// endpointTable holds the backends that discovery listed, by id and by the module's
 // name for them. It belongs to the loop.
-type table struct {
-	names  membership.Names
-	byID   map[string]*Backend      // bound: what is listed, and what is gone with attempts out
-	byAddr map[policy.Addr]*Backend // the same
-	banned map[string]bool          // ids that an operator wants left alone, listed or not; upgrade.MaxBans at the most
-	seen   map[string]bool          // ids that were ever listed, as far as maxSeen goes
-	word   *sharedconfig.Config     // what all agents agree on of servers; nil: nothing
+type endpointTable struct {
+	names    membership.Names
+	byID     map[string]*Backend      // bound: what is listed, and what is gone with attempts out
+	byAddr   map[policy.Addr]*Backend // the same
+	cordoned map[string]bool          // ids that an operator wants left alone, listed or not; upgrade.MaxBans at the most
+	seen     map[string]bool          // ids that were ever listed, as far as maxSeen goes
+	config   *sharedconfig.Config     // what all agents agree on of servers; nil: nothing
 }
 
 // maxSeen bounds the ids that are remembered as once listed; beyond it only those listed now are known.
 const maxSeen = 1 << 14
 
-func newTable(zones, kinds []string) *table {
-	return &table{names: membership.NewNames(zones, kinds),
+func newEndpointTable(zones, kinds []string) *endpointTable {
+	return &endpointTable{names: membership.NewNames(zones, kinds),
 		byID: map[string]*Backend{}, byAddr: map[policy.Addr]*Backend{},
-		banned: map[string]bool{}, seen: map[string]bool{}}
+		cordoned: map[string]bool{}, seen: map[string]bool{}}
 }
 
-// backend finds or makes the entry of an id.
-func (t *table) backend(id string) *Backend {
+// getOrCreate finds or makes the entry of an id.
+func (t *endpointTable) getOrCreate(id string) *Backend {
 	if b := t.byID[id]; b != nil {
 		return b
 	}
 	b := &Backend{id: id, name: membership.ServerAddr(id, func(a policy.Addr) bool { return t.byAddr[a] != nil })}
 	t.byID[id], t.byAddr[b.name] = b, b
-	t.see(id)
+	t.addSeen(id)
 	return b
 }
 
-// see notes that an id was listed.
-func (t *table) see(id string) {
+// addSeen notes that an id was listed.
+func (t *endpointTable) addSeen(id string) {
 	if len(t.seen) < maxSeen {
 		t.seen[id] = true
 	}
 }
 
 // list is all that is listed, and the ids that were once.
-func (t *table) list(revision uint64) (l membership.List, seen []string) {
+func (t *endpointTable) list(revision uint64) (l membership.List, seen []string) {
 	l = membership.List{Revision: revision, Full: true}
 	for _, b := range t.byID {
-		if !b.gone && b.told.ID != "" {
-			l.Entries = append(l.Entries, b.told)
+		if !b.removed && b.entry.ID != "" {
+			l.Entries = append(l.Entries, b.entry)
 		}
 	}
 	for id := range t.seen {
-		if b := t.byID[id]; b == nil || b.gone {
+		if b := t.byID[id]; b == nil || b.removed {
 			seen = append(seen, id)
 		}
 	}
@@ -62,7 +62,7 @@
 
 // apply takes a list into the table and returns the module's entries, the backends
 // whose idle connections are of no more use, and those gone.
-func (t *table) apply(l *membership.List, full bool) (entries []policy.Endpoint, stale, gone []*Backend) {
+func (t *endpointTable) apply(l *membership.List, full bool) (entries []policy.Endpoint, stale, gone []*Backend) {
 	named := make(map[string]bool, len(l.Entries))
 	for i := range l.Entries {
 		s := &l.Entries[i]
@@ -70,18 +70,18 @@
 			continue
 		}
 		named[s.ID] = true
-		b := t.backend(s.ID)
-		b.told = *s
-		e := t.entry(b)
+		b := t.getOrCreate(s.ID)
+		b.entry = *s
+		e := t.endpoint(b)
 		if s.Addr != "" && b.addr != s.Addr {
 			stale = append(stale, b)
 			b.addr = s.Addr
 		}
 		shut := e.Health != policy.Ready || e.Cordoned
-		if b.closed.Store(shut); shut {
+		if b.unavailable.Store(shut); shut {
 			stale = append(stale, b)
 		}
-		if b.gone = e.Health == policy.Removed; b.gone {
+		if b.removed = e.Health == policy.Removed; b.removed {
 			gone = append(gone, b)
 		}
 		entries = append(entries, e)
@@ -89,8 +89,8 @@
 	if full {
 		for id, b := range t.byID {
 			if !named[id] {
-				b.closed.Store(true)
-				b.gone = true
+				b.unavailable.Store(true)
+				b.removed = true
 				stale, gone = append(stale, b), append(gone, b)
 			}
 		}
@@ -98,56 +98,58 @@
 	return entries, stale, gone
 }
 
-// entry is a backend as the module is told of it.
-func (t *table) entry(b *Backend) policy.Endpoint {
-	e := t.names.Policy(&b.told)
-	e.Server, e.Cordoned = b.name, t.banned[b.id]
-	if t.word != nil {
-		e.Cordoned = e.Cordoned || !t.word.Allows(b.id)
-		if w := t.word.Servers[b.id].Weight; w > 0 {
+// endpoint is a backend as the module is told of it.
+func (t *endpointTable) endpoint(b *Backend) policy.Endpoint {
+	e := t.names.Policy(&b.entry)
+	e.Server, e.Cordoned = b.name, t.cordoned[b.id]
+	if t.config != nil {
+		e.Cordoned = e.Cordoned || !t.config.Allows(b.id)
+		if w := t.config.Servers[b.id].Weight; w > 0 {
 			e.Weight = w
 		}
 	}
 	return e
 }
 
-// shut tells whether nothing new is to go to a backend.
-func (t *table) shut(b *Backend) bool {
-	e := t.entry(b)
+// shouldBeUnavailable tells whether nothing new is to go to a backend.
+func (t *endpointTable) shouldBeUnavailable(b *Backend) bool {
+	e := t.endpoint(b)
 	return e.Health != policy.Ready || e.Cordoned
 }
 
-// ban notes that an operator wants nothing new at the backend of an id, or that he does again. It returns the
+// cordon notes that an operator wants nothing new at the backend of an id, or that he does again. It returns the
 // backend if it is listed.
-func (t *table) ban(id string, on bool) *Backend {
-	was := t.banned[id]
-	if delete(t.banned, id); on {
-		t.banned[id] = true
+func (t *endpointTable) cordon(id string, on bool) *Backend {
+	was := t.cordoned[id]
+	if delete(t.cordoned, id); on {
+		t.cordoned[id] = true
 	}
 	b := t.byID[id]
-	if b == nil || b.gone || was == on {
+	if b == nil || b.removed || was == on {
 		return nil
 	}
-	b.closed.Store(t.shut(b))
+	b.unavailable.Store(t.shouldBeUnavailable(b))
 	return b
 }
 
-// knows tells whether an id is, or was ever, listed.
-func (t *table) knows(id string) bool { return t.byID[id] != nil || t.seen[id] || t.banned[id] }
+// known tells whether an id is, or was ever, listed.
+func (t *endpointTable) known(id string) bool {
+	return t.byID[id] != nil || t.seen[id] || t.cordoned[id]
+}
 
 // forget drops backends that are gone and have no attempt out; the module has
 // forgotten them by then.
-func (t *table) forget(b *Backend) {
-	if b.gone && b.out == 0 && t.byID[b.id] == b {
+func (t *endpointTable) forget(b *Backend) {
+	if b.removed && b.inFlight == 0 && t.byID[b.id] == b {
 		delete(t.byID, b.id)
 		delete(t.byAddr, b.name)
 	}
 }
 
 // usable tells whether any backend may be sent to.
-func (t *table) usable() bool {
+func (t *endpointTable) usable() bool {
 	for _, b := range t.byID {
-		if !b.closed.Load() {
+		if !b.unavailable.Load() {
 			return true
 		}
 	}
--- a/internal/core/tally.go
+++ b/internal/core/tally.go
@@ -21,7 +21,7 @@
 	Served, Rejected, Failed atomic.Int64
 }
 
-func newTally(classes []policy.Class) *Counters {
+func newCounters(classes []policy.Class) *Counters {
 	t := &Counters{Classes: make([]ClassCounters, len(classes))}
 	for i, c := range classes {
 		t.Classes[i].Name = c.Name
@@ -55,7 +55,7 @@
 }
 
 // Counters is the loop's count. It may be called from any goroutine.
-func (l *EventLoop) Counters() *Counters { return l.tally }
+func (l *EventLoop) Counters() *Counters { return l.counters }
 
 // Rotation is how many backends there were publishEvery ago at the most, where the loop is Watched. It may be called from any goroutine, and
 // waits for nobody.
@@ -66,23 +66,23 @@
 	return Rotation{}
 }
 
-// publish counts backends as they are now.
-func (l *EventLoop) publish() {
-	r := l.count()
+// publishRotation counts backends as they are now.
+func (l *EventLoop) publishRotation() {
+	r := l.countRotation()
 	l.rotation.Store(&r)
 }
 
-func (l *EventLoop) count() (r Rotation) {
+func (l *EventLoop) countRotation() (r Rotation) {
 	avoided := map[policy.Addr]bool{}
 	for _, v := range l.balancer.View(l.now(), nil) {
 		avoided[v.Server] = v.State == policy.Unhealthy
 	}
-	for _, b := range l.table.byID {
-		if b.gone {
+	for _, b := range l.endpoints.byID {
+		if b.removed {
 			continue
 		}
 		r.Listed++
-		if b.closed.Load() || avoided[b.name] {
+		if b.unavailable.Load() || avoided[b.name] {
 			r.Unavailable++
 		}
 	}
@@ -90,24 +90,26 @@
 }
 
 // Endpoints is all that is listed now, in no order, and the ids that were once. It is called in the loop.
-func (l *EventLoop) Endpoints() (list membership.List, seen []string) { return l.table.list(l.version) }
+func (l *EventLoop) Endpoints() (list membership.List, seen []string) {
+	return l.endpoints.list(l.revision)
+}
 
 // Known tells whether a backend of this id is, or was ever, listed. It is called in the loop.
-func (l *EventLoop) Known(id string) bool { return l.table.knows(id) }
+func (l *EventLoop) Known(id string) bool { return l.endpoints.known(id) }
 
 // Cordon has nothing new sent to a backend, or ends that; a ban holds whatever the list says of the backend
 // meanwhile. It is called in the loop.
 func (l *EventLoop) Cordon(id string, on bool) {
-	b := l.table.ban(id, on)
+	b := l.endpoints.cordon(id, on)
 	if b == nil {
 		return
 	}
-	l.handle(&policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateOtherSource, Endpoints: []policy.Endpoint{l.table.entry(b)}})
+	l.handle(&policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateOtherSource, Endpoints: []policy.Endpoint{l.endpoints.endpoint(b)}})
 	if on {
-		l.hangUp(b)
+		l.closeIdle(b)
 	}
-	l.drain()
-	l.publish()
+	l.handlePending()
+	l.publishRotation()
 }
 
 // SetCordoned makes the given ids the banned ones: another process of this agent may have been told. It is
@@ -118,7 +120,7 @@
 		banned[id] = true
 		l.Cordon(id, true)
 	}
-	for id := range l.table.banned {
+	for id := range l.endpoints.cordoned {
 		if !banned[id] {
 			l.Cordon(id, false)
 		}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -42,13 +42,13 @@
 	// TimeAfterBody, where it is not 0, is the time that a streamed call has from its last byte on: a part of it still
 	// comes while it is sent. Deadline is then how long that may take in all.
 	TimeAfterBody time.Duration
-	written       func(at time.Time)
+	onBodyWritten func(at time.Time)
 }
 
 // BodyWritten tells that the last byte of a streamed call has gone to a backend, and returns when an attempt that
 // was written then is to end. Its upstream calls it, once an attempt.
 func (c *Call) BodyWritten(at time.Time) (until time.Time) {
-	c.written(at)
+	c.onBodyWritten(at)
 	return at.Add(c.TimeAfterBody - backstopMargin)
 }
 
@@ -87,15 +87,15 @@
 // client has it whole.
 type StreamedReply interface{ Close(whole bool) }
 
-// drop ends with a reply that nobody will have.
-func drop(reply any) {
+// closeReply ends with a reply that nobody will have.
+func closeReply(reply any) {
 	if o, ok := reply.(StreamedReply); ok {
 		o.Close(false)
 	}
 }
 
-// streamed tells whether a reply's rest still comes.
-func streamed(reply any) bool {
+// isStreamed tells whether a reply's rest still comes.
+func isStreamed(reply any) bool {
 	_, ok := reply.(StreamedReply)
 	return ok
 }
@@ -130,20 +130,20 @@
 
 // Backend is one listed server. Its fields belong to the loop, but for what Closed tells.
 type Backend struct {
-	id     string
-	name   policy.Addr      // what the module calls it
-	addr   string           // where it listens, as told to this agent last
-	told   membership.Entry // as it was listed last
-	gone   bool
-	out    int // attempts out
-	closed atomic.Bool
+	id          string
+	name        policy.Addr      // what the module calls it
+	addr        string           // where it listens, as told to this agent last
+	entry       membership.Entry // as it was listed last
+	removed     bool
+	inFlight    int // attempts out
+	unavailable atomic.Bool
 }
 
 // Unavailable tells whether the backend was told to drain or gone, or an operator banned it: asked just before a write.
-func (b *Backend) Unavailable() bool { return b.closed.Load() }
+func (b *Backend) Unavailable() bool { return b.unavailable.Load() }
 
 // MarkUnavailable makes Closed true, as the loop does when it is told so. It is for tests of upstreams.
-func (b *Backend) MarkUnavailable() { b.closed.Store(true) }
+func (b *Backend) MarkUnavailable() { b.unavailable.Store(true) }
 
 // Config is what the loop is told.
 type Config struct {
@@ -152,7 +152,7 @@
 	Settings        policy.Settings
 	Seed            uint64
 	Zones           []string
-	Kinds           []string
+	MachineTypes    []string
 
 	// HealthCheck asks a backend how it is, beside its requests, and returns how that ended, exactly once. It is
 	// called only where the settings allow probes. What says nothing of the backend is Moot.
--- a/internal/core/window_test.go
+++ b/internal/core/window_test.go
@@ -39,11 +39,11 @@
 			if l.balancer, err = policy.New(l.cfg.Settings, 7); err != nil {
 				t.Fatal(err)
 			}
-			l.cfg.CachedEndpoints.Entries = append(l.cfg.CachedEndpoints.Entries, target("s-2"), target("s-3"), target("s-4"))
+			l.cfg.CachedEndpoints.Entries = append(l.cfg.CachedEndpoints.Entries, listedBackend("s-2"), listedBackend("s-3"), listedBackend("s-4"))
 			ended := make(chan struct{})
 			go func() { defer close(ended); l.Run() }()
 			t.Cleanup(func() { <-ended })
-			a := l.ask(t, newCall(u, "1", 1))
+			a := l.roundTrip(t, newCall(u, "1", 1))
 			if n := len(began); n < min(test.most, 2) || n > test.most {
 				t.Errorf("%d attempts, want %d at the most; answered %+v", n, test.most, a)
 			}
