--- /dev/null
+++ b/internal/core/dedup.go
@@ -0,0 +1,66 @@
+package core
+
+import (
+	"hash/maphash"
+	"time"
+
+	"ringtrack.example/ringtrack/policy"
+)
+
+const (
+	// dedupWindow is the minimum time for which the id of a request that may have run is known: the longest deadline
+	// that a client may set (README, "Limits of the agent").
+	dedupWindow = time.Minute
+	// maxRecentIDs bounds the known ids, in two generations. With more than maxRecentIDs/2 ids in dedupWindow the oldest
+	// are forgotten sooner. An id takes about 20 bytes.
+	maxRecentIDs = 1 << 16
+)
+
+// recentIDs remembers the ids of completed requests that may have run and must not run again. A client may send an id
+// a second time by mistake, or since it never read its answer. The ids are kept as hashes in two generations, of
+// which the older is dropped at once. It belongs to the loop.
+type recentIDs struct {
+	seed         maphash.Seed
+	current      map[uint64]struct{}
+	previous     map[uint64]struct{}
+	currentSince time.Time
+}
+
+func newRecentIDs() *recentIDs {
+	return &recentIDs{seed: maphash.MakeSeed(), current: map[uint64]struct{}{}}
+}
+
+// applies reports whether the id of a call may be sent again while its work must not run twice.
+func (r *recentIDs) applies(class *policy.Class, c *Call) bool {
+	return class.Effect != policy.Idempotent && !c.Unique
+}
+
+func (r *recentIDs) add(now time.Time, id string) {
+	r.rotate(now)
+	r.current[maphash.String(r.seed, id)] = struct{}{}
+}
+
+func (r *recentIDs) contains(now time.Time, id string) bool {
+	r.rotate(now)
+	if len(r.current) == 0 && len(r.previous) == 0 {
+		return false
+	}
+	hash := maphash.String(r.seed, id)
+	_, inCurrent := r.current[hash]
+	_, inPrevious := r.previous[hash]
+	return inCurrent || inPrevious
+}
+
+// rotate begins a new generation once the current one is full or older than dedupWindow.
+func (r *recentIDs) rotate(now time.Time) {
+	age := now.Sub(r.currentSince)
+	if age < dedupWindow && len(r.current) < maxRecentIDs/2 {
+		return
+	}
+	r.previous = r.current
+	if age >= 2*dedupWindow {
+		r.previous = nil // its youngest id is older than dedupWindow
+	}
+	r.current = map[uint64]struct{}{}
+	r.currentSince = now
+}
--- /dev/null
+++ b/internal/core/endpoints.go
@@ -0,0 +1,174 @@
+package core
+
+import (
+	"ringtrack.example/ringtrack/internal/membership"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
+	"ringtrack.example/ringtrack/policy"
+)
+
+// maxSeenIDs bounds the ids that are remembered as once listed. Beyond it only the ids listed now are known.
+const maxSeenIDs = 1 << 14
+
+// endpointTable holds the listed backends. It belongs to the loop.
+type endpointTable struct {
+	names    membership.Names
+	byID     map[string]*Backend      // listed backends, and removed ones with attempts in flight
+	byAddr   map[policy.Addr]*Backend // the same backends by the balancer's address
+	cordoned map[string]bool          // ids cordoned by an operator, listed or not; at most upgrade.MaxCordoned
+	seen     map[string]bool          // ids that were ever listed, up to maxSeenIDs
+	config   *sharedconfig.Config     // nil: no shared configuration
+}
+
+func newEndpointTable(zones, machineTypes []string) *endpointTable {
+	return &endpointTable{
+		names:    membership.NewNames(zones, machineTypes),
+		byID:     map[string]*Backend{},
+		byAddr:   map[policy.Addr]*Backend{},
+		cordoned: map[string]bool{},
+		seen:     map[string]bool{},
+	}
+}
+
+// getOrCreate returns the backend of an id.
+func (t *endpointTable) getOrCreate(id string) *Backend {
+	if b := t.byID[id]; b != nil {
+		return b
+	}
+	taken := func(a policy.Addr) bool { return t.byAddr[a] != nil }
+	b := &Backend{id: id, name: membership.ServerAddr(id, taken)}
+	t.byID[id] = b
+	t.byAddr[b.name] = b
+	t.addSeen(id)
+	return b
+}
+
+func (t *endpointTable) addSeen(id string) {
+	if len(t.seen) < maxSeenIDs {
+		t.seen[id] = true
+	}
+}
+
+// list returns the complete endpoint list, and the ids that were listed before.
+func (t *endpointTable) list(revision uint64) (l membership.List, seen []string) {
+	l = membership.List{Revision: revision, Full: true}
+	for _, b := range t.byID {
+		if !b.removed && b.entry.ID != "" {
+			l.Entries = append(l.Entries, b.entry)
+		}
+	}
+	for id := range t.seen {
+		if b := t.byID[id]; b == nil || b.removed {
+			seen = append(seen, id)
+		}
+	}
+	return l, seen
+}
+
+// endpointChanges are the effects of an endpoint list.
+type endpointChanges struct {
+	endpoints []policy.Endpoint // for the balancer
+	closeIdle []*Backend        // their idle connections are of no more use
+	removed   []*Backend
+}
+
+// apply applies an endpoint list. Backends that a complete list does not name are removed.
+func (t *endpointTable) apply(l *membership.List, complete bool) (changes endpointChanges) {
+	named := make(map[string]bool, len(l.Entries))
+	for i := range l.Entries {
+		entry := &l.Entries[i]
+		if entry.ID == "" {
+			continue
+		}
+		named[entry.ID] = true
+		t.applyEntry(entry, &changes)
+	}
+	if !complete {
+		return changes
+	}
+	for id, b := range t.byID {
+		if !named[id] {
+			b.unavailable.Store(true)
+			b.removed = true
+			changes.closeIdle = append(changes.closeIdle, b)
+			changes.removed = append(changes.removed, b)
+		}
+	}
+	return changes
+}
+
+func (t *endpointTable) applyEntry(entry *membership.Entry, changes *endpointChanges) {
+	b := t.getOrCreate(entry.ID)
+	b.entry = *entry
+	e := t.endpoint(b)
+	if entry.Addr != "" && b.addr != entry.Addr {
+		changes.closeIdle = append(changes.closeIdle, b)
+		b.addr = entry.Addr
+	}
+	unavailable := isUnavailable(&e)
+	b.unavailable.Store(unavailable)
+	if unavailable {
+		changes.closeIdle = append(changes.closeIdle, b)
+	}
+	b.removed = e.Health == policy.Removed
+	if b.removed {
+		changes.removed = append(changes.removed, b)
+	}
+	changes.endpoints = append(changes.endpoints, e)
+}
+
+// endpoint returns a backend as the balancer is notified of it.
+func (t *endpointTable) endpoint(b *Backend) policy.Endpoint {
+	e := t.names.Policy(&b.entry)
+	e.Server = b.name
+	e.Cordoned = t.cordoned[b.id]
+	if t.config != nil {
+		e.Cordoned = e.Cordoned || !t.config.Allows(b.id)
+		if w := t.config.Servers[b.id].Weight; w > 0 {
+			e.Weight = w
+		}
+	}
+	return e
+}
+
+// isUnavailable reports whether an endpoint may get no new attempts.
+func isUnavailable(e *policy.Endpoint) bool { return e.Health != policy.Ready || e.Cordoned }
+
+// setCordoned notes whether an operator has cordoned an id. It returns the backend if it is listed and that has
+// changed, else nil.
+func (t *endpointTable) setCordoned(id string, cordoned bool) *Backend {
+	before := t.cordoned[id]
+	delete(t.cordoned, id)
+	if cordoned {
+		t.cordoned[id] = true
+	}
+	b := t.byID[id]
+	if b == nil || b.removed || before == cordoned {
+		return nil
+	}
+	e := t.endpoint(b)
+	b.unavailable.Store(isUnavailable(&e))
+	return b
+}
+
+// known reports whether an id is, or ever was, listed or cordoned.
+func (t *endpointTable) known(id string) bool {
+	return t.byID[id] != nil || t.seen[id] || t.cordoned[id]
+}
+
+// forget drops a removed backend that has no attempt in flight. The balancer has forgotten it by then.
+func (t *endpointTable) forget(b *Backend) {
+	if b.removed && b.inFlight == 0 && t.byID[b.id] == b {
+		delete(t.byID, b.id)
+		delete(t.byAddr, b.name)
+	}
+}
+
+// usable reports whether any backend may get attempts.
+func (t *endpointTable) usable() bool {
+	for _, b := range t.byID {
+		if !b.unavailable.Load() {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -7,91 +7,139 @@
 )
 
 const (
-	// policyMargin is taken off the time that the module is told a request has: what
-	// its last attempt's end takes to become an answer at the client.
+	// policyMargin is taken off the time that the balancer is given for a request, for the way of the answer to the
+	// client.
 	policyMargin = 8 * time.Millisecond
-	// backstopMargin is how long before the client's deadline the backstop answers,
-	// well after the module should have.
+	// backstopMargin is how long before the client's deadline the backstop answers, after the balancer should have.
 	backstopMargin = 4 * time.Millisecond
+	// dedupWindowMargin is taken off the time in which servers drop repeats of a request, for the way to the server.
+	// The balancer stops earlier, by two of its batch intervals.
+	dedupWindowMargin = 5 * time.Millisecond
 )
 
-// RequestTimeouts are what becomes of the time that a request has: what the module is told of it, and after how long
-// the backstop answers. Of a very short time each margin is a part.
-func RequestTimeouts(left time.Duration) (module, backstop time.Duration) {
+// RequestTimeouts returns, of the time that a request has left, what the balancer is given and after how long the
+// backstop answers. Of a short time each margin is a fraction.
+func RequestTimeouts(left time.Duration) (balancer, backstop time.Duration) {
 	return left - min(policyMargin, left/8), left - min(backstopMargin, left/16)
 }
 
-// Guard is what the contract asks of an attempt that the module wants, whatever the module says. The loop
-// and the emulator use the same.
+// Guard checks an attempt against the contract, whatever the balancer decides. The event loop and the emulator use the
+// same checks. The contract has four rules:
+//
+//  1. A request gets exactly one answer, in time: no attempt for a completed request, without time left, or beyond
+//     MaxAttempts; see also MaxForwardActions and RequestTimeouts.
+//  2. A request takes effect at most once: no second attempt in flight, and no retry of one that may have run unless
+//     the request is idempotent, or has an idempotency key, whose window and scope then hold; see also MayReject.
+//  3. A draining, removed or cordoned backend gets no new attempt.
+//  4. A backend in slow start is not overloaded. The balancer enforces this one; the guard does not check it.
 type Guard struct {
-	Completed    bool // the request is over
-	Listed       bool // the backend is known, with an address
-	Unavailable  bool // it drains or is gone
-	HasTime      bool // there is time left
-	InFlight     int  // attempts of the request that are out
-	MayHaveRun   int  // those that are out or may have run
+	Completed    bool // the request is completed
+	Listed       bool // the backend is listed, with an address
+	Unavailable  bool // the backend is draining, removed or cordoned
+	HasTime      bool // the request has time left
+	InFlight     int  // attempts of the request in flight
+	MayHaveRun   int  // attempts in flight, or that may have run
 	Attempts     int  // attempts so far, with this one
 	MaxAttempts  int
 	Effect       policy.Effect
-	BodyConsumed bool // a part of it has gone, and is not kept
-	// Of a keyed request that may have run:
-	WindowExpired bool // the time in which repeats are dropped is over
-	OutsideScope  bool // the backend is of another group than the one that may have run it, as that was at its send
+	BodyConsumed bool // a part of a streamed body was sent, and is not buffered
+	// WindowExpired and OutsideScope are of a request with an idempotency key that may have run: the dedup window is
+	// over; the backend is in another dedup scope than the one that the first such attempt was sent to.
+	WindowExpired bool
+	OutsideScope  bool
 
-	LeaseExpired bool // the agent's lease on the rules, by which it was decided, is over
+	LeaseExpired bool // the lease on the shared configuration by which the attempt was decided has expired
 }
 
-// dedupWindowMargin is taken off the time in which repeats of a keyed request are dropped: what the way from the last
-// look to the backend's may take. The module stops earlier, by two of its rounds.
-const dedupWindowMargin = 5 * time.Millisecond
+// Violation names the check by which the guard does not allow an attempt.
+type Violation string
 
-// RetryWindow is for how long, from the send of its first attempt that may have run, a keyed request may be sent again.
-// An attempt that has to connect first is asked again before its first byte.
-func RetryWindow(c *policy.Class) time.Duration {
-	ttl := time.Duration(c.IdempotencyWindowMs * float64(time.Millisecond))
-	return ttl - min(dedupWindowMargin, ttl/8)
-}
+// The violations. Operators match these texts in the log.
+const (
+	NoViolation               Violation = "" // the attempt is allowed
+	ViolationCompleted        Violation = "attempt for a request that is over"
+	ViolationNotListed        Violation = "attempt to a backend that is not listed"
+	ViolationUnavailable      Violation = "attempt to a backend that drains or is gone"
+	ViolationInFlight         Violation = "second attempt while one is out"
+	ViolationMaxAttempts      Violation = "more attempts than allowed"
+	ViolationLeaseExpired     Violation = "attempt by rules whose lease is over"
+	ViolationNonIdempotent    Violation = "repeat of an unsafe request that may have run"
+	ViolationWindowExpired    Violation = "repeat of a keyed request after its window"
+	ViolationOutsideScope     Violation = "repeat of a keyed request outside its group"
+	ViolationBodyConsumed     Violation = "repeat of a request that is not kept"
+	ViolationDeadlineExceeded Violation = "attempt without time"
 
-// InDedupScope tells whether a backend, as it is listed, drops repeats of what another, as it was listed, may have run.
-func InDedupScope(g policy.DedupScope, of, in *policy.Endpoint) bool {
-	return g == policy.ScopeAll || g == policy.ScopeZone && of.Zone == in.Zone || g == policy.ScopeCell && of.Cell == in.Cell
-}
+	// ViolationRejectAfterRun and ViolationHealthCheck are of decisions other than attempts.
+	ViolationRejectAfterRun Violation = "rejection after an attempt that may have run"
+	ViolationHealthCheck    Violation = "health check of a backend that must not be checked"
+)
 
-// Violation says why the attempt is not to be made; "" allows it.
-func (g *Guard) Violation() string {
+// Violation returns the first check that the attempt fails, or NoViolation.
+func (g *Guard) Violation() Violation {
+	mayHaveRun := g.MayHaveRun > 0
+	mayHaveRunByKey := mayHaveRun && g.Effect == policy.IdempotentByKey
 	switch {
 	case g.Completed:
-		return "attempt for a request that is over"
+		return ViolationCompleted
 	case !g.Listed:
-		return "attempt to a backend that is not listed"
+		return ViolationNotListed
 	case g.Unavailable:
-		return "attempt to a backend that drains or is gone"
+		return ViolationUnavailable
 	case g.InFlight > 0:
-		return "second attempt while one is out"
+		return ViolationInFlight
 	case g.Attempts > g.MaxAttempts:
-		return "more attempts than allowed"
+		return ViolationMaxAttempts
 	case g.LeaseExpired:
-		return "attempt by rules whose lease is over"
-	case g.MayHaveRun > 0 && g.Effect == policy.NonIdempotent:
-		return "repeat of an unsafe request that may have run"
-	case g.MayHaveRun > 0 && g.Effect == policy.IdempotentByKey && g.WindowExpired:
-		return "repeat of a keyed request after its window"
-	case g.MayHaveRun > 0 && g.Effect == policy.IdempotentByKey && g.OutsideScope:
-		return "repeat of a keyed request outside its group"
+		return ViolationLeaseExpired
+	case mayHaveRun && g.Effect == policy.NonIdempotent:
+		return ViolationNonIdempotent
+	case mayHaveRunByKey && g.WindowExpired:
+		return ViolationWindowExpired
+	case mayHaveRunByKey && g.OutsideScope:
+		return ViolationOutsideScope
 	case g.BodyConsumed:
-		return "repeat of a request that is not kept"
+		return ViolationBodyConsumed
 	case !g.HasTime:
-		return "attempt without time"
+		return ViolationDeadlineExceeded
 	}
-	return ""
+	return NoViolation
 }
 
-// MaxForwardActions is how many attempts a module may want for one request, forbidden ones with them, before the
-// request has failed: one that answers each forbidden attempt with another would never end.
-func MaxForwardActions(most int) int { return 4*most + 4 }
+// RetryWindow returns for how long, from the send of its first attempt that may have run, a request with an
+// idempotency key may be retried. An attempt that has to connect checks it again before its first byte.
+func RetryWindow(c *policy.Class) time.Duration {
+	window := time.Duration(c.IdempotencyWindowMs * float64(time.Millisecond))
+	return window - min(dedupWindowMargin, window/8)
+}
 
-// MayReject tells whether a request may be answered that a retry is harmless, after so many attempts that
-// may have run.
-func MayReject(c *policy.Class, mayRun int) bool {
-	return mayRun == 0 || c.Effect != policy.NonIdempotent && (c.Effect != policy.IdempotentByKey || c.DedupScope == policy.ScopeAll)
+// InDedupScope reports whether endpoint to drops repeats of what endpoint first may have run.
+func InDedupScope(scope policy.DedupScope, first, to *policy.Endpoint) bool {
+	switch scope {
+	case policy.ScopeAll:
+		return true
+	case policy.ScopeZone:
+		return first.Zone == to.Zone
+	case policy.ScopeCell:
+		return first.Cell == to.Cell
+	}
+	return false
+}
+
+// MaxForwardActions is how many attempts the balancer may request for one request, with those that the guard does not
+// allow. Beyond it the request fails, as a balancer that repeats such an attempt would never end.
+func MaxForwardActions(maxAttempts int) int { return 4*maxAttempts + 4 }
+
+// MayReject reports whether a request may be answered that a retry is harmless, after a number of attempts that may
+// have run.
+func MayReject(c *policy.Class, mayHaveRun int) bool {
+	if mayHaveRun == 0 {
+		return true
+	}
+	switch c.Effect {
+	case policy.NonIdempotent:
+		return false
+	case policy.IdempotentByKey:
+		return c.DedupScope == policy.ScopeAll
+	}
+	return true
 }
--- /dev/null
+++ b/internal/core/healthcheck.go
@@ -0,0 +1,50 @@
+package core
+
+import (
+	"time"
+
+	"ringtrack.example/ringtrack/policy"
+)
+
+// healthCheckTimeout bounds a health check. A backend answers it beside its request queue, so that one that takes
+// longer is stalled.
+const healthCheckTimeout = 500 * time.Millisecond
+
+// startHealthCheck checks a backend. The balancer gets exactly one EventHealthCheckEnded in any case, since it bounds
+// the checks in progress.
+func (l *EventLoop) startHealthCheck(server policy.Addr) {
+	b := l.endpoints.byAddr[server]
+	if !l.mayCheckHealth(b) {
+		l.reportViolation(ViolationHealthCheck)
+		l.pendingEvents = append(l.pendingEvents, policy.Event{
+			Kind:   policy.EventHealthCheckEnded,
+			Server: server,
+			Status: policy.NotStarted,
+		})
+		return
+	}
+	b.inFlight++
+	addr := b.addr
+	now := time.Now()
+	go func() {
+		result := l.cfg.HealthCheck(l.ctx, b, addr, now, now.Add(healthCheckTimeout))
+		l.Post(func() { l.healthCheckEnded(b, server, &result) })
+	}()
+}
+
+func (l *EventLoop) mayCheckHealth(b *Backend) bool {
+	return b != nil && b.addr != "" && !b.unavailable.Load() &&
+		l.cfg.HealthCheck != nil && l.cfg.Settings.Limits.HealthChecks
+}
+
+func (l *EventLoop) healthCheckEnded(b *Backend, server policy.Addr, result *Result) {
+	b.inFlight--
+	l.handle(&policy.Event{
+		Kind:      policy.EventHealthCheckEnded,
+		Server:    server,
+		Status:    result.Status,
+		LatencyMs: result.LatencyMs,
+		Report:    result.Report,
+	})
+	l.endpoints.forget(b)
+}
--- /dev/null
+++ b/internal/core/request.go
@@ -0,0 +1,211 @@
+package core
+
+import (
+	"log/slog"
+	"time"
+
+	"ringtrack.example/ringtrack/policy"
+)
+
+// Request is a submitted call. The loop keeps it until it is answered and no attempt is in flight.
+type Request struct {
+	id                policy.RequestID
+	call              *Call
+	answered          bool
+	streaming         bool          // the rest of its reply is still being sent to the client
+	narrowestClass    *policy.Class // strictest rules that applied since it was submitted; nil: never changed
+	backstop          *time.Timer   // calls deadlineExceeded
+	deadlineShortened bool          // by the shutdown of the process
+	idClaimed         bool          // in Config.SharedIDs
+
+	attempts     []*attempt
+	inFlight     int // attempts in flight
+	mayHaveRun   int // attempts that are in flight or may have run
+	bodyConsumed bool
+	firstSentAt  time.Time       // of an idempotent-by-key request: when its first attempt that may have run was sent
+	firstSentTo  policy.Endpoint // and where to, as that endpoint was listed then
+}
+
+// class returns the rules of the request's class that apply to it.
+func (l *EventLoop) class(r *Request) *policy.Class {
+	if r.narrowestClass != nil {
+		return r.narrowestClass
+	}
+	return &l.cfg.Settings.Classes[r.call.Class]
+}
+
+// Submit gives a call to the balancer. A call with the id of another request fails. One that has no time left, or
+// that exceeds Limits.MaxOpenRequests, is rejected. It is called in the loop.
+func (l *EventLoop) Submit(c *Call) *Request {
+	l.stats.Accepted++
+	l.nextID++
+	r := &Request{id: l.nextID, call: c}
+	l.openRequests++
+	l.counters.Open.Add(1)
+	if l.requestsByClientID[c.ID] != nil || l.dedup.contains(time.Now(), c.ID) || !l.claimID(r) {
+		l.complete(r, Answer{Outcome: Failed, Reason: Duplicate})
+		return r
+	}
+	c.Deadline = l.limitToShutdown(c.Deadline)
+	left := time.Until(c.Deadline)
+	if c.TimeAfterBody > 0 {
+		left = c.TimeAfterBody
+	}
+	if left <= 0 || c.NoConnections || l.tooManyOpenRequests() || l.shared.rejecting(time.Now()) {
+		l.releaseID(r)
+		l.reject(r, l.cfg.Settings.Limits.MaxRetryAfterMs)
+		return r
+	}
+	l.requests[r.id] = r
+	l.requestsByClientID[c.ID] = r
+	left, backstop := RequestTimeouts(left)
+	if c.TimeAfterBody > 0 {
+		backstop = time.Until(c.Deadline)
+		c.onBodyWritten = func(at time.Time) { l.Post(func() { l.bodyWritten(r, at) }) }
+	}
+	r.backstop = time.AfterFunc(backstop, func() {
+		l.Post(func() { l.deadlineExceeded(r) })
+	})
+	l.handle(&policy.Event{
+		Kind:         policy.EventRequest,
+		Request:      r.id,
+		Class:        c.Class,
+		Tenant:       c.Tenant,
+		Key:          c.Key,
+		RemainingMs:  msFromDuration(left),
+		WorkHintMs:   c.HintMs,
+		HasWorkHint:  c.HasHint,
+		Retry:        c.Retry,
+		StreamedBody: c.TimeAfterBody > 0,
+	})
+	return r
+}
+
+func (l *EventLoop) tooManyOpenRequests() bool {
+	limit := l.cfg.Settings.Limits.MaxOpenRequests
+	return limit > 0 && l.openRequests > limit
+}
+
+// bodyWritten sets the deadline of a streamed call: its last byte was written to a backend.
+func (l *EventLoop) bodyWritten(r *Request, at time.Time) {
+	if r.answered {
+		return
+	}
+	r.call.Deadline = l.limitToShutdown(at.Add(r.call.TimeAfterBody))
+	left, backstop := RequestTimeouts(time.Until(r.call.Deadline))
+	r.backstop.Reset(max(backstop, 0))
+	l.handle(&policy.Event{
+		Kind:        policy.EventBodyWritten,
+		Request:     r.id,
+		Attempt:     len(r.attempts) - 1,
+		RemainingMs: msFromDuration(max(left, 0)),
+	})
+}
+
+// deadlineExceeded is the backstop: the balancer should have completed the request before. That it has not is a bug
+// or a stall, which is logged and counted, unless a shutdown shortened the deadline under an attempt in flight.
+func (l *EventLoop) deadlineExceeded(r *Request) {
+	if r.answered {
+		return
+	}
+	if !r.deadlineShortened {
+		l.stats.DeadlineExceeded++
+		l.log(slog.LevelWarn, "request deadline exceeded", "attempts", len(r.attempts), "in_flight", r.inFlight,
+			"late_ms", msFromDuration(time.Since(r.call.Deadline.Add(-backstopMargin))))
+	}
+	l.complete(r, Answer{Outcome: Failed, Reason: DeadlineExceeded})
+	l.abandon(r)
+}
+
+// ClientDisconnected ends a request whose client has closed its connection. It is called in the loop.
+func (l *EventLoop) ClientDisconnected(r *Request) {
+	if r.answered {
+		l.discardAnswer(r.call)
+		return
+	}
+	l.stats.Disconnected++
+	l.close(r)
+	l.abandon(r)
+}
+
+// discardAnswer releases an answer that its downstream has not read.
+func (l *EventLoop) discardAnswer(c *Call) {
+	select {
+	case a := <-c.Answer:
+		l.bodyBudget.Release(a.ReservedBytes)
+		if closeReply(a.Reply); isStreamed(a.Reply) {
+			l.counters.CountStreamed(c.Class, Failed)
+		}
+	default:
+	}
+}
+
+// abandon cancels the attempts of a request that was answered without the balancer, and notifies the balancer.
+func (l *EventLoop) abandon(r *Request) {
+	for _, a := range r.attempts {
+		a.cancelIfInFlight()
+	}
+	l.handle(&policy.Event{Kind: policy.EventClientDisconnected, Request: r.id})
+}
+
+// reject answers that a retry is harmless. Where an attempt may have run that makes it harmful, the request fails.
+func (l *EventLoop) reject(r *Request, retryAfterMs float64) {
+	if !MayReject(l.class(r), r.mayHaveRun) {
+		l.reportViolation(ViolationRejectAfterRun)
+		l.complete(r, Answer{Outcome: Failed})
+		return
+	}
+	l.complete(r, Answer{Outcome: Rejected, RetryAfterMs: retryAfterMs})
+}
+
+// complete gives the final answer. Only the first call for a request has an effect.
+func (l *EventLoop) complete(r *Request, a Answer) {
+	if r.answered {
+		return
+	}
+	r.streaming = isStreamed(a.Reply)
+	if !r.streaming { // a streamed reply is counted when it ends
+		l.counters.Count(r.call.Class, a.Outcome)
+	}
+	switch a.Outcome {
+	case Served:
+		l.stats.Served++
+	case Rejected:
+		l.stats.Rejected++
+	case Failed:
+		l.stats.Failed++
+	}
+	// The id is released first: a client that has its answer may send the id to another process at once.
+	l.close(r)
+	r.call.Answer <- a
+}
+
+// close marks a request as answered and forgets it unless attempts are in flight.
+func (l *EventLoop) close(r *Request) {
+	if !r.answered {
+		r.answered = true
+		l.openRequests--
+		if !r.streaming {
+			l.counters.Open.Add(-1)
+		}
+	}
+	if r.backstop != nil {
+		r.backstop.Stop()
+	}
+	l.forget(r)
+}
+
+// forget drops a request that is answered and has no attempt in flight.
+func (l *EventLoop) forget(r *Request) {
+	if !r.answered || r.inFlight != 0 || l.requests[r.id] != r {
+		return
+	}
+	delete(l.requests, r.id)
+	delete(l.requestsByClientID, r.call.ID)
+	if r.mayHaveRun > 0 && l.dedup.applies(l.class(r), r.call) {
+		l.dedup.add(time.Now(), r.call.ID)
+		l.retainID(r)
+	} else {
+		l.releaseID(r)
+	}
+}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -1,6 +1,3 @@
-// Package core is the loop that owns the decision module and all requests. It knows no protocol: fronts
-// hand it calls and get one answer each, upstreams make attempts and return one ending each. It guards
-// the contract whatever the module says, and decides nothing else.
 package core
 
 import (
@@ -12,41 +9,43 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Call is a client's request as a front took it, and where its answer goes.
+// Call is a client's request as a downstream received it.
 type Call struct {
-	ID            string // open once at a time over all fronts
-	Class         int
+	ID            string // unique among the open calls of all downstreams
+	Class         int    // index of the settings' classes
 	Tenant        int
 	Key           uint64
-	HintMs        float64
+	HintMs        float64 // expected work; see HasHint
 	HasHint       bool
-	Retry         bool
+	Retry         bool // the client says that it is a retry
 	Deadline      time.Time
 	Upstream      Upstream
-	Payload       any         // the front's, for its upstream
-	Answer        chan Answer // of capacity one: the loop never waits for a client
-	Unique        bool        // the id is the front's own and never comes again
-	NoConnections bool        // its front has no connections left for more: it is refused
-
-	// RetryBefore, where it is not zero, is until when the attempt that is made now may be begun: it repeats one
-	// that may have run, and behind that its key is no longer known; or behind that the agent's lease is over.
-	// The loop's; an attempt's upstream reads it.
-	RetryBefore time.Time
-	// Superseded says that the attempt that is out was decided by rules that no longer stand: if nothing of it is
-	// written yet, nothing is to be. The loop's; an attempt's upstream reads it.
-	Superseded atomic.Bool
-	// Disconnected, where it is set, asks the client's connection whether its client has left, which its front may not have
-	// noticed yet. An attempt's upstream asks it right before the first byte; from any goroutine, and it never waits.
-	Disconnected func() bool
+	Payload       any         // passed from the downstream to its upstream
+	Answer        chan Answer // capacity 1, so that the loop never blocks on a client
+	Unique        bool        // the downstream made the id, and never uses it again
+	NoConnections bool        // the downstream is at its limit of connections: the call is rejected
 
-	// TimeAfterBody, where it is not 0, is the time that a streamed call has from its last byte on: a part of it still
-	// comes while it is sent. Deadline is then how long that may take in all.
+	// TimeAfterBody, where it is not 0, makes this a streamed call: parts of its body arrive while it is sent. It is the
+	// time that the call has from the last byte of its body on; Deadline then bounds all of it.
 	TimeAfterBody time.Duration
 	onBodyWritten func(at time.Time)
+
+	// Disconnected, where it is set, reports whether the client has closed its connection, which the downstream may not
+	// have noticed yet. An upstream calls it right before the first byte of an attempt. It may be called from any
+	// goroutine, and never blocks.
+	Disconnected func() bool
+
+	// RetryBefore, where it is not zero, is until when the attempt that is in flight may begin to write: later its
+	// idempotency key may be forgotten, or the lease on the shared configuration has expired. The loop writes it before
+	// each attempt; the attempt's upstream reads it.
+	RetryBefore time.Time
+	// Superseded reports that the attempt in flight was decided by rules that no longer hold. If nothing of it is
+	// written yet, nothing must be. The loop writes it; the attempt's upstream reads it.
+	Superseded atomic.Bool
 }
 
-// BodyWritten tells that the last byte of a streamed call has gone to a backend, and returns when an attempt that
-// was written then is to end. Its upstream calls it, once an attempt.
+// BodyWritten notes that the last byte of a streamed call was written to a backend at a time, and returns the deadline
+// of that attempt. An attempt's upstream calls it, at most once.
 func (c *Call) BodyWritten(at time.Time) (until time.Time) {
 	c.onBodyWritten(at)
 	return at.Add(c.TimeAfterBody - backstopMargin)
@@ -55,129 +54,131 @@
 // Outcome is how a call ends.
 type Outcome uint8
 
-// The verdicts.
+// The outcomes.
 const (
 	Served   Outcome = iota
-	Rejected         // trying again is harmless
-	Failed           // promises nothing
+	Rejected         // a retry is harmless
+	Failed           // it may have run
 )
 
-// FailureReason says why a call has failed, where a front has a word of its own for it.
+// FailureReason says why a call has failed, where a downstream has a status of its own for that.
 type FailureReason uint8
 
-// The faults.
+// The reasons.
 const (
 	NoReason          FailureReason = iota
-	Duplicate                       // its id is that of a call that is open, may still run, or has run and must not again
+	Duplicate                       // its id is that of a call that is open, or that may have run and must not run again
 	DeadlineExceeded                // the backstop ended it
-	BadRequest                      // the backend found fault with the request
-	IncompleteRequest               // its client did not bring it whole
+	BadRequest                      // the backend found the request faulty
+	IncompleteRequest               // the client did not send the complete body
 )
 
-// Answer is the one final answer to a call.
+// Answer is the final answer to a call.
 type Answer struct {
 	Outcome       Outcome
-	RetryAfterMs  float64       // Refused: when the client may come back
-	Reason        FailureReason // Failed
-	Reply         any           // the upstream's, for its front: Served, or Failed with Blamed
-	ReservedBytes int64         // of the budget of memory; given back once the answer is written
+	RetryAfterMs  float64       // with Rejected: when the client may retry
+	Reason        FailureReason // with Failed
+	Reply         any           // passed from the upstream to its downstream: with Served, or Failed for BadRequest
+	ReservedBytes int64         // of the memory for bodies; the downstream releases them once the answer is written
 }
 
-// StreamedReply is a reply whose rest still comes. The call is open until the front has called Close, with whether the
-// client has it whole.
-type StreamedReply interface{ Close(whole bool) }
+// StreamedReply is a reply of which parts still arrive. Its call is open until the downstream calls Close with whether
+// the client has received all of it.
+type StreamedReply interface{ Close(complete bool) }
 
-// closeReply ends with a reply that nobody will have.
+// closeReply closes a reply that no client receives.
 func closeReply(reply any) {
-	if o, ok := reply.(StreamedReply); ok {
-		o.Close(false)
+	if streamed, ok := reply.(StreamedReply); ok {
+		streamed.Close(false)
 	}
 }
 
-// isStreamed tells whether a reply's rest still comes.
 func isStreamed(reply any) bool {
 	_, ok := reply.(StreamedReply)
 	return ok
 }
 
-// Result is how one attempt ended.
+// Result is how an attempt ended.
 type Result struct {
 	Status     policy.Status
 	LatencyMs  float64
-	Report     []float32
-	BadRequest bool // with Cancelled: the backend's word that the request is bad
-	// NoReplyExpected, with Cancelled: written whole, and no answer will ever come, as the protocol has it.
-	// It may have run, and for its client it is served.
+	Report     []float32 // the backend's load report
+	BadRequest bool      // with Cancelled: the backend found the request faulty
+	// NoReplyExpected, with Cancelled: the request was written, and by its protocol gets no reply. The call is served.
 	NoReplyExpected bool
-	// BodyConsumed: a part of a streamed call has gone, and no other attempt can be made of it. IncompleteRequest: by its client's
-	// fault.
-	BodyConsumed, IncompleteRequest bool
-	ClientDisconnected              bool // with Moot: nothing was begun, as the client has left
-	Reply                           any
-	ReservedBytes                   int64 // of the budget, for the reply; whoever ends with the reply gives it back
+	// BodyConsumed: a part of a streamed body was sent, so that no other attempt can be made.
+	BodyConsumed bool
+	// IncompleteRequest, with BodyConsumed: the client did not send the complete body.
+	IncompleteRequest  bool
+	ClientDisconnected bool // with NotStarted: the attempt was not begun, as the client has disconnected
+	Reply              any
+	ReservedBytes      int64 // of the memory for bodies, for the reply; whoever ends with the reply releases them
 }
 
-// Upstream makes attempts of one protocol. All methods may be called from any goroutine.
+// Upstream makes attempts of one protocol. Its methods may be called from any goroutine.
 type Upstream interface {
-	// Do makes one attempt and returns how it ended, exactly once. It never sends anything twice.
-	// Cancelling ctx withdraws it. Nothing is begun once b.Closed.
+	// Do makes one attempt and returns how it ended. It never sends a request twice, and begins nothing once b is
+	// Unavailable. Cancelling ctx cancels the attempt.
 	Do(ctx context.Context, b *Backend, addr string, c *Call, sent, deadline time.Time) Result
 	// CloseIdle closes the idle connections to a backend.
 	CloseIdle(b *Backend)
-	// CloseExpired closes connections that have idled too long. It is called once a second.
+	// CloseExpired closes connections that have idled too long. The loop calls it every second.
 	CloseExpired()
 }
 
-// Backend is one listed server. Its fields belong to the loop, but for what Closed tells.
+// Backend is a listed server. Its fields belong to the loop, except for Unavailable.
 type Backend struct {
 	id          string
-	name        policy.Addr      // what the module calls it
-	addr        string           // where it listens, as told to this agent last
-	entry       membership.Entry // as it was listed last
+	name        policy.Addr      // the balancer's address of it
+	addr        string           // host:port, as listed last
+	entry       membership.Entry // as listed last
 	removed     bool
-	inFlight    int // attempts out
+	inFlight    int // attempts and health checks
 	unavailable atomic.Bool
 }
 
-// Unavailable tells whether the backend was told to drain or gone, or an operator banned it: asked just before a write.
+// Unavailable reports whether the backend is draining, removed or cordoned. An upstream checks it right before it
+// writes. It may be called from any goroutine.
 func (b *Backend) Unavailable() bool { return b.unavailable.Load() }
 
-// MarkUnavailable makes Closed true, as the loop does when it is told so. It is for tests of upstreams.
+// MarkUnavailable makes Unavailable true. It is for tests of upstreams.
 func (b *Backend) MarkUnavailable() { b.unavailable.Store(true) }
 
-// Config is what the loop is told.
+// Config is the configuration of an event loop.
 type Config struct {
-	Discovery       string // host:port of the roster
-	CachedEndpoints membership.List
+	Discovery       string          // host:port of the discovery server
+	CachedEndpoints membership.List // the last list of an earlier process
 	Settings        policy.Settings
-	Seed            uint64
+	Seed            uint64 // of the balancer's random source
 	Zones           []string
 	MachineTypes    []string
 
-	// HealthCheck asks a backend how it is, beside its requests, and returns how that ended, exactly once. It is
-	// called only where the settings allow probes. What says nothing of the backend is Moot.
+	// HealthCheck checks a backend beside its requests and returns how that ended. It is called only where the settings
+	// allow health checks. NotStarted says nothing of the backend.
 	HealthCheck func(ctx context.Context, b *Backend, addr string, sent, deadline time.Time) Result
 
-	SharedIDs SharedIDs // nil: no other process can be this agent
+	SharedIDs SharedIDs // nil: the agent has no other process
+
+	Cordoned []string // ids of backends that an operator has cordoned
+	SeenIDs  []string // ids that an earlier process of this agent has seen listed
 
-	Cordoned []string // ids of backends that an operator wants left alone, from the start on
-	SeenIDs  []string // ids that were listed once, as another process of this agent had it
-	// EndpointsChanged, where it is set, is called in the loop after each change of the list. It is not to wait.
+	// EndpointsChanged, where it is set, is called in the loop after each change of the endpoint list. It must not
+	// block.
 	EndpointsChanged func()
-	// PublishRotation says that operators may ask for Rotation: it is counted anew each publishEvery, which wakes a process that
-	// would rest, and else when the list or a ban changes.
+	// PublishRotation has Rotation computed every rotationInterval, which wakes an idle process. Else it is computed
+	// when the endpoint list or a cordon changes.
 	PublishRotation bool
 
-	// DiscoveryStale, where it is set, is called in the loop when a call to a discovery that is asked goes out with no watch
-	// open, or a watch breaks (true), and when a call is answered behind that (false). It is not to wait.
+	// DiscoveryStale, where it is set, is called in the loop with true when a watch is opened or breaks, and with false
+	// when one is answered. It must not block.
 	DiscoveryStale func(stale bool)
 
-	// WatchNodes follows a registry of what runs, until ctx ends, and has each thing it learns applied to the
-	// merge, in the loop. nil: the roster alone says which backends there are.
-	WatchNodes func(ctx context.Context, told func(apply func(m *membership.Merge, now float64)))
-	Merge      membership.MergeConfig // with Nodes
+	// WatchNodes follows a registry of running servers until ctx ends, and passes each change to apply, which runs it
+	// in the loop. nil: the discovery server alone lists the backends.
+	WatchNodes func(ctx context.Context, apply func(change func(m *membership.Merge, now float64)))
+	Merge      membership.MergeConfig // with WatchNodes
 
-	// SharedConfig, where it is set, has the loop act by a book of rules and a lease on it (Adopt, Renew). nil: by its own
-	// file alone.
+	// SharedConfig, where it is set, has the loop act by the shared configuration and a lease on it (AdoptConfig,
+	// RenewLease). nil: by its own file alone.
 	SharedConfig *SharedConfig
 }
--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -301,9 +301,9 @@
 	if g.w.freely {
 		guard = core.Guard{Completed: r.answered, Listed: s != nil, HasTime: guard.HasTime, Attempts: len(r.attempts), MaxAttempts: guard.MaxAttempts}
 	}
-	if why := guard.Violation(); why != "" {
+	if v := guard.Violation(); v != core.NoViolation {
 		g.guarded++
-		g.w.guards[why]++
+		g.w.guards[string(v)]++
 		t.done = true
 		if len(r.attempts) > core.MaxForwardActions(guard.MaxAttempts) {
 			g.finish(r, invariant.Failed, 0)
