--- a/internal/core/dedup_test.go
+++ b/internal/core/dedup_test.go
@@ -9,54 +9,54 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// An id that comes again when its request is over is not sent on where that may have run and must not again
-// (join+mass 721: such ids come back up to 1.3 s after their answer). Where nothing ran, or repeats are safe, it is.
-func TestAnIDThatComesAgain(t *testing.T) {
+// The id of a completed request that may have run, and must not run again, is a duplicate. Where nothing ran, or the
+// request is idempotent, it is forwarded.
+func TestRepeatedIDOfCompletedRequest(t *testing.T) {
 	for name, c := range map[string]struct {
-		class int
-		first policy.Status // how all attempts of the first request end; those of the second are served
-		again bool          // the second request is sent on
+		class     int
+		first     policy.Status // how all attempts of the first request end; those of the second are served
+		forwarded bool          // the second request is forwarded
 	}{
-		"unsafe, served":    {2, policy.OK, false},
-		"unsafe, reset":     {2, policy.Reset, false},
-		"unsafe, withdrawn": {2, policy.Cancelled, false},
-		"unsafe, never ran": {2, policy.ConnectFailed, true},
-		"keyed, served":     {1, policy.OK, false},
-		"safe, served":      {0, policy.OK, true},
+		"non-idempotent, served":    {2, policy.OK, false},
+		"non-idempotent, reset":     {2, policy.Reset, false},
+		"non-idempotent, cancelled": {2, policy.Cancelled, false},
+		"non-idempotent, never ran": {2, policy.ConnectFailed, true},
+		"idempotent by key, served": {1, policy.OK, false},
+		"idempotent, served":        {0, policy.OK, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tries, first := 0, true
+			attempts, first := 0, true
 			u := stub{func(context.Context, *Backend, *Call) Result {
-				if tries++; first {
+				if attempts++; first {
 					return Result{Status: c.first, LatencyMs: 1, Reply: "reply"}
 				}
 				return Result{Status: policy.OK, LatencyMs: 1, Reply: "reply"}
 			}}
 			l := running(t, u)
 			l.roundTrip(t, newCall(u, "1", c.class))
-			before := tries
+			before := attempts
 			first = false
 			a := l.roundTrip(t, newCall(u, "1", c.class))
-			if sent := tries > before; sent != c.again || !sent && (a.Outcome != Failed || a.Reason != Duplicate) {
+			if sent := attempts > before; sent != c.forwarded || !sent && (a.Outcome != Failed || a.Reason != Duplicate) {
 				t.Errorf("sent %v, answered %+v", sent, a)
 			}
 		})
 	}
 }
 
-// Ids are known for onceFor at the least, and not for ever: neither their age nor their number grows without bound.
-func TestIDsAreForgotten(t *testing.T) {
+// Ids are known for at least dedupWindow; their age and their number are bounded.
+func TestRecentIDsAreBounded(t *testing.T) {
 	o, now := newRecentIDs(), time.Now()
 	o.add(now, "a")
 	if !o.contains(now.Add(dedupWindow), "a") || o.contains(now, "b") {
-		t.Error("within its time")
+		t.Error("within dedupWindow")
 	}
 	o.add(now.Add(dedupWindow), "b")
 	if later := now.Add(2 * dedupWindow); o.contains(later, "a") || !o.contains(later, "b") {
 		t.Error("a minute later")
 	}
 	if later := now.Add(5 * dedupWindow); o.contains(later, "b") || len(o.current)+len(o.previous) != 0 {
-		t.Errorf("after silence %d ids are left", len(o.current)+len(o.previous))
+		t.Errorf("without new ids %d are left", len(o.current)+len(o.previous))
 	}
 	for i := range 3 * maxRecentIDs {
 		o.add(now.Add(6*dedupWindow), strconv.Itoa(i))
@@ -65,6 +65,6 @@
 		}
 	}
 	if at := now.Add(6 * dedupWindow); !o.contains(at, strconv.Itoa(3*maxRecentIDs-1)) || !o.contains(at, strconv.Itoa(3*maxRecentIDs-maxRecentIDs/2)) {
-		t.Error("the last half is not known")
+		t.Error("the ids of the last generation are not known")
 	}
 }
--- a/internal/core/retrywindow_test.go
+++ b/internal/core/retrywindow_test.go
@@ -9,14 +9,13 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// A window for repeats that is shorter than one round trip or than two rounds of the module has nothing repeated in
-// it, and one that ends while the first attempt is out neither; nothing of that needs a guard. A first attempt that
-// never ran opens no window: it is made again.
-func TestWindowsTooShortForARepeat(t *testing.T) {
+// Nothing is retried in a dedup window that is shorter than a round trip or than two batch intervals of the balancer,
+// and the guard is not needed for that. A first attempt that never ran opens no window and is retried.
+func TestNoRetryInTooShortDedupWindow(t *testing.T) {
 	for _, test := range []struct {
-		ttlMs  float64
-		status policy.Status
-		most   int
+		ttlMs       float64
+		status      policy.Status
+		maxAttempts int
 	}{
 		{0, policy.Reset, 1}, {1, policy.Reset, 1}, {9, policy.Reset, 1}, {10, policy.Reset, 1}, {30, policy.Reset, 1},
 		{8000, policy.Reset, 3}, {0, policy.Rejected, 3}, {9, policy.Rejected, 3},
@@ -44,23 +43,23 @@
 			go func() { defer close(ended); l.Run() }()
 			t.Cleanup(func() { <-ended })
 			a := l.roundTrip(t, newCall(u, "1", 1))
-			if n := len(began); n < min(test.most, 2) || n > test.most {
-				t.Errorf("%d attempts, want %d at the most; answered %+v", n, test.most, a)
+			if n := len(began); n < min(test.maxAttempts, 2) || n > test.maxAttempts {
+				t.Errorf("%d attempts, want at most %d; answered %+v", n, test.maxAttempts, a)
 			}
-			if a.Outcome == Served || test.status == policy.Reset && test.most == 1 && a.Outcome != Failed {
+			if a.Outcome == Served || test.status == policy.Reset && test.maxAttempts == 1 && a.Outcome != Failed {
 				t.Errorf("answered %+v", a)
 			}
-			guarded := make(chan int, 1)
-			l.Post(func() { guarded <- l.Stats().GuardViolations })
-			if n := <-guarded; n != 0 {
-				t.Errorf("a guard had to act %d times", n)
+			violations := make(chan int, 1)
+			l.Post(func() { violations <- l.Stats().GuardViolations })
+			if n := <-violations; n != 0 {
+				t.Errorf("%d guard violations", n)
 			}
 		})
 	}
 }
 
-// The last look's window lies within the one of the settings, however short that is.
-func TestRepeatForStaysWithinTheWindow(t *testing.T) {
+// The retry window lies within the dedup window, however short that is.
+func TestRetryWindowStaysWithinDedupWindow(t *testing.T) {
 	for _, ms := range []float64{0, 0.1, 1, 5, 9, 40, 700, 8000} {
 		ttl := time.Duration(ms * float64(time.Millisecond))
 		if got := RetryWindow(&policy.Class{IdempotencyWindowMs: ms}); got < 0 || got > ttl || ms > 0 && got == ttl {
--- a/internal/core/rotation_test.go
+++ b/internal/core/rotation_test.go
@@ -9,17 +9,17 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Where operators may ask, the rotation is counted anew five times a second; where nobody does, the loop rests: in ten
-// seconds without a request or a list it counts once.
-func TestRotationIsCountedForWhoMayAsk(t *testing.T) {
+// With PublishRotation the rotation is computed five times a second. Without it the loop stays idle: in ten seconds
+// without a request or an endpoint list it computes the rotation once.
+func TestRotationIsPublishedOnlyIfConfigured(t *testing.T) {
 	for _, c := range []struct {
-		watched     bool
-		least, most int
+		publish  bool
+		min, max int
 	}{{true, 45, 51}, {false, 1, 1}} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			cfg := testConfig()
-			cfg.PublishRotation = c.watched
+			cfg.PublishRotation = c.publish
 			l, err := New(ctx, cfg, semaphore.NewWeighted(1<<20), []Upstream{stub{}}, func() {})
 			if err != nil {
 				t.Fatal(err)
@@ -32,13 +32,13 @@
 			counts := map[*Rotation]bool{}
 			for range 200 {
 				time.Sleep(50 * time.Millisecond)
-				counts[l.rotation.Load()] = true // held, so that none has another's address
+				counts[l.rotation.Load()] = true // referenced, so that no two share an address
 			}
-			if n := len(counts); n < c.least || n > c.most {
-				t.Errorf("watched %v: counted %d times in 10 s, want %d to %d", c.watched, n, c.least, c.most)
+			if n := len(counts); n < c.min || n > c.max {
+				t.Errorf("publish %v: counted %d times in 10 s, want %d to %d", c.publish, n, c.min, c.max)
 			}
 			if r := l.Rotation(); r.Listed != 1 {
-				t.Errorf("watched %v: %+v", c.watched, r)
+				t.Errorf("publish %v: %+v", c.publish, r)
 			}
 			cancel()
 			<-ended
--- a/internal/core/sharedconfig_test.go
+++ b/internal/core/sharedconfig_test.go
@@ -10,8 +10,9 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// newSharedConfigLoop returns a loop that does not run and acts by a book, and what its upstream was asked.
-func newSharedConfigLoop(t *testing.T, refuse bool) (*EventLoop, chan *Call) {
+// newSharedConfigLoop returns a loop that does not run and acts by a shared configuration, and the calls that its
+// upstream gets.
+func newSharedConfigLoop(t *testing.T, rejectWhenStale bool) (*EventLoop, chan *Call) {
 	t.Helper()
 	sent := make(chan *Call, 100)
 	u := stub{do: func(ctx context.Context, _ *Backend, c *Call) Result {
@@ -20,7 +21,7 @@
 		return Result{Status: policy.Cancelled}
 	}}
 	l := newTestLoop(t, u)
-	l.cfg.SharedConfig = &SharedConfig{RejectWhenStale: refuse}
+	l.cfg.SharedConfig = &SharedConfig{RejectWhenStale: rejectWhenStale}
 	l.initSharedConfig()
 	l.updateEndpoints(&membership.List{Revision: 1, Full: true, Entries: []membership.Entry{listedBackend("s-1"), listedBackend("s-2")}}, policy.UpdateDelta, true)
 	return l, sent
@@ -38,8 +39,9 @@
 	}
 }
 
-// An agent that never had a lease refuses; one whose list is over refuses again, and one that is to serve does not.
-func TestNothingKnownIsRefused(t *testing.T) {
+// An agent that never had a lease rejects requests, and so does one whose endpoint list has expired. Without
+// RejectWhenStale it serves by the strictest settings.
+func TestRejectsWithoutFreshEndpoints(t *testing.T) {
 	l, sent := newSharedConfigLoop(t, true)
 	if _, a := l.submit(t, "1", 0); a == nil || a.Outcome != Rejected || a.RetryAfterMs != 600 {
 		t.Fatalf("before any lease: %+v", a)
@@ -52,21 +54,21 @@
 	<-sent
 	l.RenewLease(now.Add(-2*time.Second), now.Add(-time.Second))
 	if _, a := l.submit(t, "3", 0); a == nil || a.Outcome != Rejected {
-		t.Fatalf("the list is over: %+v", a)
+		t.Fatalf("the endpoint list has expired: %+v", a)
 	}
 	l, sent = newSharedConfigLoop(t, false)
 	if _, a := l.submit(t, "1", 0); a != nil {
-		t.Fatalf("one that is to serve: %+v", a)
+		t.Fatalf("without RejectWhenStale: %+v", a)
 	}
 	<-sent
 	if l.cfg.Settings.Limits.MaxAttempts != 1 || l.cfg.Settings.Classes[0].Effect != policy.NonIdempotent {
-		t.Errorf("it serves by %+v", l.cfg.Settings)
+		t.Errorf("it serves by the settings %+v", l.cfg.Settings)
 	}
 }
 
-// Behind the end of the lease nothing is sent again, whatever the module says and before it knows; and with a new one
-// it is as before.
-func TestNoRepeatBehindTheLease(t *testing.T) {
+// After the lease has expired nothing is retried, even before the balancer knows of it. A new lease permits retries
+// once more.
+func TestNoRetryAfterLeaseExpiry(t *testing.T) {
 	for _, c := range []struct {
 		left time.Duration
 		want int
@@ -80,11 +82,11 @@
 		l.RenewLease(time.Now().Add(c.left), time.Now().Add(time.Hour))
 		l.forward(&policy.Action{Kind: policy.ActionForward, Request: r.id, Server: l.endpoints.byID["s-1"].name, DurationMs: 1000})
 		if r.inFlight != c.want || l.stats.GuardViolations != 1-c.want {
-			t.Errorf("%v left: %d sent again, %d stopped", c.left, r.inFlight, l.stats.GuardViolations)
+			t.Errorf("%v left: %d retried, %d violations", c.left, r.inFlight, l.stats.GuardViolations)
 		}
 		if c.want == 1 {
-			if again := <-sent; again.RetryBefore.IsZero() {
-				t.Error("its upstream does not know until when it may be begun")
+			if c := <-sent; c.RetryBefore.IsZero() {
+				t.Error("RetryBefore is not set")
 			}
 		}
 	}
@@ -92,50 +94,51 @@
 	l.AdoptConfig(2, &sharedconfig.Config{}, time.Now().Add(-time.Millisecond), time.Now().Add(time.Hour))
 	l.leaseExpired()
 	if f, _ := l.SharedConfigStats(); !f.Strict || f.Expirations != 1 || l.cfg.Settings.Limits.MaxAttempts != 1 {
-		t.Errorf("lapsed: %+v", f)
+		t.Errorf("expired: %+v", f)
 	}
 	l.RenewLease(time.Now().Add(time.Hour), time.Now().Add(time.Hour))
 	if f, _ := l.SharedConfigStats(); f.Strict || l.cfg.Settings.Limits.MaxAttempts != 3 || l.cfg.Settings.Classes[1].Effect != policy.IdempotentByKey {
-		t.Errorf("a lease again: %+v, %+v", f, l.cfg.Settings)
+		t.Errorf("a new lease: %+v, %+v", f, l.cfg.Settings)
 	}
 }
 
-// A request that is open while the rules change keeps the narrowest; a repeat that is on its way out is not begun.
-func TestOpenRequestsKeepTheNarrowestRules(t *testing.T) {
+// An open request keeps the narrowest of the rules that applied to it. A retry that has not begun to write is
+// superseded.
+func TestOpenRequestsKeepNarrowestRules(t *testing.T) {
 	l, sent := newSharedConfigLoop(t, true)
 	far := time.Now().Add(time.Hour)
 	l.AdoptConfig(2, &sharedconfig.Config{}, far, far)
 	first, _ := l.submit(t, "1", 1)
 	c := <-sent
-	again, _ := l.submit(t, "2", 1)
+	retried, _ := l.submit(t, "2", 1)
 	d := <-sent
-	again.attempts = append(again.attempts, again.attempts[0])
+	retried.attempts = append(retried.attempts, retried.attempts[0])
 	l.AdoptConfig(3, &sharedconfig.Config{Classes: map[string]sharedconfig.Class{"send": {Effect: policy.IdempotentByKey, DedupScope: policy.ScopeZone, IdempotencyWindowMs: 500}}}, far, far)
 	if k := l.class(first); k.DedupScope != policy.ScopeZone || k.IdempotencyWindowMs != 500 || c.Superseded.Load() {
-		t.Errorf("narrowed to %+v, outdated %v", k, c.Superseded.Load())
+		t.Errorf("narrowed to %+v, superseded %v", k, c.Superseded.Load())
 	}
 	if !d.Superseded.Load() {
-		t.Error("a repeat by the old rules may still be begun")
+		t.Error("a retry by the old rules may still begin")
 	}
 	l.AdoptConfig(4, &sharedconfig.Config{}, far, far)
 	if k := l.class(first); k.DedupScope != policy.ScopeZone || k.IdempotencyWindowMs != 500 {
 		t.Errorf("widened to %+v", k)
 	}
 	if now, _ := l.submit(t, "3", 1); l.class(now).IdempotencyWindowMs != 8000 {
-		t.Errorf("a new one has %+v", l.class(now))
+		t.Errorf("a new request has %+v", l.class(now))
 	}
 	l.AdoptConfig(5, &sharedconfig.Config{Classes: map[string]sharedconfig.Class{"read": {Effect: policy.Idempotent}, "order": {Effect: policy.Idempotent}}}, far, far)
 	if l.cfg.Settings.Classes[2].Effect != policy.NonIdempotent {
-		t.Error("the book widened what the agent's file permits")
+		t.Error("the shared configuration widened what the agent's file permits")
 	}
 }
 
-// The book's word on servers: bans, servers that it does not list, weights; the roster's word holds beside it, and a ban
-// that was told here ends with the book's.
-func TestTheBooksWordOnServers(t *testing.T) {
+// The shared configuration cordons servers, leaves servers out and sets weights. The endpoint list holds beside it. A
+// cordon of this agent ends once the shared configuration has taken it over.
+func TestSharedConfigRulesOfServers(t *testing.T) {
 	l, _ := newSharedConfigLoop(t, true)
 	far := time.Now().Add(time.Hour)
-	shut := func(what string, want ...string) {
+	wantUnavailable := func(what string, want ...string) {
 		t.Helper()
 		got := map[string]bool{}
 		for id, b := range l.endpoints.byID {
@@ -145,33 +148,33 @@
 		}
 		for _, id := range want {
 			if !got[id] {
-				t.Errorf("%s: %s is open", what, id)
+				t.Errorf("%s: %s is available", what, id)
 			}
 		}
 		if len(got) != len(want) {
-			t.Errorf("%s: shut are %v, not %v", what, got, want)
+			t.Errorf("%s: unavailable are %v, not %v", what, got, want)
 		}
 	}
-	shut("at first")
+	wantUnavailable("at first")
 	l.AdoptConfig(2, &sharedconfig.Config{Cordoned: []string{"s-1"}}, far, far)
-	shut("banned", "s-1")
+	wantUnavailable("cordoned", "s-1")
 	l.updateEndpoints(&membership.List{Revision: 2, Entries: []membership.Entry{listedBackend("s-1"), listedBackend("s-3")}}, policy.UpdateDelta, false)
-	shut("listed as up", "s-1")
+	wantUnavailable("listed as up", "s-1")
 	l.Cordon("s-1", true)
 	l.ReleaseCordon("s-1", 5)
 	l.AdoptConfig(3, &sharedconfig.Config{Listed: true, Servers: map[string]sharedconfig.Server{"s-1": {}, "s-2": {Weight: 3}, "s-9": {}}}, far, far)
-	shut("not in the book, and banned here", "s-1", "s-3")
+	wantUnavailable("not in the shared configuration, and cordoned here", "s-1", "s-3")
 	if e := l.endpoints.endpoint(l.endpoints.byID["s-2"]); e.Weight != 3 {
 		t.Errorf("weight %v", e.Weight)
 	}
 	l.AdoptConfig(5, &sharedconfig.Config{}, far, far)
-	shut("the book has the word")
+	wantUnavailable("the shared configuration has taken over")
 	l.Cordon("s-2", true)
 	l.ReleaseCordon("s-2", 4)
-	shut("a ban that the book has ended by now")
+	wantUnavailable("a cordon that the shared configuration has ended by now")
 	drains := listedBackend("s-2")
 	drains.State = membership.Draining
 	l.updateEndpoints(&membership.List{Revision: 3, Entries: []membership.Entry{drains}}, policy.UpdateDelta, false)
 	l.AdoptConfig(6, &sharedconfig.Config{Listed: true, Servers: map[string]sharedconfig.Server{"s-1": {}, "s-2": {}, "s-3": {}}}, far, far)
-	shut("the roster says it drains", "s-2")
+	wantUnavailable("listed as draining", "s-2")
 }
