--- a/internal/agent/pair.go
+++ b/internal/agent/pair.go
@@ -85,7 +85,7 @@
 	if p.dir.First() {
 		return p, nil // what lies there is as old as the process that was killed
 	}
-	saved, err := p.dir.Saved()
+	saved, err := p.dir.SavedEndpoints()
 	if err != nil {
 		slog.Warn("list of the other process not used", "err", err)
 	} else if saved != nil {
@@ -175,7 +175,7 @@
 		case <-ctx.Done():
 			return
 		case s := <-got:
-			if err := p.dir.Save(&s); err != nil && !failed {
+			if err := p.dir.SaveEndpoints(&s); err != nil && !failed {
 				failed = true
 				slog.Warn("the list is not kept for a process that follows", "err", err)
 			}
@@ -209,7 +209,7 @@
 	go func() {
 		<-up
 		if p.dir != nil {
-			if err := p.dir.Serve(); err != nil {
+			if err := p.dir.MarkServing(); err != nil {
 				slog.Warn("the other process does not know of this one", "err", err)
 			}
 		}
--- a/internal/agent/pair_test.go
+++ b/internal/agent/pair_test.go
@@ -32,7 +32,7 @@
 				t.Fatal(err)
 			}
 			if heir {
-				if err := next.Serve(); err != nil {
+				if err := next.MarkServing(); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/upgrade/close_test.go
+++ b/internal/upgrade/close_test.go
@@ -25,7 +25,7 @@
 // before the last look on there were no resets in 1,680 ends. What is left is a SYN that the kernel has in hand at the
 // very moment: it is dropped, and its client waits 1 s. The kernel's ListenDrops and TCPSynRetrans counted three in 1,260
 // ends, as many as clients waited. A filter that drops all SYNs instead made about one client an end wait.
-func TestClientsThatConnectAsAListenerEndsAreNotReset(t *testing.T) {
+func TestConnectionsDuringCloseAreNotReset(t *testing.T) {
 	const (
 		ends    = 60
 		clients = 6
@@ -38,13 +38,13 @@
 			t.Fatal(err)
 		}
 		var served, asking sync.WaitGroup
-		served.Go(func() { answerAll(ln) })
+		served.Go(func() { echoAll(ln) })
 		var begun sync.WaitGroup
 		begun.Add(clients)
 		for range clients {
 			asking.Go(func() {
 				for first := true; ; first = false {
-					took, err := askOnce(ln.Addr().String())
+					took, err := connectAndExchange(ln.Addr().String())
 					if first {
 						begun.Done()
 					}
@@ -77,16 +77,16 @@
 
 // A client that connects when the listener has looked at its queue for the last time, and has not closed its socket yet,
 // is refused at once: it neither gets a connection that is reset, nor waits for its SYN to come again.
-func TestNobodyConnectsBetweenTheLastLookAndTheClose(t *testing.T) {
+func TestConnectionsBeforeSocketCloseAreRefused(t *testing.T) {
 	ln, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
-	closeSocket := ln.close
-	ln.close = func() error {
+	closeSocket := ln.closeSocket
+	ln.closeSocket = func() error {
 		for range 20 {
-			c, err := net.DialTimeout("tcp", addr, patience)
+			c, err := net.DialTimeout("tcp", addr, testTimeout)
 			if err == nil {
 				defer c.Close()
 			}
@@ -101,13 +101,13 @@
 
 // A handshake that began before the listener refused newcomers, and ends after it, is answered like any other. The
 // client's socket drops the answer to its SYN, so that the handshake goes on when the kernel sends that again, after 1 s.
-func TestAHandshakeThatIsUnderWayAsAListenerRefusesIsAnswered(t *testing.T) {
+func TestHandshakeInProgressIsAnswered(t *testing.T) {
 	ln, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var served sync.WaitGroup
-	served.Go(func() { answerAll(ln) })
+	served.Go(func() { echoAll(ln) })
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -122,10 +122,10 @@
 	if err := unix.Connect(fd, &unix.SockaddrInet4{Port: to.Port, Addr: [4]byte(to.IP.To4())}); err != unix.EINPROGRESS {
 		t.Fatalf("the handshake has not begun, or is over: %v", err)
 	}
-	if err := ln.refuse(); err != nil {
+	if err := ln.rejectNewConnections(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := askOnce(to.String()); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := connectAndExchange(to.String()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a newcomer: %v, want a refusal", err)
 	}
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0); err != nil {
@@ -136,7 +136,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := ask(c); err != nil {
+	if err := exchange(c); err != nil {
 		t.Errorf("the handshake that had begun: %v", err)
 	}
 	ln.Close()
@@ -145,7 +145,7 @@
 
 // Of two processes that listen on an address either may leave, and the operators' and Thrift's listeners as well as the
 // clients': in the gap between its last look and its close whoever connects finds the one that stays.
-func TestInTheGapNewcomersFindTheProcessThatStays(t *testing.T) {
+func TestConnectionsBeforeSocketCloseReachRemainingProcess(t *testing.T) {
 	for _, leaver := range []Age{Older, Newer} {
 		tmp := t.TempDir()
 		dirs := []*Dir{join(t, tmp), join(t, tmp)}
@@ -163,12 +163,12 @@
 			leaves, stays = newer, older
 		}
 		var served sync.WaitGroup
-		served.Go(func() { answerAll(stays) })
+		served.Go(func() { echoAll(stays) })
 		var met []net.Conn
-		closeSocket := leaves.close
-		leaves.close = func() error {
+		closeSocket := leaves.closeSocket
+		leaves.closeSocket = func() error {
 			for range 64 { // by the hash half of them would go to either
-				c, err := net.DialTimeout("tcp", addr, patience/10)
+				c, err := net.DialTimeout("tcp", addr, testTimeout/10)
 				if err != nil {
 					t.Errorf("leaver %v: %v", leaver, err)
 					break
@@ -179,7 +179,7 @@
 		}
 		leaves.Close()
 		for i, c := range met {
-			if err := ask(c); err != nil {
+			if err := exchange(c); err != nil {
 				t.Errorf("leaver %v, client %d: %v", leaver, i, err)
 			}
 			c.Close()
@@ -189,8 +189,8 @@
 	}
 }
 
-// answerAll answers each connection with one byte for the one it has sent, until the listener has ended.
-func answerAll(ln net.Listener) {
+// echoAll answers each connection with one byte for the one it has sent, until the listener has ended.
+func echoAll(ln net.Listener) {
 	var open sync.WaitGroup
 	defer open.Wait()
 	for {
@@ -208,21 +208,21 @@
 	}
 }
 
-// askOnce connects and asks; took is how long it was until it was connected or refused.
-func askOnce(addr string) (took time.Duration, err error) {
+// connectAndExchange connects and asks; took is how long it was until it was connected or refused.
+func connectAndExchange(addr string) (took time.Duration, err error) {
 	from := time.Now()
-	c, err := net.DialTimeout("tcp", addr, patience)
+	c, err := net.DialTimeout("tcp", addr, testTimeout)
 	took = time.Since(from)
 	if err != nil {
 		return took, err
 	}
 	defer c.Close()
-	return took, ask(c)
+	return took, exchange(c)
 }
 
-// ask sends a byte and reads the one that answers it.
-func ask(c net.Conn) error {
-	c.SetDeadline(time.Now().Add(patience))
+// exchange sends a byte and reads the one that answers it.
+func exchange(c net.Conn) error {
+	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Write([]byte("?")); err != nil {
 		return err
 	}
--- a/internal/upgrade/ids_test.go
+++ b/internal/upgrade/ids_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// table maps the ids of a folder as one more process would.
-func table(t *testing.T, tmp string) *IDs {
+// mapTable maps the ids of a folder as one more process would.
+func mapTable(t *testing.T, tmp string) *IDs {
 	t.Helper()
 	ids, err := join(t, tmp).IDs()
 	if err != nil {
@@ -22,9 +22,9 @@
 
 // An id that one process has taken is no other's, while its request is open and for a minute behind it; one whose
 // request never ran is given back, and the table outlives its processes.
-func TestAnIDBelongsToOneProcess(t *testing.T) {
+func TestIDBelongsToOneProcess(t *testing.T) {
 	tmp := t.TempDir()
-	a, b := table(t, tmp), table(t, tmp)
+	a, b := mapTable(t, tmp), mapTable(t, tmp)
 	if !a.Claim("1") || b.Claim("1") || a.Claim("1") {
 		t.Error("an id is claimed twice")
 	}
@@ -33,43 +33,43 @@
 		t.Error("an id that was given back")
 	}
 	b.Retain("1")
-	if a.Claim("1") || table(t, tmp).Claim("1") {
+	if a.Claim("1") || mapTable(t, tmp).Claim("1") {
 		t.Error("an id that may have run")
 	}
 }
 
 // Ids are known for a minute at the least and forgotten behind it, also where processes round their clocks otherwise
 // or the count of seconds begins anew.
-func TestIDsOfTheTableAreForgotten(t *testing.T) {
+func TestIDsExpire(t *testing.T) {
 	tmp := t.TempDir()
-	a, b := table(t, tmp), table(t, tmp)
+	a, b := mapTable(t, tmp), mapTable(t, tmp)
 	for _, at := range []uint64{100, stampMask - 30, stampMask - 1} {
 		id := fmt.Sprint(at)
-		a.base, a.since = at, time.Now()
+		a.startSeconds, a.startTime = at, time.Now()
 		if !a.Claim(id) {
 			t.Fatalf("at %d an id is not new", at)
 		}
 		for _, later := range []uint64{0, 1, 59, 60} {
-			if b.base, b.since = at+later, time.Now(); b.Claim(id) {
+			if b.startSeconds, b.startTime = at+later, time.Now(); b.Claim(id) {
 				t.Errorf("at %d an id is claimed again %d s later", at, later)
 			}
 		}
-		if b.base, b.since = at-1, time.Now(); b.Claim(id) {
+		if b.startSeconds, b.startTime = at-1, time.Now(); b.Claim(id) {
 			t.Errorf("at %d a process whose clock is a second behind claims it again", at)
 		}
-		if b.base, b.since = at+idTime+2, time.Now(); !b.Claim(id) {
+		if b.startSeconds, b.startTime = at+idLifetimeSeconds+2, time.Now(); !b.Claim(id) {
 			t.Errorf("at %d an id is known for ever", at)
 		}
 	}
 }
 
 // So many ids as the loop itself knows within a minute are all known, but for one in some thousands; the oldest give way.
-func TestTheTableOfIDsIsBounded(t *testing.T) {
-	ids := table(t, t.TempDir())
-	const known = idSlots / 2
-	start := ids.base
+func TestIDTableIsBounded(t *testing.T) {
+	ids := mapTable(t, t.TempDir())
+	const known = idSlotCount / 2
+	start := ids.startSeconds
 	for i := range 3 * known {
-		ids.base = start + uint64(i/known)
+		ids.startSeconds = start + uint64(i/known)
 		if !ids.Claim(fmt.Sprint("id-", i)) {
 			t.Fatalf("id %d is not new", i)
 		}
@@ -86,9 +86,9 @@
 }
 
 // Two processes that claim the same ids at the same moment never both get one.
-func TestAnIDThatIsClaimedAtOnceIsNobodysTwice(t *testing.T) {
+func TestConcurrentClaimsHaveAtMostOneWinner(t *testing.T) {
 	tmp := t.TempDir()
-	processes := []*IDs{table(t, tmp), table(t, tmp), table(t, tmp)}
+	processes := []*IDs{mapTable(t, tmp), mapTable(t, tmp), mapTable(t, tmp)}
 	const ids = 20_000
 	claimed := make([]atomic.Int32, ids)
 	var each sync.WaitGroup
@@ -116,10 +116,10 @@
 }
 
 // A folder in which the table can't be made says so.
-func TestNoTableOfIDs(t *testing.T) {
+func TestIDTableCannotBeMapped(t *testing.T) {
 	tmp := t.TempDir()
 	d := join(t, tmp)
-	if err := os.Mkdir(filepath.Join(tmp, folder, "ids"), 0o700); err != nil {
+	if err := os.Mkdir(filepath.Join(tmp, agentFolder, "ids"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if ids, err := d.IDs(); err == nil {
--- a/internal/upgrade/listen.go
+++ b/internal/upgrade/listen.go
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	tcp := ln.(*net.TCPListener)
-	return &Listener{TCPListener: tcp, close: tcp.Close}, nil
+	return &Listener{TCPListener: tcp, closeSocket: tcp.Close}, nil
 }
 
 // Listen listens on an address that other processes of the folder may share. A nil Dir shares with none.
@@ -50,11 +50,11 @@
 // listener of a shared address has a queue of its own, and the kernel resets what a closed one held.
 type Listener struct {
 	*net.TCPListener
-	dir   *Dir         // of the processes that may listen on the address too; nil: none does
-	close func() error // the socket's end
-	once  sync.Once
-	mu    sync.Mutex
-	found []net.Conn // in the queue at the end
+	dir         *Dir         // of the processes that may listen on the address too; nil: none does
+	closeSocket func() error // the socket's end
+	stopOnce    sync.Once
+	mu          sync.Mutex
+	queued      []net.Conn // in the queue at the end
 }
 
 // Accept returns the next connection, also those that were found at the end.
@@ -65,10 +65,10 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.found) == 0 {
+	if len(l.queued) == 0 {
 		return nil, err
 	}
-	c, l.found = l.found[0], l.found[1:]
+	c, l.queued = l.queued[0], l.queued[1:]
 	return c, nil
 }
 
@@ -121,29 +121,29 @@
 // queue is handed to Accept, and the socket closes. It waits for nobody else: net/http closes a listener under a lock
 // that whoever accepts needs.
 func (l *Listener) StopListening() {
-	l.once.Do(func() {
-		if err := errors.Join(l.steerToPeer(), l.refuse()); err != nil {
+	l.stopOnce.Do(func() {
+		if err := errors.Join(l.steerToPeer(), l.rejectNewConnections()); err != nil {
 			slog.Warn("a client may be reset as this process stops listening", "err", err)
 		}
 		time.Sleep(handshakeTime)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.drain()
-		l.close()
+		l.acceptQueued()
+		l.closeSocket()
 	})
 }
 
-// refuse has the kernel refuse who connects from now on, while what has connected, or has begun to, is not touched: it
+// rejectNewConnections has the kernel refuse who connects from now on, while what has connected, or has begun to, is not touched: it
 // binds the listener to an interface that does not exist, so that no SYN finds it and each is answered with RST, as where
 // nobody listens. A SYN that the kernel has in hand at that very moment is dropped, and comes again after 1 s.
-func (l *Listener) refuse() error {
+func (l *Listener) rejectNewConnections() error {
 	return l.control(func(fd int) error {
 		return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, noInterface)
 	})
 }
 
-// drain takes what is in the accept queue. The lock is held.
-func (l *Listener) drain() {
+// acceptQueued takes what is in the accept queue. The lock is held.
+func (l *Listener) acceptQueued() {
 	_ = l.control(func(listener int) error {
 		for {
 			fd, _, err := syscall.Accept4(listener, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
@@ -154,7 +154,7 @@
 			}
 			f := os.NewFile(uintptr(fd), "client")
 			if c, err := net.FileConn(f); err == nil {
-				l.found = append(l.found, c)
+				l.queued = append(l.queued, c)
 			}
 			f.Close()
 		}
--- a/internal/upgrade/roles.go
+++ b/internal/upgrade/roles.go
@@ -17,8 +17,8 @@
 	return false
 }
 
-// Processes is how many processes share what the agent may use: this one, and a second at the most.
-func Processes(peers []Peer) int {
+// CountProcesses is how many processes share what the agent may use: this one, and a second at the most.
+func CountProcesses(peers []Peer) int {
 	for _, p := range peers {
 		if p.Alive {
 			return 2
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -25,32 +25,32 @@
 )
 
 const (
-	// folder is the agent's own within the one that is given.
-	folder = "ringtrack-agent"
+	// agentFolder is the agent's own within the one that is given.
+	agentFolder = "ringtrack-agent"
 	// MaxCordoned bounds the bans that are kept, maxFile a file that is read, in bytes.
-	MaxCordoned, maxFile = 4096, 16 << 20
+	MaxCordoned, maxFileBytes = 4096, 16 << 20
 	// PollInterval is how often a process looks for what the other one was told: well within the shortest grace
 	// of a drain (250 ms). aloneEvery is how often it looks whether there is another one: each look wakes a process
 	// that would rest, and most are alone all their lives.
-	PollInterval, aloneEvery = 50 * time.Millisecond, 250 * time.Millisecond
-	// settle is how long after its join a process that follows another one can be sure that this one has seen it, and
+	PollInterval, aloneInterval = 50 * time.Millisecond, 250 * time.Millisecond
+	// settleTime is how long after its join a process that follows another one can be sure that this one has seen it, and
 	// looks each LookEvery from then on.
-	settle = aloneEvery + PollInterval
+	settleTime = aloneInterval + PollInterval
 
-	processes, serving = "process-", "serving"
+	processPrefix, servingText = "process-", "serving"
 )
 
-// ErrTooMany says that no further ban is kept.
-var ErrTooMany = fmt.Errorf("more than %d bans", MaxCordoned)
+// ErrTooManyCordoned says that no further ban is kept.
+var ErrTooManyCordoned = fmt.Errorf("more than %d bans", MaxCordoned)
 
 // Dir is the shared folder as one process has it. Its methods may be called from any goroutine, but Join's
 // caller alone calls Close.
 type Dir struct {
-	path  string
-	mine  *os.File // locked for as long as the process lives
-	seq   int
-	first bool
-	since time.Time // when it joined
+	path        string
+	processFile *os.File // locked for as long as the process lives
+	seq         int
+	first       bool
+	joinedAt    time.Time // when it joined
 }
 
 // Join makes the process one of the folder's in tmp. The kernel gives the lock back however the process ends.
@@ -58,7 +58,7 @@
 	if tmp == "" {
 		return nil, errors.New("upgrade: no folder that two processes share")
 	}
-	d := &Dir{path: filepath.Join(tmp, folder)}
+	d := &Dir{path: filepath.Join(tmp, agentFolder)}
 	if err := os.MkdirAll(d.path, 0o700); err != nil {
 		return nil, fmt.Errorf("upgrade: %w", err)
 	}
@@ -74,24 +74,24 @@
 		}
 		d.seq++
 		d.first = !HasPredecessor(d.seq, peers)
-		if d.mine, err = os.OpenFile(d.file(d.seq), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
+		if d.processFile, err = os.OpenFile(d.file(d.seq), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 			return err
 		}
-		return syscall.Flock(int(d.mine.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+		return syscall.Flock(int(d.processFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	})
 	if err != nil {
 		return nil, fmt.Errorf("upgrade: %w", err)
 	}
-	d.since = time.Now()
+	d.joinedAt = time.Now()
 	return d, nil
 }
 
 // First tells whether no other process was there when this one joined.
 func (d *Dir) First() bool { return d.first }
 
-// Serve tells the others that this process serves.
-func (d *Dir) Serve() error {
-	_, err := d.mine.WriteAt([]byte(serving), 0)
+// MarkServing tells the others that this process serves.
+func (d *Dir) MarkServing() error {
+	_, err := d.processFile.WriteAt([]byte(servingText), 0)
 	return err
 }
 
@@ -113,16 +113,16 @@
 // Processes is how many processes the agent is now; it tells whether that could be seen.
 func (d *Dir) Processes() (n int, ok bool) {
 	peers, err := d.peers()
-	return Processes(peers), err == nil
+	return CountProcesses(peers), err == nil
 }
 
 // Close leaves the folder.
 func (d *Dir) Close() error {
 	os.Remove(d.file(d.seq))
-	return d.mine.Close()
+	return d.processFile.Close()
 }
 
-func (d *Dir) file(seq int) string { return filepath.Join(d.path, processes+strconv.Itoa(seq)) }
+func (d *Dir) file(seq int) string { return filepath.Join(d.path, processPrefix+strconv.Itoa(seq)) }
 
 // peers looks at the files of all processes but this one.
 func (d *Dir) peers() (peers []Peer, err error) {
@@ -131,8 +131,8 @@
 		return nil, err
 	}
 	for _, e := range entries {
-		seq, err := strconv.Atoi(strings.TrimPrefix(e.Name(), processes))
-		if err != nil || !strings.HasPrefix(e.Name(), processes) || d.mine != nil && seq == d.seq {
+		seq, err := strconv.Atoi(strings.TrimPrefix(e.Name(), processPrefix))
+		if err != nil || !strings.HasPrefix(e.Name(), processPrefix) || d.processFile != nil && seq == d.seq {
 			continue
 		}
 		f, err := os.Open(d.file(seq))
@@ -142,8 +142,8 @@
 			return nil, err
 		}
 		p := Peer{Seq: seq, Alive: syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) != nil}
-		text, _ := io.ReadAll(io.LimitReader(f, int64(len(serving))))
-		p.Serving = string(text) == serving
+		text, _ := io.ReadAll(io.LimitReader(f, int64(len(servingText))))
+		p.Serving = string(text) == servingText
 		f.Close()
 		peers = append(peers, p)
 	}
@@ -171,11 +171,11 @@
 	Seen []string        `json:"seen"` // ids that were listed once, and are not now
 }
 
-// Save keeps the list for a process that follows.
-func (d *Dir) Save(s *SavedEndpoints) error { return d.write("list.json", s) }
+// SaveEndpoints keeps the list for a process that follows.
+func (d *Dir) SaveEndpoints(s *SavedEndpoints) error { return d.write("list.json", s) }
 
-// Saved is what was kept last; nil if nothing was.
-func (d *Dir) Saved() (*SavedEndpoints, error) {
+// SavedEndpoints is what was kept last; nil if nothing was.
+func (d *Dir) SavedEndpoints() (*SavedEndpoints, error) {
 	s := &SavedEndpoints{}
 	found, err := d.read("list.json", s)
 	if !found {
@@ -204,7 +204,7 @@
 // that one has seen it (settle at the most): what it is told from then on is heard there within LookEvery.
 func (d *Dir) Cordon(id string, on bool) error {
 	if !d.first {
-		time.Sleep(settle - time.Since(d.since))
+		time.Sleep(settleTime - time.Since(d.joinedAt))
 	}
 	return d.locked(func() error {
 		ids, err := d.Cordoned()
@@ -216,7 +216,7 @@
 		case found == on:
 			return nil
 		case on && len(ids) >= MaxCordoned:
-			return ErrTooMany
+			return ErrTooManyCordoned
 		case on:
 			ids = slices.Insert(ids, at, id)
 		default:
@@ -243,11 +243,11 @@
 				n = now
 				shared(n)
 			}
-			count = aloneEvery
+			count = aloneInterval
 		}
 		every := PollInterval
 		if n == 1 {
-			every = aloneEvery
+			every = aloneInterval
 		}
 		count -= every
 		next.Reset(every)
@@ -268,7 +268,7 @@
 		return false, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxFile))
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes))
 	if err == nil {
 		err = json.Unmarshal(text, into)
 	}
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -17,9 +17,9 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-func TestRoles(t *testing.T) {
+func TestPredecessorAndSuccessor(t *testing.T) {
 	for _, c := range []struct {
 		peers         []Peer
 		follows, heir bool
@@ -40,7 +40,7 @@
 }
 
 // Of two processes either may leave, and the other one stays on the address.
-func TestWhoRemains(t *testing.T) {
+func TestRemainingProcess(t *testing.T) {
 	for _, c := range []struct {
 		peers []Peer
 		want  Age
@@ -66,7 +66,7 @@
 	return d
 }
 
-func TestAProcessHasAnHeirWhileThatServes(t *testing.T) {
+func TestSuccessorIsAProcessThatServes(t *testing.T) {
 	tmp := t.TempDir()
 	old := join(t, tmp)
 	if !old.First() || old.HasSuccessor() {
@@ -76,7 +76,7 @@
 	if next.First() || old.HasSuccessor() {
 		t.Error("the next process is no follower, or an heir before it serves")
 	}
-	if err := next.Serve(); err != nil {
+	if err := next.MarkServing(); err != nil {
 		t.Fatal(err)
 	}
 	if !old.HasSuccessor() || next.HasSuccessor() {
@@ -85,7 +85,7 @@
 	if n, ok := old.Processes(); n != 2 || !ok {
 		t.Errorf("%d processes beside the old one, with it", n)
 	}
-	next.mine.Close() // as the kernel does when a process is killed
+	next.processFile.Close() // as the kernel does when a process is killed
 	if n, _ := old.Processes(); n != 1 || old.HasSuccessor() {
 		t.Errorf("a process that was killed counts: %d", n)
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestBansAreSharedAndOutliveProcesses(t *testing.T) {
+func TestCordonsAreSharedAndOutliveProcesses(t *testing.T) {
 	tmp := t.TempDir()
 	a, b := join(t, tmp), join(t, tmp)
 	var both sync.WaitGroup
@@ -134,7 +134,7 @@
 				if len(ids) == n {
 					return ids
 				}
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatalf("%d bans are never heard of", n)
 			}
 		}
@@ -150,12 +150,12 @@
 	}
 	cancel()
 	<-ended
-	a.mine.Close()
-	b.mine.Close()
+	a.processFile.Close()
+	b.processFile.Close()
 	if ids, err := join(t, tmp).Cordoned(); err != nil || len(ids) != 99 {
 		t.Errorf("%d bans are left to the next process, %v", len(ids), err)
 	}
-	if err := os.WriteFile(filepath.Join(tmp, folder, "bans.json"), []byte(`["s-1"`), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(tmp, agentFolder, "bans.json"), []byte(`["s-1"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := a.Cordoned(); err == nil {
@@ -171,7 +171,7 @@
 }
 
 // A process that is alone rests: it looks for others and for bans four times a second and no more.
-func TestAProcessThatIsAloneLooksSeldom(t *testing.T) {
+func TestSingleProcessPollsAtLongInterval(t *testing.T) {
 	tmp := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -195,7 +195,7 @@
 
 // Whenever another process joins: what it is told, the first one hears within 50 ms of the answer, which is owed
 // within a second; what the first one is told, it hears as soon; and both know how many they are.
-func TestABanIsHeardAtTheOtherProcessInTime(t *testing.T) {
+func TestCordonReachesOtherProcessInTime(t *testing.T) {
 	for after := time.Duration(0); after <= 250*time.Millisecond; after += 10 * time.Millisecond {
 		tmp := t.TempDir()
 		synctest.Test(t, func(t *testing.T) {
@@ -236,7 +236,7 @@
 	}
 }
 
-func TestBansAreBounded(t *testing.T) {
+func TestCordonsAreBounded(t *testing.T) {
 	d := join(t, t.TempDir())
 	ids := make([]string, MaxCordoned)
 	for i := range ids {
@@ -245,7 +245,7 @@
 	if err := d.write("bans.json", ids); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.Cordon("one-more", true); !errors.Is(err, ErrTooMany) {
+	if err := d.Cordon("one-more", true); !errors.Is(err, ErrTooManyCordoned) {
 		t.Errorf("one ban too many: %v", err)
 	}
 	if err := d.Cordon("s-00007", false); err != nil {
@@ -256,23 +256,23 @@
 	}
 }
 
-func TestTheListIsKept(t *testing.T) {
+func TestSavedEndpoints(t *testing.T) {
 	tmp := t.TempDir()
 	a := join(t, tmp)
-	if s, err := a.Saved(); s != nil || err != nil {
+	if s, err := a.SavedEndpoints(); s != nil || err != nil {
 		t.Errorf("at first %v, %v", s, err)
 	}
 	want := SavedEndpoints{List: membership.List{Revision: 7, Full: true, Entries: []membership.Entry{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}}, Seen: []string{"s-0"}}
-	if err := a.Save(&want); err != nil {
+	if err := a.SaveEndpoints(&want); err != nil {
 		t.Fatal(err)
 	}
-	s, err := join(t, tmp).Saved()
+	s, err := join(t, tmp).SavedEndpoints()
 	if err != nil || s.List.Revision != 7 || len(s.List.Entries) != 1 || s.List.Entries[0] != want.List.Entries[0] || !slices.Equal(s.Seen, want.Seen) {
 		t.Errorf("kept %+v, %v", s, err)
 	}
 }
 
-func TestNoFolder(t *testing.T) {
+func TestJoinWithoutFolder(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -286,7 +286,7 @@
 
 // Connections that stand in the accept queue of the one that leaves are answered; those that come later
 // find the other. Nobody is reset.
-func TestLeavingResetsNobody(t *testing.T) {
+func TestStopListeningAnswersQueuedConnections(t *testing.T) {
 	old, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -323,7 +323,7 @@
 	go serve(old, "old", oldEnded)
 	go serve(next, "new", nextEnded)
 	read := func(c net.Conn) string {
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		text, err := io.ReadAll(c)
 		if err != nil {
 			return err.Error()
@@ -352,7 +352,7 @@
 
 // Who connects once the older listener steers finds the newer one, whichever the kernel's hash would give it, so that
 // nothing can come between the older one's last look at its queue and its close; also behind the next listener's join.
-func TestSteeredConnectionsFindTheNewerListener(t *testing.T) {
+func TestPreferSuccessorSteersConnections(t *testing.T) {
 	old, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -375,11 +375,11 @@
 			defer c.Close()
 		}
 		old.StopListening()
-		if n := len(old.found); n != 0 {
+		if n := len(old.queued); n != 0 {
 			t.Errorf("round %d: %d of %d came to the one that leaves", round, n, clients)
 		}
-		next.SetDeadline(time.Now().Add(patience))
-		for range clients - len(old.found) {
+		next.SetDeadline(time.Now().Add(testTimeout))
+		for range clients - len(old.queued) {
 			c, err := next.Accept()
 			if err != nil {
 				t.Fatal(err)
