--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/dir_test.go
@@ -21,25 +21,25 @@
 
 func TestPredecessorAndSuccessor(t *testing.T) {
 	for _, c := range []struct {
-		peers         []Peer
-		follows, heir bool
+		peers                  []Peer
+		predecessor, successor bool
 	}{
 		{nil, false, false},
 		{[]Peer{{Seq: 4, Alive: true, Serving: true}}, true, false},
-		{[]Peer{{Seq: 4, Alive: true}}, true, false}, // it has started, and may yet serve
+		{[]Peer{{Seq: 4, Alive: true}}, true, false}, // it has started, and may serve later
 		{[]Peer{{Seq: 4, Serving: true}}, false, false},
-		{[]Peer{{Seq: 6, Alive: true}}, false, false},               // it may never come up
+		{[]Peer{{Seq: 6, Alive: true}}, false, false},               // it may never serve
 		{[]Peer{{Seq: 6, Serving: true}}, false, false},             // it was killed
 		{[]Peer{{Seq: 6, Alive: true, Serving: true}}, false, true}, //
 		{[]Peer{{Seq: 4, Alive: true}, {Seq: 6, Alive: true}}, true, false},
 	} {
-		if f, h := HasPredecessor(5, c.peers), HasSuccessor(5, c.peers); f != c.follows || h != c.heir {
-			t.Errorf("%+v: follows %v, has an heir %v; want %v, %v", c.peers, f, h, c.follows, c.heir)
+		if p, s := HasPredecessor(5, c.peers), HasSuccessor(5, c.peers); p != c.predecessor || s != c.successor {
+			t.Errorf("%+v: predecessor %v, successor %v; want %v, %v", c.peers, p, s, c.predecessor, c.successor)
 		}
 	}
 }
 
-// Of two processes either may leave, and the other one stays on the address.
+// Of two processes either may end first, and the other one remains on the address.
 func TestRemainingProcess(t *testing.T) {
 	for _, c := range []struct {
 		peers []Peer
@@ -70,24 +70,24 @@
 	tmp := t.TempDir()
 	old := join(t, tmp)
 	if !old.First() || old.HasSuccessor() {
-		t.Error("a process that is alone does not know it")
+		t.Error("a single process is not First, or has a successor")
 	}
 	next := join(t, tmp)
 	if next.First() || old.HasSuccessor() {
-		t.Error("the next process is no follower, or an heir before it serves")
+		t.Error("the next process is First, or a successor before it serves")
 	}
 	if err := next.MarkServing(); err != nil {
 		t.Fatal(err)
 	}
 	if !old.HasSuccessor() || next.HasSuccessor() {
-		t.Error("roles are mixed up")
+		t.Error("HasSuccessor is wrong once the next process serves")
 	}
 	if n, ok := old.Processes(); n != 2 || !ok {
-		t.Errorf("%d processes beside the old one, with it", n)
+		t.Errorf("%d processes with the old one", n)
 	}
 	next.processFile.Close() // as the kernel does when a process is killed
 	if n, _ := old.Processes(); n != 1 || old.HasSuccessor() {
-		t.Errorf("a process that was killed counts: %d", n)
+		t.Errorf("a killed process is counted: %d", n)
 	}
 	third := join(t, tmp)
 	if third.seq <= next.seq || third.First() {
@@ -97,7 +97,7 @@
 		t.Error(err)
 	}
 	if fourth := join(t, tmp); fourth.First() {
-		t.Error("a process that follows the third says it is alone")
+		t.Error("a process beside the third is First")
 	}
 }
 
@@ -105,7 +105,7 @@
 	tmp := t.TempDir()
 	a, b := join(t, tmp), join(t, tmp)
 	var both sync.WaitGroup
-	for i, d := range []*Dir{a, b} { // at once, and none is lost
+	for i, d := range []*Dir{a, b} { // concurrently, and none is lost
 		both.Go(func() {
 			for n := range 50 {
 				if err := d.Cordon(fmt.Sprintf("s-%d-%d", i, n), true); err != nil {
@@ -116,7 +116,7 @@
 	}
 	both.Wait()
 	ctx, cancel := context.WithCancel(t.Context())
-	heard, ended := make(chan []string, 1000), make(chan struct{})
+	changes, ended := make(chan []string, 1000), make(chan struct{})
 	go func() {
 		defer close(ended)
 		b.Follow(ctx, func() {
@@ -124,77 +124,77 @@
 			if err != nil {
 				t.Error(err)
 			}
-			heard <- ids
+			changes <- ids
 		}, func(int) {})
 	}()
 	wait := func(n int) []string {
 		for {
 			select {
-			case ids := <-heard:
+			case ids := <-changes:
 				if len(ids) == n {
 					return ids
 				}
 			case <-time.After(testTimeout):
-				t.Fatalf("%d bans are never heard of", n)
+				t.Fatalf("a change to %d cordons is not noticed", n)
 			}
 		}
 	}
 	wait(100)
-	for range 2 { // a call back may be repeated, too
+	for range 2 { // ending a cordon twice is no error
 		if err := a.Cordon("s-0-7", false); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if ids := wait(99); slices.Contains(ids, "s-0-7") || !slices.IsSorted(ids) {
-		t.Errorf("bans %v", ids)
+		t.Errorf("cordoned %v", ids)
 	}
 	cancel()
 	<-ended
 	a.processFile.Close()
 	b.processFile.Close()
 	if ids, err := join(t, tmp).Cordoned(); err != nil || len(ids) != 99 {
-		t.Errorf("%d bans are left to the next process, %v", len(ids), err)
+		t.Errorf("the next process has %d cordons, %v", len(ids), err)
 	}
 	if err := os.WriteFile(filepath.Join(tmp, agentFolder, "bans.json"), []byte(`["s-1"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := a.Cordoned(); err == nil {
-		t.Error("a spoilt file of bans is taken for none")
+		t.Error("an invalid file of cordons is not an error")
 	}
 }
 
-// follow has a process follow, and gives the moments at which it heard of bans and the numbers of processes told.
-func follow(ctx context.Context, d *Dir) (heard chan time.Time, shared chan int) {
-	heard, shared = make(chan time.Time, 100), make(chan int, 100)
-	go d.Follow(ctx, func() { heard <- time.Now() }, func(n int) { shared <- n })
-	return heard, shared
+// follow has a process follow, and returns the times at which its cordons changed and the numbers of processes.
+func follow(ctx context.Context, d *Dir) (changed chan time.Time, processes chan int) {
+	changed, processes = make(chan time.Time, 100), make(chan int, 100)
+	go d.Follow(ctx, func() { changed <- time.Now() }, func(n int) { processes <- n })
+	return changed, processes
 }
 
-// A process that is alone rests: it looks for others and for bans four times a second and no more.
+// A single process looks for others and for changed cordons four times a second and no more.
 func TestSingleProcessPollsAtLongInterval(t *testing.T) {
 	tmp := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		start, d := time.Now(), join(t, tmp)
-		heard, shared := follow(ctx, d)
+		changed, processes := follow(ctx, d)
 		for i := range 8 {
-			time.Sleep(10 * time.Millisecond) // just behind a look; all others that came too early would hear
+			time.Sleep(10 * time.Millisecond) // just after a poll; a poll that is too early would notice
 			if err := d.Cordon(fmt.Sprintf("s-%d", i), true); err != nil {
 				t.Fatal(err)
 			}
-			if at, want := (<-heard).Sub(start), time.Duration(i+1)*250*time.Millisecond; at != want {
-				t.Fatalf("ban %d was heard of at %v, want %v", i, at, want)
+			if at, want := (<-changed).Sub(start), time.Duration(i+1)*250*time.Millisecond; at != want {
+				t.Fatalf("cordon %d was noticed at %v, want %v", i, at, want)
 			}
 		}
-		if len(shared) > 0 {
-			t.Errorf("a process that is alone is told of %d", <-shared)
+		if len(processes) > 0 {
+			t.Errorf("a single process has %d processes", <-processes)
 		}
 	})
 }
 
-// Whenever another process joins: what it is told, the first one hears within 50 ms of the answer, which is owed
-// within a second; what the first one is told, it hears as soon; and both know how many they are.
+// Whenever another process joins: the first one notices its cordons within 50 ms after Cordon has returned, which is
+// within a second. It notices those of the first one as soon, and both know the number of processes.
 func TestCordonReachesOtherProcessInTime(t *testing.T) {
 	for after := time.Duration(0); after <= 250*time.Millisecond; after += 10 * time.Millisecond {
 		tmp := t.TempDir()
@@ -202,35 +202,35 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			old := join(t, tmp)
-			oldHeard, oldShared := follow(ctx, old)
+			oldChanged, oldProcesses := follow(ctx, old)
 			time.Sleep(5*time.Millisecond + after)
 			next := join(t, tmp)
-			nextHeard, nextShared := follow(ctx, next)
-			told := func(d *Dir, id string, most time.Duration) {
+			nextChanged, nextProcesses := follow(ctx, next)
+			cordon := func(d *Dir, id string, max time.Duration) {
 				t.Helper()
-				asked := time.Now()
+				called := time.Now()
 				if err := d.Cordon(id, true); err != nil {
 					t.Fatal(err)
 				}
-				answered := time.Now()
-				if took := answered.Sub(asked); took > most {
-					t.Errorf("joined after %v: the ban of %s was answered after %v", after, id, took)
+				returned := time.Now()
+				if took := returned.Sub(called); took > max {
+					t.Errorf("joined after %v: the cordon of %s returned after %v", after, id, took)
 				}
-				for who, heard := range map[string]chan time.Time{"the first": oldHeard, "the next": nextHeard} {
-					if late := (<-heard).Sub(answered); late > 50*time.Millisecond {
-						t.Errorf("joined after %v: %s process heard of %s %v behind the answer", after, who, id, late)
+				for who, changed := range map[string]chan time.Time{"the first": oldChanged, "the next": nextChanged} {
+					if late := (<-changed).Sub(returned); late > 50*time.Millisecond {
+						t.Errorf("joined after %v: %s process noticed %s %v after the return", after, who, id, late)
 					}
 				}
 			}
-			told(next, "s-1", 300*time.Millisecond)
-			told(old, "s-2", 0)
-			told(next, "s-3", 0)
-			if n := <-oldShared; n != 2 || <-nextShared != 2 {
-				t.Errorf("joined after %v: the first process is told of %d", after, n)
+			cordon(next, "s-1", 300*time.Millisecond)
+			cordon(old, "s-2", 0)
+			cordon(next, "s-3", 0)
+			if n := <-oldProcesses; n != 2 || <-nextProcesses != 2 {
+				t.Errorf("joined after %v: the first process counts %d", after, n)
 			}
 			next.Close()
-			if n := <-oldShared; n != 1 {
-				t.Errorf("the other process has left, and %d are told", n)
+			if n := <-oldProcesses; n != 1 {
+				t.Errorf("the other process has ended, and %d are counted", n)
 			}
 		})
 	}
@@ -246,7 +246,7 @@
 		t.Fatal(err)
 	}
 	if err := d.Cordon("one-more", true); !errors.Is(err, ErrTooManyCordoned) {
-		t.Errorf("one ban too many: %v", err)
+		t.Errorf("one cordon too many: %v", err)
 	}
 	if err := d.Cordon("s-00007", false); err != nil {
 		t.Error(err)
@@ -260,7 +260,7 @@
 	tmp := t.TempDir()
 	a := join(t, tmp)
 	if s, err := a.SavedEndpoints(); s != nil || err != nil {
-		t.Errorf("at first %v, %v", s, err)
+		t.Errorf("before the first save %v, %v", s, err)
 	}
 	want := SavedEndpoints{List: membership.List{Revision: 7, Full: true, Entries: []membership.Entry{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}}, Seen: []string{"s-0"}}
 	if err := a.SaveEndpoints(&want); err != nil {
@@ -268,7 +268,7 @@
 	}
 	s, err := join(t, tmp).SavedEndpoints()
 	if err != nil || s.List.Revision != 7 || len(s.List.Entries) != 1 || s.List.Entries[0] != want.List.Entries[0] || !slices.Equal(s.Seen, want.Seen) {
-		t.Errorf("kept %+v, %v", s, err)
+		t.Errorf("saved %+v, %v", s, err)
 	}
 }
 
@@ -279,13 +279,13 @@
 	}
 	for _, tmp := range []string{"", file} {
 		if d, err := Join(tmp); err == nil {
-			t.Errorf("%q is joined: %+v", tmp, d)
+			t.Errorf("%q was joined: %+v", tmp, d)
 		}
 	}
 }
 
-// Connections that stand in the accept queue of the one that leaves are answered; those that come later
-// find the other. Nobody is reset.
+// Connections in the accept queue of a listener that stops are answered; later ones reach the other listener. None is
+// reset.
 func TestStopListeningAnswersQueuedConnections(t *testing.T) {
 	old, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -317,7 +317,7 @@
 			c.Close()
 		}
 	}
-	// The old one has not accepted at all when it is told to leave, and nobody does before it has left.
+	// The old one has accepted nothing when it stops, and nothing accepts before it has stopped.
 	old.StopListening()
 	oldEnded, nextEnded := make(chan int, 1), make(chan int, 1)
 	go serve(old, "old", oldEnded)
@@ -350,8 +350,8 @@
 	}
 }
 
-// Who connects once the older listener steers finds the newer one, whichever the kernel's hash would give it, so that
-// nothing can come between the older one's last look at its queue and its close; also behind the next listener's join.
+// Once the older listener steers, connections reach the newer one whatever the kernel's hash, so that none arrives
+// between the older one's last accept and its close. This holds after the next listener has joined, too.
 func TestPreferSuccessorSteersConnections(t *testing.T) {
 	old, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -376,7 +376,7 @@
 		}
 		old.StopListening()
 		if n := len(old.queued); n != 0 {
-			t.Errorf("round %d: %d of %d came to the one that leaves", round, n, clients)
+			t.Errorf("round %d: %d of %d reached the older listener", round, n, clients)
 		}
 		next.SetDeadline(time.Now().Add(testTimeout))
 		for range clients - len(old.queued) {
--- a/internal/upgrade/ids_test.go
+++ b/internal/upgrade/ids_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// mapTable maps the ids of a folder as one more process would.
+// mapTable maps the id table of a folder as one more process.
 func mapTable(t *testing.T, tmp string) *IDs {
 	t.Helper()
 	ids, err := join(t, tmp).IDs()
@@ -20,26 +20,26 @@
 	return ids
 }
 
-// An id that one process has taken is no other's, while its request is open and for a minute behind it; one whose
-// request never ran is given back, and the table outlives its processes.
+// An id that one process has claimed belongs to it while its request is open and for a minute afterwards. One whose
+// request never ran is released. The table outlives its processes.
 func TestIDBelongsToOneProcess(t *testing.T) {
 	tmp := t.TempDir()
 	a, b := mapTable(t, tmp), mapTable(t, tmp)
 	if !a.Claim("1") || b.Claim("1") || a.Claim("1") {
-		t.Error("an id is claimed twice")
+		t.Error("an id was claimed twice")
 	}
 	a.Release("1")
 	if !b.Claim("1") || a.Claim("1") {
-		t.Error("an id that was given back")
+		t.Error("a released id")
 	}
 	b.Retain("1")
 	if a.Claim("1") || mapTable(t, tmp).Claim("1") {
-		t.Error("an id that may have run")
+		t.Error("a retained id")
 	}
 }
 
-// Ids are known for a minute at the least and forgotten behind it, also where processes round their clocks otherwise
-// or the count of seconds begins anew.
+// Ids are known for at least a minute and forgotten later, also where processes round their clocks differently or the
+// count of seconds wraps around.
 func TestIDsExpire(t *testing.T) {
 	tmp := t.TempDir()
 	a, b := mapTable(t, tmp), mapTable(t, tmp)
@@ -51,19 +51,20 @@
 		}
 		for _, later := range []uint64{0, 1, 59, 60} {
 			if b.startSeconds, b.startTime = at+later, time.Now(); b.Claim(id) {
-				t.Errorf("at %d an id is claimed again %d s later", at, later)
+				t.Errorf("at %d an id is claimed a second time %d s later", at, later)
 			}
 		}
 		if b.startSeconds, b.startTime = at-1, time.Now(); b.Claim(id) {
-			t.Errorf("at %d a process whose clock is a second behind claims it again", at)
+			t.Errorf("at %d a process whose clock is a second behind claims it, too", at)
 		}
 		if b.startSeconds, b.startTime = at+idLifetimeSeconds+2, time.Now(); !b.Claim(id) {
-			t.Errorf("at %d an id is known for ever", at)
+			t.Errorf("at %d an id never expires", at)
 		}
 	}
 }
 
-// So many ids as the loop itself knows within a minute are all known, but for one in some thousands; the oldest give way.
+// As many ids as the event loop knows within a minute are all known, except for one in some thousands. The oldest are
+// replaced.
 func TestIDTableIsBounded(t *testing.T) {
 	ids := mapTable(t, t.TempDir())
 	const known = idSlotCount / 2
@@ -85,7 +86,7 @@
 	}
 }
 
-// Two processes that claim the same ids at the same moment never both get one.
+// Of processes that claim the same ids at the same time at most one gets each id.
 func TestConcurrentClaimsHaveAtMostOneWinner(t *testing.T) {
 	tmp := t.TempDir()
 	processes := []*IDs{mapTable(t, tmp), mapTable(t, tmp), mapTable(t, tmp)}
@@ -115,7 +116,7 @@
 	}
 }
 
-// A folder in which the table can't be made says so.
+// An id table that cannot be mapped is an error.
 func TestIDTableCannotBeMapped(t *testing.T) {
 	tmp := t.TempDir()
 	d := join(t, tmp)
@@ -123,6 +124,6 @@
 		t.Fatal(err)
 	}
 	if ids, err := d.IDs(); err == nil {
-		t.Errorf("a folder is mapped: %+v", ids)
+		t.Errorf("a directory was mapped: %+v", ids)
 	}
 }
--- a/internal/upgrade/listen.go
+++ b/internal/upgrade/listener.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// handshakeTime is what a handshake may still take whose SYN came before the listener refused: microseconds on
-	// one machine, and a few ms where its threads wait for a core.
+	// handshakeTime bounds the rest of a handshake whose SYN arrived before new connections were refused: microseconds
+	// on one machine, or a few ms where its threads wait for a core.
 	handshakeTime = 10 * time.Millisecond
 	// noInterface is the index of a network interface that does not exist: the kernel counts them from 1.
 	noInterface = math.MaxInt32
@@ -25,10 +25,10 @@
 // Listen listens on an address that another process of the same user may share.
 func Listen(addr string) (*Listener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-		// Where it is refused the address is simply not shared.
+		// Without it the address is not shared.
 		return c.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 	}}
-	lc.SetMultipathTCP(false) // loopback has one path, and a listener for more can't be steered
+	lc.SetMultipathTCP(false) // an MPTCP listener does not support steering
 	ln, err := lc.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, err
@@ -46,18 +46,18 @@
 	return l, err
 }
 
-// Listener is a listener whose end resets nobody: what stands in its accept queue is accepted first. Each
-// listener of a shared address has a queue of its own, and the kernel resets what a closed one held.
+// Listener is a listener that ends without a reset of connections: those in its accept queue are accepted first. Each
+// listener of a shared address has a queue of its own, and the kernel resets the connections in a closed one.
 type Listener struct {
 	*net.TCPListener
-	dir         *Dir         // of the processes that may listen on the address too; nil: none does
-	closeSocket func() error // the socket's end
+	dir         *Dir // nil: no other process listens on the address
+	closeSocket func() error
 	stopOnce    sync.Once
 	mu          sync.Mutex
-	queued      []net.Conn // in the queue at the end
+	queued      []net.Conn // taken from the accept queue by StopListening
 }
 
-// Accept returns the next connection, also those that were found at the end.
+// Accept returns the next connection, including those that StopListening has taken from the accept queue.
 func (l *Listener) Accept() (net.Conn, error) {
 	c, err := l.TCPListener.Accept()
 	if err == nil {
@@ -72,25 +72,28 @@
 	return c, nil
 }
 
-// PreferSuccessor has the kernel give what connects from now on to the listener that joined this address after this one. Without
-// it connections go to either by a hash, also between Leave's last look at the queue and the close, which resets them.
-// Listeners of an address are numbered by the kernel as they join, and the last takes the place of one that closes: of
-// two the newer is always 1, and where there is no 1 the hash holds again. Where it is refused the hash holds as well.
+// PreferSuccessor has the kernel give new connections to the listener that joined this address after this one. Without
+// it the kernel distributes them by a hash, also between the last accept of StopListening and its close, which would
+// reset them. The kernel numbers the listeners of an address in the order in which they join, and the last one takes
+// the number of one that closes: of two the newer is always 1. Without a listener 1 the hash applies again.
 func (l *Listener) PreferSuccessor() error { return l.steer(newerListener) }
 
-// Numbers of the two listeners of an address.
-const olderListener, newerListener = 0, 1
+// The kernel's numbers of the two listeners of an address.
+const (
+	olderListener = 0
+	newerListener = 1
+)
 
-// steer has the kernel give what connects from now on to the listener of this number.
+// steer has the kernel give new connections to the listener of this number.
 func (l *Listener) steer(number uint32) error {
-	choice := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: number}}
-	prog := unix.SockFprog{Len: uint16(len(choice)), Filter: &choice[0]}
+	filter := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: number}}
+	prog := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
 	return l.control(func(fd int) error {
 		return unix.SetsockoptSockFprog(fd, unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, &prog)
 	})
 }
 
-// steerToPeer steers to the process that stays on the address, if there is one.
+// steerToPeer steers to the process that remains on the address, if there is one.
 func (l *Listener) steerToPeer() error {
 	if l.dir == nil {
 		return nil
@@ -116,14 +119,14 @@
 	return os.NewSyscallError("setsockopt", err)
 }
 
-// StopListening stops listening and resets nobody. Whoever connects from now on finds the process that stays on the address, or
-// is refused as by a closed socket; handshakes that are under way have handshakeTime to end; then what is in the accept
-// queue is handed to Accept, and the socket closes. It waits for nobody else: net/http closes a listener under a lock
-// that whoever accepts needs.
+// StopListening stops listening without a reset of connections. New connections go to the process that remains on the
+// address, or are refused as by a closed socket. Handshakes in progress have handshakeTime to end. Then the connections
+// in the accept queue are left for Accept, and the socket is closed. It waits for no call of Accept: net/http closes a
+// listener under a lock that the goroutine which accepts needs.
 func (l *Listener) StopListening() {
 	l.stopOnce.Do(func() {
 		if err := errors.Join(l.steerToPeer(), l.rejectNewConnections()); err != nil {
-			slog.Warn("a client may be reset as this process stops listening", "err", err)
+			slog.Warn("stop listening: connections may be reset", "err", err)
 		}
 		time.Sleep(handshakeTime)
 		l.mu.Lock()
@@ -133,24 +136,25 @@
 	})
 }
 
-// rejectNewConnections has the kernel refuse who connects from now on, while what has connected, or has begun to, is not touched: it
-// binds the listener to an interface that does not exist, so that no SYN finds it and each is answered with RST, as where
-// nobody listens. A SYN that the kernel has in hand at that very moment is dropped, and comes again after 1 s.
+// rejectNewConnections has the kernel refuse new connections, and leave established ones and handshakes in progress
+// alone. It binds the listener to an interface that does not exist, so that each SYN is answered with RST, as where
+// nothing listens. A SYN that the kernel processes at that moment is dropped, and retransmitted after 1 s.
 func (l *Listener) rejectNewConnections() error {
 	return l.control(func(fd int) error {
 		return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, noInterface)
 	})
 }
 
-// acceptQueued takes what is in the accept queue. The lock is held.
+// acceptQueued takes the connections from the accept queue. The lock is held.
 func (l *Listener) acceptQueued() {
 	_ = l.control(func(listener int) error {
 		for {
 			fd, _, err := syscall.Accept4(listener, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 			if err == syscall.EINTR || err == syscall.ECONNABORTED {
 				continue
-			} else if err != nil {
-				return err // EAGAIN: there are no more
+			}
+			if err != nil {
+				return err // EAGAIN: the queue is empty
 			}
 			f := os.NewFile(uintptr(fd), "client")
 			if c, err := net.FileConn(f); err == nil {
@@ -161,7 +165,7 @@
 	})
 }
 
-// Close leaves, and resets nobody either.
+// Close is StopListening. It implements net.Listener.
 func (l *Listener) Close() error {
 	l.StopListening()
 	return nil
--- a/internal/upgrade/close_test.go
+++ b/internal/upgrade/listener_test.go
@@ -14,22 +14,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clients connect and ask in a loop while a listener that nobody shares ends. Whoever gets a connection has to get an
-// answer on it, and whoever comes too late is refused.
-//
-// What happened: six clients in a loop lost 92 and 100 connections in 420 ends, by ECONNRESET on connect, write and read.
-// Why: the listener looked at its accept queue until that was empty, and then closed the socket. The kernel resets what
-// came between the two, and handshakes that had begun. The close first wakes the goroutine that accepts and waits for it,
-// so the gap is as long as that one waits for a core.
-// What showed it: a client that connects in the gap is reset each time (the test below), and with no SYN let in from
-// before the last look on there were no resets in 1,680 ends. What is left is a SYN that the kernel has in hand at the
-// very moment: it is dropped, and its client waits 1 s. The kernel's ListenDrops and TCPSynRetrans counted three in 1,260
-// ends, as many as clients waited. A filter that drops all SYNs instead made about one client an end wait.
+// Clients connect in a loop while a listener ends that no other process shares. Each established connection is
+// answered, and later ones are refused. A SYN that the kernel processes at the moment of the end may be dropped; its
+// client waits for the retransmission after 1 s.
 func TestConnectionsDuringCloseAreNotReset(t *testing.T) {
 	const (
 		ends    = 60
 		clients = 6
-		slow    = 500 * time.Millisecond // a SYN that was dropped comes again after 1 s
+		slow    = 500 * time.Millisecond // a dropped SYN is retransmitted after 1 s
 	)
 	var resets, waits atomic.Int64
 	for range ends {
@@ -37,16 +29,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var served, asking sync.WaitGroup
+		var served, clientsDone sync.WaitGroup
 		served.Go(func() { echoAll(ln) })
-		var begun sync.WaitGroup
-		begun.Add(clients)
+		var started sync.WaitGroup
+		started.Add(clients)
 		for range clients {
-			asking.Go(func() {
+			clientsDone.Go(func() {
 				for first := true; ; first = false {
 					took, err := connectAndExchange(ln.Addr().String())
 					if first {
-						begun.Done()
+						started.Done()
 					}
 					if took > slow {
 						waits.Add(1)
@@ -56,27 +48,27 @@
 					}
 					if err != nil {
 						resets.Add(1)
-						t.Logf("a client that came as the listener ended: %v", err)
+						t.Logf("a client during the end of the listener: %v", err)
 						return
 					}
 				}
 			})
 		}
-		begun.Wait()
+		started.Wait()
 		ln.Close()
-		asking.Wait()
+		clientsDone.Wait()
 		served.Wait()
 	}
 	if n := resets.Load(); n != 0 {
 		t.Errorf("%d clients lost their connection in %d ends", n, ends)
 	}
-	if n := waits.Load(); n > ends/10 { // refused at once, as by a closed socket, is the rule
+	if n := waits.Load(); n > ends/10 { // most are refused at once, as by a closed socket
 		t.Errorf("%d clients waited for over %v in %d ends", n, slow, ends)
 	}
 }
 
-// A client that connects when the listener has looked at its queue for the last time, and has not closed its socket yet,
-// is refused at once: it neither gets a connection that is reset, nor waits for its SYN to come again.
+// A client that connects after the last accept of the listener, and before its socket is closed, is refused at once: its
+// connection is not reset, and it does not wait for a retransmission.
 func TestConnectionsBeforeSocketCloseAreRefused(t *testing.T) {
 	ln, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -91,7 +83,7 @@
 				defer c.Close()
 			}
 			if !errors.Is(err, syscall.ECONNREFUSED) {
-				t.Errorf("who connects in the gap: %v, want a refusal", err)
+				t.Errorf("connect before the close: %v, want ECONNREFUSED", err)
 			}
 		}
 		return closeSocket()
@@ -99,8 +91,8 @@
 	ln.Close()
 }
 
-// A handshake that began before the listener refused newcomers, and ends after it, is answered like any other. The
-// client's socket drops the answer to its SYN, so that the handshake goes on when the kernel sends that again, after 1 s.
+// A handshake that began before the listener refused new connections, and ends later, is answered like any other. The
+// client's socket drops the answer to its SYN, so that the handshake ends with the retransmission after 1 s.
 func TestHandshakeInProgressIsAnswered(t *testing.T) {
 	ln, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -120,13 +112,13 @@
 	}
 	to := ln.Addr().(*net.TCPAddr)
 	if err := unix.Connect(fd, &unix.SockaddrInet4{Port: to.Port, Addr: [4]byte(to.IP.To4())}); err != unix.EINPROGRESS {
-		t.Fatalf("the handshake has not begun, or is over: %v", err)
+		t.Fatalf("the handshake is not in progress: %v", err)
 	}
 	if err := ln.rejectNewConnections(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := connectAndExchange(to.String()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a newcomer: %v, want a refusal", err)
+		t.Errorf("a new connection: %v, want ECONNREFUSED", err)
 	}
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0); err != nil {
 		t.Fatal(err)
@@ -137,16 +129,16 @@
 	}
 	defer c.Close()
 	if err := exchange(c); err != nil {
-		t.Errorf("the handshake that had begun: %v", err)
+		t.Errorf("the handshake in progress: %v", err)
 	}
 	ln.Close()
 	served.Wait()
 }
 
-// Of two processes that listen on an address either may leave, and the operators' and Thrift's listeners as well as the
-// clients': in the gap between its last look and its close whoever connects finds the one that stays.
+// Of two processes that listen on an address either may end first. Connections between its last accept and its close
+// reach the process that remains.
 func TestConnectionsBeforeSocketCloseReachRemainingProcess(t *testing.T) {
-	for _, leaver := range []Age{Older, Newer} {
+	for _, ending := range []Age{Older, Newer} {
 		tmp := t.TempDir()
 		dirs := []*Dir{join(t, tmp), join(t, tmp)}
 		older, err := dirs[0].Listen("127.0.0.1:0")
@@ -158,38 +150,38 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		leaves, stays := older, newer
-		if leaver == Newer {
-			leaves, stays = newer, older
+		ends, remains := older, newer
+		if ending == Newer {
+			ends, remains = newer, older
 		}
 		var served sync.WaitGroup
-		served.Go(func() { echoAll(stays) })
-		var met []net.Conn
-		closeSocket := leaves.closeSocket
-		leaves.closeSocket = func() error {
+		served.Go(func() { echoAll(remains) })
+		var connections []net.Conn
+		closeSocket := ends.closeSocket
+		ends.closeSocket = func() error {
 			for range 64 { // by the hash half of them would go to either
 				c, err := net.DialTimeout("tcp", addr, testTimeout/10)
 				if err != nil {
-					t.Errorf("leaver %v: %v", leaver, err)
+					t.Errorf("ending %v: %v", ending, err)
 					break
 				}
-				met = append(met, c)
+				connections = append(connections, c)
 			}
 			return closeSocket()
 		}
-		leaves.Close()
-		for i, c := range met {
+		ends.Close()
+		for i, c := range connections {
 			if err := exchange(c); err != nil {
-				t.Errorf("leaver %v, client %d: %v", leaver, i, err)
+				t.Errorf("ending %v, client %d: %v", ending, i, err)
 			}
 			c.Close()
 		}
-		stays.Close()
+		remains.Close()
 		served.Wait()
 	}
 }
 
-// echoAll answers each connection with one byte for the one it has sent, until the listener has ended.
+// echoAll answers each connection with the byte that it has sent, until the listener has ended.
 func echoAll(ln net.Listener) {
 	var open sync.WaitGroup
 	defer open.Wait()
@@ -208,7 +200,7 @@
 	}
 }
 
-// connectAndExchange connects and asks; took is how long it was until it was connected or refused.
+// connectAndExchange connects and exchanges a byte. took is the time until it was connected or refused.
 func connectAndExchange(addr string) (took time.Duration, err error) {
 	from := time.Now()
 	c, err := net.DialTimeout("tcp", addr, testTimeout)
@@ -220,7 +212,7 @@
 	return took, exchange(c)
 }
 
-// exchange sends a byte and reads the one that answers it.
+// exchange sends a byte and reads the answer.
 func exchange(c net.Conn) error {
 	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Write([]byte("?")); err != nil {
--- a/internal/upgrade/roles.go
+++ b/internal/upgrade/roles.go
@@ -1,13 +1,13 @@
 package upgrade
 
-// Peer is another process of the agent, as its file tells.
+// Peer is another process of the agent.
 type Peer struct {
 	Seq     int // the order in which processes joined
 	Alive   bool
-	Serving bool // it has told that it takes requests
+	Serving bool
 }
 
-// HasPredecessor tells whether a process joins beside one that lives, whether or not that one serves yet.
+// HasPredecessor reports whether a process joins beside an older one that is alive, serving or not.
 func HasPredecessor(seq int, peers []Peer) bool {
 	for _, p := range peers {
 		if p.Alive && p.Seq < seq {
@@ -17,7 +17,7 @@
 	return false
 }
 
-// CountProcesses is how many processes share what the agent may use: this one, and a second at the most.
+// CountProcesses returns how many processes share the agent's limits: the caller, and at most one more.
 func CountProcesses(peers []Peer) int {
 	for _, p := range peers {
 		if p.Alive {
@@ -27,8 +27,8 @@
 	return 1
 }
 
-// HasSuccessor tells whether a newer process takes the requests from now on: one that lives and has told that it
-// serves. One that has only started may never come up.
+// HasSuccessor reports whether a newer process takes the requests: one that is alive and serves. One that has only
+// started may never serve.
 func HasSuccessor(seq int, peers []Peer) bool {
 	for _, p := range peers {
 		if p.Alive && p.Serving && p.Seq > seq {
@@ -38,17 +38,17 @@
 	return false
 }
 
-// Age tells a process of the same agent by when it joined.
+// Age tells whether another process of the agent joined before or after the caller.
 type Age int
 
-// Ages of another process; None: there is no other.
+// The ages. None: there is no other process.
 const (
 	None Age = iota
 	Older
 	Newer
 )
 
-// Remaining tells which process stays once this one has left: the newer one of two that live.
+// Remaining returns which process remains once the caller has ended: of two others that are alive the newer one.
 func Remaining(seq int, peers []Peer) Age {
 	age := None
 	for _, p := range peers {
