--- a/policy/settings.go
+++ b/policy/settings.go
@@ -18,7 +18,7 @@
 			return fmt.Errorf("%s: must not be negative, is %v", at("credit"), c.PriorityWeight)
 		case c.Effect != Idempotent && c.Effect != IdempotentByKey && c.Effect != NonIdempotent:
 			return fmt.Errorf("%s: unknown effect %q", at("effect"), c.Effect)
-		case c.Effect == IdempotentByKey && c.DedupScope != ScopeAll && c.DedupScope != ScopeZone && c.DedupScope != ScopeCell:
+		case c.Effect == IdempotentByKey && !c.DedupScope.known():
 			return fmt.Errorf("%s: unknown group %q", at("group"), c.DedupScope)
 		case c.Effect == IdempotentByKey && !(c.IdempotencyWindowMs >= 0):
 			return fmt.Errorf("%s: must not be negative, is %v", at("keyTtlMs"), c.IdempotencyWindowMs)
--- a/policy/types.go
+++ b/policy/types.go
@@ -3,7 +3,7 @@
 // and when to give up. It is a state machine without I/O: the caller hands in
 // events with a clock and carries out the actions that come back, in order.
 //
-// All decisions are in policy.go; this file holds the interface only.
+// Each rule has a file of its own. This one holds the interface to the caller.
 package policy
 
 // Addr names a server: four bytes of address and a port. It has no meaning
@@ -44,6 +44,8 @@
 	ScopeCell DedupScope = "cell"
 )
 
+func (d DedupScope) known() bool { return d == ScopeAll || d == ScopeZone || d == ScopeCell }
+
 // Class is one class of requests.
 type Class struct {
 	Name                string     `json:"name"`
@@ -207,18 +209,18 @@
 // EventKind tells which fields of an Event count.
 type EventKind uint8
 
-// The events.
+// The events, each with the fields of Event that it uses.
 const (
-	EventRequest            EventKind = iota + 1 // Request, Class, Tenant, Key, LeftMs, HintMs, HasHint, Retry
+	EventRequest            EventKind = iota + 1 // all of the request: Class, Tenant, Key, RemainingMs, ...
 	EventAttemptEnded                            // Request, Attempt, Server, Status, LatencyMs, Final, Report
-	EventResponseStarted                         // Request, Attempt, Server, LatencyMs: a streamed answer began
-	EventClientDisconnected                      // Request: the client left
-	EventEndpointUpdate                          // List, Entries
+	EventResponseStarted                         // Request, Attempt, Server, LatencyMs: streamed
+	EventClientDisconnected                      // Request
+	EventEndpointUpdate                          // Update, Endpoints
 	EventHealthCheckEnded                        // Server, Status, LatencyMs, Report
 	EventTimer                                   // Token
-	EventPeerMessage                             // a message of another agent; carries nothing that is used
-	EventBodyWritten                             // Request, Attempt, LeftMs: a streamed request's body is written whole
-	EventDeadlineShortened                       // Request, LeftMs: it has no more time than that, whatever was told before
+	EventPeerMessage                             // of another agent; no field is used
+	EventBodyWritten                             // Request, Attempt, RemainingMs: streamed
+	EventDeadlineShortened                       // Request, RemainingMs: less time than announced before
 )
 
 // Event is something that happened to one agent.
