--- /dev/null
+++ b/internal/core/sharedids_test.go
@@ -0,0 +1,72 @@
+package core
+
+import (
+	"context"
+	"sync"
+	"testing"
+
+	"ringtrack.example/ringtrack/policy"
+)
+
+// sharedIDs are the ids of two processes of an agent, in memory.
+type sharedIDs struct {
+	mu    sync.Mutex
+	taken map[string]bool
+}
+
+func (s *sharedIDs) Claim(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.taken[id] {
+		return false
+	}
+	s.taken[id] = true
+	return true
+}
+
+func (s *sharedIDs) Release(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.taken, id)
+}
+
+func (s *sharedIDs) Retain(string) {}
+
+// An id that one process of an agent has accepted is a duplicate at the other one, unless its request never ran or is
+// idempotent.
+func TestIDRepeatedAtOtherProcess(t *testing.T) {
+	for name, c := range map[string]struct {
+		class     int
+		first     policy.Status
+		forwarded bool // the other process forwards it
+	}{
+		"non-idempotent, served":    {2, policy.OK, false},
+		"non-idempotent, reset":     {2, policy.Reset, false},
+		"non-idempotent, never ran": {2, policy.ConnectFailed, true},
+		"idempotent by key, served": {1, policy.OK, false},
+		"idempotent, served":        {0, policy.OK, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			shared := &sharedIDs{taken: map[string]bool{}}
+			result := c.first
+			sent := 0
+			u := stub{func(context.Context, *Backend, *Call) Result {
+				sent++
+				return Result{Status: result, LatencyMs: 1, Reply: "reply"}
+			}}
+			process := func() *EventLoop {
+				l := newTestLoop(t, u)
+				l.cfg.SharedIDs = shared
+				return start(t, l)
+			}
+			one, other := process(), process()
+			one.roundTrip(t, newCall(u, "1", c.class))
+			before := sent
+			result = policy.OK
+			a := other.roundTrip(t, newCall(u, "1", c.class))
+			if forwarded := sent > before; forwarded != c.forwarded || !forwarded && (a.Outcome != Failed || a.Reason != Duplicate) {
+				t.Errorf("forwarded %v, answered %+v", forwarded, a)
+			}
+		})
+	}
+}
