--- a/cmd/ringtrack-configstore/main.go
+++ b/cmd/ringtrack-configstore/main.go
@@ -269,7 +269,10 @@
 	return nil
 }
 
+// description is the first paragraph of the help.
+const description = "Keepers of the agreed book of rules."
+
 func main() {
-	ctx := kong.Parse(&commands{}, kong.Name("ringtrack-configstore"), kong.Description("Keepers of the agreed book of rules."), kong.UsageOnError())
+	ctx := kong.Parse(&commands{}, kong.Name("ringtrack-configstore"), kong.Description(description), kong.UsageOnError())
 	ctx.FatalIfErrorf(ctx.Run())
 }
--- /dev/null
+++ b/cmd/ringtrack-configstore/main_test.go
@@ -0,0 +1,49 @@
+package main
+
+import (
+	"bytes"
+	"os"
+	"testing"
+
+	"github.com/alecthomas/kong"
+)
+
+// TestHelpIsTheOldPrograms compares the help of every command with that of ringtrack-keeper at commit 5a7ac45: kong
+// derives flags and commands from names of fields, so that a renamed field shows here.
+func TestHelpIsTheOldPrograms(t *testing.T) {
+	want, err := os.ReadFile("testdata/help.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got bytes.Buffer
+	for _, command := range []string{"", "run", "publish", "show", "diff", "history", "members", "holders"} {
+		args := []string{"--help"}
+		if command != "" {
+			args = []string{command, "--help"}
+		}
+		printHelp(t, &got, args)
+		got.WriteString("----\n")
+	}
+	if got.String() != string(want) {
+		t.Errorf("the help is:\n%s\nwant:\n%s", got.String(), want)
+	}
+}
+
+// printHelp writes the help that the arguments ask for. The exit that kong makes behind it is a panic here.
+func printHelp(t *testing.T, out *bytes.Buffer, args []string) {
+	t.Helper()
+	parser, err := kong.New(&commands{}, kong.Name("ringtrack-keeper"), kong.Description(description), kong.UsageOnError(),
+		kong.Writers(out, out), kong.Exit(func(int) { panic(errExit) }))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		if r := recover(); r != nil && r != errExit {
+			panic(r)
+		}
+	}()
+	parser.Parse(args)
+	t.Errorf("%q: no help was printed", args)
+}
+
+const errExit = "exit"
