--- a/internal/configstore/api.go
+++ b/internal/configstore/api.go
@@ -127,7 +127,7 @@
 
 // forward has the keeper that leads answer a call: once, as a call that was forwarded is not again.
 func (k *Replica) forward(req *http.Request, in, out any, within time.Duration) error {
-	if req.Header.Get(client.Forwarded) != "" {
+	if req.Header.Get(client.ForwardedHeader) != "" {
 		return errNotLeading
 	}
 	addr := make(chan string, 1)
@@ -141,7 +141,7 @@
 		if to == "" || to == k.cfg.Members[k.cfg.Name] {
 			return errors.New("no keeper leads")
 		}
-		return k.ask.Call(ctx, to, req.URL.RequestURI(), http.Header{client.Forwarded: {"1"}}, in, out)
+		return k.ask.Call(ctx, to, req.URL.RequestURI(), http.Header{client.ForwardedHeader: {"1"}}, in, out)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/internal/configstore/client/call.go
+++ b/internal/configstore/client/call.go
@@ -28,8 +28,8 @@
 	PathMembers = "/v1/members"
 )
 
-// Relayed marks an ask that a peer carried, Forwarded one that a keeper did: neither is carried a second time.
-const Relayed, Forwarded = "Ringtrack-Relayed", "Ringtrack-Forwarded"
+// RelayedHeader marks an ask that a peer carried, ForwardedHeader one that a keeper did: neither is carried a second time.
+const RelayedHeader, ForwardedHeader = "Ringtrack-Relayed", "Ringtrack-Forwarded"
 
 // MaxResponseBytes bounds an answer, in bytes: a book and its heads.
 const MaxResponseBytes = sharedconfig.MaxBytes + 1<<20
--- a/internal/configstore/client/link.go
+++ b/internal/configstore/client/link.go
@@ -118,7 +118,7 @@
 		var answer RenewResponse
 		header := http.Header{}
 		if peer {
-			header.Set(Relayed, "1")
+			header.Set(RelayedHeader, "1")
 		}
 		within := time.Duration((call.WaitMs + l.cfg.CallMs) * float64(time.Millisecond))
 		try, cancel := context.WithTimeout(ctx, within)
--- a/internal/lab/acceptance/agreed.go
+++ b/internal/lab/acceptance/agreed.go
@@ -125,17 +125,17 @@
 	r := &Report{Proof: "agreed-model", Seed: o.Seed, Scale: o.Scale}
 	d := leasemodel.None
 	if o.Defect {
-		d = leasemodel.NoQuiet
+		d = leasemodel.NoInheritedWait
 	}
-	found := func(f *leasemodel.Found) {
+	found := func(f *leasemodel.Violation) {
 		if f != nil {
-			r.short("%s: %v", f.Why, f.Path)
+			r.short("%s: %v", f.Reason, f.Steps)
 		}
 	}
 	for _, b := range []struct {
 		name string
 		leasemodel.Bounds
-	}{{"small", leasemodel.Small}, {"pairs", leasemodel.Pairs}, {"whole", leasemodel.Whole}} {
+	}{{"small", leasemodel.Small}, {"pairs", leasemodel.Pairs}, {"whole", leasemodel.Complete}} {
 		if b.name != "small" && o.Scale < 1 || o.Defect { // a defect the walks find sooner
 			continue
 		}
--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -19,17 +19,17 @@
 
 // The defects.
 const (
-	None        Defect = iota
-	NoMeet             // a change goes from version to version, without the stage between
-	FromAnswer         // leases are counted from the answer
-	NoQuiet            // a new leader does not wait for the leases of the old one
-	BackOnStart        // a holder that starts again acts on what it had, without asking
-	WordForIt          // a stage counts as taken up once it was granted
-	NoWord             // nobody waits for who goes by an older word on servers
+	None              Defect = iota
+	NoIntersection           // a change goes from version to version, without the stage between
+	CountFromResponse        // leases are counted from the answer
+	NoInheritedWait          // a new leader does not wait for the leases of the old one
+	ResumeOnRestart          // a holder that starts again acts on what it had, without asking
+	AssumeAdopted            // a stage counts as taken up once it was granted
+	IgnoreEndpoints          // nobody waits for who goes by an older word on servers
 )
 
 // Defects are all, by name.
-var Defects = map[string]Defect{"no-meet": NoMeet, "from-answer": FromAnswer, "no-quiet": NoQuiet, "back-on-start": BackOnStart, "word-for-it": WordForIt, "no-word": NoWord}
+var Defects = map[string]Defect{"no-meet": NoIntersection, "from-answer": CountFromResponse, "no-quiet": NoInheritedWait, "back-on-start": ResumeOnRestart, "word-for-it": AssumeAdopted, "no-word": IgnoreEndpoints}
 
 // In the model a tick is a ms.
 const leaseMs, listMs = 2, 1
@@ -114,7 +114,7 @@
 			word++
 		}
 		c.stages, c.words = append(c.stages, c.book.Epoch), append(c.words, word)
-		if d != NoMeet || c.book.Epoch%2 == 0 {
+		if d != NoIntersection || c.book.Epoch%2 == 0 {
 			break
 		}
 	}
@@ -133,7 +133,7 @@
 }
 
 func (l *log) wordsBut(d Defect) lease.EndpointsChanged {
-	return func(from, to uint64) bool { return d != NoWord && l.book.EndpointsChanged(from, to) }
+	return func(from, to uint64) bool { return d != IgnoreEndpoints && l.book.EndpointsChanged(from, to) }
 }
 
 func start(b Bounds, d Defect) *world {
@@ -144,7 +144,7 @@
 }
 
 func (w *world) desk() *lease.Lessor {
-	if w.defect == NoQuiet {
+	if w.defect == NoInheritedWait {
 		return lease.NewLessor(w.now-100*leaseMs, leaseMs, listMs)
 	}
 	return lease.NewLessor(w.now, leaseMs, listMs)
@@ -176,7 +176,7 @@
 	for i, l := range w.leaders {
 		last := i == len(w.leaders)-1
 		if last || slices.ContainsFunc(w.msgs, func(m message) bool { return m.kind == 'c' && m.desk == i }) {
-			fmt.Fprintf(&b, "L%d:%v %d %s|", i, l.log.stages, l.log.book.Last(), l.desk.State(w.now))
+			fmt.Fprintf(&b, "L%d:%v %d %s|", i, l.log.stages, l.log.book.Last(), l.desk.Fingerprint(w.now))
 		}
 	}
 	for i := range w.holders {
@@ -219,7 +219,7 @@
 				h := &w.holders[i]
 				was := h.lease
 				h.inc, h.lease, h.asks = h.inc+1, lease.Lease{}, 0
-				if w.defect == BackOnStart {
+				if w.defect == ResumeOnRestart {
 					h.lease = lease.Lease{Epoch: was.Epoch - was.Epoch%2, Until: w.clock(i) + leaseMs, EndpointsUntil: w.clock(i) + leaseMs, Granted: true}
 				}
 			})
@@ -290,7 +290,7 @@
 			}
 			return
 		}
-		if w.defect == WordForIt {
+		if w.defect == AssumeAdopted {
 			of.Epoch = g.Epoch
 			l.desk.Observe(w.now, of)
 		}
@@ -303,7 +303,7 @@
 		}
 		h.asks = max(h.asks-1, 0)
 		asked := m.asked
-		if w.defect == FromAnswer {
+		if w.defect == CountFromResponse {
 			asked = w.clock(m.holder)
 		}
 		h.lease.Accept(asked, w.clock(m.holder), m.granted)
@@ -342,15 +342,15 @@
 	return ""
 }
 
-// Found is a run that broke an invariant.
-type Found struct {
-	Why  string
-	Path []string
+// Violation is a run that broke an invariant.
+type Violation struct {
+	Reason string
+	Steps  []string
 }
 
 // Exhaust visits every state within the bounds, most at the most, and returns how many there were, whether that were
 // all, and the first that breaks an invariant.
-func Exhaust(b Bounds, d Defect, most int) (states int, all bool, found *Found) {
+func Exhaust(b Bounds, d Defect, most int) (states int, all bool, found *Violation) {
 	type node struct {
 		w    *world
 		path []string
@@ -372,7 +372,7 @@
 			why := next.judge()
 			path := append(slices.Clip(n.path), s.name)
 			if why != "" {
-				return len(seen), false, &Found{why, path}
+				return len(seen), false, &Violation{why, path}
 			}
 			k := hash(next)
 			if _, known := seen[k]; known {
@@ -390,7 +390,7 @@
 
 // Random walks runs of steps each, drawn from a seed, and returns how many steps were made and the first run that breaks
 // an invariant.
-func Random(b Bounds, d Defect, runs, steps int, seed uint64) (made int, found *Found) {
+func Random(b Bounds, d Defect, runs, steps int, seed uint64) (made int, found *Violation) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for range runs {
 		w := start(b, d)
@@ -408,17 +408,17 @@
 			path = append(path, s.name)
 			made++
 			if why := w.judge(); why != "" {
-				return made, &Found{why, path}
+				return made, &Violation{why, path}
 			}
 		}
 	}
 	return made, nil
 }
 
-// Small is what Exhaust visits whole in CI, Pairs and Whole what the long proof does; Long is for random walks.
+// Small is what Exhaust visits whole in CI, Pairs and Complete what the long proof does; Long is for random walks.
 var (
-	Small = Bounds{Holders: 2, Versions: 2, Ticks: 2, Msg: 1}
-	Pairs = Bounds{Holders: 2, Versions: 1, Ticks: 3, Msg: 2}
-	Whole = Bounds{Holders: 2, Versions: 3, Ticks: 3, Elections: 1, Crashes: 1, Msg: 1}
-	Long  = Bounds{Holders: 3, Versions: 12, Ticks: 60, Elections: 6, Crashes: 6, Repeats: 10, Msg: 6, Drift: true}
+	Small    = Bounds{Holders: 2, Versions: 2, Ticks: 2, Msg: 1}
+	Pairs    = Bounds{Holders: 2, Versions: 1, Ticks: 3, Msg: 2}
+	Complete = Bounds{Holders: 2, Versions: 3, Ticks: 3, Elections: 1, Crashes: 1, Msg: 1}
+	Long     = Bounds{Holders: 3, Versions: 12, Ticks: 60, Elections: 6, Crashes: 6, Repeats: 10, Msg: 6, Drift: true}
 )
--- a/internal/lab/leasemodel/model_test.go
+++ b/internal/lab/leasemodel/model_test.go
@@ -8,7 +8,7 @@
 		t.Errorf("%d states are not all", states)
 	}
 	if found != nil {
-		t.Fatalf("%s: %v", found.Why, found.Path)
+		t.Fatalf("%s: %v", found.Reason, found.Steps)
 	}
 	t.Logf("%d states", states)
 }
@@ -16,7 +16,7 @@
 func TestRandomWalks(t *testing.T) {
 	made, found := Random(Long, None, 1000, 150, 1)
 	if found != nil {
-		t.Fatalf("%s: %v", found.Why, found.Path)
+		t.Fatalf("%s: %v", found.Reason, found.Steps)
 	}
 	t.Logf("%d steps", made)
 }
@@ -26,7 +26,7 @@
 		if _, found := Random(Long, d, 20_000, 150, 1); found == nil {
 			t.Errorf("%s is not found", name)
 		} else {
-			t.Logf("%s: %s after %d steps", name, found.Why, len(found.Path))
+			t.Logf("%s: %s after %d steps", name, found.Reason, len(found.Steps))
 		}
 	}
 }
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -200,8 +200,8 @@
 	return c
 }
 
-// State implements the other half of Clone.
-func (d *Lessor) State(now float64) string {
+// Fingerprint implements the other half of Clone.
+func (d *Lessor) Fingerprint(now float64) string {
 	var lines []string
 	for k, h := range d.holders {
 		if h.now.lists > now || h.before.lists > now {
