--- a/internal/configstore/api.go
+++ b/internal/configstore/api.go
@@ -20,6 +20,7 @@
 	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/lease"
 	"ringtrack.example/ringtrack/internal/sharedconfig"
+	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 )
 
 const (
@@ -115,9 +116,9 @@
 	switch {
 	case errors.As(err, &f):
 		return f.Status
-	case errors.Is(err, lease.ErrParentMismatch):
+	case errors.Is(err, history.ErrParentMismatch):
 		return http.StatusConflict
-	case errors.Is(err, lease.ErrTooManyPending):
+	case errors.Is(err, history.ErrTooManyPending):
 		return http.StatusTooManyRequests
 	case errors.As(err, &bad):
 		return http.StatusUnprocessableEntity
@@ -189,7 +190,7 @@
 }
 
 // proposal puts an entry to the loop and waits until it is applied.
-func (k *Replica) proposal(req *http.Request, id string, op *lease.Command, in any) (any, error) {
+func (k *Replica) proposal(req *http.Request, id string, op *history.Command, in any) (any, error) {
 	answer := make(chan result, 1)
 	ctx, cancel := context.WithTimeout(req.Context(), publishTime)
 	defer cancel()
@@ -204,7 +205,7 @@
 			return &out, k.forward(req, in, &out, publishTime)
 		case r.err != nil && !r.applied: // it may still be on its way
 			return nil, r.err
-		case r.err != nil && (errors.Is(r.err, lease.ErrParentMismatch) || errors.Is(r.err, lease.ErrTooManyPending)):
+		case r.err != nil && (errors.Is(r.err, history.ErrParentMismatch) || errors.Is(r.err, history.ErrTooManyPending)):
 			return nil, r.err
 		case r.err != nil:
 			return nil, badCall{r.err}
@@ -227,7 +228,7 @@
 	if err := words(c.ID, c.Author, c.Reason); err != nil {
 		return nil, err
 	}
-	return k.proposal(req, c.ID, &lease.Command{Publish: &lease.Publish{ID: c.ID, Parent: c.Parent, Config: book, Author: c.Author, Reason: c.Reason,
+	return k.proposal(req, c.ID, &history.Command{Publish: &history.Publish{ID: c.ID, Parent: c.Parent, Config: book, Author: c.Author, Reason: c.Reason,
 		AtMs: time.Now().UnixMilli()}}, &c)
 }
 
@@ -252,7 +253,7 @@
 	if err := words(c.ID, c.Author, c.Server); err != nil || c.Server == "" {
 		return nil, errors.Join(badCall{errors.New("ban: id, server and author are needed")}, err)
 	}
-	return k.proposal(req, c.ID, &lease.Command{Cordon: &lease.Cordon{ID: c.ID, Server: c.Server, On: c.On, Author: c.Author, AtMs: time.Now().UnixMilli()}}, &c)
+	return k.proposal(req, c.ID, &history.Command{Cordon: &history.Cordon{ID: c.ID, Server: c.Server, On: c.On, Author: c.Author, AtMs: time.Now().UnixMilli()}}, &c)
 }
 
 // read has the loop do something once a majority has said that this keeper leads; whoever does not forwards.
@@ -355,7 +356,7 @@
 	if k.desk != nil {
 		now := k.now()
 		s.Holders = maps.Clone(k.desk.Holders(now))
-		_, s.BlockedBy = k.desk.Adopted(now, k.state.Book.Epoch, k.state.Book.EndpointsChanged)
+		s.BlockedBy = k.desk.Adopted(now, k.state.Book.Epoch, k.state.Book.EndpointsChanged).Holders
 	}
 }
 
--- a/internal/configstore/compatibility_test.go
+++ b/internal/configstore/compatibility_test.go
@@ -18,8 +18,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"ringtrack.example/ringtrack/internal/configstore/client"
-	"ringtrack.example/ringtrack/internal/lease"
 	"ringtrack.example/ringtrack/internal/sharedconfig"
+	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 )
 
 // Everything under testdata was written by ringtrack-keeper at commit 5a7ac45, before it was renamed to
@@ -51,7 +51,7 @@
 		"identity":         &Identity{},
 		"watermarks":       &seen{},
 		"snapshot-state":   &state{},
-		"command":          &lease.Command{},
+		"command":          &history.Command{},
 		"version":          &sharedconfig.Version{},
 		"transition":       &sharedconfig.Transition{},
 	}
--- a/internal/configstore/replica.go
+++ b/internal/configstore/replica.go
@@ -26,6 +26,7 @@
 	"ringtrack.example/ringtrack/internal/disk"
 	"ringtrack.example/ringtrack/internal/lease"
 	"ringtrack.example/ringtrack/internal/sharedconfig"
+	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 )
 
 const (
@@ -50,7 +51,7 @@
 
 // state is what entries of the log change, and a snapshot holds.
 type state struct {
-	Book    lease.History     `json:"book"`
+	Book    history.History   `json:"book"`
 	Members map[uint64]member `json:"members"`
 }
 
@@ -494,19 +495,13 @@
 		if len(e.GetData()) == 0 {
 			break
 		}
-		var op lease.Command
+		var op history.Command
 		if err := json.Unmarshal(e.GetData(), &op); err != nil {
 			return fmt.Errorf("%w: entry %d: %w", ErrCorrupt, e.GetIndex(), err)
 		}
 		was := k.state.Book.Epoch
 		v, err := k.state.Book.Apply(&op)
-		id := ""
-		switch {
-		case op.Publish != nil:
-			id = op.Publish.ID
-		case op.Cordon != nil:
-			id = op.Cordon.ID
-		}
+		id := op.ID()
 		for _, c := range k.opens[id] {
 			c <- result{v, err, true}
 		}
@@ -589,7 +584,7 @@
 	}
 	if k.desk.MayAdvance(now, b.Epoch, b.EndpointsChanged) {
 		stage := b.Epoch
-		if data, err := json.Marshal(&lease.Command{Advance: &stage}); err == nil && k.rn.Propose(data) == nil {
+		if data, err := json.Marshal(&history.Command{Advance: &stage}); err == nil && k.rn.Propose(data) == nil {
 			k.proposed, k.at = stage, now
 		}
 	}
@@ -695,7 +690,7 @@
 }
 
 // propose hands an entry to raft; the answer comes when it is applied, if ever.
-func (k *Replica) propose(id string, op *lease.Command, answer chan result) {
+func (k *Replica) propose(id string, op *history.Command, answer chan result) {
 	if k.soft.RaftState != raft.StateLeader {
 		answer <- result{err: errNotLeading}
 		return
--- a/internal/configstore/slowdisk_test.go
+++ b/internal/configstore/slowdisk_test.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"ringtrack.example/ringtrack/internal/disk"
-	"ringtrack.example/ringtrack/internal/lease"
 	"ringtrack.example/ringtrack/internal/sharedconfig"
+	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 )
 
 // trio is a few keepers without goroutines, sockets and timers: the test makes their ticks, carries their messages and
@@ -149,7 +149,7 @@
 	s.version++
 	answer := make(chan result, 1)
 	id := fmt.Sprint("p", s.version)
-	k.propose(id, &lease.Command{Publish: &lease.Publish{ID: id, Parent: s.version - 1, Config: &sharedconfig.Config{Cordoned: []string{id}}}}, answer)
+	k.propose(id, &history.Command{Publish: &history.Publish{ID: id, Parent: s.version - 1, Config: &sharedconfig.Config{Cordoned: []string{id}}}}, answer)
 	return answer
 }
 
--- a/internal/configstore/terms.go
+++ b/internal/configstore/terms.go
@@ -6,6 +6,7 @@
 	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/lease"
 	"ringtrack.example/ringtrack/internal/sharedconfig"
+	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 )
 
 // encoded is an answer that is JSON text already.
@@ -17,14 +18,14 @@
 // is shared and never changed.
 type termsCache struct {
 	known bool
-	basis lease.Source
+	basis history.Source
 	terms *sharedconfig.Transition
 	grant lease.Grant // of text
 	text  []byte      // nil: not made yet
 }
 
 // of is the book's Terms.
-func (c *termsCache) of(b *lease.History) *sharedconfig.Transition {
+func (c *termsCache) of(b *history.History) *sharedconfig.Transition {
 	if basis := b.Source(); !c.known || c.basis != basis {
 		*c = termsCache{known: true, basis: basis, terms: b.Transition()}
 	}
@@ -32,7 +33,7 @@
 }
 
 // answer is the answer's text for a holder that needs the book's terms too; nil at stage 0, which has none.
-func (c *termsCache) answer(b *lease.History, g lease.Grant) ([]byte, error) {
+func (c *termsCache) answer(b *history.History, g lease.Grant) ([]byte, error) {
 	terms := c.of(b)
 	if terms == nil {
 		return nil, nil
--- a/internal/configstore/terms_test.go
+++ b/internal/configstore/terms_test.go
@@ -11,11 +11,12 @@
 	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/lease"
 	"ringtrack.example/ringtrack/internal/sharedconfig"
+	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 	"ringtrack.example/ringtrack/policy"
 )
 
 // copied is a log's state as a snapshot carries it.
-func copied(t *testing.T, b *lease.History) (out lease.History) {
+func copied(t *testing.T, b *history.History) (out history.History) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(asText(t, b)), &out); err != nil {
 		t.Fatal(err)
@@ -38,19 +39,19 @@
 	kept, steps := 0, 0
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var logs [3]lease.History
+		var logs [3]history.History
 		var c termsCache
 		b := &logs[0]
 		for i := range 60 {
 			switch rng.IntN(7) {
 			case 0, 1:
 				book := &sharedconfig.Config{MaxAttempts: 1 + rng.IntN(2), Cordoned: []string{fmt.Sprintf("<%d&>", rng.IntN(2))}}
-				b.Apply(&lease.Command{Publish: &lease.Publish{ID: fmt.Sprint(i), Parent: b.Last(), Config: book}})
+				b.Apply(&history.Command{Publish: &history.Publish{ID: fmt.Sprint(i), Parent: b.Last(), Config: book}})
 			case 2:
-				b.Apply(&lease.Command{Cordon: &lease.Cordon{ID: fmt.Sprint(i), Server: "a", On: rng.IntN(2) == 0}})
+				b.Apply(&history.Command{Cordon: &history.Cordon{ID: fmt.Sprint(i), Server: "a", On: rng.IntN(2) == 0}})
 			case 3, 4:
 				at := b.Epoch
-				b.Apply(&lease.Command{Advance: &at})
+				b.Apply(&history.Command{Advance: &at})
 			case 5:
 				b = &logs[rng.IntN(len(logs))]
 				*b = copied(t, b)
@@ -96,12 +97,12 @@
 		for c := range classes {
 			book.Classes[fmt.Sprint("class", c)] = sharedconfig.Class{Effect: policy.NonIdempotent}
 		}
-		if _, err := k.state.Book.Apply(&lease.Command{Publish: &lease.Publish{ID: fmt.Sprint(v), Parent: v, Config: book}}); err != nil {
+		if _, err := k.state.Book.Apply(&history.Command{Publish: &history.Publish{ID: fmt.Sprint(v), Parent: v, Config: book}}); err != nil {
 			t.Fatal(err)
 		}
 		for k.state.Book.Epoch < 2*v+2-v {
 			at := k.state.Book.Epoch
-			k.state.Book.Apply(&lease.Command{Advance: &at})
+			k.state.Book.Apply(&history.Command{Advance: &at})
 		}
 	}
 	if k.state.Book.Epoch != 3 {
--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -12,6 +12,7 @@
 
 	"ringtrack.example/ringtrack/internal/lease"
 	"ringtrack.example/ringtrack/internal/sharedconfig"
+	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 )
 
 // Defect is one that the lab seeds, each a way in which the deciders could be used wrongly.
@@ -69,7 +70,7 @@
 // log is the keepers' book, and the stages there were in order with the word on servers of each. It is not changed but
 // copied: worlds share it.
 type log struct {
-	book   lease.History
+	book   history.History
 	stages []uint64
 	words  []uint64 // a number that grows where the word changes
 }
@@ -92,7 +93,7 @@
 	if n%3 == 2 {
 		ban--
 	}
-	if _, err := c.book.Apply(&lease.Command{Publish: &lease.Publish{ID: fmt.Sprint(n), Parent: n - 1, Config: &sharedconfig.Config{Cordoned: []string{fmt.Sprint(ban)}}}}); err != nil {
+	if _, err := c.book.Apply(&history.Command{Publish: &history.Publish{ID: fmt.Sprint(n), Parent: n - 1, Config: &sharedconfig.Config{Cordoned: []string{fmt.Sprint(ban)}}}}); err != nil {
 		panic(err)
 	}
 	return c
@@ -107,7 +108,7 @@
 			was = t.Config
 		}
 		stage := c.book.Epoch
-		c.book.Apply(&lease.Command{Advance: &stage})
+		c.book.Apply(&history.Command{Advance: &stage})
 		now = c.book.Transition().Config
 		word := c.words[len(c.words)-1]
 		if was == nil || !was.SameEndpoints(now) {
@@ -258,8 +259,8 @@
 	}
 	if l.log.book.CanAdvance() {
 		may := l.desk.MayAdvance(w.now, l.log.book.Epoch, l.log.wordsBut(w.defect))
-		if all, _, hold := l.desk.Next(w.now, l.log.book.Epoch, l.log.wordsBut(w.defect)); all != may && w.differs == "" {
-			w.differs = fmt.Sprintf("whether stage %d may be left: %v by the index, held up by %v", l.log.book.Epoch, may, hold)
+		if blockers := l.desk.Next(w.now, l.log.book.Epoch, l.log.wordsBut(w.defect)); blockers.None() != may && w.differs == "" {
+			w.differs = fmt.Sprintf("whether epoch %d may end: %v by the index, blocked by %v", l.log.book.Epoch, may, blockers.Holders)
 		}
 		if may {
 			add("advance", func(w *world) {
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -1,18 +1,3 @@
-// Package lease decides who may act on which stage of the book of rules (rulebook.Terms) until when: the desk of the
-// keeper that leads gives leases and says when the next stage may come; a holder, in each agent, counts its own.
-// Pure: messages and times in, answers out; no I/O, no clock, no goroutine. The log of versions itself is apart, in
-// Book of this package, which keepers apply in the same order.
-//
-// Invariants; model check, properties and proofs name them by number:
-//  1. At any time two neighbouring stages s and s+1 are acted on at the most, counted over all holders.
-//  2. A holder never goes back to a lower stage; neither does a name that starts again under a new incarnation.
-//  3. No version that was acknowledged is lost or changed, none has two numbers, none is published twice.
-//  4. A holder acts on a stage only within a lease, and its lease ends by its own clock before the desk believes so.
-//
-// Safety stands on order: stages go one by one, each only behind the word of each holder that it took the last one up,
-// or the end of its lease. Clocks bound how long a holder that is stopped or cut off is waited for; they are only
-// counted from one's own moment to one's own moment, and may differ by any offset and by DriftMost in rate. Leases
-// after Gray and Cheriton (1989); that a new leader waits for the leases of the old one is Chubby's rule (2006).
 package lease
 
 import (
@@ -20,236 +5,222 @@
 	"slices"
 )
 
-const (
-	// MaxClockDrift is by which part of a second clocks may run fast or slow: 2 %, far over what quartz does.
-	MaxClockDrift = 0.02
-	// MaxHolders bounds the holders a desk remembers; one more gets no lease.
-	MaxHolders = 32_768
-)
-
-// Holder is who acts: a name, and the incarnation that each start of it draws anew.
-type Holder struct{ Name, Incarnation string }
-
-// Request is what a holder asks with.
-type Request struct {
-	Holder
-	Epoch   uint64 // the stage it acts on, or did last; 0: none
-	Problem string // why it can't take up what it was granted last; "": it can
+// Lessor grants leases. The leading replica has one, made anew for each term that it leads: leases that it does not know
+// of it waits for. Times are milliseconds of the replica's own monotonic clock. It belongs to one goroutine.
+type Lessor struct {
+	leaseMs     float64
+	endpointsMs float64
+	// Until when leases granted by previous leaders may be held, and their endpoints used.
+	inheritedUntil          float64
+	inheritedEndpointsUntil float64
+	holders                 map[Holder]*holderState
+	blockers                blockerIndex
 }
 
-// Grant is a lease: act on Stage for LeaseMs, counted by the holder's clock from before it asked; and for ListMs more,
-// by the strictest settings, on its word on servers.
-type Grant struct {
-	Epoch       uint64
-	LeaseMs     float64
-	EndpointsMs float64
+// holderState is what a Lessor knows of one holder.
+type holderState struct {
+	epoch        uint64 // the holder acts on no lower one
+	grantedEpoch uint64 // the highest that it was granted
+	current      expiry // of its leases on grantedEpoch
+	previous     expiry // of its leases on lower epochs: an epoch that is granted but never adopted does not extend them
+	problem      string
+	indexed      bool // it is in blockers.candidates
 }
 
-// EndpointsChanged tells whether the word on servers is another anywhere from one stage to a later one. It may say yes where it
-// does not know.
-type EndpointsChanged func(from, to uint64) bool
-
-// Lessor gives leases. It is the leading keeper's, and begins anew with each term of it: what it doesn't know then it
-// waits for. Times are ms of the keeper's own steady clock.
-type Lessor struct {
-	leaseMs, listMs float64
-	quiet, quietOn  float64 // until when leases of other leaders may hold, for settings and for servers
-	holders         map[Holder]*held
-	behind          behind
+// expiry is until when a lease may be held, and until when its endpoints may be used.
+type expiry struct {
+	lease     float64
+	endpoints float64
 }
 
-type held struct {
-	has     uint64 // it acts on no stage under this one
-	granted uint64 // the highest stage that it was granted
-	now     span   // of leases on granted
-	before  span   // of those on lower stages: a holder that is granted more and never takes it up holds them no longer
-	unable  string
-	listed  bool // it is in behind.ring
+func (e expiry) latest(other expiry) expiry {
+	return expiry{lease: max(e.lease, other.lease), endpoints: max(e.endpoints, other.endpoints)}
 }
 
-// span is until when a lease may hold, and until when its word on servers may be gone by.
-type span struct{ until, lists float64 }
-
-func (s span) most(o span) span { return span{max(s.until, o.until), max(s.lists, o.lists)} }
-
-// under is until when it may act on a stage under this one.
-func (h *held) under(stage uint64) span {
-	if h.granted < stage {
-		return h.now.most(h.before)
+// expiryBelow is until when the holder may act on an epoch below this one.
+func (h *holderState) expiryBelow(epoch uint64) expiry {
+	if h.grantedEpoch < epoch {
+		return h.current.latest(h.previous)
 	}
-	return h.before
+	return h.previous
 }
 
-// NewLessor is a desk that begins to lead at now. Other leaders gave leases of these lengths at the most until then.
-func NewLessor(now, leaseMs, listMs float64) *Lessor {
-	return &Lessor{leaseMs: leaseMs, listMs: listMs, quiet: now + wait(leaseMs), quietOn: now + wait(leaseMs+listMs), holders: map[Holder]*held{}}
+// NewLessor returns the lessor of a replica that becomes the leader at now. Previous leaders granted leases of at most
+// these durations, and none after now.
+func NewLessor(now, leaseMs, endpointsMs float64) *Lessor {
+	return &Lessor{
+		leaseMs:                 leaseMs,
+		endpointsMs:             endpointsMs,
+		inheritedUntil:          now + withDrift(leaseMs),
+		inheritedEndpointsUntil: now + withDrift(leaseMs+endpointsMs),
+		holders:                 map[Holder]*holderState{},
+	}
 }
 
-// wait is for how long a lease is waited for that was given now.
-func wait(leaseMs float64) float64 { return leaseMs * (1 + MaxClockDrift) }
+// withDrift is how long the lessor counts a lease for, so that it never ends before the holder's count (invariant 4).
+func withDrift(leaseMs float64) float64 { return leaseMs * (1 + MaxClockDrift) }
 
-// Observe takes what a holder says of itself, before anything is confirmed: whatever comes, it acts on no lower stage.
-func (d *Lessor) Observe(now float64, a Request) {
-	if h := d.find(now, a.Holder); h != nil {
-		h.has, h.unable = max(h.has, a.Epoch), a.Problem
+// Observe records what a holder reports of itself. It may be called before the replica's leadership is confirmed: a
+// holder that reports an epoch acts on no lower one, whoever leads (invariant 2).
+func (l *Lessor) Observe(now float64, r Request) {
+	if h := l.findOrAdd(now, r.Holder); h != nil {
+		h.report(r)
 	}
 }
 
-// find is a holder's place, made where there is none; nil: there is no room.
-func (d *Lessor) find(now float64, k Holder) *held {
-	h := d.holders[k]
-	if h == nil {
-		if d.sweep(now); len(d.holders) >= MaxHolders {
-			return nil
-		}
-		h = &held{now: span{now, now}, before: span{now, now}}
-		d.holders[k] = h
+func (h *holderState) report(r Request) {
+	h.epoch = max(h.epoch, r.Epoch)
+	h.problem = r.Problem
+}
+
+// findOrAdd returns a holder's state; nil if there are MaxHolders others.
+func (l *Lessor) findOrAdd(now float64, holder Holder) *holderState {
+	if h := l.holders[holder]; h != nil {
+		return h
 	}
+	l.removeExpired(now)
+	if len(l.holders) >= MaxHolders {
+		return nil
+	}
+	h := &holderState{current: expiry{now, now}, previous: expiry{now, now}}
+	l.holders[holder] = h
 	return h
 }
 
-// Grant answers an ask that was there before a majority confirmed that this keeper leads: at the stage in force, as
-// it is applied now. ok is false where the holder gets none.
-func (d *Lessor) Grant(now float64, a Request, stage uint64) (g Grant, ok bool) {
-	h := d.find(now, a.Holder)
+// Grant answers a request that arrived before a majority confirmed that this replica leads. epoch is the one in force,
+// as this replica has applied it. ok is false if no lease is granted.
+func (l *Lessor) Grant(now float64, r Request, epoch uint64) (g Grant, ok bool) {
+	h := l.findOrAdd(now, r.Holder)
 	if h == nil {
 		return Grant{}, false
 	}
-	h.has, h.unable = max(h.has, a.Epoch), a.Problem
-	if a.Epoch > stage {
-		// It was told more than this keeper has applied: invariant 2 forbids to lead it back.
+	h.report(r)
+	if r.Epoch > epoch {
+		// Invariant 2: the holder knows more than this replica has applied and must not return to a lower epoch.
 		return Grant{}, false
 	}
-	if h.granted < stage {
-		h.before, h.granted = h.before.most(h.now), stage
+	if h.grantedEpoch < epoch {
+		h.previous = h.previous.latest(h.current)
+		h.grantedEpoch = epoch
 	}
-	h.now = h.now.most(span{now + wait(d.leaseMs), now + wait(d.leaseMs+d.listMs)})
-	d.behind.list(now, h)
-	return Grant{Epoch: stage, LeaseMs: d.leaseMs, EndpointsMs: d.listMs}, true
+	h.current = h.current.latest(expiry{lease: now + withDrift(l.leaseMs), endpoints: now + withDrift(l.leaseMs+l.endpointsMs)})
+	l.blockers.add(now, h)
+	return Grant{Epoch: epoch, LeaseMs: l.leaseMs, EndpointsMs: l.endpointsMs}, true
 }
 
-// sweep forgets holders whose leases are long over.
-func (d *Lessor) sweep(now float64) {
-	if len(d.holders) < MaxHolders {
+// removeExpired forgets the holders whose leases have expired, once there are MaxHolders.
+func (l *Lessor) removeExpired(now float64) {
+	if len(l.holders) < MaxHolders {
 		return
 	}
-	for k, h := range d.holders {
-		if h.now.lists <= now && h.before.lists <= now {
-			delete(d.holders, k)
-			d.behind = behind{} // one that is forgotten is not to stay in it; it is made anew when it is next needed
+	for holder, h := range l.holders {
+		if h.current.endpoints <= now && h.previous.endpoints <= now {
+			delete(l.holders, holder)
+			l.blockers = blockerIndex{} // it must not refer to a removed holder; it is rebuilt when needed next
 		}
 	}
 }
 
-// Next tells whether the stage behind this one may come: then nobody acts on a stage before this one, by its settings
-// or by a word on servers that the next stage no longer has. Else hold names who is waited for, sorted, and until when
-// at the latest by what is known now.
-func (d *Lessor) Next(now float64, stage uint64, words EndpointsChanged) (may bool, until float64, hold []string) {
-	return d.older(now, stage, stage+1, words)
+// Blockers are the holders that block an epoch.
+type Blockers struct {
+	Holders []string // a description of each for operators, sorted
+	Until   float64  // when the last of them stops blocking at the latest, by what is known now
+}
+
+// None reports whether nothing blocks the epoch.
+func (b Blockers) None() bool { return len(b.Holders) == 0 }
+
+// Next returns what blocks the epoch after this one (invariant 1): whoever may act on an epoch before this one, by its
+// settings, or by its endpoints where those of the next epoch differ.
+func (l *Lessor) Next(now float64, epoch uint64, changed EndpointsChanged) Blockers {
+	return l.findBlockers(now, epoch, epoch+1, changed)
 }
 
-// Adopted tells whether all that is acted on is this stage's, and who holds it up.
-func (d *Lessor) Adopted(now float64, stage uint64, words EndpointsChanged) (taken bool, hold []string) {
-	taken, _, hold = d.older(now, stage, stage, words)
-	return taken, hold
+// Adopted returns who may still act on an epoch before this one. Nobody: the epoch is adopted everywhere.
+func (l *Lessor) Adopted(now float64, epoch uint64, changed EndpointsChanged) Blockers {
+	return l.findBlockers(now, epoch, epoch, changed)
 }
 
-// older finds who acts on a stage before this one, or may go by another word on servers than stage to has.
-func (d *Lessor) older(now float64, stage, to uint64, words EndpointsChanged) (none bool, until float64, hold []string) {
-	ends := func(settings, lists float64, has uint64) float64 {
-		if lists > now && words(has, to) {
-			return lists
+// findBlockers returns who may act on an epoch before this one, or use other endpoints than those of the target epoch.
+func (l *Lessor) findBlockers(now float64, epoch, target uint64, changed EndpointsChanged) Blockers {
+	blocksUntil := func(e expiry, from uint64) float64 {
+		if e.endpoints > now && changed(from, target) {
+			return e.endpoints
 		}
-		return settings
-	}
-	if stage > 0 {
-		// Whom another leader gave a lease, and this one does not know, has the stage before at the least, or one with
-		// the same word.
-		if u := ends(d.quiet, d.quietOn, stage-1); u > now {
-			until, hold = u, append(hold, "leases that another leader gave")
+		return e.lease
+	}
+	var blockers Blockers
+	if epoch > 0 {
+		// A holder that only a previous leader knows acts on the epoch before this one or later, or on the same endpoints.
+		inherited := expiry{lease: l.inheritedUntil, endpoints: l.inheritedEndpointsUntil}
+		if until := blocksUntil(inherited, epoch-1); until > now {
+			blockers.Until = until
+			blockers.Holders = append(blockers.Holders, "leases granted by previous leaders")
 		}
 	}
-	for k, h := range d.holders {
-		if h.has >= stage {
+	for holder, h := range l.holders {
+		if h.epoch >= epoch {
 			continue
 		}
-		older := h.under(stage)
-		u := ends(older.until, older.lists, h.has)
-		if u <= now {
+		until := blocksUntil(h.expiryBelow(epoch), h.epoch)
+		if until <= now {
 			continue
 		}
-		until = max(until, u)
-		line := fmt.Sprintf("%s (start %s) on stage %d, %.0f ms at the most", k.Name, k.Incarnation, h.has, u-now)
-		if h.unable != "" {
-			line += ": " + h.unable
-		}
-		hold = append(hold, line)
-	}
-	slices.Sort(hold)
-	return len(hold) == 0, until, hold
-}
-
-// Clone is a copy that shares nothing (what MayAdvance keeps is made anew), and State the desk's state in words that are the same for the same state, with
-// times from now on: for model checks.
-func (d *Lessor) Clone() *Lessor {
-	c := &Lessor{leaseMs: d.leaseMs, listMs: d.listMs, quiet: d.quiet, quietOn: d.quietOn, holders: make(map[Holder]*held, len(d.holders))}
-	for k, h := range d.holders {
-		copied := *h
-		c.holders[k] = &copied
+		blockers.Until = max(blockers.Until, until)
+		blockers.Holders = append(blockers.Holders, h.describe(holder, until-now))
 	}
-	return c
+	slices.Sort(blockers.Holders)
+	return blockers
 }
 
-// Fingerprint implements the other half of Clone.
-func (d *Lessor) Fingerprint(now float64) string {
-	var lines []string
-	for k, h := range d.holders {
-		if h.now.lists > now || h.before.lists > now {
-			lines = append(lines, fmt.Sprintf("%s/%s:%d,%d,%.3f,%.3f,%.3f,%.3f", k.Name, k.Incarnation, h.has, h.granted,
-				max(h.now.until-now, 0), max(h.now.lists-now, 0), max(h.before.until-now, 0), max(h.before.lists-now, 0)))
-		}
+func (h *holderState) describe(holder Holder, remainingMs float64) string {
+	text := fmt.Sprintf("%s (incarnation %s) at epoch %d, for at most %.0f ms", holder.Name, holder.Incarnation, h.epoch, remainingMs)
+	if h.problem != "" {
+		text += ": " + h.problem
 	}
-	slices.Sort(lines)
-	return fmt.Sprintf("%.3f %.3f %v", max(d.quiet-now, 0), max(d.quietOn-now, 0), lines)
+	return text
 }
 
-// Holders is who holds a lease, by name, with its stage.
-func (d *Lessor) Holders(now float64) map[string]uint64 {
+// Holders returns the names that hold a lease, each with the lowest epoch that one of its incarnations acts on.
+func (l *Lessor) Holders(now float64) map[string]uint64 {
 	out := map[string]uint64{}
-	for k, h := range d.holders {
-		if h.now.until > now {
-			if was, in := out[k.Name]; !in || h.has < was {
-				out[k.Name] = h.has
-			}
+	for holder, h := range l.holders {
+		if h.current.lease <= now {
+			continue
+		}
+		if lowest, known := out[holder.Name]; !known || h.epoch < lowest {
+			out[holder.Name] = h.epoch
 		}
 	}
 	return out
 }
 
-// Lease is a holder's own count. The zero Lease holds nothing. Times are ms of the holder's own steady clock.
-type Lease struct {
-	Epoch          uint64  // the last that was taken up
-	Until          float64 // the lease holds before that
-	EndpointsUntil float64 // and its word on servers before that
-	Granted        bool    // it was given at all; a clock may begin anywhere
-}
-
-// Accept counts a grant that was asked for at askedMs, a moment before the ask left. It tells whether the grant is one to
-// act on: one on a lower stage than was taken up before is not (invariant 2), nor one that is over.
-func (l *Lease) Accept(askedMs, now float64, g Grant) bool {
-	until, lists := askedMs+g.LeaseMs*(1-MaxClockDrift), askedMs+(g.LeaseMs+g.EndpointsMs)*(1-MaxClockDrift)
-	if g.Epoch < l.Epoch || until <= now {
-		return false
+// Clone returns a copy that shares nothing, for model checks. The index that MayAdvance uses is rebuilt by the copy.
+func (l *Lessor) Clone() *Lessor {
+	c := &Lessor{
+		leaseMs:                 l.leaseMs,
+		endpointsMs:             l.endpointsMs,
+		inheritedUntil:          l.inheritedUntil,
+		inheritedEndpointsUntil: l.inheritedEndpointsUntil,
+		holders:                 make(map[Holder]*holderState, len(l.holders)),
 	}
-	if g.Epoch > l.Epoch || !l.Granted {
-		l.Until, l.EndpointsUntil = until, lists // the older lease was for another stage
+	for holder, h := range l.holders {
+		copied := *h
+		c.holders[holder] = &copied
 	}
-	l.Epoch, l.Until, l.EndpointsUntil, l.Granted = g.Epoch, max(l.Until, until), max(l.EndpointsUntil, lists), true
-	return true
+	return c
 }
 
-// Holds tells whether the lease holds.
-func (l *Lease) Holds(now float64) bool { return l.Granted && now < l.Until }
-
-// HoldsEndpoints tells whether servers may be chosen by its word on them.
-func (l *Lease) HoldsEndpoints(now float64) bool { return l.Granted && now < l.EndpointsUntil }
+// Fingerprint returns a text that is equal for equal states, with times relative to now, for model checks.
+func (l *Lessor) Fingerprint(now float64) string {
+	var lines []string
+	for holder, h := range l.holders {
+		if h.current.endpoints <= now && h.previous.endpoints <= now {
+			continue
+		}
+		lines = append(lines, fmt.Sprintf("%s/%s:%d,%d,%.3f,%.3f,%.3f,%.3f", holder.Name, holder.Incarnation, h.epoch, h.grantedEpoch,
+			max(h.current.lease-now, 0), max(h.current.endpoints-now, 0), max(h.previous.lease-now, 0), max(h.previous.endpoints-now, 0)))
+	}
+	slices.Sort(lines)
+	return fmt.Sprintf("%.3f %.3f %v", max(l.inheritedUntil-now, 0), max(l.inheritedEndpointsUntil-now, 0), lines)
+}
--- /dev/null
+++ b/internal/sharedconfig/history/history_test.go
@@ -0,0 +1,124 @@
+package history
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"ringtrack.example/ringtrack/internal/sharedconfig"
+)
+
+func newHistory(t *testing.T, cordoned ...string) *History {
+	t.Helper()
+	h := &History{}
+	for i, id := range cordoned {
+		if _, err := h.Apply(&Command{Publish: &Publish{ID: fmt.Sprint(i), Parent: uint64(i), Config: &sharedconfig.Config{Cordoned: []string{id}}}}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return h
+}
+
+func (h *History) advanceTo(t *testing.T, want uint64) {
+	t.Helper()
+	at := h.Epoch
+	h.Apply(&Command{Advance: &at})
+	if h.Epoch != want {
+		t.Fatalf("after epoch %d comes %d, want %d", at, h.Epoch, want)
+	}
+	h.Apply(&Command{Advance: &at}) // a repeated command is late
+	if h.Epoch != want {
+		t.Fatalf("a late Advance made the epoch %d", h.Epoch)
+	}
+}
+
+// Pending versions are skipped, and an epoch that was skipped stands for the version before the transition: a holder that
+// the lessor does not know acts on that, or on the transition, and not on a skipped version.
+func TestPendingVersionsAreSkipped(t *testing.T) {
+	h := newHistory(t, "a")
+	h.advanceTo(t, 1)
+	h.advanceTo(t, 2)
+	for n, id := range []string{"x", "b"} {
+		if _, err := h.Apply(&Command{Publish: &Publish{ID: id, Parent: uint64(n + 1), Config: &sharedconfig.Config{Cordoned: []string{id}}}}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	h.advanceTo(t, 5)
+	if got := fmt.Sprint(h.Transition().Config.Cordoned); got != "[a b]" {
+		t.Errorf("in the transition %s are cordoned", got)
+	}
+	if _, err := h.Apply(&Command{Publish: &Publish{ID: "b2", Parent: 3, Config: &sharedconfig.Config{Cordoned: []string{"b"}, MaxAttempts: 1}}}); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		from, to uint64
+		want     bool
+	}{{2, 6, true}, {5, 6, true}, {4, 6, true}, {6, 8, false}, {2, 2, false}} {
+		if got := h.EndpointsChanged(c.from, c.to); got != c.want {
+			t.Errorf("endpoints change from epoch %d to %d: %v", c.from, c.to, got)
+		}
+	}
+	h.advanceTo(t, 6)
+	h.advanceTo(t, 7)
+	h.advanceTo(t, 8)
+	if at := h.Epoch; h.CanAdvance() || at != 8 {
+		t.Errorf("epoch %d can advance, or is not 8", at)
+	}
+}
+
+// A retried publish is the same version, one with another parent is rejected, and pending versions are bounded.
+func TestPublishIsCompareAndSet(t *testing.T) {
+	h := newHistory(t, "a", "b")
+	retry := &Command{Publish: &Publish{ID: "0", Parent: 0, Config: &sharedconfig.Config{Cordoned: []string{"a"}}}}
+	if v, err := h.Apply(retry); err != nil || v.Number != 1 || h.Last() != 2 {
+		t.Errorf("the retry: %+v, %v", v, err)
+	}
+	if _, err := h.Apply(&Command{Publish: &Publish{ID: "x", Parent: 1, Config: &sharedconfig.Config{}}}); !errors.Is(err, ErrParentMismatch) {
+		t.Errorf("an older parent: %v", err)
+	}
+	if _, err := h.Apply(&Command{Publish: &Publish{ID: "y", Parent: 2, Config: &sharedconfig.Config{MaxAttempts: 9}}}); err == nil {
+		t.Error("an invalid configuration is published")
+	}
+	var err error
+	for n := uint64(2); err == nil && n < 100; n++ {
+		_, err = h.Apply(&Command{Cordon: &Cordon{ID: fmt.Sprint("ban", n), Server: fmt.Sprint("s", n), On: true}})
+	}
+	if !errors.Is(err, ErrTooManyPending) || h.Last() != MaxPendingVersions {
+		t.Errorf("%d are pending: %v", h.Last(), err)
+	}
+	if v := h.Version(h.Last()); len(v.Config.Cordoned) != MaxPendingVersions-1 {
+		t.Errorf("cordons lost earlier ones: %v", v.Config.Cordoned)
+	}
+}
+
+// A transition is made of two versions: a source that named one alone would be equal for transitions that differ.
+func TestSourceNamesBothVersions(t *testing.T) {
+	transition := func(from, to string) *History {
+		h := newHistory(t, from)
+		h.advanceTo(t, 1)
+		h.advanceTo(t, 2)
+		if _, err := h.Apply(&Command{Publish: &Publish{ID: "to", Parent: 1, Config: &sharedconfig.Config{Cordoned: []string{to}}}}); err != nil {
+			t.Fatal(err)
+		}
+		h.advanceTo(t, 3)
+		return h
+	}
+	if source := (&History{}).Source(); source != (Source{}) {
+		t.Errorf("before the first version the source is %+v", source)
+	}
+	if x, y := transition("a", "x").Source(), transition("a", "x").Source(); x != y {
+		t.Errorf("%+v and %+v are sources of the same transition", x, y)
+	}
+	if x, y := transition("a", "x").Source(), transition("b", "x").Source(); x == y {
+		t.Errorf("from a and from b the source is %+v", x)
+	}
+	if x, y := transition("a", "x").Source(), transition("a", "y").Source(); x == y {
+		t.Errorf("to x and to y the source is %+v", x)
+	}
+	h := transition("a", "x")
+	was := h.Source()
+	h.advanceTo(t, 4)
+	if h.Source() == was {
+		t.Errorf("epochs 3 and 4 have the source %+v", was)
+	}
+}
