--- /dev/null
+++ b/internal/sharedconfig/intersect/capacity.go
@@ -0,0 +1,57 @@
+package intersect
+
+import (
+	"fmt"
+
+	"ringtrack.example/ringtrack/internal/sharedconfig"
+)
+
+// CapacityUnknown is the value of Capacity.During where a configuration does not list the servers.
+const CapacityUnknown = -1
+
+// Capacity is the number of servers that may be used before, during and after a change.
+type Capacity struct {
+	Before int
+	During int
+	After  int
+}
+
+// CapacityOf counts the servers that a, the intersection and b allow. During is CapacityUnknown if one of both is nil or
+// does not list the servers.
+func CapacityOf(a, b *sharedconfig.Config) Capacity {
+	if a == nil || b == nil || !a.Listed || !b.Listed {
+		return Capacity{During: CapacityUnknown}
+	}
+	return Capacity{
+		Before: countAllowed(a),
+		During: countAllowed(Intersect(a, b)),
+		After:  countAllowed(b),
+	}
+}
+
+func countAllowed(config *sharedconfig.Config) (n int) {
+	for id := range config.Servers {
+		if config.Allows(id) {
+			n++
+		}
+	}
+	return n
+}
+
+// CheckTransition returns an error that says why a change from a to b can't be made in one step, nil if it can. During the
+// change at least half of the servers of the smaller one must be allowed, and at least one; none may be allowed after
+// it only if none was before.
+func CheckTransition(a, b *sharedconfig.Config) error {
+	c := CapacityOf(a, b)
+	if c.During == CapacityUnknown || c.After == 0 && c.Before == 0 {
+		return nil
+	}
+	if c.After == 0 {
+		return fmt.Errorf("rules: servers: none is left in service of %d", c.Before)
+	}
+	if required := max((min(c.Before, c.After)+1)/2, 1); c.During < required && c.Before > 0 {
+		return fmt.Errorf("rules: servers: between both versions %d are in service, %d at the least are needed (%d before, %d after): publish it in steps",
+			c.During, required, c.Before, c.After)
+	}
+	return nil
+}
--- a/internal/sharedconfig/intersect/intersect.go
+++ b/internal/sharedconfig/intersect/intersect.go
@@ -1,23 +1,24 @@
-// Package intersect makes, of two neighbouring versions of the book of rules, the one that permits what both permit
-// and nothing else. A change goes v, Meet(v, v'), v': at any time at most two neighbours of these are acted on, and
-// of two neighbours one always permits a part of the other, so that nothing is done that the other forbids for
-// longer than it takes to take one up. Known for schema changes from F1 (VLDB 2013); what is taken from there is the
-// step between, not its states. Pure: no I/O, no clock.
+// Package intersect makes, of two configurations, the one that permits what both permit and nothing else. A change from
+// version a to b goes through Intersect(a, b): at any time at most two neighbours of the three are acted on, and of two
+// neighbours one always permits a part of the other. Intermediate states of this kind are known from schema changes in
+// F1 (VLDB 2013). The package is pure: no I/O, no clock.
 //
-// Invariants, which the tests name:
-//  1. Meet(a, b) permits no act that a or b forbids.
-//  2. What both permit it permits, but where two groups can't be compared: there nothing is repeated.
-//  3. Meet is commutative, associative and idempotent.
+// Invariants, which the tests name by number:
+//  1. Intersect(a, b) permits no act that a or b forbids.
+//  2. It permits what both permit, except where two dedup scopes are not ordered: there nothing is repeated.
+//  3. Intersect is commutative, associative and idempotent.
 package intersect
 
 import (
-	"fmt"
 	"slices"
 
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// Intersect is what a and b both permit. nil is the book before the first, which forbids nothing.
+// Nobody is a name that no agent has.
+const Nobody = "\x00"
+
+// Intersect returns what a and b both permit. nil stands for no configuration, which forbids nothing.
 func Intersect(a, b *sharedconfig.Config) *sharedconfig.Config {
 	switch {
 	case a == nil && b == nil:
@@ -27,93 +28,63 @@
 	case b == nil:
 		return a.Clone()
 	}
-	m := &sharedconfig.Config{Classes: map[string]sharedconfig.Class{}, Servers: map[string]sharedconfig.Server{},
+	return &sharedconfig.Config{
+		Classes:        intersectClasses(a.Classes, b.Classes),
 		MaxAttempts:    sharedconfig.Stricter(a.MaxAttempts, b.MaxAttempts),
 		DrainGraceMs:   sharedconfig.Stricter(a.DrainGraceMs, b.DrainGraceMs),
 		OverloadFactor: sharedconfig.Stricter(a.OverloadFactor, b.OverloadFactor),
+		Servers:        intersectServers(a, b),
 		Listed:         a.Listed || b.Listed,
+		Cordoned:       union(a.Cordoned, b.Cordoned),
+		Agents:         intersectAgents(a.Agents, b.Agents),
 	}
-	for _, c := range []map[string]sharedconfig.Class{a.Classes, b.Classes} {
-		for name := range c {
-			m.Classes[name] = sharedconfig.IntersectClass(a.Classes[name], b.Classes[name])
-		}
-	}
-	for _, of := range []*sharedconfig.Config{a, b} {
-		for id := range of.Servers {
-			if in(a, id) && in(b, id) {
-				m.Servers[id] = sharedconfig.Server{Weight: sharedconfig.Stricter(a.Servers[id].Weight, b.Servers[id].Weight)}
-			}
-		}
-	}
-	m.Cordoned = union(a.Cordoned, b.Cordoned)
-	// Who may act in both. No name at all permits everybody, so that two lists without a common name need one that
-	// nobody has.
-	switch {
-	case len(a.Agents) == 0:
-		m.Agents = slices.Clone(b.Agents)
-	case len(b.Agents) == 0:
-		m.Agents = slices.Clone(a.Agents)
-	default:
-		for _, n := range a.Agents {
-			if _, both := slices.BinarySearch(b.Agents, n); both {
-				m.Agents = append(m.Agents, n)
-			}
-		}
-		if len(m.Agents) == 0 {
-			m.Agents = []string{Nobody}
-		}
-	}
-	return m
 }
 
-// Nobody is a name that no agent has.
-const Nobody = "\x00"
-
-func in(b *sharedconfig.Config, id string) bool {
-	_, ok := b.Servers[id]
-	return ok || !b.Listed
-}
-
-func union(a, b []string) []string {
-	u := slices.Concat(a, b)
-	slices.Sort(u)
-	return slices.Compact(u)
-}
-
-// Capacity is the part of the servers that a change leaves in service while it is going on.
-type Capacity struct{ Before, During, After int }
-
-// CapacityOf counts the servers that a, the step between and b leave open. Where a book does not list them the number is
-// not known, and Between is -1.
-func CapacityOf(a, b *sharedconfig.Config) Capacity {
-	if a == nil || b == nil || !a.Listed || !b.Listed {
-		return Capacity{During: -1}
+func intersectClasses(a, b map[string]sharedconfig.Class) map[string]sharedconfig.Class {
+	out := map[string]sharedconfig.Class{}
+	for _, classes := range []map[string]sharedconfig.Class{a, b} {
+		for name := range classes {
+			out[name] = sharedconfig.IntersectClass(a[name], b[name])
+		}
 	}
-	return Capacity{open(a), open(Intersect(a, b)), open(b)}
+	return out
 }
 
-func open(b *sharedconfig.Config) (n int) {
-	for id := range b.Servers {
-		if b.Allows(id) {
-			n++
+func intersectServers(a, b *sharedconfig.Config) map[string]sharedconfig.Server {
+	out := map[string]sharedconfig.Server{}
+	for _, config := range []*sharedconfig.Config{a, b} {
+		for id := range config.Servers {
+			if a.InService(id) && b.InService(id) {
+				out[id] = sharedconfig.Server{Weight: sharedconfig.Stricter(a.Servers[id].Weight, b.Servers[id].Weight)}
+			}
 		}
 	}
-	return n
+	return out
 }
 
-// CheckTransition says why a change from a to b can't be made in one step; nil: it can. The step between needs half of the
-// servers that the smaller of both has, and one at the least; b may ban the last one on purpose only by listing none.
-func CheckTransition(a, b *sharedconfig.Config) error {
-	r := CapacityOf(a, b)
-	if r.During < 0 || r.After == 0 && r.Before == 0 {
-		return nil
+// intersectAgents returns the names in both sorted lists. An empty list permits every agent, so that two lists without a
+// common name become one of Nobody.
+func intersectAgents(a, b []string) []string {
+	switch {
+	case len(a) == 0:
+		return slices.Clone(b)
+	case len(b) == 0:
+		return slices.Clone(a)
 	}
-	if r.After == 0 {
-		return fmt.Errorf("rules: servers: none is left in service of %d", r.Before)
+	var both []string
+	for _, name := range a {
+		if _, found := slices.BinarySearch(b, name); found {
+			both = append(both, name)
+		}
 	}
-	if least := max((min(r.Before, r.After)+1)/2, 1); r.During < least && r.Before > 0 {
-		return fmt.Errorf("rules: servers: between both versions %d are in service, %d at the least are needed (%d before, %d after): publish it in steps",
-			r.During, least, r.Before, r.After)
+	if len(both) == 0 {
+		return []string{Nobody}
 	}
-	return nil
+	return both
+}
+
+func union(a, b []string) []string {
+	all := slices.Concat(a, b)
+	slices.Sort(all)
+	return slices.Compact(all)
 }
--- a/internal/sharedconfig/intersect/intersect_test.go
+++ b/internal/sharedconfig/intersect/intersect_test.go
@@ -10,7 +10,7 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// act is something that an agent might do; a book permits it or not.
+// act is something that an agent might do; a configuration permits it or not.
 type act struct {
 	agent, server, class        string
 	attempt                     int
@@ -18,7 +18,7 @@
 	afterMs, graceMs, multipleX float64
 }
 
-// permits says it by itself, not by the code under test.
+// permits judges an act without using the code under test.
 func permits(b *sharedconfig.Config, a act) bool {
 	has := func(l []string, s string) bool {
 		for _, v := range l {
@@ -49,7 +49,7 @@
 
 var names = rapid.SampledFrom([]string{"a", "b", "c", "d"})
 
-func books() *rapid.Generator[*sharedconfig.Config] {
+func configs() *rapid.Generator[*sharedconfig.Config] {
 	return rapid.Custom(func(t *rapid.T) *sharedconfig.Config {
 		b := &sharedconfig.Config{Classes: map[string]sharedconfig.Class{}, Servers: map[string]sharedconfig.Server{}}
 		for _, n := range rapid.SliceOfNDistinct(names, 0, 3, rapid.ID[string]).Draw(t, "classes") {
@@ -91,18 +91,18 @@
 }
 
 // Invariants 1 to 3 of the package.
-func TestMeetPermitsWhatBothPermit(t *testing.T) {
+func TestIntersectPermitsWhatBothPermit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := books().Draw(t, "a"), books().Draw(t, "b"), books().Draw(t, "c")
+		a, b, c := configs().Draw(t, "a"), configs().Draw(t, "b"), configs().Draw(t, "c")
 		m := Intersect(a, b)
 		for range 20 {
 			x := acts().Draw(t, "act")
 			both := permits(a, x) && permits(b, x)
 			switch {
 			case permits(m, x) && !both:
-				t.Fatalf("invariant 1: the step between permits %+v", x)
+				t.Fatalf("invariant 1: the intersection permits %+v", x)
 			case !permits(m, x) && both && !(x.repeat && x.sameZone && x.sameCell):
-				t.Fatalf("invariant 2: the step between forbids %+v", x)
+				t.Fatalf("invariant 2: the intersection forbids %+v", x)
 			}
 		}
 		if text(m) != text(Intersect(b, a)) {
@@ -117,7 +117,7 @@
 	})
 }
 
-func TestGroupsThatCantBeComparedAreNeverRepeated(t *testing.T) {
+func TestUnorderedScopesAreNeverRepeated(t *testing.T) {
 	of := func(g policy.DedupScope) *sharedconfig.Config {
 		return &sharedconfig.Config{Classes: map[string]sharedconfig.Class{"send": {Effect: policy.IdempotentByKey, DedupScope: g, IdempotencyWindowMs: 1000}}}
 	}
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestRefuseWhatLeavesTooFew(t *testing.T) {
+func TestCheckTransitionRejectsTooFewServers(t *testing.T) {
 	of := func(ids ...string) *sharedconfig.Config {
 		b := &sharedconfig.Config{Listed: true, Servers: map[string]sharedconfig.Server{}}
 		for _, id := range ids {
@@ -137,17 +137,17 @@
 		}
 		return b
 	}
-	banned := of("a", "b")
-	banned.Cordoned = []string{"a", "b"}
+	cordoned := of("a", "b")
+	cordoned.Cordoned = []string{"a", "b"}
 	for name, c := range map[string]struct {
 		a, b *sharedconfig.Config
 		ok   bool
 	}{
 		"every server replaced":     {of("a", "b"), of("c", "d"), false},
 		"half replaced":             {of("a", "b"), of("b", "c"), true},
-		"the last good one banned":  {of("a", "b"), banned, false},
-		"first book":                {nil, of("a"), true},
-		"roster alone":              {&sharedconfig.Config{}, of("a"), true},
+		"the last one cordoned":     {of("a", "b"), cordoned, false},
+		"first configuration":       {nil, of("a"), true},
+		"endpoint list alone":       {&sharedconfig.Config{}, of("a"), true},
 		"from none in service":      {of(), of("a"), true},
 		"nearly every one replaced": {of("a", "b", "c", "d"), of("d", "e", "f", "g"), false},
 	} {
--- a/internal/sharedconfig/stricter.go
+++ b/internal/sharedconfig/stricter.go
@@ -6,13 +6,19 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// rank orders effects: a lower one permits less.
-func rank(e policy.Effect) int {
-	return slices.Index([]policy.Effect{policy.NonIdempotent, policy.IdempotentByKey, policy.Idempotent}, e)
+// effectsByStrictness lists what may be repeated least first.
+var effectsByStrictness = []policy.Effect{policy.NonIdempotent, policy.IdempotentByKey, policy.Idempotent}
+
+// Stricter is the smaller of two bounds, of which 0 is no bound.
+func Stricter[T int | float64](a, b T) T {
+	if a == 0 || b != 0 && b < a {
+		return b
+	}
+	return a
 }
 
-// IntersectClass is what two rules for a class both permit. Zone and cell have no order among each other: no server is
-// known to be in the group of both, so a request of both is never repeated.
+// IntersectClass returns what two classes both permit. Zone and cell scopes are not ordered: no server is known to be in
+// both, so a request of both is never repeated.
 func IntersectClass(a, b Class) Class {
 	switch {
 	case a.Effect == "":
@@ -20,73 +26,73 @@
 	case b.Effect == "":
 		return a
 	case a.Effect != b.Effect:
-		if rank(a.Effect) < rank(b.Effect) {
+		if slices.Index(effectsByStrictness, a.Effect) < slices.Index(effectsByStrictness, b.Effect) {
 			return a
 		}
 		return b
 	case a.Effect != policy.IdempotentByKey:
 		return a
 	}
-	g, ok := narrowGroup(a.DedupScope, b.DedupScope)
+	scope, ok := intersectScope(a.DedupScope, b.DedupScope)
 	if !ok {
 		return Class{Effect: policy.NonIdempotent}
 	}
-	return Class{Effect: policy.IdempotentByKey, DedupScope: g, IdempotencyWindowMs: Stricter(a.IdempotencyWindowMs, b.IdempotencyWindowMs)}
+	return Class{
+		Effect:              policy.IdempotentByKey,
+		DedupScope:          scope,
+		IdempotencyWindowMs: Stricter(a.IdempotencyWindowMs, b.IdempotencyWindowMs),
+	}
 }
 
-func narrowGroup(a, b policy.DedupScope) (policy.DedupScope, bool) {
-	wide := func(g policy.DedupScope) bool { return g == "" || g == policy.ScopeAll }
+// intersectScope returns the narrower scope; ok is false if neither contains the other.
+func intersectScope(a, b policy.DedupScope) (scope policy.DedupScope, ok bool) {
+	coversAll := func(s policy.DedupScope) bool { return s == "" || s == policy.ScopeAll }
 	switch {
 	case a == b:
 		return a, true
-	case a == "" || wide(a) && b != "":
+	case a == "" || coversAll(a) && b != "":
 		return b, true
-	case wide(b):
+	case coversAll(b):
 		return a, true
 	}
 	return "", false
 }
 
-// Stricter is the lesser of two bounds, of which 0 is none.
-func Stricter[T int | float64](a, b T) T {
-	if a == 0 || b != 0 && b < a {
-		return b
-	}
-	return a
-}
-
-// Narrow is a class of an agent's settings as a rule permits it.
-func (c Class) Narrow(p policy.Class) policy.Class {
-	own := Class{Effect: p.Effect}
-	if p.Effect == policy.IdempotentByKey {
-		own.DedupScope, own.IdempotencyWindowMs = p.DedupScope, p.IdempotencyWindowMs
+// Narrow returns a class of an agent's settings as this class permits it.
+func (c Class) Narrow(own policy.Class) policy.Class {
+	class := Class{Effect: own.Effect}
+	if own.Effect == policy.IdempotentByKey {
+		class.DedupScope = own.DedupScope
+		class.IdempotencyWindowMs = own.IdempotencyWindowMs
 	}
-	n := IntersectClass(own, c)
-	if p.Effect = n.Effect; n.Effect == policy.IdempotentByKey {
-		p.DedupScope, p.IdempotencyWindowMs = n.DedupScope, n.IdempotencyWindowMs
+	permitted := IntersectClass(class, c)
+	own.Effect = permitted.Effect
+	if permitted.Effect == policy.IdempotentByKey {
+		own.DedupScope = permitted.DedupScope
+		own.IdempotencyWindowMs = permitted.IdempotencyWindowMs
 	}
-	return p
+	return own
 }
 
-// Settings are an agent's as the book permits them. What it is given stays as it is.
-func (b *Config) Settings(own policy.Settings) policy.Settings {
-	s := own
-	s.Classes = slices.Clone(own.Classes)
-	for i, c := range s.Classes {
-		s.Classes[i] = b.Classes[c.Name].Narrow(c)
+// Settings returns an agent's own settings as the configuration permits them. The argument is not changed.
+func (c *Config) Settings(own policy.Settings) policy.Settings {
+	settings := own
+	settings.Classes = slices.Clone(own.Classes)
+	for i, class := range settings.Classes {
+		settings.Classes[i] = c.Classes[class.Name].Narrow(class)
 	}
-	s.Limits.MaxAttempts = Stricter(own.Limits.MaxAttempts, b.MaxAttempts)
-	s.Contract.DrainGraceMs = Stricter(own.Contract.DrainGraceMs, b.DrainGraceMs)
-	s.Contract.OverloadFactor = Stricter(own.Contract.OverloadFactor, b.OverloadFactor)
-	return s
+	settings.Limits.MaxAttempts = Stricter(own.Limits.MaxAttempts, c.MaxAttempts)
+	settings.Contract.DrainGraceMs = Stricter(own.Contract.DrainGraceMs, c.DrainGraceMs)
+	settings.Contract.OverloadFactor = Stricter(own.Contract.OverloadFactor, c.OverloadFactor)
+	return settings
 }
 
-// Strict are an agent's settings where it does not know what others go by: one attempt, and nothing twice.
-func Strict(s policy.Settings) policy.Settings {
-	s.Classes = slices.Clone(s.Classes)
-	for i := range s.Classes {
-		s.Classes[i].Effect = policy.NonIdempotent
+// Strict returns an agent's settings for when it does not know what the others act on: one attempt, nothing repeated.
+func Strict(own policy.Settings) policy.Settings {
+	own.Classes = slices.Clone(own.Classes)
+	for i := range own.Classes {
+		own.Classes[i].Effect = policy.NonIdempotent
 	}
-	s.Limits.MaxAttempts = 1
-	return s
+	own.Limits.MaxAttempts = 1
+	return own
 }
