--- a/internal/control/assign/assign.go
+++ b/internal/control/assign/assign.go
@@ -78,7 +78,7 @@
 	Tier           Tier
 	Draining       bool   // listed, and to get nothing new
 	Weight         uint32 // 1 at least
-	SlowStart      bool
+	SlowStart      bool   `json:"Cold"`
 }
 
 // Assignment is what all proxies of a group are to hold. It is never changed once made, so that it
@@ -87,9 +87,9 @@
 	Zone      string // of the group
 	Endpoints []Endpoint
 	// ShedPercent is the part of requests that proxies are to refuse at once, in 1/100.
-	ShedPercent int
+	ShedPercent int `json:"Shed"`
 	// LocalityWeightPercent is the weight of a server of the group's own zone, in 1/100 of another's.
-	LocalityWeightPercent int
+	LocalityWeightPercent int `json:"Own"`
 
 	index map[string]int
 	total float64 // weight of the best tier that has a usable server, own zone counted
