--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -30,12 +30,12 @@
 
 // ServerReport is one server as the module sees it.
 type ServerReport struct {
-	ID      string  `json:"id"`
-	State   string  `json:"state"`
-	SinceMs float64 `json:"since_ms"`
-	Usable  bool    `json:"usable"`
-	Ramp    float64 `json:"ramp"`
-	Strikes int     `json:"strikes"`
+	ID                  string  `json:"id"`
+	State               string  `json:"state"`
+	SinceMs             float64 `json:"since_ms"`
+	Usable              bool    `json:"usable"`
+	Capacity            float64 `json:"ramp"`
+	ConsecutiveFailures int     `json:"strikes"`
 }
 
 // ProxyReport is one ADS stream.
@@ -44,16 +44,16 @@
 	Zone     string  `json:"zone"`
 	Peer     string  `json:"peer"`
 	Protocol string  `json:"protocol"` // "sotw", "delta" or "delta+leds"
-	SinceMs  float64 `json:"since_ms"`
+	OpenedMs float64 `json:"since_ms"`
 	Behind   bool    `json:"behind"` // has not acknowledged the last drain
 	shown
 }
 
 // DrainReport is the last drain or end of a server that was handed on.
 type DrainReport struct {
-	Server  string  `json:"server"`
-	ToldMs  float64 `json:"told_ms"`
-	Waiting int     `json:"waiting"` // proxies that have not acknowledged it
+	Server      string  `json:"server"`
+	PublishedMs float64 `json:"told_ms"`
+	Waiting     int     `json:"waiting"` // proxies that have not acknowledged it
 }
 
 var stateNames = [...]string{"connected", "unknown", "unhealthy-pending", "unhealthy"}
@@ -71,7 +71,7 @@
 				"rejections": h.counts.Nacks.Load(), "refused": h.counts.Refused.Load()}}
 		for id, v := range h.assigner.Views(now) {
 			r.Servers = append(r.Servers, ServerReport{ID: id, State: stateNames[v.State], SinceMs: v.StateSinceMs,
-				Usable: v.Usable, Ramp: v.Capacity, Strikes: v.ConsecutiveFailures})
+				Usable: v.Usable, Capacity: v.Capacity, ConsecutiveFailures: v.ConsecutiveFailures})
 		}
 		slices.SortFunc(r.Servers, func(a, b ServerReport) int { return cmp.Compare(a.ID, b.ID) })
 		h.groups.Range(func(zone, g any) bool {
@@ -81,12 +81,12 @@
 			return true
 		})
 		if h.drain.seq > 0 {
-			r.LastDrain = &DrainReport{Server: h.drain.what, ToldMs: h.drain.toldMs}
+			r.LastDrain = &DrainReport{Server: h.drain.what, PublishedMs: h.drain.toldMs}
 		}
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		for st := range h.streams {
-			p := ProxyReport{Node: st.node, Zone: st.zone, Peer: st.peer, Protocol: "sotw", SinceMs: st.openMs, Behind: st.behind(&h.drain)}
+			p := ProxyReport{Node: st.node, Zone: st.zone, Peer: st.peer, Protocol: "sotw", OpenedMs: st.openMs, Behind: st.behind(&h.drain)}
 			switch {
 			case st.leds:
 				p.Protocol = "delta+leds"
@@ -132,7 +132,7 @@
 	})
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, req *http.Request) {
 		listed := make(chan bool, 1)
-		s.hub.post(func() { listed <- s.hub.assigner.Listed() })
+		s.hub.post(func() { listed <- s.hub.assigner.HasMembership() })
 		select {
 		case ok := <-listed:
 			if ok {
--- a/internal/control/assign/assign.go
+++ b/internal/control/assign/assign.go
@@ -207,8 +207,8 @@
 		starts: map[string]started{}, proxies: map[string]*proxy{}, groups: map[string]*group{}}, nil
 }
 
-// Members takes the whole membership, as membership.Set has it.
-func (a *Assigner) Members(now float64, entries []membership.Entry) {
+// UpdateMembership takes the whole membership, as membership.Set has it.
+func (a *Assigner) UpdateMembership(now float64, entries []membership.Entry) {
 	a.listed, a.dirty, a.problems = true, true, nil
 	named := make(map[string]bool, len(entries))
 	clear(a.byAddr)
@@ -282,12 +282,12 @@
 	return out
 }
 
-// Listed tells whether any list came yet. Until then there is nothing to hand out: a proxy that has an
+// HasMembership tells whether any list came yet. Until then there is nothing to hand out: a proxy that has an
 // older assignment does better to keep it than to be told that there are no servers.
-func (a *Assigner) Listed() bool { return a.listed }
+func (a *Assigner) HasMembership() bool { return a.listed }
 
-// NextMs is when Tick is to be called next though nothing happens.
-func (a *Assigner) NextMs(now float64) float64 {
+// NextTickMs is when Tick is to be called next though nothing happens.
+func (a *Assigner) NextTickMs(now float64) float64 {
 	next := a.judgedMs + a.cfg.ReportMs
 	if a.anyCold(now) {
 		next = min(next, a.builtMs+a.cfg.Settings.Contract.SlowStartMs/levels/2)
--- a/internal/control/assign/assign_test.go
+++ b/internal/control/assign/assign_test.go
@@ -57,7 +57,7 @@
 	if b.a, err = New(cfg, b.now); err != nil {
 		t.Fatal(err)
 	}
-	b.a.Members(b.now, b.entries)
+	b.a.UpdateMembership(b.now, b.entries)
 	return b
 }
 
@@ -71,7 +71,7 @@
 
 func (b *bench) set(i int, change func(*membership.Entry)) {
 	change(&b.entries[i])
-	b.a.Members(b.now, b.entries)
+	b.a.UpdateMembership(b.now, b.entries)
 	b.a.Tick(b.now)
 }
 
@@ -97,7 +97,7 @@
 		id, zone := fmt.Sprintf("p-%d", p), []string{"east", "west"}[p%2]
 		b.a.Connect(b.now, id, zone, true)
 		b.a.Tick(b.now)
-		b.a.Acked(id, b.a.Assignment(b.now, zone))
+		b.a.Acknowledge(id, b.a.Assignment(b.now, zone))
 	}
 }
 
@@ -232,7 +232,7 @@
 		}
 	}
 	b.entries = append(b.entries[:2:2], b.entries[3:]...)
-	b.a.Members(b.now, b.entries)
+	b.a.UpdateMembership(b.now, b.entries)
 	b.a.Tick(b.now)
 	if n := len(b.a.Assignment(b.now, "east").Endpoints); n != 3 {
 		t.Errorf("%d servers, want 3", n)
@@ -260,7 +260,7 @@
 	for range 3 { // an ack may change what is next
 		for p := range n {
 			id, zone := fmt.Sprintf("p-%d", p), []string{"east", "west"}[p%2]
-			b.a.Acked(id, b.a.Assignment(b.now, zone))
+			b.a.Acknowledge(id, b.a.Assignment(b.now, zone))
 		}
 		b.now += 10
 		b.a.Tick(b.now)
@@ -352,7 +352,7 @@
 	b.set(4, func(e *membership.Entry) { e.StartedMs = b.now })
 	b.ackAll(4)
 	held := b.share(4)
-	b.a.Acked("stranger", b.a.Assignment(b.now, "east"))
+	b.a.Acknowledge("stranger", b.a.Assignment(b.now, "east"))
 	b.ackAll(4)
 	if s := b.share(4); s <= held && b.get("east", 4).Tier == Healthy {
 		t.Errorf("share %v with a stranger, %v once it acked", held, s)
@@ -368,11 +368,11 @@
 	kept := b.entries
 	for range 5 {
 		b.entries = append(append([]membership.Entry(nil), kept[:1]...), kept[2:]...)
-		b.a.Members(b.now, b.entries)
+		b.a.UpdateMembership(b.now, b.entries)
 		b.after(100)
 		b.entries = append([]membership.Entry(nil), kept...)
 		b.entries[1].StartedMs = 0
-		b.a.Members(b.now, b.entries)
+		b.a.UpdateMembership(b.now, b.entries)
 		b.after(100)
 	}
 	b.ackAll(2)
@@ -418,7 +418,7 @@
 				case 0:
 					b.a.Disconnect(b.now, fmt.Sprintf("p-%d", p))
 				case 1, 2:
-					b.a.Acked(fmt.Sprintf("p-%d", p), b.a.Assignment(b.now, zone))
+					b.a.Acknowledge(fmt.Sprintf("p-%d", p), b.a.Assignment(b.now, zone))
 				}
 			}
 			b.now += 200
@@ -480,12 +480,12 @@
 				list = append(list, final[i])
 				if rng.IntN(3) == 0 {
 					set.Update("roster", 1e9, &membership.List{Revision: uint64(len(list)), Full: true, Entries: list})
-					a.Members(1e9, set.Entries())
+					a.UpdateMembership(1e9, set.Entries())
 					a.Tick(1e9)
 				}
 			}
 			set.Update("roster", 1e9, &membership.List{Revision: 1000, Full: true, Entries: list})
-			a.Members(1e9, set.Entries())
+			a.UpdateMembership(1e9, set.Entries())
 			got := map[string]*Assignment{}
 			for _, z := range []string{"east", "west", ""} {
 				a.Tick(1e9)
@@ -632,7 +632,7 @@
 			for i := 0; b.Loop(); i++ {
 				entries[i%n].State = []string{membership.Draining, membership.Up}[i/n%2]
 				now += 10
-				a.Members(now, entries)
+				a.UpdateMembership(now, entries)
 				if len(a.Tick(now)) != 3 {
 					b.Fatal("a drain changed nothing")
 				}
--- a/internal/control/assign/budget.go
+++ b/internal/control/assign/budget.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Acked notes the assignment that a proxy acknowledged last.
-func (a *Assigner) Acked(id string, held *Assignment) {
+// Acknowledge notes the assignment that a proxy acknowledged last.
+func (a *Assigner) Acknowledge(id string, held *Assignment) {
 	if p := a.proxies[id]; p != nil && p.held != held {
 		p.held, p.unsure = held, false
 		a.dirty = a.dirty || len(a.starts) > 0 // only a cold server's share depends on it
--- a/internal/control/assign/golden_test.go
+++ b/internal/control/assign/golden_test.go
@@ -49,7 +49,7 @@
 	b.a.Connect(b.now, "stranger", "west", false)
 	b.ackAll(6)
 	b.dump(&out, "slow start beside a stranger")
-	b.a.Acked("stranger", b.a.Assignment(b.now, "west"))
+	b.a.Acknowledge("stranger", b.a.Assignment(b.now, "west"))
 	for i := range 10 {
 		for server := range 8 {
 			b.report(0, 4, server, 16, 0)
--- a/internal/control/auth.go
+++ b/internal/control/auth.go
@@ -107,14 +107,14 @@
 		names = append(names, u.String())
 	}
 	for _, name := range names {
-		if len(c.Node) == 0 && name == id {
+		if len(c.Nodes) == 0 && name == id {
 			return nil
 		}
-		for i := range c.Node {
-			if !match(c.Node[i].Certificate, name) {
+		for i := range c.Nodes {
+			if !match(c.Nodes[i].Certificate, name) {
 				continue
 			}
-			for _, p := range c.Node[i].IDs {
+			for _, p := range c.Nodes[i].IDs {
 				if match(p, id) {
 					return nil
 				}
--- a/internal/control/auth_test.go
+++ b/internal/control/auth_test.go
@@ -108,7 +108,7 @@
 	dir := t.TempDir()
 	cert, key := a.issue(good, "service")
 	files := control.TLSConfig{Cert: write(t, dir, "cert.pem", cert), Key: write(t, dir, "key.pem", key), ClientCA: write(t, dir, "ca.pem", a.pem), ReloadS: 1}
-	return newWorld(t, fleet(3), func(c *control.Config) { c.TLS, c.Node = files, nodes }), files
+	return newWorld(t, fleet(3), func(c *control.Config) { c.TLS, c.Nodes = files, nodes }), files
 }
 
 // A proxy may call itself only what its certificate allows.
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -21,46 +21,57 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Config is what deploy/control.toml says, checked. The keys, their units and defaults are on the
-// operators' page.
+// Config is the checked content of deploy/control.toml. Keys, units and defaults are described in
+// docs/operators/control.md.
 type Config struct {
-	Listen   string `toml:"listen"`   // host:port for proxies
-	Admin    string `toml:"admin"`    // host:port on loopback; "": none
-	Service  string `toml:"service"`  // name of listener, routes and servers
-	Settings string `toml:"settings"` // file with the platform's settings object
-	Roster   struct {
-		Addr         string  `toml:"addr"`
-		StaleAfterMs float64 `toml:"stale_after_ms"`
-	} `toml:"roster"`
-	// Ephemeral is the file of the registry that tells what runs; "": the roster alone does.
-	Ephemeral string `toml:"ephemeral"`
-	Evidence  struct {
-		ReportMs float64 `toml:"report_ms"`
-		LapseMs  float64 `toml:"lapse_ms"`
-	} `toml:"evidence"`
-	Proxies struct {
-		Most         int     `toml:"most"`
-		NamesMost    int     `toml:"names_most"`
-		LingerMs     float64 `toml:"linger_ms"`
-		SettleMs     float64 `toml:"settle_ms"`
-		DebounceMs   float64 `toml:"debounce_ms"`
-		StallAfterMs float64 `toml:"stall_after_ms"`
-		EndsPerS     float64 `toml:"ends_per_s"`
-		HeartbeatS   int     `toml:"heartbeat_s"`
-	} `toml:"proxies"`
-	XDS struct {
-		Listen         string `toml:"listen"`
-		Balancer       string `toml:"balancer"`
-		AffinityHeader string `toml:"affinity_header"`
-	} `toml:"xds"`
-	TLS  TLSConfig    `toml:"tls"`
-	Node []NodeConfig `toml:"node"`
+	Listen    string          `toml:"listen"`   // host:port for proxies
+	Admin     string          `toml:"admin"`    // host:port of the admin endpoint, on loopback; "": none
+	Service   string          `toml:"service"`  // name of the listener, the routes and the endpoints
+	Settings  string          `toml:"settings"` // file with the platform's settings object
+	Discovery DiscoveryConfig `toml:"roster"`
+	Ephemeral string          `toml:"ephemeral"` // file of the instance registry's configuration; "": discovery only
+	Evidence  EvidenceConfig  `toml:"evidence"`
+	Proxies   ProxiesConfig   `toml:"proxies"`
+	XDS       XDSConfig       `toml:"xds"`
+	TLS       TLSConfig       `toml:"tls"`
+	Nodes     []NodeConfig    `toml:"node"`
 
 	settings     policy.Settings
 	zones, kinds []string
 	ephemeral    *ephemeral.Config
 }
 
+// DiscoveryConfig names the service discovery that lists the servers.
+type DiscoveryConfig struct {
+	Addr         string  `toml:"addr"`           // host:port
+	StaleAfterMs float64 `toml:"stale_after_ms"` // silence after which the endpoint list is reported stale
+}
+
+// EvidenceConfig says how load reports are judged.
+type EvidenceConfig struct {
+	ReportMs   float64 `toml:"report_ms"` // interval at which proxies report, and reports are judged
+	EjectionMs float64 `toml:"lapse_ms"`  // base ejection time
+}
+
+// ProxiesConfig bounds the proxies that are served and the time that they get.
+type ProxiesConfig struct {
+	MaxStreams        int     `toml:"most"`           // ADS streams
+	MaxNames          int     `toml:"names_most"`     // resource names in one subscription
+	DisconnectGraceMs float64 `toml:"linger_ms"`      // how long a disconnected proxy counts as still sending
+	StartupHoldMs     float64 `toml:"settle_ms"`      // how long after startup warming servers get nothing
+	DebounceMs        float64 `toml:"debounce_ms"`    // delay of updates that are not urgent, to batch them
+	AckTimeoutMs      float64 `toml:"stall_after_ms"` // time to acknowledge an urgent update
+	StreamClosesPerS  float64 `toml:"ends_per_s"`     // streams closed a second for missing acknowledgements
+	HeartbeatS        int     `toml:"heartbeat_s"`    // time to live of endpoint resources; 0: none
+}
+
+// XDSConfig shapes the listener, the routes and the clusters.
+type XDSConfig struct {
+	Listen         string `toml:"listen"`          // host:port on which proxies listen; "": no socket listener
+	Balancer       string `toml:"balancer"`        // "ring_hash" or "maglev"
+	AffinityHeader string `toml:"affinity_header"` // request header with the affinity key; "": none
+}
+
 // TLSConfig names the files of the service's own certificate and of those that proxies' must descend
 // from. All three are PEM.
 type TLSConfig struct {
@@ -76,14 +87,14 @@
 	IDs         []string `toml:"ids"`
 }
 
-// Default is a Config with all that has a default.
-func Default() *Config {
+// DefaultConfig is a Config with all that has a default.
+func DefaultConfig() *Config {
 	c := &Config{Service: "orders"}
-	c.Roster.StaleAfterMs = 15_000
-	c.Evidence.ReportMs, c.Evidence.LapseMs = 1000, 5000
-	c.Proxies.Most, c.Proxies.NamesMost = 5000, 10_000
-	c.Proxies.LingerMs, c.Proxies.SettleMs, c.Proxies.DebounceMs = 60_000, 5000, 100
-	c.Proxies.StallAfterMs, c.Proxies.EndsPerS = 200, 50 // seen before the 250 ms of the drain rule are over
+	c.Discovery.StaleAfterMs = 15_000
+	c.Evidence.ReportMs, c.Evidence.EjectionMs = 1000, 5000
+	c.Proxies.MaxStreams, c.Proxies.MaxNames = 5000, 10_000
+	c.Proxies.DisconnectGraceMs, c.Proxies.StartupHoldMs, c.Proxies.DebounceMs = 60_000, 5000, 100
+	c.Proxies.AckTimeoutMs, c.Proxies.StreamClosesPerS = 200, 50 // seen before the 250 ms of the drain rule are over
 	c.XDS.Balancer = "ring_hash"
 	c.TLS.ReloadS = 30
 	return c
@@ -95,7 +106,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c := Default()
+	c := DefaultConfig()
 	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	if err := d.Decode(c); err != nil {
 		return nil, fmt.Errorf("config: %s: %s", file, explain(err))
@@ -142,7 +153,7 @@
 	for _, a := range []struct {
 		key, value string
 		needed     bool
-	}{{"listen", c.Listen, true}, {"admin", c.Admin, false}, {"roster.addr", c.Roster.Addr, true}, {"xds.listen", c.XDS.Listen, false}} {
+	}{{"listen", c.Listen, true}, {"admin", c.Admin, false}, {"roster.addr", c.Discovery.Addr, true}, {"xds.listen", c.XDS.Listen, false}} {
 		if a.value == "" && !a.needed {
 			continue
 		}
@@ -161,12 +172,12 @@
 		value       float64
 		least, most float64
 	}{
-		{"roster.stale_after_ms", c.Roster.StaleAfterMs, 1000, 3_600_000},
-		{"proxies.most", float64(c.Proxies.Most), 1, assign.MaxProxies},
-		{"proxies.names_most", float64(c.Proxies.NamesMost), 16, 1_000_000},
+		{"roster.stale_after_ms", c.Discovery.StaleAfterMs, 1000, 3_600_000},
+		{"proxies.most", float64(c.Proxies.MaxStreams), 1, assign.MaxProxies},
+		{"proxies.names_most", float64(c.Proxies.MaxNames), 16, 1_000_000},
 		{"proxies.debounce_ms", c.Proxies.DebounceMs, 0, 10_000},
-		{"proxies.stall_after_ms", c.Proxies.StallAfterMs, 50, 60_000},
-		{"proxies.ends_per_s", c.Proxies.EndsPerS, 0.1, 10_000},
+		{"proxies.stall_after_ms", c.Proxies.AckTimeoutMs, 50, 60_000},
+		{"proxies.ends_per_s", c.Proxies.StreamClosesPerS, 0.1, 10_000},
 		{"proxies.heartbeat_s", float64(c.Proxies.HeartbeatS), 0, 3600},
 		{"tls.reload_s", c.TLS.ReloadS, 1, 86_400},
 	} {
@@ -187,10 +198,10 @@
 		return errors.New("tls.client_ca: given without tls.cert")
 	case c.TLS.Cert == "" && !loopback(c.Listen):
 		return fmt.Errorf("listen: %q is not on loopback: without tls.cert anybody there could read and ask", c.Listen)
-	case len(c.Node) > 0 && c.TLS.ClientCA == "":
+	case len(c.Nodes) > 0 && c.TLS.ClientCA == "":
 		return errors.New("node: given without tls.client_ca: nothing would tell who a proxy is")
 	}
-	for i, n := range c.Node {
+	for i, n := range c.Nodes {
 		if n.Certificate == "" || len(n.IDs) == 0 {
 			return fmt.Errorf("node[%d]: certificate and ids are both needed", i)
 		}
@@ -229,8 +240,8 @@
 
 func (c *Config) assign() assign.Config {
 	return assign.Config{Settings: c.settings, Zones: c.zones, Kinds: c.kinds,
-		EjectionMs: c.Evidence.LapseMs, ReportMs: c.Evidence.ReportMs,
-		DisconnectGraceMs: c.Proxies.LingerMs, StartupHoldMs: c.Proxies.SettleMs}
+		EjectionMs: c.Evidence.EjectionMs, ReportMs: c.Evidence.ReportMs,
+		DisconnectGraceMs: c.Proxies.DisconnectGraceMs, StartupHoldMs: c.Proxies.StartupHoldMs}
 }
 
 func (c *Config) service() *resource.Service {
--- a/internal/control/config_test.go
+++ b/internal/control/config_test.go
@@ -26,7 +26,7 @@
 
 // Bad configuration names its key.
 func TestConfigNamesTheKey(t *testing.T) {
-	if c, err := load(t, good, goodSettings); err != nil || c.Proxies.StallAfterMs != 200 || c.XDS.Balancer != "ring_hash" {
+	if c, err := load(t, good, goodSettings); err != nil || c.Proxies.AckTimeoutMs != 200 || c.XDS.Balancer != "ring_hash" {
 		t.Fatalf("%v, %+v", err, c)
 	}
 	for key, text := range map[string]string{
--- a/internal/control/hard_test.go
+++ b/internal/control/hard_test.go
@@ -73,7 +73,7 @@
 // While a response is not acknowledged, what is not urgent waits and is made one; a drain does not
 // wait, and nothing that comes later undoes it.
 func TestDrainOvertakes(t *testing.T) {
-	w := newWorld(t, fleet(6), func(c *control.Config) { c.Proxies.StallAfterMs = 60_000 })
+	w := newWorld(t, fleet(6), func(c *control.Config) { c.Proxies.AckTimeoutMs = 60_000 })
 	r := openFull(t, connect(t, w.Addr, nil))
 	r.ask(edsRequest("p", "orders"))
 	first := r.next() // never acknowledged
@@ -249,7 +249,7 @@
 
 // The roster goes, or lists nothing: proxies keep what they have, the admin page says that it is old.
 func TestMembershipLostOrEmpty(t *testing.T) {
-	w := newWorld(t, fleet(6), func(c *control.Config) { c.Roster.StaleAfterMs = 1000 })
+	w := newWorld(t, fleet(6), func(c *control.Config) { c.Discovery.StaleAfterMs = 1000 })
 	p := w.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true})
 	w.ready(p)
 	w.await(p, "all", holds(6))
@@ -402,7 +402,7 @@
 
 // What proxies report moves a server down the priorities, and back.
 func TestReportsMoveServers(t *testing.T) {
-	w := newWorld(t, fleet(4), func(c *control.Config) { c.Evidence.ReportMs, c.Evidence.LapseMs = 100, 200 })
+	w := newWorld(t, fleet(4), func(c *control.Config) { c.Evidence.ReportMs, c.Evidence.EjectionMs = 100, 200 })
 	var mu sync.Mutex
 	failing := true
 	var proxies []*xdsproxy.Proxy
@@ -524,7 +524,7 @@
 
 // More proxies than allowed: the one too many is refused, with a code that says so.
 func TestTooManyProxies(t *testing.T) {
-	w := newWorld(t, fleet(6), func(c *control.Config) { c.Proxies.Most = 2 })
+	w := newWorld(t, fleet(6), func(c *control.Config) { c.Proxies.MaxStreams = 2 })
 	for i := range 2 {
 		r := openFull(t, connect(t, w.Addr, nil))
 		r.ask(edsRequest(fmt.Sprint("p-", i), "orders"))
--- a/internal/control/hub.go
+++ b/internal/control/hub.go
@@ -84,10 +84,10 @@
 	if _, err := rand.Read(boot); err != nil {
 		return nil, err
 	}
-	h := &hub{clock: clock.New(), set: membership.NewSet(cfg.Roster.StaleAfterMs, "roster"),
+	h := &hub{clock: clock.New(), set: membership.NewSet(cfg.Discovery.StaleAfterMs, "roster"),
 		renderer: resource.NewRenderer(cfg.Service), nonces: &nonces{boot: hex.EncodeToString(boot)},
 		inbox: make(chan func(), inboxSize), done: make(chan struct{}), log: log,
-		ends:    rate.NewLimiter(rate.Limit(cfg.Proxies.EndsPerS), max(int(cfg.Proxies.EndsPerS), 1)),
+		ends:    rate.NewLimiter(rate.Limit(cfg.Proxies.StreamClosesPerS), max(int(cfg.Proxies.StreamClosesPerS), 1)),
 		streams: map[*stream]struct{}{}}
 	if cfg.ephemeral != nil {
 		h.merge = membership.NewMerge(cfg.ephemeral.Merge())
@@ -136,7 +136,7 @@
 		}
 		h.turn()
 		now := h.clock.Ms()
-		next := h.assigner.NextMs(now)
+		next := h.assigner.NextTickMs(now)
 		if h.merge != nil {
 			next = min(next, h.merge.NextDeadlineMs())
 		}
@@ -217,7 +217,7 @@
 		}
 		h.drains = append(h.drains, h.drain)
 		if h.watchAt == 0 {
-			h.watchAt = now + h.cfg().Proxies.StallAfterMs
+			h.watchAt = now + h.cfg().Proxies.AckTimeoutMs
 		}
 	}
 	h.groups.Range(func(zone, g any) bool {
@@ -245,8 +245,8 @@
 	}
 	next.sets = maps.Clone(h.static)
 	if next.servers != nil {
-		next.sets[resource.Endpoints] = keep(old, resource.Endpoints, false, resource.NewSet(next.servers.Whole))
-		next.split = keep(old, resource.Endpoints, true, resource.NewSet(next.servers.Split))
+		next.sets[resource.Endpoints] = keep(old, resource.Endpoints, false, resource.NewSet(next.servers.Complete))
+		next.split = keep(old, resource.Endpoints, true, resource.NewSet(next.servers.ByCollection))
 	}
 	g.now.Store(next)
 	g.mu.Lock()
@@ -330,12 +330,12 @@
 // come back, as fast as the pace for that allows. A proxy that answered, be it with a rejection,
 // reads what it is sent and stays.
 func (h *hub) watch(now float64) {
-	for len(h.drains) > 0 && h.drains[0].toldMs+h.cfg().Proxies.StallAfterMs <= now {
+	for len(h.drains) > 0 && h.drains[0].toldMs+h.cfg().Proxies.AckTimeoutMs <= now {
 		h.overdue, h.drains = h.drains[0], h.drains[1:]
 	}
 	h.watchAt = 0
 	if len(h.drains) > 0 {
-		h.watchAt = h.drains[0].toldMs + h.cfg().Proxies.StallAfterMs
+		h.watchAt = h.drains[0].toldMs + h.cfg().Proxies.AckTimeoutMs
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -417,7 +417,7 @@
 		case l == nil:
 			h.set.Alive("roster", now)
 		case h.set.Update("roster", now, l):
-			h.assigner.Members(now, h.set.Entries())
+			h.assigner.UpdateMembership(now, h.set.Entries())
 		}
 	})
 }
@@ -434,7 +434,7 @@
 // merged hands on what the merge has to tell, if anything.
 func (h *hub) merged(now float64) {
 	if len(h.merge.Changes(now)) > 0 {
-		h.assigner.Members(now, h.merge.Entries())
+		h.assigner.UpdateMembership(now, h.merge.Entries())
 	}
 }
 
--- a/internal/control/report_test.go
+++ b/internal/control/report_test.go
@@ -11,10 +11,10 @@
 // The keys of the admin page are what operators and the lab read: they do not follow the names of fields.
 func TestReportKeysAreStable(t *testing.T) {
 	r := &Report{NowMs: 1, Membership: []membership.Status{}, Problems: []string{"p"},
-		Servers: []ServerReport{{ID: "s", State: "unknown", SinceMs: 2, Usable: true, Ramp: 0.5, Strikes: 3}},
-		Proxies: []ProxyReport{{Node: "n", Zone: "east", Peer: "p:1", Protocol: "sotw", SinceMs: 4, Behind: true,
+		Servers: []ServerReport{{ID: "s", State: "unknown", SinceMs: 2, Usable: true, Capacity: 0.5, ConsecutiveFailures: 3}},
+		Proxies: []ProxyReport{{Node: "n", Zone: "east", Peer: "p:1", Protocol: "sotw", OpenedMs: 4, Behind: true,
 			shown: shown{Acked: map[string]string{"t": "v"}, Rejected: map[string]string{"t": "v: no"}, DrainAckMs: 5, Sent: 6, Responses: 7}}},
-		LastDrain: &DrainReport{Server: "s", ToldMs: 8, Waiting: 9},
+		LastDrain: &DrainReport{Server: "s", PublishedMs: 8, Waiting: 9},
 		Counts:    map[string]int64{"published": 10},
 		Evidence:  assign.EvidenceCounts{Reports: 11, Invalid: 12, Late: 13, Contradicted: 14, Unknown: 15},
 		Assignments: map[string]*assign.Assignment{"east": {Zone: "east", ShedPercent: 16, LocalityWeightPercent: 17,
--- a/internal/control/resource/endpoints.go
+++ b/internal/control/resource/endpoints.go
@@ -58,12 +58,12 @@
 	return &Renderer{Service: service, cache: map[string]cached{}, places: map[place]*part{}}
 }
 
-// Servers is an assignment as resources: whole, for proxies that take servers in one piece, and split
+// RenderedEndpoints is an assignment as resources: whole, for proxies that take servers in one piece, and split
 // in collections, one a zone and priority, for those that take them one by one (LEDS).
-type Servers struct {
-	Whole       *Resource       // a ClusterLoadAssignment with all servers in it
-	Split       *Resource       // one that names collections instead
-	Collections map[string]*Set // of LbEndpoint, by the collection's glob name
+type RenderedEndpoints struct {
+	Complete     *Resource       // a ClusterLoadAssignment with all servers in it
+	ByCollection *Resource       // one that names collections instead
+	Collections  map[string]*Set // of LbEndpoint, by the collection's glob name
 }
 
 type place struct {
@@ -73,7 +73,7 @@
 
 // Render makes the resources of an assignment. Collections that are as they were last are the same
 // sets, and so cost nothing to compare.
-func (r *Renderer) Render(a *assign.Assignment) (*Servers, error) {
+func (r *Renderer) Render(a *assign.Assignment) (*RenderedEndpoints, error) {
 	r.round++
 	priorityOf := priorities(a)
 	members := map[place][]*assign.Endpoint{}
@@ -93,7 +93,7 @@
 	slices.SortFunc(places, func(x, y place) int {
 		return cmp.Or(cmp.Compare(x.priority, y.priority), cmp.Compare(x.zone, y.zone))
 	})
-	out := &Servers{Collections: make(map[string]*Set, len(places))}
+	out := &RenderedEndpoints{Collections: make(map[string]*Set, len(places))}
 	var whole, split []byte
 	var stamp [][]byte
 	whole = protowire.AppendTag(whole, 1, protowire.BytesType)
@@ -130,8 +130,8 @@
 		return nil, fmt.Errorf("drop policy: %w", err)
 	}
 	whole, split = append(whole, policy...), append(split, policy...)
-	out.Whole = fromValue(Endpoints, r.Service, whole, version(append(stamp, policy)...))
-	out.Split = fromValue(Endpoints, r.Service, split, version(split))
+	out.Complete = fromValue(Endpoints, r.Service, whole, version(append(stamp, policy)...))
+	out.ByCollection = fromValue(Endpoints, r.Service, split, version(split))
 	return out, nil
 }
 
--- a/internal/control/resource/golden_test.go
+++ b/internal/control/resource/golden_test.go
@@ -61,7 +61,7 @@
 		line(Listener, r)
 	}
 	rendered := render(t, NewRenderer("orders"), goldenAssignment())
-	endpoints := []*Resource{rendered.Whole, rendered.Split}
+	endpoints := []*Resource{rendered.Complete, rendered.ByCollection}
 	for _, r := range endpoints {
 		line(Endpoints, r)
 	}
@@ -72,10 +72,10 @@
 			line(LbEndpoint, set.Get(n))
 		}
 	}
-	fmt.Fprintf(&b, "sotw %x\n", Full(Endpoints, "v1", "n1", endpoints))
-	fmt.Fprintf(&b, "delta %x\n", Delta(Endpoints, "v1", "n1", endpoints, []string{"x", "y"}, 0, false))
-	fmt.Fprintf(&b, "delta with TTL %x\n", Delta(Endpoints, "v1", "n1", endpoints, []string{"x"}, 300, false))
-	fmt.Fprintf(&b, "heartbeat %x\n", Delta(Endpoints, "v1", "n1", endpoints, nil, 300, true))
+	fmt.Fprintf(&b, "sotw %x\n", MarshalResponse(Endpoints, "v1", "n1", endpoints))
+	fmt.Fprintf(&b, "delta %x\n", MarshalDeltaResponse(Endpoints, "v1", "n1", endpoints, []string{"x", "y"}, 0, false))
+	fmt.Fprintf(&b, "delta with TTL %x\n", MarshalDeltaResponse(Endpoints, "v1", "n1", endpoints, []string{"x"}, 300, false))
+	fmt.Fprintf(&b, "heartbeat %x\n", MarshalDeltaResponse(Endpoints, "v1", "n1", endpoints, nil, 300, true))
 	return b.String()
 }
 
--- a/internal/control/resource/resource.go
+++ b/internal/control/resource/resource.go
@@ -123,8 +123,8 @@
 	return changed, removed
 }
 
-// Full encodes a DiscoveryResponse of the state-of-the-world protocol.
-func Full(typeURL, version, nonce string, resources []*Resource) []byte {
+// MarshalResponse encodes a DiscoveryResponse of the state-of-the-world protocol.
+func MarshalResponse(typeURL, version, nonce string, resources []*Resource) []byte {
 	n := len(typeURL) + len(version) + len(nonce) + 32
 	for _, r := range resources {
 		n += len(r.any) + 8
@@ -142,9 +142,9 @@
 	return protowire.AppendString(b, nonce)
 }
 
-// Delta encodes a DeltaDiscoveryResponse of the incremental protocol. With a ttl above 0 s each
+// MarshalDeltaResponse encodes a DeltaDiscoveryResponse of the incremental protocol. With a ttl above 0 s each
 // resource carries it; bare leaves out the resources' bodies, which makes it a heartbeat.
-func Delta(typeURL, version, nonce string, changed []*Resource, removed []string, ttlSeconds int, bare bool) []byte {
+func MarshalDeltaResponse(typeURL, version, nonce string, changed []*Resource, removed []string, ttlSeconds int, bare bool) []byte {
 	n := len(typeURL) + len(version) + len(nonce) + 32
 	for _, r := range changed {
 		n += len(r.any) + len(r.Name) + len(r.Version) + 24
--- a/internal/control/resource/resource_test.go
+++ b/internal/control/resource/resource_test.go
@@ -57,7 +57,7 @@
 	return m
 }
 
-func render(t *testing.T, r *Renderer, a *assign.Assignment) *Servers {
+func render(t *testing.T, r *Renderer, a *assign.Assignment) *RenderedEndpoints {
 	t.Helper()
 	s, err := r.Render(a)
 	if err != nil {
@@ -69,9 +69,9 @@
 // What is put together by hand on the wire is what the library reads.
 func TestFramesAreTheProtocols(t *testing.T) {
 	s := render(t, NewRenderer("orders"), assignment(nil))
-	rs := []*Resource{s.Whole, s.Split}
+	rs := []*Resource{s.Complete, s.ByCollection}
 	var full discoveryv3.DiscoveryResponse
-	if err := proto.Unmarshal(Full(Endpoints, "v1", "n1", rs), &full); err != nil {
+	if err := proto.Unmarshal(MarshalResponse(Endpoints, "v1", "n1", rs), &full); err != nil {
 		t.Fatal(err)
 	}
 	if full.VersionInfo != "v1" || full.Nonce != "n1" || full.TypeUrl != Endpoints || len(full.Resources) != 2 {
@@ -86,14 +86,14 @@
 		bare bool
 	}{{0, false}, {30, false}, {300, true}} {
 		var d discoveryv3.DeltaDiscoveryResponse
-		if err := proto.Unmarshal(Delta(Endpoints, "v2", "n2", rs, []string{"x", "y"}, c.ttl, c.bare), &d); err != nil {
+		if err := proto.Unmarshal(MarshalDeltaResponse(Endpoints, "v2", "n2", rs, []string{"x", "y"}, c.ttl, c.bare), &d); err != nil {
 			t.Fatal(err)
 		}
 		if d.SystemVersionInfo != "v2" || d.Nonce != "n2" || d.TypeUrl != Endpoints || len(d.Resources) != 2 || !slices.Equal(d.RemovedResources, []string{"x", "y"}) {
 			t.Errorf("%+v", &d)
 		}
 		one := d.Resources[0]
-		if one.Name != "orders" || one.Version != s.Whole.Version || one.GetTtl().GetSeconds() != int64(c.ttl) || (one.Resource == nil) != c.bare {
+		if one.Name != "orders" || one.Version != s.Complete.Version || one.GetTtl().GetSeconds() != int64(c.ttl) || (one.Resource == nil) != c.bare {
 			t.Errorf("%v %v: %+v", c.ttl, c.bare, one)
 		}
 	}
@@ -107,7 +107,7 @@
 		es[3].Weight = 90
 	})
 	a.ShedPercent = 25
-	set := decode(t, render(t, NewRenderer("orders"), a).Whole, &endpointv3.ClusterLoadAssignment{})
+	set := decode(t, render(t, NewRenderer("orders"), a).Complete, &endpointv3.ClusterLoadAssignment{})
 	if set.GetPolicy().GetOverprovisioningFactor().GetValue() != overprovision || set.GetPolicy().GetDropOverloads()[0].GetDropPercentage().GetNumerator() != 25 {
 		t.Errorf("policy %+v", set.GetPolicy())
 	}
@@ -144,7 +144,7 @@
 			}
 		})
 		a.Endpoints = a.Endpoints[:4]
-		set := decode(t, render(t, NewRenderer("orders"), a).Whole, &endpointv3.ClusterLoadAssignment{})
+		set := decode(t, render(t, NewRenderer("orders"), a).Complete, &endpointv3.ClusterLoadAssignment{})
 		seen, n := map[uint32]bool{}, 0
 		most := uint32(0)
 		for _, l := range set.Endpoints {
@@ -175,7 +175,7 @@
 		one.Sweep()
 	}
 	x, y := render(t, one, assignment(nil)), render(t, other, assignment(nil))
-	if !bytes.Equal(x.Whole.any, y.Whole.any) || !bytes.Equal(x.Split.any, y.Split.any) || x.Whole.Version != y.Whole.Version {
+	if !bytes.Equal(x.Complete.any, y.Complete.any) || !bytes.Equal(x.ByCollection.any, y.ByCollection.any) || x.Complete.Version != y.Complete.Version {
 		t.Error("replicas differ")
 	}
 	for name, set := range x.Collections {
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -94,7 +94,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { s.hub.run(inner) })
 	running.Go(func() {
-		source := discovery.Source{Addr: cfg.Roster.Addr}
+		source := discovery.Source{Addr: cfg.Discovery.Addr}
 		source.Run(inner, func(l *membership.List, err error) {
 			if err != nil {
 				s.log.Warn("roster", "err", err)
@@ -181,14 +181,14 @@
 func (s *Server) Reload(next *Config) error {
 	old := s.hub.cfg()
 	for key, same := range map[string]bool{"listen": next.Listen == old.Listen, "admin": next.Admin == old.Admin,
-		"service": next.Service == old.Service, "roster": next.Roster == old.Roster, "ephemeral": reflect.DeepEqual(next.ephemeral, old.ephemeral), "evidence": next.Evidence == old.Evidence,
+		"service": next.Service == old.Service, "roster": next.Discovery == old.Discovery, "ephemeral": reflect.DeepEqual(next.ephemeral, old.ephemeral), "evidence": next.Evidence == old.Evidence,
 		"proxies": next.Proxies == old.Proxies, "tls": next.TLS == old.TLS} {
 		if !same {
 			s.log.Warn("changed in the configuration, but used only after a restart", "key", key)
 		}
 	}
 	merged := *old
-	merged.Node, merged.XDS, merged.settings, merged.zones, merged.kinds = next.Node, next.XDS, next.settings, next.zones, next.kinds
+	merged.Nodes, merged.XDS, merged.settings, merged.zones, merged.kinds = next.Nodes, next.XDS, next.settings, next.zones, next.kinds
 	if s.certs != nil {
 		s.readCertificates()
 	}
@@ -197,7 +197,7 @@
 		h := s.hub
 		h.config.Store(&merged)
 		servers := 0
-		if h.assigner.Listed() {
+		if h.assigner.HasMembership() {
 			servers = len(h.entries())
 		}
 		if err := h.restate(servers); err != nil {
@@ -277,10 +277,10 @@
 // it names, if any.
 func (s *Server) ads(ctx context.Context, st *stream, receive func() (*request, *corev3.Node, error)) error {
 	cfg := s.hub.cfg()
-	if n := s.count.Add(1); n > int64(cfg.Proxies.Most) {
+	if n := s.count.Add(1); n > int64(cfg.Proxies.MaxStreams) {
 		s.count.Add(-1)
 		s.hub.counts.Refused.Add(1)
-		return status.Errorf(codes.ResourceExhausted, "%d proxies are connected, at most %d", n-1, cfg.Proxies.Most)
+		return status.Errorf(codes.ResourceExhausted, "%d proxies are connected, at most %d", n-1, cfg.Proxies.MaxStreams)
 	}
 	defer s.count.Add(-1)
 	r, node, err := receive()
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -16,7 +16,7 @@
 	seq        uint64 // counts publications of this process; not told to anybody as a version
 	urgent     uint64 // the last publication that told a drain or a server gone
 	assignment *assign.Assignment
-	servers    *resource.Servers
+	servers    *resource.RenderedEndpoints
 	sets       map[string]*resource.Set // by type; of servers the whole form
 	split      *resource.Set            // of servers for proxies that take them one by one
 	nonces     *nonces
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -252,7 +252,7 @@
 			s.mu.Unlock()
 		}
 		if a != nil {
-			s.hub.assigner.Acked(s.node, a)
+			s.hub.assigner.Acknowledge(s.node, a)
 		}
 	})
 }
@@ -267,8 +267,8 @@
 
 // replace sets what is asked for: all of it is in each request of this protocol.
 func (s *stream) replace(r *request, sb *sub, first bool) error {
-	if len(r.names) > s.hub.cfg().Proxies.NamesMost {
-		return status.Errorf(codes.ResourceExhausted, "%d names are asked for, at most %d", len(r.names), s.hub.cfg().Proxies.NamesMost)
+	if len(r.names) > s.hub.cfg().Proxies.MaxNames {
+		return status.Errorf(codes.ResourceExhausted, "%d names are asked for, at most %d", len(r.names), s.hub.cfg().Proxies.MaxNames)
 	}
 	// No names at all mean everything, for these types, until names have been given once.
 	all := len(r.names) == 0 && (first || sb.wildcard) && wild(r.typeURL) || slices.Contains(r.names, "*")
@@ -326,8 +326,8 @@
 			delete(sb.globs, n)
 		}
 	}
-	if n := len(sb.names) + len(sb.globs); n > s.hub.cfg().Proxies.NamesMost {
-		return status.Errorf(codes.ResourceExhausted, "%d names are asked for, at most %d", n, s.hub.cfg().Proxies.NamesMost)
+	if n := len(sb.names) + len(sb.globs); n > s.hub.cfg().Proxies.MaxNames {
+		return status.Errorf(codes.ResourceExhausted, "%d names are asked for, at most %d", n, s.hub.cfg().Proxies.MaxNames)
 	}
 	sb.again = sb.again || len(r.subscribe) > 0 || first
 	return nil
@@ -396,7 +396,9 @@
 			return nil
 		}
 		key := frameKey{typeURL: t, to: cur}
-		make := func(nonce string) ([]byte, bool) { return resource.Full(t, cur.Version, nonce, all(cur)), false }
+		make := func(nonce string) ([]byte, bool) {
+			return resource.MarshalResponse(t, cur.Version, nonce, all(cur)), false
+		}
 		f := s.once(snap, sb, key, make)
 		sb.set = cur
 		return s.out(sb, f, cur.Version, snap.seq)
@@ -425,11 +427,11 @@
 	if len(names) == 1 && len(changed) == 1 {
 		key.name = names[0]
 		return s.out(sb, s.once(snap, sb, key, func(nonce string) ([]byte, bool) {
-			return resource.Full(t, cur.Version, nonce, changed), false
+			return resource.MarshalResponse(t, cur.Version, nonce, changed), false
 		}), cur.Version, snap.seq)
 	}
 	nonce := snap.nonces.next()
-	return s.out(sb, frame{nonce: nonce, bytes: resource.Full(t, cur.Version, nonce, changed)}, cur.Version, snap.seq)
+	return s.out(sb, frame{nonce: nonce, bytes: resource.MarshalResponse(t, cur.Version, nonce, changed)}, cur.Version, snap.seq)
 }
 
 // once takes the frame that streams share, or one of its own where this stream has had that already:
@@ -466,12 +468,12 @@
 			}
 			slices.Sort(removed)
 			f.nonce = snap.nonces.next()
-			f.bytes, f.empty = resource.Delta(t, cur.Version, f.nonce, changed, removed, ttl, false), len(changed)+len(removed) == 0
+			f.bytes, f.empty = resource.MarshalDeltaResponse(t, cur.Version, f.nonce, changed, removed, ttl, false), len(changed)+len(removed) == 0
 		} else {
 			from, first := sb.set, sb.first
 			f = s.once(snap, sb, frameKey{typeURL: t, delta: true, from: from, to: cur, version: ttlKey(ttl, first)}, func(nonce string) ([]byte, bool) {
 				changed, removed := cur.Diff(from)
-				return resource.Delta(t, cur.Version, nonce, changed, removed, ttl, false), len(changed)+len(removed) == 0 && !first
+				return resource.MarshalDeltaResponse(t, cur.Version, nonce, changed, removed, ttl, false), len(changed)+len(removed) == 0 && !first
 			})
 		}
 		sb.set, sb.first, sb.initial = cur, false, nil
@@ -500,7 +502,7 @@
 		return nil
 	}
 	make := func(nonce string) ([]byte, bool) {
-		return resource.Delta(t, cur.Version, nonce, changed, removed, ttl, false), false
+		return resource.MarshalDeltaResponse(t, cur.Version, nonce, changed, removed, ttl, false), false
 	}
 	if len(changed) == 1 && len(removed) == 0 {
 		key := frameKey{typeURL: t, delta: true, to: cur, name: changed[0].Name, version: ttlKey(ttl, false)}
@@ -549,7 +551,7 @@
 		var f frame
 		build := func(nonce string) ([]byte, bool) {
 			changed, removed := n.to.Diff(from)
-			return resource.Delta(resource.LbEndpoint, n.to.Version, nonce, changed, removed, 0, false), len(changed)+len(removed) == 0 && from != nil
+			return resource.MarshalDeltaResponse(resource.LbEndpoint, n.to.Version, nonce, changed, removed, 0, false), len(changed)+len(removed) == 0 && from != nil
 		}
 		if from == nil && len(sb.initial) > 0 {
 			changed, removed := all(n.to), []string(nil)
@@ -562,7 +564,7 @@
 			}
 			slices.Sort(removed)
 			f.nonce = snap.nonces.next()
-			f.bytes = resource.Delta(resource.LbEndpoint, n.to.Version, f.nonce, changed, removed, 0, false)
+			f.bytes = resource.MarshalDeltaResponse(resource.LbEndpoint, n.to.Version, f.nonce, changed, removed, 0, false)
 		} else {
 			f = s.once(snap, sb, frameKey{typeURL: resource.LbEndpoint, delta: true, from: from, to: n.to, name: n.glob}, build)
 		}
@@ -613,7 +615,7 @@
 		return nil
 	}
 	nonce := snap.nonces.next()
-	bytes := resource.Delta(resource.Endpoints, cur.Version, nonce, alive, nil, s.hub.cfg().Proxies.HeartbeatS, true)
+	bytes := resource.MarshalDeltaResponse(resource.Endpoints, cur.Version, nonce, alive, nil, s.hub.cfg().Proxies.HeartbeatS, true)
 	return s.out(sb, frame{nonce: nonce, bytes: bytes}, cur.Version, sb.sentSeq)
 }
 
--- a/internal/control/witness_test.go
+++ b/internal/control/witness_test.go
@@ -119,7 +119,7 @@
 	}
 	w := newWorld(t, entries, func(c *control.Config) {
 		c.XDS.AffinityHeader = "x-affinity-key"
-		c.Evidence.ReportMs, c.Evidence.LapseMs = 200, 600_000
+		c.Evidence.ReportMs, c.Evidence.EjectionMs = 200, 600_000
 	})
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/lab/acceptance/child.go
+++ b/internal/lab/acceptance/child.go
@@ -76,7 +76,7 @@
 	case "agent":
 		return agent.Main()
 	case "ours":
-		s, err := service.Start("", arg, nil, func(c *control.Config) { c.Proxies.Most = 20_000 })
+		s, err := service.Start("", arg, nil, func(c *control.Config) { c.Proxies.MaxStreams = 20_000 })
 		if err != nil {
 			return err
 		}
--- a/internal/lab/acceptance/cold.go
+++ b/internal/lab/acceptance/cold.go
@@ -28,9 +28,9 @@
 	}
 	defer roster.Close()
 	svc, err := service.StartWith(roster, func(c *control.Config) {
-		c.Proxies.LingerMs = 20_000
+		c.Proxies.DisconnectGraceMs = 20_000
 		c.Evidence.ReportMs = 500
-		c.Proxies.StallAfterMs = 60_000 // those that hear nothing are to stay, and to be counted
+		c.Proxies.AckTimeoutMs = 60_000 // those that hear nothing are to stay, and to be counted
 	})
 	if err != nil {
 		return nil, err
--- a/internal/lab/acceptance/storm.go
+++ b/internal/lab/acceptance/storm.go
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	defer roster.Close()
-	settle := func(c *control.Config) { c.Proxies.SettleMs = 5000 }
+	settle := func(c *control.Config) { c.Proxies.StartupHoldMs = 5000 }
 	first, err := service.StartWith(roster, settle)
 	if err != nil {
 		return nil, err
--- a/internal/lab/service/service.go
+++ b/internal/lab/service/service.go
@@ -46,10 +46,10 @@
 	if cerr := f.Close(); err == nil {
 		err = cerr
 	}
-	cfg = control.Default()
+	cfg = control.DefaultConfig()
 	cfg.Listen, cfg.Admin = "127.0.0.1:1", "127.0.0.1:1" // the kernel chooses
-	cfg.Settings, cfg.Roster.Addr = f.Name(), roster
-	cfg.Proxies.SettleMs = 0
+	cfg.Settings, cfg.Discovery.Addr = f.Name(), roster
+	cfg.Proxies.StartupHoldMs = 0
 	if change != nil {
 		change(cfg)
 	}
