--- a/internal/control/assign/evidence.go
+++ b/internal/control/assign/evidence.go
@@ -7,44 +7,51 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
+const (
+	// maxReportedValue bounds a value of a report; no proxy makes as many attempts between two reports.
+	maxReportedValue = 1e9
+	// maxReportIntervalMs bounds the interval that a report claims to cover.
+	maxReportIntervalMs = 1e9
+	// hungWindows is the number of consecutive windows in which requests were in progress at a server and
+	// none ended, after which the server counts as silent.
+	hungWindows = 3
+	// maxHungFailures bounds the failures that a silent server's requests in progress count as.
+	maxHungFailures = 10
+	// rateSmoothing is the weight of a new report in a proxy's moving average rate.
+	rateSmoothing = 0.3
+)
+
 // ServerLoad is what a proxy saw of one server since its last report.
 type ServerLoad struct {
 	Addr                       string // host:port
 	Served, Failed, InProgress float64
 	Issued                     float64
-	Rejected                   float64 // by a named metric, where there is one
+	Rejected                   float64 // by the named metric, where servers report it
 }
 
-// Report is what a proxy saw since its last report.
+// Report is a proxy's load report.
 type Report struct {
-	IntervalMs float64 // how long that is, as the proxy says
-	Issued     float64 // requests that it told of without naming the server
+	IntervalMs float64 // time since its last report, as the proxy says
+	Issued     float64 // requests that are not broken down by server
 	Loads      []ServerLoad
 }
 
-const (
-	// absurd is more attempts than any proxy makes on one server between two reports.
-	absurd = 1e9
-	// hungAfter is the number of windows in a row in which requests were in progress at a server and
-	// none ended, after which that counts as silence.
-	hungAfter = 3
-	// rateSmooth is the weight of a new report in a proxy's rate.
-	rateSmooth = 0.3
-)
-
-// sight is what was seen of a server since the evidence was judged last: a line a proxy.
-type sight struct {
-	lines map[string]ServerLoad // by proxy
-	hung  int
+// EvidenceCounts counts reports, and what of them was not used. The JSON keys are those of the admin endpoint.
+type EvidenceCounts struct {
+	Reports      uint64 `json:"reports"`
+	Invalid      uint64 `json:"absurd"`       // loads with a value out of range
+	Late         uint64 `json:"late"`         // loads of a window that began before the server became Unhealthy
+	Contradicted uint64 `json:"contradicted"` // loads with failures that no majority of proxies saw
+	Unknown      uint64 `json:"unknown"`      // loads of unlisted servers, reports of unknown proxies
 }
 
-// sound tells whether a figure can be one.
-func sound(xs ...float64) bool {
-	return !slices.ContainsFunc(xs, func(x float64) bool { return !(x >= 0 && x <= absurd) })
+// evidenceWindow is what proxies reported of a server since the evidence was judged last.
+type evidenceWindow struct {
+	loads map[string]ServerLoad // by proxy
+	hung  int                   // consecutive windows with requests in progress and none that ended
 }
 
-// Report takes a proxy's report; one that is not connected, and lines about what is not listed, are
-// counted and dropped.
+// Report takes a load report. Reports of unknown proxies and loads of unlisted servers are counted and dropped.
 func (a *Assigner) Report(now float64, id string, r *Report) {
 	p := a.proxies[id]
 	if p == nil {
@@ -52,54 +59,80 @@
 		return
 	}
 	a.counts.Reports++
-	if !(r.IntervalMs > 0) || r.IntervalMs > 1e9 {
+	if !(r.IntervalMs > 0) || r.IntervalMs > maxReportIntervalMs {
 		r.IntervalMs = a.cfg.ReportMs
 	}
-	from, issued := now-r.IntervalMs, 0.0
-	if sound(r.Issued) {
+	windowStart := now - r.IntervalMs
+	issued := 0.0
+	if valid(r.Issued) {
 		issued = r.Issued
 	}
-	for i := range r.Loads {
-		l := r.Loads[i]
-		s := a.byAddr[l.Addr]
+	for _, load := range r.Loads {
+		s := a.byAddr[load.Addr]
 		switch {
-		case !sound(l.Served, l.Failed, l.InProgress, l.Issued, l.Rejected):
+		case !valid(load.Served, load.Failed, load.InProgress, load.Issued, load.Rejected):
 			a.counts.Invalid++
 			continue
 		case s == nil:
 			a.counts.Unknown++
 			continue
 		}
-		issued += max(l.Issued, l.Served+l.Failed)
-		if since, ok := a.bad[s.entry.ID]; ok && from < since {
-			// It began before the failure: what was served then says nothing about after.
-			if l.Served > 0 {
-				a.counts.Late++
-			}
-			l.Served, l.Rejected = 0, 0
-		}
-		if s.sight.lines == nil {
-			s.sight.lines = map[string]ServerLoad{}
-		}
-		old := s.sight.lines[id]
-		old.Served, old.Failed, old.Rejected = old.Served+l.Served, old.Failed+l.Failed, old.Rejected+l.Rejected
-		old.InProgress = l.InProgress
-		s.sight.lines[id] = old
+		issued += max(load.Issued, load.Served+load.Failed)
+		a.dropLate(s, &load, windowStart)
+		s.evidence.add(id, load)
+	}
+	p.updateRate(now, issued/r.IntervalMs*1000)
+}
+
+// valid reports whether all values are in range; NaN is not.
+func valid(values ...float64) bool {
+	return !slices.ContainsFunc(values, func(v float64) bool { return !(v >= 0 && v <= maxReportedValue) })
+}
+
+// dropLate removes what a server answered in a window that began before it became Unhealthy: that says
+// nothing about its state since.
+func (a *Assigner) dropLate(s *server, load *ServerLoad, windowStart float64) {
+	since, unhealthy := a.unhealthySince[s.entry.ID]
+	if !unhealthy || windowStart >= since {
+		return
+	}
+	if load.Served > 0 {
+		a.counts.Late++
 	}
-	rate := issued / r.IntervalMs * 1000
+	load.Served = 0
+	load.Rejected = 0
+}
+
+// add adds a load to what the proxy reported in this window.
+func (w *evidenceWindow) add(proxyID string, load ServerLoad) {
+	if w.loads == nil {
+		w.loads = map[string]ServerLoad{}
+	}
+	sum := w.loads[proxyID]
+	sum.Served += load.Served
+	sum.Failed += load.Failed
+	sum.Rejected += load.Rejected
+	sum.InProgress = load.InProgress
+	w.loads[proxyID] = sum
+}
+
+// updateRate updates the moving average of the proxy's request rate.
+func (p *proxy) updateRate(now, rate float64) {
 	if p.ratedMs == 0 {
 		p.rate = rate
 	} else {
-		p.rate += rateSmooth * (rate - p.rate)
+		p.rate += rateSmoothing * (rate - p.rate)
 	}
 	p.ratedMs = now
 }
 
-// judge hands the module what was seen, a line a server: each proxy has one voice, whatever it
-// sends, and what only a minority sees to fail is theirs, not the server's.
-func (a *Assigner) judge(now float64) {
-	var seen []policy.Evidence
-	missed, tries := map[string]float64{}, map[string]float64{} // by zone, of own servers
+// judgeEvidence passes the window's evidence to the balancer, one item a server, in the order of IDs, and
+// updates the locality weights.
+func (a *Assigner) judgeEvidence(now float64) {
+	var evidence []policy.Evidence
+	// Of the servers in a zone, as seen by the proxies of the same zone.
+	failed := map[string]float64{}
+	ended := map[string]float64{}
 	ids := make([]string, 0, len(a.servers))
 	for id := range a.servers {
 		ids = append(ids, id)
@@ -107,75 +140,88 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		s := a.servers[id]
-		if len(s.sight.lines) == 0 {
+		if len(s.evidence.loads) == 0 {
 			continue
 		}
-		e, contradicted := s.sight.weigh()
+		e, contradicted := s.evidence.aggregate()
 		a.counts.Contradicted += uint64(contradicted)
-		e.Server = s.name
-		for pid, l := range s.sight.lines {
-			if p := a.proxies[pid]; p != nil && p.zone == s.entry.Zone {
-				missed[p.zone] += l.Failed
-				tries[p.zone] += l.Served + l.Failed
+		e.Server = s.policyAddr
+		for proxyID, load := range s.evidence.loads {
+			if p := a.proxies[proxyID]; p != nil && p.zone == s.entry.Zone {
+				failed[p.zone] += load.Failed
+				ended[p.zone] += load.Served + load.Failed
 			}
 		}
-		clear(s.sight.lines)
-		seen = append(seen, e)
+		clear(s.evidence.loads)
+		evidence = append(evidence, e)
 	}
 	for zone, g := range a.groups {
-		if n := tries[zone]; n > 0 {
-			g.own = policy.NextLocalityWeight(g.own, a.cfg.Settings.Prices.CrossZone, missed[zone]/n)
+		if n := ended[zone]; n > 0 {
+			g.localityWeight = policy.NextLocalityWeight(g.localityWeight, a.cfg.Settings.Prices.CrossZone, failed[zone]/n)
 		}
 	}
-	a.module.Observe(now, a.cfg.EjectionMs, seen)
+	a.balancer.Observe(now, a.cfg.EjectionMs, evidence)
 	a.dirty = true
 }
 
-// weigh sums up the voices about one server.
-func (s *sight) weigh() (e policy.Evidence, contradicted int) {
-	var counts []float64
-	dead, well := 0, 0
+// aggregate sums up what proxies reported of a server. No proxy counts for more requests than the median
+// one, and the failures of a proxy that saw mostly failures count only where most proxies did.
+func (w *evidenceWindow) aggregate() (e policy.Evidence, contradicted int) {
+	var endedByProxy []float64
+	failing := 0
+	healthy := 0
 	inProgress := 0.0
-	for _, l := range s.lines {
-		inProgress += l.InProgress
-		n := l.Served + l.Failed + l.Rejected
+	for _, load := range w.loads {
+		inProgress += load.InProgress
+		n := load.ended()
 		if n == 0 {
 			continue
 		}
-		counts = append(counts, n)
-		if l.Failed > n/2 {
-			dead++
+		endedByProxy = append(endedByProxy, n)
+		if load.Failed > n/2 {
+			failing++
 		} else {
-			well++
+			healthy++
 		}
 	}
-	if len(counts) == 0 {
-		// Nothing ended. Requests that stay in progress for long mean a server that hangs.
-		if s.hung++; inProgress == 0 {
-			s.hung = 0
-		}
-		if s.hung >= hungAfter {
-			e.Failed, e.Silent = math.Min(inProgress, 10), true
-		}
-		return e, 0
+	if len(endedByProxy) == 0 {
+		return w.aggregateHung(inProgress), 0
 	}
-	s.hung = 0
-	slices.Sort(counts)
-	most := max(counts[len(counts)/2], 1) // no proxy counts for more than the middle one
-	for _, l := range s.lines {
-		n := l.Served + l.Failed + l.Rejected
+	w.hung = 0
+	slices.Sort(endedByProxy)
+	median := max(endedByProxy[len(endedByProxy)/2], 1)
+	majorityFailing := 2*failing > failing+healthy
+	for _, load := range w.loads {
+		n := load.ended()
 		if n == 0 {
 			continue
 		}
-		k := min(most/n, 1)
-		e.Served += l.Served * k
-		e.Rejected += l.Rejected * k
-		if l.Failed > n/2 && 2*dead <= dead+well {
-			contradicted++ // seen by a minority, or by as many as see it well
+		scale := min(median/n, 1)
+		e.Served += load.Served * scale
+		e.Rejected += load.Rejected * scale
+		if load.Failed > n/2 && !majorityFailing {
+			contradicted++
 			continue
 		}
-		e.Failed += l.Failed * k
+		e.Failed += load.Failed * scale
 	}
 	e.Silent = e.Served == 0 && e.Rejected == 0
 	return e, contradicted
 }
+
+// aggregateHung is the evidence of a window in which no request ended: requests that stay in progress over
+// several windows mean a server that hangs.
+func (w *evidenceWindow) aggregateHung(inProgress float64) (e policy.Evidence) {
+	w.hung++
+	if inProgress == 0 {
+		w.hung = 0
+	}
+	if w.hung >= hungWindows {
+		e.Failed = math.Min(inProgress, maxHungFailures)
+		e.Silent = true
+	}
+	return e
+}
+
+// ended is the number of requests that ended.
+func (l *ServerLoad) ended() float64 { return l.Served + l.Failed + l.Rejected }
--- a/internal/control/assign/routes.go
+++ b/internal/control/assign/routes.go
@@ -1,71 +1,81 @@
 package assign
 
-import (
-	"ringtrack.example/ringtrack/policy"
+import "ringtrack.example/ringtrack/policy"
+
+const (
+	backoffBaseMs = 10
+	backoffMaxMs  = 100
+	// maxProxyAttempts bounds the attempts of a request at a proxy, whatever the settings allow.
+	maxProxyAttempts = 3
+	// answerMarginMs is taken from a route's timeout, so that the proxy's answer reaches the client in time.
+	answerMarginMs = 8.0
+	// maxAnswerMarginFraction bounds that margin, as a part of the timeout.
+	maxAnswerMarginFraction = 1.0 / 8
+	// windowMarginMs is what clocks, scheduling and the network may take from an idempotency window.
+	windowMarginMs = 50.0
 )
 
-// Route is what proxies are to do with requests of one class.
+// Route is how proxies handle the requests of one class.
 type Route struct {
-	Class      string // "" for whatever no class is named of
+	Class      string // "" for requests without a known class
 	TimeoutMs  float64
-	MaxRetries int // further attempts at the most; never two at once
+	MaxRetries int // attempts after the first; never two at once
 	RetryOn    RetryOn
-	// Backoff bounds the pause before a further attempt, drawn by the proxy.
+	// BackoffBaseMs and BackoffMaxMs bound the random backoff before a retry.
 	BackoffBaseMs, BackoffMaxMs float64
-	// RetryBudgetPercent is the part of running requests that may be further attempts, in 1/100.
+	// RetryBudgetPercent is the percentage of the active requests that may be retries.
 	RetryBudgetPercent float64
 }
 
-// RetryOn tells after which endings a further attempt is allowed.
+// RetryOn is the set of failures after which a retry is permitted.
 type RetryOn uint8
 
-// The rules of further attempts.
+// The retry conditions.
 const (
-	// NeverRan: only where the attempt can't have run: no connection came up, the stream was refused,
-	// or the answer says Not-Started.
+	// NeverRan permits a retry only where the attempt cannot have run: the connection failed, the stream
+	// was refused, or the answer carries Not-Started.
 	NeverRan RetryOn = iota
-	// AnyFailure: after any failure, also one after which the attempt may have run.
+	// AnyFailure permits a retry after any failure, including those after which the attempt may have run.
 	AnyFailure
 )
 
-const (
-	backoffLeastMs, backoffMostMs = 10, 100
-	// answerMargin is what a proxy's answer takes to reach its client in time, from a route's time.
-	answerMargin = 8.0
-	// windowMargin is what a proxy's clock, scheduling and the way to the server may take from a
-	// keyed request's window.
-	windowMargin = 50.0
-)
-
-// Routes decides, for each class, what proxies may do by themselves. A proxy has no notion of a
-// window or a group, so that what it may repeat must hold for all the time that the route gives:
-// a keyed class is repeated after any failure only where every server drops repeats and the window
-// is longer than the route's whole time. All else that is not safe goes again only where it never ran.
-// The last route is for what names no class, taken as unsafe, with the shortest time of all.
+// Routes returns a route for each class, and a last one for requests without a known class, which are
+// taken as not idempotent and get the shortest timeout of all.
+//
+// A proxy knows neither idempotency windows nor deduplication scopes, so what it may retry has to be safe
+// for the complete timeout of the route: classes idempotent by key are retried after any failure only
+// where all servers share the deduplication and the window is longer than the timeout.
 func Routes(s *policy.Settings) []Route {
 	routes := make([]Route, 0, len(s.Classes)+1)
-	rest := Route{RetryOn: NeverRan}
+	unclassified := Route{RetryOn: NeverRan}
 	for i := range s.Classes {
-		c := &s.Classes[i]
-		r := Route{Class: c.Name, TimeoutMs: c.ClientTimeoutMs, RetryOn: NeverRan}
-		switch {
-		case c.Effect == policy.Idempotent:
-			r.RetryOn = AnyFailure
-		case c.Effect == policy.IdempotentByKey && c.DedupScope == policy.ScopeAll && c.IdempotencyWindowMs >= c.ClientTimeoutMs+windowMargin:
-			r.RetryOn = AnyFailure
+		class := &s.Classes[i]
+		routes = append(routes, Route{Class: class.Name, TimeoutMs: class.ClientTimeoutMs, RetryOn: retryOn(class)})
+		if unclassified.TimeoutMs == 0 || class.ClientTimeoutMs < unclassified.TimeoutMs {
+			unclassified.TimeoutMs = class.ClientTimeoutMs
 		}
-		if rest.TimeoutMs == 0 || c.ClientTimeoutMs < rest.TimeoutMs {
-			rest.TimeoutMs = c.ClientTimeoutMs
-		}
-		routes = append(routes, r)
 	}
-	routes = append(routes, rest)
+	routes = append(routes, unclassified)
 	for i := range routes {
 		r := &routes[i]
-		r.TimeoutMs -= min(answerMargin, r.TimeoutMs/8)
-		r.MaxRetries = max(min(s.Limits.MaxAttempts, 3)-1, 0)
-		r.BackoffBaseMs, r.BackoffMaxMs = backoffLeastMs, backoffMostMs
+		r.TimeoutMs -= min(answerMarginMs, r.TimeoutMs*maxAnswerMarginFraction)
+		r.MaxRetries = max(min(s.Limits.MaxAttempts, maxProxyAttempts)-1, 0)
+		r.BackoffBaseMs = backoffBaseMs
+		r.BackoffMaxMs = backoffMaxMs
 		r.RetryBudgetPercent = policy.RetryTokensPerSuccess * 100
 	}
 	return routes
 }
+
+// retryOn returns after which failures proxies may retry requests of a class.
+func retryOn(class *policy.Class) RetryOn {
+	switch class.Effect {
+	case policy.Idempotent:
+		return AnyFailure
+	case policy.IdempotentByKey:
+		if class.DedupScope == policy.ScopeAll && class.IdempotencyWindowMs >= class.ClientTimeoutMs+windowMarginMs {
+			return AnyFailure
+		}
+	}
+	return NeverRan
+}
--- a/internal/control/assign/routes_test.go
+++ b/internal/control/assign/routes_test.go
@@ -6,20 +6,20 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// ending is how an attempt may end at a proxy, and whether it may have run, by the protocol page.
-type ending struct {
+// outcome is how an attempt may end at a proxy, and whether it may have run.
+type outcome struct {
 	name   string
 	mayRun bool
 }
 
-var endings = []ending{
-	{"error answer", true}, {"turned away", false}, {"could not connect", false}, {"reset", true}, {"timed out", true},
+var outcomes = []outcome{
+	{"error answer", true}, {"rejected", false}, {"could not connect", false}, {"reset", true}, {"timed out", true},
 }
 
-// modelAllows is rule 2, written from the brief and not from the code: whether a class may be tried
-// again by a proxy that knows no window and no group, at any time within giveUp.
-func modelAllows(c policy.Class, e ending) bool {
-	if !e.mayRun {
+// modelAllows is rule 2 as a model independent of the code: whether a proxy that knows no idempotency window
+// and no deduplication scope may retry a class at any time within the client timeout.
+func modelAllows(c policy.Class, o outcome) bool {
+	if !o.mayRun {
 		return true
 	}
 	switch c.Effect {
@@ -31,7 +31,7 @@
 	return false
 }
 
-func TestRoutesKeepRuleTwo(t *testing.T) {
+func TestRoutesRetryOnlyWhatIsSafe(t *testing.T) {
 	var classes []policy.Class
 	for _, effect := range []policy.Effect{policy.Idempotent, policy.IdempotentByKey, policy.NonIdempotent} {
 		for _, group := range []policy.DedupScope{policy.ScopeAll, policy.ScopeZone, policy.ScopeCell} {
@@ -58,15 +58,15 @@
 			if !(r.TimeoutMs > 0 && r.TimeoutMs < c.ClientTimeoutMs) {
 				t.Errorf("%+v: time-out %v of %v", c, r.TimeoutMs, c.ClientTimeoutMs)
 			}
-			for _, e := range endings {
-				again := !e.mayRun || r.RetryOn == AnyFailure
-				if again && !modelAllows(c, e) {
-					t.Errorf("%+v is tried again after %q", c, e.name)
+			for _, o := range outcomes {
+				retried := !o.mayRun || r.RetryOn == AnyFailure
+				if retried && !modelAllows(c, o) {
+					t.Errorf("%+v is retried after %q", c, o.name)
 				}
 			}
-			// And what is plainly allowed is used.
+			// What is clearly permitted is used.
 			if c.Effect == policy.Idempotent && r.RetryOn != AnyFailure || c.Effect == policy.IdempotentByKey && c.DedupScope == policy.ScopeAll && c.IdempotencyWindowMs == 5000 && r.RetryOn != AnyFailure {
-				t.Errorf("%+v is not tried again", c)
+				t.Errorf("%+v is not retried", c)
 			}
 		}
 	}
