--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -213,7 +213,7 @@
 	}
 	if c.Ephemeral != nil {
 		out.Merge = c.Ephemeral.Merge()
-		out.WatchNodes = ephemeral.NewSource(c.Ephemeral).Nodes(func(problem string) { slog.Warn("registry", "problem", problem) })
+		out.WatchNodes = ephemeral.NewSource(c.Ephemeral).Feed(func(problem string) { slog.Warn("registry", "problem", problem) })
 	}
 	return out
 }
--- a/internal/lab/acceptance/ephemeralsize.go
+++ b/internal/lab/acceptance/ephemeralsize.go
@@ -50,7 +50,7 @@
 		defer close(ended)
 		ephemeral.NewSource(c).Run(ctx, func(u ephemeral.Update) {
 			for _, s := range u.Changes {
-				if s.Gone {
+				if s.Expired {
 					delete(there, s.Name)
 					if gone != nil {
 						gone()
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -147,7 +147,7 @@
 		if err != nil {
 			return w, err
 		}
-		cfg.Merge, cfg.WatchNodes = c.Merge(), ephemeral.NewSource(c).Nodes(nil)
+		cfg.Merge, cfg.WatchNodes = c.Merge(), ephemeral.NewSource(c).Feed(nil)
 	}
 	return w, w.start(cfg, o.Refuse)
 }
--- a/internal/lab/zk/ensemble.go
+++ b/internal/lab/zk/ensemble.go
@@ -161,7 +161,7 @@
 	delete(e.sessions, s.id)
 	var changes []change
 	for path, n := range e.history.nodes {
-		if n.stat.Owner == s.id {
+		if n.stat.EphemeralOwner == s.id {
 			changes = append(changes, change{kind: deleted, path: path})
 		}
 	}
@@ -331,7 +331,7 @@
 	}
 	e.nextID++
 	s := &session{id: e.nextID, password: binary.BigEndian.AppendUint64(make([]byte, 8), e.rng.Uint64()), conn: nc, heard: time.Now(),
-		timeout: min(max(time.Duration(c.TimeOut)*time.Millisecond, e.opts.Least), e.opts.Most)}
+		timeout: min(max(time.Duration(c.TimeoutMs)*time.Millisecond, e.opts.Least), e.opts.Most)}
 	e.sessions[s.id] = s
 	return s
 }
--- a/internal/lab/zk/ops.go
+++ b/internal/lab/zk/ops.go
@@ -210,7 +210,7 @@
 			return nil, zkwire.InvalidACL
 		case up == nil:
 			return nil, zkwire.NoNode
-		case up.stat.Owner != 0:
+		case up.stat.EphemeralOwner != 0:
 			return nil, zkwire.EphemeralChildren
 		case !may(parent(path), zkwire.PermCreate):
 			return nil, zkwire.NoAuth
--- a/internal/lab/zk/server.go
+++ b/internal/lab/zk/server.go
@@ -314,15 +314,15 @@
 		}
 		taken = true
 		s.conns[c] = struct{}{}
-		answer := zkwire.Connect{Password: make([]byte, 16), HasRO: hello.HasRO, ReadOnly: alone}
+		answer := zkwire.Connect{Password: make([]byte, 16), HasReadOnly: hello.HasReadOnly, ReadOnly: alone}
 		if c.ro = alone; alone && hello.Session == 0 {
 			// A session of this server's own, which no other knows.
-			answer.TimeOut, answer.Session = hello.TimeOut, -1
+			answer.TimeoutMs, answer.Session = hello.TimeoutMs, -1
 		} else if c.session = s.e.open(&hello, c); c.session != nil {
-			answer.TimeOut, answer.Session, answer.Password = int32(c.session.timeout.Milliseconds()), c.session.id, c.session.password
+			answer.TimeoutMs, answer.Session, answer.Password = int32(c.session.timeout.Milliseconds()), c.session.id, c.session.password
 			c.auth = c.session.auth
 		}
-		c.send(answer.AppendAnswer)
+		c.send(answer.AppendResponse)
 	})
 	if !taken {
 		return
--- a/internal/lab/zk/tree.go
+++ b/internal/lab/zk/tree.go
@@ -76,7 +76,7 @@
 	switch c.kind {
 	case created:
 		t.nodes[c.path] = &node{data: c.data, acl: c.acl, children: map[string]struct{}{}, stat: zkwire.Stat{Czxid: x.zxid, Mzxid: x.zxid,
-			Pzxid: x.zxid, Ctime: x.ms, Mtime: x.ms, Owner: c.own, DataLength: int32(len(c.data))}}
+			Pzxid: x.zxid, Ctime: x.ms, Mtime: x.ms, EphemeralOwner: c.own, DataLength: int32(len(c.data))}}
 		p.children[base(c.path)] = struct{}{}
 		p.next++
 		p.stat.Cversion++
--- a/internal/lab/zk/witness_test.go
+++ b/internal/lab/zk/witness_test.go
@@ -205,7 +205,7 @@
 			t.Fatal(err)
 		}
 		nc.SetDeadline(time.Now().Add(patience))
-		hello := zkwire.Connect{LastZxid: seen, TimeOut: 1000, Password: make([]byte, 16)}
+		hello := zkwire.Connect{LastZxid: seen, TimeoutMs: 1000, Password: make([]byte, 16)}
 		nc.Write(zkwire.Frame(hello.AppendRequest))
 		_, err = io.ReadFull(nc, make([]byte, 4))
 		if taken := err == nil; taken != (seen == behind) {
--- a/internal/membership/discovery/client_test.go
+++ b/internal/membership/discovery/client_test.go
@@ -26,7 +26,7 @@
 	d.OnUpdate = func(*membership.List, bool, error) {}
 	from := time.Now()
 	d.Watch(1, false)
-	most := callBurst + int64(callsPerS*time.Since(from).Seconds()) + 1
+	most := callBurst + int64(callsPerSecond*time.Since(from).Seconds()) + 1
 	if n := calls.Load(); n < 2 || n > most {
 		t.Errorf("%d calls, want 2 to %d", n, most)
 	}
--- a/internal/membership/discovery/silent_test.go
+++ b/internal/membership/discovery/silent_test.go
@@ -16,7 +16,7 @@
 // A watch that falls silent is opened anew from the version at hand, at once and by the same call of Watch, and what it
 // missed is told; no failure is, that would have the module wait. A roster that has a line just then is asked again.
 func TestASilentWatchIsOpenedAnew(t *testing.T) {
-	for _, refused := range []int{0, 1, reopens, reopens + 1} {
+	for _, refused := range []int{0, 1, maxReopenFailures, maxReopenFailures + 1} {
 		t.Run(fmt.Sprint(refused), func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
@@ -39,7 +39,7 @@
 			}))
 			d := NewClient(t.Context(), s.Listener.Addr().String())
 			d.PollFrequently()
-			d.least, d.most, d.grace = 50*time.Millisecond, 60*time.Millisecond, time.Second
+			d.minWait, d.maxWait, d.grace = 50*time.Millisecond, 60*time.Millisecond, time.Second
 			quiet := 0
 			d.OnSilent = func(err error) {
 				if quiet++; !strings.Contains(err.Error(), "silent") {
@@ -61,7 +61,7 @@
 			d.Close()
 			s.Close()
 			want := []string{"up", "draining"}
-			if refused > reopens {
+			if refused > maxReopenFailures {
 				want = []string{"up", "failed"}
 			}
 			if !slices.Equal(told, want) || quiet != 1 {
@@ -88,11 +88,11 @@
 		for i := range max(of, 1) {
 			d := NewClient(t.Context(), "127.0.0.1:1")
 			d.SetPollSlot(i, of)
-			wait := d.wait()
-			if wait < last || wait < waitLeast || wait > waitMost {
+			wait := d.drawWait()
+			if wait < last || wait < minWatchWait || wait > maxWatchWait {
 				t.Fatalf("agent %d of %d waits %v, the one before %v", i, of, wait, last)
 			}
-			if last = wait; wait+callGrace+turn > max(told, wait+afterWait) {
+			if last = wait; wait+watchGrace+turn > max(told, wait+afterWait) {
 				t.Errorf("agent %d of %d waits %v", i, of, wait)
 			}
 		}
--- a/internal/membership/ephemeral/config.go
+++ b/internal/membership/ephemeral/config.go
@@ -19,15 +19,15 @@
 // Forms of the nodes' data, and ways of watching.
 const (
 	FormAuto      = "auto"
-	FormRoster    = "roster"
+	FormEndpoint  = "roster"
 	FormServerSet = "serverset"
 
 	WatchAuto    = "auto"
 	WatchOneShot = "oneshot"
 )
 
-// mostHosts bounds the ensemble.
-const mostHosts = 31
+// maxEnsemble bounds the ensemble.
+const maxEnsemble = 31
 
 // Config is what deploy/ephemeral.toml says. Keys, units and defaults are on the operators' page.
 type Config struct {
@@ -59,16 +59,16 @@
 		MostMs   float64 `toml:"most_ms"`
 		WindowMs float64 `toml:"window_ms"`
 	} `toml:"flap"`
-	MemoryMs float64  `toml:"memory_ms"`
-	Register Register `toml:"register"`
+	MemoryMs float64        `toml:"memory_ms"`
+	Register RegisterConfig `toml:"register"`
 
-	forget, pause time.Duration // for tests; 0: forgetAfter, mostPause
+	resetAfter, maxBackoff time.Duration // for tests; 0: forgetAfter, mostPause
 }
 
 // Default is a Config with all that has a default.
 func Default() *Config {
 	d := membership.DefaultMerge()
-	c := &Config{Path: "/", Depth: 1, SessionMs: 6000, Form: FormAuto, Watch: WatchAuto, MaxNodes: 20_000, FrameLimit: zkwire.DefaultFrame,
+	c := &Config{Path: "/", Depth: 1, SessionMs: 6000, Form: FormAuto, Watch: WatchAuto, MaxNodes: 20_000, FrameLimit: zkwire.DefaultMaxFrameBytes,
 		Covers: "seen", MemoryMs: d.MemoryMs}
 	c.Stale.AfterMs, c.Stale.LapseMs = d.StaleAfterMs, d.LostAfterMs
 	c.Vanish.Share, c.Vanish.Least, c.Vanish.WindowMs, c.Vanish.WaitMs = d.MassExpiryFraction, d.MassExpiryMin, d.MassExpiryWindowMs, d.MassExpiryHoldMs
@@ -114,8 +114,8 @@
 
 // Check says what makes a configuration unusable; the error names the key.
 func (c *Config) Check() error {
-	if len(c.Ensemble) == 0 || len(c.Ensemble) > mostHosts {
-		return fmt.Errorf("ensemble: must name 1 to %d servers, names %d", mostHosts, len(c.Ensemble))
+	if len(c.Ensemble) == 0 || len(c.Ensemble) > maxEnsemble {
+		return fmt.Errorf("ensemble: must name 1 to %d servers, names %d", maxEnsemble, len(c.Ensemble))
 	}
 	for i, a := range c.Ensemble {
 		if host, port, err := net.SplitHostPort(a); err != nil || host == "" || port == "" {
@@ -137,7 +137,7 @@
 	for _, o := range []struct {
 		key, value string
 		of         []string
-	}{{"form", c.Form, []string{FormAuto, FormRoster, FormServerSet}}, {"watch", c.Watch, []string{WatchAuto, WatchOneShot}},
+	}{{"form", c.Form, []string{FormAuto, FormEndpoint, FormServerSet}}, {"watch", c.Watch, []string{WatchAuto, WatchOneShot}},
 		{"covers", c.Covers, []string{"seen", "all"}}} {
 		ok := false
 		for _, v := range o.of {
@@ -172,7 +172,7 @@
 			return fmt.Errorf("register.id: a node can be kept only where depth is 1")
 		}
 		e := membership.Entry{ID: g.ID, Addr: g.Addr, State: membership.Up, Weight: g.Weight}
-		if err := e.Check(); err != nil {
+		if err := e.Validate(); err != nil {
 			return fmt.Errorf("register: %w", err)
 		}
 	}
--- a/internal/membership/ephemeral/config_test.go
+++ b/internal/membership/ephemeral/config_test.go
@@ -55,11 +55,11 @@
 		{FormAuto, `{"serviceEndpoint":{"host":"h","port":7},"additionalEndpoints":{},"status":"ALIVE","shard":3}`, " h:7 up 1"},
 		{FormServerSet, `{"serviceEndpoint":{"host":"::1","port":7},"status":"STOPPING"}`, " [::1]:7 draining 1"},
 		{FormServerSet, `{"addr":"h:1"}`, "error: no serviceEndpoint"},
-		{FormRoster, `{"serviceEndpoint":{"host":"h","port":7},"addr":"h:1"}`, "s-1 h:1 up 1"},
+		{FormEndpoint, `{"serviceEndpoint":{"host":"h","port":7},"addr":"h:1"}`, "s-1 h:1 up 1"},
 		{FormAuto, `{"serviceEndpoint":{"host":"h","port":0},"status":"ALIVE"}`, "error: serviceEndpoint"},
 		{FormAuto, `{"addr":"h"}`, "error: "}, {FormAuto, `{"addr":"h:1","weight":-1}`, "error: "}, {FormAuto, `[1]`, "error: "},
 	} {
-		n, err := parse(test.form, &follow.Change{Name: "dir/s-1", Data: []byte(test.data)})
+		n, err := parseNode(test.form, &follow.Change{Name: "dir/s-1", Data: []byte(test.data)})
 		got := fmt.Sprintf("%s %s %s %v", n.Entry.ID, n.Entry.Addr, n.Entry.State, n.Entry.Weight)
 		if err != nil {
 			if got = "error: " + strings.TrimPrefix(err.Error(), "node dir/s-1: "); n.Entry.ID != "s-1" || n.Entry.Addr != "" {
--- a/internal/membership/ephemeral/follow/follow.go
+++ b/internal/membership/ephemeral/follow/follow.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// Window is the number of requests that may be out.
-	Window = 64
-	// watchesChunk bounds the paths of one SetWatches, in bytes, well below what servers take.
-	watchesChunk = 128 << 10
+	// MaxOutstanding is the number of requests that may be out.
+	MaxOutstanding = 64
+	// maxSetWatchesBytes bounds the paths of one SetWatches, in bytes, well below what servers take.
+	maxSetWatchesBytes = 128 << 10
 	// maxProblems bounds what is kept for a person to read.
 	maxProblems = 16
-	// mostDoubts bounds the connections that are left in a row because their server shows what has ended: a
+	// maxDoubtedConnections bounds the connections that are left in a row because their server shows what has ended: a
 	// registry that was put back to an earlier state is believed in the end.
-	mostDoubts = 16
+	maxDoubtedConnections = 16
 )
 
 // Config says what is followed.
@@ -33,8 +33,8 @@
 	Depth int    // 1: its children are the nodes; 2: it holds directories whose children are
 	// OneShot asks for no persistent recursive watch, also where the server has them.
 	OneShot bool
-	// Most bounds the nodes that are followed; what is beyond is left out, and said.
-	Most int
+	// MaxNodes bounds the nodes that are followed; what is beyond is left out, and said.
+	MaxNodes int
 }
 
 // Request is something to ask the registry.
@@ -56,45 +56,45 @@
 
 // Change is what became of a node.
 type Change struct {
-	Name string // below the root, with its directory where there are such
-	Gone bool
-	Data []byte
-	Stat zkwire.Stat
+	Name    string // below the root, with its directory where there are such
+	Expired bool
+	Data    []byte
+	Stat    zkwire.Stat
 }
 
-// node is one that is followed.
-type node struct {
-	known   bool  // told as being there
-	stale   bool  // not read since the session began: no watch stands on it
-	czxid   int64 // of what was told
-	mzxid   int64
-	reading bool // a read is queued or out; a further one is not needed, unless:
-	out     bool // it is out, and
-	again   bool // something has come since
+// tracked is one that is followed.
+type tracked struct {
+	known       bool  // told as being there
+	unwatched   bool  // not read since the session began: no watch stands on it
+	czxid       int64 // of what was told
+	mzxid       int64
+	readPending bool // a read is queued or out; a further one is not needed, unless:
+	inFlight    bool // it is out, and
+	readAgain   bool // something has come since
 }
 
 // Follower follows one directory. It belongs to one goroutine.
 type Follower struct {
-	cfg     Config
-	oneShot bool // what the server can
-	missing bool // the root is not there
-	asking  bool // whether it is, is being asked
-	nodes   map[string]*node
-	dirs    map[string]*node // which are read: known, reading, out, again
-	queue   []Request
-	out     int
-	left    int // nodes beyond the most
-	synced  bool
-	changes []Change
+	cfg           Config
+	oneShot       bool // what the server can
+	rootMissing   bool // the root is not there
+	existsPending bool // whether it is, is being asked
+	nodes         map[string]*tracked
+	dirs          map[string]*tracked // which are read: known, reading, out, again
+	queue         []Request
+	inFlight      int
+	overLimit     int // nodes beyond the most
+	synced        bool
+	changes       []Change
 	// An event does not say how new it is. Until a reply has come behind it (unsure) it may be newer than the
 	// number that is known; ended are the nodes that such events ended, with their czxid, and doubt those of
 	// a connection that was lost before a reply: a server that shows them is behind.
-	unsure  bool
-	ended   map[string]int64
-	doubt   map[string]int64
-	doubted int
-	behind  bool
-	denied  map[string]zkwire.Code // paths to be asked for again
+	unconfirmed        bool
+	unconfirmedExpired map[string]int64
+	doubtedNodes       map[string]int64
+	doubtedConnections int
+	serverBehind       bool
+	failedReads        map[string]zkwire.Code // paths to be asked for again
 	// problems are what a person should see.
 	problems []string
 }
@@ -104,8 +104,8 @@
 	if cfg.Depth < 1 {
 		cfg.Depth = 1
 	}
-	return &Follower{cfg: cfg, oneShot: cfg.OneShot, nodes: map[string]*node{}, dirs: map[string]*node{}, denied: map[string]zkwire.Code{},
-		ended: map[string]int64{}, doubt: map[string]int64{}}
+	return &Follower{cfg: cfg, oneShot: cfg.OneShot, nodes: map[string]*tracked{}, dirs: map[string]*tracked{}, failedReads: map[string]zkwire.Code{},
+		unconfirmedExpired: map[string]int64{}, doubtedNodes: map[string]int64{}}
 }
 
 // Connected tells that a connection is up. renewed: its session is the one of the last connection, so
@@ -113,31 +113,31 @@
 // way what was seen stays until the registry says otherwise.
 func (f *Follower) Connected(renewed bool, zxid int64) {
 	if !renewed {
-		clear(f.doubt)
+		clear(f.doubtedNodes)
 	} else {
-		maps.Copy(f.doubt, f.ended)
+		maps.Copy(f.doubtedNodes, f.unconfirmedExpired)
 		// What the server may not have seen yet it can't tell again: all is read, and held against that.
-		renewed = !f.unsure && len(f.doubt) == 0
+		renewed = !f.unconfirmed && len(f.doubtedNodes) == 0
 	}
-	f.unsure, f.behind = false, false
-	clear(f.ended)
+	f.unconfirmed, f.serverBehind = false, false
+	clear(f.unconfirmedExpired)
 	// First the server is to catch up with its leader: an event does not say how new it is, so that what
 	// one server told may be more than another has, though the number that we know is in order.
-	f.queue, f.out, f.synced = []Request{{Op: zkwire.OpSync, Path: f.cfg.Root}}, 0, false
-	f.denied, f.asking = map[string]zkwire.Code{}, false
+	f.queue, f.inFlight, f.synced = []Request{{Op: zkwire.OpSync, Path: f.cfg.Root}}, 0, false
+	f.failedReads, f.existsPending = map[string]zkwire.Code{}, false
 	var late []Request // reads that the last connection did not live to bring
-	for _, m := range []map[string]*node{f.dirs, f.nodes} {
+	for _, m := range []map[string]*tracked{f.dirs, f.nodes} {
 		for path, n := range m {
-			if n.reading && renewed {
-				late = append(late, f.readOf(path))
+			if n.readPending && renewed {
+				late = append(late, f.readRequest(path))
 			}
-			n.out, n.again, n.stale = false, false, n.stale || !renewed
-			n.reading = n.reading && renewed
+			n.inFlight, n.readAgain, n.unwatched = false, false, n.unwatched || !renewed
+			n.readPending = n.readPending && renewed
 		}
 	}
 	if !renewed {
 		f.oneShot = f.cfg.OneShot // another server may know more
-		f.begin()
+		f.readAll()
 		return
 	}
 	w, size := &zkwire.SetWatches{Zxid: zxid}, 0
@@ -147,35 +147,35 @@
 		w.Recursive = []string{f.cfg.Root}
 	}
 	add := func(list func(*zkwire.SetWatches, string), path string) {
-		if size += len(path) + 4; size > watchesChunk {
+		if size += len(path) + 4; size > maxSetWatchesBytes {
 			f.queue = append(f.queue, Request{Op: op, Watches: w})
 			w, size = &zkwire.SetWatches{Zxid: zxid}, len(path)+4
 		}
 		list(w, path)
 	}
-	if f.missing {
+	if f.rootMissing {
 		w.Exist = []string{f.cfg.Root}
 	}
 	for path, d := range f.dirs {
-		if !d.reading && !(f.missing && path == f.cfg.Root) {
+		if !d.readPending && !(f.rootMissing && path == f.cfg.Root) {
 			add(func(w *zkwire.SetWatches, path string) { w.Child = append(w.Child, path) }, path)
 		}
 	}
 	for path, n := range f.nodes {
-		if !n.reading && n.known {
+		if !n.readPending && n.known {
 			add(func(w *zkwire.SetWatches, path string) { w.Data = append(w.Data, path) }, path)
 		}
 	}
 	f.queue = append(append(f.queue, Request{Op: op, Watches: w}), late...)
 }
 
-// begin reads all.
-func (f *Follower) begin() {
-	f.missing = false
+// readAll reads all.
+func (f *Follower) readAll() {
+	f.rootMissing = false
 	if !f.oneShot {
 		f.queue = append(f.queue, Request{Op: zkwire.OpAddWatch, Path: f.cfg.Root})
 	}
-	f.read(f.cfg.Root)
+	f.queueRead(f.cfg.Root)
 }
 
 // depth is how far below the root a path is; -1: not below.
@@ -202,109 +202,109 @@
 	return "/"
 }
 
-// readOf is the request that reads a directory or a node.
-func (f *Follower) readOf(path string) Request {
+// readRequest is the request that reads a directory or a node.
+func (f *Follower) readRequest(path string) Request {
 	if f.depth(path) < f.cfg.Depth {
 		return Request{Op: zkwire.OpGetChildren2, Path: path, Watch: f.oneShot}
 	}
 	return Request{Op: zkwire.OpGetData, Path: path, Watch: f.oneShot}
 }
 
-// read queues a read of a directory or a node, unless one is queued; one that is out may be too old.
-func (f *Follower) read(path string) {
+// queueRead queues a read of a directory or a node, unless one is queued; one that is out may be too old.
+func (f *Follower) queueRead(path string) {
 	m := f.nodes
 	if f.depth(path) < f.cfg.Depth {
 		m = f.dirs
 	}
 	n := m[path]
 	if n == nil {
-		if len(f.nodes) >= f.cfg.Most && f.cfg.Most > 0 && f.depth(path) == f.cfg.Depth {
-			f.left++
-			f.problem("%d nodes more than the most of %d are left out", f.left, f.cfg.Most)
+		if len(f.nodes) >= f.cfg.MaxNodes && f.cfg.MaxNodes > 0 && f.depth(path) == f.cfg.Depth {
+			f.overLimit++
+			f.problem("%d nodes more than the most of %d are left out", f.overLimit, f.cfg.MaxNodes)
 			return
 		}
-		n = &node{}
+		n = &tracked{}
 		m[path] = n
 	}
 	switch {
-	case n.out:
-		n.again = true
-	case !n.reading:
-		n.reading = true
-		f.queue = append(f.queue, f.readOf(path))
+	case n.inFlight:
+		n.readAgain = true
+	case !n.readPending:
+		n.readPending = true
+		f.queue = append(f.queue, f.readRequest(path))
 	}
 }
 
 // Next takes the next request to send; false where there is none, or enough are out.
 func (f *Follower) Next() (Request, bool) {
-	if len(f.queue) == 0 || f.out >= Window {
+	if len(f.queue) == 0 || f.inFlight >= MaxOutstanding {
 		return Request{}, false
 	}
 	r := f.queue[0]
 	f.queue = f.queue[1:]
-	f.out++
+	f.inFlight++
 	if n := f.dirs[r.Path]; n != nil && r.Op == zkwire.OpGetChildren2 {
-		n.out = true
+		n.inFlight = true
 	} else if n := f.nodes[r.Path]; n != nil && r.Op == zkwire.OpGetData {
-		n.out = true
+		n.inFlight = true
 	}
 	return r, true
 }
 
-// Confirmed tells that a reply of any kind has come: the server has seen what its events said before.
-func (f *Follower) Confirmed() {
-	f.unsure = false
-	clear(f.ended)
+// ReplyReceived tells that a reply of any kind has come: the server has seen what its events said before.
+func (f *Follower) ReplyReceived() {
+	f.unconfirmed = false
+	clear(f.unconfirmedExpired)
 }
 
-// Behind tells whether a reply has shown that the server is behind what was seen; its connection is to be left.
-func (f *Follower) Behind() bool { return f.behind }
+// ServerBehind tells whether a reply has shown that the server is behind what was seen; its connection is to be left.
+func (f *Follower) ServerBehind() bool { return f.serverBehind }
 
-// Event takes an event.
-func (f *Follower) Event(e zkwire.WatchEvent) {
-	f.unsure = true
+// HandleEvent takes an event.
+func (f *Follower) HandleEvent(e zkwire.WatchEvent) {
+	f.unconfirmed = true
 	depth := f.depth(e.Path)
 	switch {
 	case depth < 0 || depth > f.cfg.Depth:
 		return
 	case depth == f.cfg.Depth:
 		if e.Type == zkwire.NodeDeleted {
-			f.gone(e.Path)
+			f.nodeExpired(e.Path)
 		} else {
-			f.read(e.Path)
+			f.queueRead(e.Path)
 		}
 	case e.Type == zkwire.NodeDeleted:
-		f.dirGone(e.Path)
+		f.directoryRemoved(e.Path)
 	default:
-		f.read(e.Path)
+		f.queueRead(e.Path)
 	}
 }
 
-// gone notes that a node is not there.
-func (f *Follower) gone(path string) {
+// nodeExpired notes that a node is not there.
+func (f *Follower) nodeExpired(path string) {
 	n := f.nodes[path]
 	if n == nil {
 		return
 	}
 	if n.known {
-		if f.unsure {
-			f.ended[path] = n.czxid
+		if f.unconfirmed {
+			f.unconfirmedExpired[path] = n.czxid
 		}
 		n.known = false
-		f.changes = append(f.changes, Change{Name: f.name(path), Gone: true})
+		f.changes = append(f.changes, Change{Name: f.name(path), Expired: true})
 	}
-	if n.out {
-		n.again = true // the read that is out may find the next of that name, or miss it
-	} else if !n.reading {
+	if n.inFlight {
+		n.readAgain = true // the read that is out may find the next of that name, or miss it
+	} else if !n.readPending {
 		delete(f.nodes, path)
 	}
 }
 
-// dirGone notes that a directory is not there. All in it went before.
-func (f *Follower) dirGone(path string) {
+// directoryRemoved notes that a directory is not there. All in it went before.
+func (f *Follower) directoryRemoved(path string) {
 	for p := range f.nodes {
 		if strings.HasPrefix(p, path+"/") {
-			f.gone(p)
+			f.nodeExpired(p)
 		}
 	}
 	for p := range f.dirs {
@@ -313,94 +313,94 @@
 		}
 	}
 	if path == f.cfg.Root {
-		f.lost()
+		f.waitForRoot()
 	}
 }
 
-// lost waits for the root, which is not there.
-func (f *Follower) lost() {
-	f.missing = true
+// waitForRoot waits for the root, which is not there.
+func (f *Follower) waitForRoot() {
+	f.rootMissing = true
 	f.problem("%s is not there", f.cfg.Root)
-	if d := f.dirs[f.cfg.Root]; d != nil && !d.out {
+	if d := f.dirs[f.cfg.Root]; d != nil && !d.inFlight {
 		delete(f.dirs, f.cfg.Root)
 	}
-	if f.oneShot && !f.asking {
-		f.asking = true
+	if f.oneShot && !f.existsPending {
+		f.existsPending = true
 		f.queue = append(f.queue, Request{Op: zkwire.OpExists, Path: f.cfg.Root, Watch: true})
 	}
 }
 
-// Reply takes the answer to a request that Next gave.
-func (f *Follower) Reply(r Reply) {
-	f.out--
+// HandleReply takes the answer to a request that Next gave.
+func (f *Follower) HandleReply(r Reply) {
+	f.inFlight--
 	switch r.Request.Op {
 	case zkwire.OpAddWatch, zkwire.OpSetWatches2:
 		if r.Code == zkwire.Unimplemented {
 			// The server is older than such watches: read all again, with one-shot ones.
 			f.oneShot = true
-			f.again()
+			f.restart()
 		}
 	case zkwire.OpExists:
-		f.asking = false
+		f.existsPending = false
 		switch r.Code {
 		case zkwire.OK:
-			f.missing = false
-			f.read(f.cfg.Root)
+			f.rootMissing = false
+			f.queueRead(f.cfg.Root)
 		case zkwire.NoNode: // its watch tells
 		default:
-			f.deny(r)
+			f.readFailed(r)
 		}
 	case zkwire.OpGetChildren2:
-		f.listed(&r)
+		f.handleChildren(&r)
 	case zkwire.OpGetData:
-		f.found(&r)
+		f.handleData(&r)
 	}
-	if !f.synced && !f.behind && len(f.queue) == 0 && f.out == 0 && len(f.denied) == 0 {
-		f.synced, f.doubted = true, 0
-		clear(f.doubt)
+	if !f.synced && !f.serverBehind && len(f.queue) == 0 && f.inFlight == 0 && len(f.failedReads) == 0 {
+		f.synced, f.doubtedConnections = true, 0
+		clear(f.doubtedNodes)
 	}
 }
 
-// again reads all once more, on this connection.
-func (f *Follower) again() {
-	f.queue, f.asking = nil, false
-	for _, m := range []map[string]*node{f.dirs, f.nodes} {
+// restart reads all once more, on this connection.
+func (f *Follower) restart() {
+	f.queue, f.existsPending = nil, false
+	for _, m := range []map[string]*tracked{f.dirs, f.nodes} {
 		for _, n := range m {
-			n.stale = true
-			if n.again = n.out; !n.out {
-				n.reading = false
+			n.unwatched = true
+			if n.readAgain = n.inFlight; !n.inFlight {
+				n.readPending = false
 			}
 		}
 	}
-	f.begin()
+	f.readAll()
 }
 
-func (f *Follower) deny(r Reply) {
-	f.denied[r.Request.Path] = r.Code
+func (f *Follower) readFailed(r Reply) {
+	f.failedReads[r.Request.Path] = r.Code
 	f.problem("%s: %v", r.Request.Path, r.Code)
 }
 
-// listed takes the children of a directory.
-func (f *Follower) listed(r *Reply) {
+// handleChildren takes the children of a directory.
+func (f *Follower) handleChildren(r *Reply) {
 	path := r.Request.Path
 	d := f.dirs[path]
 	if d == nil {
 		return
 	}
-	more := d.again
-	d.reading, d.out, d.again = false, false, false
+	more := d.readAgain
+	d.readPending, d.inFlight, d.readAgain = false, false, false
 	switch r.Code {
 	case zkwire.OK:
 	case zkwire.NoNode:
-		f.dirGone(path)
+		f.directoryRemoved(path)
 		return
 	default:
-		f.deny(*r)
+		f.readFailed(*r)
 		return
 	}
-	d.known, d.stale = true, false
+	d.known, d.unwatched = true, false
 	if path == f.cfg.Root {
-		f.missing = false
+		f.rootMissing = false
 	}
 	there := make(map[string]bool, len(r.Children))
 	for _, name := range r.Children {
@@ -410,37 +410,37 @@
 		if f.depth(child) < f.cfg.Depth {
 			m = f.dirs
 		}
-		if n := m[child]; n == nil || !n.reading && (n.stale || !n.known) {
-			f.read(child)
+		if n := m[child]; n == nil || !n.readPending && (n.unwatched || !n.known) {
+			f.queueRead(child)
 		}
 	}
 	for p := range f.nodes {
 		if !there[p] && parent(p) == path {
-			f.gone(p)
+			f.nodeExpired(p)
 		}
 	}
 	for p := range f.dirs {
 		if p != f.cfg.Root && !there[p] && parent(p) == path {
-			f.dirGone(p)
+			f.directoryRemoved(p)
 		}
 	}
 	if more {
-		f.read(path)
+		f.queueRead(path)
 	}
 }
 
-// found takes a node's data.
-func (f *Follower) found(r *Reply) {
+// handleData takes a node's data.
+func (f *Follower) handleData(r *Reply) {
 	path := r.Request.Path
 	n := f.nodes[path]
 	if n == nil {
 		return
 	}
-	more := n.again
-	n.reading, n.out, n.again = false, false, false
-	if ended, ok := f.doubt[path]; ok && r.Code == zkwire.OK && r.Stat.Czxid <= ended && f.doubted < mostDoubts {
-		f.doubted++
-		f.behind = true
+	more := n.readAgain
+	n.readPending, n.inFlight, n.readAgain = false, false, false
+	if ended, ok := f.doubtedNodes[path]; ok && r.Code == zkwire.OK && r.Stat.Czxid <= ended && f.doubtedConnections < maxDoubtedConnections {
+		f.doubtedConnections++
+		f.serverBehind = true
 		delete(f.nodes, path)
 		return
 	}
@@ -449,24 +449,24 @@
 		if !n.known || n.czxid != r.Stat.Czxid || n.mzxid != r.Stat.Mzxid {
 			f.changes = append(f.changes, Change{Name: f.name(path), Data: r.Data, Stat: r.Stat})
 		}
-		n.known, n.stale, n.czxid, n.mzxid = true, false, r.Stat.Czxid, r.Stat.Mzxid
+		n.known, n.unwatched, n.czxid, n.mzxid = true, false, r.Stat.Czxid, r.Stat.Mzxid
 	case zkwire.NoNode:
-		f.gone(path)
+		f.nodeExpired(path)
 		delete(f.nodes, path)
 	default:
-		f.deny(*r)
+		f.readFailed(*r)
 	}
 	if more {
-		f.read(path)
+		f.queueRead(path)
 	}
 }
 
 // Retry asks again for what was denied. The caller says when.
 func (f *Follower) Retry() {
-	for path := range f.denied {
-		f.read(path)
+	for path := range f.failedReads {
+		f.queueRead(path)
 	}
-	f.denied = map[string]zkwire.Code{}
+	f.failedReads = map[string]zkwire.Code{}
 }
 
 // Changes takes what has changed since the last call, in the order in which it came.
@@ -479,10 +479,10 @@
 // Synced tells whether all that there is has been read on this connection.
 func (f *Follower) Synced() bool { return f.synced }
 
-// Whole tells whether what has been told is, as a whole, the directory as it was at one moment: all that was
+// Consistent tells whether what has been told is, as a whole, the directory as it was at one moment: all that was
 // asked for has come, and an event of anything later than it, which asks for more, has not. While a read is
 // out each node is as it was at some moment, but not all at the same one.
-func (f *Follower) Whole() bool { return f.synced && len(f.queue) == 0 && f.out == 0 }
+func (f *Follower) Consistent() bool { return f.synced && len(f.queue) == 0 && f.inFlight == 0 }
 
 // Size is the number of nodes that are told as being there.
 func (f *Follower) Size() (n int) {
--- a/internal/membership/ephemeral/follow/follow_test.go
+++ b/internal/membership/ephemeral/follow/follow_test.go
@@ -7,8 +7,8 @@
 	"ringtrack.example/ringtrack/internal/zkwire"
 )
 
-// asked takes all requests that may be out.
-func asked(f *Follower) (out []Request) {
+// takeRequests takes all requests that may be out.
+func takeRequests(f *Follower) (out []Request) {
 	for {
 		r, ok := f.Next()
 		if !ok {
@@ -21,7 +21,7 @@
 // answer replies as a server with these nodes would, until nothing more is asked for.
 func answer(f *Follower, nodes map[string]int64) (n int) {
 	for {
-		q := asked(f)
+		q := takeRequests(f)
 		if len(q) == 0 {
 			return n
 		}
@@ -38,7 +38,7 @@
 					reply.Code = zkwire.NoNode
 				}
 			}
-			f.Reply(reply)
+			f.HandleReply(reply)
 		}
 	}
 }
@@ -52,14 +52,14 @@
 	}
 	for _, renewed := range []bool{false, true} {
 		f.Connected(renewed, 7)
-		q := asked(f)
+		q := takeRequests(f)
 		if q[0].Op != zkwire.OpSync {
 			t.Errorf("begins with %+v", q[0])
 		}
 		for _, r := range q {
-			f.Reply(Reply{Request: r, Children: map[bool][]string{true: names(nodes)}[r.Op == zkwire.OpGetChildren2]})
+			f.HandleReply(Reply{Request: r, Children: map[bool][]string{true: names(nodes)}[r.Op == zkwire.OpGetChildren2]})
 		}
-		if n := len(asked(f)); n > Window {
+		if n := len(takeRequests(f)); n > MaxOutstanding {
 			t.Errorf("%d requests out", n)
 		}
 		f.Connected(false, 7)
@@ -89,12 +89,12 @@
 		f.Connected(false, 0)
 		answer(f, nodes)
 		f.Changes()
-		f.Event(zkwire.WatchEvent{Type: zkwire.NodeDataChanged, Path: "/fleet/member_0000000007"})
-		asked(f)      // its read is out, and is lost
-		f.Confirmed() // by the reply to a ping
+		f.HandleEvent(zkwire.WatchEvent{Type: zkwire.NodeDataChanged, Path: "/fleet/member_0000000007"})
+		takeRequests(f)   // its read is out, and is lost
+		f.ReplyReceived() // by the reply to a ping
 		f.Connected(true, 20_000)
 		watched, chunks, reads := map[string]bool{}, 0, 0
-		for _, r := range asked(f) {
+		for _, r := range takeRequests(f) {
 			switch r.Op {
 			case zkwire.OpSetWatches, zkwire.OpSetWatches2:
 				chunks++
@@ -103,7 +103,7 @@
 					watched[p] = true
 					size += len(p) + 4
 				}
-				if size > watchesChunk || r.Watches.Zxid != 20_000 {
+				if size > maxSetWatchesBytes || r.Watches.Zxid != 20_000 {
 					t.Errorf("a chunk of %d bytes since %d", size, r.Watches.Zxid)
 				}
 				if len(r.Watches.Child) > 0 {
@@ -115,7 +115,7 @@
 					t.Errorf("reads %s", r.Path)
 				}
 			}
-			f.Reply(Reply{Request: r, Stat: zkwire.Stat{Czxid: 8, Mzxid: 20_001}})
+			f.HandleReply(Reply{Request: r, Stat: zkwire.Stat{Czxid: 8, Mzxid: 20_001}})
 		}
 		if len(watched) != 10_000 || chunks < 2 || reads != 1 {
 			t.Errorf("one-shot %v: %d watched, %d chunks, %d reads", oneShot, len(watched), chunks, reads)
@@ -134,24 +134,24 @@
 	answer(f, map[string]int64{"/fleet/a": 1})
 	f.Changes()
 	changed := zkwire.WatchEvent{Type: zkwire.NodeDataChanged, Path: "/fleet/a"}
-	f.Event(changed)
-	q := asked(f)
-	f.Event(changed)
-	f.Event(changed)
-	if len(q) != 1 || len(asked(f)) != 0 {
+	f.HandleEvent(changed)
+	q := takeRequests(f)
+	f.HandleEvent(changed)
+	f.HandleEvent(changed)
+	if len(q) != 1 || len(takeRequests(f)) != 0 {
 		t.Errorf("%d reads out", len(q))
 	}
-	f.Reply(Reply{Request: q[0], Stat: zkwire.Stat{Czxid: 1}})
-	if q = asked(f); len(q) != 1 {
+	f.HandleReply(Reply{Request: q[0], Stat: zkwire.Stat{Czxid: 1}})
+	if q = takeRequests(f); len(q) != 1 {
 		t.Errorf("%d reads after the reply, want one", len(q))
 	}
-	f.Reply(Reply{Request: q[0], Stat: zkwire.Stat{Czxid: 1, Mzxid: 5}})
+	f.HandleReply(Reply{Request: q[0], Stat: zkwire.Stat{Czxid: 1, Mzxid: 5}})
 	gone := zkwire.WatchEvent{Type: zkwire.NodeDeleted, Path: "/fleet/a"}
-	f.Event(gone)
-	f.Event(gone)
+	f.HandleEvent(gone)
+	f.HandleEvent(gone)
 	var told []bool
 	for _, c := range f.Changes() {
-		told = append(told, c.Gone)
+		told = append(told, c.Expired)
 	}
 	if fmt.Sprint(told) != "[false true]" {
 		t.Errorf("told %v", told)
@@ -163,34 +163,34 @@
 func TestBetweenEventAndRead(t *testing.T) {
 	f := New(Config{Root: "/fleet", OneShot: true})
 	f.Connected(false, 0)
-	q := asked(f)
-	f.Reply(Reply{Request: q[0]})
-	f.Reply(Reply{Request: q[1], Children: []string{"a", "b"}})
-	for _, r := range asked(f) {
+	q := takeRequests(f)
+	f.HandleReply(Reply{Request: q[0]})
+	f.HandleReply(Reply{Request: q[1], Children: []string{"a", "b"}})
+	for _, r := range takeRequests(f) {
 		if r.Path == "/fleet/b" {
-			f.Reply(Reply{Request: r, Code: zkwire.NoNode})
+			f.HandleReply(Reply{Request: r, Code: zkwire.NoNode})
 		} else {
-			f.Reply(Reply{Request: r, Stat: zkwire.Stat{Czxid: 1}})
+			f.HandleReply(Reply{Request: r, Stat: zkwire.Stat{Czxid: 1}})
 		}
 	}
-	if c := f.Changes(); len(c) != 1 || c[0].Name != "a" || c[0].Gone || !f.Synced() {
+	if c := f.Changes(); len(c) != 1 || c[0].Name != "a" || c[0].Expired || !f.Synced() {
 		t.Fatalf("changes %+v", c)
 	}
 	for _, named := range []bool{true, false} { // the parent's event comes too, or does not
-		f.Event(zkwire.WatchEvent{Type: zkwire.NodeDeleted, Path: "/fleet/a"})
-		if c := f.Changes(); len(c) != 1 || !c[0].Gone {
+		f.HandleEvent(zkwire.WatchEvent{Type: zkwire.NodeDeleted, Path: "/fleet/a"})
+		if c := f.Changes(); len(c) != 1 || !c[0].Expired {
 			t.Fatalf("the end is told as %+v", c)
 		}
-		f.Event(zkwire.WatchEvent{Type: zkwire.NodeChildrenChanged, Path: "/fleet"})
+		f.HandleEvent(zkwire.WatchEvent{Type: zkwire.NodeChildrenChanged, Path: "/fleet"})
 		if !named {
-			f.Event(zkwire.WatchEvent{Type: zkwire.NodeCreated, Path: "/fleet/a"})
+			f.HandleEvent(zkwire.WatchEvent{Type: zkwire.NodeCreated, Path: "/fleet/a"})
 		}
-		for q := asked(f); len(q) > 0; q = asked(f) {
+		for q := takeRequests(f); len(q) > 0; q = takeRequests(f) {
 			for _, r := range q {
-				f.Reply(Reply{Request: r, Children: []string{"a"}, Stat: zkwire.Stat{Czxid: 7}})
+				f.HandleReply(Reply{Request: r, Children: []string{"a"}, Stat: zkwire.Stat{Czxid: 7}})
 			}
 		}
-		if c := f.Changes(); len(c) != 1 || c[0].Gone || c[0].Stat.Czxid != 7 {
+		if c := f.Changes(); len(c) != 1 || c[0].Expired || c[0].Stat.Czxid != 7 {
 			t.Fatalf("the next one is told as %+v", c)
 		}
 	}
@@ -202,7 +202,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		in = in[:min(len(in), 2000)]
 		for _, oneShot := range []bool{false, true} {
-			x := New(Config{Root: "/fleet", Depth: 1 + len(in)%2, OneShot: oneShot, Most: 5})
+			x := New(Config{Root: "/fleet", Depth: 1 + len(in)%2, OneShot: oneShot, MaxNodes: 5})
 			x.Connected(false, 0)
 			var out []Request
 			paths := []string{"/fleet", "/fleet/a", "/fleet/b", "/fleet/a/x", "/other", "/", ""}
@@ -210,10 +210,10 @@
 				path := paths[int(b>>4)%len(paths)]
 				switch b % 8 {
 				case 0, 1:
-					out = append(out, asked(x)...)
+					out = append(out, takeRequests(x)...)
 				case 2, 3:
 					if len(out) > 0 {
-						x.Reply(Reply{Request: out[0], Code: []zkwire.Code{0, zkwire.NoNode, zkwire.NoAuth, zkwire.Unimplemented}[b>>4%4&3],
+						x.HandleReply(Reply{Request: out[0], Code: []zkwire.Code{0, zkwire.NoNode, zkwire.NoAuth, zkwire.Unimplemented}[b>>4%4&3],
 							Children: []string{"a", "b", "c", "d", "e", "f", "g"}[:b>>5], Stat: zkwire.Stat{Czxid: int64(b)}})
 						out = out[1:]
 					}
@@ -223,7 +223,7 @@
 				case 5:
 					x.Retry()
 				default:
-					x.Event(zkwire.WatchEvent{Type: zkwire.Event(b >> 4 & 7), Path: path})
+					x.HandleEvent(zkwire.WatchEvent{Type: zkwire.Event(b >> 4 & 7), Path: path})
 				}
 				if len(x.nodes) > 5+1 || len(x.queue) > 100 {
 					t.Fatalf("%d nodes, %d queued", len(x.nodes), len(x.queue))
@@ -231,10 +231,10 @@
 			}
 			there := map[string]bool{}
 			for _, c := range x.Changes() {
-				if c.Gone && !there[c.Name] {
+				if c.Expired && !there[c.Name] {
 					t.Fatalf("%s is told gone and was not there", c.Name)
 				}
-				there[c.Name] = !c.Gone
+				there[c.Name] = !c.Expired
 			}
 		}
 	})
@@ -249,35 +249,35 @@
 		f := New(Config{Root: "/fleet"})
 		f.Connected(false, 0)
 		answer(f, old)
-		f.Event(zkwire.WatchEvent{Type: zkwire.NodeDeleted, Path: "/fleet/s-1"})
+		f.HandleEvent(zkwire.WatchEvent{Type: zkwire.NodeDeleted, Path: "/fleet/s-1"})
 		if confirmed {
-			f.Confirmed()
+			f.ReplyReceived()
 		}
-		if c := f.Changes(); len(c) != 3 || !c[2].Gone {
+		if c := f.Changes(); len(c) != 3 || !c[2].Expired {
 			t.Fatalf("%+v", c)
 		}
 		f.Connected(true, 7)
 		return f
 	}
 	f := ended(false)
-	if answer(f, old); !f.Behind() || len(f.Changes()) > 0 {
+	if answer(f, old); !f.ServerBehind() || len(f.Changes()) > 0 {
 		t.Error("a server that is behind brings back what has ended")
 	}
 	f.Connected(true, 7)
-	if answer(f, map[string]int64{"/fleet/s-2": 6}); f.Behind() || !f.Synced() || !f.Whole() || len(f.Changes()) > 0 {
+	if answer(f, map[string]int64{"/fleet/s-2": 6}); f.ServerBehind() || !f.Synced() || !f.Consistent() || len(f.Changes()) > 0 {
 		t.Error("a server that has seen it is not believed")
 	}
 	f = ended(false)
-	if answer(f, anew); f.Behind() {
+	if answer(f, anew); f.ServerBehind() {
 		t.Error("the next of that name is taken for the last")
 	}
-	if c := f.Changes(); len(c) != 1 || c[0].Gone || c[0].Stat.Czxid != 9 {
+	if c := f.Changes(); len(c) != 1 || c[0].Expired || c[0].Stat.Czxid != 9 {
 		t.Errorf("the next of that name: %+v", c)
 	}
 	f = ended(false)
 	for n := 0; ; n++ {
-		if answer(f, old); !f.Behind() {
-			if c := f.Changes(); n != mostDoubts || len(c) != 1 || c[0].Gone {
+		if answer(f, old); !f.ServerBehind() {
+			if c := f.Changes(); n != maxDoubtedConnections || len(c) != 1 || c[0].Expired {
 				t.Errorf("believed after %d: %+v", n, c)
 			}
 			break
@@ -286,7 +286,7 @@
 	}
 	// Once a reply has come the number that is known says it all, and nothing is read again.
 	f = ended(true)
-	for _, r := range asked(f) {
+	for _, r := range takeRequests(f) {
 		if r.Op == zkwire.OpGetData || r.Op == zkwire.OpGetChildren2 {
 			t.Errorf("asked %+v", r)
 		}
--- a/internal/membership/ephemeral/node.go
+++ b/internal/membership/ephemeral/node.go
@@ -11,8 +11,8 @@
 	"ringtrack.example/ringtrack/internal/membership/ephemeral/follow"
 )
 
-// maxData bounds a node's data, in bytes.
-const maxData = 64 << 10
+// maxNodeBytes bounds a node's data, in bytes.
+const maxNodeBytes = 64 << 10
 
 // serverSet is the form of the ServerSets of Finagle and Aurora (com.twitter.thrift.ServiceInstance as
 // JSON). Additional endpoints are passed by.
@@ -25,17 +25,17 @@
 	Shard  *int   `json:"shard"`
 }
 
-// parse reads a node. One whose data can't be used still says that a process runs: it counts for the server
+// parseNode reads a node. One whose data can't be used still says that a process runs: it counts for the server
 // of its name, and the error says what is wrong.
-func parse(form string, c *follow.Change) (membership.RegistryNode, error) {
-	n := membership.RegistryNode{Name: c.Name, Czxid: c.Stat.Czxid, CtimeMs: float64(c.Stat.Ctime), Owner: c.Stat.Owner}
+func parseNode(form string, c *follow.Change) (membership.RegistryNode, error) {
+	n := membership.RegistryNode{Name: c.Name, Czxid: c.Stat.Czxid, CtimeMs: float64(c.Stat.Ctime), Owner: c.Stat.EphemeralOwner}
 	last := c.Name[strings.LastIndexByte(c.Name, '/')+1:]
 	fail := func(format string, args ...any) (membership.RegistryNode, error) {
 		n.Entry = membership.Entry{ID: last}
 		return n, fmt.Errorf("node %s: %s", c.Name, fmt.Sprintf(format, args...))
 	}
-	if len(c.Data) > maxData {
-		return fail("data of %d bytes, at most %d", len(c.Data), maxData)
+	if len(c.Data) > maxNodeBytes {
+		return fail("data of %d bytes, at most %d", len(c.Data), maxNodeBytes)
 	}
 	if len(c.Data) == 0 {
 		n.Entry = membership.Entry{ID: last} // presence alone
@@ -45,7 +45,7 @@
 	if err := json.Unmarshal(c.Data, &set); err != nil {
 		return fail("data: %v", err)
 	}
-	if set.ServiceEndpoint != nil && form != FormRoster {
+	if set.ServiceEndpoint != nil && form != FormEndpoint {
 		e := set.ServiceEndpoint
 		if e.Host == "" || e.Port < 1 || e.Port > 65535 {
 			return fail("serviceEndpoint: %.64q port %d is none", e.Host, e.Port)
@@ -76,7 +76,7 @@
 	if e.State == membership.Removed {
 		e.State = membership.Draining // it is there, whatever it says
 	}
-	if err := e.Check(); err != nil {
+	if err := e.Validate(); err != nil {
 		return fail("%v", err)
 	}
 	n.Entry = e
--- a/internal/membership/ephemeral/register.go
+++ b/internal/membership/ephemeral/register.go
@@ -12,8 +12,8 @@
 	"ringtrack.example/ringtrack/internal/zkwire"
 )
 
-// Register says what node a process keeps for itself.
-type Register struct {
+// RegisterConfig says what node a process keeps for itself.
+type RegisterConfig struct {
 	ID     string  `toml:"id"` // the node's name; "": none is kept
 	Addr   string  `toml:"addr"`
 	Zone   string  `toml:"zone"`
@@ -21,8 +21,8 @@
 	Weight float64 `toml:"weight"`
 }
 
-// registration is a node's data: the roster's fields, and which process wrote it.
-type registration struct {
+// registrationData is a node's data: the roster's fields, and which process wrote it.
+type registrationData struct {
 	membership.Entry
 	Instance string `json:"instance"`
 }
@@ -35,9 +35,9 @@
 	path     string
 	instance string
 
-	mu     sync.Mutex
-	entry  membership.Entry
-	change uint64 // counts Set
+	mu      sync.Mutex
+	entry   membership.Entry
+	version uint64 // counts Set
 }
 
 // NewRegistrar returns one for cfg.Register; the configuration was checked. The process counts as started
@@ -55,47 +55,47 @@
 	defer r.mu.Unlock()
 	change(&r.entry)
 	r.entry.ID = r.cfg.Register.ID
-	r.change++
+	r.version++
 }
 
 func (r *Registrar) data() ([]byte, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	b, _ := json.Marshal(registration{r.entry, r.instance})
-	return b, r.change
+	b, _ := json.Marshal(registrationData{r.entry, r.instance})
+	return b, r.version
 }
 
 // Run keeps the node until ctx ends, then closes the session, which takes the node away at once. told is
 // called with what a person should know.
 func (r *Registrar) Run(ctx context.Context, told func(problem string)) {
-	k := &keeper{r: r, told: told}
-	k.s = r.cfg.session(k)
-	k.s.readOnly = false
-	k.s.run(ctx)
+	k := &registration{registrar: r, onProblem: told}
+	k.session = r.cfg.session(k)
+	k.session.readOnly = false
+	k.session.run(ctx)
 }
 
-// keeper is the session's handler that keeps the node. Its steps: make the parents and the node; where
+// registration is the session's handler that keeps the node. Its steps: make the parents and the node; where
 // there is one already, see whose it is.
-type keeper struct {
-	r     *Registrar
-	s     *session
-	told  func(string)
-	queue []request
-	busy  bool   // a step is out
-	there bool   // the node is ours, in this session
-	wrote uint64 // the change that it says
-	said  string
+type registration struct {
+	registrar      *Registrar
+	session        *session
+	onProblem      func(string)
+	queue          []request
+	inFlight       bool   // a step is out
+	exists         bool   // the node is ours, in this session
+	writtenVersion uint64 // the change that it says
+	lastProblem    string
 }
 
-func (k *keeper) connected(renewed bool, _ int64) {
-	k.queue, k.busy = nil, false
+func (k *registration) connected(renewed bool, _ int64) {
+	k.queue, k.inFlight = nil, false
 	if !renewed {
-		k.there = false
+		k.exists = false
 	}
 	k.step()
 }
 
-func (k *keeper) next() (request, bool) {
+func (k *registration) nextRequest() (request, bool) {
 	if len(k.queue) == 0 {
 		return request{}, false
 	}
@@ -104,152 +104,152 @@
 	return q, true
 }
 
-func (k *keeper) event(e zkwire.WatchEvent) {
-	if e.Path == k.r.path && e.Type == zkwire.NodeDeleted {
-		k.there = false
+func (k *registration) handleEvent(e zkwire.WatchEvent) {
+	if e.Path == k.registrar.path && e.Type == zkwire.NodeDeleted {
+		k.exists = false
 		k.step()
 	}
 }
-func (k *keeper) retry()      { k.step() }
-func (k *keeper) flush()      {}
-func (k *keeper) alive()      {}
-func (k *keeper) ended() bool { return false }
-func (k *keeper) lost(err error) {
-	k.say(err.Error())
+func (k *registration) retry()         { k.step() }
+func (k *registration) flush()         {}
+func (k *registration) replyReceived() {}
+func (k *registration) finished() bool { return false }
+func (k *registration) connectionLost(err error) {
+	k.report(err.Error())
 }
 
-func (k *keeper) say(problem string) {
-	if problem != k.said {
-		k.said = problem
+func (k *registration) report(problem string) {
+	if problem != k.lastProblem {
+		k.lastProblem = problem
 		if problem != "" {
-			k.told(problem)
+			k.onProblem(problem)
 		}
 	}
 }
 
 // step asks for what is to be done next, if nothing is out.
-func (k *keeper) step() {
-	if k.busy {
+func (k *registration) step() {
+	if k.inFlight {
 		return
 	}
-	data, change := k.r.data()
+	data, change := k.registrar.data()
 	switch {
-	case !k.there:
+	case !k.exists:
 		k.create(data, change)
-	case change != k.wrote:
-		k.ask(zkwire.OpSetData, func(b []byte) []byte {
-			return zkwire.AppendInt(zkwire.AppendBuffer(zkwire.AppendString(b, k.r.path), data), -1)
+	case change != k.writtenVersion:
+		k.enqueue(zkwire.OpSetData, func(b []byte) []byte {
+			return zkwire.AppendInt(zkwire.AppendBuffer(zkwire.AppendString(b, k.registrar.path), data), -1)
 		}, func(code zkwire.Code, _ *zkwire.Reader) {
 			switch code {
 			case zkwire.OK:
-				k.wrote = change
+				k.writtenVersion = change
 			case zkwire.NoNode:
-				k.there = false
+				k.exists = false
 				k.step()
 			default:
-				k.say(fmt.Sprintf("%s: %v", k.r.path, code))
+				k.report(fmt.Sprintf("%s: %v", k.registrar.path, code))
 			}
 		})
 	}
 }
 
-// ask sends one step; the next waits for its reply.
-func (k *keeper) ask(op zkwire.Op, body func([]byte) []byte, then func(zkwire.Code, *zkwire.Reader)) {
-	k.busy = true
-	k.queue = append(k.queue, request{op: op, body: body, done: func(h zkwire.ReplyHeader, r *zkwire.Reader) error {
-		k.busy = false
+// enqueue sends one step; the next waits for its reply.
+func (k *registration) enqueue(op zkwire.Op, body func([]byte) []byte, then func(zkwire.Code, *zkwire.Reader)) {
+	k.inFlight = true
+	k.queue = append(k.queue, request{op: op, body: body, onReply: func(h zkwire.ReplyHeader, r *zkwire.Reader) error {
+		k.inFlight = false
 		then(h.Err, r)
 		return nil
 	}})
 }
 
-func (k *keeper) acl() []zkwire.ACL {
-	if k.r.cfg.Auth == "" {
+func (k *registration) accessControl() []zkwire.ACL {
+	if k.registrar.cfg.Auth == "" {
 		return zkwire.OpenACL
 	}
 	return []zkwire.ACL{{Perms: zkwire.PermAll, Scheme: "auth"}, {Perms: zkwire.PermRead, Scheme: "world", ID: "anyone"}}
 }
 
-func (k *keeper) createBody(path string, data []byte, flags int32) func([]byte) []byte {
+func (k *registration) createBody(path string, data []byte, flags int32) func([]byte) []byte {
 	return func(b []byte) []byte {
 		b = zkwire.AppendBuffer(zkwire.AppendString(b, path), data)
-		return zkwire.AppendInt(zkwire.AppendACLs(b, k.acl()), flags)
+		return zkwire.AppendInt(zkwire.AppendACLs(b, k.accessControl()), flags)
 	}
 }
 
-func (k *keeper) create(data []byte, change uint64) {
-	k.ask(zkwire.OpCreate, k.createBody(k.r.path, data, zkwire.FlagEphemeral), func(code zkwire.Code, _ *zkwire.Reader) {
+func (k *registration) create(data []byte, change uint64) {
+	k.enqueue(zkwire.OpCreate, k.createBody(k.registrar.path, data, zkwire.FlagEphemeral), func(code zkwire.Code, _ *zkwire.Reader) {
 		switch code {
 		case zkwire.OK:
-			k.ours(change)
+			k.nodeOwned(change)
 		case zkwire.NodeExists:
-			k.look(data, change)
+			k.inspectExisting(data, change)
 		case zkwire.NoNode:
-			k.parents()
+			k.createParents()
 		default:
-			k.say(fmt.Sprintf("%s: %v", k.r.path, code))
+			k.report(fmt.Sprintf("%s: %v", k.registrar.path, code))
 		}
 	})
 }
 
-// ours notes that the node is there, and watches that it stays.
-func (k *keeper) ours(change uint64) {
-	k.there, k.wrote = true, change
-	k.say("")
-	k.ask(zkwire.OpExists, func(b []byte) []byte { return zkwire.AppendBool(zkwire.AppendString(b, k.r.path), true) },
+// nodeOwned notes that the node is there, and watches that it stays.
+func (k *registration) nodeOwned(change uint64) {
+	k.exists, k.writtenVersion = true, change
+	k.report("")
+	k.enqueue(zkwire.OpExists, func(b []byte) []byte { return zkwire.AppendBool(zkwire.AppendString(b, k.registrar.path), true) },
 		func(code zkwire.Code, _ *zkwire.Reader) {
 			if code == zkwire.NoNode {
-				k.there = false
+				k.exists = false
 			}
 			k.step()
 		})
 }
 
-// look sees whose the node is that is there: of this session (its reply was lost), of an older one of this
+// inspectExisting sees whose the node is that is there: of this session (its reply was lost), of an older one of this
 // process (it is put in its place in one transaction, so that nobody else takes the name meanwhile), or of
 // another process.
-func (k *keeper) look(data []byte, change uint64) {
-	session := k.s.id
-	k.ask(zkwire.OpGetData, func(b []byte) []byte { return zkwire.AppendBool(zkwire.AppendString(b, k.r.path), false) },
+func (k *registration) inspectExisting(data []byte, change uint64) {
+	session := k.session.id
+	k.enqueue(zkwire.OpGetData, func(b []byte) []byte { return zkwire.AppendBool(zkwire.AppendString(b, k.registrar.path), false) },
 		func(code zkwire.Code, r *zkwire.Reader) {
 			if code != zkwire.OK {
 				return // it went meanwhile; asked again at the next retry
 			}
-			var was registration
+			var was registrationData
 			_ = json.Unmarshal(r.Buffer(), &was)
 			stat := r.Stat()
 			switch {
 			case r.Err() != nil:
-			case stat.Owner == session:
-				k.wrote = change - 1 // it may say what was so before
-				k.ours(change - 1)
-			case was.Instance == k.r.instance:
+			case stat.EphemeralOwner == session:
+				k.writtenVersion = change - 1 // it may say what was so before
+				k.nodeOwned(change - 1)
+			case was.Instance == k.registrar.instance:
 				k.replace(data, change, stat.Version)
 			default:
-				k.say(fmt.Sprintf("%s: is another process's, session %#x: left alone", k.r.path, stat.Owner))
+				k.report(fmt.Sprintf("%s: is another process's, session %#x: left alone", k.registrar.path, stat.EphemeralOwner))
 			}
 		})
 }
 
-func (k *keeper) replace(data []byte, change uint64, version int32) {
-	k.ask(zkwire.OpMulti, func(b []byte) []byte {
+func (k *registration) replace(data []byte, change uint64, version int32) {
+	k.enqueue(zkwire.OpMulti, func(b []byte) []byte {
 		b = zkwire.MultiHeader{Type: zkwire.OpDelete, Err: -1}.Append(b)
-		b = zkwire.AppendInt(zkwire.AppendString(b, k.r.path), version)
+		b = zkwire.AppendInt(zkwire.AppendString(b, k.registrar.path), version)
 		b = zkwire.MultiHeader{Type: zkwire.OpCreate, Err: -1}.Append(b)
-		b = k.createBody(k.r.path, data, zkwire.FlagEphemeral)(b)
+		b = k.createBody(k.registrar.path, data, zkwire.FlagEphemeral)(b)
 		return zkwire.MultiHeader{Type: zkwire.OpError, Done: true, Err: -1}.Append(b)
 	}, func(code zkwire.Code, r *zkwire.Reader) {
 		if h := r.MultiHeader(); code == zkwire.OK && r.Err() == nil && h.Type != zkwire.OpError {
 			// The rest is what was made; nothing of it is wanted.
-			k.ours(change)
+			k.nodeOwned(change)
 		}
 	})
 }
 
-// parents makes the directories above the node, one behind the other.
-func (k *keeper) parents() {
+// createParents makes the directories above the node, one behind the other.
+func (k *registration) createParents() {
 	var dirs []string
-	for p := k.r.path; ; {
+	for p := k.registrar.path; ; {
 		i := strings.LastIndexByte(p, '/')
 		if i <= 0 {
 			break
@@ -259,15 +259,15 @@
 	}
 	for i := len(dirs) - 1; i >= 0; i-- {
 		p, last := dirs[i], i == 0
-		k.ask(zkwire.OpCreate, k.createBody(p, []byte{}, 0), func(code zkwire.Code, _ *zkwire.Reader) {
+		k.enqueue(zkwire.OpCreate, k.createBody(p, []byte{}, 0), func(code zkwire.Code, _ *zkwire.Reader) {
 			if code != zkwire.OK && code != zkwire.NodeExists {
-				k.say(fmt.Sprintf("%s: %v", p, code))
+				k.report(fmt.Sprintf("%s: %v", p, code))
 				return
 			}
 			if last {
 				k.step()
 			} else {
-				k.busy = true
+				k.inFlight = true
 			}
 		})
 	}
--- a/internal/membership/ephemeral/source.go
+++ b/internal/membership/ephemeral/source.go
@@ -15,9 +15,9 @@
 
 // NodeChange is one thing that became of a node.
 type NodeChange struct {
-	Name string
-	Gone bool
-	Node membership.RegistryNode // not Gone
+	Name    string
+	Expired bool
+	Node    membership.RegistryNode // not Gone
 }
 
 // Update is what a source tells at once.
@@ -32,10 +32,10 @@
 // Apply gives an update to a merge.
 func (u *Update) Apply(m *membership.Merge, now float64) {
 	for i := range u.Changes {
-		if s := &u.Changes[i]; s.Gone {
-			m.NodeGone(now, s.Name)
+		if s := &u.Changes[i]; s.Expired {
+			m.NodeExpired(now, s.Name)
 		} else {
-			m.NodeUp(now, s.Node)
+			m.NodeUpdated(now, s.Node)
 		}
 	}
 	switch {
@@ -56,14 +56,14 @@
 
 // Run follows the registry until ctx ends. told is called from one goroutine at a time.
 func (s *Source) Run(ctx context.Context, told func(Update)) {
-	w := &watcher{cfg: s.cfg, told: told, f: follow.New(follow.Config{Root: s.cfg.root(), Depth: s.cfg.Depth,
-		OneShot: s.cfg.Watch == WatchOneShot, Most: s.cfg.MaxNodes})}
+	w := &directoryWatcher{cfg: s.cfg, onUpdate: told, follower: follow.New(follow.Config{Root: s.cfg.root(), Depth: s.cfg.Depth,
+		OneShot: s.cfg.Watch == WatchOneShot, MaxNodes: s.cfg.MaxNodes})}
 	s.cfg.session(w).run(ctx)
 }
 
-// Nodes is Run in the form in which a merge takes it. log is called with what a person should know; it may
+// Feed is Run in the form in which a merge takes it. log is called with what a person should know; it may
 // be nil.
-func (s *Source) Nodes(log func(problem string)) func(context.Context, func(func(*membership.Merge, float64))) {
+func (s *Source) Feed(log func(problem string)) func(context.Context, func(func(*membership.Merge, float64))) {
 	return func(ctx context.Context, told func(func(*membership.Merge, float64))) {
 		s.Run(ctx, func(u Update) {
 			if log != nil {
@@ -81,38 +81,38 @@
 
 // session is one by this configuration.
 func (c *Config) session(h handler) *session {
-	return &session{hosts: append([]string(nil), c.Ensemble...), timeout: time.Duration(c.SessionMs) * time.Millisecond,
-		forget: c.forget, pause: c.pause, auth: c.Auth, readOnly: c.ReadOnly, frame: c.FrameLimit, h: h}
+	return &session{servers: append([]string(nil), c.Ensemble...), requestedTimeout: time.Duration(c.SessionMs) * time.Millisecond,
+		resetAfter: c.resetAfter, maxBackoff: c.maxBackoff, auth: c.Auth, readOnly: c.ReadOnly, maxFrameBytes: c.FrameLimit, handler: h}
 }
 
-// watcher is the session's handler that follows a directory.
-type watcher struct {
-	cfg  *Config
-	f    *follow.Follower
-	told func(Update)
+// directoryWatcher is the session's handler that follows a directory.
+type directoryWatcher struct {
+	cfg      *Config
+	follower *follow.Follower
+	onUpdate func(Update)
 
-	up     bool // the last connection showed that the registry lives
-	was    bool // synced was told on this connection
-	saidMs time.Time
+	registryAlive bool // the last connection showed that the registry lives
+	syncReported  bool // synced was told on this connection
+	lastReport    time.Time
 }
 
-func (w *watcher) connected(renewed bool, zxid int64) {
-	w.was = false
-	w.f.Connected(renewed, zxid)
+func (w *directoryWatcher) connected(renewed bool, zxid int64) {
+	w.syncReported = false
+	w.follower.Connected(renewed, zxid)
 }
 
-func (w *watcher) event(e zkwire.WatchEvent) { w.f.Event(e) }
-func (w *watcher) retry()                    { w.f.Retry() }
-func (w *watcher) alive()                    { w.up = true; w.f.Confirmed() }
-func (w *watcher) ended() bool               { return false }
+func (w *directoryWatcher) handleEvent(e zkwire.WatchEvent) { w.follower.HandleEvent(e) }
+func (w *directoryWatcher) retry()                          { w.follower.Retry() }
+func (w *directoryWatcher) replyReceived()                  { w.registryAlive = true; w.follower.ReplyReceived() }
+func (w *directoryWatcher) finished() bool                  { return false }
 
-func (w *watcher) lost(err error) {
+func (w *directoryWatcher) connectionLost(err error) {
 	w.flush()
-	w.told(Update{Err: err})
+	w.onUpdate(Update{Err: err})
 }
 
-func (w *watcher) next() (request, bool) {
-	q, ok := w.f.Next()
+func (w *directoryWatcher) nextRequest() (request, bool) {
+	q, ok := w.follower.Next()
 	if !ok {
 		return request{}, false
 	}
@@ -130,7 +130,7 @@
 	default:
 		r.body = func(b []byte) []byte { return zkwire.AppendBool(zkwire.AppendString(b, q.Path), q.Watch) }
 	}
-	r.done = func(h zkwire.ReplyHeader, in *zkwire.Reader) error {
+	r.onReply = func(h zkwire.ReplyHeader, in *zkwire.Reader) error {
 		reply := follow.Reply{Request: q, Code: h.Err}
 		if h.Err == zkwire.OK {
 			switch q.Op {
@@ -144,8 +144,8 @@
 				return err // nothing of it counts
 			}
 		}
-		if w.f.Reply(reply); w.f.Behind() {
-			return errBehind
+		if w.follower.HandleReply(reply); w.follower.ServerBehind() {
+			return errServerBehind
 		}
 		return nil
 	}
@@ -153,30 +153,30 @@
 }
 
 // flush tells what has come.
-func (w *watcher) flush() {
-	u := Update{Problems: w.f.Problems()}
-	for _, c := range w.f.Changes() {
-		if c.Gone {
-			u.Changes = append(u.Changes, NodeChange{Name: c.Name, Gone: true})
+func (w *directoryWatcher) flush() {
+	u := Update{Problems: w.follower.Problems()}
+	for _, c := range w.follower.Changes() {
+		if c.Expired {
+			u.Changes = append(u.Changes, NodeChange{Name: c.Name, Expired: true})
 			continue
 		}
-		n, err := parse(w.cfg.Form, &c)
+		n, err := parseNode(w.cfg.Form, &c)
 		if err != nil && len(u.Problems) < 16 {
 			u.Problems = append(u.Problems, err.Error())
 		}
 		u.Changes = append(u.Changes, NodeChange{Name: c.Name, Node: n})
 	}
-	u.Consistent = w.f.Whole()
-	if u.Synced = w.f.Synced() && !w.was; u.Synced {
-		w.was = true
+	u.Consistent = w.follower.Consistent()
+	if u.Synced = w.follower.Synced() && !w.syncReported; u.Synced {
+		w.syncReported = true
 	}
 	// Signs of life alone are told once a second.
-	if len(u.Changes) == 0 && !u.Synced && len(u.Problems) == 0 && (!w.up || time.Since(w.saidMs) < time.Second) {
+	if len(u.Changes) == 0 && !u.Synced && len(u.Problems) == 0 && (!w.registryAlive || time.Since(w.lastReport) < time.Second) {
 		return
 	}
-	if w.up {
-		w.saidMs = time.Now()
+	if w.registryAlive {
+		w.lastReport = time.Now()
 	}
-	w.up = false
-	w.told(u)
+	w.registryAlive = false
+	w.onUpdate(u)
 }
--- a/internal/membership/ephemeral/source_test.go
+++ b/internal/membership/ephemeral/source_test.go
@@ -86,7 +86,7 @@
 		if v.check != nil {
 			v.check(s)
 		}
-		if s.Gone {
+		if s.Expired {
 			v.gone++
 			delete(v.nodes, s.Name)
 		} else {
@@ -379,7 +379,7 @@
 		e.Put("/more", []byte{byte(i)}, 0)
 	}
 	c := testConfig(e, nil)
-	c.forget = 200 * time.Millisecond
+	c.resetAfter = 200 * time.Millisecond
 	v := followed(t, c)
 	v.names("s-1")
 	for _, s := range e.Servers {
@@ -412,7 +412,7 @@
 // One bad node hides no other.
 func TestBadNodes(t *testing.T) {
 	e := ensemble(t, zk.Options{})
-	for name, data := range map[string]string{"good": `{"addr":"h:1"}`, "noise": "\xff\x00", "large": strings.Repeat("x", maxData+1),
+	for name, data := range map[string]string{"good": `{"addr":"h:1"}`, "noise": "\xff\x00", "large": strings.Repeat("x", maxNodeBytes+1),
 		"port": `{"addr":"h:99999"}`, "set": `{"serviceEndpoint":{"host":"h","port":7},"status":"ALIVE"}`} {
 		e.Put("/fleet/"+name, []byte(data), 0)
 	}
@@ -497,7 +497,7 @@
 			trees = append(trees, next)
 		})
 		e.Put("/fleet", nil, 0)
-		v := followed(t, testConfig(e, func(c *Config) { c.Watch, c.SessionMs, c.pause = watch, 300, 20*time.Millisecond }))
+		v := followed(t, testConfig(e, func(c *Config) { c.Watch, c.SessionMs, c.maxBackoff = watch, 300, 20*time.Millisecond }))
 		last := map[string]int64{} // czxid told last
 		v.mu.Lock()
 		v.whole = func() {
@@ -533,7 +533,7 @@
 		v.check = func(s NodeChange) {
 			mu.Lock()
 			defer mu.Unlock()
-			if s.Gone {
+			if s.Expired {
 				if n, ok := v.nodes[s.Name]; ok {
 					// It ended at some time after it was made.
 					ended := false
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -19,7 +19,7 @@
 			s.Update("roster", float64(i), &l)
 			last := ""
 			for _, e := range s.Entries() {
-				if e.ID <= last || e.State == Removed || e.State == Up && e.Check() != nil {
+				if e.ID <= last || e.State == Removed || e.State == Up && e.Validate() != nil {
 					t.Errorf("keeps %+v after %q", e, last)
 				}
 				last = e.ID
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -50,15 +50,15 @@
 // at once. It does no I/O and reads no clock: times are Unix ms that only advance. It belongs to one
 // goroutine.
 type Merge struct {
-	cfg    MergeConfig
-	rows   map[string]*row
-	byAddr map[string]*row // the roster's entries
-	byNode map[string]*row
-	gone   []vanished // of late, oldest first
-	dirty  map[string]*row
-	timed  map[string]*row // that have something to wait for
-	synced bool
-	due    float64 // of what passes for all rows; 0: none
+	cfg     MergeConfig
+	servers map[string]*server
+	byAddr  map[string]*server // the roster's entries
+	byNode  map[string]*server
+	gone    []vanished // of late, oldest first
+	dirty   map[string]*server
+	timed   map[string]*server // that have something to wait for
+	synced  bool
+	due     float64 // of what passes for all rows; 0: none
 
 	rosterMs, nodesMs float64 // when each was last heard; -1: never
 	rosterLost        string
@@ -71,11 +71,11 @@
 
 type vanished struct {
 	ms float64
-	r  *row
+	r  *server
 }
 
-// row is what is known of one server.
-type row struct {
+// server is what is known of one server.
+type server struct {
 	id     string
 	roster *Entry // nil: not listed
 	struck bool   // the roster listed it once and took it out; a node made since counts again
@@ -98,20 +98,20 @@
 
 // NewMerge returns a merge that has heard nothing.
 func NewMerge(cfg MergeConfig) *Merge {
-	return &Merge{cfg: cfg, rows: map[string]*row{}, byAddr: map[string]*row{}, byNode: map[string]*row{},
-		dirty: map[string]*row{}, timed: map[string]*row{}, rosterMs: -1, nodesMs: -1}
+	return &Merge{cfg: cfg, servers: map[string]*server{}, byAddr: map[string]*server{}, byNode: map[string]*server{},
+		dirty: map[string]*server{}, timed: map[string]*server{}, rosterMs: -1, nodesMs: -1}
 }
 
-func (m *Merge) row(id string) *row {
-	r := m.rows[id]
+func (m *Merge) row(id string) *server {
+	r := m.servers[id]
 	if r == nil {
-		r = &row{id: id, nodes: map[string]*RegistryNode{}}
-		m.rows[id] = r
+		r = &server{id: id, nodes: map[string]*RegistryNode{}}
+		m.servers[id] = r
 	}
 	return r
 }
 
-func (m *Merge) touch(r *row) { m.dirty[r.id] = r }
+func (m *Merge) touch(r *server) { m.dirty[r.id] = r }
 
 // ---- the roster ----
 
@@ -129,9 +129,9 @@
 	named := make(map[string]bool, len(l.Entries))
 	for i := range l.Entries {
 		e := l.Entries[i]
-		if err := e.Check(); err != nil {
+		if err := e.Validate(); err != nil {
 			m.problem(err)
-			if r := m.rows[e.ID]; r != nil && r.roster != nil {
+			if r := m.servers[e.ID]; r != nil && r.roster != nil {
 				named[e.ID] = true
 				if e.State != Up {
 					r.roster.State = Draining
@@ -141,10 +141,10 @@
 			continue
 		}
 		if e.State == Removed {
-			m.strike(now, m.rows[e.ID])
+			m.strike(now, m.servers[e.ID])
 			continue
 		}
-		if m.rows[e.ID] == nil && len(m.rows) >= MaxEntries {
+		if m.servers[e.ID] == nil && len(m.servers) >= MaxEntries {
 			m.problem(fmt.Errorf("%s: left out, more than %d entries", e.ID, MaxEntries))
 			continue
 		}
@@ -159,7 +159,7 @@
 		m.touch(r)
 	}
 	if l.Full {
-		for id, r := range m.rows {
+		for id, r := range m.servers {
 			if !named[id] {
 				m.strike(now, r)
 			}
@@ -168,7 +168,7 @@
 }
 
 // strike takes the roster's word of a server back.
-func (m *Merge) strike(now float64, r *row) {
+func (m *Merge) strike(now float64, r *server) {
 	if r == nil || r.roster == nil {
 		return
 	}
@@ -180,8 +180,8 @@
 }
 
 // adopt moves nodes that only named an address to the server that the roster lists there.
-func (m *Merge) adopt(r *row, addr string) {
-	other := m.rows["addr:"+addr]
+func (m *Merge) adopt(r *server, addr string) {
+	other := m.servers["addr:"+addr]
 	if other == nil || other == r {
 		return
 	}
@@ -195,8 +195,8 @@
 
 // ---- the nodes ----
 
-// NodeUp takes a node that is there, as it is now.
-func (m *Merge) NodeUp(now float64, n RegistryNode) {
+// NodeUpdated takes a node that is there, as it is now.
+func (m *Merge) NodeUpdated(now float64, n RegistryNode) {
 	m.heard(now)
 	r := m.rowOf(&n)
 	if r == nil {
@@ -248,7 +248,7 @@
 		return
 	}
 	there := 0
-	for _, r := range m.rows {
+	for _, r := range m.servers {
 		if len(r.nodes) > 0 {
 			there++
 		}
@@ -265,7 +265,7 @@
 }
 
 // rowOf finds the server that a node is of.
-func (m *Merge) rowOf(n *RegistryNode) *row {
+func (m *Merge) rowOf(n *RegistryNode) *server {
 	id := n.Entry.ID
 	if id == "" && n.Entry.Addr != "" {
 		if r := m.byAddr[n.Entry.Addr]; r != nil {
@@ -276,14 +276,14 @@
 	if id == "" {
 		id = n.Name
 	}
-	if m.rows[id] == nil && len(m.rows) >= MaxEntries {
+	if m.servers[id] == nil && len(m.servers) >= MaxEntries {
 		return nil
 	}
 	return m.row(id)
 }
 
 // date settles when the process of a new node started. What is not sure counts as now: cold.
-func (m *Merge) date(now float64, r *row, n *RegistryNode) {
+func (m *Merge) date(now float64, r *server, n *RegistryNode) {
 	switch {
 	case n.Entry.StartedMs > 0:
 		r.started = min(n.Entry.StartedMs, now)
@@ -297,8 +297,8 @@
 	}
 }
 
-// NodeGone takes the end of a node.
-func (m *Merge) NodeGone(now float64, name string) {
+// NodeExpired takes the end of a node.
+func (m *Merge) NodeExpired(now float64, name string) {
 	m.heard(now)
 	if r := m.byNode[name]; r != nil {
 		delete(m.byNode, name)
@@ -306,7 +306,7 @@
 	}
 }
 
-func (m *Merge) drop(now float64, r *row, name string) {
+func (m *Merge) drop(now float64, r *server, name string) {
 	delete(r.nodes, name)
 	m.touch(r)
 	if len(r.nodes) > 0 {
@@ -318,7 +318,7 @@
 		i++
 	}
 	m.gone = append(slices.Delete(m.gone, 0, i), vanished{now, r})
-	away := map[*row]bool{}
+	away := map[*server]bool{}
 	for _, v := range m.gone {
 		if v.r.absentMs > 0 {
 			away[v.r] = true
@@ -326,7 +326,7 @@
 	}
 	if len(away) > m.cfg.MassExpiryMin { // counting all is seldom
 		there := 0
-		for _, x := range m.rows {
+		for _, x := range m.servers {
 			if len(x.nodes) > 0 || away[x] {
 				there++
 			}
@@ -373,7 +373,7 @@
 func (m *Merge) DiscoveryAlive(now float64) { m.rosterMs, m.rosterLost = now, "" }
 
 func (m *Merge) all() {
-	for _, r := range m.rows {
+	for _, r := range m.servers {
 		m.touch(r)
 	}
 }
@@ -387,7 +387,7 @@
 // ---- what is told ----
 
 // judge is what is to be told of a server now; false: it is not to be listed.
-func (m *Merge) judge(now float64, r *row) (Entry, bool) {
+func (m *Merge) judge(now float64, r *server) (Entry, bool) {
 	var e Entry
 	var first *RegistryNode
 	for _, n := range r.nodes {
@@ -478,9 +478,9 @@
 		return
 	}
 	m.due = now + m.cfg.MemoryMs/8
-	for id, r := range m.rows {
+	for id, r := range m.servers {
 		if r.idleMs > 0 && now-r.idleMs > m.cfg.MemoryMs {
-			delete(m.rows, id)
+			delete(m.servers, id)
 			delete(m.timed, id)
 		}
 	}
@@ -504,8 +504,8 @@
 
 // Entries returns all servers that are listed, in the order of their ids, as Take told them.
 func (m *Merge) Entries() []Entry {
-	out := make([]Entry, 0, len(m.rows))
-	for _, r := range m.rows {
+	out := make([]Entry, 0, len(m.servers))
+	for _, r := range m.servers {
 		if r.listed {
 			out = append(out, r.told)
 		}
@@ -518,7 +518,7 @@
 func (m *Merge) Status(now float64) []Status {
 	roster := Status{Source: "roster", AgeMs: -1, Reason: m.rosterLost, Problems: m.problems}
 	nodes := Status{Source: "nodes", AgeMs: -1, Reason: m.nodesLost}
-	for _, r := range m.rows {
+	for _, r := range m.servers {
 		if r.roster != nil {
 			roster.Entries++
 		}
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -38,12 +38,12 @@
 // up makes a node anew.
 func (m *merging) up(id string, owner int64, started float64) {
 	m.czxid++
-	m.NodeUp(m.now, RegistryNode{Name: id, Entry: Entry{ID: id, State: Up, StartedMs: started}, Czxid: m.czxid, CtimeMs: m.now, Owner: owner})
+	m.NodeUpdated(m.now, RegistryNode{Name: id, Entry: Entry{ID: id, State: Up, StartedMs: started}, Czxid: m.czxid, CtimeMs: m.now, Owner: owner})
 	m.take()
 }
 
 func (m *merging) down(id string) {
-	m.NodeGone(m.now, id)
+	m.NodeExpired(m.now, id)
 	m.take()
 }
 
@@ -103,7 +103,7 @@
 	m.pass(300)
 	m.want("a", Up)
 	// A node's own word that it drains.
-	m.NodeUp(m.now, RegistryNode{Name: "c", Czxid: 99, Entry: Entry{ID: "c", State: Draining}})
+	m.NodeUpdated(m.now, RegistryNode{Name: "c", Czxid: 99, Entry: Entry{ID: "c", State: Draining}})
 	m.take()
 	m.want("c", Draining)
 	if w := m.state["c"].Weight; w != 2 {
@@ -113,7 +113,7 @@
 
 func TestMergeNodesAlone(t *testing.T) {
 	m := newMerging(t, nil)
-	m.NodeUp(m.now, RegistryNode{Name: "n", Czxid: 1, Entry: listed("new", Up)})
+	m.NodeUpdated(m.now, RegistryNode{Name: "n", Czxid: 1, Entry: listed("new", Up)})
 	m.take()
 	m.want("new", Up) // the roster is late
 	m.down("n")
@@ -123,13 +123,13 @@
 		id := fmt.Sprint("s-", i)
 		node := RegistryNode{Name: "member_" + id, Czxid: int64(10 + i), Entry: Entry{Addr: id + ":1", State: Up, Weight: 1}}
 		if first == "node" {
-			m.NodeUp(m.now, node)
+			m.NodeUpdated(m.now, node)
 			m.take()
 			m.want("addr:"+id+":1", Up)
 			m.roster(false, listed(id, Up))
 		} else {
 			m.roster(false, listed(id, Up))
-			m.NodeUp(m.now, node)
+			m.NodeUpdated(m.now, node)
 			m.take()
 		}
 		m.want(id, Up)
@@ -190,9 +190,9 @@
 	// registry's clock says.
 	m := newMerging(t, nil)
 	m.roster(true, listed("a", Up), listed("b", Up))
-	m.NodeUp(m.now, RegistryNode{Name: "a", Czxid: 1, CtimeMs: long, Entry: Entry{ID: "a", State: Up}, Owner: 1})
+	m.NodeUpdated(m.now, RegistryNode{Name: "a", Czxid: 1, CtimeMs: long, Entry: Entry{ID: "a", State: Up}, Owner: 1})
 	m.RegistrySynced(m.now)
-	m.NodeUp(m.now, RegistryNode{Name: "b", Czxid: 2, CtimeMs: long, Entry: Entry{ID: "b", State: Up}, Owner: 2})
+	m.NodeUpdated(m.now, RegistryNode{Name: "b", Czxid: 2, CtimeMs: long, Entry: Entry{ID: "b", State: Up}, Owner: 2})
 	m.take()
 	if a, b := m.state["a"].StartedMs, m.state["b"].StartedMs; a != long || b != m.now {
 		t.Errorf("started %v and %v", a-1e12, b-1e12)
@@ -418,14 +418,14 @@
 		}
 		m.roster(false)
 		for id := range node {
-			m.NodeGone(m.now, id)
+			m.NodeExpired(m.now, id)
 			m.roster(false, listed(id, Removed))
 		}
 		m.pass(2e7)
 		m.roster(false, listed("x", Up))
 		m.pass(2e7)
-		if len(m.rows) > 1 {
-			t.Errorf("seed %d: %d servers are remembered", seed, len(m.rows))
+		if len(m.servers) > 1 {
+			t.Errorf("seed %d: %d servers are remembered", seed, len(m.servers))
 		}
 	}
 }
--- a/internal/membership/set.go
+++ b/internal/membership/set.go
@@ -88,7 +88,7 @@
 	named := make(map[string]bool, len(l.Entries))
 	for i := range l.Entries {
 		e := l.Entries[i]
-		if err := e.Check(); err != nil {
+		if err := e.Validate(); err != nil {
 			src.problem(err)
 			// What is listed wrongly is not gone: its last good entry stays, but it is to get
 			// nothing new where the list says so.
@@ -136,8 +136,8 @@
 	}
 }
 
-// Check says what makes an entry unusable.
-func (e *Entry) Check() error {
+// Validate says what makes an entry unusable.
+func (e *Entry) Validate() error {
 	host, port, err := net.SplitHostPort(e.Addr)
 	n, perr := strconv.Atoi(port)
 	switch {
--- a/internal/zkwire/jute.go
+++ b/internal/zkwire/jute.go
@@ -15,8 +15,8 @@
 // ErrMalformed marks a record that can't be read. It is final.
 var ErrMalformed = errors.New("zookeeper: malformed record")
 
-// DefaultFrame bounds a frame, in bytes: the servers' own default, jute.maxbuffer, with room for the head.
-const DefaultFrame = 0xfffff + 1024
+// DefaultMaxFrameBytes bounds a frame, in bytes: the servers' own default, jute.maxbuffer, with room for the head.
+const DefaultMaxFrameBytes = 0xfffff + 1024
 
 // Reader reads a record. After the first error it returns zero values; Err tells it.
 type Reader struct {
--- a/internal/zkwire/records.go
+++ b/internal/zkwire/records.go
@@ -115,29 +115,29 @@
 // Connect is the first record on a connection, and its answer. Both have the same form, but that the
 // request begins with the last zxid that the client saw.
 type Connect struct {
-	LastZxid int64 // request only
-	TimeOut  int32 // ms; 0 in an answer: the session has expired
-	Session  int64
-	Password []byte
-	ReadOnly bool
-	HasRO    bool // whether the read-only byte was there: servers and clients before 3.4 have none
+	LastZxid    int64 // request only
+	TimeoutMs   int32 // ms; 0 in an answer: the session has expired
+	Session     int64
+	Password    []byte
+	ReadOnly    bool
+	HasReadOnly bool // whether the read-only byte was there: servers and clients before 3.4 have none
 }
 
 // AppendRequest appends the request's form.
 func (c *Connect) AppendRequest(b []byte) []byte {
 	b = AppendInt(b, 0)
 	b = AppendLong(b, c.LastZxid)
-	return c.rest(b)
+	return c.appendCommon(b)
 }
 
-// AppendAnswer appends the answer's form.
-func (c *Connect) AppendAnswer(b []byte) []byte { return c.rest(AppendInt(b, 0)) }
+// AppendResponse appends the answer's form.
+func (c *Connect) AppendResponse(b []byte) []byte { return c.appendCommon(AppendInt(b, 0)) }
 
-func (c *Connect) rest(b []byte) []byte {
-	b = AppendInt(b, c.TimeOut)
+func (c *Connect) appendCommon(b []byte) []byte {
+	b = AppendInt(b, c.TimeoutMs)
 	b = AppendLong(b, c.Session)
 	b = AppendBuffer(b, c.Password)
-	if c.HasRO {
+	if c.HasReadOnly {
 		b = AppendBool(b, c.ReadOnly)
 	}
 	return b
@@ -149,10 +149,10 @@
 	if request {
 		c.LastZxid = r.Long()
 	}
-	c.TimeOut, c.Session = r.Int(), r.Long()
+	c.TimeoutMs, c.Session = r.Int(), r.Long()
 	c.Password = append([]byte(nil), r.Buffer()...)
 	if r.Len() > 0 {
-		c.ReadOnly, c.HasRO = r.Bool(), true
+		c.ReadOnly, c.HasReadOnly = r.Bool(), true
 	}
 	return c
 }
@@ -183,7 +183,7 @@
 	Ctime, Mtime       int64 // Unix ms, by the server's clock
 	Version            int32
 	Cversion, Aversion int32
-	Owner              int64 // session of an ephemeral node, else 0
+	EphemeralOwner     int64 // session of an ephemeral node, else 0
 	DataLength         int32
 	NumChildren        int32
 	Pzxid              int64 // last change of its children
@@ -193,14 +193,14 @@
 func (s *Stat) Append(b []byte) []byte {
 	b = AppendLong(AppendLong(AppendLong(AppendLong(b, s.Czxid), s.Mzxid), s.Ctime), s.Mtime)
 	b = AppendInt(AppendInt(AppendInt(b, s.Version), s.Cversion), s.Aversion)
-	b = AppendInt(AppendInt(AppendLong(b, s.Owner), s.DataLength), s.NumChildren)
+	b = AppendInt(AppendInt(AppendLong(b, s.EphemeralOwner), s.DataLength), s.NumChildren)
 	return AppendLong(b, s.Pzxid)
 }
 
 // Stat reads one.
 func (r *Reader) Stat() Stat {
 	return Stat{Czxid: r.Long(), Mzxid: r.Long(), Ctime: r.Long(), Mtime: r.Long(), Version: r.Int(), Cversion: r.Int(),
-		Aversion: r.Int(), Owner: r.Long(), DataLength: r.Int(), NumChildren: r.Int(), Pzxid: r.Long()}
+		Aversion: r.Int(), EphemeralOwner: r.Long(), DataLength: r.Int(), NumChildren: r.Int(), Pzxid: r.Long()}
 }
 
 // WatchEvent is an event with its node.
--- a/internal/zkwire/zkwire_test.go
+++ b/internal/zkwire/zkwire_test.go
@@ -13,9 +13,9 @@
 		got  []byte
 		want string
 	}{
-		"connect": {Frame((&Connect{LastZxid: 0x0102, TimeOut: 6000, Password: make([]byte, 16), HasRO: true}).AppendRequest),
+		"connect": {Frame((&Connect{LastZxid: 0x0102, TimeoutMs: 6000, Password: make([]byte, 16), HasReadOnly: true}).AppendRequest),
 			"0000002d 00000000 0000000000000102 00001770 0000000000000000 00000010 00000000000000000000000000000000 00"},
-		"connected": {Frame((&Connect{TimeOut: 4000, Session: 0x1122, Password: []byte{1, 2}, HasRO: true, ReadOnly: true}).AppendAnswer),
+		"connected": {Frame((&Connect{TimeoutMs: 4000, Session: 0x1122, Password: []byte{1, 2}, HasReadOnly: true, ReadOnly: true}).AppendResponse),
 			"00000017 00000000 00000fa0 0000000000001122 00000002 0102 01"},
 		"ping": {Frame(func(b []byte) []byte { return AppendRequest(b, XidPing, OpPing) }), "00000008 fffffffe 0000000b"},
 		"getChildren2": {Frame(func(b []byte) []byte {
@@ -42,11 +42,11 @@
 // What is written is read, and no cut of it is.
 func TestReadBack(t *testing.T) {
 	stat := Stat{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}
-	b := (&Connect{LastZxid: 9, TimeOut: 1, Session: 2, Password: []byte("pw")}).AppendRequest(nil)
+	b := (&Connect{LastZxid: 9, TimeoutMs: 1, Session: 2, Password: []byte("pw")}).AppendRequest(nil)
 	b = stat.Append(AppendStrings(AppendACLs(b, OpenACL), []string{"a", "", "c"}))
 	read := func(b []byte) (Connect, []ACL, []string, Stat, error) {
 		r := NewReader(b)
-		c := Connect{LastZxid: int64(r.Int()) + r.Long(), TimeOut: r.Int(), Session: r.Long(), Password: r.Buffer()}
+		c := Connect{LastZxid: int64(r.Int()) + r.Long(), TimeoutMs: r.Int(), Session: r.Long(), Password: r.Buffer()}
 		acl, names, s := r.ACLs(), r.Strings(), r.Stat()
 		return c, acl, names, s, r.Err()
 	}
