--- a/internal/admin/admin_test.go
+++ b/internal/admin/server_test.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // fakeAgent knows the backends s-1 and s-2.
 type fakeAgent struct {
-	mu     sync.Mutex
-	serves bool
-	banned map[string]bool
+	mu       sync.Mutex
+	serves   bool
+	cordoned map[string]bool
 }
 
 func (a *fakeAgent) Serving() bool {
@@ -32,12 +32,12 @@
 	return Stats{Classes: []Class{{"read", 812, 3, 2}, {"order", 1, 0, 0}}, Written: 900, Open: 14, Listed: 12, Unavailable: 1}
 }
 
-func (a *fakeAgent) Cordon(id string, on bool) error {
+func (a *fakeAgent) Cordon(id string, cordoned bool) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch id {
 	case "s-1", "s 2&x":
-		a.banned[id] = on
+		a.cordoned[id] = cordoned
 		return nil
 	case "s-busy":
 		return errors.New("busy")
@@ -45,18 +45,18 @@
 	return ErrBackendNotFound
 }
 
-func open(t *testing.T) (*fakeAgent, string) {
+func startServer(t *testing.T) (*fakeAgent, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &fakeAgent{banned: map[string]bool{}}
-	d := New(a, MaxCallers)
+	a := &fakeAgent{cordoned: map[string]bool{}}
+	s := New(a, MaxConnections)
 	ended := make(chan error, 1)
-	go func() { ended <- d.Serve(ln) }()
+	go func() { ended <- s.Serve(ln) }()
 	t.Cleanup(func() {
-		d.Close()
+		s.Close()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
@@ -64,7 +64,7 @@
 	return a, ln.Addr().String()
 }
 
-// call makes one call as bytes and returns the status and the body; the connection must be closed behind it.
+// call sends one request as bytes and returns the status and the body. The server must close the connection then.
 func call(t *testing.T, addr, method, target string) (int, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: x\r\n\r\n", method, target)
 	br := bufio.NewReader(c)
 	resp, err := http.ReadResponse(br, nil)
@@ -84,18 +84,18 @@
 		t.Fatal(err)
 	}
 	if _, err := br.ReadByte(); err != io.EOF {
-		t.Errorf("%s %s: the connection goes on: %v", method, target, err)
+		t.Errorf("%s %s: the connection is not closed: %v", method, target, err)
 	}
 	return resp.StatusCode, string(body)
 }
 
-func TestCalls(t *testing.T) {
-	a, addr := open(t)
+func TestServerAnswersCalls(t *testing.T) {
+	a, addr := startServer(t)
 	for _, c := range []struct {
 		method, target string
 		status         int
 	}{
-		{"GET", "/admin/health", 503}, // it does not serve yet
+		{"GET", "/admin/health", 503}, // not serving yet
 		{"PUT", "/admin/cordon?name=s-1", 200},
 		{"PUT", "/admin/cordon?name=s-1", 200},
 		{"PUT", "/admin/cordon?name=s%202%26x", 200},
@@ -107,7 +107,7 @@
 		{"PUT", "/admin/cordon?name=", 400},
 		{"PUT", "/admin/cordon?name=s-1&name=s-1", 400},
 		{"PUT", "/admin/cordon?name=%zz", 400},
-		{"PUT", "/admin/cordon?name=" + strings.Repeat("s", maxID+1), 400},
+		{"PUT", "/admin/cordon?name=" + strings.Repeat("s", maxIDBytes+1), 400},
 		{"GET", "/admin/cordon?name=s-1", 405},
 		{"PUT", "/admin/stats", 405},
 		{"GET", "/admin", 404},
@@ -118,12 +118,12 @@
 		}
 	}
 	a.mu.Lock()
-	if a.serves = true; !a.banned["s-1"] || a.banned["s 2&x"] {
-		t.Errorf("banned: %v", a.banned)
+	if a.serves = true; !a.cordoned["s-1"] || a.cordoned["s 2&x"] {
+		t.Errorf("cordoned: %v", a.cordoned)
 	}
 	a.mu.Unlock()
 	if status, _ := call(t, addr, "GET", "/admin/health"); status != 200 {
-		t.Errorf("health of an agent that serves: %d", status)
+		t.Errorf("health of a serving agent: %d", status)
 	}
 	want := "app.fulfilled.read=812\napp.throttled.read=3\napp.faulted.read=2\n" +
 		"app.fulfilled.order=1\napp.throttled.order=0\napp.faulted.order=0\n" +
@@ -133,12 +133,12 @@
 	}
 }
 
-// Callers that hold a connection with no whole call, more of them than there may be, keep nobody out, and
-// those that were there first give way.
-func TestCallersThatHoldAConnectionGiveWay(t *testing.T) {
-	_, addr := open(t)
-	var holders []net.Conn
-	for i := range 2 * MaxCallers {
+// Connections without a complete request, more than MaxConnections of them, do not block a new one: the oldest are
+// closed.
+func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
+	_, addr := startServer(t)
+	var idle []net.Conn
+	for i := range 2 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -147,14 +147,14 @@
 		if i%2 == 0 {
 			io.WriteString(c, "GET /admin/stats HTTP/1.1\r\nHo")
 		}
-		holders = append(holders, c)
+		idle = append(idle, c)
 	}
 	if status, _ := call(t, addr, "GET", "/admin/stats"); status != 200 {
-		t.Errorf("beside callers that hold connections: %d", status)
+		t.Errorf("beside idle connections: %d", status)
 	}
-	holders[0].SetReadDeadline(time.Now().Add(patience))
-	if _, err := holders[0].Read(make([]byte, 1)); err == nil || timedOut(err) {
-		t.Errorf("the first holder: %v", err)
+	idle[0].SetReadDeadline(time.Now().Add(testTimeout))
+	if _, err := idle[0].Read(make([]byte, 1)); err == nil || timedOut(err) {
+		t.Errorf("the oldest connection: %v", err)
 	}
 }
 
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -256,7 +256,7 @@
 func (c *Config) share() int { return max(min(c.Sockets*7/16, (c.Sockets-c.reserve())/2), leastConns) }
 
 // callers is how many operators may be connected.
-func (c *Config) callers() int { return min(max(c.Sockets/16, 2), admin.MaxCallers) }
+func (c *Config) callers() int { return min(max(c.Sockets/16, 2), admin.MaxConnections) }
 
 // backendConns is the most connections to backends, clientConns the most of clients, over all fronts. The rest
 // is for the listeners, discovery, operators, files, the runtime's own, and what is just being closed.
