--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -35,10 +35,10 @@
 func run(stop context.Context, cfg *Config, ln net.Listener, made func(*core.EventLoop, *semaphore.Weighted)) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel() // only after the front: requests held need the loop to the end
-	budget := semaphore.NewWeighted(cfg.budget())
+	budget := semaphore.NewWeighted(cfg.bodyBudget())
 	pool := newPool(cfg)
-	upstream := &httpup.Upstream{Pool: pool, Budget: budget, Reports: cfg.reports()}
-	f := httpfront.New(&cfg.Settings, budget, upstream, cfg.clientRoom(), cfg.clientConns())
+	upstream := &httpup.Upstream{Pool: pool, Budget: budget, Reports: cfg.loadReportNames()}
+	f := httpfront.New(&cfg.Settings, budget, upstream, cfg.maxIdleClients(), cfg.maxClientConnections())
 	upstreams := []core.Upstream{upstream}
 	tf, tln, err := newThrift(cfg, budget, pool)
 	if err != nil {
@@ -47,9 +47,9 @@
 	if tf != nil {
 		upstreams = append(upstreams, tf.Upstream)
 	}
-	loop := cfg.core()
+	loop := cfg.eventLoopConfig()
 	loop.HealthCheck = upstream.Probe
-	pair, err := newPair(cfg, &loop)
+	pair, err := newSharedState(cfg, &loop)
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
@@ -62,15 +62,15 @@
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
-	serve, answer := cfg.ending()
+	serve, answer := cfg.shutdownPlan()
 	f.Loop, f.Linger = l, serve
 	pool.Written = &l.Counters().Written
 	pair.loop = l
-	pair.use = func(n int) {
+	pair.useLimits = func(n int) {
 		debug.SetMemoryLimit(cfg.MemoryLimit() / int64(n))
-		pool.SetMax(cfg.backendConns() / n)
+		pool.SetMax(cfg.maxBackendConnections() / n)
 	}
-	closeDoor, err := pair.open(cfg.Admin, cfg.callers())
+	closeDoor, err := pair.serveAdmin(cfg.AdminAddr, cfg.maxAdminConnections())
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
@@ -82,19 +82,19 @@
 		l.Run()
 	}()
 	pair.run(ctx)
-	leaveKeepers, err := pair.agree(ctx, cfg)
+	leaveKeepers, err := pair.holdLease(ctx, cfg)
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
 	defer leaveKeepers()
 	failed := make(chan error, 2)
 	if ln == nil {
-		if ln, err = pair.takeOver(stop, cfg.Listen, up); err != nil {
+		if ln, err = pair.listenBesidePredecessor(stop, cfg.Listen, up); err != nil {
 			return fmt.Errorf("agent: %w", err)
 		}
 	}
 	go func() { failed <- f.Serve(ln) }()
-	pair.serve(up)
+	pair.markServing(up)
 	if tf != nil {
 		tf.Loop, tf.Linger = l, serve
 		go func() {
@@ -112,7 +112,7 @@
 	slog.Info("ending", "serves_for", serve, "answers_within", answer)
 	l.Post(func() { l.ShutDownBy(by) })
 	held := answer - serve + killMargin/4 // the last answers are to be written, too
-	if pair.heir() {
+	if pair.hasSuccessor() {
 		f.HandOver(ln)
 	}
 	var others sync.WaitGroup
@@ -131,10 +131,10 @@
 
 // newThrift makes the Thrift front and its listener, where there is to be one.
 func newThrift(cfg *Config, budget *semaphore.Weighted, pool *conns.Pool) (*thrift.Front, net.Listener, error) {
-	if cfg.Thrift == "" {
+	if cfg.ThriftFile == "" {
 		return nil, nil, nil
 	}
-	c, err := thrift.Load(cfg.Thrift)
+	c, err := thrift.Load(cfg.ThriftFile)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -142,14 +142,14 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	ln, err := cfg.Dir.Listen(c.Listen) // shared, as the clients' address
+	ln, err := cfg.UpgradeDir.Listen(c.Listen) // shared, as the clients' address
 	if err != nil {
 		return nil, nil, fmt.Errorf("thrift: listen: %w", err)
 	}
 	slog.Info("listening for Thrift", "addr", ln.Addr().String())
 	limits := thriftwire.Limits{Size: c.FrameLimit, Depth: c.DepthLimit}
 	return &thrift.Front{Upstream: &thriftup.Upstream{Pool: pool, Budget: budget, Limits: limits}, Budget: budget,
-		Table: table, Limits: limits, Most: cfg.clientConns(), AfterMs: cfg.Settings.Limits.MaxRetryAfterMs}, ln, nil
+		Table: table, Limits: limits, Most: cfg.maxClientConnections(), AfterMs: cfg.Settings.Limits.MaxRetryAfterMs}, ln, nil
 }
 
-func ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+func durationFromMs(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -15,25 +15,25 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// one starts an agent in front of one backend with the given script.
-func one(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) (*testAgent, *fakeBackend) {
+// startWithBackend starts an agent in front of one backend with the given script.
+func startWithBackend(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) (*testAgent, *fakeBackend) {
 	t.Helper()
 	b := newBackend(t, answer)
-	return startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil), b
+	return startAgent(t, newDiscoveryServer(t, listedBackend("s-1", b.addr)), nil), b
 }
 
 func TestServed(t *testing.T) {
 	var mu sync.Mutex
 	var seen http.Header
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		mu.Lock()
 		seen = req.Header.Clone()
 		mu.Unlock()
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
 	req := newRequest(a.addr, "send", "hello")
 	req.URL.RawQuery = "a=1&b=%20"
-	status, header, body := a.ask(req)
+	status, header, body := a.roundTrip(req)
 	wantStatus(t, status, 200)
 	if want := "POST /api/00000000000000a1?a=1&b=%20 hello"; body != want {
 		t.Errorf("body %q, want %q", body, want)
@@ -95,8 +95,8 @@
 		{"an error is repeated for a keyed one, three attempts at most", "send", always(500, "", ""), 503, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			a, b := one(t, test.answer)
-			status, header, _ := a.ask(newRequest(a.addr, test.class, "x"))
+			a, b := startWithBackend(t, test.answer)
+			status, header, _ := a.roundTrip(newRequest(a.addr, test.class, "x"))
 			wantStatus(t, status, test.status)
 			if b.count() != test.arrivals {
 				t.Errorf("%d arrivals, want %d", b.count(), test.arrivals)
@@ -104,7 +104,7 @@
 			if status == 503 && header.Get("Retry-After") != "0.600" {
 				t.Errorf("refused with Retry-After %q", header.Get("Retry-After"))
 			}
-			if f := a.figures(); f.DeadlineExceeded+f.GuardViolations > 0 {
+			if f := a.stats(); f.DeadlineExceeded+f.GuardViolations > 0 {
 				t.Errorf("a guard had to act: %+v", f)
 			}
 		})
@@ -112,13 +112,13 @@
 }
 
 func TestTurnedAwayGoesAgain(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n == 0 {
 			return send(c, 503, "Not-Started: 1\r\n", "")
 		}
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	if b.count() != 2 {
 		t.Errorf("%d arrivals, want 2", b.count())
@@ -126,11 +126,11 @@
 }
 
 func TestInterimAnswerIsPassedOver(t *testing.T) {
-	a, _ := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, _ := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		fmt.Fprint(c, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 }
 
@@ -141,8 +141,8 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", addr)), nil)
-	status, header, _ := a.ask(newRequest(a.addr, "order", "x"))
+	a := startAgent(t, newDiscoveryServer(t, listedBackend("s-1", addr)), nil)
+	status, header, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 503)
 	if header.Get("Retry-After") == "" {
 		t.Error("refused without Retry-After")
@@ -150,34 +150,34 @@
 }
 
 func TestConnectionIsReused(t *testing.T) {
-	a, b := one(t, serving)
+	a, b := startWithBackend(t, echo)
 	for range 3 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.arrivals != 3 || b.most != 1 || len(b.ended) != 0 {
-		t.Errorf("%d arrivals, %d connections at once, %d ended", b.arrivals, b.most, len(b.ended))
+	if b.arrivals != 3 || b.maxConns != 1 || len(b.ended) != 0 {
+		t.Errorf("%d arrivals, %d connections at once, %d ended", b.arrivals, b.maxConns, len(b.ended))
 	}
 }
 
 // A kept connection that the backend has closed must be noticed before it carries
 // a request: an unsafe one would end as a reset and fail.
 func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
-		serving(c, req, n)
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+		echo(c, req, n)
 		return n > 0
 	})
 	wantServed := func() {
 		t.Helper()
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 	wantServed()
 	select {
 	case <-b.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the backend did not close")
 	}
 	wantServed()
@@ -190,12 +190,12 @@
 // request may have run and is never sent again behind the module's back, not even
 // with the key or without the body that make http.Transport do so.
 func TestNoSilentResend(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
-		return n == 0 && serving(c, req, n)
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+		return n == 0 && echo(c, req, n)
 	})
-	status, _, _ := a.ask(newRequest(a.addr, "order", ""))
+	status, _, _ := a.roundTrip(newRequest(a.addr, "order", ""))
 	wantStatus(t, status, 200)
-	status, _, _ = a.ask(newRequest(a.addr, "order", ""))
+	status, _, _ = a.roundTrip(newRequest(a.addr, "order", ""))
 	wantStatus(t, status, 502)
 	if b.count() != 2 {
 		t.Errorf("%d arrivals, want 2", b.count())
@@ -205,11 +205,11 @@
 // A backend that says nothing: the request fails within its time, and the
 // connection is closed, as the late answer would be taken for the next one's.
 func TestSilentBackend(t *testing.T) {
-	a, b := one(t, func(net.Conn, *http.Request, int) bool { return true })
+	a, b := startWithBackend(t, func(net.Conn, *http.Request, int) bool { return true })
 	req := newRequest(a.addr, "order", "x")
 	req.Header.Set("Request-Timeout-Ms", "600")
 	from := time.Now()
-	status, _, _ := a.ask(req)
+	status, _, _ := a.roundTrip(req)
 	if status != 502 && status != 504 {
 		t.Errorf("answered %d, want a failure", status)
 	}
@@ -218,7 +218,7 @@
 	}
 	select {
 	case <-b.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the connection stays open")
 	}
 	if b.count() != 1 {
@@ -237,18 +237,18 @@
 func TestDrain(t *testing.T) { byMode(t, testDrain) }
 
 func testDrain(t *testing.T, mode func(*Config)) {
-	old, other := newBackend(t, serving), newBackend(t, serving)
-	d := newDiscoveryServer(t, target("s-1", old.addr))
+	old, other := newBackend(t, echo), newBackend(t, echo)
+	d := newDiscoveryServer(t, listedBackend("s-1", old.addr))
 	a := startAgent(t, d, mode)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
-	d.Set(target("s-2", other.addr))
-	drains := target("s-1", old.addr)
+	d.Set(listedBackend("s-2", other.addr))
+	drains := listedBackend("s-1", old.addr)
 	drains.State = "draining"
-	d.told(t, drains)
+	d.update(t, drains)
 	before := old.count()
 	for range 8 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 	if old.count() != before || other.count() < 8 {
@@ -256,19 +256,19 @@
 	}
 	select { // its idle connection is closed
 	case <-old.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the idle connection to the draining backend stays open")
 	}
 }
 
 func TestAddressChange(t *testing.T) {
-	old, moved := newBackend(t, serving), newBackend(t, serving)
-	d := newDiscoveryServer(t, target("s-1", old.addr))
+	old, moved := newBackend(t, echo), newBackend(t, echo)
+	d := newDiscoveryServer(t, listedBackend("s-1", old.addr))
 	a := startAgent(t, d, nil)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
-	d.told(t, target("s-1", moved.addr))
-	status, _, _ = a.ask(newRequest(a.addr, "order", "x"))
+	d.update(t, listedBackend("s-1", moved.addr))
+	status, _, _ = a.roundTrip(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	if old.count() != 1 || moved.count() != 1 {
 		t.Errorf("%d arrivals at the old address, %d at the new", old.count(), moved.count())
@@ -280,14 +280,14 @@
 func TestDiscoveryDownAndBack(t *testing.T) { byMode(t, testDiscoveryDownAndBack) }
 
 func testDiscoveryDownAndBack(t *testing.T, mode func(*Config)) {
-	first, second := newBackend(t, serving), newBackend(t, serving)
-	d := newDiscoveryServer(t, target("s-1", first.addr))
+	first, second := newBackend(t, echo), newBackend(t, echo)
+	d := newDiscoveryServer(t, listedBackend("s-1", first.addr))
 	a := startAgent(t, d, mode)
 	d.wait(t, 1)
 	d.SetDown(true)
 	before := d.Calls()
 	for d.Calls() == before { // the module asks again, after a time of its choice
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -295,11 +295,11 @@
 		t.Errorf("%d calls at once to a discovery that is down", n)
 	}
 	d.SetDown(false)
-	gone := target("s-1", first.addr)
+	gone := listedBackend("s-1", first.addr)
 	gone.State = "removed"
-	d.Set(target("s-2", second.addr))
-	d.told(t, gone)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	d.Set(listedBackend("s-2", second.addr))
+	d.update(t, gone)
+	status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	if second.count() == 0 {
 		t.Error("the new backend is not used")
@@ -309,7 +309,7 @@
 // A client that goes away has its attempt withdrawn.
 func TestClientGone(t *testing.T) {
 	arrived := make(chan struct{}, 10)
-	a, b := one(t, func(net.Conn, *http.Request, int) bool {
+	a, b := startWithBackend(t, func(net.Conn, *http.Request, int) bool {
 		arrived <- struct{}{}
 		return true
 	})
@@ -326,10 +326,10 @@
 	<-failed
 	select {
 	case <-b.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the attempt goes on")
 	}
-	if f := a.figures(); f.Disconnected != 1 || f.DeadlineExceeded != 0 {
+	if f := a.stats(); f.Disconnected != 1 || f.DeadlineExceeded != 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
@@ -339,36 +339,36 @@
 	release := make(chan struct{})
 	b := newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		<-release
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) { c.Sockets = minSockets })
-	most := a.cfg.clientRoom()
+	a := startAgent(t, newDiscoveryServer(t, listedBackend("s-1", b.addr)), func(c *Config) { c.Sockets = minSockets })
+	most := a.cfg.maxIdleClients()
 	for range 2 * most { // clients that stay connected and idle
 		c, err := net.Dial("tcp", a.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprint(c, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v, %v", resp, err)
 		}
 	}
 	close(release)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 }
 
 func TestUnknownTenant(t *testing.T) {
-	b := newBackend(t, serving)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) {
+	b := newBackend(t, echo)
+	a := startAgent(t, newDiscoveryServer(t, listedBackend("s-1", b.addr)), func(c *Config) {
 		c.Settings.Tenants = []policy.Tenant{{Name: "acme", QuotaWeight: 1}}
 	})
 	for name, want := range map[string]int{"acme": 200, "nobody": 400, "": 400} {
 		req := newRequest(a.addr, "order", "x")
 		req.Header.Set("Tenant", name)
-		if status, _, _ := a.ask(req); status != want {
+		if status, _, _ := a.roundTrip(req); status != want {
 			t.Errorf("tenant %q: answered %d, want %d", name, status, want)
 		}
 	}
--- a/internal/agent/agreed.go
+++ b/internal/agent/agreed.go
@@ -14,40 +14,40 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// publishTime bounds how long the keepers are waited for with an operator's word: with the loop's it is under the
+// publishTimeout bounds how long the keepers are waited for with an operator's word: with the loop's it is under the
 // second in which he is owed an answer.
-const publishTime = 350 * time.Millisecond
+const publishTimeout = 350 * time.Millisecond
 
-// agree keeps a lease on the book of rules, where there are keepers, until leave is called.
-func (p *pair) agree(ctx context.Context, cfg *Config) (leave func(), err error) {
-	if cfg.Agreed == nil {
+// holdLease keeps a lease on the book of rules, where there are keepers, until leave is called.
+func (p *sharedState) holdLease(ctx context.Context, cfg *Config) (leave func(), err error) {
+	if cfg.SharedConfig == nil {
 		return func() {}, nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	p.link = client.New(cfg.Agreed, cfg.Name, acting{p.loop})
+	p.renewer = client.New(cfg.SharedConfig, cfg.Name, leaseTarget{p.loop})
 	var ended sync.WaitGroup
-	if cfg.Agreed.Listen != "" {
-		ln, err := net.Listen("tcp", cfg.Agreed.Listen)
+	if cfg.SharedConfig.Listen != "" {
+		ln, err := net.Listen("tcp", cfg.SharedConfig.Listen)
 		if err != nil {
 			// Another process of this agent may still listen; it carries the peers' asks as well.
 			slog.Warn("agreed: asks of peers are not carried", "err", err)
 		} else {
 			ended.Go(func() {
-				if err := p.link.Serve(ctx, ln); err != nil {
+				if err := p.renewer.Serve(ctx, ln); err != nil {
 					slog.Error("agreed: asks of peers are no longer carried", "err", err)
 				}
 			})
 		}
 	}
-	ended.Go(func() { p.link.Run(ctx) })
+	ended.Go(func() { p.renewer.Run(ctx) })
 	return func() { cancel(); ended.Wait() }, nil
 }
 
-// acting is the loop as its lease has it.
-type acting struct{ loop *core.EventLoop }
+// leaseTarget is the loop as its lease has it.
+type leaseTarget struct{ loop *core.EventLoop }
 
-// do does something in the loop and waits until it is done.
-func (a acting) do(ctx context.Context, f func()) error {
+// call does something in the loop and waits until it is done.
+func (a leaseTarget) call(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	a.loop.Post(func() { f(); close(done) })
 	select {
@@ -59,26 +59,26 @@
 }
 
 // Adopt implements link.Target.
-func (a acting) Adopt(ctx context.Context, stage uint64, book *sharedconfig.Config, until, lists time.Time) error {
-	return a.do(ctx, func() { a.loop.AdoptConfig(stage, book, until, lists) })
+func (a leaseTarget) Adopt(ctx context.Context, stage uint64, book *sharedconfig.Config, until, lists time.Time) error {
+	return a.call(ctx, func() { a.loop.AdoptConfig(stage, book, until, lists) })
 }
 
 // Renew implements link.Target.
-func (a acting) Renew(ctx context.Context, until, lists time.Time) {
-	a.do(ctx, func() { a.loop.RenewLease(until, lists) })
+func (a leaseTarget) Renew(ctx context.Context, until, lists time.Time) {
+	a.call(ctx, func() { a.loop.RenewLease(until, lists) })
 }
 
-// publish has a ban, or its end, published. A ban holds here at once, whether or not the keepers answer; where they
+// publishCordon has a ban, or its end, published. A ban holds here at once, whether or not the keepers answer; where they
 // do, the book has the word on it as soon as it is in force.
-func (p *pair) publish(id string, on bool) error {
+func (p *sharedState) publishCordon(id string, on bool) error {
 	if on {
-		if err := p.ban(id, true); err != nil {
+		if err := p.cordonLocally(id, true); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), publishTime)
+	ctx, cancel := context.WithTimeout(context.Background(), publishTimeout)
 	defer cancel()
-	number, err := p.link.Cordon(ctx, id, on)
+	number, err := p.renewer.Cordon(ctx, id, on)
 	switch {
 	case err != nil && on:
 		return fmt.Errorf("the ban holds at this agent; whether the keepers have it is not known, say it again: %w", err)
@@ -97,17 +97,17 @@
 	return nil
 }
 
-// agreed are the door's figures of the book of rules.
-func (p *pair) agreed() *admin.SharedConfig {
-	if p.link == nil {
+// sharedConfigStats are the door's figures of the book of rules.
+func (p *sharedState) sharedConfigStats() *admin.SharedConfig {
+	if p.renewer == nil {
 		return nil
 	}
 	var f core.SharedConfigStats
 	got := make(chan core.SharedConfigStats, 1)
-	if p.loop.Call(loopTime/2, func() { now, _ := p.loop.SharedConfigStats(); got <- now }) {
+	if p.loop.Call(loopTimeout/2, func() { now, _ := p.loop.SharedConfigStats(); got <- now }) {
 		f = <-got
 	}
-	c := p.link.Stats()
-	return &admin.SharedConfig{Epoch: f.Epoch, LeaseMs: p.link.Remaining().Milliseconds(), Strict: f.Strict, Rejecting: f.Rejecting, Expirations: int64(f.Expirations),
+	c := p.renewer.Stats()
+	return &admin.SharedConfig{Epoch: f.Epoch, LeaseMs: p.renewer.Remaining().Milliseconds(), Strict: f.Strict, Rejecting: f.Rejecting, Expirations: int64(f.Expirations),
 		Renewals: c.Renewals.Load(), Failed: c.Failed.Load(), Relayed: c.Relayed.Load(), Unapplied: c.Rejected.Load(), Adopted: c.Adopted.Load()}
 }
--- a/internal/agent/answer_test.go
+++ b/internal/agent/answer_test.go
@@ -39,15 +39,15 @@
 		"another protocol is switched to": "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+			a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 				if n > 0 {
-					return serving(c, req, n)
+					return echo(c, req, n)
 				}
 				io.WriteString(c, text)
 				return true // it stays open, as far as the backend goes
 			})
 			from := time.Now()
-			status, _, body := a.ask(newRequest(a.addr, "order", "x"))
+			status, _, body := a.roundTrip(newRequest(a.addr, "order", "x"))
 			wantStatus(t, status, 502)
 			if strings.Contains(body, "good") || b.count() != 1 {
 				t.Errorf("body %q, %d arrivals", body, b.count())
@@ -57,10 +57,10 @@
 			}
 			select {
 			case <-b.ended:
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Error("the connection is kept")
 			}
-			status, _, body = a.ask(newRequest(a.addr, "order", "y"))
+			status, _, body = a.roundTrip(newRequest(a.addr, "order", "y"))
 			if status != 200 || !strings.HasSuffix(body, " y") {
 				t.Errorf("the next one: answered %d, %q", status, body)
 			}
@@ -74,7 +74,7 @@
 	for name, later := range map[string]bool{"right behind": false, "later": true} {
 		t.Run(name, func(t *testing.T) {
 			came := make(chan struct{}, 8)
-			a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+			a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 				second := "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond"
 				if !later {
 					body := "first"
@@ -89,7 +89,7 @@
 				return true
 			})
 			for range 3 {
-				status, _, body := a.ask(newRequest(a.addr, "order", "x"))
+				status, _, body := a.roundTrip(newRequest(a.addr, "order", "x"))
 				if status != 200 || body != "first" {
 					t.Errorf("answered %d, %q", status, body)
 				}
@@ -107,21 +107,21 @@
 // A backend's word that the request is bad says nothing of the backend: it is used
 // for the next one as before, and so is its connection.
 func TestBadRequestDemotesNobody(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n < 20 {
 			return send(c, 400, "", "")
 		}
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
 	for range 20 {
-		status, _, _ := a.ask(newRequest(a.addr, "send", "x"))
+		status, _, _ := a.roundTrip(newRequest(a.addr, "send", "x"))
 		wantStatus(t, status, 400)
 	}
 	from := time.Now()
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
-	if b.count() != 21 || b.most != 1 {
-		t.Errorf("%d arrivals on %d connections, want 21 on one", b.count(), b.most)
+	if b.count() != 21 || b.maxConns != 1 {
+		t.Errorf("%d arrivals on %d connections, want 21 on one", b.count(), b.maxConns)
 	}
 	if took := time.Since(from); took > time.Second {
 		t.Errorf("held for %v", took)
@@ -134,7 +134,7 @@
 func TestIdleConnectionsThatBreakAreNotUsed(t *testing.T) {
 	var mu sync.Mutex
 	last, broken := map[net.Conn]time.Time{}, 0
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		at, kept := last[c]
@@ -143,12 +143,12 @@
 			return reset(c)
 		}
 		last[c] = time.Now()
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
 	failed := 0
 	for range 30 {
 		time.Sleep(120 * time.Millisecond)
-		if status, _, _ := a.ask(newRequest(a.addr, "order", "x")); status != 200 {
+		if status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x")); status != 200 {
 			failed++
 		}
 	}
@@ -157,7 +157,7 @@
 	}
 	conns := len(last)
 	for range 5 {
-		a.ask(newRequest(a.addr, "order", "x"))
+		a.roundTrip(newRequest(a.addr, "order", "x"))
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -176,16 +176,16 @@
 	for name, part := range map[string]string{"in the head": head[:20], "behind the head": head, "in the body": head + "half", "in a longer body": head + strings.Repeat("x", 20<<10)} {
 		for class, want := range map[string][2]int{"order": {502, 1}, "read": {503, 3}} {
 			t.Run(name+"/"+class, func(t *testing.T) {
-				a, b := one(t, func(c net.Conn, _ *http.Request, _ int) bool {
+				a, b := startWithBackend(t, func(c net.Conn, _ *http.Request, _ int) bool {
 					io.WriteString(c, part)
 					return reset(c)
 				})
-				status, _, body := a.ask(newRequest(a.addr, class, "x"))
+				status, _, body := a.roundTrip(newRequest(a.addr, class, "x"))
 				wantStatus(t, status, want[0])
 				if strings.Contains(body, "half") || strings.Contains(body, "xx") || b.count() != want[1] {
 					t.Errorf("body %.20q, %d arrivals, want %d", body, b.count(), want[1])
 				}
-				if f := a.figures(); f.Served != 0 || f.GuardViolations != 0 {
+				if f := a.stats(); f.Served != 0 || f.GuardViolations != 0 {
 					t.Errorf("figures %+v", f)
 				}
 			})
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	if c.Listen != "127.0.0.1:9" || c.Discovery != "127.0.0.1:2" || c.Seed != 0x8c1f30d27a5be964 ||
-		c.Known.Revision != 4 || c.Cores != 0.5 || len(c.Zones) != 2 || len(c.Settings.Classes) != 3 {
+		c.CachedEndpoints.Revision != 4 || c.Cores != 0.5 || len(c.Zones) != 2 || len(c.Settings.Classes) != 3 {
 		t.Errorf("read as %+v", c)
 	}
 	for _, bad := range []struct{ from, to, want string }{
@@ -100,14 +100,14 @@
 				return path
 			}
 			return ""
-		}); err == nil || errors.Is(err, errUnfinished) {
+		}); err == nil || errors.Is(err, errIncompleteFile) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	write(good[:100])
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel() // told to end meanwhile
-	if _, err := StartConfig(ctx, func(name string) string { return map[string]string{"PROXY_CONFIG": path}[name] }); !errors.Is(err, errUnfinished) {
+	if _, err := StartConfig(ctx, func(name string) string { return map[string]string{"PROXY_CONFIG": path}[name] }); !errors.Is(err, errIncompleteFile) {
 		t.Errorf("told to end: %v", err)
 	}
 }
@@ -116,25 +116,25 @@
 // large limits of the deployment page nothing but a fixed part is kept.
 func TestSharesOfDescriptors(t *testing.T) {
 	for sockets := minSockets; sockets <= 4096; sockets++ {
-		for _, c := range []Config{{}, {Admin: "x"}, {Thrift: "x"}, {Admin: "x", Thrift: "x"}, {Agreed: &client.Config{}},
-			{Admin: "x", Thrift: "x", Agreed: &client.Config{}, Ephemeral: &ephemeral.Config{}}} {
+		for _, c := range []Config{{}, {AdminAddr: "x"}, {ThriftFile: "x"}, {AdminAddr: "x", ThriftFile: "x"}, {SharedConfig: &client.Config{}},
+			{AdminAddr: "x", ThriftFile: "x", SharedConfig: &client.Config{}, Registry: &ephemeral.Config{}}} {
 			c.Sockets = sockets
-			if n := c.backendConns() + c.fronts()*c.clientConns() + c.reserve(); n > sockets && c.share() > leastConns {
-				t.Fatalf("%d of %d descriptors, of them %d kept", n, sockets, c.reserve())
+			if n := c.maxBackendConnections() + c.downstreams()*c.maxClientConnections() + c.reservedDescriptors(); n > sockets && c.connectionsPerSide() > minConnections {
+				t.Fatalf("%d of %d descriptors, of them %d kept", n, sockets, c.reservedDescriptors())
 			}
-			if c.backendConns() < leastConns || c.clientConns() < 2 || c.clientRoom() > c.clientConns() {
-				t.Fatalf("of %d: %d to backends, %d and %d of clients", sockets, c.backendConns(), c.clientRoom(), c.clientConns())
+			if c.maxBackendConnections() < minConnections || c.maxClientConnections() < 2 || c.maxIdleClients() > c.maxClientConnections() {
+				t.Fatalf("of %d: %d to backends, %d and %d of clients", sockets, c.maxBackendConnections(), c.maxIdleClients(), c.maxClientConnections())
 			}
-			if sockets >= 1024 && c.backendConns() != sockets*7/16 {
-				t.Fatalf("of %d: %d to backends", sockets, c.backendConns())
+			if sockets >= 1024 && c.maxBackendConnections() != sockets*7/16 {
+				t.Fatalf("of %d: %d to backends", sockets, c.maxBackendConnections())
 			}
 		}
 	}
 	c := &Config{Sockets: 1024}
-	if c.within(4096); c.Sockets != 1024 {
+	if c.limitDescriptors(4096); c.Sockets != 1024 {
 		t.Errorf("with more than is told: %d", c.Sockets)
 	}
-	if c.within(100); c.Sockets != 100 {
+	if c.limitDescriptors(100); c.Sockets != 100 {
 		t.Errorf("with less than is told: %d", c.Sockets)
 	}
 }
--- a/internal/agent/departure_test.go
+++ b/internal/agent/departure_test.go
@@ -27,9 +27,9 @@
 		held := gate
 		mu.Unlock()
 		<-held
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), nil)
+	a := startAgent(t, newDiscoveryServer(t, listedBackend("s-1", b.addr)), nil)
 	fin := func(c net.Conn) { c.Close() }
 	rst := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }
 	half := func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }
@@ -64,7 +64,7 @@
 			gate = make(chan struct{})
 			sent = nil
 			mu.Unlock()
-			before := a.figures()
+			before := a.stats()
 			const occupy, leaving = 2, 25
 			var conns []net.Conn
 			ask := func(kind, lines, body string) {
@@ -83,13 +83,13 @@
 			for range n {
 				ask("leaves", way.head, way.body)
 			}
-			until(t, "not all were taken", func() bool { return a.figures().Accepted == before.Accepted+occupy+n })
+			until(t, "not all were taken", func() bool { return a.stats().Accepted == before.Accepted+occupy+n })
 			from := time.Now()
 			for _, c := range conns[occupy:] {
 				way.leave(c)
 			}
 			for gone := 0; gone < n && time.Since(from) < goneWithin; {
-				f := a.figures() // one that was sent at once, and whose body then did not come, has failed
+				f := a.stats() // one that was sent at once, and whose body then did not come, has failed
 				now := f.Disconnected + f.Failed - before.Disconnected - before.Failed
 				for ; gone < now; gone++ {
 					delays = append(delays, time.Since(from))
@@ -129,7 +129,7 @@
 // until waits for something.
 func until(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal(what)
 		}
--- a/internal/agent/ending_test.go
+++ b/internal/agent/ending_test.go
@@ -21,7 +21,7 @@
 		6000: {3000 * time.Millisecond, 3500 * time.Millisecond},
 	} {
 		c := &Config{Settings: policy.Settings{Classes: []policy.Class{{ClientTimeoutMs: giveUpMs}, {ClientTimeoutMs: 10}}}}
-		if serve, answer := c.ending(); serve != want[0] || answer != want[1] {
+		if serve, answer := c.shutdownPlan(); serve != want[0] || answer != want[1] {
 			t.Errorf("deadlines of %v ms: served for %v, answered by %v, want %v", giveUpMs, serve, answer, want)
 		}
 	}
@@ -35,18 +35,18 @@
 			t.Parallel()
 			came := make(chan struct{}, 1)
 			b := newBackend(t, func(net.Conn, *http.Request, int) bool { came <- struct{}{}; return true })
-			d := newDiscoveryServer(t, target("s-1", b.addr))
+			d := newDiscoveryServer(t, listedBackend("s-1", b.addr))
 			a := startAgent(t, d, func(c *Config) {
 				for i := range c.Settings.Classes {
 					c.Settings.Classes[i].ClientTimeoutMs = 50
 				}
-				c.linger = 0
+				c.serveAfterSignal = 0
 			})
 			req := newRequest(a.addr, class, "x")
 			req.Header.Set("Request-Timeout-Ms", "30000")
 			status := statusOf(t, req)
 			<-came
-			kill := killAfter + a.cfg.longest()
+			kill := killGrace + a.cfg.longestClientTimeout()
 			from := time.Now()
 			a.stop()
 			if err := <-a.done; err != nil {
@@ -89,12 +89,12 @@
 		for i := range c.Settings.Classes {
 			c.Settings.Classes[i].ClientTimeoutMs = 50
 		}
-		c.linger = 0
+		c.serveAfterSignal = 0
 	})
 	req := newRequest(a.addr, "order", "x")
 	req.Header.Set("Request-Timeout-Ms", "30000")
 	status := statusOf(t, req)
-	for a.figures().Accepted == 0 {
+	for a.stats().Accepted == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	a.stop()
@@ -106,7 +106,7 @@
 // A request whose connection was there at the end of service, and whose last byte comes while the process still
 // waits for what is held, has its answer; net/http's own end closes its connection without a word.
 func TestARequestThatComesAsServiceEndsIsAnswered(t *testing.T) {
-	a, b := one(t, serving)
+	a, b := startWithBackend(t, echo)
 	c := a.dial()
 	text := rawOrder("/api/a1", "late", "Content-Length: 1\r\n", "x")
 	if _, err := io.WriteString(c, text[:20]); err != nil {
@@ -114,13 +114,13 @@
 	}
 	held := a.dial() // a request that is open keeps the process there
 	wait := make(chan struct{})
-	b.answer = func(c net.Conn, req *http.Request, n int) bool { <-wait; return serving(c, req, n) }
+	b.answer = func(c net.Conn, req *http.Request, n int) bool { <-wait; return echo(c, req, n) }
 	io.WriteString(held, rawOrder("/api/a1", "held", "Content-Length: 1\r\n", "x"))
-	for a.figures().Accepted == 0 {
+	for a.stats().Accepted == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	a.stop()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) { // until the listener is closed
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // until the listener is closed
 		probe, err := net.Dial("tcp", a.addr)
 		if err != nil {
 			break
@@ -135,7 +135,7 @@
 	}
 	close(wait)
 	for name, c := range map[string]net.Conn{"late": c, "held": held} {
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
--- a/internal/agent/ephemeral_test.go
+++ b/internal/agent/ephemeral_test.go
@@ -18,23 +18,23 @@
 		t.Fatal(err)
 	}
 	defer e.Close()
-	one, two := newBackend(t, serving), newBackend(t, serving)
+	one, two := newBackend(t, echo), newBackend(t, echo)
 	node := []byte(`{"started_ms":1000}`)
 	e.Put("/fleet/s-1", node, 0)
 	e.Put("/fleet/s-2", node, 0)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", one.addr), target("s-2", two.addr)), func(c *Config) {
-		c.Ephemeral = ephemeral.Default()
-		c.Ephemeral.Ensemble, c.Ephemeral.Path, c.Ephemeral.SessionMs = e.Addrs(), "/fleet", 1000
+	a := startAgent(t, newDiscoveryServer(t, listedBackend("s-1", one.addr), listedBackend("s-2", two.addr)), func(c *Config) {
+		c.Registry = ephemeral.Default()
+		c.Registry.Ensemble, c.Registry.Path, c.Registry.SessionMs = e.Addrs(), "/fleet", 1000
 	})
 	serve := func(n int) {
 		t.Helper()
 		for range n {
-			status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+			status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 			wantStatus(t, status, 200)
 		}
 	}
 	// Both are followed once the end of one is seen.
-	for end := time.Now().Add(patience); e.Servers[0].Reads()+e.Servers[1].Reads() < 3; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); e.Servers[0].Reads()+e.Servers[1].Reads() < 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the registry is not read")
 		}
@@ -63,7 +63,7 @@
 
 // Without a registry nothing of it runs.
 func TestNoRegistryNoGoroutine(t *testing.T) {
-	one(t, serving)
+	startWithBackend(t, echo)
 	buf := make([]byte, 1<<20)
 	if stacks := string(buf[:runtime.Stack(buf, true)]); strings.Contains(stacks, "membership/ephemeral") {
 		t.Error("the registry's source runs")
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -22,8 +22,8 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// patience bounds every wait of the tests; none of them needs more than a part of it.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of the tests; none of them needs more than a part of it.
+const testTimeout = 20 * time.Second
 
 const testSettings = `{"classes":[
  {"name":"read","aimMs":2000,"giveUpMs":4000,"effect":"free","credit":1,"lateShare":0.2},
@@ -47,7 +47,7 @@
 	mu       sync.Mutex
 	arrivals int
 	conns    int // open now
-	most     int
+	maxConns int
 	ended    chan struct{} // a value for each connection that the agent closed
 }
 
@@ -74,7 +74,7 @@
 	defer c.Close()
 	b.mu.Lock()
 	b.conns++
-	b.most = max(b.most, b.conns)
+	b.maxConns = max(b.maxConns, b.conns)
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
@@ -115,8 +115,8 @@
 	return err == nil
 }
 
-// serving answers every request with its own path and body.
-func serving(c net.Conn, req *http.Request, _ int) bool {
+// echo answers every request with its own path and body.
+func echo(c net.Conn, req *http.Request, _ int) bool {
 	body, _ := io.ReadAll(req.Body)
 	return send(c, 200, "Server-Load: qps=3,util=0.5,eps=0\r\n", req.Method+" "+req.URL.RequestURI()+" "+string(body))
 }
@@ -140,10 +140,10 @@
 	return &fakeDiscovery{r}
 }
 
-// told changes an entry and returns once the agent has handed the change to its
+// update changes an entry and returns once the agent has handed the change to its
 // loop: the watch calls again first and hands on then, so one more change is made
 // and the call after that is waited for.
-func (d *fakeDiscovery) told(t *testing.T, e membership.Entry) {
+func (d *fakeDiscovery) update(t *testing.T, e membership.Entry) {
 	t.Helper()
 	d.wait(t, d.Set(e))
 	d.wait(t, d.Set(e))
@@ -152,7 +152,7 @@
 // wait waits for a watch call with an index of at least version.
 func (d *fakeDiscovery) wait(t *testing.T, version uint64) {
 	t.Helper()
-	over := time.After(patience)
+	over := time.After(testTimeout)
 	for {
 		select {
 		case index := <-d.Asked:
@@ -165,7 +165,7 @@
 	}
 }
 
-func target(id, addr string) membership.Entry {
+func listedBackend(id, addr string) membership.Entry {
 	return membership.Entry{ID: id, Addr: addr, Zone: "east", Kind: "big", State: "up", Weight: 1}
 }
 
@@ -214,7 +214,7 @@
 		stop()
 		select {
 		case <-a.done:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Error("the agent did not stop")
 		}
 	})
@@ -222,17 +222,17 @@
 }
 
 func testConfig(listen, discovery string, known membership.List) (*Config, error) {
-	f := file{Listen: listen, Discovery: discovery, Seed: "7", Known: known, Settings: json.RawMessage(testSettings)}
+	f := configFile{Listen: listen, Discovery: discovery, Seed: "7", Known: known, Settings: json.RawMessage(testSettings)}
 	f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets = 1, 192, 1024
 	c, err := f.config()
 	if err == nil {
-		c.linger = 10 * time.Millisecond
+		c.serveAfterSignal = 10 * time.Millisecond
 	}
 	return c, err
 }
 
 func (a *testAgent) waitReady() {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		resp, err := testClient.Get("http://" + a.addr + "/-/ready")
 		if err == nil {
 			resp.Body.Close()
@@ -244,15 +244,15 @@
 	a.t.Fatal("the agent is not ready")
 }
 
-// figures reads the loop's counts, in the loop.
-func (a *testAgent) figures() core.Stats {
+// stats reads the loop's counts, in the loop.
+func (a *testAgent) stats() core.Stats {
 	got := make(chan core.Stats, 1)
 	a.loop.Post(func() { got <- a.loop.Stats() })
 	return <-got
 }
 
 // testClient opens a connection for each request, and so never sends one again.
-var testClient = &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+var testClient = &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // lastID makes every request's id its own.
 var lastID atomic.Int64
@@ -275,8 +275,8 @@
 	return req
 }
 
-// ask sends a request and returns the answer's status, header and body.
-func (a *testAgent) ask(req *http.Request) (int, http.Header, string) {
+// roundTrip sends a request and returns the answer's status, header and body.
+func (a *testAgent) roundTrip(req *http.Request) (int, http.Header, string) {
 	a.t.Helper()
 	resp, err := testClient.Do(req)
 	if err != nil {
--- a/internal/agent/main.go
+++ b/internal/agent/main.go
@@ -34,7 +34,7 @@
 	}
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil {
-		cfg.within(files.Cur)
+		cfg.limitDescriptors(files.Cur)
 	}
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 	// The heap is small: to collect at twice its size costs little, and keeps what the
@@ -44,13 +44,13 @@
 	debug.SetMemoryLimit(cfg.MemoryLimit())
 	// Another process of this agent may be there, which this one is to follow.
 	if tmp := os.Getenv("TMPDIR"); tmp != "" {
-		if cfg.Dir, err = upgrade.Join(tmp); err != nil {
+		if cfg.UpgradeDir, err = upgrade.Join(tmp); err != nil {
 			slog.Warn("no other process of this agent can be known of", "err", err)
 		}
 	}
 	var ln net.Listener
-	if cfg.Dir == nil || cfg.Dir.First() {
-		if ln, err = cfg.Dir.Listen(cfg.Listen); err != nil {
+	if cfg.UpgradeDir == nil || cfg.UpgradeDir.First() {
+		if ln, err = cfg.UpgradeDir.Listen(cfg.Listen); err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
 		slog.Info("listening", "name", cfg.Name, "addr", ln.Addr().String())
--- a/internal/agent/pair.go
+++ b/internal/agent/pair.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// loopTime bounds how long a ban waits for the loop: an answer is owed within a second. Nothing else does.
-	loopTime = 600 * time.Millisecond
-	// upTime is how long a process that follows another one waits until it has a backend before it takes
+	// loopTimeout bounds how long a ban waits for the loop: an answer is owed within a second. Nothing else does.
+	loopTimeout = 600 * time.Millisecond
+	// readyTimeout is how long a process that follows another one waits until it has a backend before it takes
 	// requests all the same: its yes is owed within 6 s.
-	upTime = 4 * time.Second
-	// saveEvery bounds how often the list is kept for a process that follows.
-	saveEvery = 100 * time.Millisecond
+	readyTimeout = 4 * time.Second
+	// saveInterval bounds how often the list is kept for a process that follows.
+	saveInterval = 100 * time.Millisecond
 )
 
-// pair is the agent as operators and another process of it meet it: behind the door, and in the folder that
+// sharedState is the agent as operators and another process of it meet it: behind the door, and in the folder that
 // both share.
-type pair struct {
-	dir     *upgrade.Dir // nil: there is only this process
-	loop    *core.EventLoop
-	changed chan struct{} // a value: the list has changed since it was last kept
-	stale   atomic.Bool   // as core.Config.Stale has it
-	turned  chan struct{} // a value: stale has changed since it was last kept
-	serving atomic.Bool
-	use     func(processes int) // makes its part of the limits this process's bound
+type sharedState struct {
+	dir              *upgrade.Dir // nil: there is only this process
+	loop             *core.EventLoop
+	endpointsChanged chan struct{} // a value: the list has changed since it was last kept
+	stale            atomic.Bool   // as core.Config.Stale has it
+	staleChanged     chan struct{} // a value: stale has changed since it was last kept
+	serving          atomic.Bool
+	useLimits        func(processes int) // makes its part of the limits this process's bound
 
-	link *client.Renewer // to the keepers; nil: there are none
+	renewer *client.Renewer // to the keepers; nil: there are none
 
-	bans sync.Mutex // orders what is kept of bans and what the loop is told of them
+	cordonLock sync.Mutex // orders what is kept of bans and what the loop is told of them
 }
 
-// newPair also tells the loop's configuration what another process has left.
-func newPair(cfg *Config, loop *core.Config) (*pair, error) {
-	p := &pair{dir: cfg.Dir, changed: make(chan struct{}, 1), turned: make(chan struct{}, 1)}
+// newSharedState also tells the loop's configuration what another process has left.
+func newSharedState(cfg *Config, loop *core.Config) (*sharedState, error) {
+	p := &sharedState{dir: cfg.UpgradeDir, endpointsChanged: make(chan struct{}, 1), staleChanged: make(chan struct{}, 1)}
 	if p.dir == nil {
 		return p, nil
 	}
@@ -69,7 +69,7 @@
 	loop.DiscoveryStale = func(stale bool) {
 		p.stale.Store(stale)
 		select {
-		case p.turned <- struct{}{}:
+		case p.staleChanged <- struct{}{}:
 		default:
 		}
 	}
@@ -78,7 +78,7 @@
 	}
 	loop.EndpointsChanged = func() {
 		select {
-		case p.changed <- struct{}{}:
+		case p.endpointsChanged <- struct{}{}:
 		default:
 		}
 	}
@@ -94,8 +94,8 @@
 	return p, nil
 }
 
-// open opens the door, if there is to be one.
-func (p *pair) open(addr string, callers int) (closeDoor func(), err error) {
+// serveAdmin opens the door, if there is to be one.
+func (p *sharedState) serveAdmin(addr string, callers int) (closeDoor func(), err error) {
 	if addr == "" {
 		return func() {}, nil
 	}
@@ -116,39 +116,39 @@
 }
 
 // run follows and keeps what both processes share, until ctx ends.
-func (p *pair) run(ctx context.Context) {
+func (p *sharedState) run(ctx context.Context) {
 	if p.dir == nil {
 		return
 	}
 	go p.dir.Follow(ctx, func() {
-		p.bans.Lock()
-		defer p.bans.Unlock()
+		p.cordonLock.Lock()
+		defer p.cordonLock.Unlock()
 		ids, err := p.dir.Cordoned()
 		if err != nil {
 			slog.Warn("bans can't be read, the old ones hold", "err", err)
 			return
 		}
 		p.loop.Post(func() { p.loop.SetCordoned(ids) })
-	}, p.share)
-	go p.keep(ctx)
-	go p.keepStale(ctx)
+	}, p.shareLimits)
+	go p.saveEndpoints(ctx)
+	go p.saveDiscoveryStale(ctx)
 }
 
-// share gives each of two processes half of what the agent may use, for as long as both live: of the memory, and of
+// shareLimits gives each of two processes half of what the agent may use, for as long as both live: of the memory, and of
 // the connections to backends. Clients are not sent away for it: their room in both is under the descriptors left.
-func (p *pair) share(processes int) {
+func (p *sharedState) shareLimits(processes int) {
 	slog.Info("processes of this agent", "number", processes)
-	p.use(processes)
+	p.useLimits(processes)
 }
 
-// keepStale keeps whether the last call to discovery had no answer: a process that is killed then leaves a list
+// saveDiscoveryStale keeps whether the last call to discovery had no answer: a process that is killed then leaves a list
 // that others know to be old, and the one started after it must not wait for the turn of one that begins.
-func (p *pair) keepStale(ctx context.Context) {
+func (p *sharedState) saveDiscoveryStale(ctx context.Context) {
 	for failed := false; ; {
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.turned:
+		case <-p.staleChanged:
 		}
 		if err := p.dir.SetDiscoveryStale(p.stale.Load()); err != nil && !failed {
 			failed = true
@@ -157,13 +157,13 @@
 	}
 }
 
-// keep keeps the list for a process that follows.
-func (p *pair) keep(ctx context.Context) {
+// saveEndpoints keeps the list for a process that follows.
+func (p *sharedState) saveEndpoints(ctx context.Context) {
 	for failed := false; ; {
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.changed:
+		case <-p.endpointsChanged:
 		}
 		got := make(chan upgrade.SavedEndpoints, 1)
 		p.loop.Post(func() {
@@ -183,16 +183,16 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(saveEvery):
+		case <-time.After(saveInterval):
 		}
 	}
 }
 
-// takeOver waits until this process can serve, and then listens beside the other.
-func (p *pair) takeOver(stop context.Context, addr string, up <-chan struct{}) (net.Listener, error) {
+// listenBesidePredecessor waits until this process can serve, and then listens beside the other.
+func (p *sharedState) listenBesidePredecessor(stop context.Context, addr string, up <-chan struct{}) (net.Listener, error) {
 	select {
 	case <-up:
-	case <-time.After(upTime):
+	case <-time.After(readyTimeout):
 		slog.Warn("no backend is known yet, serving all the same")
 	case <-stop.Done():
 	}
@@ -204,8 +204,8 @@
 	return ln, nil
 }
 
-// serve notes that the address is listened on; the others are told once requests can be served.
-func (p *pair) serve(up <-chan struct{}) {
+// markServing notes that the address is listened on; the others are told once requests can be served.
+func (p *sharedState) markServing(up <-chan struct{}) {
 	go func() {
 		<-up
 		if p.dir != nil {
@@ -217,14 +217,14 @@
 	}()
 }
 
-// heir tells whether another process takes the requests from now on.
-func (p *pair) heir() bool { return p.dir != nil && p.dir.HasSuccessor() }
+// hasSuccessor tells whether another process takes the requests from now on.
+func (p *sharedState) hasSuccessor() bool { return p.dir != nil && p.dir.HasSuccessor() }
 
 // Serving tells whether this process can serve.
-func (p *pair) Serving() bool { return p.serving.Load() }
+func (p *sharedState) Serving() bool { return p.serving.Load() }
 
 // Stats are the agent's.
-func (p *pair) Stats() admin.Stats {
+func (p *sharedState) Stats() admin.Stats {
 	now := p.loop.Rotation()
 	t := p.loop.Counters()
 	f := admin.Stats{Written: t.Written.Load(), Open: t.Open.Load(), Listed: now.Listed, Unavailable: now.Unavailable}
@@ -232,35 +232,35 @@
 		c := &t.Classes[i]
 		f.Classes = append(f.Classes, admin.Class{Name: c.Name, Served: c.Served.Load(), Rejected: c.Rejected.Load(), Failed: c.Failed.Load()})
 	}
-	f.SharedConfig = p.agreed()
+	f.SharedConfig = p.sharedConfigStats()
 	return f
 }
 
 // Cordon keeps and carries out what an operator says of a backend.
-func (p *pair) Cordon(id string, on bool) error {
-	p.bans.Lock()
-	defer p.bans.Unlock()
+func (p *sharedState) Cordon(id string, on bool) error {
+	p.cordonLock.Lock()
+	defer p.cordonLock.Unlock()
 	known := make(chan bool, 1)
-	if !p.loop.Call(loopTime/2, func() { known <- p.loop.Known(id) }) {
+	if !p.loop.Call(loopTimeout/2, func() { known <- p.loop.Known(id) }) {
 		return fmt.Errorf("the agent is too busy")
 	}
 	if !<-known {
 		return admin.ErrBackendNotFound
 	}
-	if p.link != nil {
-		return p.publish(id, on)
+	if p.renewer != nil {
+		return p.publishCordon(id, on)
 	}
-	return p.ban(id, on)
+	return p.cordonLocally(id, on)
 }
 
-// ban keeps and carries out a ban of this agent alone.
-func (p *pair) ban(id string, on bool) error {
+// cordonLocally keeps and carries out a ban of this agent alone.
+func (p *sharedState) cordonLocally(id string, on bool) error {
 	if p.dir != nil {
 		if err := p.dir.Cordon(id, on); err != nil {
 			return err
 		}
 	}
-	if !p.loop.Call(loopTime/2, func() { p.loop.Cordon(id, on) }) && on {
+	if !p.loop.Call(loopTimeout/2, func() { p.loop.Cordon(id, on) }) && on {
 		return fmt.Errorf("the agent is too busy, the ban holds in a moment")
 	}
 	return nil
--- a/internal/agent/pair_test.go
+++ b/internal/agent/pair_test.go
@@ -19,13 +19,13 @@
 	for _, heir := range []bool{true, false} {
 		t.Run(fmt.Sprintf("heir %v", heir), func(t *testing.T) {
 			tmp := t.TempDir()
-			b := newBackend(t, serving)
-			a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) {
+			b := newBackend(t, echo)
+			a := startAgent(t, newDiscoveryServer(t, listedBackend("s-1", b.addr)), func(c *Config) {
 				dir, err := upgrade.Join(tmp)
 				if err != nil {
 					t.Fatal(err)
 				}
-				c.Dir, c.linger = dir, 3*time.Second
+				c.UpgradeDir, c.serveAfterSignal = dir, 3*time.Second
 			})
 			next, err := upgrade.Join(tmp)
 			if err != nil {
@@ -53,7 +53,7 @@
 			}
 			a.stop()
 			if heir { // the listener closes at once
-				for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+				for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 					c, err := testClient.Get("http://" + a.addr + "/-/ready")
 					if err != nil {
 						break
@@ -72,7 +72,7 @@
 				t.Errorf("the idle connection: %v", err)
 			}
 			if !heir {
-				if status, _, _ := a.ask(newRequest(a.addr, "order", "x")); status != 200 {
+				if status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x")); status != 200 {
 					t.Errorf("a new connection: %d", status)
 				}
 			}
--- a/internal/agent/probe_test.go
+++ b/internal/agent/probe_test.go
@@ -25,7 +25,7 @@
 			t.Parallel()
 			probes := make(chan string, 64)
 			probed := 0 // in the backend's order: probes of one agent to one backend never overlap
-			well, b := newBackend(t, serving), newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+			well, b := newBackend(t, echo), newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 				if !strings.HasPrefix(req.URL.Path, "/-/") {
 					return send(c, 500, "", "")
 				}
@@ -38,16 +38,16 @@
 				}
 				return send(c, 200, "", "qps=1,util=0.5,eps=0")
 			})
-			d := newDiscoveryServer(t, target("s-1", b.addr), target("s-2", well.addr))
+			d := newDiscoveryServer(t, listedBackend("s-1", b.addr), listedBackend("s-2", well.addr))
 			a := startAgent(t, d, func(c *Config) {
 				c.Settings.Limits.HealthChecks = true
 				for i := range c.Settings.Classes {
 					c.Settings.Classes[i].LatencyObjectiveMs = 20 // by which holds are measured
 				}
 			})
-			over := time.After(patience)
+			over := time.After(testTimeout)
 			for n := 0; n < 4; {
-				a.ask(newRequest(a.addr, "read", ""))
+				a.roundTrip(newRequest(a.addr, "read", ""))
 				select {
 				case path := <-probes:
 					if n++; path != "/-/load" {
@@ -58,7 +58,7 @@
 				case <-time.After(2 * time.Millisecond):
 				}
 			}
-			if f := a.figures(); f.GuardViolations != 0 {
+			if f := a.stats(); f.GuardViolations != 0 {
 				t.Errorf("%d guarded", f.GuardViolations)
 			}
 		})
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// rereadEvery and rereads bound how a file that can't be used is tried again:
+	// reloadRetryInterval and rereads bound how a file that can't be used is tried again:
 	// SIGHUP may come while it is still being written.
-	rereadEvery, rereads = 100 * time.Millisecond, 100
+	reloadRetryInterval, maxReloadAttempts = 100 * time.Millisecond, 100
 )
 
 // reload reads the configuration again at each signal and tells use the address of
@@ -31,11 +31,11 @@
 		}
 		c, err := read()
 		if err != nil {
-			if failed++; failed == 1 || failed == rereads {
+			if failed++; failed == 1 || failed == maxReloadAttempts {
 				slog.Warn("configuration not used, the old one holds", "err", err, "try", failed)
 			}
-			if failed < rereads {
-				retry.Reset(rereadEvery)
+			if failed < maxReloadAttempts {
+				retry.Reset(reloadRetryInterval)
 			}
 			continue
 		}
@@ -43,7 +43,7 @@
 		for name, same := range map[string]bool{
 			"name": c.Name == old.Name, "listen": c.Listen == old.Listen,
 			"limits":   c.Cores == old.Cores && c.MemoryMB == old.MemoryMB && c.Sockets == old.Sockets,
-			"settings": reflect.DeepEqual(c.Settings, old.Settings) && reflect.DeepEqual(c.Zones, old.Zones) && reflect.DeepEqual(c.Kinds, old.Kinds),
+			"settings": reflect.DeepEqual(c.Settings, old.Settings) && reflect.DeepEqual(c.Zones, old.Zones) && reflect.DeepEqual(c.MachineTypes, old.MachineTypes),
 		} {
 			if !same {
 				slog.Warn("changed in the configuration, but used only after a restart", "field", name)
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -16,11 +16,11 @@
 // wantServedBy asks until a backend serves; others may be asked meanwhile.
 func wantServedBy(t *testing.T, a *testAgent, b *fakeBackend) {
 	t.Helper()
-	for end := time.Now().Add(patience); b.count() == 0; {
+	for end := time.Now().Add(testTimeout); b.count() == 0; {
 		if time.Now().After(end) {
 			t.Fatal("the backend is never used")
 		}
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 }
@@ -29,15 +29,15 @@
 // list of the new one, whose versions are its own: a lower one, and a list that no
 // longer has the old backend. What the old one says late is dropped.
 func TestReloadChangesDiscovery(t *testing.T) {
-	old, fresh := newBackend(t, serving), newBackend(t, serving)
-	d := newDiscoveryServer(t, target("s-1", old.addr))
+	old, fresh := newBackend(t, echo), newBackend(t, echo)
+	d := newDiscoveryServer(t, listedBackend("s-1", old.addr))
 	d.SetRevision(1000)
 	a := startAgent(t, d, nil)
 	d.wait(t, 1000)
-	status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+	status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 
-	next := newDiscoveryServer(t, target("s-2", fresh.addr))
+	next := newDiscoveryServer(t, listedBackend("s-2", fresh.addr))
 	before := a.loop.Discovery()
 	a.loop.Post(func() { a.loop.SwitchDiscovery(next.Addr) })
 	next.wait(t, 1) // the watch goes on from the new list's version
@@ -48,10 +48,10 @@
 		t.Error("the old discovery is still asked")
 	}
 	asked, n := d.Calls(), old.count()
-	before.OnUpdate(&membership.List{Revision: 2000, Full: true, Entries: []membership.Entry{target("s-1", old.addr)}}, true, nil)
-	next.told(t, target("s-3", fresh.addr))
+	before.OnUpdate(&membership.List{Revision: 2000, Full: true, Entries: []membership.Entry{listedBackend("s-1", old.addr)}}, true, nil)
+	next.update(t, listedBackend("s-3", fresh.addr))
 	for range 10 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 	if d.Calls() != asked || old.count() != n {
@@ -69,13 +69,13 @@
 
 // While the new discovery is down the table stays, and the agent finds it later.
 func TestReloadToADiscoveryThatIsDown(t *testing.T) {
-	old, fresh := newBackend(t, serving), newBackend(t, serving)
-	a := startAgent(t, newDiscoveryServer(t, target("s-1", old.addr)), nil)
-	next := newDiscoveryServer(t, target("s-2", fresh.addr))
+	old, fresh := newBackend(t, echo), newBackend(t, echo)
+	a := startAgent(t, newDiscoveryServer(t, listedBackend("s-1", old.addr)), nil)
+	next := newDiscoveryServer(t, listedBackend("s-2", fresh.addr))
 	next.SetDown(true)
 	a.loop.Post(func() { a.loop.SwitchDiscovery(next.Addr) })
 	for next.Calls() < discovery.MaxInitialFetches+1 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", "x"))
+		status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -105,7 +105,7 @@
 			if d != "new" || reads.Load() != want {
 				t.Errorf("used %q after %d reads", d, reads.Load())
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("the sound file is not used")
 		}
 		signals <- syscall.SIGHUP
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -20,7 +20,7 @@
 		a.t.Fatal(err)
 	}
 	a.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
@@ -46,7 +46,7 @@
 // What can't be used gets an error and a close, and never reaches a backend: that
 // would turn it away, or close, and be taken for a bad one.
 func TestBadRequestsAreRejectedAndClosed(t *testing.T) {
-	a, b := one(t, serving)
+	a, b := startWithBackend(t, echo)
 	get := func(lines string) string {
 		return "GET /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: g\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n" + lines + "\r\n"
 	}
@@ -105,7 +105,7 @@
 	if n := b.count(); n != 0 {
 		t.Errorf("%d arrivals at the backend", n)
 	}
-	if f := a.figures(); f.Accepted != 0 {
+	if f := a.stats(); f.Accepted != 0 {
 		t.Errorf("the module was asked %d times", f.Accepted)
 	}
 }
@@ -113,7 +113,7 @@
 // Heads and bodies without end, and connections that say nothing, are closed within
 // the 3 s that a client is owed an answer in.
 func TestHalfRequestsAreClosedInTime(t *testing.T) {
-	a, b := one(t, serving)
+	a, b := startWithBackend(t, echo)
 	whole := rawOrder("/api/a1", "1", "Content-Length: 9\r\n", "half")
 	took := make(chan time.Duration)
 	texts := []string{"", "POST /api", whole[:len(whole)-6], whole}
@@ -138,12 +138,12 @@
 // The id of an open request is not to be used again, by whomever; afterwards it is.
 func TestOpenIDIsTaken(t *testing.T) {
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
-	a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n == 0 {
 			arrived <- struct{}{}
 			<-release
 		}
-		return serving(c, req, n)
+		return echo(c, req, n)
 	})
 	c := a.dial()
 	fmt.Fprint(c, rawOrder("/api/a1", "same", "Content-Length: 0\r\n", ""))
@@ -158,14 +158,14 @@
 	if b.count() != 1 {
 		t.Errorf("%d arrivals, want 1", b.count())
 	}
-	if f := a.figures(); f.Failed != 1 || f.Served != 1 {
+	if f := a.stats(); f.Failed != 1 || f.Served != 1 {
 		t.Errorf("figures %+v", f)
 	}
 }
 
 // The target goes on byte for byte: another form of it is another request.
 func TestTargetIsPassedOnAsItCame(t *testing.T) {
-	a, _ := one(t, serving)
+	a, _ := startWithBackend(t, echo)
 	for _, target := range []string{"/api/a%2Fb%7e", "//api//x", "/api/a;b?q=%zz&&=+", "/api/../x?", "/api/%41?a=b|c\"<>"} {
 		got := a.say(rawOrder(target, fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\nConnection: close\r\n", ""))
 		if !strings.Contains(got, "POST "+target+" ") {
@@ -176,29 +176,29 @@
 
 // A body of 1 MiB is taken whole; with no memory left it is passed on as it comes. All memory is given back.
 func TestBodiesShareABudget(t *testing.T) {
-	a, b := one(t, func(c net.Conn, req *http.Request, _ int) bool {
+	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, _ int) bool {
 		body, _ := io.ReadAll(req.Body)
 		return send(c, 200, "", fmt.Sprint(len(body)))
 	})
 	large := strings.Repeat("x", 1<<20)
-	status, _, got := a.ask(newRequest(a.addr, "order", large))
+	status, _, got := a.roundTrip(newRequest(a.addr, "order", large))
 	if status != 200 || got != fmt.Sprint(1<<20) {
 		t.Errorf("a large body: answered %d, arrived %s", status, got)
 	}
-	budget := a.cfg.budget()
+	budget := a.cfg.bodyBudget()
 	if err := a.budget.Acquire(t.Context(), budget); err != nil { // all of it: none has leaked
 		t.Fatal(err)
 	}
-	if status, _, got = a.ask(newRequest(a.addr, "order", large)); status != 200 || got != fmt.Sprint(1<<20) {
+	if status, _, got = a.roundTrip(newRequest(a.addr, "order", large)); status != 200 || got != fmt.Sprint(1<<20) {
 		t.Errorf("without memory: answered %d, arrived %s", status, got)
 	}
-	status, _, _ = a.ask(newRequest(a.addr, "order", "small"))
+	status, _, _ = a.roundTrip(newRequest(a.addr, "order", "small"))
 	wantStatus(t, status, 200)
 	a.budget.Release(budget)
 	if b.count() != 3 {
 		t.Errorf("%d arrivals, want 3", b.count())
 	}
-	if f := a.figures(); f.GuardViolations+f.DeadlineExceeded > 0 {
+	if f := a.stats(); f.GuardViolations+f.DeadlineExceeded > 0 {
 		t.Errorf("a guard had to act: %+v", f)
 	}
 }
@@ -206,8 +206,8 @@
 // Hundreds that connect and say nothing do not lock out the clients that are served:
 // a kept connection stays usable and a new one is answered.
 func TestSilentClientsLockNobodyOut(t *testing.T) {
-	a, _ := one(t, serving)
-	b := 2 * a.cfg.clientRoom()
+	a, _ := startWithBackend(t, echo)
+	b := 2 * a.cfg.maxIdleClients()
 	kept := a.dial()
 	ask := func(c net.Conn) error {
 		fmt.Fprint(c, rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\n", ""))
@@ -234,7 +234,7 @@
 // Callers that asked once and keep their connection do not use up what the application
 // may hold, a third of the descriptors: the agent closes the oldest of them in time.
 func TestIdleCallersLeaveRoom(t *testing.T) {
-	a, _ := one(t, serving)
+	a, _ := startWithBackend(t, echo)
 	most := a.cfg.Sockets / 3
 	var conns []net.Conn
 	for range most {
@@ -259,7 +259,7 @@
 // backend made.
 func TestAHalfClosedClientGetsNoMadeUpAnswer(t *testing.T) {
 	began := make(chan struct{})
-	a, _ := one(t, func(c net.Conn, req *http.Request, n int) bool {
+	a, _ := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		close(began)
 		io.Copy(io.Discard, c) // until it is withdrawn
 		return false
--- a/internal/agent/size_test.go
+++ b/internal/agent/size_test.go
@@ -29,8 +29,8 @@
 // Bodies of all sizes and forms arrive as they were sent, with memory and without; none is left behind.
 func TestBodiesArriveAsSent(t *testing.T) {
 	for _, short := range []bool{false, true} {
-		a, b := one(t, sum)
-		budget := a.cfg.budget()
+		a, b := startWithBackend(t, sum)
+		budget := a.cfg.bodyBudget()
 		if short {
 			if err := a.budget.Acquire(t.Context(), budget); err != nil {
 				t.Fatal(err)
@@ -49,7 +49,7 @@
 				if size%2 == 0 {
 					req.Header.Set("Expect", "100-continue")
 				}
-				status, _, got := a.ask(req)
+				status, _, got := a.roundTrip(req)
 				if n++; status != 200 || got != want {
 					t.Errorf("%d bytes, chunked %v, memory short %v: %d %.90q", size, chunked, short, status, got)
 				}
@@ -58,7 +58,7 @@
 		if b.count() != n {
 			t.Errorf("%d arrivals of %d", b.count(), n)
 		}
-		if f := a.figures(); f.Served != n || f.GuardViolations+f.DeadlineExceeded > 0 {
+		if f := a.stats(); f.Served != n || f.GuardViolations+f.DeadlineExceeded > 0 {
 			t.Errorf("figures %+v", f)
 		}
 		if tally := a.loop.Counters(); tally.Written.Load() != int64(n) || tally.Open.Load() != 0 {
@@ -77,7 +77,7 @@
 // A request's time counts from its last byte, whole or a stream: one that takes longer to come than it has time
 // is served.
 func TestTimeCountsFromTheLastByte(t *testing.T) {
-	a, _ := one(t, sum)
+	a, _ := startWithBackend(t, sum)
 	for _, size := range []int{40 << 10, 1200 << 10} {
 		body := bytesOf(size)
 		c := a.dial()
@@ -97,7 +97,7 @@
 		}
 		c.Close()
 	}
-	if f := a.figures(); f.Served != 2 || f.DeadlineExceeded > 0 {
+	if f := a.stats(); f.Served != 2 || f.DeadlineExceeded > 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
@@ -141,7 +141,7 @@
 					}()
 				}
 			}()
-			a := startAgent(t, newDiscoveryServer(t, target("s-1", ln.Addr().String())), nil)
+			a := startAgent(t, newDiscoveryServer(t, listedBackend("s-1", ln.Addr().String())), nil)
 			c := a.dial()
 			go func() {
 				fmt.Fprint(c, rawOrder("/api/a1", "stream", fmt.Sprintf("Content-Length: %d\r\n", 8<<20), ""))
@@ -160,7 +160,7 @@
 			if n := len(accepted); n != 1 {
 				t.Errorf("%d connections to the backend", n)
 			}
-			if f := a.figures(); f.GuardViolations+f.DeadlineExceeded+f.Served > 0 {
+			if f := a.stats(); f.GuardViolations+f.DeadlineExceeded+f.Served > 0 {
 				t.Errorf("figures %+v", f)
 			}
 		})
@@ -169,15 +169,15 @@
 
 // An error with a body, to a request that was a stream, ends it once and gives its memory back.
 func TestAStreamThatEndsInAnError(t *testing.T) {
-	a, b := one(t, func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 500, "", bytesOf(20<<10)) })
+	a, b := startWithBackend(t, func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 500, "", bytesOf(20<<10)) })
 	for range 2 {
-		status, _, _ := a.ask(newRequest(a.addr, "order", bytesOf(2<<20)))
+		status, _, _ := a.roundTrip(newRequest(a.addr, "order", bytesOf(2<<20)))
 		wantStatus(t, status, 502)
 	}
 	if b.count() != 2 {
 		t.Errorf("%d arrivals, want 2", b.count())
 	}
-	if !a.budget.TryAcquire(a.cfg.budget()) {
+	if !a.budget.TryAcquire(a.cfg.bodyBudget()) {
 		t.Error("memory is not given back")
 	}
 }
@@ -210,9 +210,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			on := make(chan struct{})
-			a, b := one(t, func(c net.Conn, req *http.Request, n int) bool {
+			a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 				if n > 0 {
-					return serving(c, req, n)
+					return echo(c, req, n)
 				}
 				write(c, on)
 				return !strings.Contains(name, "connection")
@@ -236,14 +236,14 @@
 			if err != nil || string(head)+string(got) != first+rest {
 				t.Errorf("%d bytes came, %v", len(got)+1, err)
 			}
-			for end := time.Now().Add(patience); a.loop.Counters().Open.Load() != 0 && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); a.loop.Counters().Open.Load() != 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			if c := &a.loop.Counters().Classes[2]; c.Served.Load() != 1 || c.Failed.Load() != 0 {
 				t.Errorf("served %d, failed %d", c.Served.Load(), c.Failed.Load())
 			}
 			// The connection carries the next request, but where the answer ended with it.
-			status, _, _ := a.ask(newRequest(a.addr, "order", "y"))
+			status, _, _ := a.roundTrip(newRequest(a.addr, "order", "y"))
 			wantStatus(t, status, 200)
 			want := 1
 			if strings.Contains(name, "connection") {
@@ -267,7 +267,7 @@
 		"to the end of the connection": "Connection: close\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, b := one(t, func(c net.Conn, _ *http.Request, _ int) bool {
+			a, b := startWithBackend(t, func(c net.Conn, _ *http.Request, _ int) bool {
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s%s", head, bytesOf(200<<10))
 				time.Sleep(300 * time.Millisecond) // it has begun to go on
 				return reset(c)
@@ -279,7 +279,7 @@
 			if _, err := io.ReadAll(resp.Body); err == nil {
 				t.Error("the client takes it for whole")
 			}
-			until := time.Now().Add(patience)
+			until := time.Now().Add(testTimeout)
 			c := &a.loop.Counters().Classes[2]
 			for c.Failed.Load() != 1 && time.Now().Before(until) {
 				time.Sleep(time.Millisecond)
@@ -293,7 +293,7 @@
 
 // A client that leaves in the midst of a long answer frees the backend's connection.
 func TestClientsThatLeaveALongAnswer(t *testing.T) {
-	a, b := one(t, func(c net.Conn, _ *http.Request, _ int) bool {
+	a, b := startWithBackend(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 60<<20)
 		_, err := io.WriteString(c, bytesOf(60<<20))
 		return err == nil
@@ -307,7 +307,7 @@
 	c.Close()
 	select {
 	case <-b.ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the backend's connection stays")
 	}
 }
--- a/internal/agent/told_test.go
+++ b/internal/agent/told_test.go
@@ -56,7 +56,7 @@
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(3 * patience):
+	case <-time.After(3 * testTimeout):
 		t.Fatal("never: " + what)
 	}
 	return v
@@ -88,17 +88,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, serving)
-			drained := target("s-1", b.addr)
+			b := newBackend(t, echo)
+			drained := listedBackend("s-1", b.addr)
 			drained.State = "draining"
-			list := membership.List{Revision: 9, Full: true, Entries: []membership.Entry{drained, target("s-2", b.addr)}}
+			list := membership.List{Revision: 9, Full: true, Entries: []membership.Entry{drained, listedBackend("s-2", b.addr)}}
 			reload := c.before > 0 || c.name == "given up behind SIGHUP"
 			first := newFailing(t, 1<<30, unavailable, list)
 			last := newFailing(t, c.fails, c.how, list)
 			if !reload {
 				first = last
 			}
-			a := startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(cfg *Config) {
+			a := startAgent(t, newDiscoveryServer(t, listedBackend("s-1", b.addr)), func(cfg *Config) {
 				cfg.Discovery = first.server.Listener.Addr().String()
 				cfg.Settings.Contract.PollIntervalMs = 10_000
 			})
@@ -141,14 +141,14 @@
 	tmp := t.TempDir()
 	lastCall := func() policy.LastPoll {
 		loop := core.Config{}
-		if _, err := newPair(&Config{Dir: join(t, tmp)}, &loop); err != nil {
+		if _, err := newSharedState(&Config{UpgradeDir: join(t, tmp)}, &loop); err != nil {
 			t.Fatal(err)
 		}
 		return loop.Settings.LastPoll
 	}
 	until := func(want policy.LastPoll, when string) {
 		t.Helper()
-		for end := time.Now().Add(patience); lastCall() != want; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); lastCall() != want; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%s the next process is told %v, not %v", when, lastCall(), want)
 			}
@@ -157,7 +157,7 @@
 	if got := lastCall(); got != policy.PollUnknown {
 		t.Errorf("the first process of all is told of a last call: %v", got)
 	}
-	b := newBackend(t, serving)
+	b := newBackend(t, echo)
 	came, release, failed, answer := make(chan bool, 10), make(chan bool), make(chan bool, 10), make(chan bool)
 	calls := atomic.Int64{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -175,14 +175,14 @@
 			case <-answer:
 			case <-r.Context().Done():
 			}
-			json.NewEncoder(w).Encode(membership.List{Revision: 9, Full: true, Entries: []membership.Entry{target("s-1", b.addr)}})
+			json.NewEncoder(w).Encode(membership.List{Revision: 9, Full: true, Entries: []membership.Entry{listedBackend("s-1", b.addr)}})
 		default:
 			<-r.Context().Done()
 		}
 	}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
-	startAgent(t, newDiscoveryServer(t, target("s-1", b.addr)), func(c *Config) {
-		c.Dir, c.Discovery = join(t, tmp), server.Listener.Addr().String()
+	startAgent(t, newDiscoveryServer(t, listedBackend("s-1", b.addr)), func(c *Config) {
+		c.UpgradeDir, c.Discovery = join(t, tmp), server.Listener.Addr().String()
 	})
 	next(t, came, "the first call")
 	until(policy.PollUnanswered, "while the first call is out")
@@ -211,8 +211,8 @@
 	}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	dir := join(t, tmp)
-	startAgent(t, newDiscoveryServer(t, target("s-1", newBackend(t, serving).addr)), func(c *Config) {
-		c.Dir, c.Discovery = dir, server.Listener.Addr().String()
+	startAgent(t, newDiscoveryServer(t, listedBackend("s-1", newBackend(t, echo).addr)), func(c *Config) {
+		c.UpgradeDir, c.Discovery = dir, server.Listener.Addr().String()
 		c.Settings.ReplicaIndex, c.Settings.Replicas, c.Settings.Contract.PollIntervalMs = 9999, 10_000, 600_000 // the last of many: 480 s
 	})
 	until(t, "the word of the process before it stands", func() bool {
