--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -21,135 +21,182 @@
 	thriftup "ringtrack.example/ringtrack/internal/upstream/thrift"
 )
 
-// Run serves until stop is done, then ends in order. It returns nil when every
-// request that was held has been answered. At each signal of reread it takes over
-// what can change without a restart from the configuration that read returns.
-// ln is nil where another process of this agent serves: then the address is listened on once this one can.
-func Run(stop context.Context, reread <-chan os.Signal, read func() (*Config, error), cfg *Config, ln net.Listener) error {
-	return run(stop, cfg, ln, func(l *core.EventLoop, _ *semaphore.Weighted) {
-		go reload(stop, reread, read, cfg, func(discovery string) { l.Post(func() { l.SwitchDiscovery(discovery) }) })
+// Run serves until stop is done, and then shuts down gracefully. It returns nil once every request has its answer. At
+// each signal of reloadSignals it applies, of the configuration that reread returns, what can change without a
+// restart. A nil ln means that another process of this agent serves: Run then listens itself, once it can serve.
+func Run(stop context.Context, reloadSignals <-chan os.Signal, reread func() (*Config, error), cfg *Config, ln net.Listener) error {
+	return run(stop, cfg, ln, func(loop *core.EventLoop, _ *semaphore.Weighted) {
+		useDiscovery := func(addr string) { loop.Post(func() { loop.SwitchDiscovery(addr) }) }
+		go reload(stop, reloadSignals, reread, cfg, useDiscovery)
 	})
 }
 
-// run is Run, which also hands out the loop, before it starts, and the memory for bodies.
-func run(stop context.Context, cfg *Config, ln net.Listener, made func(*core.EventLoop, *semaphore.Weighted)) error {
+// run is Run without reloads. It calls created with the loop, before that starts, and the memory for bodies.
+func run(stop context.Context, cfg *Config, ln net.Listener, created func(*core.EventLoop, *semaphore.Weighted)) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel() // only after the front: requests held need the loop to the end
-	budget := semaphore.NewWeighted(cfg.bodyBudget())
-	pool := newPool(cfg)
-	upstream := &httpup.Upstream{Pool: pool, Budget: budget, Reports: cfg.loadReportNames()}
-	f := httpfront.New(&cfg.Settings, budget, upstream, cfg.maxIdleClients(), cfg.maxClientConnections())
-	upstreams := []core.Upstream{upstream}
-	tf, tln, err := newThrift(cfg, budget, pool)
-	if err != nil {
-		return fmt.Errorf("agent: %w", err)
-	}
-	if tf != nil {
-		upstreams = append(upstreams, tf.Upstream)
-	}
-	loop := cfg.eventLoopConfig()
-	loop.HealthCheck = upstream.Probe
-	pair, err := newSharedState(cfg, &loop)
+	defer cancel() // last: open requests need the loop until the downstreams have shut down
+	p, err := newProcess(ctx, cfg)
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
-	up := make(chan struct{})
-	var isUp sync.Once
-	l, err := core.New(ctx, loop, budget, upstreams, func() {
-		f.Ready()
-		isUp.Do(func() { close(up) })
-	})
+	closeAdmin, err := p.state.serveAdmin(cfg.AdminAddr, cfg.maxAdminConnections())
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
-	serve, answer := cfg.shutdownPlan()
-	f.Loop, f.Linger = l, serve
-	pool.Written = &l.Counters().Written
-	pair.loop = l
-	pair.useLimits = func(n int) {
-		debug.SetMemoryLimit(cfg.MemoryLimit() / int64(n))
-		pool.SetMax(cfg.maxBackendConnections() / n)
-	}
-	closeDoor, err := pair.serveAdmin(cfg.AdminAddr, cfg.maxAdminConnections())
-	if err != nil {
-		return fmt.Errorf("agent: %w", err)
-	}
-	defer closeDoor()
-	made(l, budget)
-	ended := make(chan struct{})
+	defer closeAdmin()
+	created(p.loop, p.bodyBudget)
+	loopEnded := make(chan struct{})
 	go func() {
-		defer close(ended)
-		l.Run()
+		defer close(loopEnded)
+		p.loop.Run()
 	}()
-	pair.run(ctx)
-	leaveKeepers, err := pair.holdLease(ctx, cfg)
+	p.state.run(ctx)
+	stopRenewer, err := p.state.holdLease(ctx, cfg)
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
-	defer leaveKeepers()
-	failed := make(chan error, 2)
+	defer stopRenewer()
 	if ln == nil {
-		if ln, err = pair.listenBesidePredecessor(stop, cfg.Listen, up); err != nil {
+		if ln, err = p.state.listenBesidePredecessor(stop, cfg.Listen, p.ready); err != nil {
 			return fmt.Errorf("agent: %w", err)
 		}
 	}
-	go func() { failed <- f.Serve(ln) }()
-	pair.markServing(up)
-	if tf != nil {
-		tf.Loop, tf.Linger = l, serve
-		go func() {
-			if err := tf.Serve(tln); err != nil {
-				failed <- err
-			}
-		}()
-	}
+	failed := p.serve(ln)
 	select {
 	case err := <-failed:
 		return err
 	case <-stop.Done():
 	}
-	by := time.Now().Add(answer)
-	slog.Info("ending", "serves_for", serve, "answers_within", answer)
-	l.Post(func() { l.ShutDownBy(by) })
-	held := answer - serve + killMargin/4 // the last answers are to be written, too
-	if pair.hasSuccessor() {
-		f.HandOver(ln)
-	}
-	var others sync.WaitGroup
-	if tf != nil {
-		others.Go(func() { tf.Shutdown(tln, held) })
-	}
-	if err := f.Shutdown(held); err != nil {
-		slog.Warn("shutdown", "err", err) // connections that never brought a request
-	}
-	others.Wait()
+	p.drain(ln)
 	cancel()
-	<-ended
-	slog.Info("stopped", "figures", fmt.Sprintf("%+v", l.Stats()))
+	<-loopEnded
+	slog.Info("stopped", "figures", fmt.Sprintf("%+v", p.loop.Stats()))
 	return nil
 }
 
-// newThrift makes the Thrift front and its listener, where there is to be one.
-func newThrift(cfg *Config, budget *semaphore.Weighted, pool *conns.Pool) (*thrift.Front, net.Listener, error) {
-	if cfg.ThriftFile == "" {
-		return nil, nil, nil
+// process holds the parts of an agent process.
+type process struct {
+	cfg        *Config
+	bodyBudget *semaphore.Weighted // bytes
+	pool       *conns.Pool
+	loop       *core.EventLoop
+	state      *sharedState
+	ready      chan struct{} // closed once requests can be served
+
+	http           *httpfront.Front
+	thrift         *thrift.Front // nil: there is none
+	thriftListener net.Listener
+
+	serveFor     time.Duration // see shutdownPlan
+	answerWithin time.Duration
+}
+
+// newProcess creates the parts of a process, of which none runs yet.
+func newProcess(ctx context.Context, cfg *Config) (*process, error) {
+	p := &process{cfg: cfg, bodyBudget: semaphore.NewWeighted(cfg.bodyBudget()), pool: newPool(cfg), ready: make(chan struct{})}
+	p.serveFor, p.answerWithin = cfg.shutdownPlan()
+	upstream := &httpup.Upstream{Pool: p.pool, Budget: p.bodyBudget, Reports: cfg.loadReportNames()}
+	p.http = httpfront.New(&cfg.Settings, p.bodyBudget, upstream, cfg.maxIdleClients(), cfg.maxClientConnections())
+	upstreams := []core.Upstream{upstream}
+	if err := p.newThrift(); err != nil {
+		return nil, err
+	}
+	if p.thrift != nil {
+		upstreams = append(upstreams, p.thrift.Upstream)
+	}
+	loopConfig := cfg.eventLoopConfig()
+	loopConfig.HealthCheck = upstream.Probe
+	var err error
+	if p.state, err = newSharedState(cfg, &loopConfig); err != nil {
+		return nil, err
+	}
+	var readyOnce sync.Once
+	p.loop, err = core.New(ctx, loopConfig, p.bodyBudget, upstreams, func() {
+		p.http.Ready()
+		readyOnce.Do(func() { close(p.ready) })
+	})
+	if err != nil {
+		return nil, err
+	}
+	p.http.Loop = p.loop
+	p.http.Linger = p.serveFor
+	p.pool.Written = &p.loop.Counters().Written
+	p.state.loop = p.loop
+	p.state.useLimits = p.divideLimits
+	return p, nil
+}
+
+// divideLimits gives each of the agent's processes an equal part of the memory and of the connections to backends.
+func (p *process) divideLimits(processes int) {
+	debug.SetMemoryLimit(p.cfg.MemoryLimit() / int64(processes))
+	p.pool.SetMax(p.cfg.maxBackendConnections() / processes)
+}
+
+// newThrift creates the Thrift downstream and its listener, where one is configured.
+func (p *process) newThrift() error {
+	if p.cfg.ThriftFile == "" {
+		return nil
 	}
-	c, err := thrift.Load(cfg.ThriftFile)
+	c, err := thrift.Load(p.cfg.ThriftFile)
 	if err != nil {
-		return nil, nil, err
+		return err
 	}
-	table, err := c.Table(cfg.Settings.Classes)
+	table, err := c.Table(p.cfg.Settings.Classes)
 	if err != nil {
-		return nil, nil, err
+		return err
 	}
-	ln, err := cfg.UpgradeDir.Listen(c.Listen) // shared, as the clients' address
+	p.thriftListener, err = p.cfg.UpgradeDir.Listen(c.Listen)
 	if err != nil {
-		return nil, nil, fmt.Errorf("thrift: listen: %w", err)
+		return fmt.Errorf("thrift: listen: %w", err)
 	}
-	slog.Info("listening for Thrift", "addr", ln.Addr().String())
+	slog.Info("listening for Thrift", "addr", p.thriftListener.Addr().String())
 	limits := thriftwire.Limits{Size: c.FrameLimit, Depth: c.DepthLimit}
-	return &thrift.Front{Upstream: &thriftup.Upstream{Pool: pool, Budget: budget, Limits: limits}, Budget: budget,
-		Table: table, Limits: limits, Most: cfg.maxClientConnections(), AfterMs: cfg.Settings.Limits.MaxRetryAfterMs}, ln, nil
+	p.thrift = &thrift.Front{
+		Upstream: &thriftup.Upstream{Pool: p.pool, Budget: p.bodyBudget, Limits: limits},
+		Budget:   p.bodyBudget,
+		Table:    table,
+		Limits:   limits,
+		Most:     p.cfg.maxClientConnections(),
+		AfterMs:  p.cfg.Settings.Limits.MaxRetryAfterMs,
+	}
+	return nil
+}
+
+// serve starts the downstreams. A downstream that fails sends its error.
+func (p *process) serve(ln net.Listener) (failed chan error) {
+	failed = make(chan error, 2)
+	go func() { failed <- p.http.Serve(ln) }()
+	p.state.markServing(p.ready)
+	if p.thrift != nil {
+		p.thrift.Loop = p.loop
+		p.thrift.Linger = p.serveFor
+		go func() {
+			if err := p.thrift.Serve(p.thriftListener); err != nil {
+				failed <- err
+			}
+		}()
+	}
+	return failed
+}
+
+// drain shuts the downstreams down by shutdownPlan, and returns once every request is answered.
+func (p *process) drain(ln net.Listener) {
+	deadline := time.Now().Add(p.answerWithin)
+	slog.Info("ending", "serves_for", p.serveFor, "answers_within", p.answerWithin)
+	p.loop.Post(func() { p.loop.ShutDownBy(deadline) })
+	timeout := p.answerWithin - p.serveFor + killMargin/4 // with time to write the last answers
+	if p.state.hasSuccessor() {
+		p.http.HandOver(ln)
+	}
+	var thriftDone sync.WaitGroup
+	if p.thrift != nil {
+		thriftDone.Go(func() { p.thrift.Shutdown(p.thriftListener, timeout) })
+	}
+	if err := p.http.Shutdown(timeout); err != nil {
+		slog.Warn("shutdown", "err", err) // of connections that never sent a request
+	}
+	thriftDone.Wait()
 }
 
-func durationFromMs(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+// durationFromMs converts a time of the settings, in ms.
+func durationFromMs(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -12,52 +12,48 @@
 	"strconv"
 	"time"
 
-	"ringtrack.example/ringtrack/internal/admin"
 	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/core"
 	"ringtrack.example/ringtrack/internal/downstream/thrift"
 	"ringtrack.example/ringtrack/internal/membership"
-	"ringtrack.example/ringtrack/internal/membership/discovery"
 	"ringtrack.example/ringtrack/internal/membership/ephemeral"
 	"ringtrack.example/ringtrack/internal/upgrade"
-	"ringtrack.example/ringtrack/internal/upstream/conns"
 	"ringtrack.example/ringtrack/internal/wire"
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Config is what the platform tells one agent, validated.
+// Config is the validated configuration of one agent.
 type Config struct {
 	Name            string
-	Listen          string
-	Discovery       string
-	Seed            uint64
-	Cores           float64
-	MemoryMB        int
-	Sockets         int
+	Listen          string  // host:port for clients
+	Discovery       string  // host:port of the discovery server
+	Seed            uint64  // of the balancer's random source
+	Cores           float64 // CPU limit
+	MemoryMB        int     // limit beyond which the process is killed
+	Sockets         int     // limit of descriptors
 	CachedEndpoints membership.List
 	Settings        policy.Settings
-	Zones           []string // names of zones and of machine kinds, by the number the module knows
-	MachineTypes    []string
-	AdminAddr       string // where operators call; "": nowhere
-	ThriftFile      string // file of the Thrift front's configuration; "": there is none
-	// Registry says which registry tells what runs; nil: the roster alone says which backends there are.
-	Registry *ephemeral.Config
+	Zones           []string // names of zones, by the balancer's number
+	MachineTypes    []string // names of machine types, by the balancer's number
+	AdminAddr       string   // host:port of the admin endpoint; "": none
+	ThriftFile      string   // configuration of the Thrift downstream; "": none
 
-	// SharedConfig says which keepers hold the book of rules; nil: the agent acts by its own file alone.
+	// Registry is the registry of running servers; nil: the discovery server alone lists the backends.
+	Registry *ephemeral.Config
+	// SharedConfig names the configuration store; nil: the agent acts by its own file alone.
 	SharedConfig *client.Config
-
-	// UpgradeDir is what two processes of this agent share; nil: there is only this one.
+	// UpgradeDir is the folder that two processes of this agent share; nil: there is only this process.
 	UpgradeDir *upgrade.Dir
 
-	serveAfterSignal time.Duration // for how long clients are served as ever after SIGTERM; 0: as ending has it
+	serveAfterSignal time.Duration // for tests: replaces the first time of shutdownPlan, if not 0
 }
 
-// configFile is the form of $PROXY_CONFIG.
+// configFile is the form of the file that PROXY_CONFIG names.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Seed      string `json:"seed"`
+	Seed      string `json:"seed"` // 64 bits, hexadecimal
 	Admin     string `json:"admin_addr"`
 	Limits    struct {
 		Cores    float64 `json:"cores"`
@@ -68,27 +64,46 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// LoadConfig reads the configuration from the environment and from the file it
-// names. Where both tell a thing the environment wins: it is what the platform
-// set for this very start.
-func LoadConfig(getenv func(string) string) (*Config, error) {
-	return loadConfig(getenv, "PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_ADMIN_ADDR")
-}
+// Environment variables.
+const (
+	envConfig       = "PROXY_CONFIG" // path of the configuration file
+	envName         = "PROXY_NAME"
+	envListen       = "PROXY_LISTEN"
+	envDiscovery    = "PROXY_DISCOVERY"
+	envAdminAddr    = "PROXY_ADMIN_ADDR"
+	envThrift       = "PROXY_THRIFT"    // path of the Thrift downstream's configuration
+	envRegistry     = "PROXY_EPHEMERAL" // path of the registry's configuration
+	envSharedConfig = "PROXY_AGREED"    // path of the configuration store's configuration
+)
 
 const (
-	// StartTimeout is how long a start waits for a file that is not there, or is no JSON: it may just be being
-	// written, in place or by a new name. unfinishedEvery is how often it looks.
-	StartTimeout, incompletePollInterval = 3 * time.Second, 50 * time.Millisecond
+	// StartTimeout is how long a start waits for a configuration file that is missing or no JSON, since it may just be
+	// written.
+	StartTimeout = 3 * time.Second
+	// incompletePollInterval is how often a start reads such a file.
+	incompletePollInterval = 50 * time.Millisecond
 )
 
-// errIncompleteFile marks a file that can't be read as JSON. One that is cut off anywhere never can.
+// errIncompleteFile marks a file that is missing or no JSON. A JSON text that is cut off anywhere is none.
 var errIncompleteFile = errors.New("the file is missing or not whole")
 
-// StartConfig is LoadConfig for a start: a file that may still be being written is read again, until StartWait is
-// over or ctx done. What is whole and makes no sense is an error at once.
+// LoadConfig reads the configuration from the environment, and from the file that PROXY_CONFIG names. The environment
+// takes precedence, as the platform sets it for this very start.
+func LoadConfig(getenv func(string) string) (*Config, error) {
+	return loadConfig(getenv, envName, envListen, envDiscovery, envAdminAddr)
+}
+
+// ReloadConfig reads the file again. Its discovery server takes precedence over the environment's, which is as old as
+// the process.
+func ReloadConfig(getenv func(string) string) (*Config, error) {
+	return loadConfig(getenv, envName, envListen, envAdminAddr)
+}
+
+// StartConfig is LoadConfig for a start: an incomplete file is read repeatedly, until StartTimeout is over or ctx ends.
+// A complete file that is invalid is an error at once.
 func StartConfig(ctx context.Context, getenv func(string) string) (*Config, error) {
-	over := time.NewTimer(StartTimeout)
-	defer over.Stop()
+	timeout := time.NewTimer(StartTimeout)
+	defer timeout.Stop()
 	for {
 		c, err := LoadConfig(getenv)
 		if !errors.Is(err, errIncompleteFile) {
@@ -96,7 +111,7 @@
 		}
 		select {
 		case <-time.After(incompletePollInterval):
-		case <-over.C:
+		case <-timeout.C:
 			return nil, fmt.Errorf("%w (for %v)", err, StartTimeout)
 		case <-ctx.Done():
 			return nil, err
@@ -104,208 +119,181 @@
 	}
 }
 
-// ReloadConfig reads the file again. By then its discovery is newer than that of the
-// environment, which is as old as the process.
-func ReloadConfig(getenv func(string) string) (*Config, error) {
-	return loadConfig(getenv, "PROXY_NAME", "PROXY_LISTEN", "PROXY_ADMIN_ADDR")
+// loadConfig reads the configuration. The variables that overrides names take precedence over the file.
+func loadConfig(getenv func(string) string, overrides ...string) (*Config, error) {
+	f, err := readConfigFile(getenv(envConfig))
+	if err != nil {
+		return nil, err
+	}
+	fields := map[string]*string{
+		envName:      &f.Name,
+		envListen:    &f.Listen,
+		envDiscovery: &f.Discovery,
+		envAdminAddr: &f.Admin,
+	}
+	for _, name := range overrides {
+		if value := getenv(name); value != "" {
+			*fields[name] = value
+		}
+	}
+	c, err := f.config()
+	if err != nil {
+		return nil, err
+	}
+	if err := c.loadOtherFiles(getenv); err != nil {
+		return nil, err
+	}
+	return c, nil
 }
 
-// loadConfig reads the file; the variables that are named win over it.
-func loadConfig(getenv func(string) string, win ...string) (*Config, error) {
-	path := getenv("PROXY_CONFIG")
+func readConfigFile(path string) (*configFile, error) {
 	if path == "" {
-		return nil, fmt.Errorf("config: PROXY_CONFIG is not set")
+		return nil, errors.New("config: PROXY_CONFIG is not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("config: %w: %w", errIncompleteFile, err)
 	}
-	var f configFile
-	if err := json.Unmarshal(text, &f); err != nil {
+	f := &configFile{}
+	if err := json.Unmarshal(text, f); err != nil {
 		if syntax := (*json.SyntaxError)(nil); errors.As(err, &syntax) {
 			err = fmt.Errorf("%w: %w", errIncompleteFile, err)
 		}
 		return nil, fmt.Errorf("config: %s: %w", path, err)
 	}
-	fields := map[string]*string{"PROXY_NAME": &f.Name, "PROXY_LISTEN": &f.Listen, "PROXY_DISCOVERY": &f.Discovery,
-		"PROXY_ADMIN_ADDR": &f.Admin}
-	for _, name := range win {
-		if v := getenv(name); v != "" {
-			*fields[name] = v
-		}
-	}
-	c, err := f.config()
-	if err != nil {
-		return nil, err
-	}
-	if c.ThriftFile = getenv("PROXY_THRIFT"); c.ThriftFile != "" {
+	return f, nil
+}
+
+// loadOtherFiles reads the files that other variables of the environment name.
+func (c *Config) loadOtherFiles(getenv func(string) string) (err error) {
+	if c.ThriftFile = getenv(envThrift); c.ThriftFile != "" {
 		t, err := thrift.Load(c.ThriftFile)
 		if err == nil {
 			_, err = t.Table(c.Settings.Classes)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("config: PROXY_THRIFT: %w", err)
+			return fmt.Errorf("config: %s: %w", envThrift, err)
 		}
 	}
-	if path := getenv("PROXY_EPHEMERAL"); path != "" {
+	if path := getenv(envRegistry); path != "" {
 		if c.Registry, err = ephemeral.Load(path); err != nil {
-			return nil, fmt.Errorf("config: PROXY_EPHEMERAL: %w", err)
+			return fmt.Errorf("config: %s: %w", envRegistry, err)
 		}
 	}
-	if path := getenv("PROXY_AGREED"); path != "" {
+	if path := getenv(envSharedConfig); path != "" {
 		if c.SharedConfig, err = client.Load(path); err != nil {
-			return nil, fmt.Errorf("config: PROXY_AGREED: %w", err)
+			return fmt.Errorf("config: %s: %w", envSharedConfig, err)
 		}
 	}
-	return c, nil
+	return nil
 }
 
+// config validates the file.
 func (f *configFile) config() (*Config, error) {
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, CachedEndpoints: f.Known, AdminAddr: f.Admin,
-		Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets}
-	for _, a := range []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"admin_addr", c.AdminAddr}} {
-		if a.key == "admin_addr" && a.value == "" {
-			continue // there is no door
-		}
-		if _, port, err := net.SplitHostPort(a.value); err != nil || port == "" {
-			return nil, fmt.Errorf("config: %s: %q is no host:port", a.key, a.value)
-		}
+	c := &Config{
+		Name:            f.Name,
+		Listen:          f.Listen,
+		Discovery:       f.Discovery,
+		CachedEndpoints: f.Known,
+		AdminAddr:       f.Admin,
+		Cores:           f.Limits.Cores,
+		MemoryMB:        f.Limits.MemoryMB,
+		Sockets:         f.Limits.Sockets,
 	}
-	switch {
-	case !(c.Cores > 0) || math.IsInf(c.Cores, 0):
-		return nil, fmt.Errorf("config: limits.cores: must be above 0, is %v", c.Cores)
-	case c.MemoryMB < 16:
-		return nil, fmt.Errorf("config: limits.memory_mb: must be 16 at least, is %d", c.MemoryMB)
-	case c.Sockets < minSockets:
-		return nil, fmt.Errorf("config: limits.sockets: must be %d at least, is %d", minSockets, c.Sockets)
+	if err := c.checkAddresses(); err != nil {
+		return nil, err
+	}
+	if err := c.checkLimits(); err != nil {
+		return nil, err
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("config: seed: %q is no hexadecimal number of 64 bits", f.Seed)
 	}
-	if len(f.Settings) == 0 {
-		return nil, fmt.Errorf("config: settings: none given")
-	}
-	if c.Settings, err = wire.ParseSettings(f.Settings); err != nil {
-		return nil, fmt.Errorf("config: %w", err)
-	}
-	// The module knows zones and kinds by number only; discovery names them.
-	var names struct {
-		Zones []string `json:"failureDomains"`
-		Kinds []string `json:"shapes"`
-	}
-	if err := json.Unmarshal(f.Settings, &names); err != nil {
-		return nil, fmt.Errorf("config: settings: %w", err)
-	}
-	c.Zones, c.MachineTypes = names.Zones, names.Kinds
-	if _, err := policy.New(c.Settings, c.Seed); err != nil {
-		return nil, fmt.Errorf("config: %w", err)
+	if err := c.parseSettings(f.Settings); err != nil {
+		return nil, err
 	}
 	return c, nil
 }
 
-// eventLoopConfig is what of it the loop is told.
-func (c *Config) eventLoopConfig() core.Config {
-	out := core.Config{Discovery: c.Discovery, CachedEndpoints: c.CachedEndpoints, Settings: c.Settings, Seed: c.Seed, Zones: c.Zones, MachineTypes: c.MachineTypes,
-		PublishRotation: c.AdminAddr != ""}
-	if c.SharedConfig != nil {
-		out.SharedConfig = &core.SharedConfig{RejectWhenStale: c.SharedConfig.OnExpiry == client.OnExpiryReject}
+func (c *Config) checkAddresses() error {
+	addresses := []struct{ key, value string }{{"listen", c.Listen}, {"discovery", c.Discovery}}
+	if c.AdminAddr != "" {
+		addresses = append(addresses, struct{ key, value string }{"admin_addr", c.AdminAddr})
 	}
-	if c.Registry != nil {
-		out.Merge = c.Registry.Merge()
-		out.WatchNodes = ephemeral.NewSource(c.Registry).Feed(func(problem string) { slog.Warn("registry", "problem", problem) })
+	for _, a := range addresses {
+		if _, port, err := net.SplitHostPort(a.value); err != nil || port == "" {
+			return fmt.Errorf("config: %s: %q is no host:port", a.key, a.value)
+		}
 	}
-	return out
+	return nil
 }
 
-// minSockets leaves a few connections to each side beside the reserve.
-const minSockets = 64
-
-// A process's descriptors beside the connections to backends and of clients, whatever those do. What is counted here
-// does not grow with the limit, so that a small limit has to leave more than a part of itself.
-const (
-	// processDescriptors: the three standard streams, two of the runtime's poller, the lock in the folder that two processes
-	// share, what is open at once while that folder is looked at (four) and while a configuration is read (two).
-	processDescriptors = 12
-	// discoveryConns is the most that a client of the roster has at once, of which a new one takes the place at SIGHUP.
-	discoveryConns = discovery.MaxConns + 1
-	// listenerDescriptors: a listener, and a client that has just been accepted and is to be closed, or another in its place.
-	listenerDescriptors = 2
-	// configStoreConns and ephemeralConns are those to keepers, with the listener for peers, and to the registry.
-	configStoreConns, registryConns = client.MaxConns + 1, 2
-	// minConnections is what each side has however low the limit is.
-	minConnections = 4
-)
+func (c *Config) checkLimits() error {
+	switch {
+	case !(c.Cores > 0) || math.IsInf(c.Cores, 0):
+		return fmt.Errorf("config: limits.cores: must be above 0, is %v", c.Cores)
+	case c.MemoryMB < minMemoryMB:
+		return fmt.Errorf("config: limits.memory_mb: must be %d at least, is %d", minMemoryMB, c.MemoryMB)
+	case c.Sockets < minSockets:
+		return fmt.Errorf("config: limits.sockets: must be %d at least, is %d", minSockets, c.Sockets)
+	}
+	return nil
+}
 
-// reservedDescriptors is how many descriptors are neither for backends nor for clients of the fronts.
-func (c *Config) reservedDescriptors() int {
-	n := processDescriptors + discoveryConns + listenerDescriptors*c.downstreams()
-	if c.AdminAddr != "" {
-		n += listenerDescriptors + c.maxAdminConnections()
+// parseSettings parses the settings, with the names of the zones and machine types, which the balancer knows by number
+// only.
+func (c *Config) parseSettings(text json.RawMessage) (err error) {
+	if len(text) == 0 {
+		return errors.New("config: settings: none given")
 	}
-	if c.SharedConfig != nil {
-		n += configStoreConns
+	if c.Settings, err = wire.ParseSettings(text); err != nil {
+		return fmt.Errorf("config: %w", err)
 	}
-	if c.Registry != nil {
-		n += registryConns
+	var names struct {
+		Zones        []string `json:"failureDomains"`
+		MachineTypes []string `json:"shapes"`
 	}
-	return n
-}
-
-// connectionsPerSide is the part of the descriptors that backends have, and as many the clients of all fronts.
-func (c *Config) connectionsPerSide() int {
-	return max(min(c.Sockets*7/16, (c.Sockets-c.reservedDescriptors())/2), minConnections)
-}
-
-// maxAdminConnections is how many operators may be connected.
-func (c *Config) maxAdminConnections() int { return min(max(c.Sockets/16, 2), admin.MaxConnections) }
-
-// maxBackendConnections is the most connections to backends, clientConns the most of clients, over all fronts. The rest
-// is for the listeners, discovery, operators, files, the runtime's own, and what is just being closed.
-func (c *Config) maxBackendConnections() int { return c.connectionsPerSide() }
-func (c *Config) maxClientConnections() int  { return max(c.connectionsPerSide()/c.downstreams(), 2) }
-
-// maxIdleClients is how many clients of a front may be connected before idle ones give way: the application has a
-// limit of its own, and those that stay for nothing leave it none for the next request.
-func (c *Config) maxIdleClients() int {
-	return min(max(c.Sockets/4/c.downstreams(), 2), c.maxClientConnections())
-}
-
-// limitDescriptors makes the limit of the process itself that of the configuration, where it is lower: to plan with more
-// would be to meet it at an accept or at a call to discovery.
-func (c *Config) limitDescriptors(limit uint64) {
-	if limit < uint64(c.Sockets) {
-		slog.Warn("the process may hold fewer descriptors than the configuration tells", "limit", limit, "sockets", c.Sockets)
-		c.Sockets = int(limit)
+	if err := json.Unmarshal(text, &names); err != nil {
+		return fmt.Errorf("config: settings: %w", err)
+	}
+	c.Zones = names.Zones
+	c.MachineTypes = names.MachineTypes
+	if _, err := policy.New(c.Settings, c.Seed); err != nil {
+		return fmt.Errorf("config: %w", err)
 	}
+	return nil
 }
 
-// downstreams is the number of fronts that clients connect to.
-func (c *Config) downstreams() int {
-	if c.ThriftFile != "" {
-		return 2
+// eventLoopConfig returns the event loop's part of the configuration.
+func (c *Config) eventLoopConfig() core.Config {
+	loop := core.Config{
+		Discovery:       c.Discovery,
+		CachedEndpoints: c.CachedEndpoints,
+		Settings:        c.Settings,
+		Seed:            c.Seed,
+		Zones:           c.Zones,
+		MachineTypes:    c.MachineTypes,
+		PublishRotation: c.AdminAddr != "",
+	}
+	if c.SharedConfig != nil {
+		loop.SharedConfig = &core.SharedConfig{RejectWhenStale: c.SharedConfig.OnExpiry == client.OnExpiryReject}
 	}
-	return 1
+	if c.Registry != nil {
+		loop.Merge = c.Registry.Merge()
+		logProblem := func(problem string) { slog.Warn("registry", "problem", problem) }
+		loop.WatchNodes = ephemeral.NewSource(c.Registry).Feed(logProblem)
+	}
+	return loop
 }
 
-// newPool makes the pool of connections to backends that all upstreams share. A backend closes at
-// keepalive at the latest; half of it is well before.
-func newPool(c *Config) *conns.Pool {
-	return conns.New(durationFromMs(c.Settings.Limits.ConnectTimeoutMs), durationFromMs(c.Settings.Limits.KeepaliveMs/2), c.maxBackendConnections())
-}
+// reportInline is the Report.Delivery with which load reports come with the answers.
+const reportInline = "inline"
 
-// loadReportNames are the names of the values that backends report with their answers.
+// loadReportNames returns the names of the values that backends report with their answers.
 func (c *Config) loadReportNames() []string {
-	if c.Settings.Report.Delivery != "inline" {
+	if c.Settings.Report.Delivery != reportInline {
 		return nil
 	}
 	return c.Settings.Report.Names
 }
-
-// MemoryLimit is the heap from which on collecting goes before all: long before the limit over which the
-// agent would be killed.
-func (c *Config) MemoryLimit() int64 { return int64(c.MemoryMB) << 20 * 3 / 4 }
-
-// bodyBudget is the memory for bodies of requests and answers together, beside the small
-// ones: what is left of the limit is for connections, the module and the runtime.
-func (c *Config) bodyBudget() int64 { return int64(c.MemoryMB) << 20 / 5 }
--- a/internal/agent/main.go
+++ b/internal/agent/main.go
@@ -15,34 +15,27 @@
 	"ringtrack.example/ringtrack/internal/upgrade"
 )
 
-// Main is the program: it reads the configuration that the environment names, serves until SIGTERM, and returns
-// nil once all that was held has been answered. Its life (docs/design/whole-fleet.md) goes one way: starting,
-// ready, serving, ending, ended.
+// gcPercent lets the heap grow to twice its live size between collections: the heap is small, so that this costs
+// little memory.
+const gcPercent = 100
+
+// Main is the program. It reads the configuration that the environment names, serves until SIGTERM or SIGINT, and
+// returns nil once every request has its answer.
 func Main() error {
-	// From the first moment on: their default is to end the program.
-	reread := make(chan os.Signal, 1)
-	signal.Notify(reread, syscall.SIGHUP)
-	// Never given back: until the exit another one would end the program, and not in order.
+	// First of all: by default these signals end the program.
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	// Never stopped: a second signal would end the program without a graceful shutdown.
 	stop, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	cfg, err := StartConfig(stop, os.Getenv)
 	if stop.Err() != nil {
-		return nil // ended before it began
+		return nil
 	}
 	if err != nil {
 		return err
 	}
-	var files syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil {
-		cfg.limitDescriptors(files.Cur)
-	}
-	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
-	// The heap is small: to collect at twice its size costs little, and keeps what the
-	// agent holds even. Long before the memory limit, over which it would be killed,
-	// collecting goes before all.
-	debug.SetGCPercent(100)
-	debug.SetMemoryLimit(cfg.MemoryLimit())
-	// Another process of this agent may be there, which this one is to follow.
+	limitProcess(cfg)
 	if tmp := os.Getenv("TMPDIR"); tmp != "" {
 		if cfg.UpgradeDir, err = upgrade.Join(tmp); err != nil {
 			slog.Warn("no other process of this agent can be known of", "err", err)
@@ -55,5 +48,17 @@
 		}
 		slog.Info("listening", "name", cfg.Name, "addr", ln.Addr().String())
 	}
-	return Run(stop, reread, func() (*Config, error) { return ReloadConfig(os.Getenv) }, cfg, ln)
+	reread := func() (*Config, error) { return ReloadConfig(os.Getenv) }
+	return Run(stop, reloadSignals, reread, cfg, ln)
+}
+
+// limitProcess applies the configured limits to the process, and the process's own limit to the configuration.
+func limitProcess(cfg *Config) {
+	var files syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil {
+		cfg.limitDescriptors(files.Cur)
+	}
+	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(cfg.MemoryLimit())
 }
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -9,47 +9,56 @@
 )
 
 const (
-	// reloadRetryInterval and rereads bound how a file that can't be used is tried again:
-	// SIGHUP may come while it is still being written.
-	reloadRetryInterval, maxReloadAttempts = 100 * time.Millisecond, 100
+	// reloadRetryInterval and maxReloadAttempts bound how often an unusable file is read: the signal may arrive while it
+	// is written.
+	reloadRetryInterval = 100 * time.Millisecond
+	maxReloadAttempts   = 100
 )
 
-// reload reads the configuration again at each signal and tells use the address of
-// discovery that it names. The old configuration holds until a new one is sound. All
-// else that differs needs a restart, and is only logged.
-func reload(ctx context.Context, signals <-chan os.Signal, read func() (*Config, error), old *Config, use func(discovery string)) {
+// reload reads the configuration at each signal and calls useDiscovery with the address of its discovery server. The
+// old configuration holds until a new one is valid. Other changes need a restart, and are only logged.
+func reload(ctx context.Context, signals <-chan os.Signal, reread func() (*Config, error), old *Config, useDiscovery func(addr string)) {
 	retry := time.NewTimer(0)
 	<-retry.C
-	failed := 0
+	failedAttempts := 0
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
-			failed = 0
+			failedAttempts = 0
 		case <-retry.C:
 		}
-		c, err := read()
+		c, err := reread()
 		if err != nil {
-			if failed++; failed == 1 || failed == maxReloadAttempts {
-				slog.Warn("configuration not used, the old one holds", "err", err, "try", failed)
+			failedAttempts++
+			if failedAttempts == 1 || failedAttempts == maxReloadAttempts {
+				slog.Warn("configuration not used, the old one holds", "err", err, "attempt", failedAttempts)
 			}
-			if failed < maxReloadAttempts {
+			if failedAttempts < maxReloadAttempts {
 				retry.Reset(reloadRetryInterval)
 			}
 			continue
 		}
 		retry.Stop()
-		for name, same := range map[string]bool{
-			"name": c.Name == old.Name, "listen": c.Listen == old.Listen,
-			"limits":   c.Cores == old.Cores && c.MemoryMB == old.MemoryMB && c.Sockets == old.Sockets,
-			"settings": reflect.DeepEqual(c.Settings, old.Settings) && reflect.DeepEqual(c.Zones, old.Zones) && reflect.DeepEqual(c.MachineTypes, old.MachineTypes),
-		} {
-			if !same {
-				slog.Warn("changed in the configuration, but used only after a restart", "field", name)
-			}
-		}
+		warnOfRestart(old, c)
 		slog.Info("configuration read again", "discovery", c.Discovery)
-		use(c.Discovery)
+		useDiscovery(c.Discovery)
+	}
+}
+
+// warnOfRestart logs the changed fields that are used only after a restart.
+func warnOfRestart(old, c *Config) {
+	unchanged := map[string]bool{
+		"name":   c.Name == old.Name,
+		"listen": c.Listen == old.Listen,
+		"limits": c.Cores == old.Cores && c.MemoryMB == old.MemoryMB && c.Sockets == old.Sockets,
+		"settings": reflect.DeepEqual(c.Settings, old.Settings) && reflect.DeepEqual(c.Zones, old.Zones) &&
+			reflect.DeepEqual(c.MachineTypes, old.MachineTypes),
+	}
+	for field, same := range unchanged {
+		if !same {
+			slog.Warn("changed in the configuration, but used only after a restart", "field", field)
+		}
 	}
 }
