--- a/cmd/ringtrack/descriptors_test.go
+++ b/cmd/ringtrack/descriptors_test.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// idlers connect to an address one after the other, and stay: each says its word and reads what it is answered, until
+// connectIdle connect to an address one after the other, and stay: each says its word and reads what it is answered, until
 // so many have come or one is neither answered nor closed, as there is no descriptor left to take it.
-func idlers(t *testing.T, addr, word string, most int) (taken int) {
+func connectIdle(t *testing.T, addr, word string, most int) (taken int) {
 	t.Helper()
 	for ; taken < most; taken++ {
 		c, err := net.Dial("tcp", addr)
@@ -108,8 +108,8 @@
 	return taken
 }
 
-// call is a Thrift call of a method that is not listed, framed and binary: it is answered by an exception.
-func call() string {
+// unlistedThriftCall is a Thrift call of a method that is not listed, framed and binary: it is answered by an exception.
+func unlistedThriftCall() string {
 	msg := binary.BigEndian.AppendUint32(nil, 0x80010001)
 	msg = binary.BigEndian.AppendUint32(msg, 4)
 	msg = append(msg, "none"...)
@@ -122,7 +122,7 @@
 // to backends as there may be. At discovery's return it can be called, a change is told within 6 s, requests are
 // served all the time, and the process goes on; whether the configuration tells the limit as it is, or the process
 // may hold fewer.
-func TestIdleClientsLeaveDiscoveryItsDescriptors(t *testing.T) {
+func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
 	for _, told := range []int{64, 1024} {
 		for _, doors := range []int{2, 3} { // clients over HTTP and operators, and over Thrift
 			t.Run(fmt.Sprintf("%d of %d", doors, told), func(t *testing.T) {
@@ -164,7 +164,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	as := program(t, string(config))
+	as := newProgram(t, string(config))
 	cmd := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec \"$0\"", limit), as.Path)
 	if cmd.Env = append(as.Env, "TMPDIR="+dir); doors > 2 {
 		cmd.Env = append(cmd.Env, "PROXY_THRIFT="+thrift)
@@ -195,7 +195,7 @@
 	var addr map[string]string
 	select {
 	case addr = <-addrs:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no addresses")
 	}
 	ids := 0
@@ -218,7 +218,7 @@
 		return string(body), err
 	}
 	waitFor := func(version uint64) bool {
-		for over := time.After(patience); ; {
+		for over := time.After(testTimeout); ; {
 			select {
 			case index := <-roster.Asked:
 				if index >= version {
@@ -249,12 +249,12 @@
 		defer c.Close()
 		io.WriteString(c, "GET /admin/health HTTP/1.1\r\nHo")
 	}
-	operators := idlers(t, addr["admin"], "GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n", 1) // behind all of them
+	operators := connectIdle(t, addr["admin"], "GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n", 1) // behind all of them
 	thrifts := 0
 	if doors > 2 {
-		thrifts = idlers(t, addr[`Thrift" addr`], call(), 2*limit)
+		thrifts = connectIdle(t, addr[`Thrift" addr`], unlistedThriftCall(), 2*limit)
 	}
-	fronts := idlers(t, addr["addr"], "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n", 2*limit)
+	fronts := connectIdle(t, addr["addr"], "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n", 2*limit)
 	open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
 	t.Logf("%d backends used; taken: %d clients, %d over Thrift, and the last operator: %d; %d descriptors of %d", len(used), fronts, thrifts, operators, len(open), limit)
 	if operators != 1 {
--- a/cmd/ringtrack/main_test.go
+++ b/cmd/ringtrack/main_test.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // The test binary is the program itself when it is started with this variable.
 func TestMain(m *testing.M) {
@@ -31,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, config string) *exec.Cmd {
+func newProgram(t *testing.T, config string) *exec.Cmd {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
@@ -48,8 +48,8 @@
 "limits":{"cancelling":true,"connectTimeoutMs":1000,"keepaliveMs":30000,"maxAttempts":3,"maxRetryAfterMs":600},
 "membershipMode":"on_request","objectiveMix":{"whole":1},"roundMs":5}`
 
-func TestBadConfigEndsTheProgramWithOneLine(t *testing.T) {
-	cmd := program(t, strings.Replace(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
+func TestInvalidConfigExitsWithOneLine(t *testing.T) {
+	cmd := newProgram(t, strings.Replace(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":`+settings+`}`, "single_shot", "twice", 1))
 	var stderr strings.Builder
 	cmd.Stderr = &stderr
@@ -65,7 +65,7 @@
 // SIGTERM under traffic: connections go on coming for a while and those there are
 // go on being used; each request on an accepted connection has its answer, and
 // the program ends by itself, without error, well before it would be killed.
-func TestSIGTERMUnderTraffic(t *testing.T) {
+func TestSIGTERMAnswersAcceptedRequests(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/api/long" {
 			time.Sleep(time.Second) // held beyond the time in which connections still come
@@ -82,7 +82,7 @@
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-r.Context().Done():
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 		}
 	}))
 	defer discovery.Close()
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := program(t, string(config))
+	cmd := newProgram(t, string(config))
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +132,7 @@
 			if err != nil {
 				return // no longer accepted: nothing is taken
 			}
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			br := bufio.NewReader(c)
 			for first := true; ; first = false {
 				late := signalled.Load()
@@ -169,7 +169,7 @@
 			worker()
 		}()
 	}
-	for end := time.Now().Add(patience); answered.Load() < 50 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); answered.Load() < 50 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	// One client keeps its connection and goes on; near the end of service it asks for what takes too long.
@@ -184,7 +184,7 @@
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	kept.SetDeadline(time.Now().Add(patience))
+	kept.SetDeadline(time.Now().Add(testTimeout))
 	signal, went := make(chan time.Time, 1), make(chan ending, 1)
 	go func() {
 		var e ending
@@ -219,7 +219,7 @@
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			_, err = fmt.Fprint(c, request("/api/long"))
 		}
 		if err == nil {
@@ -255,7 +255,7 @@
 
 // SIGHUP never ends the program, whatever the file holds then, and the discovery that
 // the file comes to name is asked although the environment named another at the start.
-func TestSIGHUPChangesDiscovery(t *testing.T) {
+func TestSIGHUPSwitchesDiscovery(t *testing.T) {
 	discovery := func(asked chan struct{}) string {
 		d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
@@ -280,7 +280,7 @@
 		return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"version":1,"full":true,"servers":[]},"settings":%s}`, discovery, settings)
 	}
-	cmd := program(t, config(old))
+	cmd := newProgram(t, config(old))
 	cmd.Env = append(cmd.Env, "PROXY_DISCOVERY="+old)
 	path := ""
 	for _, v := range cmd.Env {
@@ -307,7 +307,7 @@
 		t.Helper()
 		select {
 		case <-got:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal(what)
 		}
 	}
@@ -322,7 +322,7 @@
 				if strings.Contains(line, text) {
 					return
 				}
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatalf("no %q in the log", text)
 			}
 		}
--- a/cmd/ringtrack/ready_test.go
+++ b/cmd/ringtrack/ready_test.go
@@ -15,7 +15,7 @@
 
 // A process that starts is ready within its bound, whatever discovery does meanwhile: at once where its configuration
 // knows a backend; else once discovery has answered, which a process of a few agents asks soon and often enough.
-func TestAStartIsReadyInItsTime(t *testing.T) {
+func TestStartIsReadyInTime(t *testing.T) {
 	const list = `{"version":7,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:9","zone":"east","kind":"big","state":"up","weight":1}]}`
 	const none = `{"version":0,"full":true,"servers":[]}`
 	silent := func(http.ResponseWriter, *http.Request) bool { return false }
@@ -82,7 +82,7 @@
 					`"replicasOfMe":1`, fmt.Sprintf(`"replicasOfMe":%d,"index":%d`, x.agents, x.index)).Replace(settings)
 				text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`, discovery.Listener.Addr().String(), x.known, set)
-				cmd := program(t, text)
+				cmd := newProgram(t, text)
 				path := ""
 				for _, v := range cmd.Env {
 					if value, ok := strings.CutPrefix(v, "PROXY_CONFIG="); ok {
@@ -117,10 +117,10 @@
 				addr := ""
 				select {
 				case addr = <-addrs:
-				case <-time.After(patience):
+				case <-time.After(testTimeout):
 					t.Fatal("it does not listen")
 				}
-				until(t, "it was never ready", func() bool {
+				waitUntil(t, "it was never ready", func() bool {
 					status, _ := adminCall(addr, "GET", "/-/ready")
 					return status == 200
 				})
--- a/cmd/ringtrack/signals_test.go
+++ b/cmd/ringtrack/signals_test.go
@@ -17,7 +17,7 @@
 // What happened: a process that got SIGINT on and on ended with "signal: interrupt" behind its last log line, "stopped".
 // Why: on its way out Main gave the signals back, and from then until the exit the next one killed the process.
 // What showed it: the proof soak, seed 102 of 60 (3 s, signals every 5 ms): ended with signal: interrupt; ... msg=stopped.
-func TestSignalsThatComeUntilTheEndDoNotKillTheProcess(t *testing.T) {
+func TestRepeatedSignalsDoNotKillProcess(t *testing.T) {
 	discovery := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer discovery.Close()
 	defer discovery.CloseClientConnections()
@@ -25,7 +25,7 @@
 		for n := range 4 {
 			t.Run(fmt.Sprint(signal, " ", n), func(t *testing.T) {
 				t.Parallel()
-				cmd := program(t, `{"name":"n1","listen":"127.0.0.1:0","discovery":"`+discovery.Listener.Addr().String()+`","seed":"1",
+				cmd := newProgram(t, `{"name":"n1","listen":"127.0.0.1:0","discovery":"`+discovery.Listener.Addr().String()+`","seed":"1",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"version":0,"full":true,"servers":[]},"settings":`+settings+`}`)
 				log := bufio.NewScanner(startLogged(t, cmd))
 				for log.Scan() && !strings.Contains(log.Text(), "listening") {
--- a/cmd/ringtrack/upgrade_test.go
+++ b/cmd/ringtrack/upgrade_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := program(t, string(text))
+	cmd := newProgram(t, string(text))
 	cmd.Env = append(cmd.Env, "TMPDIR="+tmp, "PROXY_ADMIN_ADDR=127.0.0.1:0")
 	log := bufio.NewReader(startLogged(t, cmd))
 	for {
@@ -59,7 +59,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	c := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	c := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Do(req)
 	if err != nil {
 		return 0, err.Error()
@@ -69,9 +69,9 @@
 	return resp.StatusCode, string(body)
 }
 
-func until(t *testing.T, what string, done func() bool) {
+func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal(what)
 		}
@@ -114,7 +114,7 @@
 	healthy := func(door string) func() bool {
 		return func() bool { status, _ := adminCall(door, "GET", "/admin/health"); return status == 200 }
 	}
-	until(t, "the first process never serves", healthy(door))
+	waitUntil(t, "the first process never serves", healthy(door))
 
 	var ids, served, turned, lost atomic.Int64
 	stop := make(chan struct{})
@@ -141,7 +141,7 @@
 					}
 					br = bufio.NewReader(c)
 				}
-				c.SetDeadline(time.Now().Add(patience))
+				c.SetDeadline(time.Now().Add(testTimeout))
 				fmt.Fprintf(c, "POST /api/%d HTTP/1.1\r\nHost: x\r\nRequest-Id: %d\r\nRequest-Class: order\r\n"+
 					"Request-Timeout-Ms: 1000\r\nContent-Length: 1\r\n\r\nx", n, ids.Add(1))
 				resp, err := http.ReadResponse(br, nil)
@@ -166,7 +166,7 @@
 	more := func() {
 		t.Helper()
 		from := served.Load()
-		until(t, "nothing is served", func() bool { return served.Load() > from+100 })
+		waitUntil(t, "nothing is served", func() bool { return served.Load() > from+100 })
 	}
 	more()
 	if status, body := adminCall(door, "PUT", "/admin/cordon?name=s-0"); status != 200 {
@@ -187,7 +187,7 @@
 	leftAlone(0, "told")
 	for round := range 2 {
 		next, nextDoor := startProcess(t, config, tmp)
-		until(t, "the next process never serves", healthy(nextDoor))
+		waitUntil(t, "the next process never serves", healthy(nextDoor))
 		leftAlone(0, "beside the new process")
 		// The new process is told, and the old one hears of it.
 		if status, _ := adminCall(nextDoor, "PUT", "/admin/uncordon?name=s-0"); status != 200 {
@@ -224,7 +224,7 @@
 	// back by requests, and nothing is held for silent while none is out: so they come one at a time, with a look behind each.
 	var status int
 	var body string
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		req, err := http.NewRequest("POST", "http://"+addr+"/api/last", strings.NewReader("x"))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -15,14 +15,14 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// startWithBackend starts an agent in front of one backend with the given script.
+// startWithBackend starts an agent with one backend, which has the given script.
 func startWithBackend(t *testing.T, answer func(c net.Conn, req *http.Request, n int) bool) (*testAgent, *fakeBackend) {
 	t.Helper()
 	b := newBackend(t, answer)
 	return startAgent(t, newDiscoveryServer(t, listedBackend("s-1", b.addr)), nil), b
 }
 
-func TestServed(t *testing.T) {
+func TestRequestIsForwardedAndServed(t *testing.T) {
 	var mu sync.Mutex
 	var seen http.Header
 	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
@@ -48,17 +48,17 @@
 	}
 	var left int
 	if _, err := fmt.Sscan(seen.Get("Request-Timeout-Ms"), &left); err != nil || left < 1 || left > 4000 {
-		t.Errorf("the backend was told %q ms", seen.Get("Request-Timeout-Ms"))
+		t.Errorf("the backend got the timeout %q ms", seen.Get("Request-Timeout-Ms"))
 	}
 	if b.count() != 1 {
 		t.Errorf("%d arrivals, want 1", b.count())
 	}
 }
 
-// The ends of an attempt: what the client is told and how often the backend saw it.
-func TestOutcomes(t *testing.T) {
+// The result of an attempt decides the answer to the client, and how often the backend gets the request.
+func TestAttemptResultsAndAnswers(t *testing.T) {
 	always := func(status int, header, body string) func(net.Conn, *http.Request, int) bool {
-		return func(c net.Conn, _ *http.Request, _ int) bool { return send(c, status, header, body) }
+		return func(c net.Conn, _ *http.Request, _ int) bool { return writeResponse(c, status, header, body) }
 	}
 	raw := func(text string, keep bool) func(net.Conn, *http.Request, int) bool {
 		return func(c net.Conn, _ *http.Request, _ int) bool {
@@ -76,23 +76,23 @@
 		{"500 may have run", "order", always(500, "", ""), 502, 1},
 		{"503 without proof may have run", "order", always(503, "", ""), 502, 1},
 		{"reset after the last byte may have run", "order",
-			func(c net.Conn, _ *http.Request, _ int) bool { return reset(c) }, 502, 1},
+			func(c net.Conn, _ *http.Request, _ int) bool { return resetConnection(c) }, 502, 1},
 		{"close after the last byte may have run", "order", raw("", false), 502, 1},
-		{"broken body may have run", "order", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", false), 502, 1},
-		{"broken chunk may have run", "order",
+		{"incomplete body may have run", "order", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", false), 502, 1},
+		{"incomplete chunk may have run", "order",
 			raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel", false), 502, 1},
-		{"an answer without an end may have run", "order", raw("HTTP/1.1 200 OK\r\n\r\nhalf", false), 502, 1},
+		{"a response without an end may have run", "order", raw("HTTP/1.1 200 OK\r\n\r\nhalf", false), 502, 1},
 		{"unreadable head may have run", "order", raw("nonsense\r\n\r\n", true), 502, 1},
 		{"a body too large may have run", "order", raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", httpup.MaxAnswer+1), true), 502, 1},
-		{"a large answer", "order", always(200, "", strings.Repeat("x", 400<<10)), 200, 1},
+		{"a large response", "order", always(200, "", strings.Repeat("x", 400<<10)), 200, 1},
 		{"the same in chunks", "order", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+
 			fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", 400<<10, strings.Repeat("x", 400<<10)), true), 200, 1},
-		{"an answer that ends with its connection, and says so", "order", raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall", false), 200, 1},
-		{"a request that the backend can't use goes nowhere else", "send", always(400, "", ""), 400, 1},
-		{"a backend's 429 would be a refusal", "order", always(429, "", ""), 502, 1},
-		{"turned away never ran", "order", always(503, "Not-Started: 1\r\n", ""), 503, 3},
+		{"a response that ends with its connection, and says so", "order", raw("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall", false), 200, 1},
+		{"a bad request is not retried", "send", always(400, "", ""), 400, 1},
+		{"a backend's 429 may have run", "order", always(429, "", ""), 502, 1},
+		{"rejected never ran", "order", always(503, "Not-Started: 1\r\n", ""), 503, 3},
 		{"504 with proof never ran", "order", always(504, "Not-Started: 1\r\n", ""), 503, 3},
-		{"an error is repeated for a keyed one, three attempts at most", "send", always(500, "", ""), 503, 3},
+		{"an error is retried for an idempotent-by-key one, at most three attempts", "send", always(500, "", ""), 503, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			a, b := startWithBackend(t, test.answer)
@@ -102,19 +102,19 @@
 				t.Errorf("%d arrivals, want %d", b.count(), test.arrivals)
 			}
 			if status == 503 && header.Get("Retry-After") != "0.600" {
-				t.Errorf("refused with Retry-After %q", header.Get("Retry-After"))
+				t.Errorf("rejected with Retry-After %q", header.Get("Retry-After"))
 			}
 			if f := a.stats(); f.DeadlineExceeded+f.GuardViolations > 0 {
-				t.Errorf("a guard had to act: %+v", f)
+				t.Errorf("guard violations: %+v", f)
 			}
 		})
 	}
 }
 
-func TestTurnedAwayGoesAgain(t *testing.T) {
+func TestRejectedAttemptIsRetried(t *testing.T) {
 	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n == 0 {
-			return send(c, 503, "Not-Started: 1\r\n", "")
+			return writeResponse(c, 503, "Not-Started: 1\r\n", "")
 		}
 		return echo(c, req, n)
 	})
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestInterimAnswerIsPassedOver(t *testing.T) {
+func TestInterimResponseIsSkipped(t *testing.T) {
 	a, _ := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		fmt.Fprint(c, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
 		return echo(c, req, n)
@@ -134,7 +134,7 @@
 	wantStatus(t, status, 200)
 }
 
-func TestRefusedConnectNeverRan(t *testing.T) {
+func TestRefusedConnectionNeverRan(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -145,7 +145,7 @@
 	status, header, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 503)
 	if header.Get("Retry-After") == "" {
-		t.Error("refused without Retry-After")
+		t.Error("rejected without Retry-After")
 	}
 }
 
@@ -162,9 +162,9 @@
 	}
 }
 
-// A kept connection that the backend has closed must be noticed before it carries
-// a request: an unsafe one would end as a reset and fail.
-func TestClosedKeptConnectionIsNotUsed(t *testing.T) {
+// An idle connection that the backend has closed is noticed before a request is written to it. A non-idempotent request
+// would fail on it.
+func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		echo(c, req, n)
 		return n > 0
@@ -186,10 +186,9 @@
 	}
 }
 
-// A kept connection that breaks on a request whose last byte was written: the
-// request may have run and is never sent again behind the module's back, not even
-// with the key or without the body that make http.Transport do so.
-func TestNoSilentResend(t *testing.T) {
+// An idle connection breaks on a request whose last byte was written: the request may have run, and is not retried but
+// by a decision of the balancer, not even where http.Transport would do so.
+func TestBrokenIdleConnectionIsNotRetried(t *testing.T) {
 	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		return n == 0 && echo(c, req, n)
 	})
@@ -202,9 +201,9 @@
 	}
 }
 
-// A backend that says nothing: the request fails within its time, and the
-// connection is closed, as the late answer would be taken for the next one's.
-func TestSilentBackend(t *testing.T) {
+// A request to a silent backend fails in time, and its connection is closed: a late response would be taken for the
+// one to the next request.
+func TestSilentBackendFailsInTime(t *testing.T) {
 	a, b := startWithBackend(t, func(net.Conn, *http.Request, int) bool { return true })
 	req := newRequest(a.addr, "order", "x")
 	req.Header.Set("Request-Timeout-Ms", "600")
@@ -214,29 +213,29 @@
 		t.Errorf("answered %d, want a failure", status)
 	}
 	if took := time.Since(from); took < 400*time.Millisecond {
-		t.Errorf("gave up after %v", took)
+		t.Errorf("failed after %v", took)
 	}
 	select {
 	case <-b.ended:
 	case <-time.After(testTimeout):
-		t.Error("the connection stays open")
+		t.Error("the connection is not closed")
 	}
 	if b.count() != 1 {
 		t.Errorf("%d arrivals, want 1", b.count())
 	}
 }
 
-// byMode runs a test for each way in which lists come. Where they are pushed the module asks for nothing,
-// and the agent follows its roster all the same.
+// byMode runs a test for each discovery mode. With pushed updates the balancer requests nothing, and the agent watches
+// its discovery server all the same.
 func byMode(t *testing.T, test func(t *testing.T, change func(*Config))) {
 	for _, mode := range []string{"on_request", "pushed"} {
 		t.Run(mode, func(t *testing.T) { test(t, func(c *Config) { c.Settings.DiscoveryMode = mode }) })
 	}
 }
 
-func TestDrain(t *testing.T) { byMode(t, testDrain) }
+func TestDrainingBackendGetsNoRequests(t *testing.T) { byMode(t, testDrainingBackendGetsNoRequests) }
 
-func testDrain(t *testing.T, mode func(*Config)) {
+func testDrainingBackendGetsNoRequests(t *testing.T, mode func(*Config)) {
 	old, other := newBackend(t, echo), newBackend(t, echo)
 	d := newDiscoveryServer(t, listedBackend("s-1", old.addr))
 	a := startAgent(t, d, mode)
@@ -252,16 +251,16 @@
 		wantStatus(t, status, 200)
 	}
 	if old.count() != before || other.count() < 8 {
-		t.Errorf("%d arrivals after the telling, %d elsewhere", old.count()-before, other.count())
+		t.Errorf("%d arrivals after the update, %d elsewhere", old.count()-before, other.count())
 	}
 	select { // its idle connection is closed
 	case <-old.ended:
 	case <-time.After(testTimeout):
-		t.Error("the idle connection to the draining backend stays open")
+		t.Error("the idle connection to the draining backend is not closed")
 	}
 }
 
-func TestAddressChange(t *testing.T) {
+func TestAddressChangeIsFollowed(t *testing.T) {
 	old, moved := newBackend(t, echo), newBackend(t, echo)
 	d := newDiscoveryServer(t, listedBackend("s-1", old.addr))
 	a := startAgent(t, d, nil)
@@ -275,18 +274,17 @@
 	}
 }
 
-// While discovery is down the list at hand serves on and the calls are few; when
-// it is back the agent hears of what has changed.
-func TestDiscoveryDownAndBack(t *testing.T) { byMode(t, testDiscoveryDownAndBack) }
+// While discovery is down the agent serves by the current list and makes few calls. Afterwards it gets the changes.
+func TestServesWhileDiscoveryIsDown(t *testing.T) { byMode(t, testServesWhileDiscoveryIsDown) }
 
-func testDiscoveryDownAndBack(t *testing.T, mode func(*Config)) {
+func testServesWhileDiscoveryIsDown(t *testing.T, mode func(*Config)) {
 	first, second := newBackend(t, echo), newBackend(t, echo)
 	d := newDiscoveryServer(t, listedBackend("s-1", first.addr))
 	a := startAgent(t, d, mode)
 	d.wait(t, 1)
 	d.SetDown(true)
 	before := d.Calls()
-	for d.Calls() == before { // the module asks again, after a time of its choice
+	for d.Calls() == before { // the balancer polls after a time that it decides
 		status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 		time.Sleep(5 * time.Millisecond)
@@ -295,10 +293,10 @@
 		t.Errorf("%d calls at once to a discovery that is down", n)
 	}
 	d.SetDown(false)
-	gone := listedBackend("s-1", first.addr)
-	gone.State = "removed"
+	removed := listedBackend("s-1", first.addr)
+	removed.State = "removed"
 	d.Set(listedBackend("s-2", second.addr))
-	d.update(t, gone)
+	d.update(t, removed)
 	status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	if second.count() == 0 {
@@ -306,44 +304,44 @@
 	}
 }
 
-// A client that goes away has its attempt withdrawn.
-func TestClientGone(t *testing.T) {
+// The attempt of a client that disconnects is cancelled.
+func TestDisconnectCancelsAttempt(t *testing.T) {
 	arrived := make(chan struct{}, 10)
 	a, b := startWithBackend(t, func(net.Conn, *http.Request, int) bool {
 		arrived <- struct{}{}
 		return true
 	})
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	failed := make(chan error, 1)
 	go func() {
 		req := newRequest(a.addr, "order", "x")
-		req.Header.Set("Request-Timeout-Ms", "60000") // longer than the test waits for the withdrawal
+		req.Header.Set("Request-Timeout-Ms", "60000") // longer than the test waits for the cancellation
 		_, err := testClient.Do(req.WithContext(ctx))
 		failed <- err
 	}()
 	<-arrived
-	leave()
+	disconnect()
 	<-failed
 	select {
 	case <-b.ended:
 	case <-time.After(testTimeout):
-		t.Fatal("the attempt goes on")
+		t.Fatal("the attempt was not cancelled")
 	}
 	if f := a.stats(); f.Disconnected != 1 || f.DeadlineExceeded != 0 {
 		t.Errorf("figures %+v", f)
 	}
 }
 
-// Idle clients give way to new ones: they can't use up the descriptors.
-func TestDescriptorLimit(t *testing.T) {
+// Idle clients are closed for new ones, so that they do not use up the descriptors.
+func TestIdleClientsAreClosedForNewOnes(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		<-release
 		return echo(c, req, n)
 	})
 	a := startAgent(t, newDiscoveryServer(t, listedBackend("s-1", b.addr)), func(c *Config) { c.Sockets = minSockets })
-	most := a.cfg.maxIdleClients()
-	for range 2 * most { // clients that stay connected and idle
+	maxIdle := a.cfg.maxIdleClients()
+	for range 2 * maxIdle { // clients that stay connected and idle
 		c, err := net.Dial("tcp", a.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -360,7 +358,7 @@
 	wantStatus(t, status, 200)
 }
 
-func TestUnknownTenant(t *testing.T) {
+func TestUnknownTenantIsBadRequest(t *testing.T) {
 	b := newBackend(t, echo)
 	a := startAgent(t, newDiscoveryServer(t, listedBackend("s-1", b.addr)), func(c *Config) {
 		c.Settings.Tenants = []policy.Tenant{{Name: "acme", QuotaWeight: 1}}
--- a/internal/agent/size_test.go
+++ b/internal/agent/bodies_test.go
@@ -13,23 +13,23 @@
 	"time"
 )
 
-// bytesOf are n bytes, the same each time.
-func bytesOf(n int) string {
+// randomBytes returns n bytes, the same each time.
+func randomBytes(n int) string {
 	b := make([]byte, n)
 	rand.New(rand.NewSource(int64(n))).Read(b)
 	return string(b)
 }
 
-// sum answers with what arrived of a body.
-func sum(c net.Conn, req *http.Request, _ int) bool {
+// replyWithSum answers with the length and hash of the body.
+func replyWithSum(c net.Conn, req *http.Request, _ int) bool {
 	body, _ := io.ReadAll(req.Body)
-	return send(c, 200, "", fmt.Sprintf("%d %x", len(body), sha256.Sum256(body)))
+	return writeResponse(c, 200, "", fmt.Sprintf("%d %x", len(body), sha256.Sum256(body)))
 }
 
-// Bodies of all sizes and forms arrive as they were sent, with memory and without; none is left behind.
-func TestBodiesArriveAsSent(t *testing.T) {
+// Bodies of all sizes and forms arrive unchanged, with and without memory for them. All memory is released.
+func TestBodiesArriveUnchanged(t *testing.T) {
 	for _, short := range []bool{false, true} {
-		a, b := startWithBackend(t, sum)
+		a, b := startWithBackend(t, replyWithSum)
 		budget := a.cfg.bodyBudget()
 		if short {
 			if err := a.budget.Acquire(t.Context(), budget); err != nil {
@@ -38,7 +38,7 @@
 		}
 		n := 0
 		for _, size := range []int{1, 4096, 4097, 64 << 10, 1<<20 - 1, 1 << 20, 1<<20 + 1, 5 << 20} {
-			body := bytesOf(size)
+			body := randomBytes(size)
 			want := fmt.Sprintf("%d %x", size, sha256.Sum256([]byte(body)))
 			for _, chunked := range []bool{false, true} {
 				req := newRequest(a.addr, "order", body)
@@ -61,25 +61,25 @@
 		if f := a.stats(); f.Served != n || f.GuardViolations+f.DeadlineExceeded > 0 {
 			t.Errorf("figures %+v", f)
 		}
-		if tally := a.loop.Counters(); tally.Written.Load() != int64(n) || tally.Open.Load() != 0 {
-			t.Errorf("%d attempts written, %d open", tally.Written.Load(), tally.Open.Load())
+		if counters := a.loop.Counters(); counters.Written.Load() != int64(n) || counters.Open.Load() != 0 {
+			t.Errorf("%d attempts written, %d open", counters.Written.Load(), counters.Open.Load())
 		}
 		if short {
 			a.budget.Release(budget)
 		}
-		if err := a.budget.Acquire(t.Context(), budget); err != nil { // all of it: none has leaked
+		if err := a.budget.Acquire(t.Context(), budget); err != nil { // all of it is released
 			t.Fatal(err)
 		}
 		a.budget.Release(budget)
 	}
 }
 
-// A request's time counts from its last byte, whole or a stream: one that takes longer to come than it has time
-// is served.
-func TestTimeCountsFromTheLastByte(t *testing.T) {
-	a, _ := startWithBackend(t, sum)
+// The timeout of a request starts with its last byte, buffered or streamed: one that takes longer than that to arrive is
+// served.
+func TestTimeoutStartsWithTheLastByte(t *testing.T) {
+	a, _ := startWithBackend(t, replyWithSum)
 	for _, size := range []int{40 << 10, 1200 << 10} {
-		body := bytesOf(size)
+		body := randomBytes(size)
 		c := a.dial()
 		fmt.Fprint(c, strings.Replace(rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)),
 			fmt.Sprintf("Content-Length: %d\r\n", size), ""), "4000", "300", 1))
@@ -88,7 +88,7 @@
 			n := min(size/8, len(rest))
 			io.WriteString(c, rest[:n])
 			if rest = rest[n:]; rest != "" {
-				time.Sleep(100 * time.Millisecond) // the client's pace is the matter
+				time.Sleep(100 * time.Millisecond) // the pace of the client
 			}
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -102,24 +102,24 @@
 	}
 }
 
-// A stream that breaks before its last byte never ran: it is refused, once, and nothing is sent again. A client
-// that does not bring its body is told so, or finds its connection closed, and blames no backend.
-func TestStreamsThatBreak(t *testing.T) {
+// A request stream that breaks before its last byte never ran: it is rejected and not retried. A client that does not
+// send the complete body gets a bad request or a closed connection, and no backend is blamed.
+func TestBrokenRequestStreams(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		client func(c net.Conn)
 		server func(c net.Conn) // having read the head and some of the body
 		status int
 	}{
-		{"the backend resets", func(c net.Conn) { io.WriteString(c, bytesOf(8<<20)) }, func(c net.Conn) { reset(c); c.Close() }, 503},
-		{"the backend turns it away", func(c net.Conn) { io.WriteString(c, bytesOf(8<<20)) },
+		{"the backend resets", func(c net.Conn) { io.WriteString(c, randomBytes(8<<20)) }, func(c net.Conn) { resetConnection(c); c.Close() }, 503},
+		{"the backend rejects it", func(c net.Conn) { io.WriteString(c, randomBytes(8<<20)) },
 			func(c net.Conn) {
-				send(c, 503, "Not-Started: 1\r\nConnection: close\r\n", "")
+				writeResponse(c, 503, "Not-Started: 1\r\nConnection: close\r\n", "")
 				c.(*net.TCPConn).CloseWrite()
 				io.Copy(io.Discard, c)
 				c.Close()
 			}, 503},
-		{"the client stops", func(c net.Conn) { io.WriteString(c, bytesOf(3<<20)); c.(*net.TCPConn).CloseWrite() }, func(c net.Conn) { io.Copy(io.Discard, c); c.Close() }, 400},
+		{"the client stops", func(c net.Conn) { io.WriteString(c, randomBytes(3<<20)); c.(*net.TCPConn).CloseWrite() }, func(c net.Conn) { io.Copy(io.Discard, c); c.Close() }, 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -149,13 +149,13 @@
 			}()
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if test.status == 400 && err != nil {
-				return // as for any client that has left
+				return // as for any client that has disconnected
 			}
 			if err != nil || resp.StatusCode != test.status {
 				t.Fatalf("%v, %v; want %d", resp, err, test.status)
 			}
 			if test.status == 503 && resp.Header.Get("Retry-After") == "" {
-				t.Error("refused with no word when to come back")
+				t.Error("rejected without Retry-After")
 			}
 			if n := len(accepted); n != 1 {
 				t.Errorf("%d connections to the backend", n)
@@ -167,25 +167,25 @@
 	}
 }
 
-// An error with a body, to a request that was a stream, ends it once and gives its memory back.
-func TestAStreamThatEndsInAnError(t *testing.T) {
-	a, b := startWithBackend(t, func(c net.Conn, _ *http.Request, _ int) bool { return send(c, 500, "", bytesOf(20<<10)) })
+// An error reply with a body ends a streamed request once and releases its memory.
+func TestRequestStreamWithErrorReply(t *testing.T) {
+	a, b := startWithBackend(t, func(c net.Conn, _ *http.Request, _ int) bool { return writeResponse(c, 500, "", randomBytes(20<<10)) })
 	for range 2 {
-		status, _, _ := a.roundTrip(newRequest(a.addr, "order", bytesOf(2<<20)))
+		status, _, _ := a.roundTrip(newRequest(a.addr, "order", randomBytes(2<<20)))
 		wantStatus(t, status, 502)
 	}
 	if b.count() != 2 {
 		t.Errorf("%d arrivals, want 2", b.count())
 	}
 	if !a.budget.TryAcquire(a.cfg.bodyBudget()) {
-		t.Error("memory is not given back")
+		t.Error("memory was not released")
 	}
 }
 
-// A long answer is passed on as it comes, in each form of HTTP: the client has its first bytes while the backend
-// still holds the rest, for longer than the request had time.
-func TestLongAnswersArePassedOn(t *testing.T) {
-	first, rest := bytesOf(100<<10), bytesOf(3<<20)
+// A long reply is streamed, in each form of HTTP: the client has its first bytes while the backend has not sent the
+// rest, for longer than the request's timeout.
+func TestLongRepliesAreStreamed(t *testing.T) {
+	first, rest := randomBytes(100<<10), randomBytes(3<<20)
 	for name, write := range map[string]func(c io.Writer, on <-chan struct{}){
 		"length": func(c io.Writer, on <-chan struct{}) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(first)+len(rest), first)
@@ -228,9 +228,9 @@
 				t.Fatal(err)
 			}
 			if open := a.loop.Counters().Open.Load(); open != 1 {
-				t.Errorf("%d open while the answer goes on", open)
+				t.Errorf("%d open while the reply is streamed", open)
 			}
-			time.Sleep(500 * time.Millisecond) // longer than the request's time
+			time.Sleep(500 * time.Millisecond) // longer than the request's timeout
 			close(on)
 			got, err := io.ReadAll(resp.Body)
 			if err != nil || string(head)+string(got) != first+rest {
@@ -242,7 +242,7 @@
 			if c := &a.loop.Counters().Classes[2]; c.Served.Load() != 1 || c.Failed.Load() != 0 {
 				t.Errorf("served %d, failed %d", c.Served.Load(), c.Failed.Load())
 			}
-			// The connection carries the next request, but where the answer ended with it.
+			// The connection is used for the next request, unless the reply ended with it.
 			status, _, _ := a.roundTrip(newRequest(a.addr, "order", "y"))
 			wantStatus(t, status, 200)
 			want := 1
@@ -258,9 +258,9 @@
 	}
 }
 
-// A long answer that breaks off ends the client's connection before the answer's end, in each form, and counts
-// as failed.
-func TestLongAnswersThatBreak(t *testing.T) {
+// A long reply that breaks closes the client's connection before the end of the reply, in each form, and counts as
+// failed.
+func TestBrokenLongReplies(t *testing.T) {
 	for name, head := range map[string]string{
 		"length":                       fmt.Sprintf("Content-Length: %d\r\n\r\n", 1<<20),
 		"chunks":                       "Transfer-Encoding: chunked\r\n\r\n80000\r\n",
@@ -268,16 +268,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := startWithBackend(t, func(c net.Conn, _ *http.Request, _ int) bool {
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s%s", head, bytesOf(200<<10))
-				time.Sleep(300 * time.Millisecond) // it has begun to go on
-				return reset(c)
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s%s", head, randomBytes(200<<10))
+				time.Sleep(300 * time.Millisecond) // the client has a part of it
+				return resetConnection(c)
 			})
 			resp, err := testClient.Do(newRequest(a.addr, "order", "x"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if _, err := io.ReadAll(resp.Body); err == nil {
-				t.Error("the client takes it for whole")
+				t.Error("the client takes it for complete")
 			}
 			until := time.Now().Add(testTimeout)
 			c := &a.loop.Counters().Classes[2]
@@ -291,23 +291,23 @@
 	}
 }
 
-// A client that leaves in the midst of a long answer frees the backend's connection.
-func TestClientsThatLeaveALongAnswer(t *testing.T) {
+// A client that disconnects during a long reply frees the backend's connection.
+func TestDisconnectDuringLongReply(t *testing.T) {
 	a, b := startWithBackend(t, func(c net.Conn, _ *http.Request, _ int) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 60<<20)
-		_, err := io.WriteString(c, bytesOf(60<<20))
+		_, err := io.WriteString(c, randomBytes(60<<20))
 		return err == nil
 	})
 	c := a.dial()
-	fmt.Fprint(c, rawOrder("/api/a1", "leaves", "Content-Length: 0\r\n", ""))
+	fmt.Fprint(c, rawOrder("/api/a1", "disconnects", "Content-Length: 0\r\n", ""))
 	if _, err := io.ReadFull(c, make([]byte, 100<<10)); err != nil {
 		t.Fatal(err)
 	}
-	reset(c)
+	resetConnection(c)
 	c.Close()
 	select {
 	case <-b.ended:
 	case <-time.After(testTimeout):
-		t.Error("the backend's connection stays")
+		t.Error("the backend's connection is not closed")
 	}
 }
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -12,7 +12,7 @@
 	"ringtrack.example/ringtrack/internal/membership/ephemeral"
 )
 
-func TestConfig(t *testing.T) {
+func TestLoadConfig(t *testing.T) {
 	good := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
 "limits":{"cores":0.5,"memory_mb":64,"sockets":256},"known":{"version":4,"full":true,"servers":[{"id":"s-1"}]},
 "settings":` + testSettings + `}`
@@ -64,12 +64,12 @@
 		}
 	}
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
-		t.Error("no configuration is accepted")
+		t.Error("a missing configuration was accepted")
 	}
 }
 
-// A start waits for a file that is being written, in place or under a new name, and for no other error.
-func TestAStartWaitsForAFileThatIsBeingWritten(t *testing.T) {
+// A start waits for a file that is being written, in place or under a new name. Any other error ends it.
+func TestStartWaitsForIncompleteFile(t *testing.T) {
 	good := `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"7","limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":` + testSettings + `}`
 	path := filepath.Join(t.TempDir(), "config.json")
 	reads := 0
@@ -78,13 +78,13 @@
 			t.Error(err)
 		}
 	}
-	// The file goes on with each look at its name.
+	// The file grows each time that its name is read.
 	steps := []string{"", good[:1], good[:len(good)/2], good[:len(good)-1], good}
 	c, err := StartConfig(t.Context(), func(name string) string {
 		if name != "PROXY_CONFIG" {
 			return ""
 		}
-		if reads++; reads > 1 { // at first there is none
+		if reads++; reads > 1 { // no file at first
 			write(steps[min(reads-2, len(steps)-1)])
 		}
 		return path
@@ -92,7 +92,7 @@
 	if err != nil || c.Discovery != "127.0.0.1:2" || reads != len(steps)+1 {
 		t.Errorf("read %d times: %v", reads, err)
 	}
-	for name, text := range map[string]string{"of another form": `{"listen":3}`, "senseless": strings.Replace(good, "free", "perhaps", 1)} {
+	for name, text := range map[string]string{"wrong type": `{"listen":3}`, "invalid value": strings.Replace(good, "free", "perhaps", 1)} {
 		write(text)
 		reads = 0
 		if _, err := StartConfig(t.Context(), func(name string) string {
@@ -106,21 +106,21 @@
 	}
 	write(good[:100])
 	ctx, cancel := context.WithCancel(t.Context())
-	cancel() // told to end meanwhile
+	cancel() // a signal during the start
 	if _, err := StartConfig(ctx, func(name string) string { return map[string]string{"PROXY_CONFIG": path}[name] }); !errors.Is(err, errIncompleteFile) {
-		t.Errorf("told to end: %v", err)
+		t.Errorf("stopped: %v", err)
 	}
 }
 
-// Whatever is connected and open at once, the shares and what is kept beside them stay within the limit, and with the
-// large limits of the deployment page nothing but a fixed part is kept.
-func TestSharesOfDescriptors(t *testing.T) {
+// The connections of all sides and the reserved descriptors stay within the limit. With the large limits of the
+// deployment page only a fixed fraction is reserved.
+func TestConnectionLimitsFitDescriptors(t *testing.T) {
 	for sockets := minSockets; sockets <= 4096; sockets++ {
 		for _, c := range []Config{{}, {AdminAddr: "x"}, {ThriftFile: "x"}, {AdminAddr: "x", ThriftFile: "x"}, {SharedConfig: &client.Config{}},
 			{AdminAddr: "x", ThriftFile: "x", SharedConfig: &client.Config{}, Registry: &ephemeral.Config{}}} {
 			c.Sockets = sockets
 			if n := c.maxBackendConnections() + c.downstreams()*c.maxClientConnections() + c.reservedDescriptors(); n > sockets && c.connectionsPerSide() > minConnections {
-				t.Fatalf("%d of %d descriptors, of them %d kept", n, sockets, c.reservedDescriptors())
+				t.Fatalf("%d of %d descriptors, %d of them reserved", n, sockets, c.reservedDescriptors())
 			}
 			if c.maxBackendConnections() < minConnections || c.maxClientConnections() < 2 || c.maxIdleClients() > c.maxClientConnections() {
 				t.Fatalf("of %d: %d to backends, %d and %d of clients", sockets, c.maxBackendConnections(), c.maxIdleClients(), c.maxClientConnections())
@@ -132,9 +132,9 @@
 	}
 	c := &Config{Sockets: 1024}
 	if c.limitDescriptors(4096); c.Sockets != 1024 {
-		t.Errorf("with more than is told: %d", c.Sockets)
+		t.Errorf("with a higher process limit: %d", c.Sockets)
 	}
 	if c.limitDescriptors(100); c.Sockets != 100 {
-		t.Errorf("with less than is told: %d", c.Sockets)
+		t.Errorf("with a lower process limit: %d", c.Sockets)
 	}
 }
--- a/internal/agent/told_test.go
+++ b/internal/agent/discovery_test.go
@@ -16,32 +16,36 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// A change that discovery has counts as told updateTold later, whatever calls failed before (mass page). inQueue is the
-// part of it that a call may have to stand in discovery's queue.
-const updateTold, inQueue = 6 * time.Second, 2 * time.Second
+const (
+	// updateDeadline is how long after a change at discovery the agent has to know it, whatever calls failed before (mass
+	// page).
+	updateDeadline = 6 * time.Second
+	// maxQueueWait is the part of it for which a call may wait in discovery's queue.
+	maxQueueWait = 2 * time.Second
+)
 
-// failing is a discovery that answers calls as a script says, one after the other, and tells when each came and failed.
-type failing struct {
-	server *httptest.Server
-	ended  chan time.Time // when a call failed
-	came   chan time.Time // when a call came that is not to fail
+// failingDiscovery is a discovery server of which the first calls fail. It reports when each call arrived or failed.
+type failingDiscovery struct {
+	server   *httptest.Server
+	ended    chan time.Time // when a call failed
+	received chan time.Time // when a call arrived that does not fail
 }
 
-// newFailing returns a discovery whose first calls end by fail, and whose later ones are answered with the list.
-func newFailing(t *testing.T, calls int, fail http.HandlerFunc, list membership.List) *failing {
-	f := &failing{ended: make(chan time.Time, 1000), came: make(chan time.Time, 1000)}
-	turn := make(chan int, 1) // the number of calls so far
-	turn <- 0
+// newFailingDiscovery returns a server whose first calls end by fail, and whose later ones are answered with the list.
+func newFailingDiscovery(t *testing.T, calls int, fail http.HandlerFunc, list membership.List) *failingDiscovery {
+	f := &failingDiscovery{ended: make(chan time.Time, 1000), received: make(chan time.Time, 1000)}
+	count := make(chan int, 1) // the number of calls so far
+	count <- 0
 	f.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		n := <-turn
-		turn <- n + 1
+		n := <-count
+		count <- n + 1
 		if n < calls {
 			fail(w, r)
 			f.ended <- time.Now()
 			return
 		}
-		f.came <- time.Now()
-		if n > calls { // a watch goes on
+		f.received <- time.Now()
+		if n > calls { // a watch stays open
 			<-r.Context().Done()
 			return
 		}
@@ -51,21 +55,20 @@
 	return f
 }
 
-// next is what comes on a channel next.
+// next receives from a channel.
 func next[T any](t *testing.T, c chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(3 * testTimeout):
-		t.Fatal("never: " + what)
+		t.Fatal("not received: " + what)
 	}
 	return v
 }
 
-// However often calls to discovery failed, and in whatever way, what it has when one fails is known to the agent before
-// it counts as told: the next call leaves time for the queue. Failures of a discovery that was left by SIGHUP count
-// for nothing with the next one.
-func TestAChangeIsKnownInTimeBehindFailedCalls(t *testing.T) {
+// However often calls to discovery failed, and in whatever way, a change arrives within updateDeadline: the next call is
+// made in time for the queue. Failures of a server before SIGHUP do not delay calls to the next one.
+func TestChangeArrivesInTimeAfterFailedCalls(t *testing.T) {
 	unavailable := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 	broken := func(w http.ResponseWriter, _ *http.Request) {
 		if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
@@ -73,18 +76,18 @@
 			c.Close()
 		}
 	}
-	held := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	for _, c := range []struct {
 		name   string
-		before int              // failed calls to a discovery that is then left
-		fails  int              // failed calls to the one that has the change
+		before int              // failed calls to the server before SIGHUP
+		fails  int              // failed calls to the server that has the change
 		how    http.HandlerFunc // how they fail
 	}{
 		{"answered 503", 0, 7, unavailable},
 		{"reset", 0, 7, broken},
 		{"answered 503, then by SIGHUP", 7, discovery.MaxInitialFetches, unavailable},
 		{"reset, then by SIGHUP", 7, discovery.MaxInitialFetches, broken},
-		{"given up behind SIGHUP", 0, 1, held},
+		{"no answer after SIGHUP", 0, 1, silent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -92,9 +95,9 @@
 			drained := listedBackend("s-1", b.addr)
 			drained.State = "draining"
 			list := membership.List{Revision: 9, Full: true, Entries: []membership.Entry{drained, listedBackend("s-2", b.addr)}}
-			reload := c.before > 0 || c.name == "given up behind SIGHUP"
-			first := newFailing(t, 1<<30, unavailable, list)
-			last := newFailing(t, c.fails, c.how, list)
+			reload := c.before > 0 || c.name == "no answer after SIGHUP"
+			first := newFailingDiscovery(t, 1<<30, unavailable, list)
+			last := newFailingDiscovery(t, c.fails, c.how, list)
 			if !reload {
 				first = last
 			}
@@ -103,7 +106,7 @@
 				cfg.Settings.Contract.PollIntervalMs = 10_000
 			})
 			for range c.before {
-				next(t, first.ended, "a failed call to the discovery that is left")
+				next(t, first.ended, "a failed call to the server before SIGHUP")
 			}
 			if reload {
 				a.loop.Post(func() { a.loop.SwitchDiscovery(last.server.Listener.Addr().String()) })
@@ -112,10 +115,10 @@
 			for range c.fails {
 				failed = next(t, last.ended, "a failed call")
 			}
-			if gap := next(t, last.came, "a call behind the failed ones").Sub(failed); gap > updateTold-inQueue {
-				t.Errorf("the next call came %v after the last failed, want %v at the most", gap, updateTold-inQueue)
+			if gap := next(t, last.received, "a call after the failed ones").Sub(failed); gap > updateDeadline-maxQueueWait {
+				t.Errorf("the next call came %v after the last failed one, want at most %v", gap, updateDeadline-maxQueueWait)
 			}
-			until(t, "the list is not taken", func() bool {
+			waitUntil(t, "the list is not applied", func() bool {
 				known := make(chan bool, 1)
 				a.loop.Post(func() { known <- a.loop.IsListed("s-2") })
 				return <-known
@@ -124,7 +127,7 @@
 	}
 }
 
-// join makes a process one of the agent's folder, until the test ends.
+// join joins a process to the agent's folder, until the test ends.
 func join(t *testing.T, tmp string) *upgrade.Dir {
 	t.Helper()
 	dir, err := upgrade.Join(tmp)
@@ -135,11 +138,11 @@
 	return dir
 }
 
-// A process whose call to discovery has no answer says so in the agent's folder, for the one that is started in its
-// place should it be killed; an answer takes that back.
-func TestAMissingAnswerOutlivesItsProcess(t *testing.T) {
+// A process whose poll of discovery has no answer saves that in the agent's folder, for the process after it, until it
+// has an answer.
+func TestUnansweredPollOutlivesProcess(t *testing.T) {
 	tmp := t.TempDir()
-	lastCall := func() policy.LastPoll {
+	lastPoll := func() policy.LastPoll {
 		loop := core.Config{}
 		if _, err := newSharedState(&Config{UpgradeDir: join(t, tmp)}, &loop); err != nil {
 			t.Fatal(err)
@@ -148,22 +151,22 @@
 	}
 	until := func(want policy.LastPoll, when string) {
 		t.Helper()
-		for end := time.Now().Add(testTimeout); lastCall() != want; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); lastPoll() != want; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s the next process is told %v, not %v", when, lastCall(), want)
+				t.Fatalf("%s the next process has %v, not %v", when, lastPoll(), want)
 			}
 		}
 	}
-	if got := lastCall(); got != policy.PollUnknown {
-		t.Errorf("the first process of all is told of a last call: %v", got)
+	if got := lastPoll(); got != policy.PollUnknown {
+		t.Errorf("the first process has a last poll: %v", got)
 	}
 	b := newBackend(t, echo)
-	came, release, failed, answer := make(chan bool, 10), make(chan bool), make(chan bool, 10), make(chan bool)
+	arrived, release, failed, answer := make(chan bool, 10), make(chan bool), make(chan bool, 10), make(chan bool)
 	calls := atomic.Int64{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch calls.Add(1) {
 		case 1:
-			came <- true
+			arrived <- true
 			select {
 			case <-release:
 			case <-r.Context().Done():
@@ -184,20 +187,20 @@
 	startAgent(t, newDiscoveryServer(t, listedBackend("s-1", b.addr)), func(c *Config) {
 		c.UpgradeDir, c.Discovery = join(t, tmp), server.Listener.Addr().String()
 	})
-	next(t, came, "the first call")
-	until(policy.PollUnanswered, "while the first call is out")
+	next(t, arrived, "the first call")
+	until(policy.PollUnanswered, "while the first call is in flight")
 	close(release)
-	next(t, failed, "the call behind the failed one")
-	if got := lastCall(); got != policy.PollUnanswered {
-		t.Errorf("behind a failed call the next process is told %v", got)
+	next(t, failed, "the call after the failed one")
+	if got := lastPoll(); got != policy.PollUnanswered {
+		t.Errorf("after a failed call the next process has %v", got)
 	}
 	close(answer)
-	until(policy.PollAnswered, "behind an answer")
+	until(policy.PollAnswered, "after an answer")
 }
 
-// A process that is killed before its turn at discovery leaves no word of an answer that the one before it had: the next
-// one's list is as old as both their lives.
-func TestAnOldAnswerIsNoWordOfAProcessThatNeverAsked(t *testing.T) {
+// A process that is killed before its first poll leaves the state stale, although the one before it had an answer: the
+// endpoint list is as old as both processes.
+func TestProcessThatNeverPolledIsStale(t *testing.T) {
 	tmp := t.TempDir()
 	before := join(t, tmp)
 	if err := before.SetDiscoveryStale(false); err != nil {
@@ -215,11 +218,11 @@
 		c.UpgradeDir, c.Discovery = dir, server.Listener.Addr().String()
 		c.Settings.ReplicaIndex, c.Settings.Replicas, c.Settings.Contract.PollIntervalMs = 9999, 10_000, 600_000 // the last of many: 480 s
 	})
-	until(t, "the word of the process before it stands", func() bool {
+	waitUntil(t, "the state of the process before it is still saved", func() bool {
 		stale, found, err := dir.DiscoveryStale()
 		return err == nil && found && stale
 	})
 	if n := calls.Load(); n > 0 {
-		t.Errorf("%d calls came before its turn", n)
+		t.Errorf("%d calls came before its poll slot", n)
 	}
 }
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -22,7 +22,7 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// testTimeout bounds every wait of the tests; none of them needs more than a part of it.
+// testTimeout bounds every wait of the tests, which take a fraction of it.
 const testTimeout = 20 * time.Second
 
 const testSettings = `{"classes":[
@@ -36,7 +36,7 @@
  "membershipMode":"on_request","objectiveMix":{"whole":1},"report":{"how":"inline","names":["qps","util","eps"]},
  "roundMs":5,"tenants":[],"weights":"nominal","worthBy":"request","zone":0}`
 
-// fakeBackend reads requests off real sockets and lets a script answer them.
+// fakeBackend reads requests from real sockets and has a script answer them.
 type fakeBackend struct {
 	t    *testing.T
 	ln   net.Listener
@@ -46,7 +46,7 @@
 
 	mu       sync.Mutex
 	arrivals int
-	conns    int // open now
+	conns    int // open ones
 	maxConns int
 	ended    chan struct{} // a value for each connection that the agent closed
 }
@@ -109,25 +109,25 @@
 	return b.arrivals
 }
 
-// send writes an answer as it is.
-func send(c net.Conn, status int, header, body string) bool {
+// writeResponse writes a response.
+func writeResponse(c net.Conn, status int, header, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), header, body)
 	return err == nil
 }
 
-// echo answers every request with its own path and body.
+// echo answers every request with its path and body.
 func echo(c net.Conn, req *http.Request, _ int) bool {
 	body, _ := io.ReadAll(req.Body)
-	return send(c, 200, "Server-Load: qps=3,util=0.5,eps=0\r\n", req.Method+" "+req.URL.RequestURI()+" "+string(body))
+	return writeResponse(c, 200, "Server-Load: qps=3,util=0.5,eps=0\r\n", req.Method+" "+req.URL.RequestURI()+" "+string(body))
 }
 
-// reset ends a connection with RST.
-func reset(c net.Conn) bool {
+// resetConnection ends a connection with RST.
+func resetConnection(c net.Conn) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// fakeDiscovery is the lab's roster, with what tests wait for.
+// fakeDiscovery is the lab's discovery server, with the waits of tests.
 type fakeDiscovery struct{ *lab.Roster }
 
 func newDiscoveryServer(t *testing.T, servers ...membership.Entry) *fakeDiscovery {
@@ -140,9 +140,8 @@
 	return &fakeDiscovery{r}
 }
 
-// update changes an entry and returns once the agent has handed the change to its
-// loop: the watch calls again first and hands on then, so one more change is made
-// and the call after that is waited for.
+// update changes an entry and returns once the agent's loop has the change. A watch makes its next call before it
+// passes the change on, so that update makes one more change and waits for the call after it.
 func (d *fakeDiscovery) update(t *testing.T, e membership.Entry) {
 	t.Helper()
 	d.wait(t, d.Set(e))
@@ -152,14 +151,14 @@
 // wait waits for a watch call with an index of at least version.
 func (d *fakeDiscovery) wait(t *testing.T, version uint64) {
 	t.Helper()
-	over := time.After(testTimeout)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case index := <-d.Asked:
 			if index >= version {
 				return
 			}
-		case <-over:
+		case <-timeout:
 			t.Fatalf("no watch call with index %d", version)
 		}
 	}
@@ -169,19 +168,19 @@
 	return membership.Entry{ID: id, Addr: addr, Zone: "east", Kind: "big", State: "up", Weight: 1}
 }
 
-// testAgent is an agent on a port of the kernel's choice.
+// testAgent is an agent on a free port.
 type testAgent struct {
 	t    *testing.T
 	addr string
 	cfg  *Config
 	loop *core.EventLoop
-	// budget is the memory for bodies.
+	// budget is the memory for bodies, in bytes.
 	budget *semaphore.Weighted
 	stop   context.CancelFunc
 	done   chan error
 }
 
-// startAgent starts an agent that knows the list of the discovery as it is now.
+// startAgent starts an agent with the current list of the discovery server.
 func startAgent(t *testing.T, d *fakeDiscovery, change func(*Config)) *testAgent {
 	t.Helper()
 	a := startAgentNotReady(t, d, change)
@@ -189,7 +188,7 @@
 	return a
 }
 
-// startAgentNotReady is startAgent, which waits for no backend.
+// startAgentNotReady is startAgent without a wait for a backend.
 func startAgentNotReady(t *testing.T, d *fakeDiscovery, change func(*Config)) *testAgent {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -244,17 +243,17 @@
 	a.t.Fatal("the agent is not ready")
 }
 
-// stats reads the loop's counts, in the loop.
+// stats reads the loop's totals, in the loop.
 func (a *testAgent) stats() core.Stats {
 	got := make(chan core.Stats, 1)
 	a.loop.Post(func() { got <- a.loop.Stats() })
 	return <-got
 }
 
-// testClient opens a connection for each request, and so never sends one again.
+// testClient opens a connection for each request, and so never retries one.
 var testClient = &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// lastID makes every request's id its own.
+// lastID makes the ids of requests unique.
 var lastID atomic.Int64
 
 func newRequest(addr, class, body string) *http.Request {
@@ -275,7 +274,7 @@
 	return req
 }
 
-// roundTrip sends a request and returns the answer's status, header and body.
+// roundTrip sends a request and returns the response's status, header and body.
 func (a *testAgent) roundTrip(req *http.Request) (int, http.Header, string) {
 	a.t.Helper()
 	resp, err := testClient.Do(req)
--- a/internal/agent/pair_test.go
+++ b/internal/agent/handover_test.go
@@ -13,11 +13,11 @@
 	"ringtrack.example/ringtrack/internal/upgrade"
 )
 
-// Told to end beside an heir, a process ends each connection with its next answer, and leaves those that bring
-// none open; with no heir it goes on as ever, and its listener with it.
-func TestConnectionsEndWithTheirNextAnswerBesideAnHeir(t *testing.T) {
-	for _, heir := range []bool{true, false} {
-		t.Run(fmt.Sprintf("heir %v", heir), func(t *testing.T) {
+// At a shutdown beside a successor a process closes each connection with its next reply, and leaves idle ones open.
+// Without a successor it serves on, and so does its listener.
+func TestHandoverClosesConnectionsWithTsuccessorNextReply(t *testing.T) {
+	for _, successor := range []bool{true, false} {
+		t.Run(fmt.Sprintf("successor %v", successor), func(t *testing.T) {
 			tmp := t.TempDir()
 			b := newBackend(t, echo)
 			a := startAgent(t, newDiscoveryServer(t, listedBackend("s-1", b.addr)), func(c *Config) {
@@ -31,14 +31,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if heir {
+			if successor {
 				if err := next.MarkServing(); err != nil {
 					t.Fatal(err)
 				}
 			}
 			busy, idle := a.dial(), a.dial()
 			br := bufio.NewReader(busy)
-			ask := func() *http.Response {
+			roundTrip := func() *http.Response {
 				t.Helper()
 				fmt.Fprint(busy, rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\n", ""))
 				resp, err := http.ReadResponse(br, nil)
@@ -48,11 +48,11 @@
 				io.Copy(io.Discard, resp.Body)
 				return resp
 			}
-			if ask().Close {
-				t.Error("the connection ends before the process is told to")
+			if roundTrip().Close {
+				t.Error("the connection is closed before the shutdown")
 			}
 			a.stop()
-			if heir { // the listener closes at once
+			if successor { // the listener closes at once
 				for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 					c, err := testClient.Get("http://" + a.addr + "/-/ready")
 					if err != nil {
@@ -60,18 +60,18 @@
 					}
 					c.Body.Close()
 					if time.Now().After(end) {
-						t.Fatal("the listener stays")
+						t.Fatal("the listener is not closed")
 					}
 				}
 			}
-			if got := ask().Close; got != heir {
-				t.Errorf("the connection ends with its answer: %v", got)
+			if got := roundTrip().Close; got != successor {
+				t.Errorf("the connection is closed with its reply: %v", got)
 			}
 			idle.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 			if _, err := idle.Read(make([]byte, 1)); !timedOut(err) {
 				t.Errorf("the idle connection: %v", err)
 			}
-			if !heir {
+			if !successor {
 				if status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x")); status != 200 {
 					t.Errorf("a new connection: %d", status)
 				}
--- /dev/null
+++ b/internal/agent/healthcheck_test.go
@@ -0,0 +1,65 @@
+package agent
+
+import (
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Where the settings allow health checks a failed backend is checked, and gets requests once a check succeeds. Checks
+// that fail at first do not use up the checks in progress that are allowed.
+func TestHealthChecksRestoreBackend(t *testing.T) {
+	for name, first := range map[string]func(c net.Conn) bool{
+		"rejected":  func(c net.Conn) bool { return writeResponse(c, 503, "", "") },
+		"not found": func(c net.Conn) bool { return writeResponse(c, 404, "", "") },
+		"error":     func(c net.Conn) bool { return writeResponse(c, 500, "", "") },
+		"reset":     resetConnection,
+		"malformed": func(c net.Conn) bool { c.Write([]byte("noise\r\n\r\n")); return true },
+		"too large": func(c net.Conn) bool { return writeResponse(c, 200, "", strings.Repeat("x", 8<<10)) },
+		"silent":    func(c net.Conn) bool { return true },
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			checks := make(chan string, 64)
+			checked := 0 // in the backend's order: checks of one backend never overlap
+			well, b := newBackend(t, echo), newBackend(t, func(c net.Conn, req *http.Request, n int) bool {
+				if !strings.HasPrefix(req.URL.Path, "/-/") {
+					return writeResponse(c, 500, "", "")
+				}
+				if req.Header.Get("Request-Id") != "" {
+					t.Error("a health check with the id of a request")
+				}
+				checks <- req.URL.Path
+				if checked++; checked <= 2 {
+					return first(c)
+				}
+				return writeResponse(c, 200, "", "qps=1,util=0.5,eps=0")
+			})
+			d := newDiscoveryServer(t, listedBackend("s-1", b.addr), listedBackend("s-2", well.addr))
+			a := startAgent(t, d, func(c *Config) {
+				c.Settings.Limits.HealthChecks = true
+				for i := range c.Settings.Classes {
+					c.Settings.Classes[i].LatencyObjectiveMs = 20 // short, so that the backend is checked soon
+				}
+			})
+			timeout := time.After(testTimeout)
+			for n := 0; n < 4; {
+				a.roundTrip(newRequest(a.addr, "read", ""))
+				select {
+				case path := <-checks:
+					if n++; path != "/-/load" {
+						t.Fatalf("checked at %s", path)
+					}
+				case <-timeout:
+					t.Fatalf("%d checks", n)
+				case <-time.After(2 * time.Millisecond):
+				}
+			}
+			if f := a.stats(); f.GuardViolations != 0 {
+				t.Errorf("%d guard violations", f.GuardViolations)
+			}
+		})
+	}
+}
--- a/internal/agent/ephemeral_test.go
+++ b/internal/agent/registry_test.go
@@ -10,9 +10,9 @@
 	"ringtrack.example/ringtrack/internal/membership/ephemeral"
 )
 
-// The agent stops sending to a backend whose node ends, whatever the roster says, and takes it up again when
-// it returns; with its registry dead it serves on.
-func TestEphemeralNodes(t *testing.T) {
+// A backend whose node ends gets no requests, whatever the discovery server lists, until its node returns. Without its
+// registry the agent serves on.
+func TestRegistryChangesAreFollowed(t *testing.T) {
 	e, err := zk.New(zk.Options{Servers: 2})
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 			wantStatus(t, status, 200)
 		}
 	}
-	// Both are followed once the end of one is seen.
+	// Both nodes are watched after three reads.
 	for end := time.Now().Add(testTimeout); e.Servers[0].Reads()+e.Servers[1].Reads() < 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the registry is not read")
@@ -45,7 +45,7 @@
 	before := one.count()
 	serve(10)
 	if one.count() != before || two.count() < 10 {
-		t.Errorf("%d arrivals at a backend whose node is gone, %d elsewhere", one.count()-before, two.count())
+		t.Errorf("%d arrivals at a backend without a node, %d elsewhere", one.count()-before, two.count())
 	}
 	e.Put("/fleet/s-1", node, 0)
 	e.Remove("/fleet/s-2")
@@ -53,7 +53,7 @@
 	before = two.count()
 	serve(10)
 	if two.count() != before || one.count() < 10 {
-		t.Errorf("%d arrivals at a backend whose node is gone, %d elsewhere", two.count()-before, one.count())
+		t.Errorf("%d arrivals at a backend without a node, %d elsewhere", two.count()-before, one.count())
 	}
 	for _, s := range e.Servers {
 		s.SetDown(true)
@@ -61,8 +61,8 @@
 	serve(10)
 }
 
-// Without a registry nothing of it runs.
-func TestNoRegistryNoGoroutine(t *testing.T) {
+// Without a registry no goroutine of it runs.
+func TestNoRegistryGoroutineWithoutRegistry(t *testing.T) {
 	startWithBackend(t, echo)
 	buf := make([]byte, 1<<20)
 	if stacks := string(buf[:runtime.Stack(buf, true)]); strings.Contains(stacks, "membership/ephemeral") {
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -13,22 +13,21 @@
 	"ringtrack.example/ringtrack/internal/membership/discovery"
 )
 
-// wantServedBy asks until a backend serves; others may be asked meanwhile.
+// wantServedBy sends requests until a backend serves one; others may serve meanwhile.
 func wantServedBy(t *testing.T, a *testAgent, b *fakeBackend) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); b.count() == 0; {
 		if time.Now().After(end) {
-			t.Fatal("the backend is never used")
+			t.Fatal("the backend is not used")
 		}
 		status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
 }
 
-// On a new address the agent leaves the old discovery at once and takes the whole
-// list of the new one, whose versions are its own: a lower one, and a list that no
-// longer has the old backend. What the old one says late is dropped.
-func TestReloadChangesDiscovery(t *testing.T) {
+// With a new address the agent stops calls to the old discovery server at once and applies the complete list of the new
+// one, although its revision is lower. Late answers of the old one are dropped.
+func TestReloadSwitchesDiscovery(t *testing.T) {
 	old, fresh := newBackend(t, echo), newBackend(t, echo)
 	d := newDiscoveryServer(t, listedBackend("s-1", old.addr))
 	d.SetRevision(1000)
@@ -40,35 +39,35 @@
 	next := newDiscoveryServer(t, listedBackend("s-2", fresh.addr))
 	before := a.loop.Discovery()
 	a.loop.Post(func() { a.loop.SwitchDiscovery(next.Addr) })
-	next.wait(t, 1) // the watch goes on from the new list's version
+	next.wait(t, 1) // the watch continues from the revision of the new list
 	wantServedBy(t, a, fresh)
 	select {
 	case <-before.Done():
 	default:
-		t.Error("the old discovery is still asked")
+		t.Error("the old discovery client is not closed")
 	}
-	asked, n := d.Calls(), old.count()
+	calls, n := d.Calls(), old.count()
 	before.OnUpdate(&membership.List{Revision: 2000, Full: true, Entries: []membership.Entry{listedBackend("s-1", old.addr)}}, true, nil)
 	next.update(t, listedBackend("s-3", fresh.addr))
 	for range 10 {
 		status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x"))
 		wantStatus(t, status, 200)
 	}
-	if d.Calls() != asked || old.count() != n {
-		t.Errorf("%d calls to the old discovery, %d requests to its backend, after it was left", d.Calls()-asked, old.count()-n)
+	if d.Calls() != calls || old.count() != n {
+		t.Errorf("%d calls to the old discovery, %d requests to its backend, after the switch", d.Calls()-calls, old.count()-n)
 	}
 	done := make(chan bool)
 	a.loop.Post(func() {
 		defer close(done)
 		if a.loop.IsListed("s-1") || !a.loop.IsListed("s-3") {
-			t.Error("the table is not the new discovery's")
+			t.Error("the endpoints are not those of the new discovery")
 		}
 	})
 	<-done
 }
 
-// While the new discovery is down the table stays, and the agent finds it later.
-func TestReloadToADiscoveryThatIsDown(t *testing.T) {
+// While the new discovery server is down the endpoints stay in use, and the agent reaches it later.
+func TestReloadToUnavailableDiscovery(t *testing.T) {
 	old, fresh := newBackend(t, echo), newBackend(t, echo)
 	a := startAgent(t, newDiscoveryServer(t, listedBackend("s-1", old.addr)), nil)
 	next := newDiscoveryServer(t, listedBackend("s-2", fresh.addr))
@@ -83,8 +82,8 @@
 	wantServedBy(t, a, fresh)
 }
 
-// A file that can't be used changes nothing and is read again; signals may repeat.
-func TestReloadKeepsTheOldConfigurationUntilANewOneIsSound(t *testing.T) {
+// An invalid file changes nothing and is retried. Signals may repeat.
+func TestReloadRetriesInvalidConfiguration(t *testing.T) {
 	signals, used := make(chan os.Signal, 1), make(chan string, 10)
 	var reads atomic.Int64
 	ctx, cancel := context.WithCancel(t.Context())
@@ -106,7 +105,7 @@
 				t.Errorf("used %q after %d reads", d, reads.Load())
 			}
 		case <-time.After(testTimeout):
-			t.Fatal("the sound file is not used")
+			t.Fatal("the valid file is not used")
 		}
 		signals <- syscall.SIGHUP
 	}
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -37,20 +37,19 @@
 	return string(got)
 }
 
-// rawOrder is an unsafe request; lines go into its head.
+// rawOrder returns a non-idempotent request with more header lines.
 func rawOrder(target, id, lines, body string) string {
 	return "POST " + target + " HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nRequest-Class: order\r\n" +
 		"Request-Timeout-Ms: 4000\r\n" + lines + "\r\n" + body
 }
 
-// What can't be used gets an error and a close, and never reaches a backend: that
-// would turn it away, or close, and be taken for a bad one.
+// A bad request is answered with an error and a close, and never reaches a backend, which would be taken for faulty.
 func TestBadRequestsAreRejectedAndClosed(t *testing.T) {
 	a, b := startWithBackend(t, echo)
 	get := func(lines string) string {
 		return "GET /api/a1 HTTP/1.1\r\nHost: x\r\nRequest-Id: g\r\nRequest-Class: read\r\nRequest-Timeout-Ms: 4000\r\n" + lines + "\r\n"
 	}
-	keyed := func(lines string) string {
+	withKey := func(lines string) string {
 		return strings.Replace(rawOrder("/api/a1", "k", lines, ""), "Class: order", "Class: send", 1)
 	}
 	hidden := rawOrder("/api/a1", "hidden", "Content-Length: 0\r\n", "")
@@ -84,18 +83,18 @@
 		{"time-out huge", strings.Replace(rawOrder("/api/a1", "1", "", ""), "4000", "99999999999999999999", 1), 400},
 		{"unknown class", strings.Replace(rawOrder("/api/a1", "1", "", ""), "order", "orders", 1), 400},
 		{"a key that does not fit the class", rawOrder("/api/a1", "1", "Idempotency-Key: k\r\n", ""), 400},
-		{"no key", keyed(""), 400},
-		{"an empty key", keyed("Idempotency-Key: \r\n"), 400},
+		{"no key", withKey(""), 400},
+		{"an empty key", withKey("Idempotency-Key: \r\n"), 400},
 		{"GET with a body", get("Content-Length: 1\r\n") + "x", 400},
-		{"GET of an unsafe class", strings.Replace(get(""), "read", "order", 1), 400},
-		{"POST of a safe class", strings.Replace(rawOrder("/api/a1", "1", "", ""), "order", "read", 1), 400},
+		{"GET of a non-idempotent class", strings.Replace(get(""), "read", "order", 1), 400},
+		{"POST of an idempotent class", strings.Replace(rawOrder("/api/a1", "1", "", ""), "order", "read", 1), 400},
 		{"method", strings.Replace(get(""), "GET", "DELETE", 1), 405},
 		{"OPTIONS *", "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n", 405},
 		{"target with a host", rawOrder("http://x/api/a1", "1", "", ""), 400},
 		{"target beyond ASCII", rawOrder("/api/\xc3\xa9", "1", "", ""), 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got := a.say(test.text + get("")) // what stands behind is never served
+			got := a.say(test.text + get("")) // the request after it is never served
 			want := fmt.Sprintf(" %d ", test.status)
 			if len(got) < 8 || !strings.HasPrefix(got[8:], want) || strings.Count(got, "HTTP/1.") != 1 {
 				t.Errorf("answered %.200q, want%salone", got, want)
@@ -106,17 +105,16 @@
 		t.Errorf("%d arrivals at the backend", n)
 	}
 	if f := a.stats(); f.Accepted != 0 {
-		t.Errorf("the module was asked %d times", f.Accepted)
+		t.Errorf("the balancer got %d requests", f.Accepted)
 	}
 }
 
-// Heads and bodies without end, and connections that say nothing, are closed within
-// the 3 s that a client is owed an answer in.
-func TestHalfRequestsAreClosedInTime(t *testing.T) {
+// Incomplete heads and bodies, and silent connections, are closed within 3 s.
+func TestIncompleteRequestsAreClosedInTime(t *testing.T) {
 	a, b := startWithBackend(t, echo)
-	whole := rawOrder("/api/a1", "1", "Content-Length: 9\r\n", "half")
+	complete := rawOrder("/api/a1", "1", "Content-Length: 9\r\n", "half")
 	took := make(chan time.Duration)
-	texts := []string{"", "POST /api", whole[:len(whole)-6], whole}
+	texts := []string{"", "POST /api", complete[:len(complete)-6], complete}
 	for _, text := range texts {
 		go func() {
 			from := time.Now()
@@ -125,7 +123,7 @@
 		}()
 	}
 	for range texts {
-		// The bound is tight on purpose: the time is what the test is about.
+		// The bound is tight: the time is what the test checks.
 		if d := <-took; d > 3*time.Second {
 			t.Errorf("closed only after %v", d)
 		}
@@ -135,8 +133,8 @@
 	}
 }
 
-// The id of an open request is not to be used again, by whomever; afterwards it is.
-func TestOpenIDIsTaken(t *testing.T) {
+// The id of an open request is a conflict for any other request.
+func TestIDOfOpenRequestIsConflict(t *testing.T) {
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
 	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n == 0 {
@@ -153,7 +151,7 @@
 	}
 	close(release)
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("the first one: %v, %v", resp, err)
+		t.Errorf("the first request: %v, %v", resp, err)
 	}
 	if b.count() != 1 {
 		t.Errorf("%d arrivals, want 1", b.count())
@@ -163,8 +161,8 @@
 	}
 }
 
-// The target goes on byte for byte: another form of it is another request.
-func TestTargetIsPassedOnAsItCame(t *testing.T) {
+// The target is forwarded byte for byte: another form of it would be another request.
+func TestTargetIsForwardedUnchanged(t *testing.T) {
 	a, _ := startWithBackend(t, echo)
 	for _, target := range []string{"/api/a%2Fb%7e", "//api//x", "/api/a;b?q=%zz&&=+", "/api/../x?", "/api/%41?a=b|c\"<>"} {
 		got := a.say(rawOrder(target, fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\nConnection: close\r\n", ""))
@@ -174,11 +172,11 @@
 	}
 }
 
-// A body of 1 MiB is taken whole; with no memory left it is passed on as it comes. All memory is given back.
-func TestBodiesShareABudget(t *testing.T) {
+// A body of 1 MiB is buffered; without memory left it is streamed. All memory is released.
+func TestBodiesShareMemoryBudget(t *testing.T) {
 	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, _ int) bool {
 		body, _ := io.ReadAll(req.Body)
-		return send(c, 200, "", fmt.Sprint(len(body)))
+		return writeResponse(c, 200, "", fmt.Sprint(len(body)))
 	})
 	large := strings.Repeat("x", 1<<20)
 	status, _, got := a.roundTrip(newRequest(a.addr, "order", large))
@@ -186,7 +184,7 @@
 		t.Errorf("a large body: answered %d, arrived %s", status, got)
 	}
 	budget := a.cfg.bodyBudget()
-	if err := a.budget.Acquire(t.Context(), budget); err != nil { // all of it: none has leaked
+	if err := a.budget.Acquire(t.Context(), budget); err != nil { // all of it is released
 		t.Fatal(err)
 	}
 	if status, _, got = a.roundTrip(newRequest(a.addr, "order", large)); status != 200 || got != fmt.Sprint(1<<20) {
@@ -199,17 +197,16 @@
 		t.Errorf("%d arrivals, want 3", b.count())
 	}
 	if f := a.stats(); f.GuardViolations+f.DeadlineExceeded > 0 {
-		t.Errorf("a guard had to act: %+v", f)
+		t.Errorf("guard violations: %+v", f)
 	}
 }
 
-// Hundreds that connect and say nothing do not lock out the clients that are served:
-// a kept connection stays usable and a new one is answered.
-func TestSilentClientsLockNobodyOut(t *testing.T) {
+// Hundreds of silent connections do not block clients: an open connection stays usable, and a new one is served.
+func TestSilentConnectionsDoNotBlockClients(t *testing.T) {
 	a, _ := startWithBackend(t, echo)
-	b := 2 * a.cfg.maxIdleClients()
-	kept := a.dial()
-	ask := func(c net.Conn) error {
+	silent := 2 * a.cfg.maxIdleClients()
+	first := a.dial()
+	send := func(c net.Conn) error {
 		fmt.Fprint(c, rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\n", ""))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err == nil && resp.StatusCode != 200 {
@@ -217,27 +214,27 @@
 		}
 		return err
 	}
-	if err := ask(kept); err != nil {
+	if err := send(first); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 * b {
+	for range 2 * silent {
 		a.dial()
 	}
-	if err := ask(a.dial()); err != nil {
+	if err := send(a.dial()); err != nil {
 		t.Errorf("a new connection: %v", err)
 	}
-	if err := ask(kept); err != nil {
-		t.Errorf("the kept connection: %v", err)
+	if err := send(first); err != nil {
+		t.Errorf("the first connection: %v", err)
 	}
 }
 
-// Callers that asked once and keep their connection do not use up what the application
-// may hold, a third of the descriptors: the agent closes the oldest of them in time.
-func TestIdleCallersLeaveRoom(t *testing.T) {
+// Clients that sent one request and keep their connection do not use up the connections of the application, a third of
+// the descriptors: the agent closes the oldest of them in time.
+func TestOldestIdleClientsAreClosed(t *testing.T) {
 	a, _ := startWithBackend(t, echo)
-	most := a.cfg.Sockets / 3
+	connections := a.cfg.Sockets / 3
 	var conns []net.Conn
-	for range most {
+	for range connections {
 		c := a.dial()
 		conns = append(conns, c)
 		fmt.Fprint(c, rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\n", ""))
@@ -247,21 +244,20 @@
 		}
 	}
 	// The oldest are closed well before their idle time would close them all.
-	for _, c := range conns[:most/8] {
+	for _, c := range conns[:connections/8] {
 		c.SetDeadline(time.Now().Add(5 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Fatalf("an old connection stays: %v", err)
+			t.Fatalf("an old connection is not closed: %v", err)
 		}
 	}
 }
 
-// A client that ends its sending behind its request has left: it gets no answer, least of all one that no
-// backend made.
-func TestAHalfClosedClientGetsNoMadeUpAnswer(t *testing.T) {
+// A client that half-closes its connection after its request has disconnected, and gets no reply.
+func TestHalfClosedClientGetsNoReply(t *testing.T) {
 	began := make(chan struct{})
 	a, _ := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		close(began)
-		io.Copy(io.Discard, c) // until it is withdrawn
+		io.Copy(io.Discard, c) // until it is cancelled
 		return false
 	})
 	c := a.dial()
--- a/internal/agent/answer_test.go
+++ b/internal/agent/response_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// Spoilt answers: the request may have run, so an unsafe one fails and goes nowhere
-// else; its connection is closed at once, and the next request has its own answer.
-func TestSpoiltAnswers(t *testing.T) {
+// After a malformed reply the request may have run: a non-idempotent one fails and is not retried. The connection is
+// closed at once, and the next request gets its own reply.
+func TestMalformedReplies(t *testing.T) {
 	good := "Content-Length: 4\r\nServer-Load: qps=1,util=0.5,eps=0\r\n\r\ngood"
 	for name, text := range map[string]string{
 		"noise":                           "\xf8n;\xf9\xfd\r\n\r\n",
@@ -44,7 +44,7 @@
 					return echo(c, req, n)
 				}
 				io.WriteString(c, text)
-				return true // it stays open, as far as the backend goes
+				return true // the backend keeps it open
 			})
 			from := time.Now()
 			status, _, body := a.roundTrip(newRequest(a.addr, "order", "x"))
@@ -52,13 +52,13 @@
 			if strings.Contains(body, "good") || b.count() != 1 {
 				t.Errorf("body %q, %d arrivals", body, b.count())
 			}
-			if took := time.Since(from); took > 2*time.Second { // half of the request's time
-				t.Errorf("took %v: the rest was waited for", took)
+			if took := time.Since(from); took > 2*time.Second { // half of the request's timeout
+				t.Errorf("took %v: the agent waited for the rest", took)
 			}
 			select {
 			case <-b.ended:
 			case <-time.After(testTimeout):
-				t.Error("the connection is kept")
+				t.Error("the connection is not closed")
 			}
 			status, _, body = a.roundTrip(newRequest(a.addr, "order", "y"))
 			if status != 200 || !strings.HasSuffix(body, " y") {
@@ -68,10 +68,9 @@
 	}
 }
 
-// What stands behind a good answer, or comes before the next request, is never the
-// next one's: the connection is closed.
-func TestMoreThanTheAnswer(t *testing.T) {
-	for name, later := range map[string]bool{"right behind": false, "later": true} {
+// Bytes after a complete reply are never part of the next one: the connection is closed.
+func TestBytesAfterTheReplyCloseTheConnection(t *testing.T) {
+	for name, later := range map[string]bool{"at once": false, "later": true} {
 		t.Run(name, func(t *testing.T) {
 			came := make(chan struct{}, 8)
 			a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
@@ -82,7 +81,7 @@
 					came <- struct{}{}
 					return true
 				}
-				send(c, 200, "", "first")
+				writeResponse(c, 200, "", "first")
 				time.Sleep(20 * time.Millisecond)
 				io.WriteString(c, second)
 				came <- struct{}{}
@@ -104,12 +103,11 @@
 	}
 }
 
-// A backend's word that the request is bad says nothing of the backend: it is used
-// for the next one as before, and so is its connection.
-func TestBadRequestDemotesNobody(t *testing.T) {
+// A bad request says nothing of its backend: the backend and its connection are used for the next request.
+func TestBadRequestDoesNotAffectBackend(t *testing.T) {
 	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		if n < 20 {
-			return send(c, 400, "", "")
+			return writeResponse(c, 400, "", "")
 		}
 		return echo(c, req, n)
 	})
@@ -124,23 +122,22 @@
 		t.Errorf("%d arrivals on %d connections, want 21 on one", b.count(), b.maxConns)
 	}
 	if took := time.Since(from); took > time.Second {
-		t.Errorf("held for %v", took)
+		t.Errorf("delayed for %v", took)
 	}
 }
 
-// Something forgets connections that idled for a while, and tells nobody: the next
-// request on one ends as a reset. After a few the agent opens new ones instead, and
-// still uses again those that have idled for a moment only.
-func TestIdleConnectionsThatBreakAreNotUsed(t *testing.T) {
+// Connections that idle for a while break silently: the next request on one is reset. After a few of them the agent opens
+// new connections instead, and still reuses those that have idled only briefly.
+func TestBreakingIdleConnectionsAreAvoided(t *testing.T) {
 	var mu sync.Mutex
 	last, broken := map[net.Conn]time.Time{}, 0
 	a, b := startWithBackend(t, func(c net.Conn, req *http.Request, n int) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		at, kept := last[c]
-		if kept && time.Since(at) > 100*time.Millisecond {
+		at, reused := last[c]
+		if reused && time.Since(at) > 100*time.Millisecond {
 			broken++
-			return reset(c)
+			return resetConnection(c)
 		}
 		last[c] = time.Now()
 		return echo(c, req, n)
@@ -169,16 +166,16 @@
 	}
 }
 
-// An answer with no length that is reset on the way is no end, wherever it is reset: it may have run, and nothing of
-// it is served as whole. (What has begun to go on to the client: TestLongAnswersThatBreak.)
-func TestAResetIsNoEnd(t *testing.T) {
+// A reset does not end a reply without length, wherever it comes: the request may have run, and no part of the reply is
+// served as complete. (A reply that is streamed already: TestBrokenLongReplies.)
+func TestResetDoesNotEndReply(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-	for name, part := range map[string]string{"in the head": head[:20], "behind the head": head, "in the body": head + "half", "in a longer body": head + strings.Repeat("x", 20<<10)} {
+	for name, part := range map[string]string{"in the head": head[:20], "after the head": head, "in the body": head + "half", "in a longer body": head + strings.Repeat("x", 20<<10)} {
 		for class, want := range map[string][2]int{"order": {502, 1}, "read": {503, 3}} {
 			t.Run(name+"/"+class, func(t *testing.T) {
 				a, b := startWithBackend(t, func(c net.Conn, _ *http.Request, _ int) bool {
 					io.WriteString(c, part)
-					return reset(c)
+					return resetConnection(c)
 				})
 				status, _, body := a.roundTrip(newRequest(a.addr, class, "x"))
 				wantStatus(t, status, want[0])
--- a/internal/agent/sharedconfig.go
+++ b/internal/agent/sharedconfig.go
@@ -43,7 +43,7 @@
 	return func() { cancel(); ended.Wait() }, nil
 }
 
-// leaseTarget applies the lease and the shared configuration to the event loop. It implements client.Target.
+// leaseTarget applies the lease and the shared configuration to the event loop. It implements client.Applier.
 type leaseTarget struct{ loop *core.EventLoop }
 
 // call runs a function in the loop and waits until it has returned, or ctx ends.
@@ -58,12 +58,12 @@
 	}
 }
 
-// Adopt implements client.Target.
+// Adopt implements client.Applier.
 func (t leaseTarget) Adopt(ctx context.Context, epoch uint64, config *sharedconfig.Config, leaseExpiry, endpointsExpiry time.Time) error {
 	return t.call(ctx, func() { t.loop.AdoptConfig(epoch, config, leaseExpiry, endpointsExpiry) })
 }
 
-// Renew implements client.Target.
+// Renew implements client.Applier.
 func (t leaseTarget) Renew(ctx context.Context, leaseExpiry, endpointsExpiry time.Time) {
 	_ = t.call(ctx, func() { t.loop.RenewLease(leaseExpiry, endpointsExpiry) }) // fails only with ctx
 }
--- a/internal/agent/ending_test.go
+++ b/internal/agent/shutdown_test.go
@@ -11,9 +11,9 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// The plan of a planned end, for deployments with short, usual and long deadlines: clients are served at
-// least while new connections still come, and what is taken last has its answer before SIGKILL may come.
-func TestEnding(t *testing.T) {
+// The plan of a graceful shutdown, for short, usual and long client timeouts: clients are served at least while new
+// connections arrive, and the last accepted request is answered before SIGKILL.
+func TestShutdownPlan(t *testing.T) {
 	for giveUpMs, want := range map[float64][2]time.Duration{
 		20:   {500 * time.Millisecond, 550 * time.Millisecond},
 		1200: {1225 * time.Millisecond, 1700 * time.Millisecond},
@@ -22,19 +22,19 @@
 	} {
 		c := &Config{Settings: policy.Settings{Classes: []policy.Class{{ClientTimeoutMs: giveUpMs}, {ClientTimeoutMs: 10}}}}
 		if serve, answer := c.shutdownPlan(); serve != want[0] || answer != want[1] {
-			t.Errorf("deadlines of %v ms: served for %v, answered by %v, want %v", giveUpMs, serve, answer, want)
+			t.Errorf("client timeouts of %v ms: served for %v, answered by %v, want %v", giveUpMs, serve, answer, want)
 		}
 	}
 }
 
-// A request that came before the signal, with more time than SIGKILL leaves, has its answer before that, and the
-// process has ended by then (roll+mass 502: two agents of 60 waited for requests of 5.3 s until they were killed).
-func TestWhatIsHeldAtTheSignalIsAnsweredBeforeSIGKILL(t *testing.T) {
+// A request from before the signal, with a deadline after SIGKILL, is answered before SIGKILL, and the process has ended
+// by then.
+func TestOpenRequestsAreAnsweredBeforeSIGKILL(t *testing.T) {
 	for class, want := range map[string]int{"order": http.StatusGatewayTimeout, "read": http.StatusGatewayTimeout} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			came := make(chan struct{}, 1)
-			b := newBackend(t, func(net.Conn, *http.Request, int) bool { came <- struct{}{}; return true })
+			arrived := make(chan struct{}, 1)
+			b := newBackend(t, func(net.Conn, *http.Request, int) bool { arrived <- struct{}{}; return true })
 			d := newDiscoveryServer(t, listedBackend("s-1", b.addr))
 			a := startAgent(t, d, func(c *Config) {
 				for i := range c.Settings.Classes {
@@ -45,14 +45,14 @@
 			req := newRequest(a.addr, class, "x")
 			req.Header.Set("Request-Timeout-Ms", "30000")
 			status := statusOf(t, req)
-			<-came
+			<-arrived
 			kill := killGrace + a.cfg.longestClientTimeout()
 			from := time.Now()
 			a.stop()
 			if err := <-a.done; err != nil {
 				t.Error(err)
 			}
-			a.done <- nil // for who looks behind the test
+			a.done <- nil // for the cleanup
 			if took := time.Since(from); took > kill {
 				t.Errorf("ended %v after the signal, SIGKILL may come after %v", took, kill)
 			}
@@ -66,7 +66,7 @@
 	}
 }
 
-// statusOf sends a request and returns where its answer's status comes; 0: there was none.
+// statusOf sends a request and returns a channel for the status of its response; 0: there was none.
 func statusOf(t *testing.T, req *http.Request) <-chan int {
 	status := make(chan int, 1)
 	go func() {
@@ -82,8 +82,8 @@
 	return status
 }
 
-// What has not been sent on when its time is cut short is refused, as nothing can have run.
-func TestWhatWaitsAtTheSignalIsRefused(t *testing.T) {
+// A request that was not forwarded when a shutdown shortens its deadline is rejected, as it never ran.
+func TestQueuedRequestIsRejectedAtShutdown(t *testing.T) {
 	d := newDiscoveryServer(t)
 	a := startAgentNotReady(t, d, func(c *Config) {
 		for i := range c.Settings.Classes {
@@ -99,42 +99,42 @@
 	}
 	a.stop()
 	if got := <-status; got != http.StatusServiceUnavailable {
-		t.Errorf("answered %d, want a refusal", got)
+		t.Errorf("answered %d, want a rejection", got)
 	}
 }
 
-// A request whose connection was there at the end of service, and whose last byte comes while the process still
-// waits for what is held, has its answer; net/http's own end closes its connection without a word.
-func TestARequestThatComesAsServiceEndsIsAnswered(t *testing.T) {
+// A request whose last byte arrives while the process waits for open requests is answered, where its connection was there
+// before. The shutdown of net/http would close that connection.
+func TestRequestDuringShutdownIsAnswered(t *testing.T) {
 	a, b := startWithBackend(t, echo)
 	c := a.dial()
 	text := rawOrder("/api/a1", "late", "Content-Length: 1\r\n", "x")
 	if _, err := io.WriteString(c, text[:20]); err != nil {
 		t.Fatal(err)
 	}
-	held := a.dial() // a request that is open keeps the process there
+	open := a.dial() // an open request keeps the process alive
 	wait := make(chan struct{})
 	b.answer = func(c net.Conn, req *http.Request, n int) bool { <-wait; return echo(c, req, n) }
-	io.WriteString(held, rawOrder("/api/a1", "held", "Content-Length: 1\r\n", "x"))
+	io.WriteString(open, rawOrder("/api/a1", "open", "Content-Length: 1\r\n", "x"))
 	for a.stats().Accepted == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	a.stop()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) { // until the listener is closed
-		probe, err := net.Dial("tcp", a.addr)
+		c, err := net.Dial("tcp", a.addr)
 		if err != nil {
 			break
 		}
-		probe.Close()
+		c.Close()
 		if time.Now().After(end) {
-			t.Fatal("it still listens")
+			t.Fatal("the listener is not closed")
 		}
 	}
 	if _, err := io.WriteString(c, text[20:]); err != nil {
 		t.Fatal(err)
 	}
 	close(wait)
-	for name, c := range map[string]net.Conn{"late": c, "held": held} {
+	for name, c := range map[string]net.Conn{"late": c, "open": open} {
 		c.SetReadDeadline(time.Now().Add(testTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
