--- a/cmd/ringtrack/descriptors_test.go
+++ b/cmd/ringtrack/descriptors_test.go
@@ -24,14 +24,14 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// gate stands before a roster and passes bytes both ways, or, while it is shut, closes whoever comes.
+// gate is a proxy before a discovery server. While it is blocked it closes each connection.
 type gate struct {
 	ln net.Listener
 	to string
 
-	mu    sync.Mutex
-	shut  bool
-	conns map[net.Conn]bool
+	mu      sync.Mutex
+	blocked bool
+	conns   map[net.Conn]bool
 }
 
 func newGate(t *testing.T, to string) *gate {
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	g := &gate{ln: ln, to: to, conns: map[net.Conn]bool{}}
-	t.Cleanup(func() { ln.Close(); g.set(true) })
+	t.Cleanup(func() { ln.Close(); g.setBlocked(true) })
 	go func() {
 		for {
 			in, err := ln.Accept()
@@ -62,10 +62,10 @@
 	}
 	defer out.Close()
 	g.mu.Lock()
-	shut := g.shut
+	blocked := g.blocked
 	g.conns[in] = true
 	g.mu.Unlock()
-	if shut {
+	if blocked {
 		return
 	}
 	go func() {
@@ -78,37 +78,37 @@
 	g.mu.Unlock()
 }
 
-// set shuts the gate, and closes all that is passed on, or opens it.
-func (g *gate) set(shut bool) {
+// setBlocked blocks or opens the gate, and closes all connections.
+func (g *gate) setBlocked(blocked bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shut = shut
+	g.blocked = blocked
 	for c := range g.conns {
 		c.Close()
 		delete(g.conns, c)
 	}
 }
 
-// connectIdle connect to an address one after the other, and stay: each says its word and reads what it is answered, until
-// so many have come or one is neither answered nor closed, as there is no descriptor left to take it.
-func connectIdle(t *testing.T, addr, word string, most int) (taken int) {
+// connectIdle opens up to maxConnections connections that stay open. Each sends a text and reads the first byte of the
+// answer. It returns how many were accepted: one that is neither answered nor closed found no descriptor left.
+func connectIdle(t *testing.T, addr, text string, maxConnections int) (accepted int) {
 	t.Helper()
-	for ; taken < most; taken++ {
+	for ; accepted < maxConnections; accepted++ {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		io.WriteString(c, word)
+		io.WriteString(c, text)
 		c.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := c.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
-			return taken
+			return accepted
 		}
 	}
-	return taken
+	return accepted
 }
 
-// unlistedThriftCall is a Thrift call of a method that is not listed, framed and binary: it is answered by an exception.
+// unlistedThriftCall is a Thrift call, framed and binary, of a method that is not listed. The answer is an exception.
 func unlistedThriftCall() string {
 	msg := binary.BigEndian.AppendUint32(nil, 0x80010001)
 	msg = binary.BigEndian.AppendUint32(msg, 4)
@@ -118,22 +118,21 @@
 	return string(binary.BigEndian.AppendUint32(nil, uint32(len(msg)))) + string(msg)
 }
 
-// Clients that idle on every door of the agent fill its descriptors while discovery is down, with as many connections
-// to backends as there may be. At discovery's return it can be called, a change is told within 6 s, requests are
-// served all the time, and the process goes on; whether the configuration tells the limit as it is, or the process
-// may hold fewer.
+// Idle clients on every listener of the agent use up its descriptors while discovery is down, with as many connections to
+// backends as there may be. Once discovery is back it is called, a change arrives within 6 s, and requests are served
+// all the time, whether the configuration has the limit of the process or a higher one.
 func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
-	for _, told := range []int{64, 1024} {
-		for _, doors := range []int{2, 3} { // clients over HTTP and operators, and over Thrift
-			t.Run(fmt.Sprintf("%d of %d", doors, told), func(t *testing.T) {
+	for _, sockets := range []int{64, 1024} {
+		for _, listeners := range []int{2, 3} { // clients over HTTP and operators, and over Thrift
+			t.Run(fmt.Sprintf("%d of %d", listeners, sockets), func(t *testing.T) {
 				t.Parallel()
-				idleClients(t, told, doors)
+				idleClients(t, sockets, listeners)
 			})
 		}
 	}
 }
 
-func idleClients(t *testing.T, told, doors int) {
+func idleClients(t *testing.T, sockets, listeners int) {
 	const limit, backends = 64, 48
 	server := func(name string) (membership.Entry, *httptest.Server) {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, name) }))
@@ -146,12 +145,12 @@
 		entries = append(entries, e)
 	}
 	fresh, _ := server("fresh")
-	roster, err := lab.NewRoster(entries...)
+	discovery, err := lab.NewRoster(entries...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(roster.Close)
-	g := newGate(t, roster.Addr)
+	t.Cleanup(discovery.Close)
+	g := newGate(t, discovery.Addr)
 
 	dir := t.TempDir()
 	thrift := filepath.Join(dir, "thrift.toml")
@@ -159,14 +158,14 @@
 		t.Fatal(err)
 	}
 	config, err := json.Marshal(map[string]any{"name": "n1", "listen": "127.0.0.1:0", "admin_addr": "127.0.0.1:0",
-		"discovery": g.ln.Addr().String(), "seed": "1", "known": roster.List(),
-		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": told}, "settings": json.RawMessage(settings)})
+		"discovery": g.ln.Addr().String(), "seed": "1", "known": discovery.List(),
+		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets}, "settings": json.RawMessage(settings)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	as := newProgram(t, string(config))
-	cmd := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec \"$0\"", limit), as.Path)
-	if cmd.Env = append(as.Env, "TMPDIR="+dir); doors > 2 {
+	program := newProgram(t, string(config))
+	cmd := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec \"$0\"", limit), program.Path)
+	if cmd.Env = append(program.Env, "TMPDIR="+dir); listeners > 2 {
 		cmd.Env = append(cmd.Env, "PROXY_THRIFT="+thrift)
 	}
 	log, err := cmd.StderrPipe()
@@ -184,7 +183,7 @@
 		found := map[string]string{}
 		for lines := bufio.NewScanner(log); lines.Scan(); {
 			for _, m := range regexp.MustCompile(`(Thrift" addr|admin|addr)=(127\S+)`).FindAllStringSubmatch(lines.Text(), -1) {
-				if found[m[1]] = m[2]; len(found) == doors {
+				if found[m[1]] = m[2]; len(found) == listeners {
 					addrs <- found
 				}
 			}
@@ -200,7 +199,7 @@
 	}
 	ids := 0
 	client := http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	ask := func() (string, error) {
+	request := func() (string, error) {
 		ids++
 		req, _ := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/api/%016x", addr["addr"], uint64(ids)*0x9e3779b97f4a7c15), nil)
 		for k, v := range map[string]string{"Request-Id": strconv.Itoa(ids), "Request-Class": "order", "Request-Timeout-Ms": "3000"} {
@@ -218,13 +217,13 @@
 		return string(body), err
 	}
 	waitFor := func(version uint64) bool {
-		for over := time.After(testTimeout); ; {
+		for timeout := time.After(testTimeout); ; {
 			select {
-			case index := <-roster.Asked:
+			case index := <-discovery.Asked:
 				if index >= version {
 					return true
 				}
-			case <-over:
+			case <-timeout:
 				return false
 			}
 		}
@@ -233,15 +232,15 @@
 		t.Fatal("discovery is not watched")
 	}
 	used := map[string]bool{}
-	for range 6 * backends { // to leave a connection at each backend that the pool has room for
-		name, err := ask()
+	for range 6 * backends { // to leave a connection to each backend that the pool has capacity for
+		name, err := request()
 		if err != nil {
 			t.Fatal(err)
 		}
 		used[name] = true
 	}
-	g.set(true)
-	for range limit { // half a call each
+	g.setBlocked(true)
+	for range limit { // half a request each
 		c, err := net.Dial("tcp", addr["admin"])
 		if err != nil {
 			t.Fatal(err)
@@ -249,42 +248,42 @@
 		defer c.Close()
 		io.WriteString(c, "GET /admin/health HTTP/1.1\r\nHo")
 	}
-	operators := connectIdle(t, addr["admin"], "GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n", 1) // behind all of them
+	admins := connectIdle(t, addr["admin"], "GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n", 1) // after all of them
 	thrifts := 0
-	if doors > 2 {
+	if listeners > 2 {
 		thrifts = connectIdle(t, addr[`Thrift" addr`], unlistedThriftCall(), 2*limit)
 	}
-	fronts := connectIdle(t, addr["addr"], "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n", 2*limit)
+	clients := connectIdle(t, addr["addr"], "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n", 2*limit)
 	open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
-	t.Logf("%d backends used; taken: %d clients, %d over Thrift, and the last operator: %d; %d descriptors of %d", len(used), fronts, thrifts, operators, len(open), limit)
-	if operators != 1 {
-		t.Error("an operator behind those who hold a connection is not answered")
+	t.Logf("%d backends used; accepted: %d clients, %d over Thrift, and the last of the admin endpoint: %d; %d descriptors of %d", len(used), clients, thrifts, admins, len(open), limit)
+	if admins != 1 {
+		t.Error("a request to the admin endpoint after idle connections is not answered")
 	}
-	if _, err := ask(); err != nil {
+	if _, err := request(); err != nil {
 		t.Errorf("while discovery is down: %v", err)
 	}
 
-	version := roster.Set(fresh)
+	version := discovery.Set(fresh)
 	for _, e := range entries {
 		e.State = "draining"
-		version = roster.Set(e)
+		version = discovery.Set(e)
 	}
-	g.set(false)
+	g.setBlocked(false)
 	back := time.Now()
 	if !waitFor(version) {
-		t.Fatal("discovery was never called again with the change")
+		t.Fatal("discovery was never called with the revision of the change")
 	}
 	if took := time.Since(back); took > 6*time.Second {
-		t.Errorf("the change was told %v after discovery's return", took)
+		t.Errorf("the change arrived %v after discovery was back", took)
 	} else {
-		t.Logf("told after %v", took)
+		t.Logf("arrived after %v", took)
 	}
-	// The watch calls again before it hands on what it got: one change more, and the first is at work.
-	if !waitFor(roster.Set(fresh)) {
-		t.Fatal("discovery was not called again")
+	// A watch makes its next call before it passes a change on: after one more change the first one is applied.
+	if !waitFor(discovery.Set(fresh)) {
+		t.Fatal("discovery was not called once more")
 	}
 	for range 3 {
-		if name, err := ask(); err != nil || name != "fresh" {
+		if name, err := request(); err != nil || name != "fresh" {
 			t.Errorf("after the change: %q, %v", name, err)
 		}
 	}
--- a/cmd/ringtrack/main.go
+++ b/cmd/ringtrack/main.go
@@ -1,5 +1,5 @@
-// Command ringtrack is one agent: it takes requests from the application beside
-// it and places them on backends, as the decision module says.
+// Command ringtrack is an agent: it accepts the requests of the application beside it and forwards them to backends.
+// It is configured by the environment; see internal/agent.
 package main
 
 import (
--- a/cmd/ringtrack/main_test.go
+++ b/cmd/ringtrack/main_test.go
@@ -39,7 +39,7 @@
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "RINGTRACK_AS_PROGRAM=1", "PROXY_CONFIG="+path,
 		"PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=",
-		"GORACE=atexit_sleep_ms=0") // or the race detector's second of sleep counts as the program's
+		"GORACE=atexit_sleep_ms=0") // without it the race detector's sleep of 1 s counts as the program's
 	return cmd
 }
 
@@ -62,20 +62,19 @@
 	}
 }
 
-// SIGTERM under traffic: connections go on coming for a while and those there are
-// go on being used; each request on an accepted connection has its answer, and
-// the program ends by itself, without error, well before it would be killed.
+// After SIGTERM under traffic new connections are accepted for a while and open ones stay in use. Each request on an
+// accepted connection is answered, and the program exits without error before SIGKILL.
 func TestSIGTERMAnswersAcceptedRequests(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/api/long" {
-			time.Sleep(time.Second) // held beyond the time in which connections still come
+			time.Sleep(time.Second) // longer than the time in which connections are accepted
 		}
 		if r.URL.Path == "/api/never" {
-			io.Copy(io.Discard, r.Body) // or the server would not notice who leaves
+			io.Copy(io.Discard, r.Body) // else the server would not notice a disconnect
 			<-r.Context().Done()
 			return
 		}
-		time.Sleep(20 * time.Millisecond) // work, so that requests are held at the signal
+		time.Sleep(20 * time.Millisecond) // work, so that requests are in flight at the signal
 		fmt.Fprint(w, "done")
 	}))
 	defer backend.Close()
@@ -130,7 +129,7 @@
 			}
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
-				return // no longer accepted: nothing is taken
+				return // no longer accepted
 			}
 			c.SetDeadline(time.Now().Add(testTimeout))
 			br := bufio.NewReader(c)
@@ -142,8 +141,8 @@
 					resp, err = http.ReadResponse(br, nil)
 				}
 				if err != nil {
-					// A kept connection may be closed between requests; the first
-					// request on a new one is owed an answer.
+					// An open connection may be closed between requests; the first
+					// request on a new one must be answered.
 					if first {
 						lost.Add(1)
 					}
@@ -172,29 +171,29 @@
 	for end := time.Now().Add(testTimeout); answered.Load() < 50 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	// One client keeps its connection and goes on; near the end of service it asks for what takes too long.
+	// One client reuses its connection; near the end of service it sends a request that takes too long.
 	type ending struct {
-		served time.Duration // after the signal, the last
-		status int           // of what took too long
+		served time.Duration // of the last one, after the signal
+		status int           // of the request that took too long
 		at     time.Duration
 		err    error
 	}
-	kept, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer kept.Close()
-	kept.SetDeadline(time.Now().Add(testTimeout))
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	signal, went := make(chan time.Time, 1), make(chan ending, 1)
 	go func() {
 		var e ending
-		br, from := bufio.NewReader(kept), <-signal
+		br, from := bufio.NewReader(conn), <-signal
 		for path := "/api/a1"; e.status == 0 && e.err == nil; {
 			if time.Since(from) > 2*time.Second {
 				path = "/api/never"
 			}
 			var resp *http.Response
-			if _, e.err = fmt.Fprint(kept, request(path)); e.err == nil {
+			if _, e.err = fmt.Fprint(conn, request(path)); e.err == nil {
 				resp, e.err = http.ReadResponse(br, nil)
 			}
 			switch {
@@ -230,7 +229,7 @@
 		}
 		long <- err
 	}()
-	time.AfterFunc(300*time.Millisecond, func() { close(stop) }) // new connections cease before 0.4 s
+	time.AfterFunc(300*time.Millisecond, func() { close(stop) }) // new connections end before 0.4 s
 	for err == nil {
 		_, err = log.ReadString('\n')
 	}
@@ -240,26 +239,26 @@
 	took := time.Since(from)
 	workers.Wait()
 	if err := <-long; err != nil {
-		t.Errorf("a request held at the end: %v", err)
+		t.Errorf("a request in flight at the end: %v", err)
 	}
 	if lost.Load() > 0 || afterSignal.Load() == 0 {
-		t.Errorf("%d requests lost; %d answered, %d of them asked after the signal", lost.Load(), answered.Load(), afterSignal.Load())
+		t.Errorf("%d requests lost; %d answered, %d of them sent after the signal", lost.Load(), answered.Load(), afterSignal.Load())
 	}
 	if e := <-went; e.err != nil || e.served < 1900*time.Millisecond || e.status < 500 || e.at > 3600*time.Millisecond {
-		t.Errorf("on a kept connection: served until %v, then %d at %v, %v", e.served, e.status, e.at, e.err)
+		t.Errorf("on an open connection: served until %v, then %d at %v, %v", e.served, e.status, e.at, e.err)
 	}
 	if took > 3700*time.Millisecond {
 		t.Errorf("ended %v after SIGTERM", took)
 	}
 }
 
-// SIGHUP never ends the program, whatever the file holds then, and the discovery that
-// the file comes to name is asked although the environment named another at the start.
+// SIGHUP never ends the program, whatever the file holds. The discovery server that the file names then is used, although
+// the environment named another at the start.
 func TestSIGHUPSwitchesDiscovery(t *testing.T) {
-	discovery := func(asked chan struct{}) string {
+	discovery := func(called chan struct{}) string {
 		d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
-			case asked <- struct{}{}:
+			case called <- struct{}{}:
 			default:
 			}
 			if r.URL.Query().Has("index") {
@@ -327,7 +326,7 @@
 			}
 		}
 	}
-	wait("the first discovery is not asked", before)
+	wait("the first discovery server is not called", before)
 	for _, text := range []string{"", config(next)[:200], config(next)} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -341,7 +340,7 @@
 			logged("not used")
 		}
 	}
-	wait("the new discovery is not asked", after)
+	wait("the new discovery server is not called", after)
 	cmd.Process.Signal(syscall.SIGHUP)
 	cmd.Process.Signal(syscall.SIGTERM)
 	cmd.Process.Signal(syscall.SIGHUP)
--- a/cmd/ringtrack/ready_test.go
+++ b/cmd/ringtrack/ready_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// A process that starts is ready within its bound, whatever discovery does meanwhile: at once where its configuration
-// knows a backend; else once discovery has answered, which a process of a few agents asks soon and often enough.
+// A process is ready within its bound, whatever discovery does: at once where its configuration has a backend, else once
+// discovery has answered.
 func TestStartIsReadyInTime(t *testing.T) {
 	const list = `{"version":7,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:9","zone":"east","kind":"big","state":"up","weight":1}]}`
 	const none = `{"version":0,"full":true,"servers":[]}`
@@ -31,7 +31,7 @@
 	}
 	for name, x := range map[string]struct {
 		known  string
-		bad    int64 // calls that go wrong before discovery answers; -1: all
+		bad    int64 // calls that fail before discovery answers; -1: all
 		how    func(http.ResponseWriter, *http.Request) bool
 		late   bool // the configuration is written after the start
 		agents int
@@ -55,7 +55,7 @@
 		for _, mode := range []string{"on_request", "pushed"} {
 			t.Run(name+", "+mode, func(t *testing.T) {
 				t.Parallel()
-				over := make(chan struct{})
+				testEnded := make(chan struct{})
 				var calls atomic.Int64
 				discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					n := calls.Add(1)
@@ -64,20 +64,20 @@
 						if !x.how(w, r) {
 							select {
 							case <-r.Context().Done():
-							case <-over:
+							case <-testEnded:
 							}
 						}
 					case r.URL.Query().Get("index") == "7":
 						select {
 						case <-r.Context().Done():
-						case <-over:
+						case <-testEnded:
 						}
 					default:
 						fmt.Fprint(w, list)
 					}
 				}))
 				defer discovery.Close()
-				defer close(over)
+				defer close(testEnded)
 				set := strings.NewReplacer(`"askWithinMs":1600`, `"askWithinMs":10000`, `"on_request"`, `"`+mode+`"`,
 					`"replicasOfMe":1`, fmt.Sprintf(`"replicasOfMe":%d,"index":%d`, x.agents, x.index)).Replace(settings)
 				text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
--- a/cmd/ringtrack/signals_test.go
+++ b/cmd/ringtrack/signals_test.go
@@ -12,11 +12,7 @@
 	"testing"
 )
 
-// Signals that ask a process to end may come again until it has ended: it still ends in order, with exit code 0.
-//
-// What happened: a process that got SIGINT on and on ended with "signal: interrupt" behind its last log line, "stopped".
-// Why: on its way out Main gave the signals back, and from then until the exit the next one killed the process.
-// What showed it: the proof soak, seed 102 of 60 (3 s, signals every 5 ms): ended with signal: interrupt; ... msg=stopped.
+// Signals that repeat until the process has ended do not kill it: it ends gracefully, with exit code 0.
 func TestRepeatedSignalsDoNotKillProcess(t *testing.T) {
 	discovery := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer discovery.Close()
@@ -35,16 +31,16 @@
 				}
 				for log.Scan() && !strings.Contains(log.Text(), "msg=stopped") {
 				}
-				over := make(chan struct{})
+				signalsEnded := make(chan struct{})
 				go func() {
-					defer close(over)
+					defer close(signalsEnded)
 					for !errors.Is(cmd.Process.Signal(signal), os.ErrProcessDone) {
 					}
 				}()
 				if err := cmd.Wait(); err != nil {
 					t.Errorf("the process ended with %v, want exit code 0", err)
 				}
-				<-over
+				<-signalsEnded
 			})
 		}
 	}
--- a/cmd/ringtrack/upgrade_test.go
+++ b/cmd/ringtrack/upgrade_test.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// startProcess starts one process of the agent that is shared by tmp, and returns its operators' address.
+// startProcess starts a process of the agent whose processes share tmp, and returns the address of its admin endpoint.
 func startProcess(t *testing.T, config map[string]any, tmp string) (*exec.Cmd, string) {
 	t.Helper()
 	text, err := json.Marshal(config)
@@ -78,9 +78,9 @@
 	}
 }
 
-// A new process takes over from the one that serves, twice, under load: no client is turned back or left
-// without an answer, the old process ends by itself, and a backend that was banned is left alone by both,
-// whichever of them was told, until it is called back.
+// A new process takes over from the one that serves, twice, under load: no connection is refused, no request is lost, the
+// old process exits, and a backend that was cordoned at either process gets no requests from both until it is
+// uncordoned.
 func TestUpgradeUnderLoad(t *testing.T) {
 	var used [2]atomic.Int64
 	var servers []any
@@ -98,7 +98,7 @@
 	}))
 	defer discovery.Close()
 	defer discovery.CloseClientConnections()
-	// A free address that processes can share; it is the kernel's choice.
+	// A free address that processes can share.
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -110,13 +110,13 @@
 		"known":    map[string]any{"version": 1, "full": true, "servers": servers},
 		"settings": json.RawMessage(strings.Replace(settings, `"giveUpMs":3000`, `"giveUpMs":1000`, 1))}
 	tmp := t.TempDir()
-	old, door := startProcess(t, config, tmp)
-	healthy := func(door string) func() bool {
-		return func() bool { status, _ := adminCall(door, "GET", "/admin/health"); return status == 200 }
+	old, admin := startProcess(t, config, tmp)
+	healthy := func(admin string) func() bool {
+		return func() bool { status, _ := adminCall(admin, "GET", "/admin/health"); return status == 200 }
 	}
-	waitUntil(t, "the first process never serves", healthy(door))
+	waitUntil(t, "the first process never serves", healthy(admin))
 
-	var ids, served, turned, lost atomic.Int64
+	var ids, served, refused, lost atomic.Int64
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
 	for worker := range 6 {
@@ -136,7 +136,7 @@
 				if fresh {
 					var err error
 					if c, err = net.Dial("tcp", addr); err != nil {
-						turned.Add(1)
+						refused.Add(1)
 						continue
 					}
 					br = bufio.NewReader(c)
@@ -152,7 +152,7 @@
 				case err != nil && fresh:
 					lost.Add(1)
 				case err != nil:
-					turned.Add(1) // a kept connection was closed under it
+					refused.Add(1) // an open connection was closed during the request
 				case resp.StatusCode == 200:
 					served.Add(1)
 				}
@@ -169,38 +169,38 @@
 		waitUntil(t, "nothing is served", func() bool { return served.Load() > from+100 })
 	}
 	more()
-	if status, body := adminCall(door, "PUT", "/admin/cordon?name=s-0"); status != 200 {
-		t.Fatalf("ban: %d %s", status, body)
+	if status, body := adminCall(admin, "PUT", "/admin/cordon?name=s-0"); status != 200 {
+		t.Fatalf("cordon: %d %s", status, body)
 	}
-	if status, _ := adminCall(door, "PUT", "/admin/cordon?name=s-9"); status != 404 {
-		t.Errorf("ban of what was never listed: %d", status)
+	if status, _ := adminCall(admin, "PUT", "/admin/cordon?name=s-9"); status != 404 {
+		t.Errorf("cordon of an id that was never listed: %d", status)
 	}
-	leftAlone := func(i int, what string) {
+	wantNoRequests := func(i int, what string) {
 		t.Helper()
 		time.Sleep(250 * time.Millisecond) // the shortest grace of a drain
 		before := used[i].Load()
 		more()
 		if n := used[i].Load() - before; n > 0 {
-			t.Errorf("%s: %d requests to the banned backend", what, n)
+			t.Errorf("%s: %d requests to the cordoned backend", what, n)
 		}
 	}
-	leftAlone(0, "told")
+	wantNoRequests(0, "cordoned at this process")
 	for round := range 2 {
 		next, nextDoor := startProcess(t, config, tmp)
 		waitUntil(t, "the next process never serves", healthy(nextDoor))
-		leftAlone(0, "beside the new process")
-		// The new process is told, and the old one hears of it.
+		wantNoRequests(0, "beside the new process")
+		// The cordons of the new process reach the old one.
 		if status, _ := adminCall(nextDoor, "PUT", "/admin/uncordon?name=s-0"); status != 200 {
-			t.Errorf("call back: %d", status)
+			t.Errorf("uncordon: %d", status)
 		}
 		if status, _ := adminCall(nextDoor, "PUT", "/admin/cordon?name=s-1"); status != 200 {
-			t.Errorf("ban: %d", status)
+			t.Errorf("cordon: %d", status)
 		}
-		leftAlone(1, "the other process was told")
+		wantNoRequests(1, "cordoned at the other process")
 		before := used[0].Load()
 		more()
 		if used[0].Load() == before {
-			t.Error("the backend that was called back is not used")
+			t.Error("the uncordoned backend is not used")
 		}
 		adminCall(nextDoor, "PUT", "/admin/uncordon?name=s-1")
 		adminCall(nextDoor, "PUT", "/admin/cordon?name=s-0")
@@ -212,16 +212,16 @@
 			t.Errorf("round %d: the old process ended after %v with %v", round, time.Since(from), err)
 		}
 		more()
-		old, door = next, nextDoor
+		old, admin = next, nextDoor
 	}
 	close(stop)
 	clients.Wait()
-	if lost.Load() > 0 || turned.Load() > 1 {
-		t.Errorf("%d requests lost, %d turned back, of %d", lost.Load(), turned.Load(), ids.Load())
+	if lost.Load() > 0 || refused.Load() > 1 {
+		t.Errorf("%d requests lost, %d refused or closed, of %d", lost.Load(), refused.Load(), ids.Load())
 	}
-	// The last process counts what it has answered, nothing is open, and just the banned backend is out of the rotation. The
-	// module holds one for silent after eight answer times, some ms here, for which a busy machine may stand; it is brought
-	// back by requests, and nothing is held for silent while none is out: so they come one at a time, with a look behind each.
+	// The counters of the last process are those of its answers, no request is open, and only the cordoned backend is out
+	// of the rotation. On a busy machine the balancer may take the other one for silent, after eight response times, some ms
+	// here. Requests end that, and without one in flight no backend is silent: so they are sent one at a time.
 	var status int
 	var body string
 	for end := time.Now().Add(testTimeout); ; {
@@ -238,7 +238,7 @@
 			t.Fatal(err)
 		}
 		resp.Body.Close()
-		status, body = adminCall(door, "GET", "/admin/stats")
+		status, body = adminCall(admin, "GET", "/admin/stats")
 		figures := map[string]int64{}
 		for line := range strings.Lines(body) {
 			name, value, _ := strings.Cut(strings.TrimSpace(line), "=")
