--- a/policy/admission.go
+++ b/policy/admission.go
@@ -5,118 +5,196 @@
 )
 
 const (
-	// shedMemory is the number of ended requests over which the part served in time is averaged.
-	shedMemory = 20.0
-	// shedFactor is how many times the served part must fall short of all before requests are shed:
-	// none are shed while at least 1/shedFactor of them are served in time.
-	shedFactor = 1.5
-	// shedMost bounds the part of requests that is shed.
-	shedMost = 0.8
-	// shortWorth is the part of the worst tenant's weight that is added to a request whose tenant and class
-	// have been served well under their quota.
-	shortWorth = 0.3
-	// shortUsage is the least part of the requests by which that weight is divided.
-	shortUsage = 0.02
-	// warmMs is how long after a key was sent its next request is likely to cost the server less.
-	warmMs = 3000.0
-	// warmKeys is the number of such keys remembered.
-	warmKeys = 2048
-	// warmWorth is the factor of priority for such a request.
-	warmWorth = 2.0
+	// shedMemoryRequests is the number of ended requests over which the part served in time is averaged.
+	shedMemoryRequests = 20.0
+	// minServedFactor is how many times the served part must fall short of all before requests are shed:
+	// none are shed while at least 1/minServedFactor of them are served in time.
+	minServedFactor = 1.5
+	// maxShedFraction bounds the part of requests that is shed.
+	maxShedFraction = 0.8
+	// underQuotaWeight is the part of the worst tenant's weight that is added to a request whose tenant and
+	// class have been served well under their quota.
+	underQuotaWeight = 0.3
+	// minTenantUsage is the least part of the requests by which that weight is divided.
+	minTenantUsage = 0.02
+	// recentKeyMs is how long after a key was sent its next request is likely to cost the server less.
+	recentKeyMs = 3000.0
+	// maxRecentKeys is the number of such keys remembered.
+	maxRecentKeys = 2048
+	// recentKeyPriorityFactor is the factor of priority for such a request.
+	recentKeyPriorityFactor = 2.0
+	// minLatencyFraction is the part of its hinted answer time that a request must have left to be
+	// admitted. It is below 1 because hints are rough, a recent key saves work, and some servers are
+	// faster.
+	minLatencyFraction = 0.7
 )
 
-// value is the worth that a unit of server time spent on the request earns, by
-// the objective: a part of the whole, and all of the worst class if it is of it.
-func (b *Balancer) value(r *request) float64 {
-	c := &b.set.Classes[r.class]
-	o := &b.set.Objective
-	v := c.PriorityWeight * (o.Total + o.WorstWindow)
-	if r.class == b.worst {
-		v += o.WorstClass * b.credit / b.asked[r.class]
-	}
-	if b.now+b.expected(r) > r.aimAt {
-		v *= c.LateCredit + b.set.Prices.LateFailure
-	}
-	switch {
-	case b.portions.OverQuota(r.flow):
-		v *= b.set.OverQuotaWeight
-	case b.portions.UnderQuota(r.flow):
-		v += shortWorth * o.WorstTenant * c.PriorityWeight / max(b.usage[r.tenant], shortUsage)
-	}
-	if b.set.PriorityUnit != "work" {
-		v /= b.expect[r.class]
+// goodput counts ended requests and what they earned, both as moving sums over the last shedMemoryRequests.
+type goodput struct {
+	ended  float64
+	earned float64 // 1 for a request served in time, less for a late one
+}
+
+func newGoodput() goodput {
+	return goodput{ended: shedMemoryRequests / 2, earned: shedMemoryRequests / 2}
+}
+
+// record notes an ended request and the part of its worth, 0 to 1, that it earned.
+func (g *goodput) record(earned float64) {
+	g.ended += 1 - g.ended/shedMemoryRequests
+	g.earned += earned - g.earned/shedMemoryRequests
+}
+
+// recordMany notes n ended requests at once, and how many of them were served.
+func (g *goodput) recordMany(n, earned float64) {
+	if n > 0 {
+		weight := 1 - math.Pow(1-1/shedMemoryRequests, n)
+		g.ended += weight * (shedMemoryRequests - g.ended)
+		g.earned += weight * (earned/n*shedMemoryRequests - g.earned)
 	}
-	if r.warm {
-		v *= warmWorth
+}
+
+// shedFraction returns the part of the requests to shed, 0 to maxShedFraction. Where much is served too
+// late the servers are overloaded and their work is lost; only less load lets them recover. An agent that
+// sends little cannot see that at a server, but at its own requests.
+func (g *goodput) shedFraction() float64 {
+	return min(max(g.ended-minServedFactor*g.earned, 0)/(g.ended+1), maxShedFraction)
+}
+
+// ShedFraction returns the part of the arriving requests that is to be shed.
+func (b *Balancer) ShedFraction() float64 { return b.goodput.shedFraction() }
+
+// classStats holds moving averages for each class of requests.
+type classStats struct {
+	latencyMs    []float64 // mean answer time
+	requestShare []float64 // part of the requests that arrive
+	inTimeShare  []float64 // part of them that is served in time
+	worst        int       // class with the least part served in time
+	meanPriority float64   // mean priority weight of a request
+}
+
+func newClassStats(classes []Class) classStats {
+	var c classStats
+	for i := range classes {
+		c.latencyMs = append(c.latencyMs, classes[i].LatencyObjectiveMs*maxLatencyFraction/2)
+		c.requestShare = append(c.requestShare, 1)
+		c.inTimeShare = append(c.inTimeShare, 1)
 	}
-	return v
+	return c
 }
 
-// shed is the part of requests to refuse at once. Where much is served too late the
-// servers are crowded and work for nothing, and only less load lets them recover; an
-// agent that sees little knows no server's crowd, but its own part served in time.
-func (b *Balancer) shed() float64 {
-	return min(max(b.tried-shedFactor*b.gained, 0)/(b.tried+1), shedMost)
+// countRequest notes an arriving request of the class.
+func (c *classStats) countRequest(class int, classes []Class) {
+	c.meanPriority = 0
+	for i := range classes {
+		c.requestShare[i] *= shareDecay
+		c.inTimeShare[i] *= shareDecay
+		if i == class {
+			c.requestShare[i] += 1 - shareDecay
+		}
+		c.meanPriority += c.requestShare[i] * classes[i].PriorityWeight
+	}
 }
 
-// ShedFraction is the part of what comes that is to be refused at once.
-func (b *Balancer) ShedFraction() float64 { return b.shed() }
+// recordInTime notes a request of the class that was served in time.
+func (c *classStats) recordInTime(class int) { c.inTimeShare[class] += 1 - shareDecay }
 
-// gain counts an ended try and the part of its worth that it earned.
-func (b *Balancer) gain(part float64) {
-	b.tried += 1 - b.tried/shedMemory
-	b.gained += part - b.gained/shedMemory
+// updateWorst finds the class of which the least part is served in time; of equals the former stays.
+func (c *classStats) updateWorst() {
+	for i := range c.inTimeShare {
+		if c.inTimeShare[i]*c.requestShare[c.worst] < c.inTimeShare[c.worst]*c.requestShare[i] {
+			c.worst = i
+		}
+	}
 }
 
-// gainMany counts n ended tries at once, and how many of them earned their worth.
-func (b *Balancer) gainMany(n, earned float64) {
-	if n > 0 {
-		k := 1 - math.Pow(1-1/shedMemory, n)
-		b.tried += k * (shedMemory - b.tried)
-		b.gained += k * (earned/n*shedMemory - b.gained)
+// recordLatency notes the answer time of a request of the class, up to twice its objective.
+func (c *classStats) recordLatency(class int, latencyMs, objectiveMs float64) {
+	c.latencyMs[class] = movingAverage(c.latencyMs[class], min(latencyMs, 2*objectiveMs), classLatencyWeight)
+}
+
+// usageShares holds the part of the requests that each tenant sends.
+type usageShares []float64
+
+// count notes a request of the tenant; an unknown tenant changes nothing.
+func (u usageShares) count(tenant int) {
+	if tenant < 0 || tenant >= len(u) {
+		return
+	}
+	for i := range u {
+		u[i] *= shareDecay
 	}
+	u[tenant] += 1 - shareDecay
 }
 
-// count keeps the tenants' shares of this agent's requests.
-func (b *Balancer) count(tenant int) {
-	if tenant < 0 || tenant >= len(b.usage) {
+// admit decides about an arriving request, and rejects it where it sheds load or where the hinted work
+// cannot fit the objective on any server: a costly request would only make others wait.
+func (b *Balancer) admit(r *request) {
+	class := &b.settings.Classes[r.class]
+	shed := b.shedder.Sheds(b.priority(r), b.goodput.shedFraction(), b.rng.Float64())
+	if shed && !b.fairShare.UnderQuota(r.flow) {
+		b.goodput.record(0)
+		b.finishUnserved(r)
 		return
 	}
-	for i := range b.usage {
-		b.usage[i] *= fade
+	hinted := minLatencyFraction * b.hints.predict(r.workHintMs)
+	if r.workHintMs > 0 && class.LateCredit == 0 && hinted > r.objectiveAt-b.now {
+		b.finishUnserved(r)
 	}
-	b.usage[tenant] += 1 - fade
 }
 
-// tally keeps the classes' shares of requests and of those served in time.
-func (b *Balancer) tally(class int) {
-	b.credit = 0
-	for i, c := range b.set.Classes {
-		b.asked[i] *= fade
-		b.won[i] *= fade
-		if i == class {
-			b.asked[i] += 1 - fade
-		}
-		b.credit += b.asked[i] * c.PriorityWeight
+// priority returns what the objective gains by a unit of server time that is spent on the request: its part
+// of the total, and of its class if that is the worst, and of its tenant if that is under its quota.
+func (b *Balancer) priority(r *request) float64 {
+	class := &b.settings.Classes[r.class]
+	objective := &b.settings.Objective
+	value := class.PriorityWeight * (objective.Total + objective.WorstWindow)
+	if r.class == b.classes.worst {
+		value += objective.WorstClass * b.classes.meanPriority / b.classes.requestShare[r.class]
+	}
+	if b.now+b.expectedLatency(r) > r.objectiveAt {
+		value *= class.LateCredit + b.settings.Prices.LateFailure
+	}
+	switch {
+	case b.fairShare.OverQuota(r.flow):
+		value *= b.settings.OverQuotaWeight
+	case b.fairShare.UnderQuota(r.flow):
+		usage := max(b.tenantUsage[r.tenant], minTenantUsage)
+		value += underQuotaWeight * objective.WorstTenant * class.PriorityWeight / usage
 	}
+	if b.settings.PriorityUnit != priorityByWork {
+		value /= b.classes.latencyMs[r.class]
+	}
+	if r.recentKey {
+		value *= recentKeyPriorityFactor
+	}
+	return value
+}
+
+// isRecentKey reports whether the request's key was sent so lately that it likely costs its server less.
+func (b *Balancer) isRecentKey(r *request) bool {
+	return b.settings.FamilyInfo.WarmKeys && b.recentKeys.Contains(b.now, r.key)
 }
 
-// flowOf is the flow of portions that the request belongs to. Each class has a part of its tenant's
-// portion, as it asks for: a portion spent on the class of most worth would leave the others with none.
+// flowOf returns the request's flow of the fair share, or -1 for an unknown tenant. Each class is a flow of
+// its own, with a part of its tenant's quota: a quota spent on the class of the highest priority would
+// leave the others with none.
 func (b *Balancer) flowOf(r *request) int {
-	if r.tenant < 0 || r.tenant >= len(b.set.Tenants) {
+	if r.tenant < 0 || r.tenant >= len(b.settings.Tenants) {
 		return -1
 	}
-	return r.tenant*len(b.set.Classes) + r.class
+	return r.tenant*len(b.settings.Classes) + r.class
 }
 
-// weights are the flows'.
-func (b *Balancer) weights() []float64 {
-	b.flows = b.flows[:0]
-	for _, t := range b.set.Tenants {
-		for _, asked := range b.asked {
-			b.flows = append(b.flows, t.QuotaWeight*asked)
+// flowWeights returns the weights of all flows: the quota of the tenant by the class's part of the
+// requests. The slice is valid until the next call.
+func (b *Balancer) flowWeights() []float64 {
+	b.flowWeightBuffer = b.flowWeightBuffer[:0]
+	for i := range b.settings.Tenants {
+		quota := b.settings.Tenants[i].QuotaWeight
+		for _, requests := range b.classes.requestShare {
+			b.flowWeightBuffer = append(b.flowWeightBuffer, quota*requests)
 		}
 	}
-	return b.flows
+	return b.flowWeightBuffer
 }
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -1,182 +1,202 @@
 package policy
 
-import (
-	"slices"
-)
+import "slices"
 
-// attempt is one send of a request.
+// attempt is a request that is sent to a server once.
 type attempt struct {
-	r      *request
-	s      *server
-	index  int
-	sentAt float64
-	alone  bool // no other of this agent was out on its server
-	cost   float64
-	done   bool
-	// writing: its body still comes. It is no work of the server's yet, and no silence of it.
-	writing bool
+	request *request
+	server  *server
+	index   int // in the attempts of the request
+	sentAt  float64
+	alone   bool    // this agent had no other in flight on the server
+	work    float64 // in mean requests
+	done    bool
+	// bodyPending says that a streamed body is not sent completely. Until it is, the attempt is no load of
+	// its server, which may be silent.
+	bodyPending bool
 }
 
+// send forwards the request to the server if maySend permits it, and reports whether it did.
 func (b *Balancer) send(r *request, s *server) bool {
 	if !b.maySend(r, s) {
 		return false
 	}
-	a := &attempt{r: r, s: s, index: len(r.attempts), alone: len(s.out) == 0, sentAt: b.now,
-		cost: b.cost(r)}
-	r.attempts = append(r.attempts, a)
-	r.open++
-	if r.risky == 0 {
-		r.ranAt, r.ranOn = b.now, s
-	}
-	r.risky++
-	if a.writing = r.stream; !a.writing {
-		s.out = append(s.out, a)
-		b.inflight++
+	a := &attempt{
+		request:     r,
+		server:      s,
+		index:       len(r.attempts),
+		sentAt:      b.now,
+		alone:       len(s.inflight) == 0,
+		work:        b.workCost(r),
+		bodyPending: r.streamedBody,
 	}
-	if s.sentAt > 0 {
-		s.gap = mean(s.gap, b.now-s.sentAt, smooth)
-	}
-	if b.sentAt > 0 {
-		b.gap = mean(b.gap, b.now-b.sentAt, slowSmooth)
+	r.attempts = append(r.attempts, a)
+	r.openAttempts++
+	if r.mayHaveRun == 0 {
+		r.firstRunAt = b.now
+		r.firstRunServer = s
+	}
+	r.mayHaveRun++
+	if !a.bodyPending {
+		b.addInflight(a)
+	}
+	s.recordSend(b.now)
+	b.fleet.recordSend(b.now)
+	if b.capacity(s) < 1 {
+		s.slowStartTokens -= a.work
+	}
+	b.recentKeys.Add(b.now, r.key)
+	b.emit(Action{Kind: ActionForward, Request: r.id, Server: s.addr, DurationMs: r.deadline - b.now})
+	return true
+}
+
+// addInflight counts the attempt as load of its server.
+func (b *Balancer) addInflight(a *attempt) {
+	a.server.inflight = append(a.server.inflight, a)
+	b.inflight++
+}
+
+// removeInflight takes an ended attempt off the load of its server.
+func (b *Balancer) removeInflight(a *attempt) {
+	if !a.bodyPending {
+		b.inflight--
 	}
-	s.sentAt, b.sentAt = b.now, b.now
-	if b.ramp(s) < 1 {
-		s.credit -= a.cost
+	if i := slices.Index(a.server.inflight, a); i >= 0 {
+		a.server.inflight = slices.Delete(a.server.inflight, i, i+1)
 	}
-	b.warmed.Add(b.now, r.key)
-	b.do(Action{Kind: ActionForward, Request: r.id, Server: s.id, DurationMs: r.deadline - b.now})
-	return true
 }
 
-func (b *Balancer) onOutcome(ev *Event) {
+// openAttempt returns the attempt that an event names, or nil if its request is unknown or it has ended.
+func (b *Balancer) openAttempt(ev *Event) *attempt {
 	r := b.requests[ev.Request]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || r.attempts[ev.Attempt].done {
+		return nil
+	}
+	return r.attempts[ev.Attempt]
+}
+
+// onAttemptEnded records what an attempt's end says about its server, and finishes or retries its request.
+func (b *Balancer) onAttemptEnded(ev *Event) {
+	a := b.openAttempt(ev)
+	if a == nil {
 		return
 	}
-	a := r.attempts[ev.Attempt]
-	s := a.s
+	r := a.request
 	a.done = true
-	r.open--
-	if !a.writing {
-		b.inflight--
-	}
-	if i := slices.Index(s.out, a); i >= 0 {
-		s.out = slices.Delete(s.out, i, i+1)
-	}
+	r.openAttempts--
+	b.removeInflight(a)
 	if ev.Status.NeverRan() {
-		r.risky--
+		r.mayHaveRun--
 	}
-	r.wrote = r.wrote || ev.Status != ConnectFailed && ev.Status != NotStarted
-	turned := 0.0
+	r.reachedServer = r.reachedServer || ev.Status != ConnectFailed && ev.Status != NotStarted
+	rejected := 0.0
 	if ev.Status == Rejected {
-		turned = 1
+		rejected = 1
 	}
-	b.turned += slowSmooth * (turned - b.turned)
-	b.judge(a, ev)
-	b.hangUp(s)
-	if r.closed || r.started || ev.Final || ev.Status == OK {
-		b.close(r)
+	b.fleet.rejectionRate += fleetAverageWeight * (rejected - b.fleet.rejectionRate)
+	b.recordOutcome(a, ev)
+	b.closeConnections(a.server)
+	if r.closed || r.responseStarted || ev.Final || ev.Status == OK {
+		b.finish(r)
 	} else {
-		b.further(r, ev.Status)
+		b.retry(r, ev.Status)
 	}
 }
 
-// judge takes what an attempt's end says about its server.
-func (b *Balancer) judge(a *attempt, ev *Event) {
-	s := a.s
+// recordOutcome records what an attempt's end says about its server.
+func (b *Balancer) recordOutcome(a *attempt, ev *Event) {
+	s := a.server
 	switch ev.Status {
 	case OK:
-		b.fails(s, 0)
-		b.served(a, ev)
+		b.recordFailure(s, 0)
+		b.onServed(a, ev)
 	case Error, Reset:
-		b.fails(s, 1)
-		s.heard = b.now
-		b.demote(s, false)
+		b.recordFailure(s, 1)
+		s.respondedAt = b.now
+		b.eject(s, false)
 	case ConnectFailed:
-		// One that says no is there; one that lets the connect run out is not.
-		b.fails(s, 1)
-		b.demote(s, ev.LatencyMs >= b.set.Limits.ConnectTimeoutMs)
-		if s.lostAt == 0 {
-			s.lostAt = b.now
+		// A server that refuses the connection is running; one that lets the connect time out is silent.
+		b.recordFailure(s, 1)
+		b.eject(s, ev.LatencyMs >= b.settings.Limits.ConnectTimeoutMs)
+		if s.connectFailedSince == 0 {
+			s.connectFailedSince = b.now
 		}
 	case Timeout:
-		// A server that answered others meanwhile is not to blame for a costly
-		// request; it counts as slow.
-		b.weighZone(s, true)
-		b.rest(s)
-		if s.heard > a.sentAt {
-			b.learnHint(a.r, ev.LatencyMs)
-			b.learn(s, b.partOfAim(a.r, ev.LatencyMs))
-		} else {
-			b.demote(s, true)
-		}
+		b.onTimeout(a, ev.LatencyMs)
 	case Rejected:
-		// What it holds it still answers in time. An agent that is soon back follows it by its
-		// window: to let it rest would move its keys to where they are cold, and turn those away
-		// that are at home there (colombo-main: 31 % of attempts turned away, 21 % without).
-		s.heard = b.now
-		s.window.Rejected(b.now)
-		if b.weighZone(s, true); b.gap*float64(len(b.servers)) > b.aimMin {
-			b.rest(s)
-		}
+		b.onServerRejected(s)
+	}
+}
+
+// onTimeout records a timeout. A server that answered other attempts meanwhile is not silent: it is slow.
+func (b *Balancer) onTimeout(a *attempt, latencyMs float64) {
+	s := a.server
+	b.recordLocality(s, true)
+	b.backoff(s)
+	if s.respondedAt > a.sentAt {
+		b.hints.record(a.request.workHintMs, latencyMs)
+		s.recordLatency(b.objectiveFraction(a.request, latencyMs))
+	} else {
+		b.eject(s, true)
 	}
 }
 
-func (b *Balancer) served(a *attempt, ev *Event) {
-	s, r, rtt := a.s, a.r, ev.LatencyMs
-	b.earn(s, a.cost)
-	b.again = min(b.again+RetryTokensPerSuccess, againMost)
-	b.learnHint(r, rtt)
-	b.heardFrom(s)
-	s.rtt = mean(s.rtt, rtt, smooth)
-	c := &b.set.Classes[r.class]
-	b.expect[r.class] = mean(b.expect[r.class], min(rtt, 2*c.LatencyObjectiveMs), 4*slowSmooth)
-	gain := c.LateCredit
-	if b.now <= r.aimAt {
-		b.weighZone(s, false)
-		b.won[r.class] += 1 - fade
-		gain = 1
+// onServerRejected records that the server rejected an attempt. It still answers in time what it has. An
+// agent that soon sends it the next attempt adjusts to it by the concurrency limit: with a backoff its keys
+// would move to servers that do not have them cached, and push out the keys of those.
+func (b *Balancer) onServerRejected(s *server) {
+	s.respondedAt = b.now
+	s.limit.Rejected(b.now)
+	b.recordLocality(s, true)
+	if b.fleet.sendInterval*float64(len(b.servers)) > b.minObjectiveMs {
+		b.backoff(s)
 	}
-	if !r.closed {
-		b.gain(gain)
-		b.portions.Served(r.flow, b.weights())
-		b.patience.RequestEnded(true)
-	}
-	s.load.Update(b.now, b.fields, ev.Report)
-	x := b.partOfAim(r, rtt)
-	b.answers++
-	b.fleetLat = mean(b.fleetLat, x, max(slowSmooth, 1/b.answers))
-	switch {
-	case b.answers <= learnFor:
-		// One quick answer must not set the measure, nor a crowd at the start (id08146).
-		b.calmLat = min(b.fleetLat, crowdShare/2)
-	case b.fleetLat < b.calmLat:
-		b.calmLat = mean(b.calmLat, b.fleetLat, slowSmooth)
-	default:
-		b.calmLat = mean(b.calmLat, b.fleetLat, b.calmRise(a))
-	}
-	b.learn(s, x)
-	b.widen(x, rtt)
-	if late := b.now > r.aimAt; b.crowded(s, ev.Report) || late {
-		b.weighZone(s, true)
-		b.rest(s)
-	}
-	limit := b.limit(s)
-	if s.state == Unhealthy && a.sentAt < s.since && !s.silent {
-		return // sent before the failure: says nothing about what came after
+}
+
+// onServed records a served attempt: budgets and averages, then the state and the limit of its server.
+func (b *Balancer) onServed(a *attempt, ev *Event) {
+	s := a.server
+	rttMs := ev.LatencyMs
+	late := b.now > a.request.objectiveAt
+	b.earnSlowStartTokens(s, a.work)
+	b.retryBudget.earn()
+	b.hints.record(a.request.workHintMs, rttMs)
+	b.recordResponse(s)
+	s.meanRTT = movingAverage(s.meanRTT, rttMs, serverAverageWeight)
+	b.recordServedRequest(a, rttMs, late)
+	s.loadReport.Update(b.now, b.reportFields, ev.Report)
+	latency := b.objectiveFraction(a.request, rttMs)
+	b.fleet.recordLatency(latency, b.baselineRiseWeight(a))
+	s.recordLatency(latency)
+	b.adjustKeylessLimit(latency, rttMs)
+	if b.overloaded(s, ev.Report) || late {
+		b.recordLocality(s, true)
+		b.backoff(s)
+	}
+	if s.state == Unhealthy && a.sentAt < s.stateSince && !s.silent {
+		return // sent before the failure: it says nothing about the time after
 	}
 	if s.state != Connected {
-		b.enter(s, Connected)
-	}
-	s.forgive(1)
-	switch {
-	case s.lat > limit:
-		least := 1.0
-		if s.lat > tipFactor*limit {
-			least = leastWindow
-		}
-		s.window.Decrease(b.now, rtt, windowCut, least)
-	case s.lat < limit && float64(len(s.out)+2) > s.window.Size() && b.answers > learnFor:
-		s.window.Increase(b.now)
+		b.setState(s, Connected)
+	}
+	s.recordSuccesses(1)
+	b.adjustLimit(s, rttMs, b.latencyLimit(s))
+}
+
+// recordServedRequest records a served attempt for the request's class, tenant and zone.
+func (b *Balancer) recordServedRequest(a *attempt, rttMs float64, late bool) {
+	r := a.request
+	class := &b.settings.Classes[r.class]
+	b.classes.recordLatency(r.class, rttMs, class.LatencyObjectiveMs)
+	earned := class.LateCredit
+	if !late {
+		b.recordLocality(a.server, false)
+		b.classes.recordInTime(r.class)
+		earned = 1
+	}
+	if !r.closed {
+		b.goodput.record(earned)
+		b.fairShare.Served(r.flow, b.flowWeights())
+		b.queueTimeout.RequestEnded(true)
 	}
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -10,207 +10,193 @@
 
 // Tokens of the timers that a Balancer sets.
 const (
-	tickToken   = 1
-	followToken = 2
+	tickTimerToken = 1
+	pollTimerToken = 2
 )
 
-// maxHeld bounds the queue, and so the work of one decision.
-const maxHeld = 512
+// minTickMs is the shortest time between two ticks.
+const minTickMs = 5
 
-// Balancer makes the decisions of one agent. It is not safe for concurrent use.
+// Balancer makes the decisions of one agent. It is not safe for concurrent use. Its times are in
+// milliseconds of the caller's clock.
 type Balancer struct {
-	set       Settings
-	rng       *rand.Rand
-	now       float64
-	out       []Action
-	servers   []*server              // by address
-	byAddr    map[Addr]*server       // bound: what is listed, and what is gone with attempts out
-	requests  map[RequestID]*request // bound: what is open, and what is over with an attempt out
-	held      []*request
-	keys      map[uint64]float64 // requests of each key, keyed in all
-	keyed     float64
-	tier      []*server // scratch of pick
-	pasts     []past
-	warm      float64 // weight of warm servers, at warmAt and warmEpoch
-	warmAt    float64
-	warmEpoch uint64
-	epoch     uint64  // counts changes of tiers and list
-	own       float64 // how much more a server of the own zone weighs
-	inflight  int
-	most      float64 // requests without a key that may be out, and when that was cut last
-	mostAt    float64
-	lately    float64 // mean answer time as a part of the aim, of the last few
-	turned    float64 // part of all attempts that were turned away
-	failing   float64 // part of all attempts that fail
-	load      float64 // mean reported requests for weight one
-	sentAt    float64 // last attempt
-	gap       float64 // mean time between attempts
-	tried     float64 // ended tries, fading, and what they gained
-	gained    float64
-	again     float64 // further attempts that may be made
-	probes    int
-	mayProbe  float64   // probes that may be sent
-	expect    []float64 // per class: mean answer time
-	meanHint  float64
-	hints     float64 // answers to hinted requests, and their means and spread
-	hintMean  float64
-	hintTime  float64
-	hintVar   float64
-	hintCov   float64
-	answers   float64 // served so far
-	fleetLat  float64 // mean answer time as a part of the aim, all servers
-	calmLat   float64 // the same when nothing is crowded
-	warmed    *concurrency.RecentKeys
-	fields    concurrency.ReportFields
-	portions  *limits.FairShare
-	flows     []float64 // scratch of weights
-	patience  limits.QueueTimeout
-	levels    limits.LoadShedder
-	usage     []float64 // tenants' shares of requests
-	asked     []float64 // classes' shares of requests
-	won       []float64 // and of those served in time
-	worst     int       // the class served worst
-	credit    float64   // mean worth of a request
-	aimMin    float64
-	lookedAt  float64 // last fetch of the list
-	follows   int     // failed calls in a row
-	flow      float64 // work sent to a warm server of weight one, fading over the cold time
-	flowAt    float64
-	ticking   bool
-	tickAt    float64 // when it will tick
-	scarce    bool    // requests that would take any server find no room
-	lapse     float64 // the least hold, where states go on by what others saw; else 0
+	settings       Settings
+	minObjectiveMs float64 // least latency objective of the classes
+	rng            *rand.Rand
+
+	// The event being handled.
+	now     float64
+	actions []Action
+
+	servers   []*server              // in the order of addresses
+	byAddr    map[Addr]*server       // those listed, and those removed with attempts in flight
+	requests  map[RequestID]*request // those not answered, and those with an open attempt
+	queued    []*request             // those without an open attempt, at most maxQueued
+	unserved  []unservedRequest      // at most maxQueued
+	inflight  int                    // attempts in flight
+	tierEpoch uint64                 // counts changes of tiers and of the endpoint list
+	tick      tickTimer
+
+	// Statistics.
+	fleet       fleetStats
+	classes     classStats
+	tenantUsage usageShares
+	hints       hintRegression
+
+	// Rules.
+	goodput        goodput
+	shedder        limits.LoadShedder
+	fairShare      *limits.FairShare
+	queueTimeout   limits.QueueTimeout
+	keys           keyPopularity
+	recentKeys     *concurrency.RecentKeys
+	locality       localityWeight
+	keyless        keylessLimit
+	reportFields   concurrency.ReportFields
+	slowStart      slowStartState
+	retryBudget    retryBudget
+	healthChecks   healthCheckBudget
+	discovery      discoveryState
+	capacityScarce bool    // requests that would take any server found no capacity
+	minEjectionMs  float64 // set by Observe, else 0
+
+	// Buffers that are used again.
+	candidateBuffer  []*server
+	flowWeightBuffer []float64
+}
+
+// tickTimer is the timer that runs while requests are queued or in flight.
+type tickTimer struct {
+	armed bool
+	at    float64
 }
 
-// New returns the balancer of one agent, or an error that names the setting
-// that makes no sense. All its randomness comes from the seed.
-func New(set Settings, seed uint64) (*Balancer, error) {
-	if err := set.validate(); err != nil {
+// New returns the balancer of one agent, or an error that names the first setting that is not valid. All
+// its randomness comes from the seed.
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{set: set, rng: rand.New(rand.NewPCG(seed, mix(seed))), byAddr: map[Addr]*server{},
-		requests: map[RequestID]*request{}, keys: map[uint64]float64{}, mayProbe: probeCap,
-		own: MinLocalityWeight, again: againMost, tried: shedMemory / 2, gained: shedMemory / 2,
-		usage:    make([]float64, len(set.Tenants)),
-		portions: limits.NewFairShare(len(set.Tenants) * len(set.Classes)),
-		warmed:   concurrency.NewRecentKeys(warmMs, warmKeys),
-		fields:   concurrency.NewReportFields(set.Report.Names),
-		aimMin:   math.Inf(1), most: math.Inf(1), lookedAt: math.Inf(-1)}
-	if set.Prices.CrossZone > 0 {
-		b.own = ownStart
+	b := &Balancer{
+		settings:       settings,
+		minObjectiveMs: math.Inf(1),
+		rng:            rand.New(rand.NewPCG(seed, mix64(seed))),
+		byAddr:         map[Addr]*server{},
+		requests:       map[RequestID]*request{},
+		classes:        newClassStats(settings.Classes),
+		tenantUsage:    make(usageShares, len(settings.Tenants)),
+		goodput:        newGoodput(),
+		fairShare:      limits.NewFairShare(len(settings.Tenants) * len(settings.Classes)),
+		keys:           newKeyPopularity(),
+		recentKeys:     concurrency.NewRecentKeys(recentKeyMs, maxRecentKeys),
+		locality:       newLocalityWeight(settings.Prices.CrossZone),
+		keyless:        newKeylessLimit(),
+		reportFields:   concurrency.NewReportFields(settings.Report.Names),
+		retryBudget:    newRetryBudget(),
+		healthChecks:   newHealthCheckBudget(),
+		discovery:      discoveryState{fetchedAt: math.Inf(-1)},
 	}
-	for _, c := range set.Classes {
-		b.expect = append(b.expect, c.LatencyObjectiveMs*crowdShare/2)
-		b.aimMin = min(b.aimMin, c.LatencyObjectiveMs)
-		b.asked, b.won = append(b.asked, 1), append(b.won, 1)
+	for i := range settings.Classes {
+		b.minObjectiveMs = min(b.minObjectiveMs, settings.Classes[i].LatencyObjectiveMs)
 	}
 	return b, nil
 }
 
-// UpdateSettings has it go on by other rules: effects, groups, windows, attempts and contract may differ
-// from those it was made with, nothing else. What is out stays out; what is decided from now on goes by
-// them.
-func (b *Balancer) UpdateSettings(set Settings) {
-	if len(set.Classes) == len(b.set.Classes) {
-		b.set.Classes = set.Classes
-		b.set.Limits.MaxAttempts = set.Limits.MaxAttempts
-		b.set.Contract = set.Contract
+// UpdateSettings replaces the classes, the attempts per request and the contract. Other settings stay, and
+// so does everything if the number of classes differs. What is in flight is not changed; later decisions
+// follow the new settings.
+func (b *Balancer) UpdateSettings(settings Settings) {
+	if len(settings.Classes) == len(b.settings.Classes) {
+		b.settings.Classes = settings.Classes
+		b.settings.Limits.MaxAttempts = settings.Limits.MaxAttempts
+		b.settings.Contract = settings.Contract
 	}
 }
 
-// Start gives the first actions of a new agent and appends them to out.
+// Start appends the first actions of a new agent to out. It is called once, before Handle.
 func (b *Balancer) Start(now float64, out []Action) []Action {
-	b.now, b.out = now, out
-	if b.set.DiscoveryMode == "on_request" {
-		// Agents that start together must not all call at once: each has a turn of its own.
-		turn := (float64(max(b.set.ReplicaIndex, 0)%b.agents()) + b.rng.Float64()) / float64(b.agents())
-		spread := b.askSpread()
-		switch b.set.LastPoll {
-		case PollUnanswered:
-			spread = min(spread, updateTold-queueMs-restartMs)
-		case PollUnknown: // it may have had no answer
-			spread = min(spread, updateTold-queueMs)
-		}
-		b.do(Action{Kind: ActionTimer, DurationMs: turn * spread, Token: followToken})
-	}
-	if float64(b.agents()) > refetchAgents {
-		b.lookedAt = now // the list is as fresh as the start
-	}
-	return b.out
+	b.now = now
+	b.actions = out
+	b.startDiscovery()
+	return b.actions
 }
 
-// Handle takes one event and appends the actions it calls for to out. Events
-// for what is finished or unknown are ignored.
+// Handle takes one event and appends the actions that follow from it to out. An event about a request, an
+// attempt or a server that is unknown or finished is ignored. The event is not kept.
 func (b *Balancer) Handle(now float64, event *Event, out []Action) []Action {
-	b.now, b.out = now, out
-	ev := event.finite()
-	if len(b.held) == 0 { // up to now; nothing was held when this came
-		b.patience.QueueLength(b.now, 0)
+	b.now = now
+	b.actions = out
+	ev := event.sanitized()
+	if len(b.queued) == 0 {
+		b.queueTimeout.QueueLength(b.now, 0) // the queue was empty until now
 	}
+	b.handleEvent(ev)
+	b.dispatch()
+	b.armTickTimer()
+	return b.actions
+}
+
+// handleEvent calls the rule of the event.
+func (b *Balancer) handleEvent(ev *Event) {
 	switch ev.Kind {
 	case EventRequest:
 		b.onRequest(ev)
 	case EventAttemptEnded:
-		b.onOutcome(ev)
+		b.onAttemptEnded(ev)
 	case EventResponseStarted:
-		if r := b.requests[ev.Request]; r != nil && !r.closed {
-			r.started = true
-			if ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
-				r.attempts[ev.Attempt].s.heard = now
-			}
-		}
+		b.onResponseStarted(ev)
 	case EventBodyWritten:
-		b.onWritten(ev)
+		b.onBodyWritten(ev)
 	case EventDeadlineShortened:
-		if r := b.requests[ev.Request]; r != nil {
-			r.deadline = min(r.deadline, b.now+ev.RemainingMs-min(b.set.BatchIntervalMs, ev.RemainingMs/4))
-			r.aimAt = min(r.aimAt, r.deadline)
-		}
+		b.onDeadlineShortened(ev)
 	case EventClientDisconnected:
-		if r := b.requests[ev.Request]; r != nil && !r.closed {
-			b.remember(r)
-			if r.open > 0 && b.now > r.aimAt { // who leaves sooner tells nothing of crowds
-				b.gain(0)
-			}
-			b.close(r)
-		}
+		b.onClientDisconnected(ev)
 	case EventEndpointUpdate:
-		b.onList(ev)
+		b.onEndpointUpdate(ev)
 	case EventHealthCheckEnded:
-		b.onProbed(ev)
+		b.onHealthCheckEnded(ev)
 	case EventTimer:
 		b.onTimer(ev.Token)
 	}
-	b.dispatch()
-	b.arm()
-	return b.out
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+// sanitized returns the event with 0 in place of negative numbers, infinities and NaN.
+func (ev *Event) sanitized() *Event {
+	e := *ev
+	e.RemainingMs = nonNegative(e.RemainingMs)
+	e.WorkHintMs = nonNegative(e.WorkHintMs)
+	e.LatencyMs = nonNegative(e.LatencyMs)
+	return &e
+}
+
+// emit adds an action to those that the event at hand calls for.
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// arm keeps a timer running while there is something to watch: what is held, each few ms; with nothing
-// held, the moment at which a server that has attempts out would count as silent. A process whose requests
-// are all out rests until then, or until something happens, and not for 5 ms at a time.
-func (b *Balancer) arm() {
-	wait := max(2*b.set.BatchIntervalMs, 5)
-	if len(b.held) == 0 {
-		wait = max(b.silentAt()-b.now, wait)
+// armTickTimer sets the tick timer: for the next tick while requests are queued, otherwise for the time at
+// which the first server with attempts in flight counts as silent. While nothing can happen no timer runs.
+func (b *Balancer) armTickTimer() {
+	wait := max(2*b.settings.BatchIntervalMs, minTickMs)
+	if len(b.queued) == 0 {
+		wait = max(b.nextSilenceAt()-b.now, wait)
 	}
 	at := b.now + wait
-	if math.IsInf(at, 1) || len(b.held)+b.inflight == 0 || b.ticking && at >= b.tickAt {
+	idle := len(b.queued)+b.inflight == 0
+	if math.IsInf(at, 1) || idle || b.tick.armed && at >= b.tick.at {
 		return
 	}
-	b.ticking, b.tickAt = true, at
-	b.do(Action{Kind: ActionTimer, DurationMs: wait, Token: tickToken})
+	b.tick.armed = true
+	b.tick.at = at
+	b.emit(Action{Kind: ActionTimer, DurationMs: wait, Token: tickTimerToken})
 }
 
+// onTimer handles a timer that has expired.
 func (b *Balancer) onTimer(token uint32) {
 	switch token {
-	case followToken:
-		b.do(Action{Kind: ActionWatchEndpoints})
-	case tickToken:
-		b.ticking = b.ticking && b.now < b.tickAt-1 // then a sooner one has replaced this timer
-		b.watchSilence()
+	case pollTimerToken:
+		b.emit(Action{Kind: ActionWatchEndpoints})
+	case tickTimerToken:
+		b.tick.armed = b.tick.armed && b.now < b.tick.at-1 // an earlier timer, replaced by the armed one
+		b.ejectSilent()
 		b.expire()
 	}
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -50,7 +50,7 @@
 		out = m.Handle(now, &Event{Kind: EventRequest, Request: id, Class: rng.IntN(3), Tenant: rng.IntN(4), Key: 1 + rng.Uint64N(1000), RemainingMs: 600}, out[:0])
 		take()
 		if id%10 == 0 {
-			out = m.Handle(now, &Event{Kind: EventTimer, Token: tickToken}, out[:0])
+			out = m.Handle(now, &Event{Kind: EventTimer, Token: tickTimerToken}, out[:0])
 			take()
 		}
 		for len(ends) > 40 {
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -5,102 +5,143 @@
 )
 
 const (
-	// firstWindow is the concurrency limit of a server of which nothing is known.
-	firstWindow = 2.0
-	// leastWindow is the lower bound of a limit: enough to see when the server recovers.
-	leastWindow = 0.1
-	// tipFactor is how many times the latency limit makes an overload severe: only then a limit may fall
-	// below one attempt.
-	tipFactor = 2.5
-	// windowCut is the part of a limit that a decrease leaves.
-	windowCut = 0.85
-	// crowdShare is the part of the latency objective that the mean answer time of a server may take. The
-	// rest is left for the spread around the mean.
-	crowdShare = 0.5
-	// crowdFactor is how many times the baseline latency makes a server overloaded.
-	crowdFactor = 1.5
-	// scarceFactor replaces it while requests find no capacity: then a queue costs less than a rejection.
-	scarceFactor = 2.25
-	// learnFor is the number of answers that set the baseline latency. No limit grows before.
-	learnFor = 50
-	// loadFactor is how many times the mean of the reported requests in flight makes a server overloaded.
-	loadFactor = 1.5
-	// trickleMost bounds the requests without a key that all agents together send to a server in one
+	// initialLimit is the concurrency limit of a server of which nothing is known.
+	initialLimit = 2.0
+	// minLimit is the lower bound of a limit: enough to see when the server recovers.
+	minLimit = 0.1
+	// severeOverloadFactor is how many times the latency limit makes an overload severe: only then a limit
+	// may fall below one attempt.
+	severeOverloadFactor = 2.5
+	// limitDecrease is the part of a limit that a decrease leaves.
+	limitDecrease = 0.85
+	// maxLatencyFraction is the part of the latency objective that the mean answer time of a server may
+	// take. The rest is left for the spread around the mean.
+	maxLatencyFraction = 0.5
+	// overloadLatencyFactor is how many times the baseline latency makes a server overloaded.
+	overloadLatencyFactor = 1.5
+	// scarceLatencyFactor replaces it while requests find no capacity: then a queue costs less than a
+	// rejection.
+	scarceLatencyFactor = 2.25
+	// reportedLoadWeight is the weight of one report in the mean of the reported requests in flight.
+	reportedLoadWeight = 4 * fleetAverageWeight
+	// overloadedReportFactor is how many times the mean of the reported requests in flight makes a server
+	// overloaded.
+	overloadedReportFactor = 1.5
+	// maxTrickleRate bounds the requests without a key that all agents together send to a server in one
 	// latency objective while their limits are full.
-	trickleMost = 2.0
+	maxTrickleRate = 2.0
+	// keylessLatencyWeight is the weight of one answer in the mean latency that adjusts the keyless limit.
+	keylessLatencyWeight = serverAverageWeight / 4
+	// maxBaselineRiseDivisor divides the weight by which the baseline latency follows longer answer times.
+	maxBaselineRiseDivisor = 250
 )
 
-// limit is the mean answer time, as a part of the aim, from which a server counts as
-// crowded. A few agents see most of the load, and need not fear to crowd a server that
-// answers well within the aim; a calm taken too low would leave it idle. A cold server
-// is slow before it is crowded (i5d0607: only cold ones were left). One that turns attempts away keeps its
-// queue short by itself, and needs no bound but that.
-func (b *Balancer) limit(s *server) float64 {
-	if s.window.RecentlyRejected(b.now) {
-		return crowdShare / b.ramp(s)
+// keylessLimit bounds the requests without a key that one agent has in flight on all servers. They go to
+// any server with capacity, so an agent with few requests to each of many servers learns from all of them
+// together what it learns from none alone. Without the limit each of hundreds of agents would have one in
+// flight at every overloaded server.
+type keylessLimit struct {
+	max         float64
+	decreasedAt float64
+	latency     float64 // mean latency of the last answers, as a fraction of the latency objective
+}
+
+func newKeylessLimit() keylessLimit { return keylessLimit{max: math.Inf(1)} }
+
+// recordLatency notes an answer.
+func (k *keylessLimit) recordLatency(latency float64) {
+	k.latency = movingAverage(k.latency, latency, keylessLatencyWeight)
+}
+
+// adjust decreases the limit while the mean latency is over latencyLimit, at most once in an answer time,
+// and increases it below that while it is in use.
+func (k *keylessLimit) adjust(now, rttMs, latencyLimit float64, inflight int) {
+	switch {
+	case k.latency > latencyLimit && now-k.decreasedAt > rttMs:
+		k.max = max(min(k.max, float64(inflight+1))*limitDecrease, initialLimit)
+		k.decreasedAt = now
+	case k.latency < latencyLimit && float64(inflight+2) > k.max:
+		k.max += 1 / k.max
 	}
-	least, factor := 2*crowdShare/(2+float64(b.set.Replicas)), crowdFactor
-	if b.scarce {
-		factor = scarceFactor
+}
+
+// keylessTrickleMs returns the time after which one more request without a key is sent though their limit
+// is reached: requests that hang in overloaded servers up to their deadline do not tell when these recover.
+// All agents together send each server at most maxTrickleRate of them in the least latency objective.
+func (b *Balancer) keylessTrickleMs() float64 {
+	servers := float64(max(len(b.servers), 1))
+	return b.minObjectiveMs * max(float64(b.replicas())/(maxTrickleRate*servers), 1)
+}
+
+// latencyLimit returns the mean answer time, as a fraction of the latency objective, from which a server is
+// overloaded. Few agents see most of the load of a server, and may load one more that answers well within
+// the objective; a baseline taken too low would leave it idle. A server in slow start is slow before it is
+// overloaded. One that rejects attempts bounds its queue itself.
+func (b *Balancer) latencyLimit(s *server) float64 {
+	if s.limit.RecentlyRejected(b.now) {
+		return maxLatencyFraction / b.capacity(s)
+	}
+	least := 2 * maxLatencyFraction / (2 + float64(b.settings.Replicas))
+	factor := overloadLatencyFactor
+	if b.capacityScarce {
+		factor = scarceLatencyFactor
 	}
-	return min(crowdShare, max(factor*b.calmLat, least)) / b.ramp(s)
+	return min(maxLatencyFraction, max(factor*b.fleet.baselineLatency, least)) / b.capacity(s)
 }
 
-// crowded tells whether a server reports well more requests than the mean of the others:
-// the cap by what all agents have in flight there.
-func (b *Balancer) crowded(s *server, report []float32) bool {
-	x, told := b.fields.Inflight(report)
-	if !told {
-		return false
+// adjustLimit moves the server's concurrency limit after an answer that took rttMs.
+func (b *Balancer) adjustLimit(s *server, rttMs, latencyLimit float64) {
+	switch {
+	case s.latency > latencyLimit:
+		least := 1.0
+		if s.latency > severeOverloadFactor*latencyLimit {
+			least = minLimit
+		}
+		s.limit.Decrease(b.now, rttMs, limitDecrease, least)
+	case s.latency < latencyLimit && float64(len(s.inflight)+2) > s.limit.Size() &&
+		b.fleet.answers > baselineAnswers:
+		s.limit.Increase(b.now)
 	}
-	x /= s.weight
-	b.load = mean(b.load, x, 4*slowSmooth)
-	return x > loadFactor*b.load+1
 }
 
-// rest lets a crowded server miss about one turn of this agent. One that sees it twice a
-// minute cannot follow its crowd by window; but all agents together send it less by the
-// part of them that met it crowded.
-func (b *Balancer) rest(s *server) {
-	s.restUntil = b.now + min(b.gap*float64(len(b.servers)), b.set.Contract.SlowStartMs)*(0.5+b.rng.Float64())
+// adjustKeylessLimit notes the latency of an answer that took rttMs, and adjusts the limit once the
+// baseline is known.
+func (b *Balancer) adjustKeylessLimit(latency, rttMs float64) {
+	b.keyless.recordLatency(latency)
+	if b.fleet.answers > baselineAnswers {
+		limit := min(maxLatencyFraction, overloadLatencyFactor*b.fleet.baselineLatency)
+		b.keyless.adjust(b.now, rttMs, limit, b.inflight)
+	}
 }
 
-// widen moves how many requests without a key this agent may have out in all. They go
-// wherever there is room, so that an agent with few requests to each of many servers learns
-// by all of them together what it learns of none alone: in a crowd each of hundreds of
-// agents would else have one out at every server, and none of these would ever rest.
-func (b *Balancer) widen(x, rtt float64) {
-	b.lately = mean(b.lately, x, smooth/4)
-	switch limit := min(crowdShare, crowdFactor*b.calmLat); {
-	case b.answers <= learnFor:
-	case b.lately > limit && b.now-b.mostAt > rtt:
-		b.most, b.mostAt = max(min(b.most, float64(b.inflight+1))*windowCut, firstWindow), b.now
-	case b.lately < limit && float64(b.inflight+2) > b.most:
-		b.most += 1 / b.most
+// overloaded notes a load report and says whether the server has well more requests in flight, of all
+// agents, than the mean server.
+func (b *Balancer) overloaded(s *server, report []float32) bool {
+	inflight, reported := b.reportFields.Inflight(report)
+	if !reported {
+		return false
 	}
+	inflight /= s.weight
+	b.fleet.reportedLoad = movingAverage(b.fleet.reportedLoad, inflight, reportedLoadWeight)
+	return inflight > overloadedReportFactor*b.fleet.reportedLoad+1
 }
 
-// trickle is the time after which one more request without a key is sent though the window for them is
-// full: what hangs in crowded servers up to its deadline tells nothing meanwhile, neither that they are
-// calm again. All agents together send each server no more than trickleMost so in the least aim.
-func (b *Balancer) trickle() float64 {
-	n := float64(max(len(b.servers), 1))
-	return b.aimMin * max(float64(b.agents())/(trickleMost*n), 1)
+// backoff passes over an overloaded server for about as long as this agent takes to send a request to every
+// server. An agent that sends it two requests a minute cannot adjust a limit by its answers; but all agents
+// together send it less, by the part of them that saw the overload.
+func (b *Balancer) backoff(s *server) {
+	round := b.fleet.sendInterval * float64(len(b.servers))
+	jitter := 0.5 + b.rng.Float64()
+	s.backoffUntil = b.now + min(round, b.settings.Contract.SlowStartMs)*jitter
 }
 
-// calmRise is how fast calm follows longer answer times: hardly, or a crowd would
-// become the measure. An attempt that was alone of its agent tells more the fewer
-// agents there are, as those see most of the load: a lone agent that took quick first
-// answers for calm would leave its servers idle for good.
-func (b *Balancer) calmRise(a *attempt) float64 {
+// baselineRiseWeight returns the weight by which the baseline latency follows longer answer times. It is
+// small, or an overload would become the baseline. An attempt that was the only one of its agent counts
+// more the fewer agents there are: a lone agent whose baseline came from a few fast answers would leave its
+// servers idle for good.
+func (b *Balancer) baselineRiseWeight(a *attempt) float64 {
 	if a.alone {
-		return slowSmooth / min(2*math.Pow(float64(max(b.set.Replicas, 1)), 3), 250)
+		return fleetAverageWeight / min(2*math.Pow(float64(b.replicas()), 3), maxBaselineRiseDivisor)
 	}
-	return slowSmooth / 250
-}
-
-// learn keeps a server's mean answer time.
-func (b *Balancer) learn(s *server, x float64) {
-	s.samples++
-	s.lat = mean(s.lat, x, max(smooth, 1/float64(s.samples)))
+	return fleetAverageWeight / maxBaselineRiseDivisor
 }
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -3,16 +3,18 @@
 // idlePriceFactor scales the price of an open connection to that of a handshake.
 const idlePriceFactor = 100
 
-// hangUp closes the connections to a server that idle where, by its prices, keeping them
-// until the next attempt costs more than opening one: of a thousand agents each would
-// hold some to a third of the servers (i29baa9: 23 points of service).
-func (b *Balancer) hangUp(s *server) {
-	p, n := &b.set.Prices, float64(len(b.servers))
-	gap := s.gap
-	if gap == 0 {
-		gap = b.gap * n
+// closeConnections closes the idle connections to a server where keeping them until its next attempt costs
+// more than opening one. In a large fleet all agents together would keep too many open.
+func (b *Balancer) closeConnections(s *server) {
+	prices := &b.settings.Prices
+	servers := float64(len(b.servers))
+	interval := s.sendInterval
+	if interval == 0 {
+		interval = b.fleet.sendInterval * servers
 	}
-	if len(s.out) == 0 && p.Connection*gap*float64(b.set.Replicas) > idlePriceFactor*n*b.gap*p.Handshake {
-		b.do(Action{Kind: ActionCloseIdle, Server: s.id})
+	keeping := prices.Connection * interval * float64(b.settings.Replicas)
+	opening := idlePriceFactor * servers * b.fleet.sendInterval * prices.Handshake
+	if len(s.inflight) == 0 && keeping > opening {
+		b.emit(Action{Kind: ActionCloseIdle, Server: s.addr})
 	}
 }
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -9,124 +9,192 @@
 )
 
 const (
-	// askGapMs is the mean time between the first polls of all agents, as far as the poll interval allows:
-	// all agents may start at once, and polls that come faster than they are served time out in the queue.
-	askGapMs = 60.0
-	// askLeast and askMost bound the time for all first polls, as parts of the poll interval.
-	askLeast = 1.0 / 8
-	askMost  = 0.8
-	// askAgain is the part of that time after which a first failed poll is repeated, before backoff.
-	askAgain = 0.4
-	// updateTold is the time in milliseconds after which a change counts as notified, whatever polls
+	// firstPollGapMs is the mean time between the first polls of all agents, as far as the poll interval
+	// allows: all agents may start at once, and polls that come faster than they are served time out in the
+	// queue.
+	firstPollGapMs = 60.0
+	// minFirstPollSpread and askMost bound the time for all first polls, as parts of the poll interval.
+	minFirstPollSpread = 1.0 / 8
+	maxFirstPollSpread = 0.8
+	// pollBackoffFraction is the part of that time after which a first failed poll is repeated, before
+	// backoff.
+	pollBackoffFraction = 0.4
+	// updateDeadlineMs is the time in milliseconds after which a change counts as notified, whatever polls
 	// failed.
-	updateTold = 6000.0
-	// queueMs is the time that a poll may wait in the queue of discovery.
-	queueMs = 2000.0
-	// askAgainLeast is the lower bound of the longest backoff, in milliseconds.
-	askAgainLeast = 1000.0
-	// restartMs is the shortest time for which a killed process is away.
-	restartMs = 1000.0
-	// refetchAgents is the number of agents that may each fetch the complete endpoint list once in a poll
-	// interval.
-	refetchAgents = 8.0
+	updateDeadlineMs = 6000.0
+	// discoveryQueueMs is the time that a poll may wait in the queue of discovery.
+	discoveryQueueMs = 2000.0
+	// minPollBackoffMs is the lower bound of the longest backoff, in milliseconds.
+	minPollBackoffMs = 1000.0
+	// minRestartMs is the shortest time for which a killed process is away.
+	minRestartMs = 1000.0
+	// fetchingReplicas is the number of agents that may each fetch the complete endpoint list once in a
+	// poll interval.
+	fetchingReplicas = 8.0
 	// minFetchMs is the shortest time between two fetches of an agent.
 	minFetchMs = 1000
 )
 
-// askSpread is the time over which all agents make their first calls.
-func (b *Balancer) askSpread() float64 {
-	within := b.set.Contract.PollIntervalMs
-	return min(max(askGapMs*float64(b.agents()), askLeast*within), askMost*within)
+// discoveryState remembers the polls of the endpoint list.
+type discoveryState struct {
+	fetchedAt   float64 // last fetch of the complete list
+	failedPolls int     // failed polls in a row
 }
 
-// askAgainMost bounds the pause before discovery is called again: what it had when a call failed counts as
-// told updateTold later, and the next answer has to stand in its queue first. Fewer agents load it less,
-// and come back sooner: behind a change of discovery there is less time.
-func (b *Balancer) askAgainMost() float64 {
-	return min(max(askGapMs*float64(b.agents()), askAgainLeast), updateTold-queueMs)
+// startDiscovery sets the timer of the first poll where the endpoint list is polled. Agents that start
+// together get a slot each, by their index.
+func (b *Balancer) startDiscovery() {
+	if b.settings.DiscoveryMode == discoveryOnRequest {
+		slot := (float64(b.replicaSlot()) + b.rng.Float64()) / float64(b.replicas())
+		spread := b.firstPollSpreadMs()
+		switch b.settings.LastPoll {
+		case PollUnanswered:
+			spread = min(spread, updateDeadlineMs-discoveryQueueMs-minRestartMs)
+		case PollUnknown: // it may have had no answer
+			spread = min(spread, updateDeadlineMs-discoveryQueueMs)
+		}
+		b.emit(Action{Kind: ActionTimer, DurationMs: slot * spread, Token: pollTimerToken})
+	}
+	if float64(b.replicas()) > fetchingReplicas {
+		b.discovery.fetchedAt = b.now // the list is as fresh as the start
+	}
+}
+
+// firstPollSpreadMs returns the time over which all agents make their first polls.
+func (b *Balancer) firstPollSpreadMs() float64 {
+	interval := b.settings.Contract.PollIntervalMs
+	spread := max(firstPollGapMs*float64(b.replicas()), minFirstPollSpread*interval)
+	return min(spread, maxFirstPollSpread*interval)
 }
 
-// agents is the number of agents, as far as told, and at least this one.
-func (b *Balancer) agents() int { return max(b.set.Replicas, 1) }
+// maxPollBackoffMs bounds the backoff before the next poll: a change that was pending when a poll failed
+// has to arrive within updateDeadlineMs, and the next poll may wait in the queue of discovery first. Few
+// agents load discovery less and poll again sooner.
+func (b *Balancer) maxPollBackoffMs() float64 {
+	return min(max(firstPollGapMs*float64(b.replicas()), minPollBackoffMs), updateDeadlineMs-discoveryQueueMs)
+}
+
+// replicas returns the number of agents that share the load, at least this one.
+func (b *Balancer) replicas() int { return max(b.settings.Replicas, 1) }
+
+// replicaSlot returns the agent's index among the replicas.
+func (b *Balancer) replicaSlot() int { return max(b.settings.ReplicaIndex, 0) % b.replicas() }
 
-// refetch asks for the whole list, seldom: the stream of changes is as fresh,
-// and every call loads discovery, the more the more agents there are: failures that all
-// see are no reason for all to ask (herd+vast: 100 lists kept the changes from coming).
-func (b *Balancer) refetch() {
-	least := max(b.set.Contract.PollIntervalMs, minFetchMs)
-	if b.now-b.lookedAt >= least*max(float64(b.agents())/refetchAgents, 1) {
-		b.lookedAt = b.now
-		b.do(Action{Kind: ActionFetchEndpoints})
+// fetchEndpoints fetches the complete endpoint list, at most once in the poll interval, and more seldom the
+// more agents there are: many see the same failure at once, and every fetch loads discovery.
+func (b *Balancer) fetchEndpoints() {
+	interval := max(b.settings.Contract.PollIntervalMs, minFetchMs)
+	if b.now-b.discovery.fetchedAt >= interval*max(float64(b.replicas())/fetchingReplicas, 1) {
+		b.discovery.fetchedAt = b.now
+		b.emit(Action{Kind: ActionFetchEndpoints})
 	}
 }
 
-func (b *Balancer) onList(ev *Event) {
+// onEndpointUpdate applies an update of the endpoint list. A server that is not listed any more is
+// forgotten when no attempt and no health check of it is under way.
+func (b *Balancer) onEndpointUpdate(ev *Event) {
 	if ev.Update == UpdateFailed {
-		b.follows++
-		if b.set.DiscoveryMode == "on_request" {
-			wait := askAgain * b.askSpread() * math.Pow(2, float64(b.follows))
-			wait = min(wait, b.set.Contract.PollIntervalMs, b.askAgainMost())
-			wait *= 0.5 + 0.5*b.rng.Float64()
-			b.do(Action{Kind: ActionTimer, DurationMs: wait, Token: followToken})
-		}
+		b.onPollFailed()
 		return
 	}
 	if ev.Update != UpdateOtherSource {
-		b.follows = 0
+		b.discovery.failedPolls = 0
 	}
-	b.epoch++
-	named := map[Addr]bool{}
+	b.tierEpoch++
+	listed := map[Addr]bool{}
 	for i := range ev.Endpoints {
-		named[ev.Endpoints[i].Server] = true
-		b.update(&ev.Endpoints[i])
+		listed[ev.Endpoints[i].Server] = true
+		b.updateServer(&ev.Endpoints[i])
 	}
 	if ev.Update == UpdateComplete || ev.Update == UpdateCached {
 		for _, s := range b.servers {
-			if !named[s.id] {
-				s.ready, s.usable = false, false
+			if !listed[s.addr] {
+				s.ready = false
+				s.usable = false
 			}
 		}
 	}
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
-		forget := !s.ready && len(s.out) == 0 && !s.probing // a ban may end before the list tells more
+		// A server that is only cordoned stays: that may end before the next update.
+		forget := !s.ready && len(s.inflight) == 0 && !s.checking
 		if forget {
-			delete(b.byAddr, s.id)
+			delete(b.byAddr, s.addr)
 		}
 		return forget
 	})
 	b.placeServers()
 }
 
-func (b *Balancer) update(e *Endpoint) {
-	s, since := b.byAddr[e.Server], min(finite(e.StartedMs), b.now)
+// onPollFailed sets the timer of the next poll, with exponential backoff and jitter.
+func (b *Balancer) onPollFailed() {
+	b.discovery.failedPolls++
+	if b.settings.DiscoveryMode != discoveryOnRequest {
+		return
+	}
+	wait := pollBackoffFraction * b.firstPollSpreadMs() * math.Pow(2, float64(b.discovery.failedPolls))
+	wait = min(wait, b.settings.Contract.PollIntervalMs, b.maxPollBackoffMs())
+	wait *= 0.5 + 0.5*b.rng.Float64()
+	b.emit(Action{Kind: ActionTimer, DurationMs: wait, Token: pollTimerToken})
+}
+
+// updateServer applies one entry of the endpoint list. A later start, or the end of a cordon, is a new
+// process: cordoned servers are restarted meanwhile, whatever start the list has.
+func (b *Balancer) updateServer(e *Endpoint) {
+	s := b.byAddr[e.Server]
+	started := min(nonNegative(e.StartedMs), b.now)
 	if s == nil {
-		s = &server{id: e.Server, hash: mix(hashAddr(e.Server)), state: Unknown, since: b.now,
-			startedAt: since, listedAt: since}
-		s.window.Reset(firstWindow)
-		b.byAddr[s.id] = s
-		s.credit = b.rng.Float64()
-		i, _ := slices.BinarySearchFunc(b.servers, s, func(x, y *server) int {
-			return cmp.Compare(hashAddr(x.id), hashAddr(y.id))
-		})
-		b.servers = slices.Insert(b.servers, i, s)
+		s = b.addServer(e.Server, started)
 	}
-	if lifted := s.banned && !e.Cordoned; since > s.listedAt || lifted {
-		// A new process: nothing known of the old one holds, and it is cold. Banned ones are restarted
-		// meanwhile; whatever the list has told by then, they count as just started.
-		if s.startedAt = since; lifted {
+	if uncordoned := s.cordoned && !e.Cordoned; started > s.listedStart || uncordoned {
+		s.listedStart = started
+		s.startedAt = started
+		if uncordoned {
 			s.startedAt = b.now
 		}
-		s.listedAt = since
-		s.state, s.since, s.silent, s.lostAt = Unknown, b.now, false, 0
-		s.strikes, s.good, s.lat, s.samples, s.load = 0, 0, 0, 0, concurrency.LoadReport{}
-		s.window.Reset(1)
-		// A part of a request by chance: of many agents that never earn a whole one, as
-		// many send one as together earned one (ia9314f: new servers were left idle).
-		s.credit = b.rng.Float64()
+		b.resetServer(s)
 	}
-	s.zone, s.cell, s.ready, s.banned = e.Zone, e.Cell, e.Health == Ready, e.Cordoned
-	s.usable = s.ready && !s.banned
-	if s.weight = finite(e.Weight); s.weight <= 0 {
+	s.zone = e.Zone
+	s.cell = e.Cell
+	s.ready = e.Health == Ready
+	s.cordoned = e.Cordoned
+	s.usable = s.ready && !s.cordoned
+	s.weight = nonNegative(e.Weight)
+	if s.weight <= 0 {
 		s.weight = 1
 	}
 }
+
+// addServer adds a server of which nothing is known but its address and its start.
+func (b *Balancer) addServer(addr Addr, started float64) *server {
+	s := &server{
+		addr:            addr,
+		hash:            mix64(hashAddr(addr)),
+		state:           Unknown,
+		stateSince:      b.now,
+		startedAt:       started,
+		listedStart:     started,
+		slowStartTokens: b.initialSlowStartTokens(),
+	}
+	s.limit.Reset(initialLimit)
+	b.byAddr[addr] = s
+	i, _ := slices.BinarySearchFunc(b.servers, s, func(x, y *server) int {
+		return cmp.Compare(hashAddr(x.addr), hashAddr(y.addr))
+	})
+	b.servers = slices.Insert(b.servers, i, s)
+	return s
+}
+
+// resetServer forgets what is known of a server's former process.
+func (b *Balancer) resetServer(s *server) {
+	s.state = Unknown
+	s.stateSince = b.now
+	s.silent = false
+	s.connectFailedSince = 0
+	s.consecutiveFailures = 0
+	s.successes = 0
+	s.latency = 0
+	s.samples = 0
+	s.loadReport = concurrency.LoadReport{}
+	s.limit.Reset(1)
+	s.slowStartTokens = b.initialSlowStartTokens()
+}
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -1,58 +1,84 @@
 package policy
 
-// Observe takes what others saw of servers, each named once, and lets the states go on:
-// demotion on failure, return through validation by what was served, or by lapse: an
-// Unhealthy server is pending after lapseMs, doubled with each further strike, and a
-// pending one of which nothing is heard ranks as Unknown after as long again.
-func (b *Balancer) Observe(now, lapseMs float64, seen []Evidence) {
-	b.now, b.lapse, b.out = now, lapseMs, b.out[:0]
-	var all Evidence // first the whole, against which each is judged
+// maxObservedSuccesses bounds the served attempts of one observation before they are converted to an
+// integer.
+const maxObservedSuccesses = 1e6
+
+// Observe takes what other agents saw of servers, each named at most once, and moves the states by it. A
+// server is ejected on failure and returns by what was served, or with time: an Unhealthy server is
+// UnhealthyPending after minEjectionMs, doubled with each further consecutive failure, and one that is
+// pending without any evidence becomes Unknown after as long again. It is called instead of Handle, by a
+// caller that sends no requests of its own; its actions are dropped.
+func (b *Balancer) Observe(now, minEjectionMs float64, seen []Evidence) {
+	b.now = now
+	b.minEjectionMs = minEjectionMs
+	b.actions = b.actions[:0]
+	var all Evidence // the sum, against which each server is compared
 	for i := range seen {
-		all.Served += finite(seen[i].Served)
-		all.Failed += finite(seen[i].Failed)
-		all.Rejected += finite(seen[i].Rejected)
+		all.Served += nonNegative(seen[i].Served)
+		all.Failed += nonNegative(seen[i].Failed)
+		all.Rejected += nonNegative(seen[i].Rejected)
 	}
-	b.gainMany(all.Served+all.Rejected, all.Served)
-	b.failing = partOf(b.failing, all.Failed, all.Served, slowSmooth)
+	b.goodput.recordMany(all.Served+all.Rejected, all.Served)
+	b.fleet.failureRate = movingRate(b.fleet.failureRate, all.Failed, all.Served, fleetAverageWeight)
 	for i := range seen {
-		e, s := &seen[i], b.byAddr[seen[i].Server]
-		served, failed, turned := finite(e.Served), finite(e.Failed), finite(e.Rejected)
-		if s == nil || served+failed+turned == 0 {
-			continue
-		}
-		if served+turned > 0 {
-			b.heardFrom(s)
-		}
-		s.failing = partOf(s.failing, failed, served, straySmooth)
-		silent := e.Silent && served+turned == 0
-		switch {
-		case failed > 0 && (served == 0 || !b.stray(s)):
-			if silent && s.lostAt == 0 {
-				s.lostAt = now
-			}
-			b.demote(s, silent)
-		case served > 0:
-			if s.state != Connected {
-				b.enter(s, Connected)
-			}
-			s.forgive(int(min(served, 1e6)))
+		if s := b.byAddr[seen[i].Server]; s != nil {
+			b.observeServer(s, &seen[i])
 		}
 	}
-	b.revalidate()
+	b.revalidateEjected()
 	for _, s := range b.servers {
-		if s.state == UnhealthyPending && now-s.since >= b.holdFor(s) {
-			b.enter(s, Unknown)
+		if s.state == UnhealthyPending && now-s.stateSince >= b.ejectionTime(s) {
+			b.setState(s, Unknown)
+		}
+	}
+}
+
+// observeServer applies the evidence about one server.
+func (b *Balancer) observeServer(s *server, e *Evidence) {
+	served := nonNegative(e.Served)
+	failed := nonNegative(e.Failed)
+	rejected := nonNegative(e.Rejected)
+	if served+failed+rejected == 0 {
+		return
+	}
+	answered := served+rejected > 0
+	if answered {
+		b.recordResponse(s)
+	}
+	s.failureRate = movingRate(s.failureRate, failed, served, failureRateWeight)
+	switch {
+	case failed > 0 && (served == 0 || !b.baselineFailure(s)):
+		silent := e.Silent && !answered
+		if silent && s.connectFailedSince == 0 {
+			s.connectFailedSince = b.now
+		}
+		b.eject(s, silent)
+	case served > 0:
+		if s.state != Connected {
+			b.setState(s, Connected)
 		}
+		s.recordSuccesses(int(min(served, maxObservedSuccesses)))
 	}
 }
 
-// View appends what the module holds of each listed server, in the order of addresses.
+// View appends the state of each listed server to out, in the order of addresses.
 func (b *Balancer) View(now float64, out []View) []View {
 	b.now = now
 	for _, s := range b.servers {
-		out = append(out, View{Server: s.id, State: s.state, StateSinceMs: s.since, StartedMs: s.startedAt,
-			Usable: s.usable, Zone: s.zone, Cell: s.cell, Weight: s.weight, Capacity: b.ramp(s),
-			LoadShare: b.coldShare(s), ConsecutiveFailures: s.strikes})
+		out = append(out, View{
+			Server:              s.addr,
+			State:               s.state,
+			StateSinceMs:        s.stateSince,
+			StartedMs:           s.startedAt,
+			Usable:              s.usable,
+			Zone:                s.zone,
+			Cell:                s.cell,
+			Weight:              s.weight,
+			Capacity:            b.capacity(s),
+			LoadShare:           b.loadShare(s),
+			ConsecutiveFailures: s.consecutiveFailures,
+		})
 	}
 	return out
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -185,7 +185,7 @@
 		last   LastPoll
 		within float64 // s in which each must ask
 	}{
-		{1, PollAnswered, askMost * 10}, {8, PollAnswered, askMost * 10}, {80, PollAnswered, askMost * 10}, {800, PollAnswered, askMost * 10},
+		{1, PollAnswered, maxFirstPollSpread * 10}, {8, PollAnswered, maxFirstPollSpread * 10}, {80, PollAnswered, maxFirstPollSpread * 10}, {800, PollAnswered, maxFirstPollSpread * 10},
 		{1, PollUnknown, 4}, {8, PollUnknown, 4}, {80, PollUnknown, 4}, {800, PollUnknown, 4},
 	} {
 		agents := c.agents
@@ -211,7 +211,7 @@
 			t.Errorf("%d agents: the last followed after %.1f s", agents, last/1000)
 		}
 		each := 2 // one for changes, and one for the whole list, which many must do without
-		if agents > refetchAgents {
+		if agents > fetchingReplicas {
 			each = 1
 		}
 		if n := len(r.asked); n > each*agents {
@@ -298,7 +298,7 @@
 			t.Fatal(err)
 		}
 		a := find(b.Start(0, nil), ActionTimer)
-		if a == nil || !(a.DurationMs >= 0 && a.DurationMs <= askMost*set.Contract.PollIntervalMs) {
+		if a == nil || !(a.DurationMs >= 0 && a.DurationMs <= maxFirstPollSpread*set.Contract.PollIntervalMs) {
 			t.Errorf("agent %d of %d: first call after %+v", x.index, x.replicas, a)
 		}
 	}
@@ -357,7 +357,7 @@
 	f := newFleet(t, set, agents)
 	f.now = 1e6
 	began := f.now
-	mean := f.agents[0].expect[1]
+	mean := f.agents[0].classes.latencyMs[1]
 	sent := map[Addr][]float64{}
 	f.did = func(i int, a *Action) {
 		if a.Kind == ActionForward {
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -1,25 +1,56 @@
 package policy
 
 const (
-	// probeCap bounds the health checks under way, and those saved up.
-	probeCap = 2
-	// probeShare is the number of health checks that a request earns.
-	probeShare = 0.1
+	// maxHealthChecks bounds the health checks under way, and those saved up.
+	maxHealthChecks = 2
+	// healthChecksPerRequest is the number of health checks that a request earns.
+	healthChecksPerRequest = 0.1
 )
 
-func (b *Balancer) onProbed(ev *Event) {
+// healthCheckBudget bounds health checks by the requests that arrive.
+type healthCheckBudget struct {
+	running int
+	tokens  float64 // health checks that may be sent
+}
+
+func newHealthCheckBudget() healthCheckBudget { return healthCheckBudget{tokens: maxHealthChecks} }
+
+func (h *healthCheckBudget) earn() { h.tokens = min(h.tokens+healthChecksPerRequest, maxHealthChecks) }
+
+func (h *healthCheckBudget) available() bool { return h.tokens >= 1 && h.running < maxHealthChecks }
+
+func (h *healthCheckBudget) start() {
+	h.running++
+	h.tokens--
+}
+
+func (h *healthCheckBudget) end() { h.running-- }
+
+// checkHealth sends a health check to a server that is UnhealthyPending, where the deployment permits them
+// and the budget has one left.
+func (b *Balancer) checkHealth(s *server) {
+	pending := s.state == UnhealthyPending && s.usable
+	if pending && b.settings.Limits.HealthChecks && !s.checking && b.healthChecks.available() {
+		s.checking = true
+		b.healthChecks.start()
+		b.emit(Action{Kind: ActionHealthCheck, Server: s.addr})
+	}
+}
+
+// onHealthCheckEnded readmits or ejects the server that was checked. A rejected check changes nothing.
+func (b *Balancer) onHealthCheckEnded(ev *Event) {
 	s := b.byAddr[ev.Server]
-	if s == nil || !s.probing {
+	if s == nil || !s.checking {
 		return
 	}
-	s.probing = false
-	b.probes--
+	s.checking = false
+	b.healthChecks.end()
 	switch {
 	case s.state != UnhealthyPending:
 	case ev.Status == OK:
-		b.heardFrom(s)
-		b.enter(s, Connected)
+		b.recordResponse(s)
+		b.setState(s, Connected)
 	case ev.Status != Rejected && ev.Status != NotStarted:
-		b.demote(s, true)
+		b.eject(s, true)
 	}
 }
--- a/policy/keyhash.go
+++ b/policy/keyhash.go
@@ -7,76 +7,89 @@
 )
 
 const (
-	// keyPart is the part of a server's even share that one part of a split key may bring.
-	keyPart = 0.25
-	// keyMemory is the number of requests counted for each such part before all counts are halved.
-	keyMemory = 2.0
+	// maxKeyShare is the part of a server's even share that one part of a split key may bring.
+	maxKeyShare = 0.25
+	// keyCountsPerPart is the number of requests counted for each such part before all counts are halved.
+	keyCountsPerPart = 2.0
+	// minKeyCount is the count under which a key is forgotten.
+	minKeyCount = 0.5
+	// minUniform keeps the logarithm of a hash finite.
+	minUniform = 1e-18
 )
 
-// spot is where a key's hash starts. A key with more than keyPart of a server's share of
-// this agent's requests is split at random into parts, each with an order of its own: of
-// many agents none has enough in flight for the cap to move a popular key on (ia9314f:
-// one server got 18 times the mean). While little is known each key has two parts.
-func (b *Balancer) spot(key uint64) uint64 {
-	if key == 0 {
-		return 0
-	}
-	all := float64(len(b.servers)) / keyPart
-	b.countKey(key, keyMemory*all)
-	parts := b.keys[key] * all / (b.keyed + all/2)
-	if i := uint64(b.rng.Float64() * math.Ceil(parts)); i > 0 {
-		return mix(key + i)
-	}
-	return key
+// keyPopularity counts the requests of each key. It holds at most keyCountsPerPart/maxKeyShare keys for
+// each server.
+type keyPopularity struct {
+	counts map[uint64]float64
+	total  float64
 }
 
-// countKey counts a request of the key; counts are halved when there are too many.
-func (b *Balancer) countKey(key uint64, most float64) {
-	if b.keyed >= most {
-		b.keyed /= 2
-		for k := range b.keys {
-			if b.keys[k] /= 2; b.keys[k] < 0.5 {
-				delete(b.keys, k)
+func newKeyPopularity() keyPopularity { return keyPopularity{counts: map[uint64]float64{}} }
+
+// count notes a request of the key. All counts are halved first when there are maxTotal.
+func (p *keyPopularity) count(key uint64, maxTotal float64) {
+	if p.total >= maxTotal {
+		p.total /= 2
+		for k := range p.counts {
+			p.counts[k] /= 2
+			if p.counts[k] < minKeyCount {
+				delete(p.counts, k)
 			}
 		}
 	}
-	b.keyed++
-	b.keys[key]++
+	p.total++
+	p.counts[key]++
+}
+
+// hashKey returns the number that is hashed for a request of the key. A key with more than maxKeyShare of a
+// server's share of this agent's requests is split at random into parts, each with an order of servers of
+// its own: where there are many agents none has enough in flight for the bounded load to move a popular key
+// on. While few requests are counted each key has two parts.
+func (b *Balancer) hashKey(key uint64) uint64 {
+	if key == 0 {
+		return 0
+	}
+	maxParts := float64(len(b.servers)) / maxKeyShare
+	b.keys.count(key, keyCountsPerPart*maxParts)
+	parts := b.keys.counts[key] * maxParts / (b.keys.total + maxParts/2)
+	if part := uint64(b.rng.Float64() * math.Ceil(parts)); part > 0 {
+		return mix64(key + part)
+	}
+	return key
 }
 
-// score orders servers by weighted rendezvous hashing: every agent of a zone
-// finds the same order for a key, and a server's share of keys is that of its weight.
+// score orders servers for a request by weighted rendezvous hashing, the lowest first: every agent of a
+// zone finds the same order for a key, and a server's share of the keys is that of its weight. Without a
+// key the order is that of walkOffset.
 func (b *Balancer) score(r *request, s *server) float64 {
-	x := mix(r.spot ^ s.hash)
-	w := s.weight * b.coldShare(s)
-	if s.zone == b.set.Zone {
-		w *= b.own
+	weight := s.weight * b.loadShare(s)
+	if s.zone == b.settings.Zone {
+		weight *= b.locality.weight
 	}
 	if r.key == 0 {
-		return s.ahead / w
+		return s.walkOffset / weight
 	}
-	u := float64(x>>11) / (1 << 53)
-	return -math.Log(u+1e-18) / w
+	uniform := float64(mix64(r.hashKey^s.hash)>>11) / (1 << 53)
+	return -math.Log(uniform+minUniform) / weight
 }
 
-// placeServers gives each server its place in the agent's walk round all of them: requests
-// without a key go to the first on it that has room, so that an agent opens as many
-// connections as it has requests out at once, and not one to every server, each for a
-// handshake. The agents begin their walks one after the other.
+// placeServers sets the walkOffset of each server. Requests without a key go to the first server in that
+// order that has capacity, so that an agent opens as many connections as it has requests in flight at once,
+// and not one to every server. Each agent starts at another server, by its index.
 func (b *Balancer) placeServers() {
-	round := slices.Clone(b.servers)
-	slices.SortFunc(round, func(x, y *server) int { return cmp.Compare(x.hash, y.hash) })
-	from := (float64(max(b.set.ReplicaIndex, 0)%b.agents()) + 0.5) / float64(b.agents())
-	for i, s := range round {
-		s.ahead = (float64(i)+0.5)/float64(len(round)) - from
-		if s.ahead < 0 {
-			s.ahead++
+	ring := slices.Clone(b.servers)
+	slices.SortFunc(ring, func(x, y *server) int { return cmp.Compare(x.hash, y.hash) })
+	start := (float64(b.replicaSlot()) + 0.5) / float64(b.replicas())
+	for i, s := range ring {
+		s.walkOffset = (float64(i)+0.5)/float64(len(ring)) - start
+		if s.walkOffset < 0 {
+			s.walkOffset++
 		}
 	}
 }
 
-// mix is the finalizer of splitmix64.
-func mix(x uint64) uint64 {
+// mix64 is the finalizer of splitmix64.
+func mix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/policy/keyless_test.go
+++ b/policy/keyless_test.go
@@ -72,7 +72,7 @@
 	if _, actions := r.ask(0, 99); find(actions, ActionForward) == nil {
 		t.Error("a request with a key waits")
 	}
-	if again := steady(1000, 30); again < 2*crowded || math.IsInf(r.b.most, 1) {
+	if again := steady(1000, 30); again < 2*crowded || math.IsInf(r.b.keyless.max, 1) {
 		t.Errorf("%d out when all is calm again, %d in the crowd", again, crowded)
 	}
 }
--- a/policy/observe_test.go
+++ b/policy/observe_test.go
@@ -73,12 +73,12 @@
 func TestObserveAssumesRestart(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	r.seen(Evidence{Server: addr(0), Failed: 5, Silent: true})
-	r.now += r.b.set.Contract.OverloadWindowMs + 1
+	r.now += r.b.settings.Contract.OverloadWindowMs + 1
 	r.seen(Evidence{Server: addr(0), Served: 1})
-	if v := r.view(addr(0)); v.Capacity != r.b.set.Contract.SlowStartMinCapacity {
-		t.Errorf("ramp %v, want %v", v.Capacity, r.b.set.Contract.SlowStartMinCapacity)
+	if v := r.view(addr(0)); v.Capacity != r.b.settings.Contract.SlowStartMinCapacity {
+		t.Errorf("ramp %v, want %v", v.Capacity, r.b.settings.Contract.SlowStartMinCapacity)
 	}
-	r.now += r.b.set.Contract.PollIntervalMs + 1 // the list has not borne it out
+	r.now += r.b.settings.Contract.PollIntervalMs + 1 // the list has not borne it out
 	if v := r.view(addr(0)); v.Capacity != 1 {
 		t.Errorf("ramp %v, want 1", v.Capacity)
 	}
@@ -104,7 +104,7 @@
 	for range 3 {
 		r.seen(Evidence{Server: addr(0), Served: 20, Rejected: 180})
 	}
-	if x := r.b.ShedFraction(); x < 0.5 || x > shedMost {
+	if x := r.b.ShedFraction(); x < 0.5 || x > maxShedFraction {
 		t.Errorf("shed %v of a crowd", x)
 	}
 	r.wantState(addr(0), Connected) // crowded is not unhealthy
--- a/policy/outage_test.go
+++ b/policy/outage_test.go
@@ -82,9 +82,9 @@
 		last := map[bool]float64{}
 		left := slices.Repeat([]bool{true}, c.agents)
 		for i := range c.agents {
-			f.agents[i].set.LastPoll = PollAnswered
+			f.agents[i].settings.LastPoll = PollAnswered
 			if i*37%100 < c.stale {
-				f.agents[i].set.LastPoll = PollUnanswered
+				f.agents[i].settings.LastPoll = PollUnanswered
 			}
 		}
 		f.did = func(i int, a *Action) {
@@ -97,7 +97,7 @@
 				return
 			}
 			left[i] = false
-			stale := f.agents[i].set.LastPoll == PollUnanswered
+			stale := f.agents[i].settings.LastPoll == PollUnanswered
 			last[stale] = max(last[stale], at)
 		}
 		for i := range c.agents {
@@ -108,7 +108,7 @@
 		f.until(60_000)
 		t.Logf("%d agents, %d%% restarted, %d%% with no answer before, %v ms for all: these have the list after %.1f s, the others after %.1f s; %d calls a second, %d failed",
 			c.agents, c.restarted, c.stale, c.all, last[true]/1000, last[false]/1000, r.peak(), r.failed)
-		if last[true] == 0 || last[true] > updateTold-restartMs {
+		if last[true] == 0 || last[true] > updateDeadlineMs-minRestartMs {
 			t.Errorf("%d agents, %d%% restarted: the last has the list after %.1f s", c.agents, c.restarted, last[true]/1000)
 		}
 		if bound := max(c.agents/2, 24); r.peak() > bound {
@@ -128,8 +128,8 @@
 		agents, restarted int     // of each hundred
 		all, within       float64 // ms: for one call of each agent; until the last has the list
 	}{
-		{318, 70, 2000, updateTold - restartMs}, {318, 70, 5000, updateTold - restartMs}, {318, 100, 4000, updateTold - restartMs},
-		{30, 100, 3000, updateTold - restartMs}, {6, 100, 2000, updateTold - restartMs}, {318, 70, 8000, 6000}, {800, 70, 8000, 6000}, {318, 100, 8000, 18_000},
+		{318, 70, 2000, updateDeadlineMs - minRestartMs}, {318, 70, 5000, updateDeadlineMs - minRestartMs}, {318, 100, 4000, updateDeadlineMs - minRestartMs},
+		{30, 100, 3000, updateDeadlineMs - minRestartMs}, {6, 100, 2000, updateDeadlineMs - minRestartMs}, {318, 70, 8000, 6000}, {800, 70, 8000, 6000}, {318, 100, 8000, 18_000},
 	} {
 		f := newFleet(t, set, c.agents)
 		r := &line{callMs: c.all / float64(c.agents), patience: 2000, longest: 4700}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -1,118 +1,120 @@
 package policy
 
-import (
-	"math"
-)
+import "math"
 
 const (
-	// maxStrikes bounds the doubling of the ejection time.
-	maxStrikes = 5
-	// strayMost is the failure rate at which a server is an outlier, beyond strayFactor times that of all
-	// servers: connections break, and answers come spoilt, from any server alike.
-	strayMost = 0.2
-	// strayFactor weighs the failure rate of all servers.
-	strayFactor = 1.5
-	// straySmooth is the weight of one attempt in the failure rate of a server.
-	straySmooth = 0.15
+	// maxConsecutiveFailures bounds the doubling of the ejection time.
+	maxConsecutiveFailures = 5
+	// baselineFailureRate is the failure rate that any server may have, beyond that of all servers:
+	// connections break and answers arrive damaged without a fault of the server.
+	baselineFailureRate = 0.2
+	// baselineFailureFactor weighs the failure rate of all servers.
+	baselineFailureFactor = 1.5
+	// failureRateWeight is the weight of one attempt in the failure rate of a server.
+	failureRateWeight = 0.15
 	// silentAnswerTimes is the number of expected answer times after which a server without an answer is
 	// silent; it is divided by its attempts in flight, up to silentMaxAttempts.
 	silentAnswerTimes = 8
 	// silentMaxAttempts bounds that divisor.
 	silentMaxAttempts = 3
-	// forgiveServed is the number of served attempts for each consecutive failure that takes one back.
-	forgiveServed = 16
+	// successesPerFailure is the number of served attempts, for each consecutive failure, that takes one
+	// back.
+	successesPerFailure = 16
 )
 
-// demote makes a server Unhealthy. Failures of one moment count as one strike.
-func (b *Balancer) demote(s *server, silent bool) {
+// eject makes a server Unhealthy. Failures of one moment count as one consecutive failure. silent says that
+// the server gave no answer at all, instead of a bad one.
+func (b *Balancer) eject(s *server, silent bool) {
 	if s.state != Unhealthy {
-		b.enter(s, Unhealthy)
-		if s.silent = silent; silent || !b.stray(s) {
-			s.strikes = min(s.strikes+1, maxStrikes)
-			s.good, s.lat, s.samples = 0, 0, 0
-			s.window.Halve()
+		b.setState(s, Unhealthy)
+		s.silent = silent
+		if silent || !b.baselineFailure(s) {
+			s.consecutiveFailures = min(s.consecutiveFailures+1, maxConsecutiveFailures)
+			s.successes = 0
+			s.latency = 0
+			s.samples = 0
+			s.limit.Halve()
 		}
 	}
-	b.refetch()
+	b.fetchEndpoints()
 }
 
-// holdFor is how long a server stays Unhealthy before it is validated again: one
-// aim for a stray failure, doubled with each further strike. While the others have
-// no room there is none: a server that fails some requests is better than refusing
-// them all. One that answers nothing is not.
-func (b *Balancer) holdFor(s *server) float64 {
-	if (b.scarce || b.stray(s)) && !s.silent {
-		return b.lapse
+// ejectionTime returns for how many milliseconds a server stays Unhealthy before it is validated again: the
+// least latency objective, doubled with each further consecutive failure. There is none for a failure
+// within the baseline, nor while the other servers have no capacity: a server that fails some requests is
+// better than rejecting them all. One that answers nothing is not.
+func (b *Balancer) ejectionTime(s *server) float64 {
+	if (b.capacityScarce || b.baselineFailure(s)) && !s.silent {
+		return b.minEjectionMs
 	}
-	return max(b.aimMin, b.lapse) * float64(int(1)<<max(s.strikes-1, 0))
+	return max(b.minObjectiveMs, b.minEjectionMs) * float64(int(1)<<max(s.consecutiveFailures-1, 0))
 }
 
-// fails counts an attempt's end as a failure, or not, of the server and of them all.
-func (b *Balancer) fails(s *server, x float64) {
-	s.failing += straySmooth * (x - s.failing)
-	b.failing += slowSmooth * (x - b.failing)
+// recordFailure notes the end of an attempt in the failure rates of its server and of all servers: 1 for a
+// failure, 0 for none.
+func (b *Balancer) recordFailure(s *server, failure float64) {
+	s.failureRate += failureRateWeight * (failure - s.failureRate)
+	b.fleet.failureRate += fleetAverageWeight * (failure - b.fleet.failureRate)
 }
 
-// stray tells whether the server fails no more than may happen to any.
-func (b *Balancer) stray(s *server) bool {
-	return s.failing < strayMost+strayFactor*b.failing
+// baselineFailure reports whether the server fails no more of its attempts than any server may.
+func (b *Balancer) baselineFailure(s *server) bool {
+	return s.failureRate < baselineFailureRate+baselineFailureFactor*b.fleet.failureRate
 }
 
-// forgive takes back strikes for n served attempts, and one for silence that has ended.
-func (s *server) forgive(n int) {
+// recordSuccesses takes back consecutive failures for n served attempts, and one for silence that has
+// ended.
+func (s *server) recordSuccesses(n int) {
 	if s.silent {
-		s.silent, s.strikes = false, max(s.strikes-1, 0)
+		s.silent = false
+		s.consecutiveFailures = max(s.consecutiveFailures-1, 0)
 	}
-	if s.good += n; s.good >= forgiveServed*s.strikes {
-		s.good, s.strikes = 0, max(s.strikes-1, 0)
+	s.successes += n
+	if s.successes >= successesPerFailure*s.consecutiveFailures {
+		s.successes = 0
+		s.consecutiveFailures = max(s.consecutiveFailures-1, 0)
 	}
 }
 
-// watchSilence demotes servers that took attempts and have answered nothing for
-// several answer times: hung or gone silent, they would stay Connected.
-func (b *Balancer) watchSilence() {
+// ejectSilent ejects the servers that took attempts and have answered nothing for several answer times. The
+// tick timer calls it.
+func (b *Balancer) ejectSilent() {
 	for _, s := range b.servers {
-		if b.now >= b.silentSince(s) {
-			b.demote(s, true)
+		if b.now >= b.silentAt(s) {
+			b.eject(s, true)
 		}
 	}
 }
 
-// silentSince is when the server counts as silent, if it answers nothing until then.
-func (b *Balancer) silentSince(s *server) float64 {
-	if len(s.out) == 0 || s.state == Unhealthy {
+// silentAt returns the time at which the server counts as silent if it answers nothing until then.
+func (b *Balancer) silentAt(s *server) float64 {
+	if len(s.inflight) == 0 || s.state == Unhealthy {
 		return math.Inf(1)
 	}
-	a := s.out[0]
-	attempts := float64(min(len(s.out), silentMaxAttempts))
-	return max(s.heard, a.sentAt) + b.expected(a.r)*silentAnswerTimes/attempts
+	oldest := s.inflight[0]
+	attempts := float64(min(len(s.inflight), silentMaxAttempts))
+	return max(s.respondedAt, oldest.sentAt) + b.expectedLatency(oldest.request)*silentAnswerTimes/attempts
 }
 
-// silentAt is when the first server does.
-func (b *Balancer) silentAt() float64 {
+// nextSilenceAt returns the time at which the first server counts as silent.
+func (b *Balancer) nextSilenceAt() float64 {
 	at := math.Inf(1)
 	for _, s := range b.servers {
-		at = min(at, b.silentSince(s))
+		at = min(at, b.silentAt(s))
 	}
 	return at
 }
 
-// revalidate is what each request triggers: servers that were Unhealthy long
-// enough are refreshed to pending and validated in the background.
-func (b *Balancer) revalidate() {
+// revalidateEjected makes servers whose ejection time is over UnhealthyPending and has them checked in the
+// background. Each arriving request calls it, and Observe.
+func (b *Balancer) revalidateEjected() {
 	for _, s := range b.servers {
 		// One attempt that hangs must not keep out a server that answers the others.
-		free := len(s.out) == 0 || !s.silent && b.stray(s)
-		if s.state == Unhealthy && s.usable && free && b.now-s.since >= b.holdFor(s) {
-			b.enter(s, UnhealthyPending)
-			b.refetch()
-		}
-		pending := s.state == UnhealthyPending && s.usable
-		if pending && b.set.Limits.HealthChecks && !s.probing && b.mayProbe >= 1 && b.probes < probeCap {
-			s.probing = true
-			b.probes++
-			b.mayProbe--
-			b.do(Action{Kind: ActionHealthCheck, Server: s.id})
+		free := len(s.inflight) == 0 || !s.silent && b.baselineFailure(s)
+		if s.state == Unhealthy && s.usable && free && b.now-s.stateSince >= b.ejectionTime(s) {
+			b.setState(s, UnhealthyPending)
+			b.fetchEndpoints()
 		}
+		b.checkHealth(s)
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -412,12 +412,12 @@
 		set.Report.Names = []string{"util"}
 		r := newRig(t, set, 6)
 		_, home := r.sent(0, 7)
-		r.b.byAddr[home].window.Reset(1) // the two nearest have no room
+		r.b.byAddr[home].limit.Reset(1) // the two nearest have no room
 		r.sent(0, 7)
 		for _, s := range r.b.servers {
-			s.load.Update(r.now, r.b.fields, []float32{util})
-			if len(s.out) > 0 {
-				s.window.Reset(1)
+			s.loadReport.Update(r.now, r.b.reportFields, []float32{util})
+			if len(s.inflight) > 0 {
+				s.limit.Reset(1)
 			}
 		}
 		id, actions := r.ask(0, 7)
@@ -433,11 +433,11 @@
 				}
 				ended = ended || a.Request == id && a.Kind == ActionReject
 			}
-			r.b.patience.QueueLength(r.now-1e6, 0) // the queue has stood for long
+			r.b.queueTimeout.QueueLength(r.now-1e6, 0) // the queue has stood for long
 			for range 3000 {
-				r.b.patience.RequestEnded(false)
+				r.b.queueTimeout.RequestEnded(false)
 			}
-			r.b.calmLat = 0.02
+			r.b.fleet.baselineLatency = 0.02
 		}
 		if util < 0.9 && to == nil {
 			t.Error("given up beside idle servers")
@@ -454,7 +454,7 @@
 	set.FamilyInfo.WarmKeys, set.Objective.Total = true, 1
 	r := newRig(t, set, 1)
 	s := r.b.servers[0]
-	s.window.Reset(1)
+	s.limit.Reset(1)
 	_, to := r.sent(0, 5)
 	cold, _ := r.ask(0, 6)
 	r.now++
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -60,7 +60,7 @@
 func (r *rig) ask(class int, key uint64) (RequestID, []Action) {
 	r.id++
 	if !r.popular {
-		r.b.keys, r.b.keyed = map[uint64]float64{}, keyMemory*float64(len(r.b.servers))/keyPart-1
+		r.b.keys.counts, r.b.keys.total = map[uint64]float64{}, keyCountsPerPart*float64(len(r.b.servers))/maxKeyShare-1
 	}
 	return r.id, r.do(Event{Kind: EventRequest, Request: r.id, Class: class, Key: key, RemainingMs: 600})
 }
@@ -92,7 +92,7 @@
 // tick fires the running timer after ms.
 func (r *rig) tick(ms float64) []Action {
 	r.now += ms
-	return r.do(Event{Kind: EventTimer, Token: tickToken})
+	return r.do(Event{Kind: EventTimer, Token: tickTimerToken})
 }
 
 func TestStateTransitions(t *testing.T) {
@@ -111,7 +111,7 @@
 	if s2 != s {
 		t.Fatalf("key moved from %v to %v without a cause", s, s2)
 	}
-	srv.failing = 0.5 // more than happens to any
+	srv.failureRate = 0.5 // more than happens to any
 	actions := r.outcome(id, 0, s, Error, 5)
 	if srv.state != Unhealthy {
 		t.Fatalf("error: state %d, want Unhealthy", srv.state)
@@ -127,7 +127,7 @@
 	if _, s3 := r.sent(0, 7); s3 == s {
 		t.Error("an Unhealthy server was chosen before the better tier")
 	}
-	r.now += r.b.holdFor(srv) + 1
+	r.now += r.b.ejectionTime(srv) + 1
 	id, s4 := r.sent(0, 7)
 	if srv.state != UnhealthyPending || s4 != s {
 		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", srv.state, s4)
@@ -157,7 +157,7 @@
 	r := newRig(t, set, 3)
 	id, s := r.sent(0, 7)
 	r.outcome(id, 0, s, Error, 5)
-	r.now += 2 * r.b.holdFor(r.b.byAddr[s])
+	r.now += 2 * r.b.ejectionTime(r.b.byAddr[s])
 	_, actions := r.ask(0, 7)
 	if p := find(actions, ActionHealthCheck); p == nil || p.Server != s {
 		t.Fatalf("no probe of the pending server: %+v", actions)
@@ -169,7 +169,7 @@
 	if r.b.byAddr[s].state != Unhealthy {
 		t.Error("a failed probe did not demote")
 	}
-	r.now += 10 * r.b.holdFor(r.b.byAddr[s])
+	r.now += 10 * r.b.ejectionTime(r.b.byAddr[s])
 	r.ask(0, 8)
 	r.do(Event{Kind: EventHealthCheckEnded, Server: s, Status: OK, LatencyMs: 5})
 	if r.b.byAddr[s].state != Connected {
@@ -214,7 +214,7 @@
 	}
 	r.now += 496 // just inside the 500 ms less the margin
 	actions = r.outcome(id, 1, a.Server, Error, 20)
-	if find(actions, ActionForward) != nil || find(actions, ActionFail) == nil && len(r.b.held) == 0 {
+	if find(actions, ActionForward) != nil || find(actions, ActionFail) == nil && len(r.b.queued) == 0 {
 		t.Errorf("a guarded repeat went out after its time: %+v", actions)
 	}
 }
@@ -276,11 +276,11 @@
 // i299663: 69 requests hinted as ten mean ones pushed a cold server over.
 func TestColdServerTakesNoneForSmall(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
-	r.b.meanHint = 50
-	if c := r.b.cost(&request{hint: 1}); c != 1 {
+	r.b.hints.meanArriving = 50
+	if c := r.b.workCost(&request{workHintMs: 1}); c != 1 {
 		t.Errorf("a request hinted small costs %.2f mean ones, want 1", c)
 	}
-	if c := r.b.cost(&request{hint: 200}); c != 4 {
+	if c := r.b.workCost(&request{workHintMs: 200}); c != 4 {
 		t.Errorf("a request hinted at four times the mean costs %.2f, want 4", c)
 	}
 }
@@ -301,8 +301,8 @@
 			r.now += rtt
 			r.outcome(id, 0, s, OK, rtt)
 		}
-		if grown := r.b.calmLat > 0.15; grown != (agents == 1) {
-			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents, r.b.calmLat)
+		if grown := r.b.fleet.baselineLatency > 0.15; grown != (agents == 1) {
+			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents, r.b.fleet.baselineLatency)
 		}
 	}
 }
@@ -314,19 +314,19 @@
 		set := testSettings()
 		set.Replicas = agents
 		r := newRig(t, set, 1)
-		r.b.calmLat = calm
-		return r.b.limit(r.b.byAddr[addr(0)])
+		r.b.fleet.baselineLatency = calm
+		return r.b.latencyLimit(r.b.byAddr[addr(0)])
 	}
 	if one, many := limit(1, 0.01), limit(20, 0.01); one < 0.3 || many > 0.1 {
 		t.Errorf("least limits: %.2f for one agent, want about a third; %.2f for twenty, want little", one, many)
 	}
-	if l := limit(1, 0.9); l != crowdShare {
-		t.Errorf("limit %.2f with a high calm, want %.2f", l, crowdShare)
+	if l := limit(1, 0.9); l != maxLatencyFraction {
+		t.Errorf("limit %.2f with a high calm, want %.2f", l, maxLatencyFraction)
 	}
 	r := newRig(t, testSettings(), 1)
 	r.list(UpdateDelta, Endpoint{Server: addr(1), Health: Ready, Weight: 1, StartedMs: r.now})
-	r.b.calmLat = 0.2
-	if cold, warm := r.b.limit(r.b.byAddr[addr(1)]), r.b.limit(r.b.byAddr[addr(0)]); cold < 2*warm {
+	r.b.fleet.baselineLatency = 0.2
+	if cold, warm := r.b.latencyLimit(r.b.byAddr[addr(1)]), r.b.latencyLimit(r.b.byAddr[addr(0)]); cold < 2*warm {
 		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", cold, warm)
 	}
 }
@@ -334,13 +334,13 @@
 // id08146: agents restarted one by one while the fleet was crowded.
 func TestACrowdAtTheStartIsNotTakenForCalm(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	for range learnFor {
+	for range baselineAnswers {
 		id, s := r.sent(0, uint64(r.b.rng.Int64()))
 		r.now += 270
 		r.outcome(id, 0, s, OK, 270)
 	}
-	if r.b.calmLat > crowdShare/2 {
-		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", r.b.calmLat)
+	if r.b.fleet.baselineLatency > maxLatencyFraction/2 {
+		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", r.b.fleet.baselineLatency)
 	}
 }
 
@@ -355,7 +355,7 @@
 	r.list(UpdateDelta, Endpoint{Server: addr(2), Health: Ready, Weight: 1, StartedMs: r.now})
 	r.b.byAddr[addr(2)].sentAt = 0
 	for i := range 2 {
-		r.b.demote(r.b.byAddr[addr(i)], true)
+		r.b.eject(r.b.byAddr[addr(i)], true)
 	}
 	if _, s := r.sent(0, 9); s != addr(2) {
 		t.Errorf("sent to %v, want the cold server", s)
@@ -367,7 +367,7 @@
 	r := newRig(t, testSettings(), 3)
 	id, s := r.sent(0, 9)
 	r.outcome(id, 0, s, ConnectFailed, 100)
-	r.now += r.b.set.Contract.OverloadWindowMs + 500
+	r.now += r.b.settings.Contract.OverloadWindowMs + 500
 	for key := uint64(9); ; key++ {
 		id, to := r.sent(0, 9)
 		r.now += 20
@@ -379,8 +379,8 @@
 			t.Fatal("the silent server was never checked again")
 		}
 	}
-	if srv := r.b.byAddr[s]; r.b.ramp(srv) >= 0.5 {
-		t.Errorf("a server back from silence is taken for warm: ramp %.2f", r.b.ramp(srv))
+	if srv := r.b.byAddr[s]; r.b.capacity(srv) >= 0.5 {
+		t.Errorf("a server back from silence is taken for warm: ramp %.2f", r.b.capacity(srv))
 	}
 }
 
@@ -407,17 +407,17 @@
 	for _, full := range []bool{false, true} {
 		r := newRig(t, testSettings(), 4)
 		bad := r.b.byAddr[addr(0)]
-		bad.failing = 1
+		bad.failureRate = 1
 		for range 3 {
-			r.b.enter(bad, Connected)
-			r.b.demote(bad, false)
+			r.b.setState(bad, Connected)
+			r.b.eject(bad, false)
 		}
 		if full {
 			for range 40 { // more than the other windows hold
 				r.ask(0, 0)
 			}
 		}
-		r.now += r.b.aimMin + 1
+		r.now += r.b.minObjectiveMs + 1
 		r.ask(0, 0)
 		if tried := bad.state == UnhealthyPending; tried != full {
 			t.Errorf("others full: %v; failing server tried after one aim: %v", full, tried)
@@ -430,19 +430,19 @@
 func TestSingleShotDoesNotCheckAServer(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	bad := r.b.byAddr[addr(0)]
-	r.b.enter(bad, UnhealthyPending)
-	bad.failing = 1
+	r.b.setState(bad, UnhealthyPending)
+	bad.failureRate = 1
 	free, once := 0, 0
 	for range 200 {
 		r.now += 10
 		for class, n := range []*int{&free, &once} {
 			id, s := r.sent(class, uint64(r.b.rng.Int64()))
-			if s == bad.id {
+			if s == bad.addr {
 				*n++
 			}
 			r.outcome(id, 0, s, OK, 5)
-			r.b.enter(bad, UnhealthyPending)
-			bad.failing = 1
+			r.b.setState(bad, UnhealthyPending)
+			bad.failureRate = 1
 		}
 	}
 	if free == 0 || once > 0 {
@@ -457,7 +457,7 @@
 	for range 30 {
 		r.ask(0, 42) // one key: fills its two servers, the rest are held
 	}
-	if len(r.b.held) == 0 {
+	if len(r.b.queued) == 0 {
 		t.Fatal("nothing is held; the test does not test what it says")
 	}
 	free := 0
@@ -481,20 +481,20 @@
 		r.now += 20
 		r.outcome(id, 0, s, OK, 20)
 	}
-	grown := srv.window.Size()
+	grown := srv.limit.Size()
 	for range 200 {
 		if id, actions := r.ask(0, 1); find(actions, ActionForward) != nil {
 			r.now += 140
-			r.outcome(id, 0, srv.id, OK, 140)
+			r.outcome(id, 0, srv.addr, OK, 140)
 		}
 		r.now += 10
 	}
-	if srv.window.Size() >= grown {
-		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, srv.window.Size())
+	if srv.limit.Size() >= grown {
+		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, srv.limit.Size())
 	}
 	// ie9df20: with many agents one attempt of each keeps a tipped server busy.
-	if srv.window.Size() >= 1 {
-		t.Errorf("a tipped server is not left to rest: window %.2f", srv.window.Size())
+	if srv.limit.Size() >= 1 {
+		t.Errorf("a tipped server is not left to rest: window %.2f", srv.limit.Size())
 	}
 }
 
@@ -507,7 +507,7 @@
 	r.outcome(id, 0, s, Cancelled, 200)
 	r.id++
 	r.do(Event{Kind: EventRequest, Request: r.id, Class: 0, Key: 5, RemainingMs: 600, Retry: true})
-	if q := r.b.requests[r.id]; q == nil || q.aimAt-r.now > 101 {
+	if q := r.b.requests[r.id]; q == nil || q.objectiveAt-r.now > 101 {
 		t.Error("a retry was given the whole aim again")
 	}
 }
@@ -613,12 +613,12 @@
 // crowded time became the measure of calm.
 func TestNoWindowGrowsBeforeCalmIsKnown(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	for range learnFor - 1 {
+	for range baselineAnswers - 1 {
 		id, s := r.sent(0, r.b.rng.Uint64())
 		r.now += 20
 		r.outcome(id, 0, s, OK, 20)
-		if w := r.b.byAddr[s].window.Size(); w > firstWindow {
-			t.Fatalf("window %.2f after %.0f answers", w, r.b.answers)
+		if w := r.b.byAddr[s].limit.Size(); w > initialLimit {
+			t.Fatalf("window %.2f after %.0f answers", w, r.b.fleet.answers)
 		}
 	}
 	var ids []RequestID
@@ -635,7 +635,7 @@
 			r.outcome(ids[i], 0, tos[i], OK, 20)
 		}
 	}
-	if w := max(r.b.servers[0].window.Size(), r.b.servers[1].window.Size()); w <= firstWindow {
+	if w := max(r.b.servers[0].limit.Size(), r.b.servers[1].limit.Size()); w <= initialLimit {
 		t.Errorf("no window grew once calm was known: %.2f", w)
 	}
 }
@@ -645,15 +645,15 @@
 	set := testSettings()
 	set.Objective = Objective{Total: 0.5, WorstClass: 0.5}
 	r := newRig(t, set, 2)
-	once, free := &request{class: 1, aimAt: r.now + 500}, &request{class: 0, aimAt: r.now + 500}
+	once, free := &request{class: 1, objectiveAt: r.now + 500}, &request{class: 0, objectiveAt: r.now + 500}
 	for range 500 { // of class 1 all are served, of class 0 none
-		r.b.tally(0)
-		r.b.tally(1)
-		r.b.won[1] += 1 - fade
+		r.b.classes.countRequest(0, r.b.settings.Classes)
+		r.b.classes.countRequest(1, r.b.settings.Classes)
+		r.b.classes.inTimeShare[1] += 1 - shareDecay
 	}
-	with := r.b.value(free) / r.b.value(once)
-	r.b.worst = 1
-	if without := r.b.value(free) / r.b.value(once); with <= without {
+	with := r.b.priority(free) / r.b.priority(once)
+	r.b.classes.worst = 1
+	if without := r.b.priority(free) / r.b.priority(once); with <= without {
 		t.Errorf("the starved class weighs %.2f, when served well %.2f", with, without)
 	}
 }
@@ -664,7 +664,7 @@
 	r := newRig(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
 	own, used, all := 0, map[Addr]bool{}, 600
 	for key := range uint64(all) {
-		id, s := r.sent(0, mix(key+1))
+		id, s := r.sent(0, mix64(key+1))
 		r.outcome(id, 0, s, OK, 20)
 		used[s] = true
 		if r.b.byAddr[s].zone == 0 {
@@ -703,7 +703,7 @@
 	r := newRig(t, testSettings(), 4)
 	r.list(UpdateDelta, Endpoint{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now})
 	cold := r.b.byAddr[addr(4)]
-	first := cold.credit
+	first := cold.slowStartTokens
 	for range 50 {
 		r.now += 5
 		id, actions := r.ask(1, r.b.rng.Uint64())
@@ -711,8 +711,8 @@
 			r.outcome(id, 0, a.Server, Rejected, 1)
 		}
 	}
-	if cold.credit > first || r.b.flow > 0 {
-		t.Errorf("nothing was served, and the cold server has credit %.2f of a flow of %.2f", cold.credit, r.b.flow)
+	if cold.slowStartTokens > first || r.b.slowStart.flow > 0 {
+		t.Errorf("nothing was served, and the cold server has credit %.2f of a flow of %.2f", cold.slowStartTokens, r.b.slowStart.flow)
 	}
 }
 
@@ -751,7 +751,7 @@
 		further := 0
 		for i := range 100 {
 			r.now += 500
-			r.b.tried = 0 // nothing is shed
+			r.b.goodput.ended = 0 // nothing is shed
 			id, s := r.sent(0, r.b.rng.Uint64())
 			if served && i%5 > 0 {
 				r.outcome(id, 0, s, OK, 10)
@@ -765,7 +765,7 @@
 				s, further = a.Server, further+1
 			}
 		}
-		if served && further < 15 || !served && further > int(againMost) {
+		if served && further < 15 || !served && further > int(maxRetryTokens) {
 			t.Errorf("four of five served: %v; %d further attempts", served, further)
 		}
 	}
@@ -803,7 +803,7 @@
 	set.Limits.HealthChecks = true
 	r := newRig(t, set, 6)
 	for i := range 4 {
-		r.b.demote(r.b.byAddr[addr(i)], true)
+		r.b.eject(r.b.byAddr[addr(i)], true)
 	}
 	probes := 0
 	for range 200 {
@@ -882,12 +882,12 @@
 		case "all":
 			ev.LatencyMs = 400
 			for i := range 6 {
-				r.b.byAddr[addr(i)].restUntil = r.now + 5000
+				r.b.byAddr[addr(i)].backoffUntil = r.now + 5000
 			}
 		}
 		r.now += ev.LatencyMs
 		r.do(ev)
-		r.b.byAddr[s].window.Reset(9)
+		r.b.byAddr[s].limit.Reset(9)
 		if _, again := r.sent(0, 7); (again != s) != c.passed {
 			t.Errorf("%s: the key's next request went to %v after %v", c.crowd, again, s)
 		}
@@ -906,7 +906,7 @@
 	id, s := r.sent(0, 7)
 	r.now++
 	r.do(Event{Kind: EventAttemptEnded, Request: id, Server: s, Status: Rejected, LatencyMs: 1})
-	r.b.byAddr[s].window.Reset(9)
+	r.b.byAddr[s].limit.Reset(9)
 	if _, again := r.sent(0, 7); again != s {
 		t.Errorf("the key's next request went to %v after %v", again, s)
 	}
@@ -917,13 +917,13 @@
 func TestCapFollowsWhatIsTurnedAway(t *testing.T) {
 	burst := func(r *rig) int {
 		r.now += 1000
-		r.b.tried, r.b.gained = 10, 10 // nothing is to be shed
+		r.b.goodput.ended, r.b.goodput.earned = 10, 10 // nothing is to be shed
 		n := map[Addr]int{}
 		var ids []RequestID
 		var at []Addr
 		for range 12 {
 			for _, s := range r.b.servers {
-				s.window.Reset(100) // the cap alone is to bound it
+				s.limit.Reset(100) // the cap alone is to bound it
 			}
 			id, actions := r.ask(0, 7)
 			if a := find(actions, ActionForward); a != nil {
@@ -973,8 +973,8 @@
 	r := newRig(t, set, 3)
 	nan, inf := float32(math.NaN()), float32(math.Inf(1))
 	for _, report := range [][]float32{nil, {nan}, {inf}, {-inf}, {-3}} {
-		if s := r.b.servers[0]; r.b.crowded(s, report) || r.b.load != 0 {
-			t.Errorf("report %v: taken for a crowd, or the mean is %v", report, r.b.load)
+		if s := r.b.servers[0]; r.b.overloaded(s, report) || r.b.fleet.reportedLoad != 0 {
+			t.Errorf("report %v: taken for a crowd, or the mean is %v", report, r.b.fleet.reportedLoad)
 		}
 	}
 }
@@ -1026,7 +1026,7 @@
 				r.outcome(id, 0, a.Server, OK, rtt)
 			}
 		}
-		return r.b.own
+		return r.b.locality.weight
 	}
 	if w := weight(0.1, 20); w < 4 {
 		t.Errorf("own zone in time: weight %.1f, want much", w)
@@ -1067,8 +1067,8 @@
 		r.do(Event{Kind: EventRequest, Request: 99, RemainingMs: x, WorkHintMs: x, HasWorkHint: true, Attempt: -1})
 		r.do(Event{Kind: EventAttemptEnded, Request: 99, Attempt: -1, Server: s, Status: OK})
 		for _, srv := range r.b.servers {
-			if w := r.b.score(&request{spot: 3}, srv); math.IsNaN(w) || math.IsNaN(srv.lat) || srv.startedAt > r.now {
-				t.Errorf("%v: server %v has score %v, time %v, start %v", x, srv.id, w, srv.lat, srv.startedAt)
+			if w := r.b.score(&request{hashKey: 3}, srv); math.IsNaN(w) || math.IsNaN(srv.latency) || srv.startedAt > r.now {
+				t.Errorf("%v: server %v has score %v, time %v, start %v", x, srv.addr, w, srv.latency, srv.startedAt)
 			}
 		}
 	}
@@ -1101,18 +1101,18 @@
 		t.Errorf("%d of 600 refused", refused)
 	}
 	for _, s := range r.b.servers {
-		if s.strikes > 2 || !r.b.stray(s) { // chance may put one out now and then
-			t.Errorf("a server that fails as all do has %d strikes", s.strikes)
+		if s.consecutiveFailures > 2 || !r.b.baselineFailure(s) { // chance may put one out now and then
+			t.Errorf("a server that fails as all do has %d strikes", s.consecutiveFailures)
 		}
 	}
 	bad := r.b.servers[0]
-	r.b.scarce = false
+	r.b.capacityScarce = false
 	for range 4 {
-		r.b.fails(bad, 1)
-		r.b.enter(bad, Connected)
-		r.b.demote(bad, false)
+		r.b.recordFailure(bad, 1)
+		r.b.setState(bad, Connected)
+		r.b.eject(bad, false)
 	}
-	if r.b.holdFor(bad) < r.b.aimMin {
+	if r.b.ejectionTime(bad) < r.b.minObjectiveMs {
 		t.Error("a server that fails each time is not put out")
 	}
 }
@@ -1142,7 +1142,7 @@
 		set.Classes[0].LateCredit, set.Classes[0].LatencyObjectiveMs = 0.5, 1000 // so that patience ends later
 		r := newRig(t, set, 1)
 		srv := r.b.byAddr[addr(0)]
-		srv.window.Reset(1)
+		srv.limit.Reset(1)
 		if reached {
 			id, s := r.sent(0, 7)
 			r.outcome(id, 0, s, Rejected, 1)
@@ -1153,7 +1153,7 @@
 			t.Fatal("sent to a server that is not usable")
 		}
 		q := r.b.requests[id]
-		q.wrote = reached
+		q.reachedServer = reached
 		half := (q.deadline - q.arrived) / 2
 		ended := math.Inf(1)
 		for from := r.now; r.now < q.deadline && math.IsInf(ended, 1); {
@@ -1197,8 +1197,8 @@
 	}
 	r.list(UpdateOtherSource, entry(false))
 	s := r.b.byAddr[addr(0)]
-	if s.state != Unknown || r.b.ramp(s) >= 1 || s.window.Size() != 1 {
-		t.Errorf("after the ban: state %v, ramp %v, window %v: not cold", s.state, r.b.ramp(s), s.window.Size())
+	if s.state != Unknown || r.b.capacity(s) >= 1 || s.limit.Size() != 1 {
+		t.Errorf("after the ban: state %v, ramp %v, window %v: not cold", s.state, r.b.capacity(s), s.limit.Size())
 	}
 	if to := sent(400); to[0] == 0 || to[0] >= to[1]/2 {
 		t.Errorf("in the first 4 s after the ban: %v", to)
@@ -1230,33 +1230,33 @@
 	s := r.b.byAddr[addr(0)]
 	for range 100 { // 10 s, with others on the server
 		r.now += 100
-		r.do(Event{Kind: EventTimer, Token: tickToken})
+		r.do(Event{Kind: EventTimer, Token: tickTimerToken})
 		other, out := r.ask(1, 0)
 		if find(out, ActionForward) == nil {
 			t.Fatal("the server is taken")
 		}
 		r.outcome(other, 0, addr(0), OK, 20)
 	}
-	if s.state != Connected || len(s.out) != 0 || r.b.inflight != 0 {
-		t.Errorf("state %v, %d out, %d in flight", s.state, len(s.out), r.b.inflight)
+	if s.state != Connected || len(s.inflight) != 0 || r.b.inflight != 0 {
+		t.Errorf("state %v, %d out, %d in flight", s.state, len(s.inflight), r.b.inflight)
 	}
 	r.do(Event{Kind: EventBodyWritten, Request: id, Attempt: 0, RemainingMs: 600})
 	q := r.b.requests[id]
-	if len(s.out) != 1 || r.b.inflight != 1 || q.deadline < r.now+590 || q.deadline > r.now+600 || q.aimAt != r.now+300 {
-		t.Errorf("written: %d out, deadline in %v, aim in %v", len(s.out), q.deadline-r.now, q.aimAt-r.now)
+	if len(s.inflight) != 1 || r.b.inflight != 1 || q.deadline < r.now+590 || q.deadline > r.now+600 || q.objectiveAt != r.now+300 {
+		t.Errorf("written: %d out, deadline in %v, aim in %v", len(s.inflight), q.deadline-r.now, q.objectiveAt-r.now)
 	}
 	r.do(Event{Kind: EventBodyWritten, Request: id, Attempt: 0, RemainingMs: 600}) // told twice
 	r.outcome(id, 0, addr(0), OK, 20)
-	if len(s.out) != 0 || r.b.inflight != 0 || len(r.b.requests) != 0 {
-		t.Errorf("in the end %d out, %d in flight, %d requests", len(s.out), r.b.inflight, len(r.b.requests))
+	if len(s.inflight) != 0 || r.b.inflight != 0 || len(r.b.requests) != 0 {
+		t.Errorf("in the end %d out, %d in flight, %d requests", len(s.inflight), r.b.inflight, len(r.b.requests))
 	}
 	// One that ends before it is written takes nothing back that it never took.
 	r.id++
 	id = r.id
 	r.do(Event{Kind: EventRequest, Request: id, Class: 1, RemainingMs: 600, StreamedBody: true})
 	r.do(Event{Kind: EventAttemptEnded, Request: id, Attempt: 0, Server: addr(0), Status: NotStarted, Final: true})
-	if len(s.out) != 0 || r.b.inflight != 0 || len(r.b.requests) != 0 {
-		t.Errorf("withdrawn: %d out, %d in flight, %d requests", len(s.out), r.b.inflight, len(r.b.requests))
+	if len(s.inflight) != 0 || r.b.inflight != 0 || len(r.b.requests) != 0 {
+		t.Errorf("withdrawn: %d out, %d in flight, %d requests", len(s.inflight), r.b.inflight, len(r.b.requests))
 	}
 }
 
@@ -1266,13 +1266,13 @@
 		s := testSettings()
 		s.Replicas = 20
 		r := newRig(t, s, 1)
-		for range learnFor + 50 { // calm is known: a fifth of the aim
+		for range baselineAnswers + 50 { // calm is known: a fifth of the aim
 			id, _ := r.ask(1, 0)
 			r.now += 60
 			r.outcome(id, 0, addr(0), OK, 60)
 		}
 		srv := r.b.byAddr[addr(0)]
-		srv.window.Reset(4)
+		srv.limit.Reset(4)
 		var out []RequestID
 		for range crowd {
 			id, actions := r.ask(1, 0)
@@ -1298,7 +1298,7 @@
 				out = append(out, next)
 			}
 		}
-		return srv.window.Size()
+		return srv.limit.Size()
 	}
 	if plenty, scarce := window(1), window(40); plenty >= 4 || scarce < plenty+0.5 {
 		t.Errorf("windows from 4: %.2f with room, %.2f without", plenty, scarce)
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -156,9 +156,9 @@
 			w.handle(Event{Kind: EventTimer, Token: t.token})
 		}
 	}
-	if w.ticking && len(w.b.held) == 0 && w.b.inflight > 0 && w.b.silentAt() > w.now && w.b.tickAt > w.now+1 {
+	if w.ticking && len(w.b.queued) == 0 && w.b.inflight > 0 && w.b.nextSilenceAt() > w.now && w.b.tick.at > w.now+1 {
 		w.ticks++
-		w.handle(Event{Kind: EventTimer, Token: tickToken})
+		w.handle(Event{Kind: EventTimer, Token: tickTimerToken})
 	}
 	for id := RequestID(1); id <= w.next; id++ {
 		r := w.reqs[id]
@@ -251,16 +251,16 @@
 			w.handle(Event{Kind: EventEndpointUpdate, Update: UpdateFailed})
 		}
 	}
-	if n := len(w.b.requests); n != 0 || len(w.b.held) != 0 || w.b.inflight != 0 {
-		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.held), w.b.inflight)
+	if n := len(w.b.requests); n != 0 || len(w.b.queued) != 0 || w.b.inflight != 0 {
+		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.queued), w.b.inflight)
 	}
 	for _, s := range w.b.servers {
-		if len(s.out) != 0 {
-			t.Errorf("seed %d: server %v keeps %d attempts", seed, s.id, len(s.out))
+		if len(s.inflight) != 0 {
+			t.Errorf("seed %d: server %v keeps %d attempts", seed, s.addr, len(s.inflight))
 		}
 	}
-	if len(w.b.pasts) > maxHeld {
-		t.Errorf("seed %d: %d past requests remembered", seed, len(w.b.pasts))
+	if len(w.b.unserved) > maxQueued {
+		t.Errorf("seed %d: %d past requests remembered", seed, len(w.b.unserved))
 	}
 	return w.history
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -6,70 +6,91 @@
 )
 
 const (
-	// unsent is the part of its time after which a request that reached no server is rejected: from half of
-	// it on the client counts the wait as worse than a rejection.
-	unsent = 0.46
-	// hopeless is the part of its hinted answer time that a request must have left to be admitted. It is
-	// below 1 because hints are rough, a recent key saves work, and some servers are faster.
-	hopeless = 0.7
+	// maxQueued bounds the queue, and so the work of one decision.
+	maxQueued = 512
+	// maxDispatchFailures is the number of requests that found no server among all, after which the others
+	// are not tried.
+	maxDispatchFailures = 4
+	// maxUnsentWaitFraction is the part of its time after which a request that reached no server is
+	// rejected: from half of it on the client counts the wait as worse than a rejection.
+	maxUnsentWaitFraction = 0.46
 )
 
-// dispatch sends what is held as far as there is room: the most valuable first,
-// of equals the newest, as under overload the oldest would only end late.
+// dispatch sends the queued requests while there is capacity: those of the highest priority first, of
+// equals the newest, as under overload the oldest would be served too late. Handle calls it after every
+// event.
 func (b *Balancer) dispatch() {
-	for _, r := range b.held {
-		r.value = b.value(r)
-	}
-	slices.SortFunc(b.held, func(x, y *request) int {
-		return cmp.Or(cmp.Compare(y.value, x.value), cmp.Compare(y.arrived, x.arrived),
-			cmp.Compare(x.id, y.id))
-	})
-	// A request that waits for the servers of its key finds no room where the next
-	// does: it is passed over. Of those that take any server a few failures tell.
-	b.scarce = false
-	for i, failures := 0, 0; i < len(b.held) && failures < 4; {
-		r := b.held[i]
-		if b.waits(r) && r.epoch == b.epoch && !b.takes(r.near[0], r) && !b.takes(r.near[1], r) {
-			i++
+	b.sortQueue()
+	b.capacityScarce = false
+	for i, failures := 0, 0; i < len(b.queued) && failures < maxDispatchFailures; {
+		r := b.queued[i]
+		if b.nearestAreFull(r) {
+			i++ // this says nothing about the servers of other keys
 			continue
 		}
-		if s := b.pick(r); s != nil && b.send(r, s) {
-			b.held = slices.Delete(b.held, i, i+1)
+		if s := b.selectServer(r); s != nil && b.send(r, s) {
+			b.queued = slices.Delete(b.queued, i, i+1)
 			continue
 		}
 		i++
-		if !b.waits(r) {
+		if !b.waitsForNearest(r) {
 			failures++
 		}
-		b.scarce = failures > 0
+		b.capacityScarce = failures > 0
 	}
-	b.patience.QueueLength(b.now, len(b.held))
-	for len(b.held) > maxHeld {
-		b.end(b.held[len(b.held)-1])
+	b.queueTimeout.QueueLength(b.now, len(b.queued))
+	for len(b.queued) > maxQueued {
+		b.finishUnserved(b.queued[len(b.queued)-1])
 	}
 }
 
-// expire ends held requests that can no longer earn anything: refused early,
-// before they cost server work.
+// sortQueue orders the queue by priority.
+func (b *Balancer) sortQueue() {
+	for _, r := range b.queued {
+		r.priority = b.priority(r)
+	}
+	slices.SortFunc(b.queued, func(x, y *request) int {
+		return cmp.Or(
+			cmp.Compare(y.priority, x.priority),
+			cmp.Compare(y.arrived, x.arrived),
+			cmp.Compare(x.id, y.id))
+	})
+}
+
+// expire finishes the queued requests that can earn nothing any more, before they cost a server work. The
+// tick timer calls it.
 func (b *Balancer) expire() {
-	patience := b.patience.Fraction(b.now, b.aimMin, b.calmLat)
-	for i := 0; i < len(b.held); {
-		r := b.held[i]
-		r.warm = b.set.FamilyInfo.WarmKeys && b.warmed.Contains(b.now, r.key) // others may have sent it
-		last := r.aimAt
-		if b.set.Classes[r.class].LateCredit > 0 {
-			last = r.deadline
-		}
-		waited := !r.wrote && b.now-r.arrived > unsent*(r.deadline-r.arrived) ||
-			b.now-r.arrived > patience*b.set.Classes[r.class].LatencyObjectiveMs
-		switch late := b.now+b.expected(r) > last || b.now >= r.deadline; {
-		case waited && !late && b.waits(r):
-			r.anywhere = true // before it is given up any server with idle cores may have it
+	timeout := b.queueTimeout.Fraction(b.now, b.minObjectiveMs, b.fleet.baselineLatency)
+	for i := 0; i < len(b.queued); {
+		r := b.queued[i]
+		r.recentKey = b.isRecentKey(r) // another request may have sent the key since
+		late := b.expectedLate(r)
+		timedOut := b.queueTimedOut(r, timeout)
+		switch {
+		case timedOut && !late && b.waitsForNearest(r):
+			r.anyServer = true // any idle server may have it before it is rejected
 			i++
-		case waited || late:
-			b.end(r)
+		case timedOut || late:
+			b.finishUnserved(r)
 		default:
 			i++
 		}
 	}
 }
+
+// expectedLate reports whether an attempt that is sent now would be answered too late to earn anything.
+func (b *Balancer) expectedLate(r *request) bool {
+	latest := r.objectiveAt
+	if b.settings.Classes[r.class].LateCredit > 0 {
+		latest = r.deadline
+	}
+	return b.now+b.expectedLatency(r) > latest || b.now >= r.deadline
+}
+
+// queueTimedOut reports whether the request has waited longer than the timeout, a fraction of its latency
+// objective, or is unsent for too long.
+func (b *Balancer) queueTimedOut(r *request, timeout float64) bool {
+	waitedMs := b.now - r.arrived
+	return !r.reachedServer && waitedMs > maxUnsentWaitFraction*(r.deadline-r.arrived) ||
+		waitedMs > timeout*b.settings.Classes[r.class].LatencyObjectiveMs
+}
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,189 +1,247 @@
 package policy
 
-import (
-	"slices"
-)
+import "slices"
 
-// request is one try of a client, kept until it is answered and no attempt is out.
+// request is a request of the client. It is known until it is answered and none of its attempts is open.
+// Times are in milliseconds of the caller's clock.
 type request struct {
 	id         RequestID
 	class      int
 	tenant     int
-	key        uint64
-	spot       uint64 // the key, or one of its parts
-	hint       float64
-	first      float64 // when the client's first try came, as far as known
-	arrived    float64
-	aimAt      float64
-	deadline   float64 // margin already taken off
-	attempts   []*attempt
-	open       int // attempts out
-	risky      int // attempts that may have run
-	ranAt      float64
-	ranOn      *server
-	near       [keyServers]*server // nearest its key, as of epoch
-	epoch      uint64
-	tierWeight float64 // of the tier at its last pick
-	value      float64
-	flow       int  // of portions
-	warm       bool // its key was sent of late
-	anywhere   bool // has waited its time for its key's servers
-	wrote      bool // an attempt reached a server
-	closed     bool
-	stream     bool // its body is sent as it comes, once
-	started    bool // a streamed answer belongs to the client now
-}
-
-// past is what is remembered of an unserved request, to know its retry.
-type past struct {
-	class int
-	key   uint64
-	first float64
+	key        uint64 // 0: none
+	workHintMs float64
+	flow       int // of the fair share; -1: none
+
+	// Times.
+	arrived      float64
+	firstArrival float64 // when the client's first attempt arrived, as far as known
+	objectiveAt  float64
+	deadline     float64 // with a margin taken off
+
+	// Attempts.
+	attempts       []*attempt
+	openAttempts   int
+	mayHaveRun     int     // attempts that may have run
+	firstRunAt     float64 // when the first of those was sent
+	firstRunServer *server
+	reachedServer  bool
+
+	// Selection.
+	hashKey      uint64 // the key, or one of the parts that it is split into
+	nearest      [nearestServers]*server
+	nearestEpoch uint64  // tierEpoch of nearest
+	tierWeight   float64 // of the tier in which a server was last selected
+	priority     float64
+	recentKey    bool // its key was sent lately
+	anyServer    bool // has waited long enough for the servers nearest its key
+
+	closed          bool // answered
+	streamedBody    bool // its body is forwarded as it arrives, so it can be sent once only
+	responseStarted bool // a part of the answer is with the client
 }
 
+// unservedRequest is what is remembered of a request that was not served, to recognise its retry.
+type unservedRequest struct {
+	class        int
+	key          uint64
+	firstArrival float64
+}
+
+// onRequest queues an arriving request, unless it is rejected at once.
 func (b *Balancer) onRequest(ev *Event) {
-	if ev.Class < 0 || ev.Class >= len(b.set.Classes) || b.requests[ev.Request] != nil {
+	if ev.Class < 0 || ev.Class >= len(b.settings.Classes) || b.requests[ev.Request] != nil {
 		return
 	}
-	c := &b.set.Classes[ev.Class]
-	r := &request{id: ev.Request, class: ev.Class, tenant: ev.Tenant, key: ev.Key,
-		arrived: b.now, first: b.now, stream: ev.StreamedBody}
+	r := b.newRequest(ev)
+	b.requests[r.id] = r
+	b.tenantUsage.count(r.tenant)
+	b.classes.countRequest(r.class, b.settings.Classes)
+	b.classes.updateWorst()
+	b.healthChecks.earn()
+	b.revalidateEjected()
+	b.queued = append(b.queued, r)
+	b.admit(r)
+}
+
+// newRequest returns the request of an event.
+func (b *Balancer) newRequest(ev *Event) *request {
+	r := &request{
+		id:           ev.Request,
+		class:        ev.Class,
+		tenant:       ev.Tenant,
+		key:          ev.Key,
+		arrived:      b.now,
+		firstArrival: b.now,
+		streamedBody: ev.StreamedBody,
+	}
 	if ev.HasWorkHint && ev.WorkHintMs > 0 {
-		r.hint = ev.WorkHintMs
-		b.meanHint = mean(b.meanHint, r.hint, slowSmooth)
+		r.workHintMs = ev.WorkHintMs
+		b.hints.recordArrival(r.workHintMs)
 	}
-	left := max(ev.RemainingMs, 0)
-	r.deadline = b.now + left - min(b.set.BatchIntervalMs, left/4)
+	r.deadline = b.deadlineIn(max(ev.RemainingMs, 0))
 	if ev.Retry {
-		r.first = b.recall(r)
+		r.firstArrival = b.firstArrivalOf(r)
+	}
+	class := &b.settings.Classes[r.class]
+	objectiveAt := r.firstArrival + class.LatencyObjectiveMs + class.ObjectiveStretch*r.workHintMs
+	r.objectiveAt = min(objectiveAt, r.deadline)
+	r.hashKey = b.hashKey(r.key)
+	r.flow = b.flowOf(r)
+	r.recentKey = b.isRecentKey(r)
+	return r
+}
+
+// deadlineIn returns the deadline of a request with so much time left. A margin is taken off for the
+// interval in which the agent handles events.
+func (b *Balancer) deadlineIn(remainingMs float64) float64 {
+	return b.now + remainingMs - min(b.settings.BatchIntervalMs, remainingMs/4)
+}
+
+// onResponseStarted notes that the client has got a part of the answer: the request cannot be retried.
+func (b *Balancer) onResponseStarted(ev *Event) {
+	r := b.requests[ev.Request]
+	if r == nil || r.closed {
+		return
 	}
-	r.aimAt = min(r.first+c.LatencyObjectiveMs+c.ObjectiveStretch*r.hint, r.deadline)
-	r.spot, r.flow = b.spot(r.key), b.flowOf(r)
-	r.warm = b.set.FamilyInfo.WarmKeys && b.warmed.Contains(b.now, r.key)
-	b.requests[r.id] = r
-	b.count(r.tenant)
-	b.tally(r.class)
-	for i := range b.won {
-		if b.won[i]*b.asked[b.worst] < b.won[b.worst]*b.asked[i] {
-			b.worst = i
-		}
+	r.responseStarted = true
+	if ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
+		r.attempts[ev.Attempt].server.respondedAt = b.now
 	}
-	b.mayProbe = min(b.mayProbe+probeShare, probeCap)
-	b.revalidate()
-	b.held = append(b.held, r)
-	if b.levels.Sheds(b.value(r), b.shed(), b.rng.Float64()) && !b.portions.UnderQuota(r.flow) {
-		b.gain(0)
-		b.end(r)
+}
+
+// onBodyWritten starts the time of a streamed request and of its attempt: the server has the last byte now.
+func (b *Balancer) onBodyWritten(ev *Event) {
+	r := b.requests[ev.Request]
+	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].bodyPending {
 		return
 	}
-	// A request whose hinted work cannot fit the aim anywhere would only keep
-	// others waiting: the costly few of a heavy tail.
-	if r.hint > 0 && c.LateCredit == 0 && hopeless*b.hintedTime(r) > r.aimAt-b.now {
-		b.end(r)
+	a := r.attempts[ev.Attempt]
+	a.bodyPending = false
+	a.sentAt = b.now
+	a.alone = len(a.server.inflight) == 0
+	b.addInflight(a)
+	r.arrived = b.now
+	r.firstArrival = b.now
+	r.firstRunAt = b.now
+	r.deadline = b.deadlineIn(ev.RemainingMs)
+	r.objectiveAt = min(b.now+b.settings.Classes[r.class].LatencyObjectiveMs, r.deadline)
+}
+
+// onDeadlineShortened leaves the request less time than announced before.
+func (b *Balancer) onDeadlineShortened(ev *Event) {
+	if r := b.requests[ev.Request]; r != nil {
+		r.deadline = min(r.deadline, b.deadlineIn(ev.RemainingMs))
+		r.objectiveAt = min(r.objectiveAt, r.deadline)
 	}
 }
 
-// onWritten begins a streamed request's time, and its attempt's: the backend has its last byte now.
-func (b *Balancer) onWritten(ev *Event) {
+// onClientDisconnected finishes a request that its client has given up. Only one that was late counts as
+// not served: a client that disconnects sooner is no sign of overload.
+func (b *Balancer) onClientDisconnected(ev *Event) {
 	r := b.requests[ev.Request]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].writing {
+	if r == nil || r.closed {
 		return
 	}
-	a := r.attempts[ev.Attempt]
-	a.writing, a.sentAt, a.alone = false, b.now, len(a.s.out) == 0
-	a.s.out = append(a.s.out, a)
-	b.inflight++
-	r.arrived, r.first = b.now, b.now
-	r.deadline = b.now + ev.RemainingMs - min(b.set.BatchIntervalMs, ev.RemainingMs/4)
-	r.aimAt = min(b.now+b.set.Classes[r.class].LatencyObjectiveMs, r.deadline)
-	r.ranAt = b.now
-}
-
-// end is the guard of all final answers but served ones: a refusal where the
-// class allows the claim that a retry is harmless, else a failure.
-func (b *Balancer) end(r *request) {
-	if r.closed || r.started {
+	b.rememberUnserved(r)
+	if r.openAttempts > 0 && b.now > r.objectiveAt {
+		b.goodput.record(0)
+	}
+	b.finish(r)
+}
+
+// finishUnserved answers a request that is not served: it is rejected where its class permits to say that a
+// retry is harmless, and failed otherwise. After the idempotency window a repeat would run again.
+func (b *Balancer) finishUnserved(r *request) {
+	if r.closed || r.responseStarted {
 		return
 	}
-	b.remember(r)
-	b.patience.RequestEnded(false)
-	c := &b.set.Classes[r.class]
-	// Past the window a repeat of a guarded request would run again.
-	harmless := r.risky == 0 || c.Effect == Idempotent ||
-		c.Effect == IdempotentByKey && c.DedupScope == ScopeAll && b.now-r.ranAt < c.IdempotencyWindowMs
-	b.close(r)
+	b.rememberUnserved(r)
+	b.queueTimeout.RequestEnded(false)
+	class := &b.settings.Classes[r.class]
+	dropsRepeats := class.Effect == IdempotentByKey && class.DedupScope == ScopeAll
+	harmless := r.mayHaveRun == 0 || class.Effect == Idempotent ||
+		dropsRepeats && b.now-r.firstRunAt < class.IdempotencyWindowMs
+	b.finish(r)
 	if harmless {
-		b.do(Action{Kind: ActionReject, Request: r.id, DurationMs: b.set.Limits.MaxRetryAfterMs})
+		b.emit(Action{Kind: ActionReject, Request: r.id, DurationMs: b.settings.Limits.MaxRetryAfterMs})
 	} else {
-		b.do(Action{Kind: ActionFail, Request: r.id})
+		b.emit(Action{Kind: ActionFail, Request: r.id})
 	}
 }
 
-// close forgets a finished request as soon as no attempt of it is out.
-func (b *Balancer) close(r *request) {
+// finish closes a request and cancels its open attempts. It is forgotten when none is open.
+func (b *Balancer) finish(r *request) {
 	r.closed = true
-	if i := slices.Index(b.held, r); i >= 0 {
-		b.held = slices.Delete(b.held, i, i+1)
+	if i := slices.Index(b.queued, r); i >= 0 {
+		b.queued = slices.Delete(b.queued, i, i+1)
 	}
 	for _, a := range r.attempts {
-		if !a.done && b.set.Limits.Cancelling {
-			b.do(Action{Kind: ActionCancel, Request: r.id, Attempt: a.index})
+		if !a.done && b.settings.Limits.Cancelling {
+			b.emit(Action{Kind: ActionCancel, Request: r.id, Attempt: a.index})
 		}
 	}
-	if r.open == 0 {
+	if r.openAttempts == 0 {
 		delete(b.requests, r.id)
 	}
 }
 
-// remember keeps when an unserved request first came, so that its retry is
-// judged by the time that has passed for the client.
-func (b *Balancer) remember(r *request) {
-	if !b.set.Clients.MarksRetry {
+// rememberUnserved remembers when an unserved request first arrived, where clients mark retries: the
+// objective of a retry runs from that time.
+func (b *Balancer) rememberUnserved(r *request) {
+	if !b.settings.Clients.MarksRetry {
 		return
 	}
-	b.pasts = slices.DeleteFunc(b.pasts, func(p past) bool {
-		return b.now-p.first > b.set.Classes[p.class].ClientTimeoutMs
+	b.unserved = slices.DeleteFunc(b.unserved, func(u unservedRequest) bool {
+		return b.now-u.firstArrival > b.settings.Classes[u.class].ClientTimeoutMs
 	})
-	if len(b.pasts) < maxHeld {
-		b.pasts = append(b.pasts, past{r.class, r.key, r.first})
+	if len(b.unserved) < maxQueued {
+		b.unserved = append(b.unserved, unservedRequest{
+			class:        r.class,
+			key:          r.key,
+			firstArrival: r.firstArrival,
+		})
 	}
 }
 
-func (b *Balancer) recall(r *request) float64 {
-	i := slices.IndexFunc(b.pasts, func(p past) bool { return p.class == r.class && p.key == r.key })
+// firstArrivalOf returns when the first attempt of a retry arrived, and forgets it; if it is unknown, when
+// the retry arrived.
+func (b *Balancer) firstArrivalOf(r *request) float64 {
+	i := slices.IndexFunc(b.unserved, func(u unservedRequest) bool {
+		return u.class == r.class && u.key == r.key
+	})
 	if i < 0 {
 		return r.arrived
 	}
-	first := b.pasts[i].first
-	b.pasts = slices.Delete(b.pasts, i, i+1)
-	return first
+	firstArrival := b.unserved[i].firstArrival
+	b.unserved = slices.Delete(b.unserved, i, i+1)
+	return firstArrival
 }
 
-// expected is how long an answer to the request takes, on the mean.
-func (b *Balancer) expected(r *request) float64 {
-	e := b.expect[r.class]
-	if t := b.hintedTime(r); t > 0 {
-		e = max(t, e/4)
+// expectedLatency returns the mean answer time of the request's class or, with a hint, of its work, in ms.
+func (b *Balancer) expectedLatency(r *request) float64 {
+	expected := b.classes.latencyMs[r.class]
+	if hinted := b.hints.predict(r.workHintMs); hinted > 0 {
+		expected = max(hinted, expected/4)
 	}
-	return e
+	return expected
 }
 
-// partOfAim is an answer time as a part of the aim. Where hints tell the work a
-// costly request counts as one of mean work; a small one is not scaled up, as its
-// time is mostly the network's.
-func (b *Balancer) partOfAim(r *request, rtt float64) float64 {
-	x := rtt / b.set.Classes[r.class].LatencyObjectiveMs
-	if r.hint > 0 {
-		x *= min(b.meanHint/r.hint, 1)
-	}
-	return min(x, 2)
+// objectiveFraction returns an answer time as a fraction of the latency objective, at most 2. With hints a
+// costly request counts as one of mean work; a small one is not scaled up, as most of its time is the
+// network's.
+func (b *Balancer) objectiveFraction(r *request, rttMs float64) float64 {
+	fraction := rttMs / b.settings.Classes[r.class].LatencyObjectiveMs
+	if r.workHintMs > 0 {
+		fraction *= min(b.hints.meanArriving/r.workHintMs, 1)
+	}
+	return min(fraction, 2)
 }
 
-// cost is the work of a request in units of the mean one, and never less: hints are
-// rough, and a cold server would be sent the small ones that are not (i299663).
-func (b *Balancer) cost(r *request) float64 {
-	if r.hint > b.meanHint {
-		return r.hint / b.meanHint
+// workCost returns the work of a request in mean requests, and never less than one: hints are rough, and a
+// server in slow start would be sent requests that only look small.
+func (b *Balancer) workCost(r *request) float64 {
+	if r.workHintMs > b.hints.meanArriving {
+		return r.workHintMs / b.hints.meanArriving
 	}
 	return 1
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,56 +3,73 @@
 const (
 	// RetryTokensPerSuccess is the number of retries that a served request earns.
 	RetryTokensPerSuccess = 0.25
-	// againMost bounds the retries saved up. An agent starts with as many.
-	againMost = 4.0
+	// maxRetryTokens bounds the retries saved up. An agent starts with as many.
+	maxRetryTokens = 4.0
 )
 
-// maySend is the guard of all attempts: rules 2, 3 and the limits. Rule 4 is in
-// hasRoom, whose credit every attempt to a cold server is charged in send.
+// retryBudget holds the retries that may be sent. Served requests earn them: while few are served, retries
+// would only multiply the load.
+type retryBudget struct {
+	tokens float64
+}
+
+func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryTokens} }
+
+func (r *retryBudget) earn() { r.tokens = min(r.tokens+RetryTokensPerSuccess, maxRetryTokens) }
+
+func (r *retryBudget) available() bool { return r.tokens >= 1 }
+
+func (r *retryBudget) spend() { r.tokens-- }
+
+// maySend is the check before every attempt, the first and retries: the server is usable, the request is
+// open with time and attempts left, and it may run once more. The limit of a server in slow start is
+// checked by hasCapacity.
 func (b *Balancer) maySend(r *request, s *server) bool {
-	if !s.usable || r.closed || r.started || r.open > 0 || b.now >= r.deadline ||
-		len(r.attempts) >= b.set.Limits.MaxAttempts || r.stream && r.risky > 0 {
+	if !s.usable || r.closed || r.responseStarted || r.openAttempts > 0 || b.now >= r.deadline ||
+		len(r.attempts) >= b.settings.Limits.MaxAttempts || r.streamedBody && r.mayHaveRun > 0 {
 		return false
 	}
 	for _, a := range r.attempts {
-		if a.s == s && len(b.servers) > len(r.attempts) {
-			return false // further attempts go elsewhere
+		if a.server == s && len(b.servers) > len(r.attempts) {
+			return false // a retry goes to another server
 		}
 	}
-	if r.risky == 0 {
-		return true
-	}
-	c := &b.set.Classes[r.class]
-	switch c.Effect {
+	return r.mayHaveRun == 0 || b.mayRunAgain(r, s)
+}
+
+// mayRunAgain reports whether a request that may have run may be sent to the server: an idempotent one to
+// any, one with an idempotency key to those that would drop the repeat, within the idempotency window.
+func (b *Balancer) mayRunAgain(r *request, s *server) bool {
+	class := &b.settings.Classes[r.class]
+	switch class.Effect {
 	case Idempotent:
 		return true
 	case IdempotentByKey:
-		if b.now-r.ranAt > c.IdempotencyWindowMs-2*b.set.BatchIntervalMs {
+		if b.now-r.firstRunAt > class.IdempotencyWindowMs-2*b.settings.BatchIntervalMs {
 			return false
 		}
-		return c.DedupScope == ScopeAll || c.DedupScope == ScopeZone && s.zone == r.ranOn.zone ||
-			c.DedupScope == ScopeCell && s.cell == r.ranOn.cell
+		return class.DedupScope == ScopeAll ||
+			class.DedupScope == ScopeZone && s.zone == r.firstRunServer.zone ||
+			class.DedupScope == ScopeCell && s.cell == r.firstRunServer.cell
 	}
 	return false
 }
 
-// further holds an unanswered request for another server where its class and time
-// allow, and ends it otherwise. Further attempts are earned by served requests: where few
-// are served they would only multiply the load (ia9314f, ifa9784: two to six attempts a
-// request, most turned away).
-func (b *Balancer) further(r *request, why Status) {
-	c := &b.set.Classes[r.class]
-	able := r.risky == 0 || c.Effect == Idempotent || c.Effect == IdempotentByKey
-	earned := b.again >= 1 || why == NotStarted // which reached no server, and costs none
-	if !able || !earned || len(r.attempts) >= b.set.Limits.MaxAttempts || b.now >= r.deadline {
-		if why == Rejected || why == Timeout {
-			b.gain(0) // errors and lost connections tell nothing of crowds
+// retry queues a request whose attempt ended unserved for another attempt, where its class, its time and
+// the retry budget permit, and finishes it otherwise. An attempt that never started costs no token.
+func (b *Balancer) retry(r *request, status Status) {
+	class := &b.settings.Classes[r.class]
+	repeatable := r.mayHaveRun == 0 || class.Effect == Idempotent || class.Effect == IdempotentByKey
+	affordable := b.retryBudget.available() || status == NotStarted
+	if !repeatable || !affordable || len(r.attempts) >= b.settings.Limits.MaxAttempts || b.now >= r.deadline {
+		if status == Rejected || status == Timeout {
+			b.goodput.record(0) // errors and lost connections are no sign of overload
 		}
-		b.end(r)
+		b.finishUnserved(r)
 		return
 	}
-	if why != NotStarted {
-		b.again--
+	if status != NotStarted {
+		b.retryBudget.spend()
 	}
-	b.held = append(b.held, r)
+	b.queued = append(b.queued, r)
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -1,122 +1,179 @@
 package policy
 
-import (
-	"math"
-)
+import "math"
 
 const (
 	// BoundedLoadFactor is the constant c of consistent hashing with bounded loads: how far above its even
 	// share of the agent's attempts a server may go before a request moves on to the next server in hash
 	// order.
 	BoundedLoadFactor = 3.0
-	// leastCap is the lower bound of that factor while servers reject attempts.
-	leastCap = 1.1
-	// turnedWeight is how steeply the factor falls with the part of attempts that are rejected.
-	turnedWeight = 60.0
-	// keyWait is the part of its time to the objective that a request waits for one of the servers
-	// nearest its key before it takes any other.
-	keyWait = 0.25
-	// keyServers is the number of those servers.
-	keyServers = 2
-	// passes is the number of passes over the servers: two for each of the three tiers.
-	passes = 6
+	// minBoundedLoadFactor is the lower bound of that factor while servers reject attempts.
+	minBoundedLoadFactor = 1.1
+	// rejectionWeight is how steeply the factor falls with the part of attempts that are rejected.
+	rejectionWeight = 60.0
+	// nearestWaitFraction is the part of its time to the objective that a request waits for one of the
+	// servers nearest its key before it takes any other.
+	nearestWaitFraction = 0.25
+	// nearestServers is the number of those servers.
+	nearestServers = 2
+)
+
+// healthTier ranks servers for a request by their state. A tier is used if those before it are empty.
+type healthTier int
+
+const (
+	tierHealthy healthTier = iota
+	tierPending
+	tierUnhealthy
+	healthTiers // their number
 )
 
-// rank is the server's tier for the request.
-func (b *Balancer) rank(s *server, r *request) int {
+// candidates are the servers of a tier that may get a request, as collectCandidates found them.
+type candidates struct {
+	servers       []*server
+	nearest       [nearestServers]*server // of servers, by score
+	backoffWeight float64                 // weight of those passed over for their backoff
+}
+
+// tier returns the server's tier for the request.
+func (b *Balancer) tier(s *server, r *request) healthTier {
 	switch s.state {
 	case Unhealthy:
-		return 2
+		return tierUnhealthy
 	case UnhealthyPending:
-		// What must not run twice does not check a server while others are healthy.
-		once := b.set.Classes[r.class].Effect == NonIdempotent && !b.stray(s)
-		if once || b.set.Limits.HealthChecks && b.now-s.since < b.aimMin {
-			return 1
+		// A request that must not run twice does not validate a server while others are healthy.
+		notForValidation := b.settings.Classes[r.class].Effect == NonIdempotent && !b.baselineFailure(s)
+		if notForValidation || b.settings.Limits.HealthChecks && b.now-s.stateSince < b.minObjectiveMs {
+			return tierPending
 		}
 	}
-	return 0
+	return tierHealthy
 }
 
-// pick walks the best tier that has anyone in the order of the key's hash and
-// takes the first server that is under its cap and has room. Only servers that
-// matter are scored, and none are sorted: with hundreds of them that took more than
-// the agent's CPU share.
-func (b *Balancer) pick(r *request) *server {
-	if r.key == 0 && float64(b.inflight) >= b.most && b.now-b.sentAt < b.trickle() {
+// selectServer returns the server for the request's next attempt, or nil if none has capacity: of the best
+// tier that is not empty the first one in the order of the key's hash that is under its bounded load.
+// Servers in backoff come last in their tier, unless most of it is in backoff: then all are overloaded.
+func (b *Balancer) selectServer(r *request) *server {
+	if r.key == 0 && float64(b.inflight) >= b.keyless.max && b.now-b.fleet.sentAt < b.keylessTrickleMs() {
 		return nil
 	}
-	waits := b.waits(r)
-	for pass := range passes {
-		// Of each tier those that rest come last, unless most do: then all are crowded.
-		rank, rest := pass/2, pass%2 == 0
-		tier, resting := b.tier[:0], 0.0
-		r.tierWeight = 0
-		var near [keyServers]*server
-		for _, s := range b.servers {
-			if b.rank(s, r) != rank || !b.maySend(r, s) {
+	for tier := range healthTiers {
+		for _, skipBackoff := range []bool{true, false} {
+			found := b.collectCandidates(r, tier, skipBackoff)
+			if r.tierWeight == 0 {
 				continue
 			}
-			if r.anywhere && !s.load.Idle(b.now, s.window.RecentlyRejected(b.now)) {
+			if skipBackoff && (len(found.servers) == 0 || found.backoffWeight > r.tierWeight/2) {
 				continue
 			}
-			r.tierWeight += s.weight * b.ramp(s)
-			if rest && b.now < s.restUntil {
-				resting += s.weight * b.ramp(s)
-				continue
-			}
-			if !waits && !b.hasRoom(s, r) {
-				continue
-			}
-			s.score = b.score(r, s)
-			tier = append(tier, s)
-			for i, at := 0, s; i < keyServers && at != nil; i++ {
-				if near[i] == nil || at.score < near[i].score {
-					near[i], at = at, near[i]
-				}
-			}
+			return b.firstAccepting(r, &found)
 		}
-		b.tier = tier
-		if r.tierWeight == 0 || rest && (len(tier) == 0 || resting > r.tierWeight/2) {
-			continue // an empty tier passes down
+	}
+	return nil
+}
+
+// collectCandidates finds and scores the servers of the tier that may get the request, and sets the
+// request's tierWeight. Only servers with capacity are scored, and none are sorted: both take time by the
+// number of servers. A request that waits for the servers nearest its key has to know them even without
+// capacity.
+func (b *Balancer) collectCandidates(r *request, tier healthTier, skipBackoff bool) candidates {
+	waits := b.waitsForNearest(r)
+	found := candidates{servers: b.candidateBuffer[:0]}
+	r.tierWeight = 0
+	for _, s := range b.servers {
+		if b.tier(s, r) != tier || !b.maySend(r, s) {
+			continue
 		}
-		if waits && len(tier) > keyServers {
-			r.near, r.epoch = near, b.epoch
-			tier = near[:]
+		if r.anyServer && !s.loadReport.Idle(b.now, s.limit.RecentlyRejected(b.now)) {
+			continue
 		}
-		var best *server
-		for _, s := range tier {
-			if (best == nil || s.score < best.score) && b.takes(s, r) {
-				best = s
-			}
+		weight := s.weight * b.capacity(s)
+		r.tierWeight += weight
+		if skipBackoff && b.now < s.backoffUntil {
+			found.backoffWeight += weight
+			continue
 		}
-		return best
+		if !waits && !b.hasCapacity(s, r) {
+			continue
+		}
+		s.score = b.score(r, s)
+		found.add(s)
 	}
-	return nil
+	b.candidateBuffer = found.servers
+	return found
 }
 
-// waits tells whether the request still waits for the servers nearest its key.
-func (b *Balancer) waits(r *request) bool {
-	return r.key != 0 && !r.anywhere && len(r.attempts) == 0 && b.now-r.arrived < keyWait*(r.aimAt-r.arrived)
+// add appends a scored server and keeps the nearest ones in order.
+func (c *candidates) add(s *server) {
+	c.servers = append(c.servers, s)
+	for i, next := 0, s; i < nearestServers && next != nil; i++ {
+		if c.nearest[i] == nil || next.score < c.nearest[i].score {
+			c.nearest[i], next = next, c.nearest[i]
+		}
+	}
 }
 
-// takes tells whether the server is under its cap in the tier of the request's
-// last pick and has room.
-func (b *Balancer) takes(s *server, r *request) bool {
-	share := s.weight * b.ramp(s) / r.tierWeight
-	c := max(BoundedLoadFactor/(1+turnedWeight*b.turned), leastCap)
-	return float64(len(s.out)) < math.Ceil(c*float64(b.inflight+1)*share) && b.hasRoom(s, r)
+// firstAccepting returns the candidate with the lowest score that accepts the request, or nil. While the
+// request waits for the servers nearest its key, only these are considered.
+func (b *Balancer) firstAccepting(r *request, found *candidates) *server {
+	servers := found.servers
+	if b.waitsForNearest(r) && len(servers) > nearestServers {
+		r.nearest = found.nearest
+		r.nearestEpoch = b.tierEpoch
+		servers = r.nearest[:]
+	}
+	var best *server
+	for _, s := range servers {
+		if (best == nil || s.score < best.score) && b.accepts(s, r) {
+			best = s
+		}
+	}
+	return best
 }
 
-// hasRoom bounds what a server holds of this agent: its window, one at a time
-// until it is validated, and a cold server's credit, also for that one: all agents validate it.
-func (b *Balancer) hasRoom(s *server, r *request) bool {
-	switch {
-	case s.state >= UnhealthyPending && (len(s.out) == 0 || !b.stray(s)):
-		if len(s.out) > 0 {
+// waitsForNearest reports whether the request still waits for the servers nearest its key. Moving on at
+// once would lose what they have cached for the key, and cache it elsewhere, just when capacity is scarce.
+func (b *Balancer) waitsForNearest(r *request) bool {
+	return r.key != 0 && !r.anyServer && len(r.attempts) == 0 &&
+		b.now-r.arrived < nearestWaitFraction*(r.objectiveAt-r.arrived)
+}
+
+// nearestAreFull reports whether the request waits for the servers nearest its key, as they were found when
+// it was last tried to send it, and none of them accepts it.
+func (b *Balancer) nearestAreFull(r *request) bool {
+	if !b.waitsForNearest(r) || r.nearestEpoch != b.tierEpoch {
+		return false
+	}
+	for _, s := range r.nearest {
+		if b.accepts(s, r) {
 			return false
 		}
-	case !s.window.Admits(len(s.out), b.now-s.sentAt, s.rtt):
+	}
+	return true
+}
+
+// accepts reports whether the server has capacity and is under its bounded load in the tier of the
+// request's last selection. While servers reject attempts the bound is lower: they have little capacity
+// beyond it, and a key must move on before its server is full.
+func (b *Balancer) accepts(s *server, r *request) bool {
+	share := s.weight * b.capacity(s) / r.tierWeight
+	factor := max(BoundedLoadFactor/(1+rejectionWeight*b.fleet.rejectionRate), minBoundedLoadFactor)
+	return float64(len(s.inflight)) < math.Ceil(factor*float64(b.inflight+1)*share) && b.hasCapacity(s, r)
+}
+
+// hasCapacity reports whether the server may get one more request of this agent: one at a time until it is
+// validated, then by its concurrency limit; in slow start also by its tokens, even to validate it, as all
+// agents do.
+func (b *Balancer) hasCapacity(s *server, r *request) bool {
+	unvalidated := s.state >= UnhealthyPending && (len(s.inflight) == 0 || !b.baselineFailure(s))
+	switch {
+	case unvalidated && len(s.inflight) > 0:
 		return false
+	case !unvalidated && !s.limit.Admits(len(s.inflight), b.now-s.sentAt, s.meanRTT):
+		return false
+	}
+	if b.capacity(s) == 1 || s.slowStartTokens >= b.workCost(r) {
+		return true
 	}
-	return b.ramp(s) == 1 || s.credit >= b.cost(r) || b.warmWeight() == 0 && b.wakes(s, r)
+	return b.warmWeight() == 0 && b.allowedWhileAllSlowStart(s, r)
 }
--- a/policy/server.go
+++ b/policy/server.go
@@ -1,64 +1,89 @@
 package policy
 
-import (
-	"ringtrack.example/ringtrack/internal/concurrency"
-)
+import "ringtrack.example/ringtrack/internal/concurrency"
 
-// server is what the agent knows of one listed server.
+// server is what the agent knows of one server. Times are in milliseconds of the caller's clock.
 type server struct {
-	id        Addr
-	hash      uint64
-	ahead     float64 // how far on the agent's walk
-	zone      int
-	cell      int
-	weight    float64
-	listedAt  float64 // start of its process by the list
-	startedAt float64 // the same, or later where a restart is assumed
-	ready     bool    // listed as ready
-	banned    bool    // by an operator
-	usable    bool    // ready and not banned
-	state     State
-	since     float64 // when the state was entered
-	silent    bool    // demoted for silence, not for an answer
-	lostAt    float64 // first failed connect since it last answered; 0: none
-	strikes   int     // how often it failed of late; sets the hold
-	good      int     // served since the last change of strikes
-	probing   bool
-	out       []*attempt // attempts out, oldest first
-	heard     float64    // when it last answered anything
-	lat       float64    // mean answer time as a part of the aim
-	samples   int
-	window    concurrency.Limit
-	load      concurrency.LoadReport
-	sentAt    float64 // last attempt
-	gap       float64 // mean time between attempts
-	restUntil float64 // passed over in its tier
-	rtt       float64 // mean answer time
-	failing   float64 // part of its attempts that fail
-	credit    float64 // work a cold server may still be sent
-	score     float64 // place in a request's order; lower is nearer
+	addr       Addr
+	hash       uint64  // of the address
+	walkOffset float64 // 0 to 1: place in the order for requests without a key
+
+	// As listed.
+	zone        int
+	cell        int
+	weight      float64
+	listedStart float64 // start of its process by the endpoint list
+	ready       bool
+	cordoned    bool // an operator wants nothing new there
+	usable      bool // ready and not cordoned
+
+	// Health.
+	state               State
+	stateSince          float64
+	silent              bool    // ejected because it gave no answer at all
+	connectFailedSince  float64 // first failed connect since it last answered; 0: none
+	consecutiveFailures int
+	successes           int // served attempts since consecutiveFailures changed
+	checking            bool
+	failureRate         float64 // part of its attempts that fail
+	respondedAt         float64 // last answer of any kind
+
+	// Load.
+	inflight     []*attempt // oldest first
+	latency      float64    // mean answer time as a fraction of the latency objective
+	samples      int        // answers in latency
+	meanRTT      float64    // mean answer time in ms
+	limit        concurrency.Limit
+	loadReport   concurrency.LoadReport
+	sentAt       float64 // last attempt
+	sendInterval float64 // mean time between attempts, in ms
+	backoffUntil float64 // last in its tier until then
+
+	// Slow start.
+	startedAt       float64 // listedStart, or later where a restart is assumed
+	slowStartTokens float64 // work that may be sent to it, in mean requests
+
+	score float64 // scratch of selectServer: the lowest is the nearest to the request's key
+}
+
+// recordSend notes an attempt that is sent to the server at now.
+func (s *server) recordSend(now float64) {
+	if s.sentAt > 0 {
+		s.sendInterval = movingAverage(s.sendInterval, now-s.sentAt, serverAverageWeight)
+	}
+	s.sentAt = now
+}
+
+// recordLatency notes an answer time as a fraction of the latency objective.
+func (s *server) recordLatency(latency float64) {
+	s.samples++
+	s.latency = movingAverage(s.latency, latency, max(serverAverageWeight, 1/float64(s.samples)))
 }
 
-// enter notes a server's new state and its time; tiers have changed.
-func (b *Balancer) enter(s *server, to State) {
+// setState changes the state of a server.
+func (b *Balancer) setState(s *server, to State) {
 	if s.state > Unknown || to > Unknown {
-		b.epoch++
+		b.tierEpoch++
 	}
-	s.state, s.since = to, b.now
+	s.state = to
+	s.stateSince = b.now
 }
 
-// heardFrom notes an answer. A server that no connect reached for long may be a new
-// process, cold and not yet listed as such: it is ramped as if it had started now.
-// Time-outs alone don't tell: crowded servers would be left to idle (i228a10).
-// Quick answers do not clear it: a cold server is quick while it has little.
-func (b *Balancer) heardFrom(s *server) {
-	if s.lostAt > 0 && b.now-s.lostAt > b.set.Contract.OverloadWindowMs {
-		s.startedAt, s.credit = b.now, 0
-		s.window.Reset(1)
+// recordResponse notes an answer of the server. One that no connect reached for long may be a new process
+// that is not listed as such yet: its slow start begins now. Timeouts alone are no sign of that, an
+// overloaded server has them too. Fast answers do not end the slow start: a server is fast while it has
+// little load.
+func (b *Balancer) recordResponse(s *server) {
+	if s.connectFailedSince > 0 && b.now-s.connectFailedSince > b.settings.Contract.OverloadWindowMs {
+		s.startedAt = b.now
+		s.slowStartTokens = 0
+		s.limit.Reset(1)
 	}
-	s.heard, s.lostAt = b.now, 0
+	s.respondedAt = b.now
+	s.connectFailedSince = 0
 }
 
+// hashAddr returns the address as a number; servers are ordered by it.
 func hashAddr(a Addr) uint64 {
 	h := uint64(0)
 	for _, x := range a {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,6 +2,16 @@
 
 import "fmt"
 
+// Values of Settings.DiscoveryMode.
+const (
+	discoveryPushed    = "pushed"
+	discoveryOnRequest = "on_request"
+)
+
+// priorityByWork is the value of Settings.PriorityUnit for which a priority is not divided by the work of
+// the request.
+const priorityByWork = "work"
+
 // validate reports the first setting that makes no sense, by its key.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
@@ -24,7 +34,7 @@
 			return fmt.Errorf("%s: must not be negative, is %v", at("keyTtlMs"), c.IdempotencyWindowMs)
 		}
 	}
-	if s.DiscoveryMode != "pushed" && s.DiscoveryMode != "on_request" {
+	if s.DiscoveryMode != discoveryPushed && s.DiscoveryMode != discoveryOnRequest {
 		return fmt.Errorf("settings: membershipMode: unknown mode %q", s.DiscoveryMode)
 	}
 	for _, f := range []struct {
--- a/policy/shut_test.go
+++ b/policy/shut_test.go
@@ -76,7 +76,7 @@
 			r.id++
 			return find(r.do(Event{Kind: EventRequest, Request: r.id, RemainingMs: 20_000}), ActionForward) != nil
 		}
-		r.b.most = 3
+		r.b.keyless.max = 3
 		for range 3 {
 			if !ask() {
 				t.Fatal("a window of three has no room for three")
@@ -89,7 +89,7 @@
 				sent, last = sent+1, r.now
 			}
 			longest = max(longest, r.now-last)
-			for _, h := range slices.Clone(r.b.held) { // what waits in vain
+			for _, h := range slices.Clone(r.b.queued) { // what waits in vain
 				r.do(Event{Kind: EventClientDisconnected, Request: h.id})
 			}
 		}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -5,97 +5,130 @@
 )
 
 const (
-	// coldBurst bounds the slow-start tokens that a server saves up, in mean requests. An agent with sparse
-	// traffic saves up to twice as many.
-	coldBurst = 1.0
-	// coldMargin divides the share of a server in slow start: warm servers save up to three quarters of the
-	// work by the keys they know, and the requests of an agent come in bursts.
-	coldMargin = 4.0
-	// slimMargin replaces it for sparse traffic, where chance evens out the bursts of many agents.
-	slimMargin = 2.5
-	// coldSpill is how many times its share an agent with sparse traffic earns a server: tokens for just
-	// the share are often full when none of its keys comes, and missing when one does.
-	coldSpill = 4.0
-	// fewSends is the number of requests to a server during one slow start at which traffic counts as
-	// half sparse.
-	fewSends = 8.0
+	// slowStartBurst bounds the slow-start tokens that a server saves up, in mean requests. An agent with
+	// sparse traffic saves up to twice as many.
+	slowStartBurst = 1.0
+	// slowStartMargin divides the share of a server in slow start: warm servers save up to three quarters
+	// of the work by the keys they know, and the requests of an agent come in bursts.
+	slowStartMargin = 4.0
+	// sparseSlowStartMargin replaces it for sparse traffic, where chance evens out the bursts of many
+	// agents.
+	sparseSlowStartMargin = 2.5
+	// sparseEarnFactor is how many times its share an agent with sparse traffic earns a server: tokens for
+	// just the share are often full when none of its keys comes, and missing when one does.
+	sparseEarnFactor = 4.0
+	// sparseRequestsPerServer is the number of requests to a server during one slow start at which traffic
+	// counts as half sparse.
+	sparseRequestsPerServer = 8.0
 )
 
-// ramp is the part of its capacity that a started server has by the contract.
-func (b *Balancer) ramp(s *server) float64 {
-	c := &b.set.Contract
+// slowStartState is what the tokens of servers in slow start are computed from.
+type slowStartState struct {
+	// flow is the work, in mean requests, served by a server of weight one that is not in slow start, as a
+	// moving sum that decays over the slow-start time.
+	flow   float64
+	flowAt float64 // last change of flow
+
+	// The weight of all healthy servers that are not in slow start, counted once for all decisions of a
+	// time.
+	warmWeight      float64
+	warmWeightAt    float64
+	warmWeightEpoch uint64
+}
+
+// recordServed notes work served by servers of the given total weight.
+func (st *slowStartState) recordServed(now, work, weight, slowStartMs float64) {
+	st.flow = st.flow*math.Exp((st.flowAt-now)/slowStartMs) + work/weight
+	st.flowAt = now
+}
+
+// capacity returns the part of its capacity, 0 to 1, that a server has by the contract: it rises linearly
+// over the slow-start time. A start that was assumed and that the endpoint list does not confirm within a
+// poll interval does not count.
+func (b *Balancer) capacity(s *server) float64 {
+	contract := &b.settings.Contract
 	age := b.now - s.startedAt
-	if s.startedAt <= 0 || age >= c.SlowStartMs || s.startedAt != s.listedAt && age > c.PollIntervalMs {
-		return 1 // long past, or assumed and not borne out by the list in its time
+	unconfirmed := s.startedAt != s.listedStart && age > contract.PollIntervalMs
+	if s.startedAt <= 0 || age >= contract.SlowStartMs || unconfirmed {
+		return 1
 	}
-	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*max(age, 0)/c.SlowStartMs
+	return contract.SlowStartMinCapacity + (1-contract.SlowStartMinCapacity)*max(age, 0)/contract.SlowStartMs
 }
 
-// warmWeight is the weight of the servers of the top tier that are not cold, counted
-// once for all decisions of a moment.
+// warmWeight returns the weight of the servers of the best tier that are not in slow start.
 func (b *Balancer) warmWeight() float64 {
-	if b.warmAt == b.now && b.warmEpoch == b.epoch {
-		return b.warm
+	st := &b.slowStart
+	if st.warmWeightAt == b.now && st.warmWeightEpoch == b.tierEpoch {
+		return st.warmWeight
 	}
-	b.warm, b.warmAt, b.warmEpoch = 0, b.now, b.epoch
+	st.warmWeight = 0
+	st.warmWeightAt = b.now
+	st.warmWeightEpoch = b.tierEpoch
 	for _, s := range b.servers {
-		if s.usable && s.state <= Unknown && b.ramp(s) == 1 {
-			b.warm += s.weight
+		if s.usable && s.state <= Unknown && b.capacity(s) == 1 {
+			st.warmWeight += s.weight
 		}
 	}
-	return b.warm
+	return st.warmWeight
 }
 
-// coldShare is the part of an even share that a server may be sent: of a cold one
-// what keeps the contract, so that its keys move to it as it warms up, instead of
-// waiting for it.
-func (b *Balancer) coldShare(s *server) float64 {
-	if k := b.ramp(s); k < 1 {
-		return k * min(b.set.Contract.OverloadFactor/(coldMargin-(coldMargin-slimMargin)*b.few(s)), 1)
+// loadShare returns the part of an even share that a server may be sent. In slow start it keeps the
+// overload factor of the contract; the keys of the server move to it as it warms up, instead of waiting for
+// it.
+func (b *Balancer) loadShare(s *server) float64 {
+	if capacity := b.capacity(s); capacity < 1 {
+		margin := slowStartMargin - (slowStartMargin-sparseSlowStartMargin)*b.trafficSparsity(s)
+		return capacity * min(b.settings.Contract.OverloadFactor/margin, 1)
 	}
 	return 1
 }
 
-// few tells, from 0 to 1, how much this agent is one of many that send such a server few requests each.
-// Who has sent nothing yet cannot tell.
-func (b *Balancer) few(s *server) float64 {
-	if b.flow <= 0 {
+// trafficSparsity returns from 0, much traffic, to 1 how few requests this agent sends to such a server. An
+// agent with sparse traffic is one of many. It is 0 while nothing was served.
+func (b *Balancer) trafficSparsity(s *server) float64 {
+	if b.slowStart.flow <= 0 {
 		return 0
 	}
-	return 1 / (1 + b.flow*s.weight/fewSends)
+	return 1 / (1 + b.slowStart.flow*s.weight/sparseRequestsPerServer)
 }
 
-// earn keeps each cold server's credit: for all that warm servers have served it may
-// get its share by weight and ramp. Then the servers' shares of all agents together
-// stay in proportion to what they can do, without any agreement. What was only sent
-// does not count: in a crowd it is many times what gets done (ifa9784: 6 attempts a
-// request, most turned away, and 4 times its capacity sent to a cold server).
-func (b *Balancer) earn(s *server, cost float64) {
+// initialSlowStartTokens returns a random part of one request. Of many agents that never earn a complete
+// one as many then send one as together have earned one.
+func (b *Balancer) initialSlowStartTokens() float64 { return b.rng.Float64() }
+
+// earnSlowStartTokens gives the servers in slow start tokens for work that a server out of slow start has
+// served, by their weight and load share: so the shares that all agents send stay in proportion without any
+// coordination. Attempts that are only sent do not count: under overload they are many times what is
+// served.
+func (b *Balancer) earnSlowStartTokens(s *server, work float64) {
 	warm := b.warmWeight()
-	if b.ramp(s) < 1 || warm == 0 {
+	if b.capacity(s) < 1 || warm == 0 {
 		return
 	}
-	b.flow = b.flow*math.Exp((b.flowAt-b.now)/b.set.Contract.SlowStartMs) + cost/warm
-	b.flowAt = b.now
-	for _, o := range b.servers {
-		if b.ramp(o) < 1 {
-			few := b.few(o)
-			earned := (1 + (coldSpill-1)*few) * cost * b.coldShare(o) * o.weight / warm
-			o.credit = min(o.credit+earned, coldBurst*(1+few))
+	b.slowStart.recordServed(b.now, work, warm, b.settings.Contract.SlowStartMs)
+	for _, starting := range b.servers {
+		if b.capacity(starting) < 1 {
+			sparsity := b.trafficSparsity(starting)
+			factor := 1 + (sparseEarnFactor-1)*sparsity
+			earned := factor * work * b.loadShare(starting) * starting.weight / warm
+			starting.slowStartTokens = min(starting.slowStartTokens+earned, slowStartBurst*(1+sparsity))
 		}
 	}
 }
 
-// wakes tells, where all servers are cold, whether one may get the request: as much of this agent as a warm
-// one last got by its share, from the time before its start in which it could fall on, or, as one that has
-// just started cannot know that, one at a time of all agents, by an answer's time and the server's share,
-// each at a moment of its own. Without it such an agent refused all until the first server was warm.
-func (b *Balancer) wakes(s *server, r *request) bool {
-	share, cost := b.coldShare(s), b.cost(r)
-	waited := b.now - max(s.sentAt, s.since-b.set.Contract.OverloadWindowMs)
-	if max(s.credit, 0)+waited*b.flow*s.weight*share/b.set.Contract.SlowStartMs >= cost {
+// allowedWhileAllSlowStart reports whether the server may get the request while all servers are in slow
+// start and none earns tokens. It gets as much of this agent as its share of the recent flow. An agent that
+// has just started and knows no flow sends one request at a time of all agents, by an answer time and the
+// server's share; without that it would reject all until the first server is warm.
+func (b *Balancer) allowedWhileAllSlowStart(s *server, r *request) bool {
+	share := b.loadShare(s)
+	cost := b.workCost(r)
+	contract := &b.settings.Contract
+	waited := b.now - max(s.sentAt, s.stateSince-contract.OverloadWindowMs)
+	earned := waited * b.slowStart.flow * s.weight * share / contract.SlowStartMs
+	if max(s.slowStartTokens, 0)+earned >= cost {
 		return true
 	}
-	gap := float64(b.agents()) * max(b.expected(r), 1) / share
-	return s.credit+(b.now-max(s.sentAt, s.since))/gap >= cost
+	interval := float64(b.replicas()) * max(b.expectedLatency(r), 1) / share
+	return s.slowStartTokens+(b.now-max(s.sentAt, s.stateSince))/interval >= cost
 }
--- a/policy/tick_test.go
+++ b/policy/tick_test.go
@@ -59,9 +59,9 @@
 			break
 		}
 		if e.ev.Token == 99 {
-			r.b.now, r.b.out = r.now, nil
-			r.b.watchSilence()
-			act(r.b.out)
+			r.b.now, r.b.actions = r.now, nil
+			r.b.ejectSilent()
+			act(r.b.actions)
 		} else {
 			act(r.do(e.ev))
 		}
@@ -126,13 +126,13 @@
 		other = addr(0)
 	}
 	r.list(UpdateDelta, Endpoint{Server: other, Health: Ready, Weight: 1, Cordoned: true}) // the attempt has nowhere else to go
-	r.b.calmLat = 0.05
+	r.b.fleet.baselineLatency = 0.05
 	for range 5000 {
-		r.b.patience.RequestEnded(false) // nearly all is refused: a queue that stands has the short wait, 180 ms
+		r.b.queueTimeout.RequestEnded(false) // nearly all is refused: a queue that stands has the short wait, 180 ms
 	}
 	r.now += 400 // over the least aim, by which a queue counts as standing
-	if find(r.outcome(id, 0, s, Rejected, 400), ActionReject) != nil || len(r.b.held) != 1 {
-		t.Fatalf("%d held behind a turn-away", len(r.b.held))
+	if find(r.outcome(id, 0, s, Rejected, 400), ActionReject) != nil || len(r.b.queued) != 1 {
+		t.Fatalf("%d held behind a turn-away", len(r.b.queued))
 	}
 	if find(r.tick(10), ActionReject) != nil {
 		t.Error("given up after 410 ms, as if the queue had stood since the last event")
