--- a/internal/concurrency/loadreport.go
+++ b/internal/concurrency/loadreport.go
@@ -3,64 +3,71 @@
 import "math"
 
 const (
-	// idleUtil is the core use under which a server counts as idle: a little noise and one refresh of the
-	// report's mean lie between this and a server that has none.
-	idleUtil = 0.9
-	// loadMs is how old a report may be to tell that: by then it has usually been refreshed twice.
-	loadMs = 3000.0
+	// idleUtilization is the core utilization under which a server is idle. Noise and the delay of the report
+	// lie between this and a server without a free core.
+	idleUtilization = 0.9
+	// maxReportAgeMs is how old a report may be to count.
+	maxReportAgeMs = 3000.0
+	// absent is the index of a field that reports do not have.
+	absent = -1
 )
 
-// ReportFields says where in a report the values stand that are understood. Values of other names are passed over.
+// ReportFields knows where the values of a load report stand. Values with unknown names are ignored.
 type ReportFields struct {
-	util, inflight int // index, or -1
+	utilization, inflight int // index, or absent
 }
 
-// NewReportFields finds them by the names that the settings list.
+// NewReportFields finds the fields by the names of the values.
 func NewReportFields(names []string) ReportFields {
-	f := ReportFields{util: -1, inflight: -1}
+	fields := ReportFields{utilization: absent, inflight: absent}
 	for i, name := range names {
 		switch name {
 		case "util":
-			f.util = i
+			fields.utilization = i
 		case "inflight":
-			f.inflight = i
+			fields.inflight = i
 		}
 	}
-	return f
+	return fields
 }
 
-// Inflight is the reported number of requests in the server, of all agents, and false where it is not told or
-// makes no sense.
-func (f ReportFields) Inflight(report []float32) (float64, bool) { return value(report, f.inflight) }
+// Inflight returns the number of requests in the server, of all agents, and false if the report has none or it
+// is not valid.
+func (f ReportFields) Inflight(report []float32) (float64, bool) {
+	return reportValue(report, f.inflight)
+}
 
-func value(report []float32, i int) (float64, bool) {
-	if i < 0 || i >= len(report) {
+// reportValue returns a value of a report, and false if it is missing, negative, infinite or NaN.
+func reportValue(report []float32, index int) (float64, bool) {
+	if index < 0 || index >= len(report) {
 		return 0, false
 	}
-	x := float64(report[i])
-	return x, x >= 0 && !math.IsInf(x, 0)
+	value := float64(report[index])
+	return value, value >= 0 && !math.IsInf(value, 0)
 }
 
-// LoadReport is what a server last reported of itself. The zero value has heard nothing.
+// LoadReport is the last load report of a server. The zero value has none.
 type LoadReport struct {
-	util float64
-	at   float64
-	told bool
+	utilization float64
+	updatedAt   float64
+	known       bool
 }
 
-// Update takes the report of an answer. Without core use that makes sense nothing changes.
-func (l *LoadReport) Update(now float64, f ReportFields, report []float32) {
-	if x, ok := value(report, f.util); ok {
-		l.util, l.at, l.told = x, now, true
+// Update takes the report of an answer. One without a valid utilization changes nothing.
+func (l *LoadReport) Update(now float64, fields ReportFields, report []float32) {
+	if utilization, ok := reportValue(report, fields.utilization); ok {
+		l.utilization = utilization
+		l.updatedAt = now
+		l.known = true
 	}
 }
 
-// Idle tells whether the server likely has cores without work: by what it reported lately. One that
-// reports nothing, or not for long, idles unless it has turned attempts away of late, which bounded says. A fresh
-// report is believed as it is: where it lies, the window, which the caller asks anyhow, is what bounds.
-func (l *LoadReport) Idle(now float64, bounded bool) bool {
-	if !l.told || now-l.at > loadMs {
-		return !bounded
+// Idle reports whether the server likely has a free core, by its last report. A server without a report, or
+// with an old one, is idle unless it has rejected attempts lately, which the caller says. A report that is wrong
+// does no harm, as the caller checks the Limit too.
+func (l *LoadReport) Idle(now float64, recentlyRejected bool) bool {
+	if !l.known || now-l.updatedAt > maxReportAgeMs {
+		return !recentlyRejected
 	}
-	return l.util < idleUtil
+	return l.utilization < idleUtilization
 }
--- a/internal/concurrency/recentkeys.go
+++ b/internal/concurrency/recentkeys.go
@@ -1,35 +1,43 @@
 package concurrency
 
-// RecentKeys remembers which keys were lately sent, in bounded memory: at most twice the given number of keys.
+// RecentKeys remembers which keys were sent lately. It holds two generations of at most maxKeys keys each: when
+// the current one is full or older than the span, it becomes the previous one, whose keys are forgotten.
 type RecentKeys struct {
-	spanMs    float64
-	most      int
-	now, last map[uint64]float64 // when a key was sent; the newer and the older half
-	since     float64
+	spanMs            float64
+	maxKeys           int
+	current, previous map[uint64]float64 // when a key was sent
+	currentSince      float64
 }
 
-// NewRecentKeys remembers keys for spanMs, and most of them in each of two halves: one more, and the older half goes.
-func NewRecentKeys(spanMs float64, most int) *RecentKeys {
-	return &RecentKeys{spanMs: spanMs, most: most, now: map[uint64]float64{}, last: map[uint64]float64{}}
+// NewRecentKeys returns a RecentKeys that remembers keys for spanMs, and at most 2*maxKeys of them.
+func NewRecentKeys(spanMs float64, maxKeys int) *RecentKeys {
+	return &RecentKeys{
+		spanMs:   spanMs,
+		maxKeys:  maxKeys,
+		current:  map[uint64]float64{},
+		previous: map[uint64]float64{},
+	}
 }
 
-// Add notes that the key was sent; 0 is no key.
-func (w *RecentKeys) Add(now float64, key uint64) {
+// Add notes that the key was sent. Key 0, which stands for none, is ignored.
+func (r *RecentKeys) Add(now float64, key uint64) {
 	if key == 0 {
 		return
 	}
-	if _, ok := w.now[key]; !ok && len(w.now) >= w.most || now-w.since > w.spanMs {
-		w.now, w.last, w.since = w.last, w.now, now
-		clear(w.now)
+	_, known := r.current[key]
+	if !known && len(r.current) >= r.maxKeys || now-r.currentSince > r.spanMs {
+		r.current, r.previous = r.previous, r.current
+		r.currentSince = now
+		clear(r.current)
 	}
-	w.now[key] = now
+	r.current[key] = now
 }
 
-// Contains tells whether the key was sent within spanMs.
-func (w *RecentKeys) Contains(now float64, key uint64) bool {
-	at, ok := w.now[key]
+// Contains reports whether the key was sent within the span.
+func (r *RecentKeys) Contains(now float64, key uint64) bool {
+	sentAt, ok := r.current[key]
 	if !ok {
-		at, ok = w.last[key]
+		sentAt, ok = r.previous[key]
 	}
-	return ok && now-at < w.spanMs
+	return ok && now-sentAt < r.spanMs
 }
--- a/internal/limits/fairshare.go
+++ b/internal/limits/fairshare.go
@@ -1,55 +1,53 @@
-// Package limits decides how much of what there is goes to whom, and how long one may wait for it: Portions
-// shares out what is served, Levels refuses what is worth least, Patience bounds the wait for room.
-//
-// It has no I/O, no clock, no goroutine and no randomness: times come in as arguments, in milliseconds of one
-// clock that never goes back. Nothing in it is safe for concurrent use.
 package limits
 
-// portionDepth bounds what a flow may save up or owe, in requests: a tenth of a second's worth of a busy
-// agent. Deeper, one that was idle would push all others aside when it returns; shallower, chance decides.
-const portionDepth = 5.0
+// maxBalance bounds what a flow may save up or owe, in requests. With a larger one a flow that was idle would
+// displace all others when it returns; with a smaller one chance would decide.
+const maxBalance = 5.0
 
-// FairShare shares out what is served over flows, by weighted max-min fairness: a flow that asks for less
-// than its weight gives it is served all, and what it leaves goes to the others by their weights. It is deficit
-// round robin (Shreedhar and Varghese, 1995) on what was served, not on what was asked, so that clients
-// that try again get no more than others, and needs neither rates nor a clock: who was served pays one,
-// which all that have not saved up portionDepth share.
+// underQuotaBalance is the balance from which a flow is well under its quota.
+const underQuotaBalance = 0.8 * maxBalance
+
+// FairShare divides what is served among flows by weighted max-min fairness: a flow that requests less than its
+// weight gives it is served all, and what it does not use goes to the others by their weights. It is deficit
+// round robin (Shreedhar and Varghese, 1995) on what was served, not on what was requested, so that clients
+// that retry get no more than others. It needs neither rates nor a clock: a flow that was served pays one
+// request, which is divided among all flows that have not saved up maxBalance.
 type FairShare struct {
-	due []float64
+	balances []float64
 }
 
-// NewFairShare makes so many flows, of which none has anything due.
-func NewFairShare(flows int) *FairShare { return &FairShare{due: make([]float64, flows)} }
+// NewFairShare returns a FairShare of so many flows, with nothing saved up.
+func NewFairShare(flows int) *FairShare { return &FairShare{balances: make([]float64, flows)} }
 
-// Served charges the flow one request. weights are the flows', one each, of any scale; what is negative or no
-// number counts as 0. A flow that does not exist charges nobody. It takes time by the number of flows.
-func (p *FairShare) Served(flow int, weights []float64) {
-	if flow < 0 || flow >= len(p.due) || len(weights) != len(p.due) {
+// Served charges the flow one request. weights has one value for each flow, of any scale; one that is negative
+// or NaN counts as 0. A flow that does not exist is ignored. It takes time by the number of flows.
+func (f *FairShare) Served(flow int, weights []float64) {
+	if flow < 0 || flow >= len(f.balances) || len(weights) != len(f.balances) {
 		return
 	}
-	p.due[flow] = max(p.due[flow]-1, -portionDepth)
-	open := 0.0
-	for i, due := range p.due {
-		if w := weights[i]; due < portionDepth && w > 0 {
-			open += w
+	f.balances[flow] = max(f.balances[flow]-1, -maxBalance)
+	total := 0.0
+	for i, balance := range f.balances {
+		if weight := weights[i]; balance < maxBalance && weight > 0 {
+			total += weight
 		}
 	}
-	if !(open > 0) {
+	if !(total > 0) {
 		return
 	}
-	for i := range p.due {
-		if w := weights[i]; p.due[i] < portionDepth && w > 0 {
-			p.due[i] = min(p.due[i]+w/open, portionDepth)
+	for i := range f.balances {
+		if weight := weights[i]; f.balances[i] < maxBalance && weight > 0 {
+			f.balances[i] = min(f.balances[i]+weight/total, maxBalance)
 		}
 	}
 }
 
-// OverQuota tells whether the flow has been served its portion and more.
-func (p *FairShare) OverQuota(flow int) bool {
-	return flow >= 0 && flow < len(p.due) && p.due[flow] < 0
+// OverQuota reports whether the flow was served more than its quota.
+func (f *FairShare) OverQuota(flow int) bool {
+	return flow >= 0 && flow < len(f.balances) && f.balances[flow] < 0
 }
 
-// UnderQuota tells whether the flow has been served well under its portion.
-func (p *FairShare) UnderQuota(flow int) bool {
-	return flow >= 0 && flow < len(p.due) && p.due[flow] >= 0.8*portionDepth
+// UnderQuota reports whether the flow was served well under its quota.
+func (f *FairShare) UnderQuota(flow int) bool {
+	return flow >= 0 && flow < len(f.balances) && f.balances[flow] >= underQuotaBalance
 }
--- a/internal/limits/loadshedder.go
+++ b/internal/limits/loadshedder.go
@@ -3,56 +3,72 @@
 import "math"
 
 const (
-	// levelsOf is how many of the last requests give the levels: enough for steps of one or two in a hundred, few
-	// enough to follow within a second or two what a light agent is asked.
-	levelsOf = 64
-	// rowLeast and dueMost bound a row of refused requests: there are that many, and of the row the part would
-	// have let pass dueMost. By chance alone 7 in 100 rows are as long where four in five are refused; requests of
-	// little worth come in rows, too, but hardly ever so many.
-	rowLeast, dueMost = 12, 2.4
+	// comparedRequests is the number of requests whose priorities a new one is compared with: enough for steps
+	// of one or two in a hundred, few enough to follow changes within seconds where few requests arrive.
+	comparedRequests = 64
+	// minShedRun is the least number of requests shed in a row before one is admitted whatever its priority.
+	minShedRun = 12
+	// maxOmittedAdmissions is the number of requests of such a row that would have been admitted by the
+	// fraction alone. By chance few rows get so long.
+	maxOmittedAdmissions = 2.4
+	// omittedTolerance allows for rounding in the sum of omitted admissions.
+	omittedTolerance = 1e-9
 )
 
-// LoadShedder refuses the part of the requests that are worth least, by what the last ones were worth: admission by
-// priority as in DAGOR (Zhou et al., SoCC 2018), with the levels taken from the requests themselves. What they are
-// worth moves meanwhile: while it falls each request is worth less than all before it, and by its level alone none
-// would pass. Therefore at most max(rowLeast, dueMost/(1-part)) are refused in a row, whatever they are worth: who
-// lets nothing pass learns nothing, and never has reason to refuse less. The zero value has seen none.
+// LoadShedder sheds a fraction of the requests, those of the lowest priority: admission by priority as in DAGOR
+// (Zhou et al., SoCC 2018), with the threshold taken from the priorities of the last requests. While priorities
+// fall every request is lower than all before it, and by the threshold alone none would be admitted. Therefore
+// at most max(minShedRun, maxOmittedAdmissions/(1-fraction)) are shed in a row: with nothing admitted nothing
+// would be learned that ends the shedding. The zero value has seen no requests.
 type LoadShedder struct {
-	worth [levelsOf]float64
-	seen  int
-	row   int     // requests refused in a row
-	due   float64 // how many of them the part would have let pass
+	priorities        [comparedRequests]float64
+	seen              int
+	shedRun           int     // requests shed in a row
+	omittedAdmissions float64 // how many of them the fraction would have admitted
 }
 
-// Sheds notes a request's worth and tells whether it is among the given part, 0 to 1, that is worth least. Of
-// requests of like worth chance, 0 to 1, decides. A worth that is no number counts as the least.
-func (l *LoadShedder) Sheds(worth, part, chance float64) bool {
-	if math.IsNaN(worth) {
-		worth = math.Inf(-1)
+// Sheds notes a request's priority and reports whether to shed it, where the given fraction, 0 to 1, is to be
+// shed. Of requests with equal priority chance decides, a random number from 0 to 1. A priority of NaN is the
+// lowest.
+func (l *LoadShedder) Sheds(priority, fraction, chance float64) bool {
+	if math.IsNaN(priority) {
+		priority = math.Inf(-1)
 	}
-	n := min(l.seen, levelsOf)
-	less, same := 0.0, 0.0
-	if part > 0 {
-		for _, w := range l.worth[:n] {
-			switch {
-			case w < worth:
-				less++
-			case w == worth:
-				same++
-			}
-		}
-	}
-	l.worth[l.seen%levelsOf] = worth
-	l.seen++
-	if l.seen == 2*levelsOf {
-		l.seen = levelsOf
+	compared := min(l.seen, comparedRequests)
+	lower, equal := 0.0, 0.0
+	if fraction > 0 {
+		lower, equal = l.compare(priority, compared)
 	}
-	let := l.row >= rowLeast && l.due >= dueMost-1e-9
-	if part > 0 && !let && less+chance*(same+1) < part*float64(n+1) {
-		l.row++
-		l.due += max(1-part, 0)
+	l.add(priority)
+	longRun := l.shedRun >= minShedRun && l.omittedAdmissions >= maxOmittedAdmissions-omittedTolerance
+	if fraction > 0 && !longRun && lower+chance*(equal+1) < fraction*float64(compared+1) {
+		l.shedRun++
+		l.omittedAdmissions += max(1-fraction, 0)
 		return true
 	}
-	l.row, l.due = 0, 0
+	l.shedRun = 0
+	l.omittedAdmissions = 0
 	return false
 }
+
+// compare counts how many of the last requests have a lower priority, and how many an equal one.
+func (l *LoadShedder) compare(priority float64, compared int) (lower, equal float64) {
+	for _, other := range l.priorities[:compared] {
+		switch {
+		case other < priority:
+			lower++
+		case other == priority:
+			equal++
+		}
+	}
+	return lower, equal
+}
+
+// add replaces the oldest priority.
+func (l *LoadShedder) add(priority float64) {
+	l.priorities[l.seen%comparedRequests] = priority
+	l.seen++
+	if l.seen == 2*comparedRequests {
+		l.seen = comparedRequests // so that it does not overflow
+	}
+}
--- a/internal/limits/queuetimeout.go
+++ b/internal/limits/queuetimeout.go
@@ -1,53 +1,57 @@
 package limits
 
-// QueueTimeout bounds how long a request waits for room, as a part of its aim, by whether the queue is a burst or
-// stands: a burst passes, and waiting it out serves all; in a queue that stands every request waits as long as
-// it may, and then comes too late or is refused when its client has no time left to come back. It is the
-// rule of adaptive LIFO with controlled delay ("Fail at Scale", ACM Queue 13(8), 2015): who finds a queue
-// that has not been empty of late waits a few service times only.
+const (
+	// burstFraction is the part of its latency objective that a request may wait in a burst. The rest is for
+	// its answer.
+	burstFraction = 0.4
+	// standingAnswerTimes is what it may wait in a standing queue, in answer times of servers that are not
+	// overloaded.
+	standingAnswerTimes = 3.0
+	// standingUnservedRate is the part of requests not served from which a standing queue has that timeout.
+	standingUnservedRate = 0.5
+	// unservedRateWeight is the weight of one request in that part: about the last 500 count.
+	unservedRateWeight = 0.002
+)
+
+// QueueTimeout bounds how long a request waits in the queue, by whether the queue is a burst or standing. A
+// burst passes, and waiting serves all of it; in a standing queue every request waits as long as it may, and is
+// then served too late, or rejected when its client has no time left to retry. The rule is that of adaptive
+// LIFO with controlled delay ("Fail at Scale", ACM Queue 13(8), 2015): in a queue that has not been empty
+// lately a request waits a few answer times only.
 //
-// How far it goes to that depends on how much is refused: where a few in a hundred are, the queue is about to pass
-// and to wait serves more (a full-size day at nine tenths of its capacity lost 2 points of 100 without this).
+// The timeout gets shorter by the part of the requests that is not served: while few are not, the queue is
+// about to pass, and waiting serves more.
 type QueueTimeout struct {
-	emptyAt float64
-	lost    float64 // part of the tries that ended unserved
+	emptyAt      float64
+	unservedRate float64 // part of the requests that ended unserved
 }
 
-const (
-	// longest is the part of its aim that a request may wait in a burst: the rest is for its answer.
-	longest = 0.4
-	// serviceTimes is what it may wait in a queue that stands, in calm answer times.
-	serviceTimes = 3.0
-	// deep is the part of tries refused from which a queue that stands has the short wait, lostWeight the weight
-	// of one try in it: the last 500 or so count.
-	deep, lostWeight = 0.5, 0.002
-)
-
-// RequestEnded notes that a try ended, and whether it was served.
-func (p *QueueTimeout) RequestEnded(served bool) {
+// RequestEnded notes the end of a request, and whether it was served.
+func (q *QueueTimeout) RequestEnded(served bool) {
 	if served {
-		p.lost -= lostWeight * p.lost
+		q.unservedRate -= unservedRateWeight * q.unservedRate
 	} else {
-		p.lost += lostWeight * (1 - p.lost)
+		q.unservedRate += unservedRateWeight * (1 - q.unservedRate)
 	}
 }
 
-// QueueLength notes the queue's length after a decision.
-func (p *QueueTimeout) QueueLength(now float64, length int) {
+// QueueLength notes the length of the queue after a decision.
+func (q *QueueTimeout) QueueLength(now float64, length int) {
 	if length == 0 {
-		p.emptyAt = now
+		q.emptyAt = now
 	}
 }
 
-// Standing tells whether the queue has not been empty for spanMs.
-func (p *QueueTimeout) Standing(now, spanMs float64) bool { return now-p.emptyAt >= spanMs }
+// Standing reports whether the queue has not been empty for spanMs.
+func (q *QueueTimeout) Standing(now, spanMs float64) bool { return now-q.emptyAt >= spanMs }
 
-// Fraction is the part of its aim for which a request may wait: spanMs is how long a queue must last to count as
-// standing, calm the mean answer time of uncrowded servers as a part of the aim, 0 while it is not known.
-func (p *QueueTimeout) Fraction(now, spanMs, calm float64) float64 {
-	if !(calm > 0) || !p.Standing(now, spanMs) {
-		return longest
+// Fraction returns the part of its latency objective for which a request may wait. A queue that is not empty
+// for spanMs is standing. baselineLatency is the mean answer time of servers that are not overloaded, as a
+// fraction of the latency objective, or 0 while it is not known.
+func (q *QueueTimeout) Fraction(now, spanMs, baselineLatency float64) float64 {
+	if !(baselineLatency > 0) || !q.Standing(now, spanMs) {
+		return burstFraction
 	}
-	short := min(longest, serviceTimes*calm)
-	return short + (longest-short)*max(1-p.lost/deep, 0)
+	standing := min(burstFraction, standingAnswerTimes*baselineLatency)
+	return standing + (burstFraction-standing)*max(1-q.unservedRate/standingUnservedRate, 0)
 }
