--- a/internal/upgrade/ids_test.go
+++ b/internal/upgrade/ids_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// table maps the ids of a folder as one more process would.
-func table(t *testing.T, tmp string) *IDs {
+// mapTable maps the id table of a folder as one more process.
+func mapTable(t *testing.T, tmp string) *IDs {
 	t.Helper()
 	ids, err := join(t, tmp).IDs()
 	if err != nil {
@@ -20,56 +20,57 @@
 	return ids
 }
 
-// An id that one process has taken is no other's, while its request is open and for a minute behind it; one whose
-// request never ran is given back, and the table outlives its processes.
-func TestAnIDBelongsToOneProcess(t *testing.T) {
+// An id that one process has claimed belongs to it while its request is open and for a minute afterwards. One whose
+// request never ran is released. The table outlives its processes.
+func TestIDBelongsToOneProcess(t *testing.T) {
 	tmp := t.TempDir()
-	a, b := table(t, tmp), table(t, tmp)
+	a, b := mapTable(t, tmp), mapTable(t, tmp)
 	if !a.Claim("1") || b.Claim("1") || a.Claim("1") {
-		t.Error("an id is claimed twice")
+		t.Error("an id was claimed twice")
 	}
 	a.Release("1")
 	if !b.Claim("1") || a.Claim("1") {
-		t.Error("an id that was given back")
+		t.Error("a released id")
 	}
 	b.Retain("1")
-	if a.Claim("1") || table(t, tmp).Claim("1") {
-		t.Error("an id that may have run")
+	if a.Claim("1") || mapTable(t, tmp).Claim("1") {
+		t.Error("a retained id")
 	}
 }
 
-// Ids are known for a minute at the least and forgotten behind it, also where processes round their clocks otherwise
-// or the count of seconds begins anew.
-func TestIDsOfTheTableAreForgotten(t *testing.T) {
+// Ids are known for at least a minute and forgotten later, also where processes round their clocks differently or the
+// count of seconds wraps around.
+func TestIDsExpire(t *testing.T) {
 	tmp := t.TempDir()
-	a, b := table(t, tmp), table(t, tmp)
+	a, b := mapTable(t, tmp), mapTable(t, tmp)
 	for _, at := range []uint64{100, stampMask - 30, stampMask - 1} {
 		id := fmt.Sprint(at)
-		a.base, a.since = at, time.Now()
+		a.startSeconds, a.startTime = at, time.Now()
 		if !a.Claim(id) {
 			t.Fatalf("at %d an id is not new", at)
 		}
 		for _, later := range []uint64{0, 1, 59, 60} {
-			if b.base, b.since = at+later, time.Now(); b.Claim(id) {
-				t.Errorf("at %d an id is claimed again %d s later", at, later)
+			if b.startSeconds, b.startTime = at+later, time.Now(); b.Claim(id) {
+				t.Errorf("at %d an id is claimed a second time %d s later", at, later)
 			}
 		}
-		if b.base, b.since = at-1, time.Now(); b.Claim(id) {
-			t.Errorf("at %d a process whose clock is a second behind claims it again", at)
+		if b.startSeconds, b.startTime = at-1, time.Now(); b.Claim(id) {
+			t.Errorf("at %d a process whose clock is a second behind claims it, too", at)
 		}
-		if b.base, b.since = at+idTime+2, time.Now(); !b.Claim(id) {
-			t.Errorf("at %d an id is known for ever", at)
+		if b.startSeconds, b.startTime = at+idLifetimeSeconds+2, time.Now(); !b.Claim(id) {
+			t.Errorf("at %d an id never expires", at)
 		}
 	}
 }
 
-// So many ids as the loop itself knows within a minute are all known, but for one in some thousands; the oldest give way.
-func TestTheTableOfIDsIsBounded(t *testing.T) {
-	ids := table(t, t.TempDir())
-	const known = idSlots / 2
-	start := ids.base
+// As many ids as the event loop knows within a minute are all known, except for one in some thousands. The oldest are
+// replaced.
+func TestIDTableIsBounded(t *testing.T) {
+	ids := mapTable(t, t.TempDir())
+	const known = idSlotCount / 2
+	start := ids.startSeconds
 	for i := range 3 * known {
-		ids.base = start + uint64(i/known)
+		ids.startSeconds = start + uint64(i/known)
 		if !ids.Claim(fmt.Sprint("id-", i)) {
 			t.Fatalf("id %d is not new", i)
 		}
@@ -85,10 +86,10 @@
 	}
 }
 
-// Two processes that claim the same ids at the same moment never both get one.
-func TestAnIDThatIsClaimedAtOnceIsNobodysTwice(t *testing.T) {
+// Of processes that claim the same ids at the same time at most one gets each id.
+func TestConcurrentClaimsHaveAtMostOneWinner(t *testing.T) {
 	tmp := t.TempDir()
-	processes := []*IDs{table(t, tmp), table(t, tmp), table(t, tmp)}
+	processes := []*IDs{mapTable(t, tmp), mapTable(t, tmp), mapTable(t, tmp)}
 	const ids = 20_000
 	claimed := make([]atomic.Int32, ids)
 	var each sync.WaitGroup
@@ -115,14 +116,14 @@
 	}
 }
 
-// A folder in which the table can't be made says so.
-func TestNoTableOfIDs(t *testing.T) {
+// An id table that cannot be mapped is an error.
+func TestIDTableCannotBeMapped(t *testing.T) {
 	tmp := t.TempDir()
 	d := join(t, tmp)
-	if err := os.Mkdir(filepath.Join(tmp, folder, "ids"), 0o700); err != nil {
+	if err := os.Mkdir(filepath.Join(tmp, agentFolder, "ids"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if ids, err := d.IDs(); err == nil {
-		t.Errorf("a folder is mapped: %+v", ids)
+		t.Errorf("a directory was mapped: %+v", ids)
 	}
 }
