--- a/internal/configstore/api.go
+++ b/internal/configstore/api.go
@@ -24,27 +24,27 @@
 )
 
 const (
-	// publishTime bounds how long a publish waits until a majority has it, forwardTime how long a call that another
+	// publishTimeout bounds how long a publish waits until a majority has it, forwardTime how long a call that another
 	// keeper has to answer may take beside what it asked to wait.
-	publishTime, forwardTime = 3 * time.Second, 2 * time.Second
-	// mostCalls bounds the calls of agents and operators that a keeper holds.
-	mostCalls = 4096
+	publishTimeout, forwardTimeout = 3 * time.Second, 2 * time.Second
+	// maxCalls bounds the calls of agents and operators that a keeper holds.
+	maxCalls = 4096
 )
 
 func (k *Replica) now() float64 { return clock.Steady() }
 
-// identityBox is the identity as calls may read it, from any goroutine.
-type identityBox struct {
+// sharedIdentity is the identity as calls may read it, from any goroutine.
+type sharedIdentity struct {
 	mu sync.Mutex
 	id Identity
 }
 
-func (b *identityBox) set(id *Identity) { b.mu.Lock(); b.id = *id; b.mu.Unlock() }
-func (b *identityBox) get() Identity    { b.mu.Lock(); defer b.mu.Unlock(); return b.id }
+func (b *sharedIdentity) set(id *Identity) { b.mu.Lock(); b.id = *id; b.mu.Unlock() }
+func (b *sharedIdentity) get() Identity    { b.mu.Lock(); defer b.mu.Unlock(); return b.id }
 
 // handler answers calls. Each that needs the loop waits for it, for a bounded time.
-func (k *Replica) handler(id *identityBox) http.Handler {
-	room := make(chan struct{}, mostCalls)
+func (k *Replica) handler(id *sharedIdentity) http.Handler {
+	room := make(chan struct{}, maxCalls)
 	mux := http.NewServeMux()
 	call := func(pattern string, most int64, f func(req *http.Request, body []byte) (any, error)) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, req *http.Request) {
@@ -62,11 +62,11 @@
 			}
 			out, err := f(req, body)
 			if err != nil {
-				http.Error(w, err.Error(), status(err))
+				http.Error(w, err.Error(), httpStatus(err))
 				return
 			}
 			w.Header().Set("Content-Type", "application/json")
-			if text, ready := out.(encoded); ready {
+			if text, ready := out.(encodedJSON); ready {
 				w.Write(text)
 				return
 			}
@@ -74,16 +74,16 @@
 		})
 	}
 	call("GET "+pathIdentity, 0, func(*http.Request, []byte) (any, error) { return id.get(), nil })
-	mux.HandleFunc("POST "+pathRaft, func(w http.ResponseWriter, req *http.Request) {
-		t, err := readParcel(req.Body)
+	mux.HandleFunc("POST "+pathRaftMessages, func(w http.ResponseWriter, req *http.Request) {
+		t, err := readRaftMessages(req.Body)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		heard := make(chan error, 1)
-		ctx, cancel := context.WithTimeout(req.Context(), peerTime)
+		ctx, cancel := context.WithTimeout(req.Context(), peerCallTimeout)
 		defer cancel()
-		if id.get().Formed == nil && !k.cfg.Join || !k.do(ctx, func() { heard <- k.receive(t) }) {
+		if id.get().Formed == nil && !k.cfg.Join || !k.post(ctx, func() { heard <- k.receive(t) }) {
 			http.Error(w, "not yet", http.StatusServiceUnavailable)
 			return
 		}
@@ -98,7 +98,7 @@
 	})
 	call("POST "+client.PathRenew, 16<<10, k.renew)
 	call("POST "+client.PathPublish, client.MaxResponseBytes, k.publish)
-	call("POST "+client.PathCordon, 16<<10, k.ban)
+	call("POST "+client.PathCordon, 16<<10, k.cordon)
 	call("POST "+client.PathMembers, 16<<10, k.members)
 	call("GET "+client.PathHistory, 0, k.history)
 	call("GET "+client.PathVersion, 0, k.version)
@@ -106,12 +106,12 @@
 	return mux
 }
 
-// badCall is an error of who calls.
-type badCall struct{ error }
+// invalidCallError is an error of who calls.
+type invalidCallError struct{ error }
 
-// status is HTTP's word for an error. Below 500 nothing was done; else that is open.
-func status(err error) int {
-	var bad badCall
+// httpStatus is HTTP's word for an error. Below 500 nothing was done; else that is open.
+func httpStatus(err error) int {
+	var bad invalidCallError
 	var f *client.StatusError
 	switch {
 	case errors.As(err, &f):
@@ -134,7 +134,7 @@
 	addr := make(chan string, 1)
 	ctx, cancel := context.WithTimeout(req.Context(), within)
 	defer cancel()
-	if !k.do(ctx, func() { addr <- k.addr(k.soft.Lead) }) {
+	if !k.post(ctx, func() { addr <- k.addr(k.softState.Lead) }) {
 		return errNotLeading
 	}
 	select {
@@ -142,59 +142,59 @@
 		if to == "" || to == k.cfg.Members[k.cfg.Name] {
 			return errors.New("no keeper leads")
 		}
-		return k.ask.Call(ctx, to, req.URL.RequestURI(), http.Header{client.ForwardedHeader: {"1"}}, in, out)
+		return k.caller.Call(ctx, to, req.URL.RequestURI(), http.Header{client.ForwardedHeader: {"1"}}, in, out)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// asked puts an ask to the loop and waits for its answer.
-func (k *Replica) asked(ctx context.Context, a *ask) granted {
-	a.answer = make(chan granted, 1)
-	if !k.do(ctx, func() { k.take(a) }) {
-		return granted{err: errNotLeading}
+// wait puts an ask to the loop and waits for its answer.
+func (k *Replica) wait(ctx context.Context, a *request) requestResult {
+	a.answer = make(chan requestResult, 1)
+	if !k.post(ctx, func() { k.enqueue(a) }) {
+		return requestResult{err: errNotLeading}
 	}
 	select {
 	case g := <-a.answer:
 		return g
 	case <-ctx.Done():
-		return granted{err: ctx.Err()}
+		return requestResult{err: ctx.Err()}
 	case <-k.ctx.Done():
-		return granted{err: errNotLeading}
+		return requestResult{err: errNotLeading}
 	}
 }
 
 func (k *Replica) renew(req *http.Request, body []byte) (any, error) {
 	var c client.RenewRequest
 	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, badCall{err}
+		return nil, invalidCallError{err}
 	}
 	if c.Name == "" || len(c.Name) > sharedconfig.MaxNameBytes || c.Incarnation == "" || len(c.Incarnation) > 64 || len(c.Problem) > 4096 || !(c.WaitMs >= 0 && c.WaitMs <= 10_000) {
-		return nil, badCall{errors.New("renew: name, inc, unable or wait_ms is out of bounds")}
+		return nil, invalidCallError{errors.New("renew: name, inc, unable or wait_ms is out of bounds")}
 	}
 	wait := min(c.WaitMs, k.cfg.LeaseMs/3)
-	ctx, cancel := context.WithTimeout(req.Context(), time.Duration(wait*float64(time.Millisecond))+forwardTime)
+	ctx, cancel := context.WithTimeout(req.Context(), time.Duration(wait*float64(time.Millisecond))+forwardTimeout)
 	defer cancel()
-	g := k.asked(ctx, &ask{Request: lease.Request{Holder: lease.Holder{Name: c.Name, Incarnation: c.Incarnation}, Epoch: c.Epoch, Problem: c.Problem}, due: k.now() + wait})
+	g := k.wait(ctx, &request{Request: lease.Request{Holder: lease.Holder{Name: c.Name, Incarnation: c.Incarnation}, Epoch: c.Epoch, Problem: c.Problem}, deadline: k.now() + wait})
 	if errors.Is(g.err, errNotLeading) {
 		var out client.RenewResponse
-		return &out, k.forward(req, &c, &out, time.Duration(wait*float64(time.Millisecond))+forwardTime)
+		return &out, k.forward(req, &c, &out, time.Duration(wait*float64(time.Millisecond))+forwardTimeout)
 	}
 	if g.err != nil {
 		return nil, g.err
 	}
-	if g.text != nil {
-		return encoded(g.text), nil
+	if g.encoded != nil {
+		return encodedJSON(g.encoded), nil
 	}
 	return &client.RenewResponse{Epoch: g.grant.Epoch, LeaseMs: g.grant.LeaseMs, EndpointsMs: g.grant.EndpointsMs}, nil
 }
 
-// proposal puts an entry to the loop and waits until it is applied.
-func (k *Replica) proposal(req *http.Request, id string, op *history.Command, in any) (any, error) {
-	answer := make(chan result, 1)
-	ctx, cancel := context.WithTimeout(req.Context(), publishTime)
+// proposeAndWait puts an entry to the loop and waits until it is applied.
+func (k *Replica) proposeAndWait(req *http.Request, id string, op *history.Command, in any) (any, error) {
+	answer := make(chan proposalResult, 1)
+	ctx, cancel := context.WithTimeout(req.Context(), publishTimeout)
 	defer cancel()
-	if !k.do(ctx, func() { k.propose(id, op, answer) }) {
+	if !k.post(ctx, func() { k.propose(id, op, answer) }) {
 		return nil, errNotLeading
 	}
 	select {
@@ -202,15 +202,15 @@
 		switch {
 		case errors.Is(r.err, errNotLeading):
 			var out client.PublishResponse
-			return &out, k.forward(req, in, &out, publishTime)
+			return &out, k.forward(req, in, &out, publishTimeout)
 		case r.err != nil && !r.applied: // it may still be on its way
 			return nil, r.err
 		case r.err != nil && (errors.Is(r.err, history.ErrParentMismatch) || errors.Is(r.err, history.ErrTooManyPending)):
 			return nil, r.err
 		case r.err != nil:
-			return nil, badCall{r.err}
+			return nil, invalidCallError{r.err}
 		}
-		return &client.PublishResponse{Number: r.v.Number, Digest: r.v.Digest}, nil
+		return &client.PublishResponse{Number: r.version.Number, Digest: r.version.Digest}, nil
 	case <-ctx.Done():
 		return nil, errors.New("whether it was published is not known: publish it again, under the same id")
 	}
@@ -219,56 +219,56 @@
 func (k *Replica) publish(req *http.Request, body []byte) (any, error) {
 	var c client.PublishRequest
 	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, badCall{err}
+		return nil, invalidCallError{err}
 	}
 	book, err := sharedconfig.Decode(c.Config)
 	if err != nil {
-		return nil, badCall{err}
+		return nil, invalidCallError{err}
 	}
-	if err := words(c.ID, c.Author, c.Reason); err != nil {
+	if err := checkPublisher(c.ID, c.Author, c.Reason); err != nil {
 		return nil, err
 	}
-	return k.proposal(req, c.ID, &history.Command{Publish: &history.Publish{ID: c.ID, Parent: c.Parent, Config: book, Author: c.Author, Reason: c.Reason,
+	return k.proposeAndWait(req, c.ID, &history.Command{Publish: &history.Publish{ID: c.ID, Parent: c.Parent, Config: book, Author: c.Author, Reason: c.Reason,
 		AtMs: time.Now().UnixMilli()}}, &c)
 }
 
-// words checks what a publisher says beside the content.
-func words(id string, more ...string) error {
+// checkPublisher checks what a publisher says beside the content.
+func checkPublisher(id string, more ...string) error {
 	if id == "" || len(id) > 64 {
-		return badCall{errors.New("publish: id: must have 1 to 64 bytes")}
+		return invalidCallError{errors.New("publish: id: must have 1 to 64 bytes")}
 	}
 	for _, w := range more {
 		if len(w) > sharedconfig.MaxNameBytes {
-			return badCall{fmt.Errorf("publish: author and reason have %d bytes at the most", sharedconfig.MaxNameBytes)}
+			return invalidCallError{fmt.Errorf("publish: author and reason have %d bytes at the most", sharedconfig.MaxNameBytes)}
 		}
 	}
 	return nil
 }
 
-func (k *Replica) ban(req *http.Request, body []byte) (any, error) {
+func (k *Replica) cordon(req *http.Request, body []byte) (any, error) {
 	var c client.CordonRequest
 	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, badCall{err}
+		return nil, invalidCallError{err}
 	}
-	if err := words(c.ID, c.Author, c.Server); err != nil || c.Server == "" {
-		return nil, errors.Join(badCall{errors.New("ban: id, server and author are needed")}, err)
+	if err := checkPublisher(c.ID, c.Author, c.Server); err != nil || c.Server == "" {
+		return nil, errors.Join(invalidCallError{errors.New("ban: id, server and author are needed")}, err)
 	}
-	return k.proposal(req, c.ID, &history.Command{Cordon: &history.Cordon{ID: c.ID, Server: c.Server, On: c.On, Author: c.Author, AtMs: time.Now().UnixMilli()}}, &c)
+	return k.proposeAndWait(req, c.ID, &history.Command{Cordon: &history.Cordon{ID: c.ID, Server: c.Server, On: c.On, Author: c.Author, AtMs: time.Now().UnixMilli()}}, &c)
 }
 
-// read has the loop do something once a majority has said that this keeper leads; whoever does not forwards.
-func (k *Replica) read(req *http.Request, out any, f func() error) (any, error) {
-	ctx, cancel := context.WithTimeout(req.Context(), forwardTime)
+// confirmedRead has the loop do something once a majority has said that this keeper leads; whoever does not forwards.
+func (k *Replica) confirmedRead(req *http.Request, out any, f func() error) (any, error) {
+	ctx, cancel := context.WithTimeout(req.Context(), forwardTimeout)
 	defer cancel()
-	g := k.asked(ctx, &ask{read: true})
+	g := k.wait(ctx, &request{read: true})
 	if errors.Is(g.err, errNotLeading) {
-		return out, k.forward(req, nil, out, forwardTime)
+		return out, k.forward(req, nil, out, forwardTimeout)
 	}
 	if g.err != nil {
 		return nil, g.err
 	}
 	done := make(chan error, 1)
-	if !k.do(ctx, func() { done <- f() }) {
+	if !k.post(ctx, func() { done <- f() }) {
 		return nil, errNotLeading
 	}
 	select {
@@ -281,9 +281,9 @@
 
 func (k *Replica) history(req *http.Request, _ []byte) (any, error) {
 	out := &client.HistoryResponse{}
-	return k.read(req, out, func() error {
-		out.Epoch, out.Dropped = k.state.Book.Epoch, k.state.Book.Dropped
-		out.Versions = slices.Clone(k.state.Book.Versions)
+	return k.confirmedRead(req, out, func() error {
+		out.Epoch, out.Dropped = k.state.History.Epoch, k.state.History.Dropped
+		out.Versions = slices.Clone(k.state.History.Versions)
 		for i := range out.Versions {
 			out.Versions[i].Config = nil
 		}
@@ -294,11 +294,11 @@
 func (k *Replica) version(req *http.Request, _ []byte) (any, error) {
 	n, err := strconv.ParseUint(req.URL.Query().Get("n"), 10, 64)
 	if err != nil {
-		return nil, badCall{errors.New("version: n: a number is needed; 0 is the last")}
+		return nil, invalidCallError{errors.New("version: n: a number is needed; 0 is the last")}
 	}
 	out := &sharedconfig.Version{}
-	return k.read(req, out, func() error {
-		b := &k.state.Book
+	return k.confirmedRead(req, out, func() error {
+		b := &k.state.History
 		if n == 0 && b.Last() == 0 {
 			return nil // before the first
 		}
@@ -307,7 +307,7 @@
 			v = b.Version(b.Last())
 		}
 		if v == nil {
-			return badCall{fmt.Errorf("version %d is not kept; there are %d to %d", n, b.Dropped+1, b.Last())}
+			return invalidCallError{fmt.Errorf("version %d is not kept; there are %d to %d", n, b.Dropped+1, b.Last())}
 		}
 		*out = *v
 		return nil
@@ -318,9 +318,9 @@
 func (k *Replica) status(req *http.Request, _ []byte) (any, error) {
 	out := &client.Status{}
 	done := make(chan struct{})
-	ctx, cancel := context.WithTimeout(req.Context(), forwardTime)
+	ctx, cancel := context.WithTimeout(req.Context(), forwardTimeout)
 	defer cancel()
-	if !k.do(ctx, func() { k.tell(out); close(done) }) {
+	if !k.post(ctx, func() { k.fillStatus(out); close(done) }) {
 		return nil, errNotLeading
 	}
 	select {
@@ -331,32 +331,32 @@
 	}
 }
 
-func (k *Replica) tell(s *client.Status) {
-	b := k.rn.BasicStatus()
-	*s = client.Status{Name: k.cfg.Name, ID: k.id.ID, Leader: k.state.Members[k.soft.Lead].Name, Term: b.GetTerm(), Applied: k.applied,
-		Epoch: k.state.Book.Epoch, Last: k.state.Book.Last(), Unreachable: map[string]string{}, Loop: k.holds.status()}
+func (k *Replica) fillStatus(s *client.Status) {
+	b := k.node.BasicStatus()
+	*s = client.Status{Name: k.cfg.Name, ID: k.identity.ID, Leader: k.state.Members[k.softState.Lead].Name, Term: b.GetTerm(), Applied: k.applied,
+		Epoch: k.state.History.Epoch, Last: k.state.History.Last(), Unreachable: map[string]string{}, Loop: k.delays.status()}
 	for id, m := range k.state.Members {
 		word := m.Name + " " + m.Addr
-		if slices.Contains(k.conf.GetLearners(), id) {
+		if slices.Contains(k.confState.GetLearners(), id) {
 			word += " learner"
 		}
 		s.Members = append(s.Members, word)
 	}
 	slices.Sort(s.Members)
-	for id, why := range k.seen.Refused {
+	for id, why := range k.watermarks.Rejected {
 		if m, in := k.state.Members[id]; in {
 			s.Unreachable[m.Name] = why
 		}
 	}
 	for _, p := range k.peers {
-		if p.refused != "" {
-			s.Unreachable[k.cfg.Name+" by "+k.state.Members[p.id].Name] = p.refused
+		if p.rejection != "" {
+			s.Unreachable[k.cfg.Name+" by "+k.state.Members[p.id].Name] = p.rejection
 		}
 	}
-	if k.desk != nil {
+	if k.lessor != nil {
 		now := k.now()
-		s.Holders = maps.Clone(k.desk.Holders(now))
-		s.BlockedBy = k.desk.Adopted(now, k.state.Book.Epoch, k.state.Book.EndpointsChanged).Holders
+		s.Holders = maps.Clone(k.lessor.Holders(now))
+		s.BlockedBy = k.lessor.Adopted(now, k.state.History.Epoch, k.state.History.EndpointsChanged).Holders
 	}
 }
 
@@ -370,33 +370,33 @@
 func (k *Replica) members(req *http.Request, body []byte) (any, error) {
 	var c MembersRequest
 	if err := json.Unmarshal(body, &c); err != nil {
-		return nil, badCall{err}
+		return nil, invalidCallError{err}
 	}
 	if (c.Add == "") == (c.Remove == "") || c.Add != "" && c.Addr == "" {
-		return nil, badCall{errors.New("members: add with addr, or remove, is needed")}
+		return nil, invalidCallError{errors.New("members: add with addr, or remove, is needed")}
 	}
 	var add Identity
 	if c.Add != "" {
-		ctx, cancel := context.WithTimeout(req.Context(), forwardTime/2)
+		ctx, cancel := context.WithTimeout(req.Context(), forwardTimeout/2)
 		defer cancel()
-		if err := k.ask.Call(ctx, c.Addr, pathIdentity, http.Header{}, nil, &add); err != nil {
+		if err := k.caller.Call(ctx, c.Addr, pathIdentity, http.Header{}, nil, &add); err != nil {
 			return nil, fmt.Errorf("members: the keeper at %s does not tell who it is: %w", c.Addr, err)
 		}
 		if add.Name != c.Add {
-			return nil, badCall{fmt.Errorf("members: at %s is keeper %q", c.Addr, add.Name)}
+			return nil, invalidCallError{fmt.Errorf("members: at %s is keeper %q", c.Addr, add.Name)}
 		}
 	}
 	done := make(chan error, 1)
-	ctx, cancel := context.WithTimeout(req.Context(), forwardTime)
+	ctx, cancel := context.WithTimeout(req.Context(), forwardTimeout)
 	defer cancel()
-	if !k.do(ctx, func() { done <- k.alter(&c, &add) }) {
+	if !k.post(ctx, func() { done <- k.changeMembers(&c, &add) }) {
 		return nil, errNotLeading
 	}
 	out := &struct{}{}
 	select {
 	case err := <-done:
 		if errors.Is(err, errNotLeading) {
-			return out, k.forward(req, &c, out, forwardTime)
+			return out, k.forward(req, &c, out, forwardTimeout)
 		}
 		return out, err
 	case <-ctx.Done():
@@ -404,29 +404,29 @@
 	}
 }
 
-// alter proposes a change of members, if none is going on.
-func (k *Replica) alter(c *MembersRequest, add *Identity) error {
-	if k.soft.RaftState != raft.StateLeader {
+// changeMembers proposes a change of members, if none is going on.
+func (k *Replica) changeMembers(c *MembersRequest, add *Identity) error {
+	if k.softState.RaftState != raft.StateLeader {
 		return errNotLeading
 	}
-	if k.now() < k.changing || len(k.conf.GetLearners()) > 0 && c.Add != "" {
-		return badCall{errors.New("members: another change is going on")}
+	if k.now() < k.memberChangeUntil || len(k.confState.GetLearners()) > 0 && c.Add != "" {
+		return invalidCallError{errors.New("members: another change is going on")}
 	}
 	for id, m := range k.state.Members {
 		switch {
 		case c.Add != "" && m.Name == c.Add && id != add.ID:
-			return badCall{fmt.Errorf("members: there is a keeper %q with another folder: remove it first", c.Add)}
+			return invalidCallError{fmt.Errorf("members: there is a keeper %q with another folder: remove it first", c.Add)}
 		case c.Add != "" && id == add.ID:
 			return nil // it is one already
 		case c.Remove != "" && m.Name == c.Remove:
-			if len(k.conf.GetVoters()) == 1 && slices.Contains(k.conf.GetVoters(), id) {
-				return badCall{errors.New("members: the last one can't be removed")}
+			if len(k.confState.GetVoters()) == 1 && slices.Contains(k.confState.GetVoters(), id) {
+				return invalidCallError{errors.New("members: the last one can't be removed")}
 			}
-			return k.change(pb.ConfChangeRemoveNode, id, nil)
+			return k.proposeMemberChange(pb.ConfChangeRemoveNode, id, nil)
 		}
 	}
 	if c.Remove != "" {
-		return badCall{fmt.Errorf("members: there is no keeper %q", c.Remove)}
+		return invalidCallError{fmt.Errorf("members: there is no keeper %q", c.Remove)}
 	}
-	return k.change(pb.ConfChangeAddLearnerNode, add.ID, &member{Name: c.Add, Addr: c.Addr})
+	return k.proposeMemberChange(pb.ConfChangeAddLearnerNode, add.ID, &member{Name: c.Add, Addr: c.Addr})
 }
--- a/internal/configstore/client/config.go
+++ b/internal/configstore/client/config.go
@@ -14,8 +14,8 @@
 	OnExpiryServe  = "serve"
 )
 
-// mostAddrs bounds keepers and peers that are named.
-const mostAddrs = 64
+// maxAddresses bounds keepers and peers that are named.
+const maxAddresses = 64
 
 // Config is what deploy/agreed.toml says. Keys, units and defaults are on the operators' page.
 type Config struct {
@@ -42,8 +42,8 @@
 		return nil, fmt.Errorf("agreed: keepers: none named")
 	}
 	for key, addrs := range map[string][]string{"keepers": c.Replicas, "peers": c.Peers} {
-		if len(addrs) > mostAddrs {
-			return nil, fmt.Errorf("agreed: %s: %d, %d at the most", key, len(addrs), mostAddrs)
+		if len(addrs) > maxAddresses {
+			return nil, fmt.Errorf("agreed: %s: %d, %d at the most", key, len(addrs), maxAddresses)
 		}
 		for _, a := range addrs {
 			if _, port, err := net.SplitHostPort(a); err != nil || port == "" {
--- a/internal/configstore/client/lab.go
+++ b/internal/configstore/client/lab.go
@@ -16,18 +16,18 @@
 	const kept = "kept-book.json"
 	switch os.Getenv("RINGTRACK_LAB_DEFECT") {
 	case "from-answer":
-		countFrom = func(float64) float64 { return clock.Steady() }
+		leaseStart = func(float64) float64 { return clock.Steady() }
 	case "back-on-start":
-		adopted = func(l *Renewer, a *RenewResponse) {
+		onAdopted = func(l *Renewer, a *RenewResponse) {
 			if _, err := os.Stat(kept); err != nil && a.Epoch > 0 {
 				text, _ := json.Marshal(a)
 				os.WriteFile(kept, text, 0o600)
 			}
 		}
-		began = func(ctx context.Context, l *Renewer) {
+		onStart = func(ctx context.Context, l *Renewer) {
 			var a RenewResponse
 			if text, err := os.ReadFile(kept); err == nil && json.Unmarshal(text, &a) == nil {
-				l.take(ctx, clock.Steady(), &a)
+				l.accept(ctx, clock.Steady(), &a)
 			}
 		}
 	}
--- a/internal/configstore/client/link.go
+++ b/internal/configstore/client/link.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	// pauseLeast and pauseMost bound the pause behind a failed call, drawn, doubled with each that fails in a row: so
+	// minBackoff and pauseMost bound the pause behind a failed call, drawn, doubled with each that fails in a row: so
 	// that the holders of a keeper that died do not come to the others in step.
-	pauseLeast, pauseMost = 20 * time.Millisecond, 640 * time.Millisecond
-	// relays bounds the asks of peers that are carried at once.
-	relays = 16
-	// mostAsk bounds an ask that a peer brings, in bytes.
-	mostAsk = 4 << 10
+	minBackoff, maxBackoff = 20 * time.Millisecond, 640 * time.Millisecond
+	// maxRelayedRequests bounds the asks of peers that are carried at once.
+	maxRelayedRequests = 16
+	// maxRelayedRequestBytes bounds an ask that a peer brings, in bytes.
+	maxRelayedRequestBytes = 4 << 10
 )
 
 // Applier is who acts under the lease. Both methods return once what they say is so.
@@ -42,16 +42,16 @@
 
 // Renewer keeps one holder's lease. Run's goroutine owns lease; the rest may be used from any.
 type Renewer struct {
-	cfg    *Config
-	holder lease.Holder
-	target Applier
-	caller *Caller
-	lease  lease.Lease
-	last   int // the keeper, or behind them the peer, that answered last
+	cfg     *Config
+	holder  lease.Holder
+	applier Applier
+	caller  *Caller
+	lease   lease.Lease
+	target  int // the keeper, or behind them the peer, that answered last
 
-	until   atomic.Int64 // of the lease, us of the steady clock
-	figures Stats
-	relay   chan struct{}
+	leaseUntilMicros atomic.Int64 // of the lease, us of the steady clock
+	stats            Stats
+	relaySlots       chan struct{}
 }
 
 // Stats are counts for operators.
@@ -66,22 +66,22 @@
 
 // New returns a link for an agent of this name.
 func New(cfg *Config, name string, target Applier) *Renewer {
-	l := &Renewer{cfg: cfg, holder: lease.Holder{Name: name, Incarnation: NewIncarnation()}, target: target, caller: NewCaller(),
-		last: mrand.IntN(len(cfg.Replicas)), relay: make(chan struct{}, relays)}
-	l.until.Store(math.MinInt64 / 2)
+	l := &Renewer{cfg: cfg, holder: lease.Holder{Name: name, Incarnation: NewIncarnation()}, applier: target, caller: NewCaller(),
+		target: mrand.IntN(len(cfg.Replicas)), relaySlots: make(chan struct{}, maxRelayedRequests)}
+	l.leaseUntilMicros.Store(math.MinInt64 / 2)
 	return l
 }
 
 // Stats are the link's counts.
-func (l *Renewer) Stats() *Stats { return &l.figures }
+func (l *Renewer) Stats() *Stats { return &l.stats }
 
 // Remaining is for how long the lease holds, 0 where it does not.
 func (l *Renewer) Remaining() time.Duration {
-	return max(time.Duration(l.until.Load()-int64(clock.Steady()*1000))*time.Microsecond, 0)
+	return max(time.Duration(l.leaseUntilMicros.Load()-int64(clock.Steady()*1000))*time.Microsecond, 0)
 }
 
-// addr is the i-th of keepers and peers, and whether it is a peer.
-func (l *Renewer) addr(i int) (string, bool) {
+// address is the i-th of keepers and peers, and whether it is a peer.
+func (l *Renewer) address(i int) (string, bool) {
 	k := len(l.cfg.Replicas)
 	if i < k {
 		return l.cfg.Replicas[i], false
@@ -89,27 +89,27 @@
 	return l.cfg.Peers[i-k], true
 }
 
-// next is whom to ask behind a number of calls in a row that failed: each keeper once, then the peers, and so on.
-func (l *Renewer) next(failed int) int {
+// nextTarget is whom to ask behind a number of calls in a row that failed: each keeper once, then the peers, and so on.
+func (l *Renewer) nextTarget(failed int) int {
 	k, all := len(l.cfg.Replicas), len(l.cfg.Replicas)+len(l.cfg.Peers)
 	switch turn := failed % all; {
 	case turn == 0:
 		return 0
 	case turn < k:
-		return (l.last + 1) % k
+		return (l.target + 1) % k
 	case turn == k:
 		return k
 	default:
-		return l.last + 1
+		return l.target + 1
 	}
 }
 
 // Run keeps the lease until ctx ends.
 func (l *Renewer) Run(ctx context.Context) {
-	pause, unable, failed := pauseLeast, "", 0
-	began(ctx, l)
+	pause, unable, failed := minBackoff, "", 0
+	onStart(ctx, l)
 	for ctx.Err() == nil {
-		addr, peer := l.addr(l.last)
+		addr, peer := l.address(l.target)
 		call := &RenewRequest{Name: l.holder.Name, Incarnation: l.holder.Incarnation, Epoch: l.lease.Epoch, Problem: unable, WaitMs: l.cfg.WaitMs}
 		if failed > 0 || unable != "" {
 			call.WaitMs = 0
@@ -124,11 +124,11 @@
 		try, cancel := context.WithTimeout(ctx, within)
 		err := l.caller.Call(try, addr, PathRenew, header, call, &answer)
 		cancel()
-		l.figures.Renewals.Add(1)
+		l.stats.Renewals.Add(1)
 		if err == nil {
 			var was string
 			was, unable = unable, ""
-			err = l.take(ctx, asked, &answer)
+			err = l.accept(ctx, asked, &answer)
 			if ctx.Err() != nil {
 				return
 			}
@@ -136,21 +136,21 @@
 				if unable = err.Error(); unable != was {
 					slog.Error("agreed: the rules can't be taken up", "stage", answer.Epoch, "err", err)
 				}
-				l.figures.Rejected.Add(1)
+				l.stats.Rejected.Add(1)
 			}
 		} else {
-			l.figures.Failed.Add(1)
+			l.stats.Failed.Add(1)
 			if failed++; failed == 1 {
 				slog.Warn("agreed: no answer", "addr", addr, "err", err)
 			}
-			l.last = l.next(failed)
+			l.target = l.nextTarget(failed)
 		}
 		if err == nil {
 			if failed > 0 {
 				slog.Info("agreed: answered again", "addr", addr, "failed", failed)
 			}
-			if failed, pause = 0, pauseLeast; peer {
-				l.last = mrand.IntN(len(l.cfg.Replicas)) // a keeper's own word is wanted next time
+			if failed, pause = 0, minBackoff; peer {
+				l.target = mrand.IntN(len(l.cfg.Replicas)) // a keeper's own word is wanted next time
 			}
 			continue
 		}
@@ -158,28 +158,28 @@
 		case <-ctx.Done():
 		case <-time.After(pause/2 + mrand.N(pause)):
 		}
-		pause = min(2*pause, pauseMost)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
-// countFrom is the moment from which a lease is counted: a moment before it was asked for.
-var countFrom = func(asked float64) float64 { return asked }
+// leaseStart is the moment from which a lease is counted: a moment before it was asked for.
+var leaseStart = func(asked float64) float64 { return asked }
 
-// began is called as a holder starts. A lab build may have it act before it has asked.
-var began = func(context.Context, *Renewer) {}
+// onStart is called as a holder starts. A lab build may have it act before it has asked.
+var onStart = func(context.Context, *Renewer) {}
 
-// adopted is called with each book that was taken up.
-var adopted = func(l *Renewer, a *RenewResponse) {}
+// onAdopted is called with each book that was taken up.
+var onAdopted = func(l *Renewer, a *RenewResponse) {}
 
-// take takes up what was granted.
-func (l *Renewer) take(ctx context.Context, asked float64, a *RenewResponse) error {
+// accept takes up what was granted.
+func (l *Renewer) accept(ctx context.Context, asked float64, a *RenewResponse) error {
 	next := l.lease
-	if !next.Accept(countFrom(asked), clock.Steady(), lease.Grant{Epoch: a.Epoch, LeaseMs: a.LeaseMs, EndpointsMs: a.EndpointsMs}) {
+	if !next.Accept(leaseStart(asked), clock.Steady(), lease.Grant{Epoch: a.Epoch, LeaseMs: a.LeaseMs, EndpointsMs: a.EndpointsMs}) {
 		return fmt.Errorf("a grant of stage %d, %.0f ms after it was asked for, with stage %d in hand", a.Epoch, clock.Steady()-asked, l.lease.Epoch)
 	}
 	until, lists := clock.At(next.Until), clock.At(next.EndpointsUntil)
-	if a.Epoch == l.lease.Epoch && l.figures.Adopted.Load() > 0 {
-		l.target.Renew(ctx, until, lists)
+	if a.Epoch == l.lease.Epoch && l.stats.Adopted.Load() > 0 {
+		l.applier.Renew(ctx, until, lists)
 	} else {
 		var book *sharedconfig.Config
 		if a.Epoch > 0 {
@@ -188,15 +188,15 @@
 				return err
 			}
 		}
-		if err := l.target.Adopt(ctx, a.Epoch, book, until, lists); err != nil {
+		if err := l.applier.Adopt(ctx, a.Epoch, book, until, lists); err != nil {
 			return err
 		}
-		l.figures.Adopted.Add(1)
-		adopted(l, a)
+		l.stats.Adopted.Add(1)
+		onAdopted(l, a)
 		slog.Info("agreed: rules taken up", "stage", a.Epoch, "left_ms", int(next.Until-clock.Steady()))
 	}
 	l.lease = next
-	l.until.Store(int64(next.Until * 1000))
+	l.leaseUntilMicros.Store(int64(next.Until * 1000))
 	return nil
 }
 
@@ -226,7 +226,7 @@
 // agent's own lease holds.
 func (l *Renewer) Serve(ctx context.Context, ln net.Listener) error {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+PathRenew, l.carry)
+	mux.HandleFunc("POST "+PathRenew, l.relay)
 	s := &http.Server{Handler: mux, ReadTimeout: 2 * time.Second, WriteTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 8 << 10}
 	var ended sync.WaitGroup
 	ended.Go(func() { <-ctx.Done(); s.Close() })
@@ -237,16 +237,16 @@
 	return nil
 }
 
-func (l *Renewer) carry(w http.ResponseWriter, req *http.Request) {
+func (l *Renewer) relay(w http.ResponseWriter, req *http.Request) {
 	select {
-	case l.relay <- struct{}{}:
-		defer func() { <-l.relay }()
+	case l.relaySlots <- struct{}{}:
+		defer func() { <-l.relaySlots }()
 	default:
 		http.Error(w, "too many asks are carried", http.StatusServiceUnavailable)
 		return
 	}
 	var call RenewRequest
-	if err := json.NewDecoder(io.LimitReader(req.Body, mostAsk)).Decode(&call); err != nil {
+	if err := json.NewDecoder(io.LimitReader(req.Body, maxRelayedRequestBytes)).Decode(&call); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -263,7 +263,7 @@
 		err := l.caller.Call(try, l.cfg.Replicas[(from+i)%len(l.cfg.Replicas)], PathRenew, nil, &call, &answer)
 		cancel()
 		if err == nil {
-			l.figures.Relayed.Add(1)
+			l.stats.Relayed.Add(1)
 			json.NewEncoder(w).Encode(&answer)
 			return
 		}
--- a/internal/configstore/client/link_test.go
+++ b/internal/configstore/client/link_test.go
@@ -52,7 +52,7 @@
 					addrs[i] = s.Listener.Addr().String()
 				}
 				l := New(&Config{Replicas: addrs[:3], Peers: addrs[3:], CallMs: 10_000}, "a", holder{})
-				l.last = start
+				l.target = start
 				l.Run(ctx)
 				cancel()
 				want := []int{start, (start + 1) % 3, (start + 2) % 3, 3, 4}
--- a/internal/configstore/compatibility_test.go
+++ b/internal/configstore/compatibility_test.go
@@ -47,9 +47,9 @@
 		"history-response": &client.HistoryResponse{},
 		"status":           &client.Status{},
 		"members-request":  &MembersRequest{},
-		"raft-messages":    &parcel{},
+		"raft-messages":    &raftMessages{},
 		"identity":         &Identity{},
-		"watermarks":       &seen{},
+		"watermarks":       &watermarks{},
 		"snapshot-state":   &state{},
 		"command":          &history.Command{},
 		"version":          &sharedconfig.Version{},
@@ -205,7 +205,7 @@
 	old := golden(t, "datadir", "log")
 	var written []byte
 	for at := 0; at < len(old); {
-		kind, body, next, ok := record(old, at)
+		kind, body, next, ok := decodeRecord(old, at)
 		if !ok {
 			t.Fatalf("no record at byte %d", at)
 		}
@@ -219,9 +219,9 @@
 	if !bytes.Equal(written, old) {
 		t.Errorf("the log written anew has %d bytes that differ from the old %d", len(written), len(old))
 	}
-	for _, name := range []string{snapFile, identityFile, seenFile} {
+	for _, name := range []string{snapshotFile, identityFile, watermarksFile} {
 		sealed := golden(t, "datadir", name)
-		text, err := open(name, sealed)
+		text, err := unseal(name, sealed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -235,7 +235,7 @@
 func rawMessage(t *testing.T, kind byte, body []byte) proto.Message {
 	t.Helper()
 	var m proto.Message = &pb.Entry{}
-	if kind == recState {
+	if kind == recordHardState {
 		m = &pb.HardState{}
 	}
 	if err := proto.Unmarshal(body, m); err != nil {
--- a/internal/configstore/identity.go
+++ b/internal/configstore/identity.go
@@ -29,10 +29,10 @@
 
 const pathIdentity = "/v1/identity"
 
-// identify reads the folder's identity, or draws one for a folder that has none.
-func identify(d *disk.Dir, name string) (*Identity, error) {
+// loadIdentity reads the folder's identity, or draws one for a folder that has none.
+func loadIdentity(d *disk.Dir, name string) (*Identity, error) {
 	id := &Identity{}
-	found, err := read(d, identityFile, id)
+	found, err := readJSON(d, identityFile, id)
 	if err != nil {
 		return nil, err
 	}
@@ -42,24 +42,24 @@
 	if found {
 		return id, nil
 	}
-	for _, f := range []string{logFile, snapFile} {
+	for _, f := range []string{logFile, snapshotFile} {
 		if old, _ := d.Names(f); len(old) > 0 {
 			return nil, fmt.Errorf("%w: there is a %s and no %s", ErrCorrupt, f, identityFile)
 		}
 	}
-	*id = Identity{Name: name, ID: draw(name)}
-	return id, write(d, identityFile, id)
+	*id = Identity{Name: name, ID: newReplicaID(name)}
+	return id, writeJSON(d, identityFile, id)
 }
 
-// draw draws an id for a new folder.
-var draw = func(name string) uint64 {
+// newReplicaID draws an id for a new folder.
+var newReplicaID = func(name string) uint64 {
 	var b [8]byte
 	rand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:])>>1 | 1
 }
 
-// clusterOf is drawn from the first members' ids.
-func clusterOf(formed map[string]uint64) uint64 {
+// clusterID is drawn from the first members' ids.
+func clusterID(formed map[string]uint64) uint64 {
 	h := fnv.New64a()
 	for _, name := range slices.Sorted(maps.Keys(formed)) {
 		fmt.Fprintf(h, "%s=%d;", name, formed[name])
@@ -94,7 +94,7 @@
 			}
 		}
 		if len(formed) == len(members) {
-			id.Formed, id.Cluster = formed, clusterOf(formed)
+			id.Formed, id.Cluster = formed, clusterID(formed)
 			return nil
 		}
 		select {
--- a/internal/configstore/lab.go
+++ b/internal/configstore/lab.go
@@ -11,14 +11,14 @@
 // whose folder was wiped votes as before, and nobody notes how far it had come.
 func init() {
 	if os.Getenv("RINGTRACK_LAB_DEFECT") == "loop-waits" {
-		hand = (*Replica).await
+		submitJob = (*Replica).runJob
 	}
 	if os.Getenv("RINGTRACK_LAB_DEFECT") == "wiped-votes" {
-		draw = func(name string) uint64 {
+		newReplicaID = func(name string) uint64 {
 			h := fnv.New64a()
 			h.Write([]byte(name))
 			return h.Sum64()>>1 | 1
 		}
-		watched = false
+		detectRollback = false
 	}
 }
--- a/internal/configstore/peer.go
+++ b/internal/configstore/peer.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	pathRaft = "/v1/raft"
-	// peerQueue bounds messages on their way to one keeper, peerTime a call with them. What is dropped raft sends again.
-	peerQueue, peerTime = 256, time.Second
-	// beatQueue bounds heartbeats and their answers on their way, which wait for none of the others.
-	beatQueue = 64
-	// mostParcel bounds what one call brings, in bytes: a snapshot and a little.
-	mostParcel = mostSnap * 3 / 2
+	pathRaftMessages = "/v1/raft"
+	// peerQueueLength bounds messages on their way to one keeper, peerTime a call with them. What is dropped raft sends again.
+	peerQueueLength, peerCallTimeout = 256, time.Second
+	// heartbeatQueueLength bounds heartbeats and their answers on their way, which wait for none of the others.
+	heartbeatQueueLength = 64
+	// maxRaftMessagesBytes bounds what one call brings, in bytes: a snapshot and a little.
+	maxRaftMessagesBytes = maxSnapshotBytes * 3 / 2
 )
 
-// parcel is what one keeper sends another.
-type parcel struct {
+// raftMessages is what one keeper sends another.
+type raftMessages struct {
 	Cluster uint64            `json:"cluster"`
 	From    uint64            `json:"from"`
 	Name    string            `json:"name"` // of the sender: a keeper that joins knows others by name only
@@ -45,27 +45,27 @@
 // peer is the way to one other keeper. run's goroutines make the calls, one at a time of each queue: a heartbeat does not
 // wait until the other has taken entries or a snapshot.
 type peer struct {
-	k       *Replica
-	id      uint64
-	addr    string
-	beats   chan *pb.Message
-	queue   chan *pb.Message
-	refused string // the loop's: why that keeper does not hear this one
-	cancel  context.CancelFunc
+	replica    *Replica
+	id         uint64
+	addr       string
+	heartbeats chan *pb.Message
+	queue      chan *pb.Message
+	rejection  string // the loop's: why that keeper does not hear this one
+	cancel     context.CancelFunc
 }
 
-// connect makes the ways those to the members as they are now.
-func (k *Replica) connect() {
+// updatePeers makes the ways those to the members as they are now.
+func (k *Replica) updatePeers() {
 	for id := range k.state.Members {
-		if p := k.peers[id]; id == k.id.ID || p != nil && p.addr == k.addr(id) {
+		if p := k.peers[id]; id == k.identity.ID || p != nil && p.addr == k.addr(id) {
 			continue
 		} else if p != nil {
 			p.cancel()
 		}
 		ctx, cancel := context.WithCancel(k.ctx)
-		p := &peer{k: k, id: id, addr: k.addr(id), beats: make(chan *pb.Message, beatQueue), queue: make(chan *pb.Message, peerQueue), cancel: cancel}
+		p := &peer{replica: k, id: id, addr: k.addr(id), heartbeats: make(chan *pb.Message, heartbeatQueueLength), queue: make(chan *pb.Message, peerQueueLength), cancel: cancel}
 		k.peers[id] = p
-		k.on.Go(func() { k.carry(p, ctx) })
+		k.goroutines.Go(func() { k.runPeer(p, ctx) })
 	}
 	maps.DeleteFunc(k.peers, func(id uint64, p *peer) bool {
 		if _, in := k.state.Members[id]; in {
@@ -93,26 +93,26 @@
 	}
 	queue := p.queue
 	if m.GetType() == pb.MsgHeartbeat || m.GetType() == pb.MsgHeartbeatResp {
-		queue = p.beats
+		queue = p.heartbeats
 	}
 	select {
 	case queue <- m:
 	default:
 		if m.GetType() == pb.MsgSnap {
-			k.rn.ReportSnapshot(p.id, raft.SnapshotFailure)
+			k.node.ReportSnapshot(p.id, raft.SnapshotFailure)
 		}
 	}
 }
 
 func (p *peer) run(ctx context.Context) {
 	var beats sync.WaitGroup
-	beats.Go(func() { p.carry(ctx, p.beats) })
-	p.carry(ctx, p.queue)
+	beats.Go(func() { p.sendQueue(ctx, p.heartbeats) })
+	p.sendQueue(ctx, p.queue)
 	beats.Wait()
 }
 
-// carry makes the calls of one queue.
-func (p *peer) carry(ctx context.Context, queue chan *pb.Message) {
+// sendQueue makes the calls of one queue.
+func (p *peer) sendQueue(ctx context.Context, queue chan *pb.Message) {
 	for {
 		var msgs []*pb.Message
 		select {
@@ -129,7 +129,7 @@
 				more = false
 			}
 		}
-		text := parcel{To: p.id}
+		text := raftMessages{To: p.id}
 		snaps := false
 		for _, m := range msgs {
 			b, err := proto.Marshal(m)
@@ -140,7 +140,7 @@
 			text.Msgs = append(text.Msgs, b)
 		}
 		stamped := make(chan struct{})
-		if !p.k.do(ctx, func() { p.k.stamp(&text); close(stamped) }) {
+		if !p.replica.post(ctx, func() { p.replica.setSender(&text); close(stamped) }) {
 			return
 		}
 		select {
@@ -148,15 +148,15 @@
 		case <-ctx.Done():
 			return
 		}
-		try, cancel := context.WithTimeout(ctx, peerTime)
-		err := p.k.ask.Call(try, p.addr, pathRaft, http.Header{}, &text, nil)
+		try, cancel := context.WithTimeout(ctx, peerCallTimeout)
+		err := p.replica.caller.Call(try, p.addr, pathRaftMessages, http.Header{}, &text, nil)
 		cancel()
-		p.k.do(ctx, func() { p.k.sent(p, err, snaps) })
+		p.replica.post(ctx, func() { p.replica.sent(p, err, snaps) })
 	}
 }
 
-// do has the loop do something; it tells whether it will.
-func (k *Replica) do(ctx context.Context, f func()) bool {
+// post has the loop do something; it tells whether it will.
+func (k *Replica) post(ctx context.Context, f func()) bool {
 	select {
 	case k.inbox <- f:
 		return true
@@ -167,12 +167,12 @@
 	}
 }
 
-// stamp fills in who sends.
-func (k *Replica) stamp(t *parcel) {
-	t.Cluster, t.From, t.Name, t.Nonce = k.id.Cluster, k.id.ID, k.id.Name, k.nonce
-	t.Last, _ = k.st.LastIndex()
-	if k.soft.RaftState == raft.StateLeader {
-		t.Acked = maps.Clone(k.seen.Acked)
+// setSender fills in who sends.
+func (k *Replica) setSender(t *raftMessages) {
+	t.Cluster, t.From, t.Name, t.Nonce = k.identity.Cluster, k.identity.ID, k.identity.Name, k.nonce
+	t.Last, _ = k.storage.LastIndex()
+	if k.softState.RaftState == raft.StateLeader {
+		t.Acked = maps.Clone(k.watermarks.Acked)
 	}
 }
 
@@ -182,51 +182,51 @@
 	if f := (*client.StatusError)(nil); errors.As(err, &f) && f.Status == http.StatusForbidden {
 		why = f.Text
 	}
-	if why != p.refused {
-		if p.refused = why; why != "" {
+	if why != p.rejection {
+		if p.rejection = why; why != "" {
 			slog.Error("a keeper does not hear this one", "keeper", k.state.Members[p.id].Name, "why", why)
 		}
 	}
 	if err != nil {
-		k.rn.ReportUnreachable(p.id)
+		k.node.ReportUnreachable(p.id)
 	}
 	if snap {
 		status := raft.SnapshotFinish
 		if err != nil {
 			status = raft.SnapshotFailure
 		}
-		k.rn.ReportSnapshot(p.id, status)
+		k.node.ReportSnapshot(p.id, status)
 	}
 }
 
 // receive takes a parcel; an error is why it is refused.
-func (k *Replica) receive(t *parcel) error {
-	if t.To != k.id.ID {
-		return fmt.Errorf("this is keeper %d, another folder than %d; it was wiped or replaced", k.id.ID, t.To)
+func (k *Replica) receive(t *raftMessages) error {
+	if t.To != k.identity.ID {
+		return fmt.Errorf("this is keeper %d, another folder than %d; it was wiped or replaced", k.identity.ID, t.To)
 	}
-	if k.id.Cluster == 0 && k.cfg.Join {
-		mine := *k.id
+	if k.identity.Cluster == 0 && k.cfg.Join {
+		mine := *k.identity
 		mine.Cluster = t.Cluster
 		var err error
-		if failed := k.await(&job{do: func() error { err = write(k.dir, identityFile, &mine); return nil }}); failed != nil || err != nil {
+		if failed := k.runJob(&job{replace: func() error { err = writeJSON(k.dir, identityFile, &mine); return nil }}); failed != nil || err != nil {
 			return errors.Join(failed, err)
 		}
-		*k.id = mine
+		*k.identity = mine
 	}
-	if t.Cluster != k.id.Cluster {
+	if t.Cluster != k.identity.Cluster {
 		return errors.New("another cluster")
 	}
 	if _, in := k.state.Members[t.From]; !in && k.applied == 0 {
 		// It joins and has nothing yet: it answers who sends, where its own file says that he is.
 		k.state.Members[t.From] = member{Name: t.Name}
-		k.connect()
+		k.updatePeers()
 	} else if !in {
 		return errors.New("no member has this id: it was removed, or its folder is not the one that was added")
 	}
-	if why := k.seen.hear(t.From, t.Nonce, t.Last); why != "" {
+	if why := k.watermarks.accept(t.From, t.Nonce, t.Last); why != "" {
 		return errors.New(why)
 	}
-	k.seen.told(t.Acked)
+	k.watermarks.merge(t.Acked)
 	for _, b := range t.Msgs {
 		m := &pb.Message{}
 		if err := proto.Unmarshal(b, m); err != nil {
@@ -235,17 +235,17 @@
 		if m.GetFrom() != t.From {
 			return errors.New("a message of another keeper")
 		}
-		if m.GetFrom() == k.soft.Lead && (m.GetType() == pb.MsgHeartbeat || m.GetType() == pb.MsgApp) {
-			k.holds.lead(k.now())
+		if m.GetFrom() == k.softState.Lead && (m.GetType() == pb.MsgHeartbeat || m.GetType() == pb.MsgApp) {
+			k.delays.heartbeat(k.now())
 		}
-		k.rn.Step(m) // what does not fit raft drops
+		k.node.Step(m) // what does not fit raft drops
 	}
 	return nil
 }
 
-// changed follows a change of members.
-func (k *Replica) changed(cc *pb.ConfChangeV2) {
-	k.changing = long
+// applyMemberChange follows a change of members.
+func (k *Replica) applyMemberChange(cc *pb.ConfChangeV2) {
+	k.memberChangeUntil = longAgo
 	for _, c := range cc.GetChanges() {
 		switch c.GetType() {
 		case pb.ConfChangeRemoveNode:
@@ -259,24 +259,24 @@
 			slog.Info("member", "change", c.GetType().String(), "name", k.state.Members[c.GetNodeId()].Name, "id", c.GetNodeId())
 		}
 	}
-	k.connect()
+	k.updatePeers()
 }
 
 // promote makes a learner that has come up a voter.
 func (k *Replica) promote(now float64) {
-	if now < k.changing {
+	if now < k.memberChangeUntil {
 		return
 	}
-	s := k.rn.Status()
+	s := k.node.Status()
 	for id, p := range s.Progress {
-		if p.IsLearner && p.RecentActive && p.State == tracker.StateReplicate && p.Match+keepEntries/4 >= s.GetCommit() {
-			k.change(pb.ConfChangeAddNode, id, nil)
+		if p.IsLearner && p.RecentActive && p.State == tracker.StateReplicate && p.Match+retainedEntries/4 >= s.GetCommit() {
+			k.proposeMemberChange(pb.ConfChangeAddNode, id, nil)
 		}
 	}
 }
 
-// change proposes a change of one member.
-func (k *Replica) change(kind pb.ConfChangeType, id uint64, m *member) error {
+// proposeMemberChange proposes a change of one member.
+func (k *Replica) proposeMemberChange(kind pb.ConfChangeType, id uint64, m *member) error {
 	var context []byte
 	if m != nil {
 		var err error
@@ -284,14 +284,14 @@
 			return err
 		}
 	}
-	k.changing = k.now() + k.cfg.TickMs*electionTicks*4
-	return k.rn.ProposeConfChange(&pb.ConfChangeV2{Context: context, Changes: []*pb.ConfChangeSingle{{Type: kind.Enum(), NodeId: proto.Uint64(id)}}})
+	k.memberChangeUntil = k.now() + k.cfg.TickMs*electionTicks*4
+	return k.node.ProposeConfChange(&pb.ConfChangeV2{Context: context, Changes: []*pb.ConfChangeSingle{{Type: kind.Enum(), NodeId: proto.Uint64(id)}}})
 }
 
-// readParcel reads a parcel of a bounded size.
-func readParcel(body io.Reader) (*parcel, error) {
-	t := &parcel{}
-	if err := json.NewDecoder(io.LimitReader(body, mostParcel)).Decode(t); err != nil {
+// readRaftMessages reads a parcel of a bounded size.
+func readRaftMessages(body io.Reader) (*raftMessages, error) {
+	t := &raftMessages{}
+	if err := json.NewDecoder(io.LimitReader(body, maxRaftMessagesBytes)).Decode(t); err != nil {
 		return nil, err
 	}
 	return t, nil
--- a/internal/configstore/peer_test.go
+++ b/internal/configstore/peer_test.go
@@ -18,7 +18,7 @@
 func TestAHeartbeatWaitsForNoEntries(t *testing.T) {
 	hold, came := make(chan struct{}), make(chan pb.MessageType, 16)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		parcel, err := readParcel(req.Body)
+		parcel, err := readRaftMessages(req.Body)
 		if err != nil {
 			t.Error(err)
 			return
@@ -43,18 +43,18 @@
 	defer dir.Close()
 	members := map[string]string{"k1": "127.0.0.1:1", "k2": strings.TrimPrefix(other.URL, "http://")}
 	ctx, cancel := context.WithCancel(t.Context())
-	k := newKeeper(ctx, &Config{Name: "k1", Members: members, LeaseMs: 2000, EndpointsMs: 3000, TickMs: 25}, dir,
+	k := newReplica(ctx, &Config{Name: "k1", Members: members, LeaseMs: 2000, EndpointsMs: 3000, TickMs: 25}, dir,
 		&Identity{Name: "k1", ID: 1, Cluster: 1, Formed: map[string]uint64{"k1": 1, "k2": 2}})
-	k.carry = (*peer).run
-	defer k.on.Wait()
+	k.runPeer = (*peer).run
+	defer k.goroutines.Wait()
 	defer cancel()
-	if err := k.seen.load(dir); err != nil {
+	if err := k.watermarks.load(dir); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.begin(); err != nil {
+	if err := k.openStorage(); err != nil {
 		t.Fatal(err)
 	}
-	k.on.Go(func() { // the loop, as far as calls need it
+	k.goroutines.Go(func() { // the loop, as far as calls need it
 		for {
 			select {
 			case f := <-k.inbox:
@@ -71,7 +71,7 @@
 			if got != want {
 				t.Fatalf("%v came, %v was to", got, want)
 			}
-		case <-time.After(peerTime * 9 / 10): // a call that is held ends after that
+		case <-time.After(peerCallTimeout * 9 / 10): // a call that is held ends after that
 			t.Fatalf("no %v", want)
 		}
 	}
--- a/internal/configstore/replica.go
+++ b/internal/configstore/replica.go
@@ -33,14 +33,14 @@
 	// heartbeatTicks and electionTicks are raft's, in ticks of tick_ms: a leader that is not heard for 0.4 to 0.8 s is
 	// replaced.
 	heartbeatTicks, electionTicks = 2, 16
-	// stallTicks is for how long a keeper whose disk does not answer is like any other; from then on it is silent, so that
+	// diskStallTicks is for how long a keeper whose disk does not answer is like any other; from then on it is silent, so that
 	// a leader is replaced. With the election and the wait for leases that a new leader does not know, as deployed
 	// (1.5 + 0.8 + 5.1 s), a change is then still in force within 8 s; a shorter disk's pause costs less than an election.
-	stallTicks = 60
-	// transferTime bounds how long a planned end waits for another leader.
-	transferTime = time.Second
-	// mostPending bounds asks and publishes that wait in a keeper.
-	mostPending = lease.MaxHolders
+	diskStallTicks = 60
+	// transferTimeout bounds how long a planned end waits for another leader.
+	transferTimeout = time.Second
+	// maxPendingRequests bounds asks and publishes that wait in a keeper.
+	maxPendingRequests = lease.MaxHolders
 )
 
 // member is one keeper as the log knows it.
@@ -51,80 +51,80 @@
 
 // state is what entries of the log change, and a snapshot holds.
 type state struct {
-	Book    history.History   `json:"book"`
+	History history.History   `json:"book"`
 	Members map[uint64]member `json:"members"`
 }
 
 // Replica is one process. Its fields belong to the loop, Run's goroutine, but for what is said otherwise.
 type Replica struct {
-	cfg   *Config
-	dir   *disk.Dir
-	id    *Identity
-	st    *storage
-	rn    *raft.RawNode
-	nonce uint64 // of this start
-	ask   *client.Caller
-	ctx   context.Context
-
-	inbox   chan func()
-	disk    *writer
-	begun   uint64 // jobs that the writer was given,
-	ended   uint64 // and those that came back
-	voted   uint64 // the last of them with a term or vote: nothing is sent before it lasts
-	held    []*pb.Message
-	still   int    // ticks since one came back, where any are on their way
-	stillAt uint64 // ended at the last tick
-	state   state
-	conf    *pb.ConfState
-	applied uint64
-	soft    raft.SoftState
-	terms   termsCache
-
-	desk     *lease.Lessor // nil unless this keeper leads and has an entry of its own term applied
-	deskTerm uint64
-	proposed uint64  // the stage that was last proposed to be left, and when
-	at       float64 // ms of the steady clock
-	altered  bool    // the members have changed since the last snapshot: one that joins needs a snapshot that has it
-	changing float64 // until when a change of members is waited for
-
-	waiting []*ask // have what there is, and wait for something new
-	pending []*ask // wait for the next round
-	round   []*ask // wait for a majority's word that this keeper leads
-	roundID uint64
-	roundAt float64
-	ready   uint64 // index that must be applied for the round; 0: no word yet
-	opens   map[string][]chan result
-
-	peers map[uint64]*peer
-	carry func(*peer, context.Context) // a peer's goroutine
-	seen  seen
-	holds holds
-	on    sync.WaitGroup // the goroutines
-}
-
-// hand gives the disk's writer a job. A lab build has one that waits for it in its place.
-var hand = (*Replica).enqueue
-
-// long is a time long ago: a clock may begin anywhere.
-var long = math.Inf(-1)
-
-// ask is one that waits for a lease, or with no holder for a read.
-type ask struct {
+	cfg      *Config
+	dir      *disk.Dir
+	identity *Identity
+	storage  *storage
+	node     *raft.RawNode
+	nonce    uint64 // of this start
+	caller   *client.Caller
+	ctx      context.Context
+
+	inbox           chan func()
+	writer          *writer
+	jobsSubmitted   uint64 // jobs that the writer was given,
+	jobsDone        uint64 // and those that came back
+	voteJob         uint64 // the last of them with a term or vote: nothing is sent before it lasts
+	unsentMessages  []*pb.Message
+	diskSilentTicks int    // ticks since one came back, where any are on their way
+	jobsDoneAtTick  uint64 // ended at the last tick
+	state           state
+	confState       *pb.ConfState
+	applied         uint64
+	softState       raft.SoftState
+	transitions     transitionCache
+
+	lessor            *lease.Lessor // nil unless this keeper leads and has an entry of its own term applied
+	lessorTerm        uint64
+	proposedEpoch     uint64  // the stage that was last proposed to be left, and when
+	proposedAt        float64 // ms of the steady clock
+	membersChanged    bool    // the members have changed since the last snapshot: one that joins needs a snapshot that has it
+	memberChangeUntil float64 // until when a change of members is waited for
+
+	waiting          []*request // have what there is, and wait for something new
+	pending          []*request // wait for the next round
+	confirming       []*request // wait for a majority's word that this keeper leads
+	confirmID        uint64
+	confirmStartedAt float64
+	confirmIndex     uint64 // index that must be applied for the round; 0: no word yet
+	proposals        map[string][]chan proposalResult
+
+	peers      map[uint64]*peer
+	runPeer    func(*peer, context.Context) // a peer's goroutine
+	watermarks watermarks
+	delays     delays
+	goroutines sync.WaitGroup // the goroutines
+}
+
+// submitJob gives the disk's writer a job. A lab build has one that waits for it in its place.
+var submitJob = (*Replica).enqueueJob
+
+// longAgo is a time long ago: a clock may begin anywhere.
+var longAgo = math.Inf(-1)
+
+// request is one that waits for a lease, or with no holder for a read.
+type request struct {
 	lease.Request
-	read   bool
-	due    float64
-	answer chan granted // of capacity one
+	read     bool
+	deadline float64
+	answer   chan requestResult // of capacity one
 }
 
-type granted struct {
-	grant lease.Grant
-	text  []byte // the whole answer, shared and read only, where the holder needs the terms too; else nil
-	err   error
+type requestResult struct {
+	grant   lease.Grant
+	encoded []byte // the whole answer, shared and read only, where the holder needs the terms too; else nil
+	err     error
 }
 
-// result is what came of a publish. Unless it was applied an error leaves open whether it will be.
-type result struct {
-	v       *sharedconfig.Version
+// proposalResult is what came of a publish. Unless it was applied an error leaves open whether it will be.
+type proposalResult struct {
+	version *sharedconfig.Version
 	err     error
 	applied bool
 }
@@ -139,7 +139,7 @@
 		return fmt.Errorf("keeper: data: %w", err)
 	}
 	defer dir.Close()
-	id, err := identify(dir, cfg.Name)
+	id, err := loadIdentity(dir, cfg.Name)
 	if err != nil {
 		return err
 	}
@@ -148,51 +148,51 @@
 		return fmt.Errorf("keeper: listen: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	k := newKeeper(ctx, cfg, dir, id)
-	k.carry = (*peer).run
-	defer k.on.Wait()
+	k := newReplica(ctx, cfg, dir, id)
+	k.runPeer = (*peer).run
+	defer k.goroutines.Wait()
 	defer cancel()
-	if err := k.seen.load(dir); err != nil {
+	if err := k.watermarks.load(dir); err != nil {
 		ln.Close()
 		return err
 	}
 	// Identities are asked for before there is anything to vote on, so calls are answered from now on.
-	var whole identityBox
+	var whole sharedIdentity
 	whole.set(id)
 	server := &http.Server{Handler: k.handler(&whole), ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second, IdleTimeout: time.Minute,
 		MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
-	k.on.Go(func() { server.Serve(ln) })
+	k.goroutines.Go(func() { server.Serve(ln) })
 	defer server.Close()
 	if ready != nil {
 		ready(ln.Addr())
 	}
 	if id.Formed == nil && !cfg.Join {
 		mine := *id
-		if err := mine.form(stop, cfg.Members, k.ask); err != nil {
+		if err := mine.form(stop, cfg.Members, k.caller); err != nil {
 			if stop.Err() != nil {
 				return nil
 			}
 			return err
 		}
-		if err := write(dir, identityFile, &mine); err != nil {
+		if err := writeJSON(dir, identityFile, &mine); err != nil {
 			return err
 		}
 		*id = mine
 		whole.set(id)
 		slog.Info("formed", "name", id.Name, "id", id.ID, "members", len(id.Formed))
 	}
-	if err := k.begin(); err != nil {
+	if err := k.openStorage(); err != nil {
 		return err
 	}
 	return k.loop(stop)
 }
 
-// newKeeper is one that has not begun.
-func newKeeper(ctx context.Context, cfg *Config, dir *disk.Dir, id *Identity) *Replica {
-	k := &Replica{cfg: cfg, dir: dir, id: id, ctx: ctx, ask: client.NewCallerWithConns(mostCalls), inbox: make(chan func(), 1024),
-		state: state{Members: map[uint64]member{}}, opens: map[string][]chan result{}, peers: map[uint64]*peer{},
-		at: long, changing: long}
-	k.seen.at, k.holds = long, newHolds()
+// newReplica is one that has not begun.
+func newReplica(ctx context.Context, cfg *Config, dir *disk.Dir, id *Identity) *Replica {
+	k := &Replica{cfg: cfg, dir: dir, identity: id, ctx: ctx, caller: client.NewCallerWithConns(maxCalls), inbox: make(chan func(), 1024),
+		state: state{Members: map[uint64]member{}}, proposals: map[string][]chan proposalResult{}, peers: map[uint64]*peer{},
+		proposedAt: longAgo, memberChangeUntil: longAgo}
+	k.watermarks.savedAt, k.delays = longAgo, newDelays()
 	var b [8]byte
 	rand.Read(b[:])
 	for _, v := range b {
@@ -201,22 +201,22 @@
 	return k
 }
 
-// begin makes raft's node of what the folder has.
-func (k *Replica) begin() (err error) {
-	if k.st, err = load(k.dir); err != nil {
+// openStorage makes raft's node of what the folder has.
+func (k *Replica) openStorage() (err error) {
+	if k.storage, err = loadStorage(k.dir); err != nil {
 		return err
 	}
-	if k.st.torn > 0 {
-		slog.Warn("the log's end was not whole and is cut off", "bytes", k.st.torn)
+	if k.storage.truncatedBytes > 0 {
+		slog.Warn("the log's end was not whole and is cut off", "bytes", k.storage.truncatedBytes)
 	}
-	snap, err := k.st.Snapshot()
+	snap, err := k.storage.Snapshot()
 	if err != nil {
 		return err
 	}
-	if raft.IsEmptySnap(snap) && k.id.Formed != nil {
+	if raft.IsEmptySnap(snap) && k.identity.Formed != nil {
 		// The very first state is the same at all first members.
 		conf := &pb.ConfState{}
-		for name, id := range k.id.Formed {
+		for name, id := range k.identity.Formed {
 			k.state.Members[id] = member{Name: name, Addr: k.cfg.Members[name]}
 			conf.Voters = append(conf.Voters, id)
 		}
@@ -226,10 +226,10 @@
 			return err
 		}
 		first := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
-		if last, _ := k.st.LastIndex(); last > 0 {
+		if last, _ := k.storage.LastIndex(); last > 0 {
 			return fmt.Errorf("%w: there are entries and no snapshot", ErrCorrupt)
 		}
-		if err := k.st.first(first); err != nil {
+		if err := k.storage.writeInitialSnapshot(first); err != nil {
 			return err
 		}
 		snap = first
@@ -239,8 +239,8 @@
 			return err
 		}
 	}
-	k.disk = newWriter(k.st.file)
-	k.rn, err = raft.NewRawNode(&raft.Config{ID: k.id.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: k.st,
+	k.writer = newWriter(k.storage.file)
+	k.node, err = raft.NewRawNode(&raft.Config{ID: k.identity.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: k.storage,
 		Applied: k.applied, MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 64 << 20, CheckQuorum: true, PreVote: true,
 		AsyncStorageWrites: true, StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: logger{}})
 	return err
@@ -252,8 +252,8 @@
 	if err := json.Unmarshal(snap.GetData(), &s); err != nil {
 		return fmt.Errorf("%w: snapshot: %w", ErrCorrupt, err)
 	}
-	k.state, k.conf, k.applied = s, snap.GetMetadata().GetConfState(), snap.GetMetadata().GetIndex()
-	k.connect()
+	k.state, k.confState, k.applied = s, snap.GetMetadata().GetConfState(), snap.GetMetadata().GetIndex()
+	k.updatePeers()
 	return nil
 }
 
@@ -262,8 +262,8 @@
 	tick := time.NewTicker(time.Duration(k.cfg.TickMs * float64(time.Millisecond)))
 	defer tick.Stop()
 	defer k.failAll(errors.New("this keeper ends"))
-	k.on.Go(k.disk.run)
-	defer close(k.disk.jobs)
+	k.goroutines.Go(k.writer.run)
+	defer close(k.writer.jobs)
 	var over <-chan time.Time
 	stopping := stop.Done()
 	for {
@@ -271,77 +271,77 @@
 		select {
 		case <-tick.C:
 			from = k.now()
-			if err := k.ticked(); err != nil {
+			if err := k.handleTick(); err != nil {
 				return err
 			}
 		case f := <-k.inbox:
 			from = k.now()
-			k.hear(f)
-		case j := <-k.disk.done:
+			k.runPosted(f)
+		case j := <-k.writer.done:
 			from = k.now()
-			if err := k.lasts(j); err != nil {
+			if err := k.jobFinished(j); err != nil {
 				return err
 			}
 		case <-stopping:
 			stopping = nil
-			if to := k.heir(); to != 0 {
+			if to := k.transferTarget(); to != 0 {
 				slog.Info("handing over", "to", k.state.Members[to].Name)
-				k.rn.TransferLeader(to)
+				k.node.TransferLeader(to)
 			}
-			over = time.After(transferTime)
+			over = time.After(transferTimeout)
 		case <-over:
 			return nil
 		}
-		if err := k.step(); err != nil {
+		if err := k.processReady(); err != nil {
 			return err
 		}
-		k.holds.took(holdTurn, from, k.now())
-		if stopping == nil && over != nil && k.soft.RaftState != raft.StateLeader {
+		k.delays.record(delayIteration, from, k.now())
+		if stopping == nil && over != nil && k.softState.RaftState != raft.StateLeader {
 			return nil
 		}
 	}
 }
 
-// heir is the voter that is to lead after this keeper; 0: this one does not lead, or there is none.
-func (k *Replica) heir() (to uint64) {
-	if k.soft.RaftState != raft.StateLeader {
+// transferTarget is the voter that is to lead after this keeper; 0: this one does not lead, or there is none.
+func (k *Replica) transferTarget() (to uint64) {
+	if k.softState.RaftState != raft.StateLeader {
 		return 0
 	}
 	best := uint64(0)
-	for id, p := range k.rn.Status().Progress {
-		if id != k.id.ID && !p.IsLearner && p.RecentActive && p.Match >= best {
+	for id, p := range k.node.Status().Progress {
+		if id != k.identity.ID && !p.IsLearner && p.RecentActive && p.Match >= best {
 			best, to = p.Match, id
 		}
 	}
 	return to
 }
 
-// hear carries out the calls that wait, f before them. Of those that come meanwhile it leaves the rest to the next turn.
-func (k *Replica) hear(f func()) {
+// runPosted carries out the calls that wait, f before them. Of those that come meanwhile it leaves the rest to the next turn.
+func (k *Replica) runPosted(f func()) {
 	from, n := k.now(), len(k.inbox)
 	if f != nil {
 		f()
-		k.holds.queued(n + 1)
+		k.delays.queued(n + 1)
 	}
 	for range n {
 		(<-k.inbox)()
 	}
-	k.holds.took(holdInbox, from, k.now())
+	k.delays.record(delayInbox, from, k.now())
 }
 
-// step carries out what raft wants: the disk makes last what is to, and what must not be known before that waits for it.
+// processReady carries out what raft wants: the disk makes last what is to, and what must not be known before that waits for it.
 // All else goes on: an answer of the disk that takes long holds up neither ticks nor heartbeats.
-func (k *Replica) step() error {
-	for k.rn.HasReady() && k.begun-k.ended < mostJobs {
-		rd := k.rn.Ready()
+func (k *Replica) processReady() error {
+	for k.node.HasReady() && k.jobsSubmitted-k.jobsDone < maxPendingJobs {
+		rd := k.node.Ready()
 		if rd.SoftState != nil {
-			k.turned(*rd.SoftState)
+			k.softStateChanged(*rd.SoftState)
 		}
 		var out, applied []*pb.Message
 		for _, m := range rd.Messages {
 			switch m.GetTo() {
 			case raft.LocalAppendThread:
-				if err := k.save(&rd, m.GetResponses()); err != nil {
+				if err := k.submitReady(&rd, m.GetResponses()); err != nil {
 					return err
 				}
 			case raft.LocalApplyThread:
@@ -350,49 +350,49 @@
 				out = append(out, m)
 			}
 		}
-		k.emit(out)
+		k.sendWhenDurable(out)
 		for _, e := range rd.CommittedEntries {
 			if err := k.apply(e); err != nil {
 				return err
 			}
 		}
 		for _, m := range applied {
-			k.rn.Step(m)
+			k.node.Step(m)
 		}
 		for _, r := range rd.ReadStates {
-			if string(r.RequestCtx) == fmt.Sprint(k.roundID) {
-				k.ready = max(r.Index, 1)
+			if string(r.RequestCtx) == fmt.Sprint(k.confirmID) {
+				k.confirmIndex = max(r.Index, 1)
 			}
 		}
 	}
-	k.serve()
-	due := k.altered || k.applied-k.st.base >= compactAt || k.st.size > logAt
-	if due && k.applied > k.st.base && k.st.snaps == 0 && k.begun-k.ended < mostJobs {
+	k.serveRequests()
+	due := k.membersChanged || k.applied-k.storage.snapshotIndex >= snapshotEntries || k.storage.logBytes > maxLogBeforeSnapshotBytes
+	if due && k.applied > k.storage.snapshotIndex && k.storage.pendingSnapshots == 0 && k.jobsSubmitted-k.jobsDone < maxPendingJobs {
 		data, err := json.Marshal(&k.state)
 		if err != nil {
 			return err
 		}
-		k.altered = false
-		j, err := k.st.compact(k.applied, k.conf, data)
+		k.membersChanged = false
+		j, err := k.storage.compact(k.applied, k.confState, data)
 		if err != nil {
 			return err
 		}
-		return hand(k, j)
+		return submitJob(k, j)
 	}
 	return nil
 }
 
-// save has the disk make last what raft has of new; then raft hears of it, and others the responses.
-func (k *Replica) save(rd *raft.Ready, responses []*pb.Message) error {
-	j, voted, err := k.st.save(rd)
+// submitReady has the disk make last what raft has of new; then raft hears of it, and others the responses.
+func (k *Replica) submitReady(rd *raft.Ready, responses []*pb.Message) error {
+	j, voted, err := k.storage.save(rd)
 	if err != nil {
 		return err
 	}
 	if voted {
-		k.voted = k.begun + 1
+		k.voteJob = k.jobsSubmitted + 1
 	}
-	lasts, snap := j.then, rd.Snapshot
-	j.then = func() error {
+	lasts, snap := j.onDurable, rd.Snapshot
+	j.onDurable = func() error {
 		if err := lasts(); err != nil {
 			return err
 		}
@@ -402,88 +402,88 @@
 			}
 		}
 		for _, m := range responses {
-			if m.GetTo() == k.id.ID {
-				k.rn.Step(m)
+			if m.GetTo() == k.identity.ID {
+				k.node.Step(m)
 			} else {
 				k.send(m)
 			}
 		}
 		return nil
 	}
-	return hand(k, j)
+	return submitJob(k, j)
 }
 
-// enqueue gives the disk's writer a job, and goes on.
-func (k *Replica) enqueue(j *job) error {
-	k.begun++
-	k.disk.jobs <- j
+// enqueueJob gives the disk's writer a job, and goes on.
+func (k *Replica) enqueueJob(j *job) error {
+	k.jobsSubmitted++
+	k.writer.jobs <- j
 	return nil
 }
 
-// await gives the disk's writer a job and waits until it has come back.
-func (k *Replica) await(j *job) error {
-	k.begun++
-	k.disk.jobs <- j
+// runJob gives the disk's writer a job and waits until it has come back.
+func (k *Replica) runJob(j *job) error {
+	k.jobsSubmitted++
+	k.writer.jobs <- j
 	for {
-		back := <-k.disk.done
-		if err := k.lasts(back); err != nil || back == j {
+		back := <-k.writer.done
+		if err := k.jobFinished(back); err != nil || back == j {
 			return err
 		}
 	}
 }
 
-// lasts takes a job back.
-func (k *Replica) lasts(j *job) error {
-	k.ended++
-	kind := holdSave
-	if j.do != nil {
-		kind = holdKept
+// jobFinished takes a job back.
+func (k *Replica) jobFinished(j *job) error {
+	k.jobsDone++
+	kind := delaySave
+	if j.replace != nil {
+		kind = delayReplace
 	}
-	k.holds.took(kind, j.began, j.over)
+	k.delays.record(kind, j.startedAt, j.finishedAt)
 	if j.err != nil {
 		return fmt.Errorf("keeper: it ends, for what its disk has now is not known: %w", j.err)
 	}
-	if k.ended == k.voted {
-		held := k.held
-		k.held = nil
-		k.emit(held)
+	if k.jobsDone == k.voteJob {
+		held := k.unsentMessages
+		k.unsentMessages = nil
+		k.sendWhenDurable(held)
 	}
-	if j.then != nil {
-		return j.then()
+	if j.onDurable != nil {
+		return j.onDurable()
 	}
 	return nil
 }
 
-// stalled tells whether the disk has not answered for so long that this keeper is to be taken for one that is dead.
-func (k *Replica) stalled() bool { return k.still >= stallTicks }
+// diskStalled tells whether the disk has not answered for so long that this keeper is to be taken for one that is dead.
+func (k *Replica) diskStalled() bool { return k.diskSilentTicks >= diskStallTicks }
 
-// emit sends what raft lets be known before its entries last. Who has not kept its term and vote could lead, or vote,
+// sendWhenDurable sends what raft lets be known before its entries last. Who has not kept its term and vote could lead, or vote,
 // twice in the same term, so all waits for these.
-func (k *Replica) emit(msgs []*pb.Message) {
+func (k *Replica) sendWhenDurable(msgs []*pb.Message) {
 	for _, m := range msgs {
 		switch {
-		case k.stalled():
+		case k.diskStalled():
 			if m.GetType() == pb.MsgSnap {
-				k.rn.ReportSnapshot(m.GetTo(), raft.SnapshotFailure)
+				k.node.ReportSnapshot(m.GetTo(), raft.SnapshotFailure)
 			}
-		case k.ended < k.voted:
-			k.held = append(k.held, m)
+		case k.jobsDone < k.voteJob:
+			k.unsentMessages = append(k.unsentMessages, m)
 		default:
 			k.send(m)
 		}
 	}
 }
 
-// turned follows who leads.
-func (k *Replica) turned(now raft.SoftState) {
-	if now.RaftState != k.soft.RaftState || now.Lead != k.soft.Lead {
+// softStateChanged follows who leads.
+func (k *Replica) softStateChanged(now raft.SoftState) {
+	if now.RaftState != k.softState.RaftState || now.Lead != k.softState.Lead {
 		slog.Info("raft", "state", now.RaftState.String(), "leader", k.state.Members[now.Lead].Name)
 	}
-	k.told(k.soft, now)
-	k.soft = now
+	k.countElection(k.softState, now)
+	k.softState = now
 	if now.RaftState != raft.StateLeader {
-		k.desk = nil
-		k.failAsks(errNotLeading)
+		k.lessor = nil
+		k.failRequests(errNotLeading)
 	}
 }
 
@@ -499,16 +499,16 @@
 		if err := json.Unmarshal(e.GetData(), &op); err != nil {
 			return fmt.Errorf("%w: entry %d: %w", ErrCorrupt, e.GetIndex(), err)
 		}
-		was := k.state.Book.Epoch
-		v, err := k.state.Book.Apply(&op)
+		was := k.state.History.Epoch
+		v, err := k.state.History.Apply(&op)
 		id := op.ID()
-		for _, c := range k.opens[id] {
-			c <- result{v, err, true}
+		for _, c := range k.proposals[id] {
+			c <- proposalResult{v, err, true}
 		}
-		delete(k.opens, id)
-		if k.state.Book.Epoch != was {
-			slog.Info("in force", "stage", k.state.Book.Epoch)
-			k.wake()
+		delete(k.proposals, id)
+		if k.state.History.Epoch != was {
+			slog.Info("in force", "stage", k.state.History.Epoch)
+			k.requeueWaiting()
 		}
 	case pb.EntryConfChange, pb.EntryConfChangeV2:
 		cc := &pb.ConfChangeV2{}
@@ -521,23 +521,23 @@
 		} else if err := proto.Unmarshal(e.GetData(), cc); err != nil {
 			return err
 		}
-		k.conf = k.rn.ApplyConfChange(cc)
-		k.changed(cc)
-		k.altered = true
+		k.confState = k.node.ApplyConfChange(cc)
+		k.applyMemberChange(cc)
+		k.membersChanged = true
 	}
 	// Its own entry of the term says that all of before is applied: from here on this keeper may give leases.
-	if t := k.rn.BasicStatus(); k.soft.RaftState == raft.StateLeader && e.GetTerm() == t.GetTerm() && (k.desk == nil || k.deskTerm != e.GetTerm()) {
-		k.desk, k.deskTerm = lease.NewLessor(clock.Steady(), k.cfg.LeaseMs, k.cfg.EndpointsMs), e.GetTerm()
+	if t := k.node.BasicStatus(); k.softState.RaftState == raft.StateLeader && e.GetTerm() == t.GetTerm() && (k.lessor == nil || k.lessorTerm != e.GetTerm()) {
+		k.lessor, k.lessorTerm = lease.NewLessor(clock.Steady(), k.cfg.LeaseMs, k.cfg.EndpointsMs), e.GetTerm()
 	}
 	return nil
 }
 
-// ticked takes a tick. What lies there by then is carried out before it: a leader whose word does is not one that is
+// handleTick takes a tick. What lies there by then is carried out before it: a leader whose word does is not one that is
 // silent, and a disk that has answered none that does not.
-func (k *Replica) ticked() error {
-	k.hear(nil)
-	for range len(k.disk.done) {
-		if err := k.lasts(<-k.disk.done); err != nil {
+func (k *Replica) handleTick() error {
+	k.runPosted(nil)
+	for range len(k.writer.done) {
+		if err := k.jobFinished(<-k.writer.done); err != nil {
 			return err
 		}
 	}
@@ -548,26 +548,26 @@
 // tick does what time asks for.
 func (k *Replica) tick() {
 	now := clock.Steady()
-	k.holds.tick(now, k.cfg.TickMs, k.cfg.TickMs*electionTicks*2)
-	k.rn.Tick()
-	if k.still++; k.begun == k.ended || k.ended != k.stillAt {
-		k.still, k.stillAt = 0, k.ended
+	k.delays.tick(now, k.cfg.TickMs, k.cfg.TickMs*electionTicks*2)
+	k.node.Tick()
+	if k.diskSilentTicks++; k.jobsSubmitted == k.jobsDone || k.jobsDone != k.jobsDoneAtTick {
+		k.diskSilentTicks, k.jobsDoneAtTick = 0, k.jobsDone
 	}
-	k.waiting = slices.DeleteFunc(k.waiting, func(a *ask) bool {
-		if now < a.due {
+	k.waiting = slices.DeleteFunc(k.waiting, func(a *request) bool {
+		if now < a.deadline {
 			return false
 		}
 		k.pending = append(k.pending, a)
 		return true
 	})
-	if len(k.round) > 0 && now-k.roundAt > k.cfg.TickMs*electionTicks {
-		for _, a := range k.round {
-			a.answer <- granted{err: errors.New("no majority of the keepers answers")}
+	if len(k.confirming) > 0 && now-k.confirmStartedAt > k.cfg.TickMs*electionTicks {
+		for _, a := range k.confirming {
+			a.answer <- requestResult{err: errors.New("no majority of the keepers answers")}
 		}
-		k.round = nil
+		k.confirming = nil
 	}
-	k.watermarks()
-	if k.desk == nil {
+	k.recordWatermarks()
+	if k.lessor == nil {
 		return
 	}
 	k.promote(now)
@@ -575,139 +575,139 @@
 
 // advance proposes the next stage once nobody acts on a stage before this one.
 func (k *Replica) advance(now float64) {
-	b := &k.state.Book
-	if k.desk == nil || !b.CanAdvance() {
+	b := &k.state.History
+	if k.lessor == nil || !b.CanAdvance() {
 		return
 	}
-	if b.Epoch == k.proposed && now-k.at < k.cfg.TickMs*electionTicks {
+	if b.Epoch == k.proposedEpoch && now-k.proposedAt < k.cfg.TickMs*electionTicks {
 		return // it is on its way
 	}
-	if k.desk.MayAdvance(now, b.Epoch, b.EndpointsChanged) {
+	if k.lessor.MayAdvance(now, b.Epoch, b.EndpointsChanged) {
 		stage := b.Epoch
-		if data, err := json.Marshal(&history.Command{Advance: &stage}); err == nil && k.rn.Propose(data) == nil {
-			k.proposed, k.at = stage, now
+		if data, err := json.Marshal(&history.Command{Advance: &stage}); err == nil && k.node.Propose(data) == nil {
+			k.proposedEpoch, k.proposedAt = stage, now
 		}
 	}
 }
 
-// wake has all who waited for something new asked for at the next round.
-func (k *Replica) wake() {
+// requeueWaiting has all who waited for something new asked for at the next round.
+func (k *Replica) requeueWaiting() {
 	k.pending = append(k.pending, k.waiting...)
 	k.waiting = nil
 }
 
-// serve begins and ends rounds: one for all asks that are there, confirmed by a majority after they were.
-func (k *Replica) serve() {
+// serveRequests begins and ends rounds: one for all asks that are there, confirmed by a majority after they were.
+func (k *Replica) serveRequests() {
 	now := clock.Steady()
 	k.advance(now)
-	if k.desk == nil {
+	if k.lessor == nil {
 		return
 	}
-	if len(k.round) > 0 && k.ready > 0 && k.applied >= k.ready {
-		for _, a := range k.round {
-			k.grant(now, a)
+	if len(k.confirming) > 0 && k.confirmIndex > 0 && k.applied >= k.confirmIndex {
+		for _, a := range k.confirming {
+			k.answer(now, a)
 		}
-		k.round = nil
+		k.confirming = nil
 	}
-	if len(k.round) == 0 && len(k.pending) > 0 {
-		k.round, k.pending = k.pending, nil
-		k.roundID++
-		k.ready, k.roundAt = 0, now
-		k.rn.ReadIndex([]byte(fmt.Sprint(k.roundID)))
+	if len(k.confirming) == 0 && len(k.pending) > 0 {
+		k.confirming, k.pending = k.pending, nil
+		k.confirmID++
+		k.confirmIndex, k.confirmStartedAt = 0, now
+		k.node.ReadIndex([]byte(fmt.Sprint(k.confirmID)))
 		// A single keeper has its own word at once; HasReady says so and step is called again.
-		k.post(func() {})
+		k.runAgain(func() {})
 	}
 }
 
-// post has the loop run once more, if it is not going to anyway.
-func (k *Replica) post(f func()) {
+// runAgain has the loop run once more, if it is not going to anyway.
+func (k *Replica) runAgain(f func()) {
 	select {
 	case k.inbox <- f:
 	default:
 	}
 }
 
-func (k *Replica) grant(now float64, a *ask) {
+func (k *Replica) answer(now float64, a *request) {
 	if a.read {
-		a.answer <- granted{}
+		a.answer <- requestResult{}
 		return
 	}
-	b := &k.state.Book
-	if t := k.terms.of(b); t != nil && !t.Config.AllowsAgent(a.Name) {
-		a.answer <- granted{err: fmt.Errorf("agent %q is not in the list of agents", a.Name)}
+	b := &k.state.History
+	if t := k.transitions.get(b); t != nil && !t.Config.AllowsAgent(a.Name) {
+		a.answer <- requestResult{err: fmt.Errorf("agent %q is not in the list of agents", a.Name)}
 		return
 	}
-	g, ok := k.desk.Grant(now, a.Request, b.Epoch)
+	g, ok := k.lessor.Grant(now, a.Request, b.Epoch)
 	if !ok {
-		a.answer <- granted{err: fmt.Errorf("no lease: the agent has stage %d, in force is %d", a.Epoch, b.Epoch)}
+		a.answer <- requestResult{err: fmt.Errorf("no lease: the agent has stage %d, in force is %d", a.Epoch, b.Epoch)}
 		return
 	}
-	out := granted{grant: g}
+	out := requestResult{grant: g}
 	if a.Epoch != g.Epoch {
-		out.text, out.err = k.terms.answer(b, g)
+		out.encoded, out.err = k.transitions.encodedResponse(b, g)
 	}
 	a.answer <- out
 }
 
-// take takes an ask.
-func (k *Replica) take(a *ask) {
+// enqueue takes an ask.
+func (k *Replica) enqueue(a *request) {
 	switch {
-	case k.soft.RaftState != raft.StateLeader:
-		a.answer <- granted{err: errNotLeading}
+	case k.softState.RaftState != raft.StateLeader:
+		a.answer <- requestResult{err: errNotLeading}
 		return
-	case len(k.waiting)+len(k.pending)+len(k.round) >= mostPending:
-		a.answer <- granted{err: errors.New("too many asks wait")}
+	case len(k.waiting)+len(k.pending)+len(k.confirming) >= maxPendingRequests:
+		a.answer <- requestResult{err: errors.New("too many asks wait")}
 		return
 	}
 	now := clock.Steady()
-	if k.desk != nil && !a.read {
-		k.desk.Observe(now, a.Request)
+	if k.lessor != nil && !a.read {
+		k.lessor.Observe(now, a.Request)
 	}
-	if !a.read && a.Epoch == k.state.Book.Epoch && a.due > now && k.desk != nil {
+	if !a.read && a.Epoch == k.state.History.Epoch && a.deadline > now && k.lessor != nil {
 		k.waiting = append(k.waiting, a)
 		return
 	}
 	k.pending = append(k.pending, a)
 }
 
-func (k *Replica) failAsks(err error) {
-	for _, l := range []*[]*ask{&k.waiting, &k.pending, &k.round} {
+func (k *Replica) failRequests(err error) {
+	for _, l := range []*[]*request{&k.waiting, &k.pending, &k.confirming} {
 		for _, a := range *l {
-			a.answer <- granted{err: err}
+			a.answer <- requestResult{err: err}
 		}
 		*l = nil
 	}
 }
 
 func (k *Replica) failAll(err error) {
-	k.failAsks(err)
-	for id, l := range k.opens {
+	k.failRequests(err)
+	for id, l := range k.proposals {
 		for _, c := range l {
-			c <- result{err: err}
+			c <- proposalResult{err: err}
 		}
-		delete(k.opens, id)
+		delete(k.proposals, id)
 	}
 }
 
 // propose hands an entry to raft; the answer comes when it is applied, if ever.
-func (k *Replica) propose(id string, op *history.Command, answer chan result) {
-	if k.soft.RaftState != raft.StateLeader {
-		answer <- result{err: errNotLeading}
+func (k *Replica) propose(id string, op *history.Command, answer chan proposalResult) {
+	if k.softState.RaftState != raft.StateLeader {
+		answer <- proposalResult{err: errNotLeading}
 		return
 	}
-	if len(k.opens) >= 1024 {
-		answer <- result{err: errors.New("too many publishes wait")}
+	if len(k.proposals) >= 1024 {
+		answer <- proposalResult{err: errors.New("too many publishes wait")}
 		return
 	}
 	data, err := json.Marshal(op)
 	if err == nil {
-		err = k.rn.Propose(data)
+		err = k.node.Propose(data)
 	}
 	if err != nil {
-		answer <- result{err: err}
+		answer <- proposalResult{err: err}
 		return
 	}
-	k.opens[id] = append(k.opens[id], answer)
+	k.proposals[id] = append(k.proposals[id], answer)
 }
 
 // logger is raft's log. Panics are raft's own: what it finds impossible ends the process.
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -70,7 +70,7 @@
 	if err := os.Remove(filepath.Join(d.path, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	gone(filepath.Join(d.path, name))
+	fileRemoved(filepath.Join(d.path, name))
 	return nil
 }
 
@@ -93,7 +93,7 @@
 	if err := os.Rename(filepath.Join(d.path, name+".new"), filepath.Join(d.path, name)); err != nil {
 		return fmt.Errorf("disk: %w", err)
 	}
-	moved(filepath.Join(d.path, name+".new"), filepath.Join(d.path, name))
+	fileRenamed(filepath.Join(d.path, name+".new"), filepath.Join(d.path, name))
 	return d.sync()
 }
 
--- a/internal/disk/lab.go
+++ b/internal/disk/lab.go
@@ -79,9 +79,9 @@
 	return os.Rename(f.Name()+lasts+".new", f.Name()+lasts)
 }
 
-func moved(from, to string) {
+func fileRenamed(from, to string) {
 	if os.Rename(from+lasts, to+lasts) != nil {
 		os.WriteFile(to+lasts, []byte("0"), 0o600) // its sync was a lie
 	}
 }
-func gone(name string) { os.Remove(name + lasts) }
+func fileRemoved(name string) { os.Remove(name + lasts) }
--- a/internal/disk/true.go
+++ b/internal/disk/true.go
@@ -6,5 +6,5 @@
 
 func write(f *os.File, p []byte) (int, error) { return f.Write(p) }
 func sync(f *os.File) error                   { return f.Sync() }
-func moved(from, to string)                   {}
-func gone(name string)                        {}
+func fileRenamed(from, to string)             {}
+func fileRemoved(name string)                 {}
