--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -206,14 +206,14 @@
 
 // core is what of it the loop is told.
 func (c *Config) core() core.Config {
-	out := core.Config{Discovery: c.Discovery, CachedEndpoints: c.Known, Settings: c.Settings, Seed: c.Seed, Zones: c.Zones, Kinds: c.Kinds,
+	out := core.Config{Discovery: c.Discovery, CachedEndpoints: c.Known, Settings: c.Settings, Seed: c.Seed, Zones: c.Zones, MachineTypes: c.Kinds,
 		PublishRotation: c.Admin != ""}
 	if c.Agreed != nil {
 		out.SharedConfig = &core.SharedConfig{RejectWhenStale: c.Agreed.OnExpiry == client.OnExpiryReject}
 	}
 	if c.Ephemeral != nil {
 		out.Merge = c.Ephemeral.Merge()
-		out.WatchNodes = ephemeral.NewSource(c.Ephemeral).Nodes(func(problem string) { slog.Warn("registry", "problem", problem) })
+		out.WatchNodes = ephemeral.NewSource(c.Ephemeral).Feed(func(problem string) { slog.Warn("registry", "problem", problem) })
 	}
 	return out
 }
