--- /dev/null
+++ b/internal/configstore/api_members.go
@@ -0,0 +1,57 @@
+package configstore
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+)
+
+// members adds or removes a replica.
+func (k *Replica) members(req *http.Request, body []byte) (any, error) {
+	var call MembersRequest
+	if err := json.Unmarshal(body, &call); err != nil {
+		return nil, invalidCallError{err}
+	}
+	if (call.Add == "") == (call.Remove == "") || call.Add != "" && call.Addr == "" {
+		return nil, invalidCallError{errors.New("members: add with addr, or remove, is needed")}
+	}
+	added := &Identity{}
+	if call.Add != "" {
+		var err error
+		if added, err = k.identifyAdded(req.Context(), &call); err != nil {
+			return nil, err
+		}
+	}
+	done := make(chan error, 1)
+	ctx, cancel := context.WithTimeout(req.Context(), forwardTimeout)
+	defer cancel()
+	if !k.post(ctx, func() { done <- k.changeMembers(&call, added) }) {
+		return nil, errNotLeading
+	}
+	out := &struct{}{}
+	select {
+	case err := <-done:
+		if errors.Is(err, errNotLeading) {
+			return out, k.forward(req, &call, out, forwardTimeout)
+		}
+		return out, err
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+// identifyAdded asks the replica to add for its identity.
+func (k *Replica) identifyAdded(ctx context.Context, call *MembersRequest) (*Identity, error) {
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout/2)
+	defer cancel()
+	added := &Identity{}
+	if err := k.caller.Call(ctx, call.Addr, pathIdentity, http.Header{}, nil, added); err != nil {
+		return nil, fmt.Errorf("members: the keeper at %s does not tell who it is: %w", call.Addr, err)
+	}
+	if added.Name != call.Add {
+		return nil, invalidCallError{fmt.Errorf("members: at %s is keeper %q", call.Addr, added.Name)}
+	}
+	return added, nil
+}
--- a/internal/configstore/compatibility_test.go
+++ b/internal/configstore/compatibility_test.go
@@ -205,16 +205,16 @@
 	old := golden(t, "datadir", "log")
 	var written []byte
 	for at := 0; at < len(old); {
-		kind, body, next, ok := decodeRecord(old, at)
+		r, ok := decodeRecord(old, at)
 		if !ok {
 			t.Fatalf("no record at byte %d", at)
 		}
-		again, err := appendRecord(nil, kind, rawMessage(t, kind, body))
+		again, err := appendRecord(nil, r.kind, decodeBody(t, r))
 		if err != nil {
 			t.Fatal(err)
 		}
 		written = append(written, again...)
-		at = next
+		at = r.end
 	}
 	if !bytes.Equal(written, old) {
 		t.Errorf("the log written anew has %d bytes that differ from the old %d", len(written), len(old))
@@ -231,14 +231,14 @@
 	}
 }
 
-// rawMessage decodes the body of a record.
-func rawMessage(t *testing.T, kind byte, body []byte) proto.Message {
+// decodeBody decodes the body of a record.
+func decodeBody(t *testing.T, r logRecord) proto.Message {
 	t.Helper()
 	var m proto.Message = &pb.Entry{}
-	if kind == recordHardState {
+	if r.kind == recordHardState {
 		m = &pb.HardState{}
 	}
-	if err := proto.Unmarshal(body, m); err != nil {
+	if err := proto.Unmarshal(r.body, m); err != nil {
 		t.Fatal(err)
 	}
 	return m
--- a/internal/configstore/config.go
+++ b/internal/configstore/config.go
@@ -8,21 +8,38 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Config is what deploy/keeper.toml says. Keys, units and defaults are on the operators' page.
+// Defaults of the configuration file.
+const (
+	defaultLeaseMs     = 2000
+	defaultEndpointsMs = 3000
+	defaultTickMs      = 25
+)
+
+// Bounds of the configuration file.
+const (
+	maxNameBytes   = 64
+	minLeaseMs     = 200
+	maxLeaseMs     = 60_000
+	maxEndpointsMs = 3_600_000
+	minTickMs      = 5
+	maxTickMs      = 1000
+)
+
+// Config is the configuration file of a replica, deploy/keeper.toml. The operators' page describes the keys.
 type Config struct {
 	Name        string            `toml:"name"`
 	Listen      string            `toml:"listen"`
-	Data        string            `toml:"data"`    // folder
-	Members     map[string]string `toml:"members"` // addresses by name, this keeper among them
-	Join        bool              `toml:"join"`    // waits to be added to keepers that there are
+	Data        string            `toml:"data"`    // directory
+	Members     map[string]string `toml:"members"` // addresses of the first members by name, this replica among them
+	Join        bool              `toml:"join"`    // wait to be added to a cluster that exists
 	LeaseMs     float64           `toml:"lease_ms"`
-	EndpointsMs float64           `toml:"list_ms"` // behind a lease, for which its word on servers may be gone by
+	EndpointsMs float64           `toml:"list_ms"` // beyond a lease, for which its endpoints may be used
 	TickMs      float64           `toml:"tick_ms"`
 }
 
-// Load reads and checks a file.
+// Load reads and checks a configuration file.
 func Load(path string) (*Config, error) {
-	c := &Config{LeaseMs: 2000, EndpointsMs: 3000, TickMs: 25}
+	c := &Config{LeaseMs: defaultLeaseMs, EndpointsMs: defaultEndpointsMs, TickMs: defaultTickMs}
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("keeper: %w", err)
@@ -34,37 +51,49 @@
 	return c, c.check()
 }
 
+func invalidKey(key, format string, args ...any) error {
+	return fmt.Errorf("keeper: %s: "+format, append([]any{key}, args...)...)
+}
+
+// check returns an error that names an invalid key.
 func (c *Config) check() error {
-	bad := func(key, format string, args ...any) error {
-		return fmt.Errorf("keeper: %s: "+format, append([]any{key}, args...)...)
-	}
-	if c.Name == "" || len(c.Name) > 64 {
-		return bad("name", "must have 1 to 64 bytes")
+	if c.Name == "" || len(c.Name) > maxNameBytes {
+		return invalidKey("name", "must have 1 to %d bytes", maxNameBytes)
 	}
 	if c.Data == "" {
-		return bad("data", "no folder is named")
+		return invalidKey("data", "no folder is named")
 	}
-	for key, addr := range map[string]string{"listen": c.Listen, "members." + c.Name: c.Members[c.Name]} {
-		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-			return bad(key, "%q is no host:port", addr)
-		}
-	}
-	for name, addr := range c.Members {
-		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-			return bad("members."+name, "%q is no host:port", addr)
-		}
+	if err := c.checkAddresses(); err != nil {
+		return err
 	}
 	if n := len(c.Members); !c.Join && n != 1 && n != 3 && n != 5 && n != 7 {
-		return bad("members", "must be 3, 5 or 7 (or 1, which survives nothing), are %d", n)
+		return invalidKey("members", "must be 3, 5 or 7 (or 1, which survives nothing), are %d", n)
+	}
+	if err := checkMs("lease_ms", c.LeaseMs, minLeaseMs, maxLeaseMs); err != nil {
+		return err
 	}
-	if !(c.LeaseMs >= 200 && c.LeaseMs <= 60_000) {
-		return bad("lease_ms", "must be 200 to 60000, is %v", c.LeaseMs)
+	if err := checkMs("list_ms", c.EndpointsMs, 0, maxEndpointsMs); err != nil {
+		return err
 	}
-	if !(c.EndpointsMs >= 0 && c.EndpointsMs <= 3_600_000) {
-		return bad("list_ms", "must be 0 to 3600000, is %v", c.EndpointsMs)
+	return checkMs("tick_ms", c.TickMs, minTickMs, maxTickMs)
+}
+
+func (c *Config) checkAddresses() error {
+	addresses := map[string]string{"listen": c.Listen, "members." + c.Name: c.Members[c.Name]}
+	for name, addr := range c.Members {
+		addresses["members."+name] = addr
 	}
-	if !(c.TickMs >= 5 && c.TickMs <= 1000) {
-		return bad("tick_ms", "must be 5 to 1000, is %v", c.TickMs)
+	for key, addr := range addresses {
+		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
+			return invalidKey(key, "%q is no host:port", addr)
+		}
+	}
+	return nil
+}
+
+func checkMs(key string, value float64, lower, upper int) error {
+	if !(value >= float64(lower) && value <= float64(upper)) {
+		return invalidKey(key, "must be %d to %d, is %v", lower, upper, value)
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/configstore/files.go
@@ -0,0 +1,85 @@
+package configstore
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"io/fs"
+
+	"ringtrack.example/ringtrack/internal/disk"
+)
+
+// The files of a data directory. Each record of the log has a checksum, and each other file as a whole.
+const (
+	logFile        = "log"
+	snapshotFile   = "snapshot"
+	identityFile   = "identity"
+	watermarksFile = "seen"
+)
+
+// Bounds of what is read.
+const (
+	maxLogBytes      = 256 << 20
+	maxSnapshotBytes = 64 << 20
+)
+
+// ErrCorrupt is a file whose content was never written so. A replica with such a file must not go on; it has to be
+// replaced.
+var ErrCorrupt = errors.New("keeper: damaged")
+
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
+
+const checksumBytes = 4
+
+// seal puts a checksum before a text.
+func seal(text []byte) []byte {
+	sealed := binary.BigEndian.AppendUint32(nil, crc32.Checksum(text, crcTable))
+	return append(sealed, text...)
+}
+
+// unseal checks and removes the checksum.
+func unseal(name string, sealed []byte) ([]byte, error) {
+	if len(sealed) < checksumBytes {
+		return nil, fmt.Errorf("%w: %s: the checksum does not fit", ErrCorrupt, name)
+	}
+	text := sealed[checksumBytes:]
+	if crc32.Checksum(text, crcTable) != binary.BigEndian.Uint32(sealed) {
+		return nil, fmt.Errorf("%w: %s: the checksum does not fit", ErrCorrupt, name)
+	}
+	return text, nil
+}
+
+// readSealed reads a sealed file. A missing one is fs.ErrNotExist.
+func readSealed(d *disk.Dir, name string) ([]byte, error) {
+	sealed, err := d.Read(name, maxSnapshotBytes)
+	if err != nil {
+		return nil, err
+	}
+	return unseal(name, sealed)
+}
+
+// readJSON reads a sealed JSON file; found is false if there is none.
+func readJSON(d *disk.Dir, name string, into any) (found bool, err error) {
+	text, err := readSealed(d, name)
+	if errors.Is(err, fs.ErrNotExist) {
+		return false, nil
+	}
+	if err != nil {
+		return false, err
+	}
+	if err := json.Unmarshal(text, into); err != nil {
+		return false, fmt.Errorf("%w: %s: %w", ErrCorrupt, name, err)
+	}
+	return true, nil
+}
+
+// writeJSON replaces a sealed JSON file.
+func writeJSON(d *disk.Dir, name string, v any) error {
+	text, err := json.Marshal(v)
+	if err != nil {
+		return err
+	}
+	return d.Replace(name, seal(text))
+}
--- a/internal/configstore/identity.go
+++ b/internal/configstore/identity.go
@@ -7,29 +7,57 @@
 	"errors"
 	"fmt"
 	"hash/fnv"
+	"log/slog"
 	"maps"
 	"net/http"
 	"slices"
+	"sync"
 	"time"
 
 	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/disk"
 )
 
-// Identity is what makes a folder a certain keeper's. ID is drawn with the folder: a keeper whose folder was wiped has
-// another, which no member list has, and so neither votes nor counts, whatever its name.
+const (
+	pathIdentity = "/v1/identity"
+	// identityCallTimeout bounds a call for another's identity, formInterval is the pause between two rounds of them.
+	identityCallTimeout = time.Second
+	formInterval        = 50 * time.Millisecond
+)
+
+// ErrReplaced says that the other replicas know another data directory under this replica's name.
+var ErrReplaced = errors.New("keeper: the others have formed with another folder of this name; add this one as a new member (join = true)")
+
+// Identity makes a data directory that of a certain replica. ID is drawn with the directory: a replica whose directory
+// was wiped has another, which is no member's, and so neither votes nor counts, whatever its name.
 type Identity struct {
 	Name string `json:"name"`
 	ID   uint64 `json:"id"`
-	// Formed are the ids of the first members by name, once all of them were heard; nil: not yet. Cluster is drawn from
-	// them and the same at all members, also those that join.
+	// Formed has the ids of the first members by name, once all of them were known; nil: not yet. Cluster is derived
+	// from them and the same at all members, also those that join later.
 	Formed  map[string]uint64 `json:"formed,omitempty"`
 	Cluster uint64            `json:"cluster,omitempty"`
 }
 
-const pathIdentity = "/v1/identity"
+// sharedIdentity is the identity for calls, from any goroutine.
+type sharedIdentity struct {
+	mu sync.Mutex
+	id Identity
+}
+
+func (s *sharedIdentity) set(id *Identity) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.id = *id
+}
 
-// loadIdentity reads the folder's identity, or draws one for a folder that has none.
+func (s *sharedIdentity) get() Identity {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.id
+}
+
+// loadIdentity reads the identity of a data directory, or draws one for an empty directory.
 func loadIdentity(d *disk.Dir, name string) (*Identity, error) {
 	id := &Identity{}
 	found, err := readJSON(d, identityFile, id)
@@ -42,65 +70,85 @@
 	if found {
 		return id, nil
 	}
-	for _, f := range []string{logFile, snapshotFile} {
-		if old, _ := d.Names(f); len(old) > 0 {
-			return nil, fmt.Errorf("%w: there is a %s and no %s", ErrCorrupt, f, identityFile)
+	for _, file := range []string{logFile, snapshotFile} {
+		if existing, _ := d.Names(file); len(existing) > 0 {
+			return nil, fmt.Errorf("%w: there is a %s and no %s", ErrCorrupt, file, identityFile)
 		}
 	}
 	*id = Identity{Name: name, ID: newReplicaID(name)}
 	return id, writeJSON(d, identityFile, id)
 }
 
-// newReplicaID draws an id for a new folder.
+// newReplicaID draws the id of a new data directory. Lab builds can replace it.
 var newReplicaID = func(name string) uint64 {
-	var b [8]byte
-	rand.Read(b[:])
-	return binary.BigEndian.Uint64(b[:])>>1 | 1
+	var random [8]byte
+	rand.Read(random[:])
+	return nonZeroID(binary.BigEndian.Uint64(random[:]))
 }
 
-// clusterID is drawn from the first members' ids.
+// nonZeroID makes a positive id of 63 bits of a number.
+func nonZeroID(n uint64) uint64 { return n>>1 | 1 }
+
+// clusterID derives the cluster's id from the first members' ids.
 func clusterID(formed map[string]uint64) uint64 {
-	h := fnv.New64a()
+	hash := fnv.New64a()
 	for _, name := range slices.Sorted(maps.Keys(formed)) {
-		fmt.Fprintf(h, "%s=%d;", name, formed[name])
+		fmt.Fprintf(hash, "%s=%d;", name, formed[name])
 	}
-	return h.Sum64()>>1 | 1
+	return nonZeroID(hash.Sum64())
 }
 
-// ErrReplaced says that the others know another folder under this keeper's name.
-var ErrReplaced = errors.New("keeper: the others have formed with another folder of this name; add this one as a new member (join = true)")
+// saveFormed makes the identity of a member of the formed cluster durable.
+func (k *Replica) saveFormed(formed *Identity) error {
+	if err := writeJSON(k.dir, identityFile, formed); err != nil {
+		return err
+	}
+	*k.identity = *formed
+	slog.Info("cluster formed", "name", formed.Name, "id", formed.ID, "members", len(formed.Formed))
+	return nil
+}
 
-// form asks the other first members for their identities until all are known, or one that has formed already tells:
-// only then, and so only with all folders as they are at the very first, is there anything to vote on.
-func (id *Identity) form(ctx context.Context, members map[string]string, ask *client.Caller) error {
-	for formed := map[string]uint64{id.Name: id.ID}; ; {
+// form asks the other first members for their identities until all are known, or one has formed the cluster already. So
+// there is something to vote on only once all data directories are as they were at the very first.
+func (id *Identity) form(ctx context.Context, members map[string]string, caller *client.Caller) error {
+	known := map[string]uint64{id.Name: id.ID}
+	for {
 		for name, addr := range members {
 			if name == id.Name {
 				continue
 			}
-			var other Identity
-			try, cancel := context.WithTimeout(ctx, time.Second)
-			err := ask.Call(try, addr, pathIdentity, http.Header{}, nil, &other)
-			cancel()
-			switch {
-			case err != nil || other.Name != name:
-			case other.Formed != nil && other.Formed[id.Name] != id.ID:
+			other, err := callIdentity(ctx, addr, caller)
+			if err != nil || other.Name != name {
+				continue
+			}
+			if other.Formed == nil {
+				known[name] = other.ID
+				continue
+			}
+			if other.Formed[id.Name] != id.ID {
 				return ErrReplaced
-			case other.Formed != nil:
-				id.Formed, id.Cluster = other.Formed, other.Cluster
-				return nil
-			default:
-				formed[name] = other.ID
 			}
+			id.Formed = other.Formed
+			id.Cluster = other.Cluster
+			return nil
 		}
-		if len(formed) == len(members) {
-			id.Formed, id.Cluster = formed, clusterID(formed)
+		if len(known) == len(members) {
+			id.Formed = known
+			id.Cluster = clusterID(known)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(50 * time.Millisecond):
+		case <-time.After(formInterval):
 		}
 	}
 }
+
+func callIdentity(ctx context.Context, addr string, caller *client.Caller) (*Identity, error) {
+	ctx, cancel := context.WithTimeout(ctx, identityCallTimeout)
+	defer cancel()
+	other := &Identity{}
+	err := caller.Call(ctx, addr, pathIdentity, http.Header{}, nil, other)
+	return other, err
+}
--- a/internal/configstore/lab.go
+++ b/internal/configstore/lab.go
@@ -7,17 +7,17 @@
 	"os"
 )
 
-// The lab's seeded defects: the loop waits for its disk, as it did once; or a keeper's identity is its name, so that one
-// whose folder was wiped votes as before, and nobody notes how far it had come.
+// Defects that the lab seeds: the loop waits for its disk; or a replica's identity is its name, so that one whose data
+// directory was wiped votes as before, and nobody records how far it had come.
 func init() {
-	if os.Getenv("RINGTRACK_LAB_DEFECT") == "loop-waits" {
+	switch os.Getenv("RINGTRACK_LAB_DEFECT") {
+	case "loop-waits":
 		submitJob = (*Replica).runJob
-	}
-	if os.Getenv("RINGTRACK_LAB_DEFECT") == "wiped-votes" {
+	case "wiped-votes":
 		newReplicaID = func(name string) uint64 {
-			h := fnv.New64a()
-			h.Write([]byte(name))
-			return h.Sum64()>>1 | 1
+			hash := fnv.New64a()
+			hash.Write([]byte(name))
+			return nonZeroID(hash.Sum64())
 		}
 		detectRollback = false
 	}
--- a/internal/configstore/peer_test.go
+++ b/internal/configstore/peer_test.go
@@ -14,28 +14,28 @@
 	"ringtrack.example/ringtrack/internal/disk"
 )
 
-// TestAHeartbeatWaitsForNoEntries has another keeper hold a call with entries: the heartbeat behind it comes all the same.
-func TestAHeartbeatWaitsForNoEntries(t *testing.T) {
-	hold, came := make(chan struct{}), make(chan pb.MessageType, 16)
+// TestHeartbeatDoesNotWaitForEntries has another replica delay a call with entries: the heartbeat behind it arrives.
+func TestHeartbeatDoesNotWaitForEntries(t *testing.T) {
+	release, received := make(chan struct{}), make(chan pb.MessageType, 16)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		parcel, err := readRaftMessages(req.Body)
+		messages, err := readRaftMessages(req.Body)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		for _, text := range parcel.Msgs {
+		for _, text := range messages.Msgs {
 			m := &pb.Message{}
 			if err := proto.Unmarshal(text, m); err != nil {
 				t.Error(err)
 			}
-			came <- m.GetType()
+			received <- m.GetType()
 			if m.GetType() == pb.MsgApp {
-				<-hold
+				<-release
 			}
 		}
 	}))
 	defer other.Close()
-	defer close(hold)
+	defer close(release)
 	dir, err := disk.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 	if err := k.openStorage(); err != nil {
 		t.Fatal(err)
 	}
-	k.goroutines.Go(func() { // the loop, as far as calls need it
+	k.goroutines.Go(func() { // stands in for the loop
 		for {
 			select {
 			case f := <-k.inbox:
@@ -64,19 +64,19 @@
 			}
 		}
 	})
-	take := func(want pb.MessageType) {
+	expect := func(want pb.MessageType) {
 		t.Helper()
 		select {
-		case got := <-came:
+		case got := <-received:
 			if got != want {
-				t.Fatalf("%v came, %v was to", got, want)
+				t.Fatalf("received %v, want %v", got, want)
 			}
-		case <-time.After(peerCallTimeout * 9 / 10): // a call that is held ends after that
+		case <-time.After(peerCallTimeout * 9 / 10): // the delayed call times out after that
 			t.Fatalf("no %v", want)
 		}
 	}
 	k.send(&pb.Message{Type: pb.MsgApp.Enum(), From: proto.Uint64(1), To: proto.Uint64(2)})
-	take(pb.MsgApp)
+	expect(pb.MsgApp)
 	k.send(&pb.Message{Type: pb.MsgHeartbeat.Enum(), From: proto.Uint64(1), To: proto.Uint64(2)})
-	take(pb.MsgHeartbeat)
+	expect(pb.MsgHeartbeat)
 }
--- a/internal/configstore/slowdisk_test.go
+++ b/internal/configstore/raft_test.go
@@ -17,15 +17,15 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 )
 
-// testCluster is a few keepers without goroutines, sockets and timers: the test makes their ticks, carries their messages and
-// has their disks answer.
+// testCluster is a few replicas without goroutines, sockets and timers: the test makes their ticks, delivers their
+// messages and runs the jobs of their disks.
 type testCluster struct {
 	t        *testing.T
 	replicas []*Replica
 	stalled  map[*Replica]bool // disks that don't answer
 	dead     map[*Replica]bool
 	version  uint64
-	// onMessage are the messages that were carried, for a test to look at before they are.
+	// onMessage is called with each message before it is delivered.
 	onMessage func(from *Replica, m *pb.Message)
 }
 
@@ -69,7 +69,7 @@
 	}
 }
 
-// settle has disks that answer do so, and carries messages, until there are none.
+// settle runs the jobs of the disks that are not stalled and delivers messages, until there are none.
 func (s *testCluster) settle() {
 	s.t.Helper()
 	for busy := true; busy; {
@@ -90,28 +90,34 @@
 			for _, p := range k.peers {
 				for len(p.heartbeats)+len(p.queue) > 0 {
 					busy = true
-					queue := p.heartbeats
-					if len(queue) == 0 {
-						queue = p.queue
-					}
-					m := <-queue
-					s.onMessage(k, m)
-					text, err := proto.Marshal(m)
-					s.must(err)
-					to := s.replicas[p.id-1]
-					if s.dead[to] {
-						continue
-					}
-					parcel := &raftMessages{To: p.id, Msgs: [][]byte{text}}
-					k.setSender(parcel)
-					s.must(to.receive(parcel))
+					s.deliverNext(k, p)
 				}
 			}
 		}
 	}
 }
 
-// tick is a tick of all; what they send is carried.
+// deliverNext delivers the next message of a peer, heartbeats first.
+func (s *testCluster) deliverNext(from *Replica, p *peer) {
+	s.t.Helper()
+	queue := p.heartbeats
+	if len(queue) == 0 {
+		queue = p.queue
+	}
+	m := <-queue
+	s.onMessage(from, m)
+	text, err := proto.Marshal(m)
+	s.must(err)
+	to := s.replicas[p.id-1]
+	if s.dead[to] {
+		return
+	}
+	messages := &raftMessages{To: p.id, Msgs: [][]byte{text}}
+	from.setSender(messages)
+	s.must(to.receive(messages))
+}
+
+// tick makes a tick of all replicas that live; what they send is delivered.
 func (s *testCluster) tick() {
 	s.t.Helper()
 	for _, k := range s.replicas {
@@ -122,10 +128,10 @@
 	s.settle()
 }
 
-// waitForLeader ticks until one leads, and returns it and after how many ticks.
-func (s *testCluster) waitForLeader(most int) (*Replica, int) {
+// waitForLeader ticks until a replica leads; it returns that and the number of ticks.
+func (s *testCluster) waitForLeader(maxTicks int) (*Replica, int) {
 	s.t.Helper()
-	for n := range most {
+	for n := range maxTicks {
 		for _, k := range s.replicas {
 			if !s.dead[k] && k.softState.RaftState == raft.StateLeader && k.lessor != nil {
 				return k, n
@@ -133,7 +139,7 @@
 		}
 		s.tick()
 	}
-	s.t.Fatalf("no keeper leads after %d ticks", most)
+	s.t.Fatalf("no replica leads after %d ticks", maxTicks)
 	return nil, 0
 }
 
@@ -144,7 +150,7 @@
 	return n
 }
 
-// publish proposes a version at a keeper; its answer comes once it is applied there.
+// publish proposes a version at a replica; the answer comes once it is applied there.
 func (s *testCluster) publish(k *Replica) chan proposalResult {
 	s.version++
 	answer := make(chan proposalResult, 1)
@@ -153,7 +159,7 @@
 	return answer
 }
 
-// requirePublished fails unless a publish was taken by now.
+// requirePublished fails unless a publish has been applied by now.
 func requirePublished(t *testing.T, answer chan proposalResult) {
 	t.Helper()
 	select {
@@ -166,9 +172,9 @@
 	}
 }
 
-// TestSlowDiskBeginsNoElection has disks not answer for longer than any election time, that of the leader, of the
-// others or of all, each time with an entry to save: the one that leads goes on and nobody asks for votes.
-func TestSlowDiskBeginsNoElection(t *testing.T) {
+// TestSlowDiskStartsNoElection stalls disks for longer than any election timeout, that of the leader, of the others or of
+// all, each time with an entry to save: the leader goes on and nobody requests votes.
+func TestSlowDiskStartsNoElection(t *testing.T) {
 	for _, whose := range []string{"the leader's", "the others'", "all", "one other's"} {
 		t.Run(whose, func(t *testing.T) {
 			s := newTestCluster(t, 5)
@@ -191,13 +197,13 @@
 				}
 			}
 			answer := s.publish(lead)
-			for range diskStallTicks - 1 { // the last moment before a disk is taken for dead
+			for range diskStallTicks - 1 { // the last moment before the disk counts as stalled
 				s.tick()
 			}
 			if whose == "one other's" {
 				requirePublished(t, answer)
 			} else if len(answer) > 0 {
-				t.Fatalf("%+v was answered before it lasts", <-answer)
+				t.Fatalf("%+v was answered before it is durable", <-answer)
 			}
 			clear(s.stalled)
 			for range 3 * electionTicks {
@@ -218,25 +224,25 @@
 	}
 }
 
-// TestDeadLeaderIsReplaced: one that ended is replaced within two election times, and one whose disk does not answer any
-// more within stallTicks more; a disk that answers at last finds a keeper that follows.
+// TestDeadLeaderIsReplaced has a leader that ended replaced within two election timeouts, and one whose disk stalled for
+// good within diskStallTicks more; once the disk answers again that replica is a follower.
 func TestDeadLeaderIsReplaced(t *testing.T) {
 	for _, x := range []struct {
-		what string
-		most int
+		failure  string
+		maxTicks int
 	}{{"ended", 2*electionTicks + 3}, {"its disk", diskStallTicks + 2*electionTicks + 3}} {
-		t.Run(x.what, func(t *testing.T) {
-			for tries := 1; ; tries++ { // two that ask for votes in one tick both lose: raft's draw, not this loop's
+		t.Run(x.failure, func(t *testing.T) {
+			for attempts := 1; ; attempts++ { // candidates of the same tick both lose: that is raft's random draw
 				s := newTestCluster(t, 5)
 				lead, _ := s.waitForLeader(10 * electionTicks)
 				for range electionTicks {
 					s.tick()
 				}
-				s.dead[lead], s.stalled[lead] = x.what == "ended", true
+				s.dead[lead], s.stalled[lead] = x.failure == "ended", true
 				s.publish(lead)
 				took := 0
 				var next *Replica
-				for ; next == nil && took < 4*x.most; took++ {
+				for ; next == nil && took < 4*x.maxTicks; took++ {
 					s.tick()
 					for _, k := range s.replicas {
 						if k != lead && k.softState.RaftState == raft.StateLeader {
@@ -244,36 +250,36 @@
 						}
 					}
 				}
-				if next != nil && took <= x.most {
+				if next != nil && took <= x.maxTicks {
 					clear(s.stalled)
 					for range 3 * electionTicks {
 						s.tick()
 					}
 					if !s.dead[lead] && lead.softState.RaftState != raft.StateFollower {
-						t.Errorf("its disk answers again and it is %v", lead.softState)
+						t.Errorf("its disk answers again and its state is %v", lead.softState)
 					}
 					return
 				}
-				if tries == 5 {
-					t.Fatalf("five times not replaced within %d ticks, %d the last time", x.most, took)
+				if attempts == 5 {
+					t.Fatalf("five times not replaced within %d ticks, %d the last time", x.maxTicks, took)
 				}
 			}
 		})
 	}
 }
 
-// TestNothingIsSentBeforeTermAndVoteLast: a keeper that asks for votes, or votes, has nobody know before it would know
-// it itself after a crash; else it could do so once more in the same term.
-func TestNothingIsSentBeforeTermAndVoteLast(t *testing.T) {
+// TestNothingIsSentBeforeTermAndVoteAreDurable checks that no replica learns of a term or vote that its sender could
+// forget in a crash; else the sender could vote twice in one term.
+func TestNothingIsSentBeforeTermAndVoteAreDurable(t *testing.T) {
 	s := newTestCluster(t, 3)
 	s.onMessage = func(from *Replica, m *pb.Message) {
 		state, _, _ := from.storage.InitialState()
 		if m.GetType() != pb.MsgPreVote && m.GetType() != pb.MsgPreVoteResp && m.GetTerm() > state.GetTerm() {
-			t.Errorf("%s sent %v of term %d and has kept term %d", from.cfg.Name, m.GetType(), m.GetTerm(), state.GetTerm())
+			t.Errorf("%s sent %v of term %d, durable is term %d", from.cfg.Name, m.GetType(), m.GetTerm(), state.GetTerm())
 		}
 	}
 	lead, _ := s.waitForLeader(10 * electionTicks)
-	for i := range 4 * electionTicks { // disks that answer now and then, while leaders come and go
+	for i := range 4 * electionTicks { // disks that answer now and then, while the leader changes
 		for j, k := range s.replicas {
 			s.stalled[k] = (i+j)%3 != 0
 		}
@@ -295,14 +301,14 @@
 	}
 }
 
-// TestWhatWasHeardComesBeforeATick: the leader's word that lies there when a tick comes is taken first.
-func TestWhatWasHeardComesBeforeATick(t *testing.T) {
+// TestInboxIsHandledBeforeATick checks that a message of the leader that is in the inbox at a tick is handled first.
+func TestInboxIsHandledBeforeATick(t *testing.T) {
 	s := newTestCluster(t, 1)
 	k := s.replicas[0]
-	heard, before := math.Inf(1), k.delays.lastTick
-	k.inbox <- func() { heard = k.delays.lastTick }
+	handledAt, before := math.Inf(1), k.delays.lastTick
+	k.inbox <- func() { handledAt = k.delays.lastTick }
 	s.tick()
-	if heard != before || k.delays.lastTick <= before {
-		t.Errorf("heard behind the tick at %v ms; the one before was at %v, the next at %v", heard, before, k.delays.lastTick)
+	if handledAt != before || k.delays.lastTick <= before {
+		t.Errorf("handled after the tick at %v ms; the one before was at %v, the next at %v", handledAt, before, k.delays.lastTick)
 	}
 }
--- /dev/null
+++ b/internal/configstore/storage_write.go
@@ -0,0 +1,179 @@
+package configstore
+
+import (
+	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// save returns the job that makes what is new in raft durable; its onDurable has raft read it. hasVote reports whether a
+// new term or vote is part of it.
+func (s *storage) save(ready *raft.Ready) (j *job, hasVote bool, err error) {
+	if raft.IsEmptySnap(ready.Snapshot) {
+		j, err = s.appendJob(ready)
+	} else {
+		j, err = s.snapshotJob(ready)
+	}
+	if err != nil {
+		return nil, false, err
+	}
+	if !raft.IsEmptyHardState(ready.HardState) {
+		hasVote = ready.HardState.GetTerm() != s.submittedState.GetTerm() || ready.HardState.GetVote() != s.submittedState.GetVote()
+		s.submittedState = ready.HardState
+	}
+	entries, state, snapshot, records := ready.Entries, ready.HardState, ready.Snapshot, j.records
+	j.onDurable = func() error {
+		s.recordsDurable(records)
+		if err := s.applyDurableSnapshot(snapshot); err != nil {
+			return err
+		}
+		if !raft.IsEmptyHardState(state) {
+			s.SetHardState(state)
+		}
+		return s.Append(entries)
+	}
+	return j, hasVote, nil
+}
+
+// appendJob appends the new records to the log.
+func (s *storage) appendJob(ready *raft.Ready) (*job, error) {
+	records, err := appendReady(nil, ready)
+	if err != nil {
+		return nil, err
+	}
+	s.logBytes += int64(len(records))
+	if len(records) > 0 {
+		s.unsynced = append(s.unsynced, records)
+	}
+	return &job{sync: ready.MustSync, records: records}, nil
+}
+
+// snapshotJob replaces the snapshot by a leader's; the log begins anew after it.
+func (s *storage) snapshotJob(ready *raft.Ready) (*job, error) {
+	text, err := sealSnapshot(ready.Snapshot)
+	if err != nil {
+		return nil, err
+	}
+	log, err := appendRecord(nil, recordHardState, s.submittedState)
+	if err != nil {
+		return nil, err
+	}
+	if log, err = appendReady(log, ready); err != nil {
+		return nil, err
+	}
+	s.logBytes = int64(len(log))
+	s.unsynced = nil // the log that they belong to is replaced
+	s.pendingSnapshots++
+	return &job{sync: ready.MustSync, replace: func() error { return s.replaceFiles(text, log) }}, nil
+}
+
+// recordsDurable removes records from those that are not durable yet.
+func (s *storage) recordsDurable(records []byte) {
+	if len(s.unsynced) > 0 && len(records) > 0 && &s.unsynced[0][0] == &records[0] {
+		s.unsynced = s.unsynced[1:]
+	}
+}
+
+func (s *storage) applyDurableSnapshot(snapshot *pb.Snapshot) error {
+	if raft.IsEmptySnap(snapshot) {
+		return nil
+	}
+	if err := s.ApplySnapshot(snapshot); err != nil {
+		return err
+	}
+	s.snapshotIndex = snapshot.GetMetadata().GetIndex()
+	s.pendingSnapshots--
+	return nil
+}
+
+func sealSnapshot(snapshot *pb.Snapshot) ([]byte, error) {
+	text, err := proto.Marshal(snapshot)
+	return seal(text), err
+}
+
+// replaceFiles replaces the snapshot and the log. It is the writer's once that runs.
+func (s *storage) replaceFiles(snapshot, log []byte) error {
+	if err := s.dir.Replace(snapshotFile, snapshot); err != nil {
+		return err
+	}
+	if err := s.dir.Replace(logFile, log); err != nil {
+		return err
+	}
+	if err := s.file.Close(); err != nil {
+		return err
+	}
+	f, err := s.dir.Append(logFile, int64(len(log)))
+	if err == nil {
+		s.file.File = f
+	}
+	return err
+}
+
+// writeInitialSnapshot makes the very first snapshot durable, before there is a writer.
+func (s *storage) writeInitialSnapshot(snapshot *pb.Snapshot) error {
+	text, err := sealSnapshot(snapshot)
+	if err != nil {
+		return err
+	}
+	if err := s.ApplySnapshot(snapshot); err != nil {
+		return err
+	}
+	s.submittedState = &pb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
+	s.SetHardState(s.submittedState)
+	s.snapshotIndex = snapshot.GetMetadata().GetIndex()
+	log, err := s.encodeLog()
+	if err != nil {
+		return err
+	}
+	s.logBytes = int64(len(log))
+	return s.replaceFiles(text, log)
+}
+
+// compact returns the job that makes the state after an entry the snapshot and removes most entries before it.
+func (s *storage) compact(index uint64, conf *pb.ConfState, state []byte) (*job, error) {
+	snapshot, err := s.CreateSnapshot(index, conf, state)
+	if err != nil {
+		return nil, err
+	}
+	s.snapshotIndex = index
+	if first, _ := s.FirstIndex(); index > retainedEntries && index-retainedEntries > first {
+		if err := s.Compact(index - retainedEntries); err != nil {
+			return nil, err
+		}
+	}
+	text, err := sealSnapshot(snapshot)
+	if err != nil {
+		return nil, err
+	}
+	log, err := s.encodeLog()
+	if err != nil {
+		return nil, err
+	}
+	s.logBytes = int64(len(log))
+	return &job{replace: func() error { return s.replaceFiles(text, log) }}, nil
+}
+
+// encodeLog encodes the log anew: the durable entries and state, and after them the records that are not durable yet.
+func (s *storage) encodeLog() (log []byte, err error) {
+	first, _ := s.FirstIndex()
+	last, _ := s.LastIndex()
+	if last >= first {
+		entries, err := s.Entries(first, last+1, 1<<62)
+		if err != nil {
+			return nil, err
+		}
+		for _, entry := range entries {
+			if log, err = appendRecord(log, recordEntry, entry); err != nil {
+				return nil, err
+			}
+		}
+	}
+	state, _, _ := s.InitialState()
+	if log, err = appendRecord(log, recordHardState, state); err != nil {
+		return nil, err
+	}
+	for _, records := range s.unsynced {
+		log = append(log, records...)
+	}
+	return log, nil
+}
--- /dev/null
+++ b/internal/configstore/transition_cache_test.go
@@ -0,0 +1,160 @@
+package configstore
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"runtime"
+	"testing"
+
+	"ringtrack.example/ringtrack/internal/configstore/client"
+	"ringtrack.example/ringtrack/internal/lease"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
+	"ringtrack.example/ringtrack/internal/sharedconfig/history"
+	"ringtrack.example/ringtrack/policy"
+)
+
+// cloneViaJSON copies a history as a snapshot does.
+func cloneViaJSON(t *testing.T, log *history.History) (out history.History) {
+	t.Helper()
+	if err := json.Unmarshal([]byte(encodeJSON(t, log)), &out); err != nil {
+		t.Fatal(err)
+	}
+	return out
+}
+
+func encodeJSON(t *testing.T, of any) string {
+	t.Helper()
+	text, err := json.Marshal(of)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// TestCacheFollowsTheHistory has entries and snapshots change the history, also snapshots of another log, which replicas
+// never have: the cached transition is always that of the history, and the response the text that the encoder makes.
+func TestCacheFollowsTheHistory(t *testing.T) {
+	cached, steps := 0, 0
+	for seed := range uint64(300) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		var logs [3]history.History
+		var c transitionCache
+		log := &logs[0]
+		for i := range 60 {
+			switch rng.IntN(7) {
+			case 0, 1:
+				config := &sharedconfig.Config{MaxAttempts: 1 + rng.IntN(2), Cordoned: []string{fmt.Sprintf("<%d&>", rng.IntN(2))}}
+				log.Apply(&history.Command{Publish: &history.Publish{ID: fmt.Sprint(i), Parent: log.Last(), Config: config}})
+			case 2:
+				log.Apply(&history.Command{Cordon: &history.Cordon{ID: fmt.Sprint(i), Server: "a", On: rng.IntN(2) == 0}})
+			case 3, 4:
+				at := log.Epoch
+				log.Apply(&history.Command{Advance: &at})
+			case 5:
+				log = &logs[rng.IntN(len(logs))]
+				*log = cloneViaJSON(t, log)
+			case 6: // another log that goes on from here
+				logs[rng.IntN(len(logs))] = cloneViaJSON(t, log)
+			}
+			before, want := c.transition, log.Transition()
+			got := c.get(log)
+			if encodeJSON(t, got) != encodeJSON(t, want) {
+				t.Fatalf("seed %d, step %d: the cache has %s, the history %s", seed, i, encodeJSON(t, got), encodeJSON(t, want))
+			}
+			if steps++; got != nil && got == before {
+				cached++
+			}
+			g := lease.Grant{Epoch: log.Epoch, LeaseMs: []float64{600, 2000}[rng.IntN(2)], EndpointsMs: 0.5}
+			text, err := c.encodedResponse(log, g)
+			if err != nil || (text == nil) != (want == nil) {
+				t.Fatalf("seed %d, step %d: at epoch %d: %q, %v", seed, i, log.Epoch, text, err)
+			}
+			if want == nil {
+				continue
+			}
+			var plain bytes.Buffer
+			json.NewEncoder(&plain).Encode(&client.RenewResponse{Epoch: g.Epoch, LeaseMs: g.LeaseMs, EndpointsMs: g.EndpointsMs, Config: json.RawMessage(encodeJSON(t, want.Config))})
+			if !bytes.Equal(text, plain.Bytes()) {
+				t.Fatalf("seed %d, step %d: the answer is %s, the encoder's %s", seed, i, text, plain.Bytes())
+			}
+		}
+	}
+	if t.Logf("%d of %d times the same transition", cached, steps); cached < steps/4 {
+		t.Errorf("%d of %d times the same transition: too few", cached, steps)
+	}
+}
+
+// newLeader returns a leader with n holders on the epoch before the one in force, which is a transition between versions
+// of so many classes.
+func newLeader(t *testing.T, n, classes int) (k *Replica, now float64) {
+	k = &Replica{cfg: &Config{TickMs: 50, LeaseMs: 2000, EndpointsMs: 3000}, advancing: epochProposal{at: longAgo}}
+	now = 1e6
+	k.lessor = lease.NewLessor(0, k.cfg.LeaseMs, k.cfg.EndpointsMs)
+	for v := range uint64(2) {
+		config := &sharedconfig.Config{MaxAttempts: int(v) + 1, Classes: map[string]sharedconfig.Class{}}
+		for c := range classes {
+			config.Classes[fmt.Sprint("class", c)] = sharedconfig.Class{Effect: policy.NonIdempotent}
+		}
+		if _, err := k.state.History.Apply(&history.Command{Publish: &history.Publish{ID: fmt.Sprint(v), Parent: v, Config: config}}); err != nil {
+			t.Fatal(err)
+		}
+		for k.state.History.Epoch < 2*v+2-v {
+			at := k.state.History.Epoch
+			k.state.History.Apply(&history.Command{Advance: &at})
+		}
+	}
+	if k.state.History.Epoch != 3 {
+		t.Fatalf("epoch %d, want 3", k.state.History.Epoch)
+	}
+	for i := range n {
+		k.lessor.Grant(now, lease.Request{Holder: lease.Holder{Name: fmt.Sprint(i), Incarnation: "a"}, Epoch: 2}, 2)
+	}
+	return k, now
+}
+
+// allocationsOfTransition has all holders but one request the epoch in force and adopt it, with the loop's advance after
+// each; it returns how many objects that allocated.
+func allocationsOfTransition(t *testing.T, n int) float64 {
+	k, now := newLeader(t, n, 82)
+	requests := make([]*request, n-1)
+	for i := range requests {
+		requests[i] = &request{Request: lease.Request{Holder: lease.Holder{Name: fmt.Sprint(i), Incarnation: "a"}, Epoch: 2}, answer: make(chan requestResult, 1)}
+	}
+	var before, after runtime.MemStats
+	runtime.ReadMemStats(&before)
+	for _, a := range requests {
+		k.answer(now, a)
+		k.advance(now)
+		adopted := a.Request
+		adopted.Epoch = 3
+		k.lessor.Observe(now, adopted)
+		k.advance(now)
+	}
+	runtime.ReadMemStats(&after)
+	for _, a := range requests {
+		if g := <-a.answer; g.err != nil || g.grant.Epoch != 3 {
+			t.Fatalf("%+v", g)
+		}
+	}
+	if k.advancing.epoch != 0 {
+		t.Fatal("the epoch ended before all had adopted it")
+	}
+	return float64(after.Mallocs - before.Mallocs)
+}
+
+// TestRequestCostIsIndependentOfHolders counts the objects that the leader's loop allocates over a transition. Beyond the
+// configuration, which is made once, a request allocates the same few whatever the number of holders.
+func TestRequestCostIsIndependentOfHolders(t *testing.T) {
+	first := allocationsOfTransition(t, 60)
+	t.Logf("60 holders: %.0f objects", first)
+	for _, n := range []int{120, 240, 470, 940} {
+		made := allocationsOfTransition(t, n)
+		each := (made - first) / float64(n-60)
+		t.Logf("%d holders: %.0f objects, %.2f for each more request", n, made, each)
+		if each > 4 {
+			t.Errorf("%d holders: each more request allocated %.1f objects, 4 at the most", n, each)
+		}
+	}
+}
--- a/internal/configstore/writer.go
+++ b/internal/configstore/writer.go
@@ -2,27 +2,29 @@
 
 import "ringtrack.example/ringtrack/internal/clock"
 
-// maxPendingJobs bounds what waits for the disk; raft is asked for no more while so many do.
+// maxPendingJobs bounds the jobs that wait for the disk; while there are so many raft is asked for nothing more.
 const maxPendingJobs = 1024
 
-// job is something that is to last.
+// job is a change of the data directory that has to be durable.
 type job struct {
-	records   []byte       // what is put behind the log's end
-	sync      bool         // records have to last before then is called
-	replace   func() error // something else; it lasts when it returns
-	onDurable func() error // the loop's, once it lasts; nil: nothing
+	records   []byte       // to append to the log
+	sync      bool         // records must be durable before onDurable is called
+	replace   func() error // another change, in place of records; it is durable when it returns
+	onDurable func() error // called by the loop; nil: nothing to do
 
-	err                   error
-	startedAt, finishedAt float64 // when the writer took it, and had done it
+	// Set by the writer.
+	err        error
+	startedAt  float64 // ms of the monotonic clock
+	finishedAt float64
 }
 
-// writer is the one that writes to a keeper's folder once the loop runs, on a goroutine of its own: the loop goes on with
-// ticks, heartbeats and asks while the disk takes its time. It carries out jobs in the order in which they come, those
-// that wait together with one sync. After the first that fails it does nothing more (an error each): what the disk has
-// is not known then, and the keeper ends.
+// writer is the only one that writes to the data directory once the loop runs, on a goroutine of its own, so that the loop
+// goes on with ticks, heartbeats and requests while the disk is slow. It carries out jobs in order, those that wait
+// together with one sync. After the first error it fails all jobs: the content of the disk is unknown then, and the
+// replica ends.
 type writer struct {
 	file *logFileHandle
-	jobs chan *job // the loop hands no more than mostJobs of them that have not come back
+	jobs chan *job // at most maxPendingJobs of them that have not come back, and one more
 	done chan *job
 	err  error
 }
@@ -31,7 +33,7 @@
 	return &writer{file: f, jobs: make(chan *job, maxPendingJobs+1), done: make(chan *job, maxPendingJobs+1)}
 }
 
-// run carries out jobs until there are none to come.
+// run carries out jobs until the channel is closed.
 func (w *writer) run() {
 	for j := range w.jobs {
 		w.runBatch(j)
@@ -39,44 +41,64 @@
 }
 
 // runBatch carries out a job and those that wait behind it.
-func (w *writer) runBatch(j *job) {
-	batch := []*job{j}
-	for more := true; more; {
-		select {
-		case j, open := <-w.jobs:
-			if more = open; open {
-				batch = append(batch, j)
-			}
-		default:
-			more = false
-		}
-	}
-	began, given, due := clock.Steady(), 0, false
-	// back gives back the jobs before the n-th: what they wanted lasts, or failed.
-	back := func(n int) {
-		if due && w.err == nil {
-			w.err = w.file.Sync()
-		}
-		due = false
-		over := clock.Steady()
-		for _, j := range batch[given:n] {
-			j.startedAt, j.finishedAt, j.err = began, over, w.err
-			w.done <- j
-		}
-		began, given = over, n
-	}
-	for i, j := range batch {
+func (w *writer) runBatch(first *job) {
+	batch := &jobBatch{writer: w, jobs: w.collect(first), startedAt: clock.Steady()}
+	for i, j := range batch.jobs {
 		switch {
 		case w.err != nil:
 		case j.replace == nil:
 			_, w.err = w.file.Write(j.records)
-			due = due || j.sync
+			batch.unsynced = batch.unsynced || j.sync
 		default:
-			if back(i); w.err == nil {
+			batch.finish(i)
+			if w.err == nil {
 				w.err = j.replace()
 			}
-			back(i + 1)
+			batch.finish(i + 1)
 		}
 	}
-	back(len(batch))
+	batch.finish(len(batch.jobs))
+}
+
+// collect returns a job and those that wait behind it.
+func (w *writer) collect(first *job) []*job {
+	jobs := []*job{first}
+	for {
+		select {
+		case j, open := <-w.jobs:
+			if !open {
+				return jobs
+			}
+			jobs = append(jobs, j)
+		default:
+			return jobs
+		}
+	}
+}
+
+// jobBatch is the jobs that are carried out together.
+type jobBatch struct {
+	writer    *writer
+	jobs      []*job
+	finished  int     // number of jobs that were given back
+	startedAt float64 // of the first that was not, ms
+	unsynced  bool    // records were written that have to be synced
+}
+
+// finish gives back the jobs before the end-th: what they changed is durable, or failed.
+func (b *jobBatch) finish(end int) {
+	w := b.writer
+	if b.unsynced && w.err == nil {
+		w.err = w.file.Sync()
+	}
+	b.unsynced = false
+	now := clock.Steady()
+	for _, j := range b.jobs[b.finished:end] {
+		j.startedAt = b.startedAt
+		j.finishedAt = now
+		j.err = w.err
+		w.done <- j
+	}
+	b.startedAt = now
+	b.finished = end
 }
