--- a/internal/control/resource/endpoints.go
+++ b/internal/control/resource/endpoints.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"fmt"
 	"math"
-	"net"
 	"slices"
 	"strconv"
 	"strings"
@@ -13,289 +12,256 @@
 	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 	typev3 "github.com/envoyproxy/go-control-plane/envoy/type/v3"
 	"google.golang.org/protobuf/encoding/protowire"
-	"google.golang.org/protobuf/proto"
-	"google.golang.org/protobuf/types/known/structpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"ringtrack.example/ringtrack/internal/control/assign"
 )
 
 const (
-	// overprovision makes a priority take all requests as long as 1 in 100 of its servers is healthy:
-	// with the usual 140 a fourth of them draining would send requests to the next tier. In percent.
-	overprovision = 10_000
-	// authority is that of the names of collections.
-	authority = "ringtrack"
+	// overprovisioningPercent makes a priority take all requests as long as 1 in 100 of its servers is
+	// healthy: with the default of 140 a fourth of them draining would spill over to the next priority.
+	overprovisioningPercent = 10_000
+	// maxLocalityWeight keeps the sum of the weights of all localities in 32 bits, as proxies require.
+	maxLocalityWeight = 1 << 30
+	// collectionAuthority is the authority in the names of collections.
+	collectionAuthority = "ringtrack"
+	// sweepAfterRenders is the number of renderings without a locality after which it is forgotten.
+	sweepAfterRenders = 16
 )
 
-// Renderer makes the servers' resources of a service. It remembers each server's bytes, so that a
-// change of one costs that one and a copy. It belongs to one goroutine.
+// Renderer renders the endpoint resources of a service. It caches each server's bytes, so that a change of one
+// server costs that server and a copy. It is not safe for concurrent use: one goroutine owns it.
 type Renderer struct {
-	Service string // the name that clusters know the servers by
-	cache   map[string]cached
-	places  map[place]*part
-	round   uint64
+	service    string
+	endpoints  map[string]cachedEndpoint // by server ID
+	localities map[localityKey]*cachedLocality
+	renders    uint64
 }
 
-// part is one zone and priority as it was rendered last. It is the same for all groups, and after a
-// drain for all zones but one.
-type part struct {
-	members []assign.Endpoint
-	body    []byte // the servers as they stand in a LocalityLbEndpoints
-	digest  []byte // of body, so that it is hashed once for all groups
-	set     *Set
-	round   uint64
+// localityKey identifies one LocalityLbEndpoints of an assignment.
+type localityKey struct {
+	priority uint32
+	zone     string
 }
 
-type cached struct {
-	e     assign.Endpoint
-	value []byte               // a marshalled LbEndpoint
-	res   map[string]*Resource // by collection: the name is its path
+// cachedLocality is a locality as it was rendered last. It is the same for all groups, and after a drain for
+// all zones but one.
+type cachedLocality struct {
+	members    []assign.Endpoint
+	body       []byte // the endpoints as they stand in a LocalityLbEndpoints
+	digest     []byte // hash of body, made once for all groups
+	collection *Set
+	lastRender uint64
 }
 
-// NewRenderer returns a renderer for a service of this name.
+// NewRenderer returns a renderer for the service of this name.
 func NewRenderer(service string) *Renderer {
-	return &Renderer{Service: service, cache: map[string]cached{}, places: map[place]*part{}}
+	return &Renderer{
+		service:    service,
+		endpoints:  map[string]cachedEndpoint{},
+		localities: map[localityKey]*cachedLocality{},
+	}
 }
 
-// RenderedEndpoints is an assignment as resources: whole, for proxies that take servers in one piece, and split
-// in collections, one a zone and priority, for those that take them one by one (LEDS).
+// RenderedEndpoints is an assignment as resources: complete, for proxies that take all endpoints in one
+// resource, and by collection, one for each zone and priority, for those that take single endpoints (LEDS).
 type RenderedEndpoints struct {
-	Complete     *Resource       // a ClusterLoadAssignment with all servers in it
-	ByCollection *Resource       // one that names collections instead
+	Complete     *Resource       // a ClusterLoadAssignment with all endpoints
+	ByCollection *Resource       // a ClusterLoadAssignment that names the collections
 	Collections  map[string]*Set // of LbEndpoint, by the collection's glob name
 }
 
-type place struct {
-	priority uint32
-	zone     string
-}
-
-// Render makes the resources of an assignment. Collections that are as they were last are the same
-// sets, and so cost nothing to compare.
+// Render renders an assignment. A collection that has not changed is the same Set as before.
 func (r *Renderer) Render(a *assign.Assignment) (*RenderedEndpoints, error) {
-	r.round++
-	priorityOf := priorities(a)
-	members := map[place][]*assign.Endpoint{}
-	for i := range a.Endpoints {
-		e := &a.Endpoints[i]
-		p := uint32(0)
-		if !e.Draining {
-			p = priorityOf[e.Tier]
-		}
-		at := place{p, e.Zone}
-		members[at] = append(members[at], e)
-	}
-	places := make([]place, 0, len(members))
-	for at := range members {
-		places = append(places, at)
+	r.renders++
+	members := membersByLocality(a)
+	keys := make([]localityKey, 0, len(members))
+	for key := range members {
+		keys = append(keys, key)
 	}
-	slices.SortFunc(places, func(x, y place) int {
+	slices.SortFunc(keys, func(x, y localityKey) int {
 		return cmp.Or(cmp.Compare(x.priority, y.priority), cmp.Compare(x.zone, y.zone))
 	})
-	out := &RenderedEndpoints{Collections: make(map[string]*Set, len(places))}
-	var whole, split []byte
-	var stamp [][]byte
-	whole = protowire.AppendTag(whole, 1, protowire.BytesType)
-	whole = protowire.AppendString(whole, r.Service)
-	split = append(split, whole...)
-	for _, at := range places {
-		collection := r.collection(at)
-		head, err := locality(a, at, members[at])
+	rendered := &RenderedEndpoints{Collections: make(map[string]*Set, len(keys))}
+	complete := appendString(nil, 1, r.service)
+	byCollection := slices.Clone(complete)
+	var digests [][]byte // of the parts of complete, which is not hashed itself
+	for _, key := range keys {
+		collection := r.collectionName(key)
+		header, err := localityHeader(a, key, members[key])
 		if err != nil {
 			return nil, err
 		}
-		p, err := r.part(at, members[at], collection)
+		locality, err := r.locality(key, members[key], collection)
 		if err != nil {
 			return nil, err
 		}
-		whole = protowire.AppendTag(whole, 2, protowire.BytesType)
-		whole = protowire.AppendVarint(whole, uint64(len(head)+len(p.body)))
-		whole = append(whole, head...)
-		whole = append(whole, p.body...)
-		stamp = append(stamp, head, p.digest)
-		leds, err := proto.MarshalOptions{Deterministic: true}.Marshal(&endpointv3.LocalityLbEndpoints{
-			LbConfig: &endpointv3.LocalityLbEndpoints_LedsClusterLocalityConfig{
-				LedsClusterLocalityConfig: &endpointv3.LedsClusterLocalityConfig{
-					LedsConfig: ads(), LedsCollectionName: collection}}})
+		reference, err := collectionReference(collection)
 		if err != nil {
-			return nil, fmt.Errorf("collection %s: %w", collection, err)
+			return nil, err
 		}
-		split = protowire.AppendTag(split, 2, protowire.BytesType)
-		split = protowire.AppendBytes(split, append(head, leds...))
-		out.Collections[collection] = p.set
+		complete = protowire.AppendTag(complete, 2, protowire.BytesType)
+		complete = protowire.AppendVarint(complete, uint64(len(header)+len(locality.body)))
+		complete = append(complete, header...)
+		complete = append(complete, locality.body...)
+		digests = append(digests, header, locality.digest)
+		byCollection = appendBytes(byCollection, 2, slices.Concat(header, reference))
+		rendered.Collections[collection] = locality.collection
 	}
-	policy, err := proto.MarshalOptions{Deterministic: true}.Marshal(&endpointv3.ClusterLoadAssignment{Policy: dropPolicy(a.ShedPercent)})
+	policy, err := marshal(&endpointv3.ClusterLoadAssignment{Policy: dropPolicy(a.ShedPercent)})
 	if err != nil {
 		return nil, fmt.Errorf("drop policy: %w", err)
 	}
-	whole, split = append(whole, policy...), append(split, policy...)
-	out.Complete = fromValue(Endpoints, r.Service, whole, version(append(stamp, policy)...))
-	out.ByCollection = fromValue(Endpoints, r.Service, split, version(split))
-	return out, nil
+	complete = append(complete, policy...)
+	byCollection = append(byCollection, policy...)
+	rendered.Complete = fromValue(Endpoints, r.service, complete, version(append(digests, policy)...))
+	rendered.ByCollection = fromValue(Endpoints, r.service, byCollection, version(byCollection))
+	return rendered, nil
+}
+
+// membersByLocality groups the endpoints of an assignment; draining ones are in the first priority.
+func membersByLocality(a *assign.Assignment) map[localityKey][]*assign.Endpoint {
+	priorityOf := priorities(a)
+	members := map[localityKey][]*assign.Endpoint{}
+	for i := range a.Endpoints {
+		e := &a.Endpoints[i]
+		priority := uint32(0)
+		if !e.Draining {
+			priority = priorityOf[e.Tier]
+		}
+		key := localityKey{priority, e.Zone}
+		members[key] = append(members[key], e)
+	}
+	return members
 }
 
-// part renders one zone and priority, or returns it as it was where nothing of it changed.
-func (r *Renderer) part(at place, members []*assign.Endpoint, collection string) (*part, error) {
-	p := r.places[at]
-	if p != nil && slices.EqualFunc(p.members, members, func(a assign.Endpoint, b *assign.Endpoint) bool { return a == *b }) {
-		p.round = r.round
-		return p, nil
+// priorities numbers the tiers that have a server in use, without gaps, as proxies reject a resource with
+// one. Where no server is in use, all tiers have priority 0.
+func priorities(a *assign.Assignment) [3]uint32 {
+	var used [3]bool
+	for i := range a.Endpoints {
+		if e := &a.Endpoints[i]; !e.Draining {
+			used[e.Tier] = true
+		}
+	}
+	var numbers [3]uint32
+	next := uint32(0)
+	for tier := range numbers {
+		numbers[tier] = next
+		if used[tier] {
+			next++
+		}
 	}
-	p = &part{members: make([]assign.Endpoint, 0, len(members)), round: r.round}
-	set := make([]*Resource, 0, len(members))
+	return numbers
+}
+
+// locality renders the endpoints of a locality, or returns it from the cache where none of them changed.
+func (r *Renderer) locality(key localityKey, members []*assign.Endpoint, collection string) (*cachedLocality, error) {
+	cached := r.localities[key]
+	if cached != nil && slices.EqualFunc(cached.members, members, func(x assign.Endpoint, y *assign.Endpoint) bool { return x == *y }) {
+		cached.lastRender = r.renders
+		return cached, nil
+	}
+	l := &cachedLocality{members: make([]assign.Endpoint, 0, len(members)), lastRender: r.renders}
+	resources := make([]*Resource, 0, len(members))
 	size := 0
 	for _, e := range members {
-		c, err := r.endpoint(e, collection)
+		endpoint, err := r.endpoint(e, collection)
 		if err != nil {
 			return nil, err
 		}
-		p.members = append(p.members, *e)
-		set = append(set, c.res[collection])
-		size += fieldSize(2, len(c.value))
+		l.members = append(l.members, *e)
+		resources = append(resources, endpoint.resources[collection])
+		size += fieldSize(2, len(endpoint.value))
 	}
-	p.body = make([]byte, 0, size)
+	l.body = make([]byte, 0, size)
 	for _, e := range members {
-		p.body = protowire.AppendTag(p.body, 2, protowire.BytesType)
-		p.body = protowire.AppendBytes(p.body, r.cache[e.ID].value)
+		l.body = appendBytes(l.body, 2, r.endpoints[e.ID].value)
 	}
-	p.set, p.digest = NewSet(set...), []byte(version(p.body))
-	r.places[at] = p
-	return p, nil
+	l.collection = NewSet(resources...)
+	l.digest = []byte(version(l.body))
+	r.localities[key] = l
+	return l, nil
 }
 
-// Sweep forgets what no assignment had lately.
+// Sweep forgets localities and endpoints that no assignment had lately.
 func (r *Renderer) Sweep() {
-	for at, p := range r.places {
-		if r.round-p.round > sweepAfter {
-			delete(r.places, at)
+	for key, l := range r.localities {
+		if r.renders-l.lastRender > sweepAfterRenders {
+			delete(r.localities, key)
 		}
 	}
-	in := make(map[string]bool, len(r.cache))
-	for _, p := range r.places {
-		for i := range p.members {
-			in[p.members[i].ID] = true
+	used := make(map[string]bool, len(r.endpoints))
+	for _, l := range r.localities {
+		for i := range l.members {
+			used[l.members[i].ID] = true
 		}
 	}
-	for id := range r.cache {
-		if !in[id] {
-			delete(r.cache, id)
+	for id := range r.endpoints {
+		if !used[id] {
+			delete(r.endpoints, id)
 		}
 	}
 }
 
-// sweepAfter is the number of renderings after which a place that none of them had is forgotten.
-const sweepAfter = 16
-
-// priorities numbers the tiers that have a usable server, without gaps: proxies reject a set with one.
-// Where no server is usable all stand in the first.
-func priorities(a *assign.Assignment) [3]uint32 {
-	var used [3]bool
-	for i := range a.Endpoints {
-		if e := &a.Endpoints[i]; !e.Draining {
-			used[e.Tier] = true
-		}
-	}
-	var out [3]uint32
-	n := uint32(0)
-	for t := range out {
-		out[t] = n
-		if used[t] {
-			n++
-		}
-	}
-	return out
-}
-
-// locality is the part of a LocalityLbEndpoints beside its servers. Its weight is that of its usable
-// servers, times the group's preference for its own zone: proxies divide a zone's weight by its
-// servers'. It is not rounded, though a drain then changes two resources and not one: rounded to two
-// per cent it moved 9 of 100 keys where one server of 30 left, as all shares shifted a little.
-func locality(a *assign.Assignment, at place, es []*assign.Endpoint) ([]byte, error) {
+// localityHeader is a LocalityLbEndpoints without its endpoints. Its weight is the sum of those in use, times
+// the group's locality weight: proxies divide it by the weights of the endpoints. It is not rounded, though a
+// drain then changes two resources and not one, since rounding would migrate keys of other servers.
+func localityHeader(a *assign.Assignment, key localityKey, members []*assign.Endpoint) ([]byte, error) {
 	sum := 0.0
-	for _, e := range es {
+	for _, e := range members {
 		if !e.Draining {
 			sum += float64(e.Weight)
 		}
 	}
-	if at.zone == a.Zone {
+	if key.zone == a.Zone {
 		sum *= float64(a.LocalityWeightPercent) / 100
 	}
-	return proto.MarshalOptions{Deterministic: true}.Marshal(&endpointv3.LocalityLbEndpoints{
-		Locality:            &corev3.Locality{Zone: at.zone},
-		LoadBalancingWeight: wrapperspb.UInt32(uint32(min(max(math.Round(sum), 1), 1<<30))),
-		Priority:            at.priority,
+	return marshal(&endpointv3.LocalityLbEndpoints{
+		Locality:            &corev3.Locality{Zone: key.zone},
+		LoadBalancingWeight: wrapperspb.UInt32(uint32(min(max(math.Round(sum), 1), maxLocalityWeight))),
+		Priority:            key.priority,
 	})
 }
 
-func (r *Renderer) collection(at place) string {
-	return "xdstp://" + authority + "/envoy.config.endpoint.v3.LbEndpoint/" + escape(r.Service) + "/" +
-		escape(at.zone) + "/" + strconv.Itoa(int(at.priority)) + "/*"
-}
-
-// escape keeps a name from being taken for more than one part of a path.
-func escape(s string) string {
-	return strings.NewReplacer("%", "%25", "/", "%2F", "*", "%2A", "#", "%23", "?", "%3F").Replace(s)
-}
-
-// endpoint returns a server's bytes, made anew only where it changed.
-func (r *Renderer) endpoint(e *assign.Endpoint, collection string) (cached, error) {
-	c, ok := r.cache[e.ID]
-	if !ok || c.e != *e {
-		addr, err := address(e.Addr)
-		if err != nil {
-			return c, fmt.Errorf("%s: %w", e.ID, err)
-		}
-		health := corev3.HealthStatus_HEALTHY
-		if e.Draining {
-			health = corev3.HealthStatus_DRAINING
-		}
-		// The id is the key on the ring: a server that moves to another address keeps its keys.
-		key, err := structpb.NewStruct(map[string]any{"hash_key": strings.ToValidUTF8(e.ID, "?")})
-		if err != nil {
-			return c, fmt.Errorf("%s: %w", e.ID, err)
-		}
-		value, err := proto.MarshalOptions{Deterministic: true}.Marshal(&endpointv3.LbEndpoint{
-			HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{
-				Address: addr}},
-			HealthStatus:        health,
-			Metadata:            &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{"envoy.lb": key}},
-			LoadBalancingWeight: wrapperspb.UInt32(max(e.Weight, 1)),
-		})
-		if err != nil {
-			return c, fmt.Errorf("%s: %w", e.ID, err)
-		}
-		c = cached{e: *e, value: value, res: map[string]*Resource{}}
-	}
-	if c.res[collection] == nil {
-		name := strings.TrimSuffix(collection, "*") + escape(strings.ToValidUTF8(e.ID, "?"))
-		c.res[collection] = fromValue(LbEndpoint, name, c.value, version(c.value))
+// collectionReference is the part of a LocalityLbEndpoints that names a collection in place of endpoints.
+func collectionReference(collection string) ([]byte, error) {
+	b, err := marshal(&endpointv3.LocalityLbEndpoints{
+		LbConfig: &endpointv3.LocalityLbEndpoints_LedsClusterLocalityConfig{
+			LedsClusterLocalityConfig: &endpointv3.LedsClusterLocalityConfig{
+				LedsConfig:         adsSource(),
+				LedsCollectionName: collection,
+			},
+		},
+	})
+	if err != nil {
+		return nil, fmt.Errorf("collection %s: %w", collection, err)
 	}
-	r.cache[e.ID] = c
-	return c, nil
+	return b, nil
 }
 
-func dropPolicy(shed int) *endpointv3.ClusterLoadAssignment_Policy {
-	p := &endpointv3.ClusterLoadAssignment_Policy{OverprovisioningFactor: wrapperspb.UInt32(overprovision)}
-	if shed > 0 {
-		p.DropOverloads = []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{{Category: "shed",
-			DropPercentage: &typev3.FractionalPercent{Numerator: uint32(min(shed, 100)), Denominator: typev3.FractionalPercent_HUNDRED}}}
-	}
-	return p
+// collectionName is the glob name of a locality's collection.
+func (r *Renderer) collectionName(key localityKey) string {
+	return "xdstp://" + collectionAuthority + "/envoy.config.endpoint.v3.LbEndpoint/" + escape(r.service) + "/" +
+		escape(key.zone) + "/" + strconv.Itoa(int(key.priority)) + "/*"
 }
 
-func ads() *corev3.ConfigSource {
-	return &corev3.ConfigSource{ResourceApiVersion: corev3.ApiVersion_V3,
-		ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}
+// escape makes a name one segment of a path.
+func escape(s string) string {
+	return strings.NewReplacer("%", "%25", "/", "%2F", "*", "%2A", "#", "%23", "?", "%3F").Replace(s)
 }
 
-// address is a host:port as proxies are told it.
-func address(s string) (*corev3.Address, error) {
-	host, port, err := net.SplitHostPort(s)
-	n, perr := strconv.ParseUint(port, 10, 16)
-	if err != nil || perr != nil {
-		return nil, fmt.Errorf("%q is no host:port", s)
+// dropPolicy sets the overprovisioning and the percentage of requests that proxies drop.
+func dropPolicy(shedPercent int) *endpointv3.ClusterLoadAssignment_Policy {
+	p := &endpointv3.ClusterLoadAssignment_Policy{OverprovisioningFactor: wrapperspb.UInt32(overprovisioningPercent)}
+	if shedPercent > 0 {
+		p.DropOverloads = []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{{
+			Category: "shed",
+			DropPercentage: &typev3.FractionalPercent{
+				Numerator:   uint32(min(shedPercent, 100)),
+				Denominator: typev3.FractionalPercent_HUNDRED,
+			},
+		}}
 	}
-	return &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
-		Address: host, PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(n)}}}}, nil
+	return p
 }
--- a/internal/control/resource/golden_test.go
+++ b/internal/control/resource/golden_test.go
@@ -72,10 +72,10 @@
 			line(LbEndpoint, set.Get(n))
 		}
 	}
-	fmt.Fprintf(&b, "sotw %x\n", MarshalResponse(Endpoints, "v1", "n1", endpoints))
-	fmt.Fprintf(&b, "delta %x\n", MarshalDeltaResponse(Endpoints, "v1", "n1", endpoints, []string{"x", "y"}, 0, false))
-	fmt.Fprintf(&b, "delta with TTL %x\n", MarshalDeltaResponse(Endpoints, "v1", "n1", endpoints, []string{"x"}, 300, false))
-	fmt.Fprintf(&b, "heartbeat %x\n", MarshalDeltaResponse(Endpoints, "v1", "n1", endpoints, nil, 300, true))
+	fmt.Fprintf(&b, "sotw %x\n", (&Response{TypeURL: Endpoints, Version: "v1", Nonce: "n1", Resources: endpoints}).Marshal())
+	fmt.Fprintf(&b, "delta %x\n", (&DeltaResponse{TypeURL: Endpoints, Version: "v1", Nonce: "n1", Changed: endpoints, Removed: []string{"x", "y"}}).Marshal())
+	fmt.Fprintf(&b, "delta with TTL %x\n", (&DeltaResponse{TypeURL: Endpoints, Version: "v1", Nonce: "n1", Changed: endpoints, Removed: []string{"x"}, TTLSeconds: 300}).Marshal())
+	fmt.Fprintf(&b, "heartbeat %x\n", (&DeltaResponse{TypeURL: Endpoints, Version: "v1", Nonce: "n1", Changed: endpoints, TTLSeconds: 300, Heartbeat: true}).Marshal())
 	return b.String()
 }
 
--- a/internal/control/resource/resource_test.go
+++ b/internal/control/resource/resource_test.go
@@ -30,14 +30,14 @@
 	return &Service{Name: "orders", Listen: "0.0.0.0:8080", Balancer: "ring_hash", AffinityHeader: "X-Affinity", Settings: s, Routes: assign.Routes(&s)}
 }
 
-func ep(i int) assign.Endpoint {
+func testEndpoint(i int) assign.Endpoint {
 	return assign.Endpoint{ID: fmt.Sprintf("s-%d", i), Addr: fmt.Sprintf("10.0.0.%d:80", i+1), Zone: []string{"east", "west"}[i%2], Weight: 960}
 }
 
 func assignment(change func([]assign.Endpoint)) *assign.Assignment {
 	var es []assign.Endpoint
 	for i := range 6 {
-		es = append(es, ep(i))
+		es = append(es, testEndpoint(i))
 	}
 	if change != nil {
 		change(es)
@@ -66,12 +66,12 @@
 	return s
 }
 
-// What is put together by hand on the wire is what the library reads.
-func TestFramesAreTheProtocols(t *testing.T) {
+// Hand-made wire bytes decode to what the protocol buffers library would have sent.
+func TestResponsesDecode(t *testing.T) {
 	s := render(t, NewRenderer("orders"), assignment(nil))
 	rs := []*Resource{s.Complete, s.ByCollection}
 	var full discoveryv3.DiscoveryResponse
-	if err := proto.Unmarshal(MarshalResponse(Endpoints, "v1", "n1", rs), &full); err != nil {
+	if err := proto.Unmarshal((&Response{TypeURL: Endpoints, Version: "v1", Nonce: "n1", Resources: rs}).Marshal(), &full); err != nil {
 		t.Fatal(err)
 	}
 	if full.VersionInfo != "v1" || full.Nonce != "n1" || full.TypeUrl != Endpoints || len(full.Resources) != 2 {
@@ -82,25 +82,27 @@
 		t.Errorf("%v, %+v", err, &set)
 	}
 	for _, c := range []struct {
-		ttl  int
-		bare bool
+		ttl       int
+		heartbeat bool
 	}{{0, false}, {30, false}, {300, true}} {
+		delta := DeltaResponse{TypeURL: Endpoints, Version: "v2", Nonce: "n2", Changed: rs, Removed: []string{"x", "y"},
+			TTLSeconds: c.ttl, Heartbeat: c.heartbeat}
 		var d discoveryv3.DeltaDiscoveryResponse
-		if err := proto.Unmarshal(MarshalDeltaResponse(Endpoints, "v2", "n2", rs, []string{"x", "y"}, c.ttl, c.bare), &d); err != nil {
+		if err := proto.Unmarshal(delta.Marshal(), &d); err != nil {
 			t.Fatal(err)
 		}
 		if d.SystemVersionInfo != "v2" || d.Nonce != "n2" || d.TypeUrl != Endpoints || len(d.Resources) != 2 || !slices.Equal(d.RemovedResources, []string{"x", "y"}) {
 			t.Errorf("%+v", &d)
 		}
 		one := d.Resources[0]
-		if one.Name != "orders" || one.Version != s.Complete.Version || one.GetTtl().GetSeconds() != int64(c.ttl) || (one.Resource == nil) != c.bare {
-			t.Errorf("%v %v: %+v", c.ttl, c.bare, one)
+		if one.Name != "orders" || one.Version != s.Complete.Version || one.GetTtl().GetSeconds() != int64(c.ttl) || (one.Resource == nil) != c.heartbeat {
+			t.Errorf("%v %v: %+v", c.ttl, c.heartbeat, one)
 		}
 	}
 }
 
-// The set that is put together from parts is the same as one that is marshalled whole.
-func TestWholeSet(t *testing.T) {
+// The resource put together from cached parts decodes to the complete assignment.
+func TestCompleteResource(t *testing.T) {
 	a := assignment(func(es []assign.Endpoint) {
 		es[1].Draining = true
 		es[2].Tier = assign.LastResort
@@ -108,16 +110,16 @@
 	})
 	a.ShedPercent = 25
 	set := decode(t, render(t, NewRenderer("orders"), a).Complete, &endpointv3.ClusterLoadAssignment{})
-	if set.GetPolicy().GetOverprovisioningFactor().GetValue() != overprovision || set.GetPolicy().GetDropOverloads()[0].GetDropPercentage().GetNumerator() != 25 {
+	if set.GetPolicy().GetOverprovisioningFactor().GetValue() != overprovisioningPercent || set.GetPolicy().GetDropOverloads()[0].GetDropPercentage().GetNumerator() != 25 {
 		t.Errorf("policy %+v", set.GetPolicy())
 	}
-	type place struct {
-		prio uint32
-		zone string
+	type locality struct {
+		priority uint32
+		zone     string
 	}
-	got := map[place]int{}
+	got := map[locality]int{}
 	for _, l := range set.Endpoints {
-		got[place{l.Priority, l.Locality.Zone}] = len(l.LbEndpoints)
+		got[locality{l.Priority, l.Locality.Zone}] = len(l.LbEndpoints)
 		for _, e := range l.LbEndpoints {
 			addr := e.GetEndpoint().GetAddress().GetSocketAddress().GetAddress()
 			if draining := e.HealthStatus.String() == "DRAINING"; draining != (addr == "10.0.0.2") {
@@ -125,13 +127,13 @@
 			}
 		}
 	}
-	want := map[place]int{{0, "east"}: 2, {0, "west"}: 3, {1, "east"}: 1}
+	want := map[locality]int{{0, "east"}: 2, {0, "west"}: 3, {1, "east"}: 1}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("places %v, want %v", got, want)
+		t.Errorf("localities %v, want %v", got, want)
 	}
 }
 
-// Priorities never have gaps, whatever tiers are empty, and a set is never empty while any is listed.
+// Priorities never have gaps, whatever tiers are empty, and every listed server is rendered.
 func TestPrioritiesHaveNoGaps(t *testing.T) {
 	for mask := range 4 * 4 * 4 * 4 {
 		a := assignment(func(es []assign.Endpoint) {
@@ -146,27 +148,26 @@
 		a.Endpoints = a.Endpoints[:4]
 		set := decode(t, render(t, NewRenderer("orders"), a).Complete, &endpointv3.ClusterLoadAssignment{})
 		seen, n := map[uint32]bool{}, 0
-		most := uint32(0)
+		highest := uint32(0)
 		for _, l := range set.Endpoints {
 			seen[l.Priority] = true
-			most = max(most, l.Priority)
+			highest = max(highest, l.Priority)
 			n += len(l.LbEndpoints)
 			if l.LoadBalancingWeight.GetValue() == 0 {
 				t.Errorf("mask %d: a locality without weight", mask)
 			}
 		}
-		if n != 4 || int(most)+1 != len(seen) {
+		if n != 4 || int(highest)+1 != len(seen) {
 			t.Fatalf("mask %d: %d servers, priorities %v", mask, n, seen)
 		}
 	}
 }
 
-// Two replicas, however they got there, render the same bytes; and a drain changes one server's
-// resource and no other's.
-func TestSameBytes(t *testing.T) {
+// Two replicas with different histories render the same bytes; and a drain changes one endpoint resource and no other.
+func TestReplicasRenderTheSameBytes(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	one, other := NewRenderer("orders"), NewRenderer("orders")
-	for range 50 { // one has a past
+	for range 50 { // one has a history
 		render(t, one, assignment(func(es []assign.Endpoint) {
 			for i := range es {
 				es[i].Tier, es[i].Weight, es[i].Draining = assign.Tier(rng.IntN(3)), uint32(1+rng.IntN(960)), rng.IntN(3) == 0
@@ -184,20 +185,20 @@
 		}
 	}
 	drained := render(t, one, assignment(func(es []assign.Endpoint) { es[3].Draining = true }))
-	news := 0
+	changes := 0
 	for name, set := range drained.Collections {
 		changed, removed := set.Diff(x.Collections[name])
-		news += len(changed) + len(removed)
+		changes += len(changed) + len(removed)
 		if set == x.Collections[name] != (len(changed)+len(removed) == 0) {
-			t.Errorf("%s: the same collection is another one", name)
+			t.Errorf("%s: an unchanged collection is another Set, or a changed one the same", name)
 		}
 	}
-	if news != 1 {
-		t.Errorf("a drain changed %d resources, want 1", news)
+	if changes != 1 {
+		t.Errorf("a drain changed %d resources, want 1", changes)
 	}
 }
 
-// What proxies must be told for the drain rule to hold, and for no request to be sent twice unasked.
+// What the drain rule needs from proxies, and that no request is retried or hedged where that is not permitted.
 func TestServiceResources(t *testing.T) {
 	s := testService()
 	clusters, err := s.Clusters(9)
@@ -216,7 +217,7 @@
 		case common.GetUpdateMergeWindow() == nil || common.GetUpdateMergeWindow().AsDuration() != 0:
 			t.Errorf("%s: changes of health are merged", c.Name)
 		case common.GetConsistentHashingLbConfig().GetHashBalanceFactor().GetValue() != 300:
-			t.Errorf("%s: no cap", c.Name)
+			t.Errorf("%s: no bounded load", c.Name)
 		case c.GetLbPolicy() != clusterv3.Cluster_RING_HASH || c.GetRingHashLbConfig().GetMinimumRingSize().GetValue() != 1024:
 			t.Errorf("%s: no ring", c.Name)
 		case c.GetEdsClusterConfig().GetServiceName() != "orders" || c.GetCircuitBreakers().GetThresholds()[0].GetMaxRequests().GetValue() != 5000:
@@ -229,7 +230,7 @@
 	}
 	routes := decode(t, rc, &routev3.RouteConfiguration{}).VirtualHosts[0].Routes
 	if len(routes) != 4 || len(routes[3].Match.Headers) != 0 {
-		t.Fatalf("%d routes; the last is to take the rest", len(routes))
+		t.Fatalf("%d routes; the last has to match all other requests", len(routes))
 	}
 	for i, on := range []string{"5xx,reset,connect-failure,refused-stream,retriable-headers", "5xx,reset,connect-failure,refused-stream,retriable-headers",
 		"connect-failure,refused-stream,retriable-headers", "connect-failure,refused-stream,retriable-headers"} {
@@ -246,18 +247,18 @@
 		t.Errorf("%+v", l)
 	}
 	s.Balancer = "maglev"
-	again, err := s.Clusters(9)
+	maglev, err := s.Clusters(9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c := decode(t, again[0], &clusterv3.Cluster{}); c.GetLbPolicy() != clusterv3.Cluster_MAGLEV {
+	if c := decode(t, maglev[0], &clusterv3.Cluster{}); c.GetLbPolicy() != clusterv3.Cluster_MAGLEV {
 		t.Errorf("%v", c.GetLbPolicy())
 	}
 }
 
-// The pattern that proxies are handed finds the last part of a path.
-func TestKeyOfPath(t *testing.T) {
-	re := regexp.MustCompile(lastOfPath)
+// The pattern in the hash policy finds the last segment of a path.
+func TestLastPathSegment(t *testing.T) {
+	re := regexp.MustCompile(lastPathSegment)
 	for path, want := range map[string]string{"/api/7f3a": "7f3a", "/api/7f3a?op=1/2": "7f3a", "/": "", "/a": "a"} {
 		if got := re.ReplaceAllString(path, "$1"); got != want {
 			t.Errorf("%s: key %q, want %q", path, got, want)
@@ -265,8 +266,8 @@
 	}
 }
 
-// Names that could be taken for more than one part of a path are not.
-func TestCollectionNames(t *testing.T) {
+// A name with separators stays one segment of the path.
+func TestCollectionNamesAreEscaped(t *testing.T) {
 	r := NewRenderer("or/ders")
 	a := assignment(func(es []assign.Endpoint) { es[0].ID, es[0].Zone = "a/b*", "ea/st" })
 	for name, set := range render(t, r, a).Collections {
@@ -294,7 +295,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var es []assign.Endpoint
 			for i := range n {
-				e := ep(i)
+				e := testEndpoint(i)
 				e.Addr = fmt.Sprintf("10.%d.%d.%d:80", i/62500, i/250%250, 1+i%250)
 				es = append(es, e)
 			}
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -397,7 +397,7 @@
 		}
 		key := frameKey{typeURL: t, to: cur}
 		make := func(nonce string) ([]byte, bool) {
-			return resource.MarshalResponse(t, cur.Version, nonce, all(cur)), false
+			return (&resource.Response{TypeURL: t, Version: cur.Version, Nonce: nonce, Resources: all(cur)}).Marshal(), false
 		}
 		f := s.once(snap, sb, key, make)
 		sb.set = cur
@@ -427,11 +427,11 @@
 	if len(names) == 1 && len(changed) == 1 {
 		key.name = names[0]
 		return s.out(sb, s.once(snap, sb, key, func(nonce string) ([]byte, bool) {
-			return resource.MarshalResponse(t, cur.Version, nonce, changed), false
+			return (&resource.Response{TypeURL: t, Version: cur.Version, Nonce: nonce, Resources: changed}).Marshal(), false
 		}), cur.Version, snap.seq)
 	}
 	nonce := snap.nonces.next()
-	return s.out(sb, frame{nonce: nonce, bytes: resource.MarshalResponse(t, cur.Version, nonce, changed)}, cur.Version, snap.seq)
+	return s.out(sb, frame{nonce: nonce, bytes: (&resource.Response{TypeURL: t, Version: cur.Version, Nonce: nonce, Resources: changed}).Marshal()}, cur.Version, snap.seq)
 }
 
 // once takes the frame that streams share, or one of its own where this stream has had that already:
@@ -468,12 +468,12 @@
 			}
 			slices.Sort(removed)
 			f.nonce = snap.nonces.next()
-			f.bytes, f.empty = resource.MarshalDeltaResponse(t, cur.Version, f.nonce, changed, removed, ttl, false), len(changed)+len(removed) == 0
+			f.bytes, f.empty = (&resource.DeltaResponse{TypeURL: t, Version: cur.Version, Nonce: f.nonce, Changed: changed, Removed: removed, TTLSeconds: ttl, Heartbeat: false}).Marshal(), len(changed)+len(removed) == 0
 		} else {
 			from, first := sb.set, sb.first
 			f = s.once(snap, sb, frameKey{typeURL: t, delta: true, from: from, to: cur, version: ttlKey(ttl, first)}, func(nonce string) ([]byte, bool) {
 				changed, removed := cur.Diff(from)
-				return resource.MarshalDeltaResponse(t, cur.Version, nonce, changed, removed, ttl, false), len(changed)+len(removed) == 0 && !first
+				return (&resource.DeltaResponse{TypeURL: t, Version: cur.Version, Nonce: nonce, Changed: changed, Removed: removed, TTLSeconds: ttl, Heartbeat: false}).Marshal(), len(changed)+len(removed) == 0 && !first
 			})
 		}
 		sb.set, sb.first, sb.initial = cur, false, nil
@@ -502,7 +502,7 @@
 		return nil
 	}
 	make := func(nonce string) ([]byte, bool) {
-		return resource.MarshalDeltaResponse(t, cur.Version, nonce, changed, removed, ttl, false), false
+		return (&resource.DeltaResponse{TypeURL: t, Version: cur.Version, Nonce: nonce, Changed: changed, Removed: removed, TTLSeconds: ttl, Heartbeat: false}).Marshal(), false
 	}
 	if len(changed) == 1 && len(removed) == 0 {
 		key := frameKey{typeURL: t, delta: true, to: cur, name: changed[0].Name, version: ttlKey(ttl, false)}
@@ -551,7 +551,7 @@
 		var f frame
 		build := func(nonce string) ([]byte, bool) {
 			changed, removed := n.to.Diff(from)
-			return resource.MarshalDeltaResponse(resource.LbEndpoint, n.to.Version, nonce, changed, removed, 0, false), len(changed)+len(removed) == 0 && from != nil
+			return (&resource.DeltaResponse{TypeURL: resource.LbEndpoint, Version: n.to.Version, Nonce: nonce, Changed: changed, Removed: removed, TTLSeconds: 0, Heartbeat: false}).Marshal(), len(changed)+len(removed) == 0 && from != nil
 		}
 		if from == nil && len(sb.initial) > 0 {
 			changed, removed := all(n.to), []string(nil)
@@ -564,7 +564,7 @@
 			}
 			slices.Sort(removed)
 			f.nonce = snap.nonces.next()
-			f.bytes = resource.MarshalDeltaResponse(resource.LbEndpoint, n.to.Version, f.nonce, changed, removed, 0, false)
+			f.bytes = (&resource.DeltaResponse{TypeURL: resource.LbEndpoint, Version: n.to.Version, Nonce: f.nonce, Changed: changed, Removed: removed, TTLSeconds: 0, Heartbeat: false}).Marshal()
 		} else {
 			f = s.once(snap, sb, frameKey{typeURL: resource.LbEndpoint, delta: true, from: from, to: n.to, name: n.glob}, build)
 		}
@@ -615,7 +615,7 @@
 		return nil
 	}
 	nonce := snap.nonces.next()
-	bytes := resource.MarshalDeltaResponse(resource.Endpoints, cur.Version, nonce, alive, nil, s.hub.cfg().Proxies.HeartbeatS, true)
+	bytes := (&resource.DeltaResponse{TypeURL: resource.Endpoints, Version: cur.Version, Nonce: nonce, Changed: alive, Removed: nil, TTLSeconds: s.hub.cfg().Proxies.HeartbeatS, Heartbeat: true}).Marshal()
 	return s.out(sb, frame{nonce: nonce, bytes: bytes}, cur.Version, sb.sentSeq)
 }
 
