--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -15,26 +15,32 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// Report is what the admin page tells.
+const (
+	adminReadHeaderTimeout = 2 * time.Second
+	adminWriteTimeout      = 10 * time.Second
+	adminMaxHeaderBytes    = 16 << 10
+)
+
+// Report is the JSON document of the admin endpoint. Times are Unix ms.
 type Report struct {
 	NowMs       float64                       `json:"now_ms"`
 	Membership  []membership.Status           `json:"membership"`
-	Problems    []string                      `json:"problems,omitempty"` // of entries that could not be used
+	Problems    []string                      `json:"problems,omitempty"` // entries that could not be used
 	Servers     []ServerReport                `json:"servers"`
 	Proxies     []ProxyReport                 `json:"proxies"`
 	LastDrain   *DrainReport                  `json:"last_drain,omitempty"`
 	Counts      map[string]int64              `json:"counts"`
 	Evidence    assign.EvidenceCounts         `json:"evidence"`
-	Assignments map[string]*assign.Assignment `json:"assignments"` // by zone; "": of proxies in none
+	Assignments map[string]*assign.Assignment `json:"assignments"` // by zone; "": of proxies without a known zone
 }
 
-// ServerReport is one server as the module sees it.
+// ServerReport is the balancer's view of one server.
 type ServerReport struct {
 	ID                  string  `json:"id"`
 	State               string  `json:"state"`
 	SinceMs             float64 `json:"since_ms"`
 	Usable              bool    `json:"usable"`
-	Capacity            float64 `json:"ramp"`
+	Capacity            float64 `json:"ramp"` // part of its capacity that slow start allows, 0 to 1
 	ConsecutiveFailures int     `json:"strikes"`
 }
 
@@ -46,104 +52,141 @@
 	Protocol string  `json:"protocol"` // "sotw", "delta" or "delta+leds"
 	OpenedMs float64 `json:"since_ms"`
 	Behind   bool    `json:"behind"` // has not acknowledged the last drain
-	shown
+	streamStats
 }
 
-// DrainReport is the last drain or end of a server that was handed on.
+// DrainReport is the last published drain or removal of a server.
 type DrainReport struct {
 	Server      string  `json:"server"`
 	PublishedMs float64 `json:"told_ms"`
 	Waiting     int     `json:"waiting"` // proxies that have not acknowledged it
 }
 
+// stateNames are the states of policy.View, by number.
 var stateNames = [...]string{"connected", "unknown", "unhealthy-pending", "unhealthy"}
 
-// report gathers it all in the hub.
+// report makes the admin document, or returns nil if ctx or the service ends first.
 func (s *Server) report(ctx context.Context) *Report {
 	made := make(chan *Report, 1)
-	s.hub.post(func() {
-		h := s.hub
-		now := h.clock.Ms()
-		r := &Report{NowMs: now, Membership: h.status(now), Problems: h.assigner.Problems(),
-			Evidence: h.assigner.Counts(), Assignments: map[string]*assign.Assignment{},
-			Counts: map[string]int64{"published": h.counts.Published.Load(), "drains": h.counts.Drains.Load(),
-				"stalled": h.counts.Stalled.Load(), "ended": h.counts.Ended.Load(),
-				"rejections": h.counts.Nacks.Load(), "refused": h.counts.Refused.Load()}}
-		for id, v := range h.assigner.Views(now) {
-			r.Servers = append(r.Servers, ServerReport{ID: id, State: stateNames[v.State], SinceMs: v.StateSinceMs,
-				Usable: v.Usable, Capacity: v.Capacity, ConsecutiveFailures: v.ConsecutiveFailures})
-		}
-		slices.SortFunc(r.Servers, func(a, b ServerReport) int { return cmp.Compare(a.ID, b.ID) })
-		h.groups.Range(func(zone, g any) bool {
-			if snap := g.(*group).now.Load(); snap != nil && snap.assignment != nil {
-				r.Assignments[zone.(string)] = snap.assignment
-			}
-			return true
-		})
-		if h.drain.seq > 0 {
-			r.LastDrain = &DrainReport{Server: h.drain.what, PublishedMs: h.drain.toldMs}
-		}
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		for st := range h.streams {
-			p := ProxyReport{Node: st.node, Zone: st.zone, Peer: st.peer, Protocol: "sotw", OpenedMs: st.openMs, Behind: st.behind(&h.drain)}
-			switch {
-			case st.leds:
-				p.Protocol = "delta+leds"
-			case st.delta:
-				p.Protocol = "delta"
-			}
-			st.mu.Lock()
-			p.shown = st.shown
-			p.shown.Acked, p.shown.Rejected = maps.Clone(st.shown.Acked), maps.Clone(st.shown.Rejected)
-			st.mu.Unlock()
-			if p.Behind && r.LastDrain != nil {
-				r.LastDrain.Waiting++
-			}
-			r.Proxies = append(r.Proxies, p)
-		}
-		slices.SortFunc(r.Proxies, func(a, b ProxyReport) int { return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Peer, b.Peer)) })
-		made <- r
-	})
+	s.publisher.post(func() { made <- s.publisher.report() })
 	select {
 	case r := <-made:
 		return r
 	case <-ctx.Done():
 		return nil
-	case <-s.hub.done:
+	case <-s.publisher.done:
 		return nil
 	}
 }
 
-// serveAdmin answers GET / with the report and GET /ready with 200 once there is something to hand
-// out, until ctx ends.
-func (s *Server) serveAdmin(ctx context.Context, ln net.Listener) error {
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /{$}", func(w http.ResponseWriter, req *http.Request) {
-		r := s.report(req.Context())
-		if r == nil {
-			http.Error(w, "the service ends", http.StatusServiceUnavailable)
-			return
+// report makes the admin document. The publisher's goroutine calls it.
+func (p *publisher) report() *Report {
+	now := p.clock.Ms()
+	r := &Report{
+		NowMs:       now,
+		Membership:  p.membershipStatus(now),
+		Problems:    p.assigner.Problems(),
+		Evidence:    p.assigner.Counts(),
+		Assignments: map[string]*assign.Assignment{},
+		Counts:      p.counts.report(),
+		Servers:     p.serverReports(now),
+	}
+	p.groups.Range(func(zone, g any) bool {
+		if snap := g.(*group).current.Load(); snap != nil && snap.assignment != nil {
+			r.Assignments[zone.(string)] = snap.assignment
 		}
-		w.Header().Set("Content-Type", "application/json")
-		e := json.NewEncoder(w)
-		e.SetIndent("", " ")
-		e.Encode(r)
+		return true
 	})
-	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, req *http.Request) {
-		listed := make(chan bool, 1)
-		s.hub.post(func() { listed <- s.hub.assigner.HasMembership() })
-		select {
-		case ok := <-listed:
-			if ok {
-				return
-			}
-		case <-req.Context().Done():
-		case <-s.hub.done:
+	if last := &p.urgent.last; last.seq > 0 {
+		r.LastDrain = &DrainReport{Server: last.server, PublishedMs: last.publishedMs}
+	}
+	r.Proxies = p.proxyReports()
+	for i := range r.Proxies {
+		if r.Proxies[i].Behind && r.LastDrain != nil {
+			r.LastDrain.Waiting++
 		}
-		http.Error(w, "no list of servers yet", http.StatusServiceUnavailable)
+	}
+	return r
+}
+
+func (c *counters) report() map[string]int64 {
+	return map[string]int64{
+		"published":  c.published.Load(),
+		"drains":     c.urgent.Load(),
+		"stalled":    c.unresponsive.Load(),
+		"ended":      c.closed.Load(),
+		"rejections": c.nacks.Load(),
+		"refused":    c.rejected.Load(),
+	}
+}
+
+// serverReports returns the balancer's view, sorted by ID.
+func (p *publisher) serverReports(now float64) []ServerReport {
+	var reports []ServerReport
+	for id, view := range p.assigner.Views(now) {
+		reports = append(reports, ServerReport{
+			ID:                  id,
+			State:               stateNames[view.State],
+			SinceMs:             view.StateSinceMs,
+			Usable:              view.Usable,
+			Capacity:            view.Capacity,
+			ConsecutiveFailures: view.ConsecutiveFailures,
+		})
+	}
+	slices.SortFunc(reports, func(x, y ServerReport) int { return cmp.Compare(x.ID, y.ID) })
+	return reports
+}
+
+// proxyReports returns all streams, sorted by node and peer.
+func (p *publisher) proxyReports() []ProxyReport {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var reports []ProxyReport
+	for s := range p.streams {
+		reports = append(reports, s.report(&p.urgent.last))
+	}
+	slices.SortFunc(reports, func(x, y ProxyReport) int {
+		return cmp.Or(cmp.Compare(x.Node, y.Node), cmp.Compare(x.Peer, y.Peer))
 	})
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: 2 * time.Second, WriteTimeout: 10 * time.Second, MaxHeaderBytes: 16 << 10}
+	return reports
+}
+
+// report returns the stream's state, with its answer to an urgent update.
+func (s *stream) report(last *urgentUpdate) ProxyReport {
+	r := ProxyReport{
+		Node:     s.node,
+		Zone:     s.zone,
+		Peer:     s.peer,
+		Protocol: "sotw",
+		OpenedMs: s.openedMs,
+		Behind:   s.behind(last),
+	}
+	switch {
+	case s.leds:
+		r.Protocol = "delta+leds"
+	case s.delta:
+		r.Protocol = "delta"
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r.streamStats = s.stats
+	r.Acked = maps.Clone(s.stats.Acked)
+	r.Rejected = maps.Clone(s.stats.Rejected)
+	return r
+}
+
+// serveAdmin answers GET / with the report and GET /ready with 200 once there is something to serve, until ctx
+// ends.
+func (s *Server) serveAdmin(ctx context.Context, ln net.Listener) error {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /{$}", s.handleReport)
+	mux.HandleFunc("GET /ready", s.handleReady)
+	server := &http.Server{
+		Handler:           mux,
+		ReadHeaderTimeout: adminReadHeaderTimeout,
+		WriteTimeout:      adminWriteTimeout,
+		MaxHeaderBytes:    adminMaxHeaderBytes,
+	}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
@@ -151,3 +194,29 @@
 	}
 	return nil
 }
+
+func (s *Server) handleReport(w http.ResponseWriter, req *http.Request) {
+	r := s.report(req.Context())
+	if r == nil {
+		http.Error(w, errShuttingDown.Error(), http.StatusServiceUnavailable)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", " ")
+	encoder.Encode(r)
+}
+
+func (s *Server) handleReady(w http.ResponseWriter, req *http.Request) {
+	listed := make(chan bool, 1)
+	s.publisher.post(func() { listed <- s.publisher.assigner.HasMembership() })
+	select {
+	case ok := <-listed:
+		if ok {
+			return
+		}
+	case <-req.Context().Done():
+	case <-s.publisher.done:
+	}
+	http.Error(w, "no endpoint list yet", http.StatusServiceUnavailable)
+}
--- /dev/null
+++ b/internal/control/ads.go
@@ -0,0 +1,134 @@
+package control
+
+import (
+	"context"
+	"net"
+	"slices"
+	"time"
+
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/peer"
+	"google.golang.org/grpc/status"
+)
+
+// maxQueuedRequests bounds the requests that a stream has read and not handled.
+const maxQueuedRequests = 16
+
+// receiveFunc reads the next request of a stream, with the node that it names, if any. A nil error with a nil
+// request means that the proxy closed its side.
+type receiveFunc func() (*request, *corev3.Node, error)
+
+// StreamAggregatedResources serves ADS, state of the world.
+func (s *Server) StreamAggregatedResources(g discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
+	st := s.newStream(g.Context(), false, func(b []byte) error { return g.SendMsg(rawFrame(b)) })
+	return s.serveADS(g.Context(), st, func() (*request, *corev3.Node, error) {
+		m, err := g.Recv()
+		if err != nil {
+			return nil, nil, streamError(err)
+		}
+		return &request{
+			typeURL:  m.TypeUrl,
+			nonce:    m.ResponseNonce,
+			version:  m.VersionInfo,
+			names:    m.ResourceNames,
+			rejected: m.ErrorDetail != nil,
+			reason:   clipText(m.ErrorDetail.GetMessage()),
+		}, m.Node, nil
+	})
+}
+
+// DeltaAggregatedResources serves ADS, incremental.
+func (s *Server) DeltaAggregatedResources(g discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
+	st := s.newStream(g.Context(), true, func(b []byte) error { return g.SendMsg(rawFrame(b)) })
+	return s.serveADS(g.Context(), st, func() (*request, *corev3.Node, error) {
+		m, err := g.Recv()
+		if err != nil {
+			return nil, nil, streamError(err)
+		}
+		return &request{
+			typeURL:         m.TypeUrl,
+			nonce:           m.ResponseNonce,
+			subscribe:       m.ResourceNamesSubscribe,
+			unsubscribe:     m.ResourceNamesUnsubscribe,
+			initialVersions: m.InitialResourceVersions,
+			rejected:        m.ErrorDetail != nil,
+			reason:          clipText(m.ErrorDetail.GetMessage()),
+		}, m.Node, nil
+	})
+}
+
+// newStream makes the stream of the peer in ctx.
+func (s *Server) newStream(ctx context.Context, delta bool, send func([]byte) error) *stream {
+	var conn net.Conn
+	addr := ""
+	if p, ok := peer.FromContext(ctx); ok {
+		addr = p.Addr.String()
+		if c, ok := s.connections.Load(addr); ok {
+			conn = c.(net.Conn)
+		}
+	}
+	return newStream(s.publisher, delta, conn, addr, send)
+}
+
+// serveADS admits a stream and runs it until it ends.
+func (s *Server) serveADS(ctx context.Context, st *stream, receive receiveFunc) error {
+	cfg := s.publisher.cfg()
+	if n := s.streamCount.Add(1); n > int64(cfg.Proxies.MaxStreams) {
+		s.streamCount.Add(-1)
+		s.publisher.counts.rejected.Add(1)
+		return status.Errorf(codes.ResourceExhausted, "%d proxies are connected, at most %d are allowed", n-1, cfg.Proxies.MaxStreams)
+	}
+	defer s.streamCount.Add(-1)
+	first, node, err := receive()
+	if err != nil {
+		return err
+	}
+	cert := peerCertificate(ctx)
+	if err := cfg.authorize(cert, node.GetId()); err != nil {
+		s.publisher.counts.rejected.Add(1)
+		s.log.Warn("proxy rejected", "node", clipText(node.GetId()), "peer", st.peer, "err", err)
+		return err
+	}
+	if cert != nil {
+		expiry := time.AfterFunc(time.Until(cert.NotAfter), func() { st.close("the proxy's certificate has expired") })
+		defer expiry.Stop()
+	}
+	st.setNode(node)
+	s.publisher.addStream(st, first.fresh())
+	defer s.publisher.removeStream(st)
+
+	requests := make(chan *request, maxQueuedRequests)
+	failed := make(chan error, 1)
+	go func() { failed <- st.receiveAll(ctx, first, requests, receive) }() // ends with ctx, at the latest
+	return st.serve(ctx, requests, failed)
+}
+
+// receiveAll passes on the first request and all that follow, until the stream ends.
+func (s *stream) receiveAll(ctx context.Context, first *request, requests chan<- *request, receive receiveFunc) error {
+	r := first
+	for {
+		select {
+		case requests <- r:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+		next, node, err := receive()
+		if err != nil {
+			return err
+		}
+		if id := node.GetId(); id != "" && id != s.node {
+			return status.Errorf(codes.PermissionDenied, "the node id changed on a stream from %q to %q", clipText(s.node), clipText(id))
+		}
+		r = next
+	}
+}
+
+// knownZone returns a zone of the settings, or "" for all others: this bounds the groups of proxies.
+func (c *Config) knownZone(name string) string {
+	if slices.Contains(c.zones, name) {
+		return name
+	}
+	return ""
+}
--- a/internal/control/auth.go
+++ b/internal/control/auth.go
@@ -1,16 +1,9 @@
 package control
 
 import (
-	"bytes"
 	"context"
-	"crypto/tls"
 	"crypto/x509"
-	"errors"
-	"fmt"
-	"os"
 	"path"
-	"sync/atomic"
-	"time"
 
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/credentials"
@@ -18,67 +11,11 @@
 	"google.golang.org/grpc/status"
 )
 
-// certificates holds the service's certificate and its proxies' authority, read again while it runs.
-type certificates struct {
-	cfg  TLSConfig
-	last [3][]byte
-	now  atomic.Pointer[tls.Config]
-}
-
-// read reads the files again and returns whether they differ from before. Files that can't be used
-// leave what is at hand.
-func (c *certificates) read() (bool, error) {
-	var text [3][]byte
-	for i, f := range []string{c.cfg.Cert, c.cfg.Key, c.cfg.ClientCA} {
-		if f == "" {
-			continue
-		}
-		var err error
-		if text[i], err = os.ReadFile(f); err != nil {
-			return false, fmt.Errorf("tls: %w", err)
-		}
-	}
-	if c.now.Load() != nil && bytes.Equal(text[0], c.last[0]) && bytes.Equal(text[1], c.last[1]) && bytes.Equal(text[2], c.last[2]) {
-		return false, nil
-	}
-	pair, err := tls.X509KeyPair(text[0], text[1])
-	if err != nil {
-		return false, fmt.Errorf("tls.cert: %w", err)
-	}
-	t := &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12, NextProtos: []string{"h2"}}
-	if c.cfg.ClientCA != "" {
-		t.ClientCAs = x509.NewCertPool()
-		if !t.ClientCAs.AppendCertsFromPEM(text[2]) {
-			return false, fmt.Errorf("tls.client_ca: %s holds no certificate", c.cfg.ClientCA)
-		}
-		t.ClientAuth = tls.RequireAndVerifyClientCert
-	}
-	c.last = text
-	c.now.Store(t)
-	return true, nil
-}
-
-// expires is when the service's own certificate does.
-func (c *certificates) expires() time.Time {
-	if leaf := c.now.Load().Certificates[0].Leaf; leaf != nil {
-		return leaf.NotAfter
-	}
-	return time.Time{}
-}
+// maxNodeIDBytes bounds a node ID.
+const maxNodeIDBytes = 256
 
-// credentials are for a server whose certificates change: each handshake takes the present ones.
-func (c *certificates) credentials() credentials.TransportCredentials {
-	return credentials.NewTLS(&tls.Config{MinVersion: tls.VersionTLS12, NextProtos: []string{"h2"},
-		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			if t := c.now.Load(); t != nil {
-				return t, nil
-			}
-			return nil, errors.New("tls: no certificate at hand")
-		}})
-}
-
-// leafOf is the certificate that a peer has proven to hold; nil: none.
-func leafOf(ctx context.Context) *x509.Certificate {
+// peerCertificate returns the verified certificate of the peer in ctx, or nil.
+func peerCertificate(ctx context.Context) *x509.Certificate {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
 		return nil
@@ -90,38 +27,53 @@
 	return info.State.VerifiedChains[0][0]
 }
 
-// allow tells whether a peer may call itself by a node id: with a certificate, only by an id that a
-// [[node]] allows to one of its names or, where there are none of these, by one of its names.
-func (c *Config) allow(leaf *x509.Certificate, id string) error {
-	if id == "" || len(id) > 256 {
-		return status.Errorf(codes.InvalidArgument, "node.id has %d bytes, 1 to 256 are needed", len(id))
+// authorize returns a status error unless a peer may use a node ID. With client certificates, a [[node]] entry
+// has to allow the ID to a name of the certificate or, where there are no entries, the ID has to be one of its
+// names.
+func (c *Config) authorize(cert *x509.Certificate, id string) error {
+	if id == "" || len(id) > maxNodeIDBytes {
+		return status.Errorf(codes.InvalidArgument, "node.id has %d bytes, 1 to %d are needed", len(id), maxNodeIDBytes)
 	}
 	if c.TLS.ClientCA == "" {
 		return nil
 	}
-	if leaf == nil {
+	if cert == nil {
 		return status.Error(codes.Unauthenticated, "no certificate was verified")
 	}
-	names := append([]string(nil), leaf.DNSNames...)
-	for _, u := range leaf.URIs {
-		names = append(names, u.String())
-	}
+	names := certificateNames(cert)
 	for _, name := range names {
 		if len(c.Nodes) == 0 && name == id {
 			return nil
 		}
 		for i := range c.Nodes {
-			if !match(c.Nodes[i].Certificate, name) {
-				continue
-			}
-			for _, p := range c.Nodes[i].IDs {
-				if match(p, id) {
-					return nil
-				}
+			if c.Nodes[i].allows(name, id) {
+				return nil
 			}
 		}
 	}
-	return status.Errorf(codes.PermissionDenied, "the certificate's names %q do not allow the node id %q", names, clip(id))
+	return status.Errorf(codes.PermissionDenied, "the certificate's names %q do not allow the node id %q", names, clipText(id))
+}
+
+// certificateNames returns the DNS and URI names of a certificate.
+func certificateNames(cert *x509.Certificate) []string {
+	names := append([]string(nil), cert.DNSNames...)
+	for _, uri := range cert.URIs {
+		names = append(names, uri.String())
+	}
+	return names
+}
+
+// allows reports whether the entry allows a node ID to a certificate with this name.
+func (n *NodeConfig) allows(name, id string) bool {
+	if !match(n.Certificate, name) {
+		return false
+	}
+	for _, pattern := range n.IDs {
+		if match(pattern, id) {
+			return true
+		}
+	}
+	return false
 }
 
 func match(pattern, name string) bool {
--- /dev/null
+++ b/internal/control/certificates.go
@@ -0,0 +1,110 @@
+package control
+
+import (
+	"bytes"
+	"context"
+	"crypto/tls"
+	"crypto/x509"
+	"errors"
+	"fmt"
+	"os"
+	"sync/atomic"
+	"time"
+
+	"google.golang.org/grpc/credentials"
+)
+
+// expiryWarning is how long before its expiry the service's certificate is warned about.
+const expiryWarning = 24 * time.Hour
+
+var errNoCertificate = errors.New("tls: no certificate is loaded")
+
+// certificates holds the service's certificate and the authority of the proxies' certificates. read is called
+// by one goroutine at a time; the others may be called from any.
+type certificates struct {
+	cfg     TLSConfig
+	files   [3][]byte // content of certificate, key and authority as of the last read
+	current atomic.Pointer[tls.Config]
+}
+
+// read reads the files and reports whether they changed. Files that cannot be used leave the last ones in use.
+func (c *certificates) read() (changed bool, err error) {
+	var files [3][]byte
+	for i, name := range []string{c.cfg.Cert, c.cfg.Key, c.cfg.ClientCA} {
+		if name == "" {
+			continue
+		}
+		if files[i], err = os.ReadFile(name); err != nil {
+			return false, fmt.Errorf("tls: %w", err)
+		}
+	}
+	if c.current.Load() != nil && bytes.Equal(files[0], c.files[0]) && bytes.Equal(files[1], c.files[1]) && bytes.Equal(files[2], c.files[2]) {
+		return false, nil
+	}
+	pair, err := tls.X509KeyPair(files[0], files[1])
+	if err != nil {
+		return false, fmt.Errorf("tls.cert: %w", err)
+	}
+	cfg := &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12, NextProtos: []string{"h2"}}
+	if c.cfg.ClientCA != "" {
+		cfg.ClientCAs = x509.NewCertPool()
+		if !cfg.ClientCAs.AppendCertsFromPEM(files[2]) {
+			return false, fmt.Errorf("tls.client_ca: %s holds no certificate", c.cfg.ClientCA)
+		}
+		cfg.ClientAuth = tls.RequireAndVerifyClientCert
+	}
+	c.files = files
+	c.current.Store(cfg)
+	return true, nil
+}
+
+// expiry returns when the service's certificate expires.
+func (c *certificates) expiry() time.Time {
+	if leaf := c.current.Load().Certificates[0].Leaf; leaf != nil {
+		return leaf.NotAfter
+	}
+	return time.Time{}
+}
+
+// credentials returns server credentials that use the current certificate at each handshake.
+func (c *certificates) credentials() credentials.TransportCredentials {
+	return credentials.NewTLS(&tls.Config{
+		MinVersion: tls.VersionTLS12,
+		NextProtos: []string{"h2"},
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
+			if cfg := c.current.Load(); cfg != nil {
+				return cfg, nil
+			}
+			return nil, errNoCertificate
+		},
+	})
+}
+
+// watchCertificates reads the certificate files periodically until ctx ends.
+func (s *Server) watchCertificates(ctx context.Context) {
+	ticker := time.NewTicker(time.Duration(s.publisher.cfg().TLS.ReloadS * float64(time.Second)))
+	defer ticker.Stop()
+	for {
+		s.readCertificates()
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// readCertificates reads the certificate files and logs what an operator has to know.
+func (s *Server) readCertificates() {
+	changed, err := s.certificates.read()
+	switch left := time.Until(s.certificates.expiry()); {
+	case err != nil:
+		s.log.Error("certificates not used, the last ones stay in use", "err", err)
+	case left <= 0:
+		s.log.Error("the service's certificate HAS EXPIRED: proxies will not connect", "since", -left)
+	case left < expiryWarning:
+		s.log.Warn("the service's certificate expires soon", "in", left)
+	case changed:
+		s.log.Info("certificates updated", "expire", s.certificates.expiry())
+	}
+}
--- a/internal/control/lrs.go
+++ b/internal/control/lrs.go
@@ -16,90 +16,107 @@
 )
 
 const (
-	// mostLoads bounds the lines that are read of one report.
-	mostLoads = assign.MaxServers
-	// turnedAway is the named metric (ORCA) by which servers tell what they refused unseen.
-	turnedAway = "turned_away"
+	// maxReportedServers bounds the servers that are read of one report.
+	maxReportedServers = assign.MaxServers
+	// rejectedMetric is the named metric (ORCA) with the requests that a server rejected.
+	rejectedMetric = "turned_away"
+	// featureAllClusters is the client feature of proxies that can report all clusters unnamed.
+	featureAllClusters = "envoy.lrs.supports_send_all_clusters"
 )
 
-// StreamLoadStats serves LRS: it asks for all clusters, a server at a time, and hands reports on.
+// StreamLoadStats serves LRS: it subscribes to the load of all clusters by endpoint, and passes the reports to
+// the assigner.
 func (s *Server) StreamLoadStats(g loadstatsv3.LoadReportingService_StreamLoadStatsServer) error {
 	m, err := g.Recv()
 	if err != nil {
-		return end(err)
+		return streamError(err)
 	}
 	id := m.GetNode().GetId()
-	if err := s.hub.cfg().allow(leafOf(g.Context()), id); err != nil {
-		s.hub.counts.Refused.Add(1)
+	cfg := s.publisher.cfg()
+	if err := cfg.authorize(peerCertificate(g.Context()), id); err != nil {
+		s.publisher.counts.rejected.Add(1)
 		return err
 	}
-	all := slices.Contains(m.GetNode().GetClientFeatures(), "envoy.lrs.supports_send_all_clusters")
-	ms := s.hub.cfg().Evidence.ReportMs
-	answer := &loadstatsv3.LoadStatsResponse{SendAllClusters: all, ReportEndpointGranularity: true,
-		LoadReportingInterval: &durationpb.Duration{Seconds: int64(ms) / 1000, Nanos: int32(int64(ms)%1000) * 1e6}}
-	if !all {
-		service := s.hub.cfg().service()
-		for i := range service.Routes {
-			answer.Clusters = append(answer.Clusters, service.ClusterName(service.Routes[i].Class))
-		}
-	}
-	if err := g.Send(answer); err != nil {
+	allClusters := slices.Contains(m.GetNode().GetClientFeatures(), featureAllClusters)
+	if err := g.Send(cfg.loadStatsResponse(allClusters)); err != nil {
 		return err
 	}
 	for {
 		if m, err = g.Recv(); err != nil {
-			return end(err)
+			return streamError(err)
 		}
-		r := readReport(m.ClusterStats)
-		s.hub.post(func() { s.hub.assigner.Report(s.hub.clock.Ms(), id, r) })
+		report := loadReport(m.ClusterStats)
+		s.publisher.post(func() { s.publisher.assigner.Report(s.publisher.clock.Ms(), id, report) })
 	}
 }
 
-// readReport sums up what a proxy saw of each server over all clusters: they have the same servers.
-// What it tells of zones only counts for how much it sends.
-func readReport(clusters []*endpointv3.ClusterStats) *assign.Report {
-	r := &assign.Report{}
-	at := map[string]int{}
-	for _, c := range clusters {
-		r.IntervalMs = max(r.IntervalMs, float64(c.GetLoadReportInterval().AsDuration().Milliseconds()))
-		for _, l := range c.GetUpstreamLocalityStats() {
-			if len(l.GetUpstreamEndpointStats()) == 0 {
-				r.Issued += float64(max(l.GetTotalIssuedRequests(), l.GetTotalSuccessfulRequests()+l.GetTotalErrorRequests()))
+// loadStatsResponse subscribes to the load of all clusters, by name where the proxy needs that.
+func (c *Config) loadStatsResponse(allClusters bool) *loadstatsv3.LoadStatsResponse {
+	ms := int64(c.Evidence.ReportMs)
+	response := &loadstatsv3.LoadStatsResponse{
+		SendAllClusters:           allClusters,
+		ReportEndpointGranularity: true,
+		LoadReportingInterval:     &durationpb.Duration{Seconds: ms / 1000, Nanos: int32(ms%1000) * 1e6},
+	}
+	if !allClusters {
+		service := c.service()
+		for i := range service.Routes {
+			response.Clusters = append(response.Clusters, service.ClusterName(service.Routes[i].Class))
+		}
+	}
+	return response
+}
+
+// loadReport sums up a proxy's load of each server over all clusters, which have the same servers. Load that is
+// not broken down by server counts as issued requests only.
+func loadReport(clusters []*endpointv3.ClusterStats) *assign.Report {
+	report := &assign.Report{}
+	indexByAddr := map[string]int{}
+	for _, cluster := range clusters {
+		report.IntervalMs = max(report.IntervalMs, float64(cluster.GetLoadReportInterval().AsDuration().Milliseconds()))
+		for _, locality := range cluster.GetUpstreamLocalityStats() {
+			if len(locality.GetUpstreamEndpointStats()) == 0 {
+				ended := locality.GetTotalSuccessfulRequests() + locality.GetTotalErrorRequests()
+				report.Issued += float64(max(locality.GetTotalIssuedRequests(), ended))
 			}
-			for _, e := range l.GetUpstreamEndpointStats() {
-				addr := socket(e.GetAddress())
-				i, ok := at[addr]
+			for _, stats := range locality.GetUpstreamEndpointStats() {
+				addr := hostPort(stats.GetAddress())
+				i, ok := indexByAddr[addr]
 				if !ok {
-					if len(r.Loads) >= mostLoads {
+					if len(report.Loads) >= maxReportedServers {
 						continue
 					}
-					i = len(r.Loads)
-					at[addr] = i
-					r.Loads = append(r.Loads, assign.ServerLoad{Addr: addr})
-				}
-				line := &r.Loads[i]
-				line.Served += float64(e.GetTotalSuccessfulRequests())
-				line.Failed += float64(e.GetTotalErrorRequests())
-				line.InProgress += float64(e.GetTotalRequestsInProgress())
-				line.Issued += float64(e.GetTotalIssuedRequests())
-				for _, m := range e.GetLoadMetricStats() {
-					if m.GetMetricName() == turnedAway {
-						line.Rejected += m.GetTotalMetricValue()
-					}
+					i = len(report.Loads)
+					indexByAddr[addr] = i
+					report.Loads = append(report.Loads, assign.ServerLoad{Addr: addr})
 				}
+				addLoad(&report.Loads[i], stats)
 			}
 		}
 	}
-	return r
+	return report
+}
+
+// addLoad adds the load of an endpoint to that of its server.
+func addLoad(load *assign.ServerLoad, stats *endpointv3.UpstreamEndpointStats) {
+	load.Served += float64(stats.GetTotalSuccessfulRequests())
+	load.Failed += float64(stats.GetTotalErrorRequests())
+	load.InProgress += float64(stats.GetTotalRequestsInProgress())
+	load.Issued += float64(stats.GetTotalIssuedRequests())
+	for _, metric := range stats.GetLoadMetricStats() {
+		if metric.GetMetricName() == rejectedMetric {
+			load.Rejected += metric.GetTotalMetricValue()
+		}
+	}
 }
 
-func socket(a *corev3.Address) string {
-	s := a.GetSocketAddress()
-	return net.JoinHostPort(s.GetAddress(), strconv.Itoa(int(s.GetPortValue())))
+func hostPort(a *corev3.Address) string {
+	addr := a.GetSocketAddress()
+	return net.JoinHostPort(addr.GetAddress(), strconv.Itoa(int(addr.GetPortValue())))
 }
 
-// end is the error of a stream that its peer has ended: none.
-func end(err error) error {
+// streamError returns the error of a stream's receiving side; nil where the peer closed its side.
+func streamError(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
--- a/internal/control/report_test.go
+++ b/internal/control/report_test.go
@@ -13,7 +13,7 @@
 	r := &Report{NowMs: 1, Membership: []membership.Status{}, Problems: []string{"p"},
 		Servers: []ServerReport{{ID: "s", State: "unknown", SinceMs: 2, Usable: true, Capacity: 0.5, ConsecutiveFailures: 3}},
 		Proxies: []ProxyReport{{Node: "n", Zone: "east", Peer: "p:1", Protocol: "sotw", OpenedMs: 4, Behind: true,
-			shown: shown{Acked: map[string]string{"t": "v"}, Rejected: map[string]string{"t": "v: no"}, DrainAckMs: 5, Sent: 6, Responses: 7}}},
+			streamStats: streamStats{Acked: map[string]string{"t": "v"}, Rejected: map[string]string{"t": "v: no"}, DrainAckMs: 5, Sent: 6, Responses: 7}}},
 		LastDrain: &DrainReport{Server: "s", PublishedMs: 8, Waiting: 9},
 		Counts:    map[string]int64{"published": 10},
 		Evidence:  assign.EvidenceCounts{Reports: 11, Invalid: 12, Late: 13, Contradicted: 14, Unknown: 15},
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -9,72 +9,81 @@
 	"ringtrack.example/ringtrack/internal/control/resource"
 )
 
-// snapshot is all that the proxies of a group are to hold. It is never changed once published; a
-// stream sends what of it its proxy does not have, whenever it can, and so never sends an older one
-// after a newer one.
+// snapshot is everything that the proxies of a group should hold. Its resources are immutable. A stream
+// sends what its proxy does not have of the current snapshot, and so never sends an older one after a newer.
 type snapshot struct {
-	seq        uint64 // counts publications of this process; not told to anybody as a version
-	urgent     uint64 // the last publication that told a drain or a server gone
-	assignment *assign.Assignment
-	servers    *resource.RenderedEndpoints
-	sets       map[string]*resource.Set // by type; of servers the whole form
-	split      *resource.Set            // of servers for proxies that take them one by one
-	nonces     *nonces
+	seq          uint64 // of the publication in this process; never sent as a version
+	urgentSeq    uint64 // of the last publication with a drain or a removal
+	assignment   *assign.Assignment
+	endpoints    *resource.RenderedEndpoints
+	sets         map[string]*resource.Set // by type URL; endpoints in one complete resource
+	byCollection *resource.Set            // endpoints for proxies that use LEDS
+	nonces       *nonces
 
 	mu     sync.Mutex
 	frames map[frameKey]frame
 }
 
-// set returns the resources of a type that streams of one kind see.
+// set returns the resources of a type for streams with or without LEDS.
 func (s *snapshot) set(typeURL string, leds bool) *resource.Set {
 	if typeURL == resource.Endpoints && leds {
-		return s.split
+		return s.byCollection
 	}
 	return s.sets[typeURL]
 }
 
-// collection returns the resources under a glob name.
+// collection returns the endpoints of a collection by its glob name, or nil.
 func (s *snapshot) collection(glob string) *resource.Set {
-	if s.servers == nil {
+	if s.endpoints == nil {
 		return nil
 	}
-	return s.servers.Collections[glob]
+	return s.endpoints.Collections[glob]
 }
 
 // frame is a marshalled response, the same for all streams that it fits.
 type frame struct {
 	nonce string
 	bytes []byte
-	empty bool // there is nothing to tell
+	empty bool // the response has nothing that needs to be sent
 }
 
-// frameKey tells frames of a snapshot apart: what it brings a stream from and to.
+// frameKey identifies a frame of a snapshot by what it changes at the proxy.
 type frameKey struct {
 	typeURL  string
 	delta    bool
 	from, to *resource.Set
-	name     string // of a single resource that is asked for by name, and the version it had
-	version  string
+	name     string // of the single resource or collection in the frame; "": all
+	ttl      bool   // resources carry a TTL
+	first    bool   // the first frame of its type on the stream, sent even if it is empty
 }
 
-// shared returns the frame of a key, made once however many streams want it.
-func (s *snapshot) shared(key frameKey, make func(nonce string) ([]byte, bool)) frame {
+// encodeFunc marshals a response with a nonce. empty reports that it need not be sent.
+type encodeFunc func(nonce string) (bytes []byte, empty bool)
+
+// sharedFrame returns the frame of a key, which is encoded once for all streams.
+func (s *snapshot) sharedFrame(key frameKey, encode encodeFunc) frame {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f, ok := s.frames[key]
 	if !ok {
-		f.nonce = s.nonces.next()
-		f.bytes, f.empty = make(f.nonce)
+		f = s.newFrame(encode)
 		s.frames[key] = f
 	}
 	return f
 }
 
-// nonces are unique over all streams and processes, so that one from another life is never taken for
-// one of this.
+// newFrame encodes a frame with a nonce of its own.
+func (s *snapshot) newFrame(encode encodeFunc) frame {
+	f := frame{nonce: s.nonces.next()}
+	f.bytes, f.empty = encode(f.nonce)
+	return f
+}
+
+// nonces are unique over all streams and processes, so that a nonce of an earlier process is never taken for
+// one of this process.
 type nonces struct {
-	boot string
-	n    atomic.Uint64
+	prefix string
+	n      atomic.Uint64
 }
 
-func (n *nonces) next() string { return fmt.Sprintf("%s-%d", n.boot, n.n.Add(1)) }
+func (n *nonces) next() string { return fmt.Sprintf("%s-%d", n.prefix, n.n.Add(1)) }
--- /dev/null
+++ b/internal/control/transport.go
@@ -0,0 +1,52 @@
+package control
+
+import (
+	"net"
+	"sync"
+
+	"google.golang.org/grpc/encoding"
+	"google.golang.org/grpc/mem"
+)
+
+// rawFrame is a marshalled message. Many streams may send the same bytes at once.
+type rawFrame []byte
+
+// frameCodec sends a rawFrame as it is, and leaves all other messages to the codec it wraps.
+type frameCodec struct{ encoding.CodecV2 }
+
+// Marshal implements encoding.CodecV2.
+func (c frameCodec) Marshal(v any) (mem.BufferSlice, error) {
+	if f, ok := v.(rawFrame); ok {
+		return mem.BufferSlice{mem.SliceBuffer(f)}, nil
+	}
+	return c.CodecV2.Marshal(v)
+}
+
+// trackingListener records its connections by remote address, so that a stream can close its own.
+type trackingListener struct {
+	net.Listener
+	connections *sync.Map
+}
+
+// Accept implements net.Listener.
+func (l trackingListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	tracked := &trackedConn{conn, l.connections, conn.RemoteAddr().String()}
+	l.connections.Store(tracked.remoteAddr, tracked)
+	return tracked, nil
+}
+
+type trackedConn struct {
+	net.Conn
+	connections *sync.Map
+	remoteAddr  string
+}
+
+// Close implements net.Conn.
+func (c *trackedConn) Close() error {
+	c.connections.CompareAndDelete(c.remoteAddr, c)
+	return c.Conn.Close()
+}
