--- a/internal/membership/discovery/client_test.go
+++ b/internal/membership/discovery/client_test.go
@@ -12,8 +12,8 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// A discovery that answers every watch at once is not asked in a tight loop.
-func TestDiscoveryIsNotHammered(t *testing.T) {
+// A discovery that answers every watch at once is not called in a tight loop.
+func TestWatchCallsAreRateLimited(t *testing.T) {
 	var calls atomic.Int64
 	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
@@ -26,15 +26,15 @@
 	d.OnUpdate = func(*membership.List, bool, error) {}
 	from := time.Now()
 	d.Watch(1, false)
-	most := callBurst + int64(callsPerSecond*time.Since(from).Seconds()) + 1
-	if n := calls.Load(); n < 2 || n > most {
-		t.Errorf("%d calls, want 2 to %d", n, most)
+	maxCalls := callBurst + int64(callsPerSecond*time.Since(from).Seconds()) + 1
+	if n := calls.Load(); n < 2 || n > maxCalls {
+		t.Errorf("%d calls, want 2 to %d", n, maxCalls)
 	}
 }
 
-// A roster that many ask answers when it comes to it: who left its line sooner would have cost it the same
-// work for nothing, and asked again.
-func TestWholeListAfterALongLine(t *testing.T) {
+// A discovery with many clients answers late: giving up earlier would cost it the same work for nothing, and the call
+// again.
+func TestFetchWaitsForASlowDiscovery(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(1500 * time.Millisecond):
@@ -45,13 +45,13 @@
 	defer s.Close()
 	d := NewClient(t.Context(), s.Listener.Addr().String())
 	defer d.Close()
-	told := false
+	updated := false
 	d.OnUpdate = func(l *membership.List, _ bool, err error) {
-		if told = true; err != nil || l.Revision != 7 {
+		if updated = true; err != nil || l.Revision != 7 {
 			t.Errorf("%+v, %v", l, err)
 		}
 	}
-	if d.Fetch(); !told {
-		t.Error("nothing was told")
+	if d.Fetch(); !updated {
+		t.Error("no update")
 	}
 }
