--- a/internal/membership/ephemeral/follow/follow_test.go
+++ b/internal/membership/ephemeral/follow/follow_test.go
@@ -7,10 +7,10 @@
 	"ringtrack.example/ringtrack/internal/zkwire"
 )
 
-// takeRequests takes all requests that may be out.
+// takeRequests takes all requests that may be in flight.
 func takeRequests(f *Follower) (out []Request) {
 	for {
-		r, ok := f.Next()
+		r, ok := f.NextRequest()
 		if !ok {
 			return out
 		}
@@ -18,8 +18,8 @@
 	}
 }
 
-// answer replies as a server with these nodes would, until nothing more is asked for.
-func answer(f *Follower, nodes map[string]int64) (n int) {
+// reply replies as a server with these nodes would, until nothing more is requested.
+func reply(f *Follower, nodes map[string]int64) (n int) {
 	for {
 		q := takeRequests(f)
 		if len(q) == 0 {
@@ -27,24 +27,24 @@
 		}
 		for _, r := range q {
 			n++
-			reply := Reply{Request: r}
+			answer := Reply{Request: r}
 			switch r.Op {
 			case zkwire.OpGetChildren2:
 				for path := range nodes {
-					reply.Children = append(reply.Children, path[len("/fleet/"):])
+					answer.Children = append(answer.Children, path[len("/fleet/"):])
 				}
 			case zkwire.OpGetData:
-				if reply.Stat.Czxid = nodes[r.Path]; reply.Stat.Czxid == 0 {
-					reply.Code = zkwire.NoNode
+				if answer.Stat.Czxid = nodes[r.Path]; answer.Stat.Czxid == 0 {
+					answer.Code = zkwire.NoNode
 				}
 			}
-			f.HandleReply(reply)
+			f.HandleReply(answer)
 		}
 	}
 }
 
-// A connection begins with the server's catching up, and never has more than a window out.
-func TestFirstThings(t *testing.T) {
+// A connection begins with a sync and never has more than MaxOutstanding requests in flight.
+func TestConnectionBeginsWithSync(t *testing.T) {
 	f := New(Config{Root: "/fleet"})
 	nodes := map[string]int64{}
 	for i := range 1000 {
@@ -60,10 +60,10 @@
 			f.HandleReply(Reply{Request: r, Children: map[bool][]string{true: names(nodes)}[r.Op == zkwire.OpGetChildren2]})
 		}
 		if n := len(takeRequests(f)); n > MaxOutstanding {
-			t.Errorf("%d requests out", n)
+			t.Errorf("%d requests in flight", n)
 		}
 		f.Connected(false, 7)
-		answer(f, nodes)
+		reply(f, nodes)
 		if !f.Synced() || f.Size() != 1000 {
 			t.Errorf("synced %v, %d nodes", f.Synced(), f.Size())
 		}
@@ -77,9 +77,9 @@
 	return out
 }
 
-// A session that was taken up asks for its watches anew, in parts that a server takes, and reads nothing
-// that has not changed; what was on its way when the connection broke is read.
-func TestWatchesAreTakenUp(t *testing.T) {
+// A renewed session sets its watches again, in batches within the bound, and reads nothing that has not changed; a
+// read that was in flight when the connection was lost is repeated.
+func TestRenewedSessionSetsWatches(t *testing.T) {
 	for _, oneShot := range []bool{false, true} {
 		f := New(Config{Root: "/fleet", OneShot: oneShot})
 		nodes := map[string]int64{}
@@ -87,24 +87,26 @@
 			nodes[fmt.Sprintf("/fleet/member_%010d", i)] = int64(i + 1)
 		}
 		f.Connected(false, 0)
-		answer(f, nodes)
+		reply(f, nodes)
 		f.Changes()
 		f.HandleEvent(zkwire.WatchEvent{Type: zkwire.NodeDataChanged, Path: "/fleet/member_0000000007"})
-		takeRequests(f)   // its read is out, and is lost
+		takeRequests(f)   // its read is in flight, and is lost
 		f.ReplyReceived() // by the reply to a ping
 		f.Connected(true, 20_000)
-		watched, chunks, reads := map[string]bool{}, 0, 0
+		watched := map[string]bool{}
+		batches := 0
+		reads := 0
 		for _, r := range takeRequests(f) {
 			switch r.Op {
 			case zkwire.OpSetWatches, zkwire.OpSetWatches2:
-				chunks++
+				batches++
 				size := 0
 				for _, p := range r.Watches.Data {
 					watched[p] = true
 					size += len(p) + 4
 				}
 				if size > maxSetWatchesBytes || r.Watches.Zxid != 20_000 {
-					t.Errorf("a chunk of %d bytes since %d", size, r.Watches.Zxid)
+					t.Errorf("a batch of %d bytes since %d", size, r.Watches.Zxid)
 				}
 				if len(r.Watches.Child) > 0 {
 					watched[r.Watches.Child[0]] = true
@@ -117,8 +119,8 @@
 			}
 			f.HandleReply(Reply{Request: r, Stat: zkwire.Stat{Czxid: 8, Mzxid: 20_001}})
 		}
-		if len(watched) != 10_000 || chunks < 2 || reads != 1 {
-			t.Errorf("one-shot %v: %d watched, %d chunks, %d reads", oneShot, len(watched), chunks, reads)
+		if len(watched) != 10_000 || batches < 2 || reads != 1 {
+			t.Errorf("one-shot %v: %d watched, %d batches, %d reads", oneShot, len(watched), batches, reads)
 		}
 		if c := f.Changes(); len(c) != 1 || c[0].Stat.Mzxid != 20_001 || !f.Synced() {
 			t.Errorf("%d changes", len(c))
@@ -126,12 +128,12 @@
 	}
 }
 
-// What is said while a read is out has it read again, should the reply be from before; an end that is told
-// twice is told once.
+// An event during a read causes another read, as the reply may be older; an expiry that is notified twice is reported
+// once.
 func TestEventsDuringReads(t *testing.T) {
 	f := New(Config{Root: "/fleet", OneShot: true})
 	f.Connected(false, 0)
-	answer(f, map[string]int64{"/fleet/a": 1})
+	reply(f, map[string]int64{"/fleet/a": 1})
 	f.Changes()
 	changed := zkwire.WatchEvent{Type: zkwire.NodeDataChanged, Path: "/fleet/a"}
 	f.HandleEvent(changed)
@@ -139,27 +141,27 @@
 	f.HandleEvent(changed)
 	f.HandleEvent(changed)
 	if len(q) != 1 || len(takeRequests(f)) != 0 {
-		t.Errorf("%d reads out", len(q))
+		t.Errorf("%d reads in flight", len(q))
 	}
 	f.HandleReply(Reply{Request: q[0], Stat: zkwire.Stat{Czxid: 1}})
 	if q = takeRequests(f); len(q) != 1 {
 		t.Errorf("%d reads after the reply, want one", len(q))
 	}
 	f.HandleReply(Reply{Request: q[0], Stat: zkwire.Stat{Czxid: 1, Mzxid: 5}})
-	gone := zkwire.WatchEvent{Type: zkwire.NodeDeleted, Path: "/fleet/a"}
-	f.HandleEvent(gone)
-	f.HandleEvent(gone)
-	var told []bool
+	deleted := zkwire.WatchEvent{Type: zkwire.NodeDeleted, Path: "/fleet/a"}
+	f.HandleEvent(deleted)
+	f.HandleEvent(deleted)
+	var expired []bool
 	for _, c := range f.Changes() {
-		told = append(told, c.Expired)
+		expired = append(expired, c.Expired)
 	}
-	if fmt.Sprint(told) != "[false true]" {
-		t.Errorf("told %v", told)
+	if fmt.Sprint(expired) != "[false true]" {
+		t.Errorf("expired %v", expired)
 	}
 }
 
-// A child that is deleted before its data is read was never there; one that vanishes and returns between the
-// event and the read is told as another node.
+// A child that is deleted before its data is read is not reported; one that expires and returns between the event and
+// the read is reported as another node.
 func TestBetweenEventAndRead(t *testing.T) {
 	f := New(Config{Root: "/fleet", OneShot: true})
 	f.Connected(false, 0)
@@ -179,7 +181,7 @@
 	for _, named := range []bool{true, false} { // the parent's event comes too, or does not
 		f.HandleEvent(zkwire.WatchEvent{Type: zkwire.NodeDeleted, Path: "/fleet/a"})
 		if c := f.Changes(); len(c) != 1 || !c[0].Expired {
-			t.Fatalf("the end is told as %+v", c)
+			t.Fatalf("the expiry is reported as %+v", c)
 		}
 		f.HandleEvent(zkwire.WatchEvent{Type: zkwire.NodeChildrenChanged, Path: "/fleet"})
 		if !named {
@@ -191,12 +193,12 @@
 			}
 		}
 		if c := f.Changes(); len(c) != 1 || c[0].Expired || c[0].Stat.Czxid != 7 {
-			t.Fatalf("the next one is told as %+v", c)
+			t.Fatalf("the next node is reported as %+v", c)
 		}
 	}
 }
 
-// Whatever comes, in whatever order, the follower neither panics nor asks without end.
+// Whatever arrives in whatever order, the follower neither panics nor queues requests without bound.
 func FuzzFollower(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11})
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -204,22 +206,22 @@
 		for _, oneShot := range []bool{false, true} {
 			x := New(Config{Root: "/fleet", Depth: 1 + len(in)%2, OneShot: oneShot, MaxNodes: 5})
 			x.Connected(false, 0)
-			var out []Request
+			var inFlight []Request
 			paths := []string{"/fleet", "/fleet/a", "/fleet/b", "/fleet/a/x", "/other", "/", ""}
 			for _, b := range in {
 				path := paths[int(b>>4)%len(paths)]
 				switch b % 8 {
 				case 0, 1:
-					out = append(out, takeRequests(x)...)
+					inFlight = append(inFlight, takeRequests(x)...)
 				case 2, 3:
-					if len(out) > 0 {
-						x.HandleReply(Reply{Request: out[0], Code: []zkwire.Code{0, zkwire.NoNode, zkwire.NoAuth, zkwire.Unimplemented}[b>>4%4&3],
+					if len(inFlight) > 0 {
+						x.HandleReply(Reply{Request: inFlight[0], Code: []zkwire.Code{0, zkwire.NoNode, zkwire.NoAuth, zkwire.Unimplemented}[b>>4%4&3],
 							Children: []string{"a", "b", "c", "d", "e", "f", "g"}[:b>>5], Stat: zkwire.Stat{Czxid: int64(b)}})
-						out = out[1:]
+						inFlight = inFlight[1:]
 					}
 				case 4:
 					x.Connected(b&16 > 0, int64(b))
-					out = nil
+					inFlight = nil
 				case 5:
 					x.Retry()
 				default:
@@ -229,26 +231,26 @@
 					t.Fatalf("%d nodes, %d queued", len(x.nodes), len(x.queue))
 				}
 			}
-			there := map[string]bool{}
+			exists := map[string]bool{}
 			for _, c := range x.Changes() {
-				if c.Expired && !there[c.Name] {
-					t.Fatalf("%s is told gone and was not there", c.Name)
+				if c.Expired && !exists[c.Name] {
+					t.Fatalf("%s expired and did not exist", c.Name)
 				}
-				there[c.Name] = !c.Expired
+				exists[c.Name] = !c.Expired
 			}
 		}
 	})
 }
 
-// An event does not say how new it is. What it ended, on a connection that is lost before a reply says so too,
-// is not brought back by a server that is behind; what is made anew is believed; and a registry that was put
-// back to an earlier state is, in the end.
-func TestWhatAnEventEndedStaysEnded(t *testing.T) {
-	old, anew := map[string]int64{"/fleet/s-1": 5, "/fleet/s-2": 6}, map[string]int64{"/fleet/s-1": 9, "/fleet/s-2": 6}
+// An event has no transaction id. A node that it ended, on a connection that is lost before the next reply, does not
+// come back from a server that is behind; a node that was created since is accepted, and so is, in the end, a registry
+// that was restored to an earlier state.
+func TestServerBehindBringsNoNodeBack(t *testing.T) {
+	before, recreated := map[string]int64{"/fleet/s-1": 5, "/fleet/s-2": 6}, map[string]int64{"/fleet/s-1": 9, "/fleet/s-2": 6}
 	ended := func(confirmed bool) *Follower {
 		f := New(Config{Root: "/fleet"})
 		f.Connected(false, 0)
-		answer(f, old)
+		reply(f, before)
 		f.HandleEvent(zkwire.WatchEvent{Type: zkwire.NodeDeleted, Path: "/fleet/s-1"})
 		if confirmed {
 			f.ReplyReceived()
@@ -260,35 +262,35 @@
 		return f
 	}
 	f := ended(false)
-	if answer(f, old); !f.ServerBehind() || len(f.Changes()) > 0 {
-		t.Error("a server that is behind brings back what has ended")
+	if reply(f, before); !f.ServerBehind() || len(f.Changes()) > 0 {
+		t.Error("a server that is behind brings back an expired node")
 	}
 	f.Connected(true, 7)
-	if answer(f, map[string]int64{"/fleet/s-2": 6}); f.ServerBehind() || !f.Synced() || !f.Consistent() || len(f.Changes()) > 0 {
-		t.Error("a server that has seen it is not believed")
+	if reply(f, map[string]int64{"/fleet/s-2": 6}); f.ServerBehind() || !f.Synced() || !f.Consistent() || len(f.Changes()) > 0 {
+		t.Error("a server that has seen the expiry is not accepted")
 	}
 	f = ended(false)
-	if answer(f, anew); f.ServerBehind() {
-		t.Error("the next of that name is taken for the last")
+	if reply(f, recreated); f.ServerBehind() {
+		t.Error("the next node of that name is taken for the last")
 	}
 	if c := f.Changes(); len(c) != 1 || c[0].Expired || c[0].Stat.Czxid != 9 {
-		t.Errorf("the next of that name: %+v", c)
+		t.Errorf("the next node of that name: %+v", c)
 	}
 	f = ended(false)
 	for n := 0; ; n++ {
-		if answer(f, old); !f.ServerBehind() {
+		if reply(f, before); !f.ServerBehind() {
 			if c := f.Changes(); n != maxDoubtedConnections || len(c) != 1 || c[0].Expired {
-				t.Errorf("believed after %d: %+v", n, c)
+				t.Errorf("accepted after %d: %+v", n, c)
 			}
 			break
 		}
 		f.Connected(true, 7)
 	}
-	// Once a reply has come the number that is known says it all, and nothing is read again.
+	// Once a reply has confirmed the expiry nothing is read again.
 	f = ended(true)
 	for _, r := range takeRequests(f) {
 		if r.Op == zkwire.OpGetData || r.Op == zkwire.OpGetChildren2 {
-			t.Errorf("asked %+v", r)
+			t.Errorf("reads %+v", r)
 		}
 	}
 }
--- a/internal/membership/ephemeral/source.go
+++ b/internal/membership/ephemeral/source.go
@@ -112,7 +112,7 @@
 }
 
 func (w *directoryWatcher) nextRequest() (request, bool) {
-	q, ok := w.follower.Next()
+	q, ok := w.follower.NextRequest()
 	if !ok {
 		return request{}, false
 	}
