--- a/internal/membership/ephemeral/config_test.go
+++ b/internal/membership/ephemeral/config_test.go
@@ -10,7 +10,7 @@
 	"ringtrack.example/ringtrack/internal/membership/ephemeral/follow"
 )
 
-func TestConfigNamesTheKey(t *testing.T) {
+func TestLoadErrorsNameTheKey(t *testing.T) {
 	dir := t.TempDir()
 	load := func(text string) error {
 		file := filepath.Join(dir, "ephemeral.toml")
@@ -44,14 +44,14 @@
 	}
 }
 
-func TestParse(t *testing.T) {
+func TestParseNode(t *testing.T) {
 	for _, test := range []struct{ form, data, want string }{
 		{FormAuto, ``, "s-1   0"}, // presence alone
 		{FormAuto, `{"id":"a","addr":"h:1","zone":"east","state":"up","weight":2,"started_ms":5}`, "a h:1 up 2"},
 		{FormAuto, `{"addr":"h:1"}`, "s-1 h:1 up 1"},
 		{FormAuto, `{"addr":"h:1","state":"draining"}`, "s-1 h:1 draining 1"},
 		{FormAuto, `{"addr":"h:1","state":"removed"}`, "s-1 h:1 draining 1"},
-		{FormAuto, `{"addr":"h:1","state":"odd"}`, "s-1 h:1 odd 1"}, // what is none counts as draining
+		{FormAuto, `{"addr":"h:1","state":"odd"}`, "s-1 h:1 odd 1"}, // an unknown state counts as draining
 		{FormAuto, `{"serviceEndpoint":{"host":"h","port":7},"additionalEndpoints":{},"status":"ALIVE","shard":3}`, " h:7 up 1"},
 		{FormServerSet, `{"serviceEndpoint":{"host":"::1","port":7},"status":"STOPPING"}`, " [::1]:7 draining 1"},
 		{FormServerSet, `{"addr":"h:1"}`, "error: no serviceEndpoint"},
@@ -63,7 +63,7 @@
 		got := fmt.Sprintf("%s %s %s %v", n.Entry.ID, n.Entry.Addr, n.Entry.State, n.Entry.Weight)
 		if err != nil {
 			if got = "error: " + strings.TrimPrefix(err.Error(), "node dir/s-1: "); n.Entry.ID != "s-1" || n.Entry.Addr != "" {
-				t.Errorf("%s: a bad node is %+v", test.data, n)
+				t.Errorf("%s: a node with unusable data is %+v", test.data, n)
 			}
 		}
 		if !strings.HasPrefix(got, test.want) {
--- a/internal/membership/ephemeral/node.go
+++ b/internal/membership/ephemeral/node.go
@@ -11,12 +11,17 @@
 	"ringtrack.example/ringtrack/internal/membership/ephemeral/follow"
 )
 
-// maxNodeBytes bounds a node's data, in bytes.
-const maxNodeBytes = 64 << 10
+const (
+	// maxNodeBytes bounds the data of a node.
+	maxNodeBytes = 64 << 10
+	maxPort      = 65535
+	// statusAlive is the status of a member of a ServerSet that accepts requests.
+	statusAlive = "ALIVE"
+)
 
-// serverSet is the form of the ServerSets of Finagle and Aurora (com.twitter.thrift.ServiceInstance as
-// JSON). Additional endpoints are passed by.
-type serverSet struct {
+// serverSetMember is the form of the ServerSets of Finagle and Aurora (com.twitter.thrift.ServiceInstance as
+// JSON). Additional endpoints are ignored.
+type serverSetMember struct {
 	ServiceEndpoint *struct {
 		Host string `json:"host"`
 		Port int    `json:"port"`
@@ -25,60 +30,80 @@
 	Shard  *int   `json:"shard"`
 }
 
-// parseNode reads a node. One whose data can't be used still says that a process runs: it counts for the server
-// of its name, and the error says what is wrong.
+// parseNode reads a node. One whose data can't be used still says that a process runs: with an error, the node
+// counts for the server of its name.
 func parseNode(form string, c *follow.Change) (membership.RegistryNode, error) {
-	n := membership.RegistryNode{Name: c.Name, Czxid: c.Stat.Czxid, CtimeMs: float64(c.Stat.Ctime), Owner: c.Stat.EphemeralOwner}
-	last := c.Name[strings.LastIndexByte(c.Name, '/')+1:]
-	fail := func(format string, args ...any) (membership.RegistryNode, error) {
-		n.Entry = membership.Entry{ID: last}
-		return n, fmt.Errorf("node %s: %s", c.Name, fmt.Sprintf(format, args...))
+	id := c.Name[strings.LastIndexByte(c.Name, '/')+1:]
+	entry, err := parseEntry(form, id, c.Data)
+	if err != nil {
+		entry = membership.Entry{ID: id}
+		err = fmt.Errorf("node %s: %w", c.Name, err)
+	}
+	return membership.RegistryNode{
+		Name:    c.Name,
+		Entry:   entry,
+		Czxid:   c.Stat.Czxid,
+		CtimeMs: float64(c.Stat.Ctime),
+		Owner:   c.Stat.EphemeralOwner,
+	}, err
+}
+
+// parseEntry reads the data of a node. id is the server's id where the data has none.
+func parseEntry(form, id string, data []byte) (membership.Entry, error) {
+	if len(data) > maxNodeBytes {
+		return membership.Entry{}, fmt.Errorf("data of %d bytes, at most %d", len(data), maxNodeBytes)
 	}
-	if len(c.Data) > maxNodeBytes {
-		return fail("data of %d bytes, at most %d", len(c.Data), maxNodeBytes)
+	if len(data) == 0 {
+		return membership.Entry{ID: id}, nil
 	}
-	if len(c.Data) == 0 {
-		n.Entry = membership.Entry{ID: last} // presence alone
-		return n, nil
+	var member serverSetMember
+	if err := json.Unmarshal(data, &member); err != nil {
+		return membership.Entry{}, fmt.Errorf("data: %w", err)
 	}
-	var set serverSet
-	if err := json.Unmarshal(c.Data, &set); err != nil {
-		return fail("data: %v", err)
+	switch {
+	case member.ServiceEndpoint != nil && form != FormEndpoint:
+		return member.entry()
+	case form == FormServerSet:
+		return membership.Entry{}, fmt.Errorf("no serviceEndpoint")
 	}
-	if set.ServiceEndpoint != nil && form != FormEndpoint {
-		e := set.ServiceEndpoint
-		if e.Host == "" || e.Port < 1 || e.Port > 65535 {
-			return fail("serviceEndpoint: %.64q port %d is none", e.Host, e.Port)
-		}
-		n.Entry = membership.Entry{Addr: net.JoinHostPort(e.Host, strconv.Itoa(e.Port)), State: membership.Up, Weight: 1}
-		if set.Status != "ALIVE" {
-			n.Entry.State = membership.Draining
-		}
-		if set.Shard != nil {
-			n.Entry.Cell = *set.Shard
-		}
-		return n, nil
+	return parseEndpoint(id, data)
+}
+
+// entry returns the entry of a ServerSet's member. It has no id: discovery knows the server by its address.
+func (m *serverSetMember) entry() (membership.Entry, error) {
+	host, port := m.ServiceEndpoint.Host, m.ServiceEndpoint.Port
+	if host == "" || port < 1 || port > maxPort {
+		return membership.Entry{}, fmt.Errorf("serviceEndpoint: %.64q port %d is none", host, port)
 	}
-	if form == FormServerSet {
-		return fail("no serviceEndpoint")
+	e := membership.Entry{
+		Addr:   net.JoinHostPort(host, strconv.Itoa(port)),
+		State:  membership.Up,
+		Weight: 1,
 	}
+	if m.Status != statusAlive {
+		e.State = membership.Draining
+	}
+	if m.Shard != nil {
+		e.Cell = *m.Shard
+	}
+	return e, nil
+}
+
+// parseEndpoint reads data in the form of an endpoint list's entry. Without an address it says only that the
+// process runs, and in which state.
+func parseEndpoint(id string, data []byte) (membership.Entry, error) {
 	e := membership.Entry{Weight: 1, State: membership.Up}
-	if err := json.Unmarshal(c.Data, &e); err != nil {
-		return fail("data: %v", err)
+	if err := json.Unmarshal(data, &e); err != nil {
+		return membership.Entry{}, fmt.Errorf("data: %w", err)
 	}
 	if e.ID == "" {
-		e.ID = last
+		e.ID = id
 	}
 	if e.Addr == "" {
-		n.Entry = e
-		return n, nil
+		return e, nil
 	}
 	if e.State == membership.Removed {
-		e.State = membership.Draining // it is there, whatever it says
-	}
-	if err := e.Validate(); err != nil {
-		return fail("%v", err)
+		e.State = membership.Draining // its node exists
 	}
-	n.Entry = e
-	return n, nil
+	return e, e.Validate()
 }
--- a/internal/membership/ephemeral/session.go
+++ b/internal/membership/ephemeral/session.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"cmp"
 	"context"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
@@ -16,374 +15,231 @@
 )
 
 const (
-	// connectTimeout bounds a connect, and the time until a server has taken the session up.
+	// connectTimeout bounds a connect, and the handshake after it.
 	connectTimeout = time.Second
-	// minReconnectBackoff and mostPause bound the pause after a round of servers that all failed; it doubles and is
-	// drawn evenly from its upper half.
-	minReconnectBackoff, maxReconnectBackoff = 20 * time.Millisecond, 2 * time.Second
-	// authFailureBackoff is how long one waits whose authentication was not taken.
+	// closeTimeout bounds how long closing a session may delay the end of Run.
+	closeTimeout = connectTimeout / 4
+	// bufferBytes is the size of a connection's read and write buffers.
+	bufferBytes = 16 << 10
+	// passwordBytes is the length of the password that begins a new session.
+	passwordBytes = 16
+
+	// minReconnectBackoff and maxReconnectBackoff bound the backoff after all servers failed in turn.
+	minReconnectBackoff = 20 * time.Millisecond
+	maxReconnectBackoff = 2 * time.Second
+	// authFailureBackoff is the backoff after a server rejected the authentication.
 	authFailureBackoff = 5 * time.Second
-	// defaultResetAfter is, by default, after how long of servers that refuse us, as they have seen less than we have, the
-	// registry is taken for one that began anew.
+	// defaultResetAfter is how long all servers may be behind the session before the registry counts as one that
+	// was set up anew.
 	defaultResetAfter = 30 * time.Second
-	// minSessionTimeout bounds from below what a server may make of a session's time; a longer one than was asked
-	// for is good for the server, and not waited for here.
+	// minSessionTimeout is a lower bound on the timeout that a server may set.
 	minSessionTimeout = 30 * time.Millisecond
-	// retryInterval is how often what was denied is asked for again.
-	retryInterval = time.Second
 )
 
+// Errors that end a connection. A zkwire.Code ends one too.
 var (
-	errServerBehind    = errors.New("the server has seen less than we have")
-	errHandshakeClosed = errors.New("the server hung up on the session")
-	errMalformedFrame  = errors.New("what came can't be read")
+	// errServerBehind says that the server has not seen the last transaction that another server showed.
+	errServerBehind = errors.New("server is behind the last transaction seen")
+	// errHandshakeClosed says that the server closed the connection instead of answering the handshake, as it
+	// does if it is behind.
+	errHandshakeClosed = errors.New("server closed the connection during the handshake")
+	// errMalformedFrame says that a frame can't be read.
+	errMalformedFrame = errors.New("malformed frame")
 )
 
-// request is one to be sent; done gets its reply, if the connection lives so long.
+// request is a request with the callback that takes its reply, should the connection live long enough.
 type request struct {
 	op      zkwire.Op
-	xid     int32 // 0: the next number
+	xid     int32 // 0: the next number of the connection
 	body    func([]byte) []byte
 	onReply func(h zkwire.ReplyHeader, r *zkwire.Reader) error
 }
 
-// handler is what a session is for. All methods are called from the session's goroutine.
+// handler is the user of a session. All methods are called from the session's goroutine.
 type handler interface {
+	// connected starts a connection. renewed says that it continues the last session; zxid is the last
+	// transaction seen.
 	connected(renewed bool, zxid int64)
+	// nextRequest returns the next request to send; false if there is none.
 	nextRequest() (request, bool)
 	handleEvent(zkwire.WatchEvent)
-	retry()               // what was denied may be asked for again
-	flush()               // a batch of what came is over
-	replyReceived()       // the registry showed that it lives
-	connectionLost(error) // the connection was lost, or did not come up
-	finished() bool       // nothing more is wanted: the session is to be closed
+	// replyReceived is called for each reply before its callback, pings included.
+	replyReceived()
+	// flush ends a batch of events and replies.
+	flush()
+	// retry is called every retryInterval: failed requests may be sent again.
+	retry()
+	// connectionLost is called when a connection ends or can't be made.
+	connectionLost(error)
 }
 
-// session keeps one session with a registry over one connection at a time.
+// session maintains one session with a registry, over one connection at a time.
 type session struct {
-	servers          []string
-	requestedTimeout time.Duration // that is asked for
-	auth             string        // "user:password"; "": none
-	readOnly         bool
-	maxFrameBytes    int // bound, in bytes
+	servers          []string // host:port
+	requestedTimeout time.Duration
+	auth             string // "user:password"; "": none
+	readOnly         bool   // accept servers that are cut off from their quorum
+	maxFrameBytes    int
 	handler          handler
+	resetAfter       time.Duration // 0: defaultResetAfter
+	maxBackoff       time.Duration // 0: maxReconnectBackoff
 
-	resetAfter time.Duration // 0: forgetAfter
-	maxBackoff time.Duration // 0: mostPause
-
-	id          int64
+	id          int64 // 0: there is no session
 	password    []byte
-	zxid        int64 // last change that a server let us see
-	behindSince time.Time
+	zxid        int64     // the last transaction seen
+	behindSince time.Time // since when all servers are behind it; zero: they are not
 }
 
-// run keeps the session until ctx ends, or the handler has. It closes it then.
+// run maintains the session until ctx ends, then closes it.
 func (s *session) run(ctx context.Context) {
 	rand.Shuffle(len(s.servers), func(i, j int) { s.servers[i], s.servers[j] = s.servers[j], s.servers[i] })
-	failed, pause := 0, minReconnectBackoff
-	for i := 0; ctx.Err() == nil && !s.handler.finished(); i++ {
-		served, err := s.serveOne(ctx, s.servers[i%len(s.servers)])
-		if ctx.Err() != nil || s.handler.finished() {
+	backoff := s.newBackoff()
+	for i := 0; ctx.Err() == nil; i++ {
+		addr := s.servers[i%len(s.servers)]
+		served, err := s.connect(ctx, addr)
+		if ctx.Err() != nil {
 			return
 		}
-		s.handler.connectionLost(fmt.Errorf("%s: %w", s.servers[i%len(s.servers)], err))
+		s.handler.connectionLost(fmt.Errorf("%s: %w", addr, err))
 		s.handler.flush()
 		if served {
-			failed, pause = 0, minReconnectBackoff
-			continue
-		}
-		wait := time.Duration(0)
-		switch failed++; {
-		case errors.Is(err, zkwire.AuthFailed):
-			wait = authFailureBackoff
-		case errors.Is(err, zkwire.SessionExpired):
+			backoff = s.newBackoff()
 			continue
-		case failed%len(s.servers) == 0:
-			wait = pause/2 + rand.N(pause/2+1)
-			pause = min(2*pause, cmp.Or(s.maxBackoff, maxReconnectBackoff))
 		}
 		select {
-		case <-time.After(wait):
+		case <-time.After(backoff.next(err)):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// serveOne is one connection. It returns how it ended, and whether the session was up on it.
-func (s *session) serveOne(ctx context.Context, addr string) (served bool, err error) {
+// reconnectBackoff computes the backoff between connections that failed in a row.
+type reconnectBackoff struct {
+	servers  int
+	failures int
+	current  time.Duration
+	max      time.Duration
+}
+
+func (s *session) newBackoff() *reconnectBackoff {
+	return &reconnectBackoff{
+		servers: len(s.servers),
+		current: minReconnectBackoff,
+		max:     cmp.Or(s.maxBackoff, maxReconnectBackoff),
+	}
+}
+
+// next returns the backoff after a connection that failed with err: none until all servers have failed, then the
+// upper half of a time that doubles.
+func (b *reconnectBackoff) next(err error) time.Duration {
+	b.failures++
+	switch {
+	case errors.Is(err, zkwire.AuthFailed):
+		return authFailureBackoff
+	case errors.Is(err, zkwire.SessionExpired):
+		return 0
+	case b.failures%b.servers == 0:
+		backoff := b.current/2 + rand.N(b.current/2+1)
+		b.current = min(2*b.current, b.max)
+		return backoff
+	}
+	return 0
+}
+
+// connect maintains the session over one connection. It returns why the connection ended and whether the server
+// answered any request on it.
+func (s *session) connect(ctx context.Context, addr string) (served bool, err error) {
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
-	nc, err := dialer.DialContext(ctx, "tcp", addr)
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		s.behindSince = time.Time{}
 		return false, err
 	}
-	defer nc.Close()
-	stop := context.AfterFunc(ctx, func() { nc.SetDeadline(time.Now().Add(connectTimeout / 4)) })
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Now().Add(closeTimeout)) })
 	defer stop()
-	nc.SetDeadline(time.Now().Add(connectTimeout))
-	hello := zkwire.Connect{LastZxid: s.zxid, TimeoutMs: int32(s.requestedTimeout.Milliseconds()), Session: s.id, Password: s.password,
-		ReadOnly: s.readOnly, HasReadOnly: true}
-	if s.id == 0 {
-		hello.Password = make([]byte, 16)
-	}
-	if _, err := nc.Write(zkwire.Frame(hello.AppendRequest)); err != nil {
-		return false, err
-	}
-	br := bufio.NewReaderSize(nc, 16<<10)
-	b, err := readFrame(br, s.maxFrameBytes)
+	conn.SetDeadline(time.Now().Add(connectTimeout))
+	reader := bufio.NewReaderSize(conn, bufferBytes)
+	renewed, timeout, err := s.handshake(conn, reader)
 	if err != nil {
-		if errors.Is(err, io.EOF) && s.zxid > 0 {
-			return false, s.serverBehind(errHandshakeClosed)
-		}
 		return false, err
 	}
-	r := zkwire.NewReader(b)
-	answer := r.Connect(false)
-	if r.Err() != nil {
-		return false, fmt.Errorf("%w: %w", errMalformedFrame, r.Err())
-	}
-	if answer.TimeoutMs <= 0 {
-		s.id, s.password = 0, nil
-		return false, zkwire.SessionExpired
+	c := &connection{
+		session: s,
+		conn:    conn,
+		reader:  reader,
+		writer:  bufio.NewWriterSize(conn, bufferBytes),
+		timeout: timeout,
 	}
-	renewed := s.id != 0 && s.id == answer.Session
-	if s.id, s.password = answer.Session, answer.Password; answer.ReadOnly {
-		s.id, s.password = 0, nil // nobody else knows it
-	}
-	c := &connection{session: s, conn: nc, writer: bufio.NewWriterSize(nc, 16<<10), timeout: min(max(time.Duration(answer.TimeoutMs)*time.Millisecond, minSessionTimeout), max(s.requestedTimeout, minSessionTimeout))}
-	return c.serve(ctx, br, renewed)
+	return c.serve(ctx, renewed)
 }
 
-// serverBehind notes that a server did not take us, as it has seen less than we have. After long enough of that
-// the registry is another one: nothing it says is older than anything we know.
-func (s *session) serverBehind(err error) error {
-	if s.behindSince.IsZero() {
-		s.behindSince = time.Now()
-	} else if time.Since(s.behindSince) > cmp.Or(s.resetAfter, defaultResetAfter) {
-		s.zxid, s.id, s.password, s.behindSince = 0, 0, nil, time.Time{}
+// handshake begins or renews the session. It returns whether it was renewed, and the timeout of the session.
+func (s *session) handshake(conn net.Conn, reader *bufio.Reader) (renewed bool, timeout time.Duration, err error) {
+	hello := zkwire.Connect{
+		LastZxid:    s.zxid,
+		TimeoutMs:   int32(s.requestedTimeout.Milliseconds()),
+		Session:     s.id,
+		Password:    s.password,
+		ReadOnly:    s.readOnly,
+		HasReadOnly: true,
 	}
-	return err
-}
-
-// connection is a session's while it is up.
-type connection struct {
-	session       *session
-	conn          net.Conn
-	writer        *bufio.Writer
-	timeout       time.Duration
-	xid           int32
-	pending       []request // in the order in which replies come
-	silent        bool      // nothing has come on it
-	eventsInBatch bool      // an event came in this batch
-}
-
-func (c *connection) serve(ctx context.Context, br *bufio.Reader, renewed bool) (served bool, err error) {
-	type incoming struct {
-		b   []byte
-		err error
+	if s.id == 0 {
+		hello.Password = make([]byte, passwordBytes)
 	}
-	frames, over := make(chan incoming, 4), make(chan struct{})
-	ended := make(chan struct{})
-	defer func() {
-		close(over)
-		c.conn.Close()
-		<-ended
-	}()
-	// A server that says nothing for two thirds of the session's time is left while there is time to go
-	// to another.
-	c.conn.SetDeadline(time.Time{})
-	go func() {
-		defer close(ended)
-		for {
-			c.conn.SetReadDeadline(time.Now().Add(c.timeout * 2 / 3))
-			b, err := readFrame(br, c.session.maxFrameBytes)
-			select {
-			case frames <- incoming{b, err}:
-			case <-over:
-				return
-			}
-			if err != nil {
-				return
-			}
-		}
-	}()
-	c.silent = true
-	if c.session.auth != "" {
-		c.send(request{op: zkwire.OpAuth, xid: zkwire.XidAuth, body: func(b []byte) []byte {
-			return zkwire.AppendBuffer(zkwire.AppendString(zkwire.AppendInt(b, 0), "digest"), []byte(c.session.auth))
-		}})
+	if _, err := conn.Write(zkwire.Frame(hello.AppendRequest)); err != nil {
+		return false, 0, err
 	}
-	c.session.handler.connected(renewed, c.session.zxid)
-	ping := time.NewTicker(c.timeout / 3)
-	defer ping.Stop()
-	retry := time.NewTicker(retryInterval)
-	defer retry.Stop()
-	for {
-		if err := c.sendQueued(); err != nil {
-			return !c.silent, err
-		}
-		if c.session.handler.finished() {
-			return true, c.closeSession(func() (incomingFrame, bool) {
-				x, ok := <-frames
-				return incomingFrame(x), ok && x.err == nil
-			})
-		}
-		select {
-		case f := <-frames:
-			// What has come meanwhile is one batch.
-			for more := true; more; {
-				if f.err != nil {
-					c.session.handler.flush()
-					return !c.silent, f.err
-				}
-				if err := c.handleFrame(f.b); err != nil {
-					c.session.handler.flush()
-					return !c.silent, err
-				}
-				select {
-				case f = <-frames:
-				default:
-					more = false
-				}
-			}
-			c.session.handler.flush()
-			if c.eventsInBatch && len(c.pending) == 0 {
-				// Events do not say how far the server has come; the next reply does.
-				c.send(request{op: zkwire.OpPing, xid: zkwire.XidPing})
-			}
-			c.eventsInBatch = false
-		case <-ping.C:
-			c.send(request{op: zkwire.OpPing, xid: zkwire.XidPing})
-		case <-retry.C:
-			c.session.handler.retry()
-		case <-ctx.Done():
-			c.closeSession(nil)
-			return !c.silent, ctx.Err()
-		}
+	frame, err := readFrame(reader, s.maxFrameBytes)
+	if errors.Is(err, io.EOF) && s.zxid > 0 {
+		s.noteServerBehind()
+		return false, 0, errHandshakeClosed
 	}
-}
-
-type incomingFrame struct {
-	b   []byte
-	err error
-}
-
-// closeSession closes the session, so that its nodes go at once and not when it times out.
-func (c *connection) closeSession(next func() (incomingFrame, bool)) error {
-	c.send(request{op: zkwire.OpCloseSession})
-	c.conn.SetWriteDeadline(time.Now().Add(connectTimeout / 4))
-	err := c.writer.Flush()
-	for next != nil && err == nil {
-		f, ok := next()
-		if !ok {
-			break
-		}
-		if r := zkwire.NewReader(f.b); r.ReplyHeader().Xid == c.xid {
-			break
-		}
+	if err != nil {
+		return false, 0, err
 	}
-	c.session.id, c.session.password = 0, nil
-	return err
-}
-
-// sendQueued sends what the handler wants sent.
-func (c *connection) sendQueued() error {
-	for {
-		r, ok := c.session.handler.nextRequest()
-		if !ok {
-			break
-		}
-		c.send(r)
+	r := zkwire.NewReader(frame)
+	response := r.Connect(false)
+	if r.Err() != nil {
+		return false, 0, malformed(r.Err())
+	}
+	if response.TimeoutMs <= 0 {
+		s.forgetSession()
+		return false, 0, zkwire.SessionExpired
 	}
-	if c.writer.Buffered() == 0 {
-		return nil
+	renewed = s.id != 0 && s.id == response.Session
+	s.id = response.Session
+	s.password = response.Password
+	if response.ReadOnly {
+		s.forgetSession() // no other server knows it
 	}
-	c.conn.SetWriteDeadline(time.Now().Add(c.timeout / 3))
-	return c.writer.Flush()
+	return renewed, s.timeout(response.TimeoutMs), nil
 }
 
-// send writes a request into the buffer. An error of the connection shows at the flush.
-func (c *connection) send(r request) {
-	if r.xid == 0 {
-		c.xid++
-		r.xid = c.xid
-	}
-	c.conn.SetWriteDeadline(time.Now().Add(c.timeout / 3))
-	c.writer.Write(zkwire.Frame(func(b []byte) []byte {
-		if b = zkwire.AppendRequest(b, r.xid, r.op); r.body != nil {
-			b = r.body(b)
-		}
-		return b
-	}))
-	if r.xid > 0 || r.xid == zkwire.XidSetWatches {
-		c.pending = append(c.pending, r)
-	}
+// timeout is the timeout of the session, given what the server set. One that is longer than requested is not
+// used here: a server that is silent has to be noticed.
+func (s *session) timeout(responseMs int32) time.Duration {
+	timeout := max(time.Duration(responseMs)*time.Millisecond, minSessionTimeout)
+	return min(timeout, max(s.requestedTimeout, minSessionTimeout))
 }
 
-// handleFrame takes one frame.
-func (c *connection) handleFrame(b []byte) error {
-	r := zkwire.NewReader(b)
-	h := r.ReplyHeader()
-	if r.Err() != nil {
-		return fmt.Errorf("%w: %w", errMalformedFrame, r.Err())
-	}
-	if h.Xid == zkwire.XidEvent {
-		e := r.WatchEvent()
-		if r.Err() != nil {
-			return fmt.Errorf("%w: %w", errMalformedFrame, r.Err())
-		}
-		c.eventsInBatch = true
-		c.session.handler.handleEvent(e)
-		return nil
-	}
-	if h.Err == zkwire.SessionExpired {
-		c.session.id, c.session.password = 0, nil
-		return zkwire.SessionExpired
-	}
-	// Going back in time would bring back servers that are gone.
-	if h.Zxid > 0 && h.Zxid < c.session.zxid {
-		return c.session.serverBehind(errServerBehind)
-	}
-	c.session.zxid, c.session.behindSince = max(c.session.zxid, h.Zxid), time.Time{}
-	c.silent = false
-	c.session.handler.replyReceived()
-	switch h.Xid {
-	case zkwire.XidPing:
-		return nil
-	case zkwire.XidAuth:
-		if h.Err != zkwire.OK {
-			return h.Err
-		}
-		return nil
-	}
-	if len(c.pending) == 0 || c.pending[0].xid != h.Xid {
-		return fmt.Errorf("%w: a reply to no request, or out of turn", errMalformedFrame)
-	}
-	q := c.pending[0]
-	c.pending = c.pending[1:]
-	if q.onReply == nil {
-		return nil
-	}
-	if err := q.onReply(h, r); err != nil {
-		return err
-	}
-	if r.Err() != nil {
-		return fmt.Errorf("%w: %w", errMalformedFrame, r.Err())
-	}
-	return nil
+// forgetSession makes the next connection begin a new session.
+func (s *session) forgetSession() {
+	s.id = 0
+	s.password = nil
 }
 
-// readFrame reads one frame; what claims to be larger than the bound is not read.
-func readFrame(br *bufio.Reader, most int) ([]byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(br, head[:]); err != nil {
-		return nil, err
-	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > uint32(most) {
-		return nil, fmt.Errorf("%w: a frame of %d bytes, at most %d", errMalformedFrame, n, most)
+// noteServerBehind notes that a server is behind the session. Once all have been for resetAfter the registry
+// counts as another one, which is not compared with what was seen before.
+func (s *session) noteServerBehind() {
+	if s.behindSince.IsZero() {
+		s.behindSince = time.Now()
+	} else if time.Since(s.behindSince) > cmp.Or(s.resetAfter, defaultResetAfter) {
+		s.forgetSession()
+		s.zxid = 0
+		s.behindSince = time.Time{}
 	}
-	b := make([]byte, n)
-	_, err := io.ReadFull(br, b)
-	return b, err
 }
+
+// malformed wraps the error of a record that can't be read.
+func malformed(err error) error { return fmt.Errorf("%w: %w", errMalformedFrame, err) }
