--- a/internal/configstore/peer_test.go
+++ b/internal/configstore/peer_test.go
@@ -14,28 +14,28 @@
 	"ringtrack.example/ringtrack/internal/disk"
 )
 
-// TestAHeartbeatWaitsForNoEntries has another keeper hold a call with entries: the heartbeat behind it comes all the same.
-func TestAHeartbeatWaitsForNoEntries(t *testing.T) {
-	hold, came := make(chan struct{}), make(chan pb.MessageType, 16)
+// TestHeartbeatDoesNotWaitForEntries has another replica delay a call with entries: the heartbeat behind it arrives.
+func TestHeartbeatDoesNotWaitForEntries(t *testing.T) {
+	release, received := make(chan struct{}), make(chan pb.MessageType, 16)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		parcel, err := readParcel(req.Body)
+		messages, err := readRaftMessages(req.Body)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		for _, text := range parcel.Msgs {
+		for _, text := range messages.Msgs {
 			m := &pb.Message{}
 			if err := proto.Unmarshal(text, m); err != nil {
 				t.Error(err)
 			}
-			came <- m.GetType()
+			received <- m.GetType()
 			if m.GetType() == pb.MsgApp {
-				<-hold
+				<-release
 			}
 		}
 	}))
 	defer other.Close()
-	defer close(hold)
+	defer close(release)
 	dir, err := disk.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -43,18 +43,18 @@
 	defer dir.Close()
 	members := map[string]string{"k1": "127.0.0.1:1", "k2": strings.TrimPrefix(other.URL, "http://")}
 	ctx, cancel := context.WithCancel(t.Context())
-	k := newKeeper(ctx, &Config{Name: "k1", Members: members, LeaseMs: 2000, EndpointsMs: 3000, TickMs: 25}, dir,
+	k := newReplica(ctx, &Config{Name: "k1", Members: members, LeaseMs: 2000, EndpointsMs: 3000, TickMs: 25}, dir,
 		&Identity{Name: "k1", ID: 1, Cluster: 1, Formed: map[string]uint64{"k1": 1, "k2": 2}})
-	k.carry = (*peer).run
-	defer k.on.Wait()
+	k.runPeer = (*peer).run
+	defer k.goroutines.Wait()
 	defer cancel()
-	if err := k.seen.load(dir); err != nil {
+	if err := k.watermarks.load(dir); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.begin(); err != nil {
+	if err := k.openStorage(); err != nil {
 		t.Fatal(err)
 	}
-	k.on.Go(func() { // the loop, as far as calls need it
+	k.goroutines.Go(func() { // stands in for the loop
 		for {
 			select {
 			case f := <-k.inbox:
@@ -64,19 +64,19 @@
 			}
 		}
 	})
-	take := func(want pb.MessageType) {
+	expect := func(want pb.MessageType) {
 		t.Helper()
 		select {
-		case got := <-came:
+		case got := <-received:
 			if got != want {
-				t.Fatalf("%v came, %v was to", got, want)
+				t.Fatalf("received %v, want %v", got, want)
 			}
-		case <-time.After(peerTime * 9 / 10): // a call that is held ends after that
+		case <-time.After(peerCallTimeout * 9 / 10): // the delayed call times out after that
 			t.Fatalf("no %v", want)
 		}
 	}
 	k.send(&pb.Message{Type: pb.MsgApp.Enum(), From: proto.Uint64(1), To: proto.Uint64(2)})
-	take(pb.MsgApp)
+	expect(pb.MsgApp)
 	k.send(&pb.Message{Type: pb.MsgHeartbeat.Enum(), From: proto.Uint64(1), To: proto.Uint64(2)})
-	take(pb.MsgHeartbeat)
+	expect(pb.MsgHeartbeat)
 }
