--- a/cmd/ringtrack/upgrade_test.go
+++ b/cmd/ringtrack/upgrade_test.go
@@ -186,14 +186,14 @@
 	}
 	wantNoRequests(0, "cordoned at this process")
 	for round := range 2 {
-		next, nextDoor := startProcess(t, config, tmp)
-		waitUntil(t, "the next process never serves", healthy(nextDoor))
+		next, nextAdmin := startProcess(t, config, tmp)
+		waitUntil(t, "the next process never serves", healthy(nextAdmin))
 		wantNoRequests(0, "beside the new process")
 		// The cordons of the new process reach the old one.
-		if status, _ := adminCall(nextDoor, "PUT", "/admin/uncordon?name=s-0"); status != 200 {
+		if status, _ := adminCall(nextAdmin, "PUT", "/admin/uncordon?name=s-0"); status != 200 {
 			t.Errorf("uncordon: %d", status)
 		}
-		if status, _ := adminCall(nextDoor, "PUT", "/admin/cordon?name=s-1"); status != 200 {
+		if status, _ := adminCall(nextAdmin, "PUT", "/admin/cordon?name=s-1"); status != 200 {
 			t.Errorf("cordon: %d", status)
 		}
 		wantNoRequests(1, "cordoned at the other process")
@@ -202,8 +202,8 @@
 		if used[0].Load() == before {
 			t.Error("the uncordoned backend is not used")
 		}
-		adminCall(nextDoor, "PUT", "/admin/uncordon?name=s-1")
-		adminCall(nextDoor, "PUT", "/admin/cordon?name=s-0")
+		adminCall(nextAdmin, "PUT", "/admin/uncordon?name=s-1")
+		adminCall(nextAdmin, "PUT", "/admin/cordon?name=s-0")
 		from := time.Now()
 		if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
@@ -212,7 +212,7 @@
 			t.Errorf("round %d: the old process ended after %v with %v", round, time.Since(from), err)
 		}
 		more()
-		old, admin = next, nextDoor
+		old, admin = next, nextAdmin
 	}
 	close(stop)
 	clients.Wait()
--- a/internal/agent/handover_test.go
+++ b/internal/agent/handover_test.go
@@ -15,7 +15,7 @@
 
 // At a shutdown beside a successor a process closes each connection with its next reply, and leaves idle ones open.
 // Without a successor it serves on, and so does its listener.
-func TestHandoverClosesConnectionsWithTsuccessorNextReply(t *testing.T) {
+func TestHandoverClosesConnectionsWithTheirNextReply(t *testing.T) {
 	for _, successor := range []bool{true, false} {
 		t.Run(fmt.Sprintf("successor %v", successor), func(t *testing.T) {
 			tmp := t.TempDir()
--- a/internal/upgrade/listener_test.go
+++ b/internal/upgrade/listener_test.go
@@ -150,15 +150,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ends, remains := older, newer
+		endingListener, remainingListener := older, newer
 		if ending == Newer {
-			ends, remains = newer, older
+			endingListener, remainingListener = newer, older
 		}
 		var served sync.WaitGroup
-		served.Go(func() { echoAll(remains) })
+		served.Go(func() { echoAll(remainingListener) })
 		var connections []net.Conn
-		closeSocket := ends.closeSocket
-		ends.closeSocket = func() error {
+		closeSocket := endingListener.closeSocket
+		endingListener.closeSocket = func() error {
 			for range 64 { // by the hash half of them would go to either
 				c, err := net.DialTimeout("tcp", addr, testTimeout/10)
 				if err != nil {
@@ -169,14 +169,14 @@
 			}
 			return closeSocket()
 		}
-		ends.Close()
+		endingListener.Close()
 		for i, c := range connections {
 			if err := exchange(c); err != nil {
 				t.Errorf("ending %v, client %d: %v", ending, i, err)
 			}
 			c.Close()
 		}
-		remains.Close()
+		remainingListener.Close()
 		served.Wait()
 	}
 }
