--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter runs many independent balancers on the simulator's wire:
-// batches on standard input, one reply a batch on standard output.
+// Command adapter runs many independent balancers for the simulator: it reads batches of events from standard
+// input and writes one frame of actions for each to standard output.
 package main
 
 import (
@@ -12,6 +12,9 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
+// bufferSize is the size in bytes of the buffers of the input and the output.
+const bufferSize = 1 << 16
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
@@ -19,49 +22,20 @@
 	}
 }
 
-// run serves batches until the input ends. Instances share nothing but the
-// process; each is reached through its number only.
+// run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
-	w := bufio.NewWriterSize(out, 1<<16)
-	instances := map[uint32]*policy.Balancer{}
-	var enc wire.Encoder
-	var actions []policy.Action
-	handle := func(now float64, rec *wire.Record) error {
-		switch rec.Kind {
-		case wire.Boot:
-			b, err := boot(rec)
-			if err != nil {
-				enc.Crash(rec.Instance, err.Error())
-				delete(instances, rec.Instance)
-				return nil
-			}
-			instances[rec.Instance] = b
-			actions = b.Start(now, actions[:0])
-		case wire.Killed:
-			delete(instances, rec.Instance)
-			return nil
-		default:
-			b := instances[rec.Instance]
-			if b == nil {
-				return nil // dead or never started: nothing more is owed
-			}
-			actions = b.Handle(now, &rec.Event, actions[:0])
-		}
-		for i := range actions {
-			enc.Add(rec.Instance, &actions[i])
-		}
-		return nil
-	}
+	decoder := wire.NewDecoder(bufio.NewReaderSize(in, bufferSize))
+	w := bufio.NewWriterSize(out, bufferSize)
+	a := adapter{balancers: map[uint32]*policy.Balancer{}}
 	for {
-		enc.Reset()
-		if err := dec.Next(handle); err != nil {
-			if err == io.EOF {
+		a.encoder.Reset()
+		if err := decoder.Next(a.handle); err != nil {
+			if err == io.EOF { // bare: a truncated batch wraps it
 				return nil
 			}
 			return err
 		}
-		if _, err := enc.WriteTo(w); err != nil {
+		if _, err := a.encoder.WriteTo(w); err != nil {
 			return fmt.Errorf("reply: %w", err)
 		}
 		if err := w.Flush(); err != nil {
@@ -70,6 +44,43 @@
 	}
 }
 
+// adapter holds the running balancers, by the number of their instance. They share nothing but the process.
+type adapter struct {
+	balancers map[uint32]*policy.Balancer
+	encoder   wire.Encoder
+	actions   []policy.Action // buffer
+}
+
+// handle applies one record of a batch. A record of an instance that does not run is ignored. An instance
+// whose settings are not valid is reported as crashed.
+func (a *adapter) handle(now float64, rec *wire.Record) error {
+	switch rec.Kind {
+	case wire.Boot:
+		balancer, err := boot(rec)
+		if err != nil {
+			a.encoder.Crash(rec.Instance, err.Error())
+			delete(a.balancers, rec.Instance)
+			return nil
+		}
+		a.balancers[rec.Instance] = balancer
+		a.actions = balancer.Start(now, a.actions[:0])
+	case wire.Killed:
+		delete(a.balancers, rec.Instance)
+		return nil
+	default:
+		balancer := a.balancers[rec.Instance]
+		if balancer == nil {
+			return nil
+		}
+		a.actions = balancer.Handle(now, &rec.Event, a.actions[:0])
+	}
+	for i := range a.actions {
+		a.encoder.Add(rec.Instance, &a.actions[i])
+	}
+	return nil
+}
+
+// boot returns the balancer of a boot record.
 func boot(rec *wire.Record) (*policy.Balancer, error) {
 	settings, err := wire.ParseSettings(rec.Settings)
 	if err != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -23,33 +23,33 @@
 	return append(out, tail...)
 }
 
-func bootRecord(who uint32, textLen int) []byte {
+func bootRecord(instance uint32, textLen int) []byte {
 	be := binary.BigEndian
-	r := be.AppendUint32([]byte{25}, who)
+	r := be.AppendUint32([]byte{25}, instance)
 	r = be.AppendUint64(r, 7)
 	r = be.AppendUint32(r, 0)
 	return be.AppendUint32(r, uint32(textLen))
 }
 
-func ask(who, id uint32) []byte {
+func requestRecord(instance, id uint32) []byte {
 	be := binary.BigEndian
-	r := be.AppendUint32([]byte{17}, who)
+	r := be.AppendUint32([]byte{17}, instance)
 	r = be.AppendUint32(r, id)
 	r = append(r, make([]byte, 14)...)
 	return be.AppendUint64(r, math.Float64bits(400))
 }
 
-func killed(who uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, who) }
+func killedRecord(instance uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, instance) }
 
-func TestKillAndBootInOneBatch(t *testing.T) {
-	in := batch(1000, settings, bootRecord(3, len(settings)), ask(3, 9))
-	in = append(in, batch(1005, settings, killed(3), ask(3, 10), bootRecord(3, len(settings)), ask(3, 11))...)
+func TestInstanceIsKilledAndBootedInOneBatch(t *testing.T) {
+	in := batch(1000, settings, bootRecord(3, len(settings)), requestRecord(3, 9))
+	in = append(in, batch(1005, settings, killedRecord(3), requestRecord(3, 10), bootRecord(3, len(settings)), requestRecord(3, 11))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	// Each life holds its one request (there is no list) and sets one timer; the
-	// request between the two lives is nobody's.
+	// Each incarnation queues its one request, as it has no endpoint list, and sets one timer; the request
+	// between the two is ignored.
 	reply := out.Bytes()
 	for i, want := range []uint32{1, 1} {
 		n, size := binary.BigEndian.Uint32(reply), binary.BigEndian.Uint32(reply[4:])
@@ -60,19 +60,19 @@
 	}
 }
 
-func TestBadSettingsAreReportedAsACrash(t *testing.T) {
+func TestInvalidSettingsAreReportedAsCrash(t *testing.T) {
 	bad := strings.Replace(settings, "free", "maybe", 1)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(batch(1000, bad, bootRecord(3, len(bad)))), &out); err != nil {
 		t.Fatal(err)
 	}
 	if reply := out.Bytes(); reply[8] != 87 || !strings.Contains(string(reply), "classes[0].effect") {
-		t.Errorf("reply %q is no crash that names the key", reply)
+		t.Errorf("reply %q is not a crash that names the key", reply)
 	}
 }
 
 func TestTruncatedInputIsAnError(t *testing.T) {
-	in := batch(1000, "", killed(1))
+	in := batch(1000, "", killedRecord(1))
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in[:len(in)-1]), &out); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Errorf("error %v, want one line", err)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestEventsAgainstWorkedOutBytes(t *testing.T) {
+func TestDecodeRequestTimerAndDisconnect(t *testing.T) {
 	data := frame(t, `00000003 00000098 40c06e2000000000
 		11 00000003 5d3a91c4 0000 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 01`+zeros(8)+`
 		1a 00000003 0000004d`+zeros(39)+`
@@ -50,10 +50,10 @@
 	if clocks[0] != 8412.25 {
 		t.Errorf("clock %v, want 8412.25", clocks[0])
 	}
-	ask := recs[0].Event
-	if recs[0].Instance != 3 || ask.Kind != policy.EventRequest || ask.Request != 0x5d3a91c4 || ask.RemainingMs != 240 ||
-		ask.WorkHintMs != 12 || !ask.HasWorkHint || ask.Retry || ask.Key != 0x91f03b7c55d20a64 {
-		t.Errorf("ask: %+v", recs[0])
+	request := recs[0].Event
+	if recs[0].Instance != 3 || request.Kind != policy.EventRequest || request.Request != 0x5d3a91c4 || request.RemainingMs != 240 ||
+		request.WorkHintMs != 12 || !request.HasWorkHint || request.Retry || request.Key != 0x91f03b7c55d20a64 {
+		t.Errorf("request: %+v", recs[0])
 	}
 	if e := recs[1].Event; e.Kind != policy.EventTimer || e.Token != 0x4d {
 		t.Errorf("fired: %+v", e)
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestOutcomeAndProbe(t *testing.T) {
+func TestDecodeAttemptEndedAndHealthCheck(t *testing.T) {
 	data := frame(t, `00000002 00000068 40c06e2000000000
 		12 00000003 5d3a91c4 0002 0a124a07 138b 0064 4032800000000000 01 02 3f800000 40000000 00000000 00000000`+zeros(3)+`
 		18 00000003 0a9011f2 13b4 0064 3ff6666666666666 00`+zeros(16)+zeros(10))
@@ -81,8 +81,8 @@
 	}
 }
 
-// A list number may be used again within a batch: each event means the list of its moment.
-func TestPoolNumbersAreReusedInOrder(t *testing.T) {
+// A table may be replaced within a batch: each event has the entries that the table had before it.
+func TestEndpointTablesAreReplacedInOrder(t *testing.T) {
 	entry := func(port string) string {
 		return "0001 40b7d40000000000 01 0a9011f2" + port + "3fc00000 0002 01"
 	}
@@ -97,15 +97,15 @@
 	}
 	a, b := recs[0].Event, recs[1].Event
 	if a.Update != policy.UpdateCached || b.Update != policy.UpdateComplete || a.Endpoints[0].Server[5] != 0xb4 || b.Endpoints[0].Server[5] != 0xb5 {
-		t.Errorf("lists: %+v then %+v", a, b)
+		t.Errorf("endpoints: %+v then %+v", a, b)
 	}
 	e := a.Endpoints[0]
 	if e.Zone != 1 || e.StartedMs != 6100 || e.Health != policy.Ready || e.Weight != 1.5 || e.Cell != 2 || e.MachineType != 1 {
-		t.Errorf("entry: %+v", e)
+		t.Errorf("endpoint: %+v", e)
 	}
 }
 
-func TestBootAndKilled(t *testing.T) {
+func TestDecodeBootAndKilled(t *testing.T) {
 	data := frame(t, `00000002 0000006a 40c06e2000000000
 		15 00000003`+zeros(43)+`
 		19 00000003 0000000000000007 00000000 00000002`+zeros(27)+`7b7d`)
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestReplyAgainstWorkedOutBytes(t *testing.T) {
+func TestEncodeActions(t *testing.T) {
 	var e Encoder
 	s := policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}
 	for _, a := range []policy.Action{
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestMalformedFramesNameTheField(t *testing.T) {
+func TestErrorsNameTheMalformedField(t *testing.T) {
 	for name, c := range map[string]struct{ text, field string }{
 		"short header":   {"000000", "batch header"},
 		"short length":   {"00000000 00000004 00000000", "length"},
@@ -186,7 +186,7 @@
 		t.Errorf("%+v, %v", s, err)
 	}
 	if _, err := ParseSettings([]byte("classes:")); err == nil {
-		t.Error("no JSON, and no error")
+		t.Error("invalid JSON was accepted")
 	}
 	if _, err := ParseSettings([]byte(`{"roundMs": "five"}`)); err == nil || !strings.Contains(err.Error(), "roundMs") {
 		t.Errorf("error %v does not name roundMs", err)
@@ -205,12 +205,12 @@
 			}
 		}
 		if cap(d.buf) > 2*len(data)+4<<20 {
-			t.Errorf("%d bytes of input made it hold %d", len(data), cap(d.buf))
+			t.Errorf("%d bytes of input made it allocate %d", len(data), cap(d.buf))
 		}
 	})
 }
 
-func TestStreamFailedListAndPeerRecords(t *testing.T) {
+func TestDecodeStreamFailedUpdateAndPeerMessage(t *testing.T) {
 	data := frame(t, `00000003 0000009a 40c06e2000000000
 		14 00000003 5d3a91c4 0a124a07 138b 4032800000000000 0001`+zeros(23)+`
 		16 00000003 03 00000029 ffffffff`+zeros(34)+`
@@ -224,7 +224,7 @@
 		t.Errorf("flowing: %+v", e)
 	}
 	if e := recs[1].Event; e.Kind != policy.EventEndpointUpdate || e.Update != policy.UpdateFailed || e.Endpoints != nil {
-		t.Errorf("targets of a failed call: %+v", e)
+		t.Errorf("failed update: %+v", e)
 	}
 	if e := recs[2].Event; e.Kind != policy.EventPeerMessage {
 		t.Errorf("peer_data: %+v", e)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"container/heap"
+	"errors"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -303,7 +304,8 @@
 		}
 	}
 	set.Replicas = -1
-	if _, err := New(set, 1); err == nil || !contains(err.Error(), "replicasOfMe") {
+	_, err := New(set, 1)
+	if invalid := (*SettingError)(nil); !errors.As(err, &invalid) || invalid.Key != "replicasOfMe" {
 		t.Errorf("-1 replicas: %v", err)
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"testing"
@@ -570,21 +571,14 @@
 	} {
 		s := testSettings()
 		spoil(&s)
-		if _, err := New(s, 1); err == nil || !contains(err.Error(), key) {
-			t.Errorf("spoilt %s: error %v does not name it", key, err)
+		_, err := New(s, 1)
+		var invalid *SettingError
+		if !errors.As(err, &invalid) || invalid.Key != key {
+			t.Errorf("invalid %s: error %v does not name it", key, err)
 		}
 	}
 }
 
-func contains(s, part string) bool {
-	for i := 0; i+len(part) <= len(s); i++ {
-		if s[i:i+len(part)] == part {
-			return true
-		}
-	}
-	return false
-}
-
 func ExampleBalancer() {
 	settings := Settings{
 		Classes:         []Class{{Name: "read", LatencyObjectiveMs: 200, ClientTimeoutMs: 800, Effect: Idempotent, PriorityWeight: 1}},
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -8,36 +8,32 @@
 	discoveryOnRequest = "on_request"
 )
 
-// priorityByWork is the value of Settings.PriorityUnit for which a priority is not divided by the work of
-// the request.
+// priorityByWork is the value of Settings.PriorityUnit for which a priority is not divided by the answer
+// time of the class.
 const priorityByWork = "work"
 
-// validate reports the first setting that makes no sense, by its key.
+// SettingError is the error of a setting that is not valid.
+type SettingError struct {
+	Key    string // on the wire
+	Reason string
+}
+
+func (e *SettingError) Error() string { return fmt.Sprintf("settings: %s: %s", e.Key, e.Reason) }
+
+// validate returns a SettingError for the first setting that is not valid.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("settings: classes: none given")
-	}
-	for i, c := range s.Classes {
-		at := func(key string) string { return fmt.Sprintf("settings: classes[%d].%s", i, key) }
-		switch {
-		case !(c.LatencyObjectiveMs > 0):
-			return fmt.Errorf("%s: must be above 0, is %v", at("aimMs"), c.LatencyObjectiveMs)
-		case !(c.ClientTimeoutMs > 0):
-			return fmt.Errorf("%s: must be above 0, is %v", at("giveUpMs"), c.ClientTimeoutMs)
-		case !(c.PriorityWeight >= 0):
-			return fmt.Errorf("%s: must not be negative, is %v", at("credit"), c.PriorityWeight)
-		case c.Effect != Idempotent && c.Effect != IdempotentByKey && c.Effect != NonIdempotent:
-			return fmt.Errorf("%s: unknown effect %q", at("effect"), c.Effect)
-		case c.Effect == IdempotentByKey && !c.DedupScope.known():
-			return fmt.Errorf("%s: unknown group %q", at("group"), c.DedupScope)
-		case c.Effect == IdempotentByKey && !(c.IdempotencyWindowMs >= 0):
-			return fmt.Errorf("%s: must not be negative, is %v", at("keyTtlMs"), c.IdempotencyWindowMs)
+		return &SettingError{Key: "classes", Reason: "none given"}
+	}
+	for i := range s.Classes {
+		if err := s.Classes[i].validate(fmt.Sprintf("classes[%d]", i)); err != nil {
+			return err
 		}
 	}
 	if s.DiscoveryMode != discoveryPushed && s.DiscoveryMode != discoveryOnRequest {
-		return fmt.Errorf("settings: membershipMode: unknown mode %q", s.DiscoveryMode)
+		return &SettingError{Key: "membershipMode", Reason: fmt.Sprintf("unknown mode %q", s.DiscoveryMode)}
 	}
-	for _, f := range []struct {
+	for _, setting := range []struct {
 		key   string
 		value float64
 	}{
@@ -53,9 +49,49 @@
 		{"replicasOfMe", float64(s.Replicas)},
 		{"roundMs", s.BatchIntervalMs},
 	} {
-		if !(f.value >= 0) {
-			return fmt.Errorf("settings: %s: must not be negative, is %v", f.key, f.value)
+		if err := requireNonNegative(setting.key, setting.value); err != nil {
+			return err
 		}
 	}
 	return nil
 }
+
+// validate returns a SettingError for the first setting of the class that is not valid. key is that of the
+// class.
+func (c *Class) validate(key string) error {
+	if err := requirePositive(key+".aimMs", c.LatencyObjectiveMs); err != nil {
+		return err
+	}
+	if err := requirePositive(key+".giveUpMs", c.ClientTimeoutMs); err != nil {
+		return err
+	}
+	if err := requireNonNegative(key+".credit", c.PriorityWeight); err != nil {
+		return err
+	}
+	switch c.Effect {
+	case Idempotent, NonIdempotent:
+		return nil
+	case IdempotentByKey:
+		if !c.DedupScope.known() {
+			return &SettingError{Key: key + ".group", Reason: fmt.Sprintf("unknown group %q", c.DedupScope)}
+		}
+		return requireNonNegative(key+".keyTtlMs", c.IdempotencyWindowMs)
+	}
+	return &SettingError{Key: key + ".effect", Reason: fmt.Sprintf("unknown effect %q", c.Effect)}
+}
+
+// requirePositive returns a SettingError unless the value is a number above 0.
+func requirePositive(key string, value float64) error {
+	if value > 0 {
+		return nil
+	}
+	return &SettingError{Key: key, Reason: fmt.Sprintf("must be above 0, is %v", value)}
+}
+
+// requireNonNegative returns a SettingError unless the value is a number of 0 or above.
+func requireNonNegative(key string, value float64) error {
+	if value >= 0 {
+		return nil
+	}
+	return &SettingError{Key: key, Reason: fmt.Sprintf("must not be negative, is %v", value)}
+}
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,27 +1,29 @@
-// Package policy decides, for one agent (a sidecar balancer), where each
-// request of its client goes: which server, when, for how long, whether again,
-// and when to give up. It is a state machine without I/O: the caller hands in
-// events with a clock and carries out the actions that come back, in order.
+// Package policy is the load balancing of one agent, a sidecar of one client. It decides to which server
+// and when each request is sent, with which timeout, whether it is retried, and when it is rejected.
 //
-// Each rule has a file of its own. This one holds the interface to the caller.
+// It is a state machine without I/O, clock and goroutines. The caller passes events with the current time,
+// in milliseconds of a clock that never runs back, and carries out the actions that are returned, in order.
+//
+// Each rule has a file of its own. types.go holds the interface to the caller, settings.go the checks of
+// the settings, balancer.go the dispatch of events to the rules.
 package policy
 
-// Addr names a server: four bytes of address and a port. It has no meaning
-// beyond equality and is sent back exactly as it came.
+// Addr names a server: four bytes of address and two of the port. Addresses are compared and ordered, and
+// otherwise have no meaning here.
 type Addr [6]byte
 
-// RequestID names one try of a client; an id is never used twice.
+// RequestID names one request of the client. A retry of the client is a new request. No id is used twice.
 type RequestID uint32
 
-// State is what an agent holds a listed server to be.
+// State is the health of a server as the agent sees it.
 type State uint8
 
 // The four states, best first.
 const (
-	Connected State = iota
-	Unknown
-	UnhealthyPending
-	Unhealthy
+	Connected        State = iota // it has served lately
+	Unknown                       // nothing is known
+	UnhealthyPending              // ejected before, and to be validated
+	Unhealthy                     // ejected
 )
 
 // Effect tells whether a request of a class may run more than once.
@@ -29,15 +31,16 @@
 
 // The effects a class may have.
 const (
-	Idempotent      Effect = "free"        // safe to repeat
-	IdempotentByKey Effect = "guarded"     // repeats are dropped within a group of servers, for a time
+	Idempotent      Effect = "free"        // may run any number of times
+	IdempotentByKey Effect = "guarded"     // has an idempotency key: servers in scope drop repeats for a time
 	NonIdempotent   Effect = "single_shot" // must never run twice
 )
 
-// DedupScope tells which servers drop repeats of a guarded request.
+// DedupScope tells which servers drop the repeat of a request with an idempotency key, by the server that
+// may have run it first.
 type DedupScope string
 
-// The groups a guarded class may have.
+// The scopes a class may have.
 const (
 	ScopeAll  DedupScope = "all"
 	ScopeZone DedupScope = "zone"
@@ -50,24 +53,24 @@
 type Class struct {
 	Name                string     `json:"name"`
 	LatencyObjectiveMs  float64    `json:"aimMs"`
-	ObjectiveStretch    float64    `json:"aimStretch"`
+	ObjectiveStretch    float64    `json:"aimStretch"` // part of the work hint added to the objective
 	ClientTimeoutMs     float64    `json:"giveUpMs"`
 	Effect              Effect     `json:"effect"`
-	DedupScope          DedupScope `json:"group"`
-	IdempotencyWindowMs float64    `json:"keyTtlMs"`
-	PriorityWeight      float64    `json:"credit"`
-	LateCredit          float64    `json:"lateShare"`
+	DedupScope          DedupScope `json:"group"`     // of IdempotentByKey
+	IdempotencyWindowMs float64    `json:"keyTtlMs"`  // of IdempotentByKey: how long repeats are dropped
+	PriorityWeight      float64    `json:"credit"`    // value of a request served in time
+	LateCredit          float64    `json:"lateShare"` // part of the value that a late one has
 	Streamed            bool       `json:"streamed"`
 }
 
-// Tenant is a customer with a share of what the servers can do.
+// Tenant is a customer with a quota of what the servers can do.
 type Tenant struct {
 	Name        string  `json:"name"`
 	QuotaPerS   float64 `json:"quotaPerS"`
 	QuotaWeight float64 `json:"portion"`
 }
 
-// Limits is what a deployment permits an agent.
+// Limits is what a deployment permits an agent to do.
 type Limits struct {
 	Cancelling       bool    `json:"cancelling"`
 	ConnectTimeoutMs float64 `json:"connectTimeoutMs"`
@@ -80,18 +83,18 @@
 	MaxOpenRequests  int     `json:"openCap"`
 }
 
-// Contract holds the figures of the four rules.
+// Contract holds the guarantees between servers, discovery and agents.
 type Contract struct {
 	AnswerSlackMs        float64 `json:"answerSlackMs"`
-	PollIntervalMs       float64 `json:"askWithinMs"`
-	SlowStartMinCapacity float64 `json:"coldFrom"`
-	SlowStartMs          float64 `json:"coldMs"`
-	DrainGraceMs         float64 `json:"drainGraceMs"`
-	OverloadFactor       float64 `json:"fallMultiple"`
-	OverloadWindowMs     float64 `json:"tipAfterMs"`
+	PollIntervalMs       float64 `json:"askWithinMs"`  // an agent polls discovery within it
+	SlowStartMinCapacity float64 `json:"coldFrom"`     // part of its capacity that a server starts with
+	SlowStartMs          float64 `json:"coldMs"`       // until a server has its full capacity
+	DrainGraceMs         float64 `json:"drainGraceMs"` // time to stop sending to a draining server
+	OverloadFactor       float64 `json:"fallMultiple"` // load that breaks a server, by its present capacity
+	OverloadWindowMs     float64 `json:"tipAfterMs"`   // time of such a load after which it breaks
 }
 
-// Prices are points taken off the result, each times its share or rate.
+// Prices are deductions from the objective, each for a share or a rate.
 type Prices struct {
 	CrossZone    float64 `json:"crossZone"`
 	Handshake    float64 `json:"handshake"`
@@ -102,7 +105,7 @@
 	EndpointList float64 `json:"membershipMode"`
 }
 
-// Objective holds the weights of the result's components.
+// Objective holds the weights of the parts of the objective that the agents serve.
 type Objective struct {
 	Total       float64 `json:"whole"`
 	WorstWindow float64 `json:"worstWindow"`
@@ -110,13 +113,13 @@
 	WorstTenant float64 `json:"worstTenant"`
 }
 
-// ReportFormat names the values of the servers' load reports.
+// ReportFormat says how servers deliver their load reports, and names the values.
 type ReportFormat struct {
 	Delivery string   `json:"how"`
 	Names    []string `json:"names"`
 }
 
-// Settings is what an agent is told at its start.
+// Settings is the configuration of an agent. The keys are those of the wire.
 type Settings struct {
 	Classes       []Class      `json:"classes"`
 	Tenants       []Tenant     `json:"tenants"`
@@ -140,31 +143,31 @@
 	PriorityUnit    string  `json:"worthBy"` // "request" or "work"
 	Zone            int     `json:"zone"`
 
-	// LastPoll is how the last call to discovery of the agent's process before this one ended.
+	// LastPoll is how the last poll of discovery by the agent's former process ended.
 	LastPoll LastPoll `json:"-"`
 }
 
-// LastPoll is how a process's last call to discovery ended.
+// LastPoll is how the last poll of discovery by a process ended.
 type LastPoll uint8
 
-// How a last call ended. Nobody knows it of a first start, and of a process whose folder went with it.
+// The ends of a last poll. It is unknown at a first start, and where the state directory is lost.
 const (
 	PollUnknown LastPoll = iota
 	PollAnswered
 	PollUnanswered
 )
 
-// Health is what the list says of a server.
+// Health is the health of a server by the endpoint list.
 type Health uint8
 
-// The list's words.
+// The health values of the endpoint list.
 const (
 	Draining Health = iota
 	Ready
 	Removed
 )
 
-// Endpoint is one line of the list of servers.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	Server      Addr
 	Zone        int
@@ -176,37 +179,37 @@
 	Weight      float64
 }
 
-// UpdateKind tells how a list event changes the list at hand.
+// UpdateKind tells how an update changes the endpoint list.
 type UpdateKind uint8
 
-// The kinds of list events.
+// The kinds of updates.
 const (
-	UpdateDelta UpdateKind = iota
-	UpdateComplete
-	UpdateCached
-	UpdateFailed
-	UpdateOtherSource // changes told by other than discovery, of whose calls it says nothing
+	UpdateDelta       UpdateKind = iota // the entries that have changed
+	UpdateComplete                      // all entries; other servers are removed
+	UpdateCached                        // all entries, from a cache that may be old
+	UpdateFailed                        // a poll of discovery failed
+	UpdateOtherSource                   // a delta from elsewhere than discovery
 )
 
-// Status is how an attempt or a probe ended.
+// Status is how an attempt or a health check ended.
 type Status uint16
 
-// The endings.
+// The status values, with their codes on the wire.
 const (
 	OK            Status = 100
 	Error         Status = 301
-	Rejected      Status = 302
+	Rejected      Status = 302 // the server has no capacity, and did not run it
 	Timeout       Status = 303
 	ConnectFailed Status = 304
 	Reset         Status = 305
 	Cancelled     Status = 306
-	NotStarted    Status = 307
+	NotStarted    Status = 307 // it was not sent
 )
 
-// NeverRan tells whether the ending proves that the attempt did not run.
+// NeverRan reports whether the status proves that the attempt did not run.
 func (s Status) NeverRan() bool { return s == Rejected || s == ConnectFailed || s == NotStarted }
 
-// EventKind tells which fields of an Event count.
+// EventKind tells which fields of an Event are set.
 type EventKind uint8
 
 // The events, each with the fields of Event that it uses.
@@ -234,36 +237,36 @@
 	WorkHintMs   float64
 	HasWorkHint  bool
 	Retry        bool
-	StreamedBody bool // the body still comes while the request is sent; LeftMs runs from its end
+	StreamedBody bool // the body is forwarded as it arrives; RemainingMs runs from its end
 	Attempt      int
 	Server       Addr
 	Status       Status
 	LatencyMs    float64
-	Final        bool // the request is finished
+	Final        bool // the request is finished whatever the status
 	Report       []float32
 	Update       UpdateKind
-	Endpoints    []Endpoint // not changed and not kept by the Balancer
+	Endpoints    []Endpoint // the Balancer neither changes nor keeps them
 	Token        uint32
 }
 
-// ActionKind tells which fields of an Action count.
+// ActionKind tells which fields of an Action are set.
 type ActionKind uint8
 
 // The actions.
 const (
-	ActionForward        ActionKind = iota + 1 // Request, Server, Ms: time-out
+	ActionForward        ActionKind = iota + 1 // Request, Server, DurationMs: timeout
 	ActionCancel                               // Request, Attempt
-	ActionReject                               // Request, Ms: advice
+	ActionReject                               // Request, DurationMs: Retry-After
 	ActionFail                                 // Request
 	ActionHealthCheck                          // Server
-	ActionTimer                                // Ms, Token
-	ActionWatchEndpoints                       // subscribe to the list
-	ActionFetchEndpoints                       // ask for the whole list once
+	ActionTimer                                // DurationMs, Token
+	ActionWatchEndpoints                       // subscribe to the endpoint list
+	ActionFetchEndpoints                       // fetch the complete endpoint list once
 	ActionLog                                  // Text
 	ActionCloseIdle                            // Server: close idle connections
 )
 
-// Action is something the agent is to do, in the order given.
+// Action is something the caller is to do.
 type Action struct {
 	Kind       ActionKind
 	Request    RequestID
@@ -274,27 +277,27 @@
 	Text       string
 }
 
-// Evidence is what others saw of a server since it was last told, in numbers of attempts.
-// What is negative or no number counts as none.
+// Evidence is what other agents saw of a server since the last observation, in numbers of attempts.
+// Negative numbers, infinities and NaN count as 0.
 type Evidence struct {
 	Server   Addr
 	Served   float64
-	Failed   float64 // errors, resets, time-outs, failed connects
-	Rejected float64 // refused unseen: the server runs and is crowded
-	Silent   bool    // the failures are no answers but silence or failed connects
+	Failed   float64 // errors, resets, timeouts, failed connects
+	Rejected float64 // the server runs and has no capacity
+	Silent   bool    // the failures were timeouts or failed connects, not answers
 }
 
-// View is what the module holds of a listed server.
+// View is the state of a listed server.
 type View struct {
 	Server              Addr
 	State               State
 	StateSinceMs        float64 // when it entered the state
-	StartedMs           float64 // start of its process, by the list or assumed; 0: long past
-	Usable              bool    // listed as ready
+	StartedMs           float64 // start of its process, listed or assumed; 0: long past
+	Usable              bool    // listed as ready, and not cordoned
 	Zone                int
 	Cell                int
 	Weight              float64
-	Capacity            float64 // the part of its capacity that it has by the contract, 1 when warm
-	LoadShare           float64 // the part of an even share that it may be sent, 1 when warm
-	ConsecutiveFailures int     // failures of late
+	Capacity            float64 // part of its capacity that it has by the contract; below 1 in slow start
+	LoadShare           float64 // part of an even share that it may be sent; below 1 in slow start
+	ConsecutiveFailures int
 }
