--- /dev/null
+++ b/internal/core/dedup_test.go
@@ -0,0 +1,70 @@
+package core
+
+import (
+	"context"
+	"strconv"
+	"testing"
+	"time"
+
+	"ringtrack.example/ringtrack/policy"
+)
+
+// The id of a completed request that may have run, and must not run again, is a duplicate. Where nothing ran, or the
+// request is idempotent, it is forwarded.
+func TestRepeatedIDOfCompletedRequest(t *testing.T) {
+	for name, c := range map[string]struct {
+		class     int
+		first     policy.Status // how all attempts of the first request end; those of the second are served
+		forwarded bool          // the second request is forwarded
+	}{
+		"non-idempotent, served":    {2, policy.OK, false},
+		"non-idempotent, reset":     {2, policy.Reset, false},
+		"non-idempotent, cancelled": {2, policy.Cancelled, false},
+		"non-idempotent, never ran": {2, policy.ConnectFailed, true},
+		"idempotent by key, served": {1, policy.OK, false},
+		"idempotent, served":        {0, policy.OK, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			attempts, first := 0, true
+			u := stub{func(context.Context, *Backend, *Call) Result {
+				if attempts++; first {
+					return Result{Status: c.first, LatencyMs: 1, Reply: "reply"}
+				}
+				return Result{Status: policy.OK, LatencyMs: 1, Reply: "reply"}
+			}}
+			l := running(t, u)
+			l.roundTrip(t, newCall(u, "1", c.class))
+			before := attempts
+			first = false
+			a := l.roundTrip(t, newCall(u, "1", c.class))
+			if sent := attempts > before; sent != c.forwarded || !sent && (a.Outcome != Failed || a.Reason != Duplicate) {
+				t.Errorf("sent %v, answered %+v", sent, a)
+			}
+		})
+	}
+}
+
+// Ids are known for at least dedupWindow; their age and their number are bounded.
+func TestRecentIDsAreBounded(t *testing.T) {
+	o, now := newRecentIDs(), time.Now()
+	o.add(now, "a")
+	if !o.contains(now.Add(dedupWindow), "a") || o.contains(now, "b") {
+		t.Error("within dedupWindow")
+	}
+	o.add(now.Add(dedupWindow), "b")
+	if later := now.Add(2 * dedupWindow); o.contains(later, "a") || !o.contains(later, "b") {
+		t.Error("a minute later")
+	}
+	if later := now.Add(5 * dedupWindow); o.contains(later, "b") || len(o.current)+len(o.previous) != 0 {
+		t.Errorf("without new ids %d are left", len(o.current)+len(o.previous))
+	}
+	for i := range 3 * maxRecentIDs {
+		o.add(now.Add(6*dedupWindow), strconv.Itoa(i))
+		if n := len(o.current) + len(o.previous); n > maxRecentIDs {
+			t.Fatalf("%d ids", n)
+		}
+	}
+	if at := now.Add(6 * dedupWindow); !o.contains(at, strconv.Itoa(3*maxRecentIDs-1)) || !o.contains(at, strconv.Itoa(3*maxRecentIDs-maxRecentIDs/2)) {
+		t.Error("the ids of the last generation are not known")
+	}
+}
--- a/internal/membership/ephemeral/session.go
+++ b/internal/membership/ephemeral/session.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"cmp"
 	"context"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
@@ -16,374 +15,231 @@
 )
 
 const (
-	// connectTime bounds a connect, and the time until a server has taken the session up.
-	connectTime = time.Second
-	// leastPause and mostPause bound the pause after a round of servers that all failed; it doubles and is
-	// drawn evenly from its upper half.
-	leastPause, mostPause = 20 * time.Millisecond, 2 * time.Second
-	// deniedPause is how long one waits whose authentication was not taken.
-	deniedPause = 5 * time.Second
-	// forgetAfter is, by default, after how long of servers that refuse us, as they have seen less than we have, the
-	// registry is taken for one that began anew.
-	forgetAfter = 30 * time.Second
-	// leastTimeout bounds from below what a server may make of a session's time; a longer one than was asked
-	// for is good for the server, and not waited for here.
-	leastTimeout = 30 * time.Millisecond
-	// retryEvery is how often what was denied is asked for again.
-	retryEvery = time.Second
+	// connectTimeout bounds a connect, and the handshake after it.
+	connectTimeout = time.Second
+	// closeTimeout bounds how long closing a session may delay the end of Run.
+	closeTimeout = connectTimeout / 4
+	// bufferBytes is the size of a connection's read and write buffers.
+	bufferBytes = 16 << 10
+	// passwordBytes is the length of the password that begins a new session.
+	passwordBytes = 16
+
+	// minReconnectBackoff and maxReconnectBackoff bound the backoff after all servers failed in turn.
+	minReconnectBackoff = 20 * time.Millisecond
+	maxReconnectBackoff = 2 * time.Second
+	// authFailureBackoff is the backoff after a server rejected the authentication.
+	authFailureBackoff = 5 * time.Second
+	// defaultResetAfter is how long all servers may be behind the session before the registry counts as one that
+	// was set up anew.
+	defaultResetAfter = 30 * time.Second
+	// minSessionTimeout is a lower bound on the timeout that a server may set.
+	minSessionTimeout = 30 * time.Millisecond
 )
 
+// Errors that end a connection. A zkwire.Code ends one too.
 var (
-	errBehind  = errors.New("the server has seen less than we have")
-	errRefused = errors.New("the server hung up on the session")
-	errSpoilt  = errors.New("what came can't be read")
+	// errServerBehind says that the server has not seen the last transaction that another server showed.
+	errServerBehind = errors.New("server is behind the last transaction seen")
+	// errHandshakeClosed says that the server closed the connection instead of answering the handshake, as it
+	// does if it is behind.
+	errHandshakeClosed = errors.New("server closed the connection during the handshake")
+	// errMalformedFrame says that a frame can't be read.
+	errMalformedFrame = errors.New("malformed frame")
 )
 
-// request is one to be sent; done gets its reply, if the connection lives so long.
+// request is a request with the callback that takes its reply, should the connection live long enough.
 type request struct {
-	op   zkwire.Op
-	xid  int32 // 0: the next number
-	body func([]byte) []byte
-	done func(h zkwire.ReplyHeader, r *zkwire.Reader) error
+	op      zkwire.Op
+	xid     int32 // 0: the next number of the connection
+	body    func([]byte) []byte
+	onReply func(h zkwire.ReplyHeader, r *zkwire.Reader) error
 }
 
-// handler is what a session is for. All methods are called from the session's goroutine.
+// handler is the user of a session. All methods are called from the session's goroutine.
 type handler interface {
+	// connected starts a connection. renewed says that it continues the last session; zxid is the last
+	// transaction seen.
 	connected(renewed bool, zxid int64)
-	next() (request, bool)
-	event(zkwire.WatchEvent)
-	retry()      // what was denied may be asked for again
-	flush()      // a batch of what came is over
-	alive()      // the registry showed that it lives
-	lost(error)  // the connection was lost, or did not come up
-	ended() bool // nothing more is wanted: the session is to be closed
+	// nextRequest returns the next request to send; false if there is none.
+	nextRequest() (request, bool)
+	handleEvent(zkwire.WatchEvent)
+	// replyReceived is called for each reply before its callback, pings included.
+	replyReceived()
+	// flush ends a batch of events and replies.
+	flush()
+	// retry is called every retryInterval: failed requests may be sent again.
+	retry()
+	// connectionLost is called when a connection ends or can't be made.
+	connectionLost(error)
 }
 
-// session keeps one session with a registry over one connection at a time.
+// session maintains one session with a registry, over one connection at a time.
 type session struct {
-	hosts    []string
-	timeout  time.Duration // that is asked for
-	auth     string        // "user:password"; "": none
-	readOnly bool
-	frame    int // bound, in bytes
-	h        handler
-
-	forget time.Duration // 0: forgetAfter
-	pause  time.Duration // 0: mostPause
-
-	id       int64
-	password []byte
-	zxid     int64 // last change that a server let us see
-	behind   time.Time
+	servers          []string // host:port
+	requestedTimeout time.Duration
+	auth             string // "user:password"; "": none
+	readOnly         bool   // accept servers that are cut off from their quorum
+	maxFrameBytes    int
+	handler          handler
+	resetAfter       time.Duration // 0: defaultResetAfter
+	maxBackoff       time.Duration // 0: maxReconnectBackoff
+
+	id          int64 // 0: there is no session
+	password    []byte
+	zxid        int64     // the last transaction seen
+	behindSince time.Time // since when all servers are behind it; zero: they are not
 }
 
-// run keeps the session until ctx ends, or the handler has. It closes it then.
+// run maintains the session until ctx ends, then closes it.
 func (s *session) run(ctx context.Context) {
-	rand.Shuffle(len(s.hosts), func(i, j int) { s.hosts[i], s.hosts[j] = s.hosts[j], s.hosts[i] })
-	failed, pause := 0, leastPause
-	for i := 0; ctx.Err() == nil && !s.h.ended(); i++ {
-		served, err := s.once(ctx, s.hosts[i%len(s.hosts)])
-		if ctx.Err() != nil || s.h.ended() {
+	rand.Shuffle(len(s.servers), func(i, j int) { s.servers[i], s.servers[j] = s.servers[j], s.servers[i] })
+	backoff := s.newBackoff()
+	for i := 0; ctx.Err() == nil; i++ {
+		addr := s.servers[i%len(s.servers)]
+		served, err := s.connect(ctx, addr)
+		if ctx.Err() != nil {
 			return
 		}
-		s.h.lost(fmt.Errorf("%s: %w", s.hosts[i%len(s.hosts)], err))
-		s.h.flush()
+		s.handler.connectionLost(fmt.Errorf("%s: %w", addr, err))
+		s.handler.flush()
 		if served {
-			failed, pause = 0, leastPause
-			continue
-		}
-		wait := time.Duration(0)
-		switch failed++; {
-		case errors.Is(err, zkwire.AuthFailed):
-			wait = deniedPause
-		case errors.Is(err, zkwire.SessionExpired):
+			backoff = s.newBackoff()
 			continue
-		case failed%len(s.hosts) == 0:
-			wait = pause/2 + rand.N(pause/2+1)
-			pause = min(2*pause, cmp.Or(s.pause, mostPause))
 		}
 		select {
-		case <-time.After(wait):
+		case <-time.After(backoff.next(err)):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// once is one connection. It returns how it ended, and whether the session was up on it.
-func (s *session) once(ctx context.Context, addr string) (served bool, err error) {
-	dialer := net.Dialer{Timeout: connectTime, KeepAlive: -1}
-	nc, err := dialer.DialContext(ctx, "tcp", addr)
-	if err != nil {
-		s.behind = time.Time{}
-		return false, err
-	}
-	defer nc.Close()
-	stop := context.AfterFunc(ctx, func() { nc.SetDeadline(time.Now().Add(connectTime / 4)) })
-	defer stop()
-	nc.SetDeadline(time.Now().Add(connectTime))
-	hello := zkwire.Connect{LastZxid: s.zxid, TimeOut: int32(s.timeout.Milliseconds()), Session: s.id, Password: s.password,
-		ReadOnly: s.readOnly, HasRO: true}
-	if s.id == 0 {
-		hello.Password = make([]byte, 16)
-	}
-	if _, err := nc.Write(zkwire.Frame(hello.AppendRequest)); err != nil {
-		return false, err
-	}
-	br := bufio.NewReaderSize(nc, 16<<10)
-	b, err := readFrame(br, s.frame)
-	if err != nil {
-		if errors.Is(err, io.EOF) && s.zxid > 0 {
-			return false, s.refused(errRefused)
-		}
-		return false, err
-	}
-	r := zkwire.NewReader(b)
-	answer := r.Connect(false)
-	if r.Err() != nil {
-		return false, fmt.Errorf("%w: %w", errSpoilt, r.Err())
-	}
-	if answer.TimeOut <= 0 {
-		s.id, s.password = 0, nil
-		return false, zkwire.SessionExpired
-	}
-	renewed := s.id != 0 && s.id == answer.Session
-	if s.id, s.password = answer.Session, answer.Password; answer.ReadOnly {
-		s.id, s.password = 0, nil // nobody else knows it
-	}
-	c := &connection{s: s, nc: nc, w: bufio.NewWriterSize(nc, 16<<10), timeout: min(max(time.Duration(answer.TimeOut)*time.Millisecond, leastTimeout), max(s.timeout, leastTimeout))}
-	return c.serve(ctx, br, renewed)
+// reconnectBackoff computes the backoff between connections that failed in a row.
+type reconnectBackoff struct {
+	servers  int
+	failures int
+	current  time.Duration
+	max      time.Duration
 }
 
-// refused notes that a server did not take us, as it has seen less than we have. After long enough of that
-// the registry is another one: nothing it says is older than anything we know.
-func (s *session) refused(err error) error {
-	if s.behind.IsZero() {
-		s.behind = time.Now()
-	} else if time.Since(s.behind) > cmp.Or(s.forget, forgetAfter) {
-		s.zxid, s.id, s.password, s.behind = 0, 0, nil, time.Time{}
+func (s *session) newBackoff() *reconnectBackoff {
+	return &reconnectBackoff{
+		servers: len(s.servers),
+		current: minReconnectBackoff,
+		max:     cmp.Or(s.maxBackoff, maxReconnectBackoff),
 	}
-	return err
 }
 
-// connection is a session's while it is up.
-type connection struct {
-	s       *session
-	nc      net.Conn
-	w       *bufio.Writer
-	timeout time.Duration
-	xid     int32
-	out     []request // in the order in which replies come
-	fresh   bool      // nothing has come on it
-	events  bool      // an event came in this batch
+// next returns the backoff after a connection that failed with err: none until all servers have failed, then the
+// upper half of a time that doubles.
+func (b *reconnectBackoff) next(err error) time.Duration {
+	b.failures++
+	switch {
+	case errors.Is(err, zkwire.AuthFailed):
+		return authFailureBackoff
+	case errors.Is(err, zkwire.SessionExpired):
+		return 0
+	case b.failures%b.servers == 0:
+		backoff := b.current/2 + rand.N(b.current/2+1)
+		b.current = min(2*b.current, b.max)
+		return backoff
+	}
+	return 0
 }
 
-func (c *connection) serve(ctx context.Context, br *bufio.Reader, renewed bool) (served bool, err error) {
-	type incoming struct {
-		b   []byte
-		err error
+// connect maintains the session over one connection. It returns why the connection ended and whether the server
+// answered any request on it.
+func (s *session) connect(ctx context.Context, addr string) (served bool, err error) {
+	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
+	if err != nil {
+		s.behindSince = time.Time{}
+		return false, err
 	}
-	frames, over := make(chan incoming, 4), make(chan struct{})
-	ended := make(chan struct{})
-	defer func() {
-		close(over)
-		c.nc.Close()
-		<-ended
-	}()
-	// A server that says nothing for two thirds of the session's time is left while there is time to go
-	// to another.
-	c.nc.SetDeadline(time.Time{})
-	go func() {
-		defer close(ended)
-		for {
-			c.nc.SetReadDeadline(time.Now().Add(c.timeout * 2 / 3))
-			b, err := readFrame(br, c.s.frame)
-			select {
-			case frames <- incoming{b, err}:
-			case <-over:
-				return
-			}
-			if err != nil {
-				return
-			}
-		}
-	}()
-	c.fresh = true
-	if c.s.auth != "" {
-		c.send(request{op: zkwire.OpAuth, xid: zkwire.XidAuth, body: func(b []byte) []byte {
-			return zkwire.AppendBuffer(zkwire.AppendString(zkwire.AppendInt(b, 0), "digest"), []byte(c.s.auth))
-		}})
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Now().Add(closeTimeout)) })
+	defer stop()
+	conn.SetDeadline(time.Now().Add(connectTimeout))
+	reader := bufio.NewReaderSize(conn, bufferBytes)
+	renewed, timeout, err := s.handshake(conn, reader)
+	if err != nil {
+		return false, err
 	}
-	c.s.h.connected(renewed, c.s.zxid)
-	ping := time.NewTicker(c.timeout / 3)
-	defer ping.Stop()
-	retry := time.NewTicker(retryEvery)
-	defer retry.Stop()
-	for {
-		if err := c.pump(); err != nil {
-			return !c.fresh, err
-		}
-		if c.s.h.ended() {
-			return true, c.bye(func() (incomingFrame, bool) {
-				x, ok := <-frames
-				return incomingFrame(x), ok && x.err == nil
-			})
-		}
-		select {
-		case f := <-frames:
-			// What has come meanwhile is one batch.
-			for more := true; more; {
-				if f.err != nil {
-					c.s.h.flush()
-					return !c.fresh, f.err
-				}
-				if err := c.take(f.b); err != nil {
-					c.s.h.flush()
-					return !c.fresh, err
-				}
-				select {
-				case f = <-frames:
-				default:
-					more = false
-				}
-			}
-			c.s.h.flush()
-			if c.events && len(c.out) == 0 {
-				// Events do not say how far the server has come; the next reply does.
-				c.send(request{op: zkwire.OpPing, xid: zkwire.XidPing})
-			}
-			c.events = false
-		case <-ping.C:
-			c.send(request{op: zkwire.OpPing, xid: zkwire.XidPing})
-		case <-retry.C:
-			c.s.h.retry()
-		case <-ctx.Done():
-			c.bye(nil)
-			return !c.fresh, ctx.Err()
-		}
+	c := &connection{
+		session: s,
+		conn:    conn,
+		reader:  reader,
+		writer:  bufio.NewWriterSize(conn, bufferBytes),
+		timeout: timeout,
 	}
+	return c.serve(ctx, renewed)
 }
 
-type incomingFrame struct {
-	b   []byte
-	err error
-}
-
-// bye closes the session, so that its nodes go at once and not when it times out.
-func (c *connection) bye(next func() (incomingFrame, bool)) error {
-	c.send(request{op: zkwire.OpCloseSession})
-	c.nc.SetWriteDeadline(time.Now().Add(connectTime / 4))
-	err := c.w.Flush()
-	for next != nil && err == nil {
-		f, ok := next()
-		if !ok {
-			break
-		}
-		if r := zkwire.NewReader(f.b); r.ReplyHeader().Xid == c.xid {
-			break
-		}
+// handshake begins or renews the session. It returns whether it was renewed, and the timeout of the session.
+func (s *session) handshake(conn net.Conn, reader *bufio.Reader) (renewed bool, timeout time.Duration, err error) {
+	hello := zkwire.Connect{
+		LastZxid:    s.zxid,
+		TimeoutMs:   int32(s.requestedTimeout.Milliseconds()),
+		Session:     s.id,
+		Password:    s.password,
+		ReadOnly:    s.readOnly,
+		HasReadOnly: true,
 	}
-	c.s.id, c.s.password = 0, nil
-	return err
-}
-
-// pump sends what the handler wants sent.
-func (c *connection) pump() error {
-	for {
-		r, ok := c.s.h.next()
-		if !ok {
-			break
-		}
-		c.send(r)
+	if s.id == 0 {
+		hello.Password = make([]byte, passwordBytes)
 	}
-	if c.w.Buffered() == 0 {
-		return nil
+	if _, err := conn.Write(zkwire.Frame(hello.AppendRequest)); err != nil {
+		return false, 0, err
 	}
-	c.nc.SetWriteDeadline(time.Now().Add(c.timeout / 3))
-	return c.w.Flush()
-}
-
-// send writes a request into the buffer. An error of the connection shows at the flush.
-func (c *connection) send(r request) {
-	if r.xid == 0 {
-		c.xid++
-		r.xid = c.xid
+	frame, err := readFrame(reader, s.maxFrameBytes)
+	if errors.Is(err, io.EOF) && s.zxid > 0 {
+		s.noteServerBehind()
+		return false, 0, errHandshakeClosed
 	}
-	c.nc.SetWriteDeadline(time.Now().Add(c.timeout / 3))
-	c.w.Write(zkwire.Frame(func(b []byte) []byte {
-		if b = zkwire.AppendRequest(b, r.xid, r.op); r.body != nil {
-			b = r.body(b)
-		}
-		return b
-	}))
-	if r.xid > 0 || r.xid == zkwire.XidSetWatches {
-		c.out = append(c.out, r)
+	if err != nil {
+		return false, 0, err
 	}
-}
-
-// take takes one frame.
-func (c *connection) take(b []byte) error {
-	r := zkwire.NewReader(b)
-	h := r.ReplyHeader()
+	r := zkwire.NewReader(frame)
+	response := r.Connect(false)
 	if r.Err() != nil {
-		return fmt.Errorf("%w: %w", errSpoilt, r.Err())
+		return false, 0, malformed(r.Err())
 	}
-	if h.Xid == zkwire.XidEvent {
-		e := r.WatchEvent()
-		if r.Err() != nil {
-			return fmt.Errorf("%w: %w", errSpoilt, r.Err())
-		}
-		c.events = true
-		c.s.h.event(e)
-		return nil
-	}
-	if h.Err == zkwire.SessionExpired {
-		c.s.id, c.s.password = 0, nil
-		return zkwire.SessionExpired
-	}
-	// Going back in time would bring back servers that are gone.
-	if h.Zxid > 0 && h.Zxid < c.s.zxid {
-		return c.s.refused(errBehind)
-	}
-	c.s.zxid, c.s.behind = max(c.s.zxid, h.Zxid), time.Time{}
-	c.fresh = false
-	c.s.h.alive()
-	switch h.Xid {
-	case zkwire.XidPing:
-		return nil
-	case zkwire.XidAuth:
-		if h.Err != zkwire.OK {
-			return h.Err
-		}
-		return nil
-	}
-	if len(c.out) == 0 || c.out[0].xid != h.Xid {
-		return fmt.Errorf("%w: a reply to no request, or out of turn", errSpoilt)
+	if response.TimeoutMs <= 0 {
+		s.forgetSession()
+		return false, 0, zkwire.SessionExpired
 	}
-	q := c.out[0]
-	c.out = c.out[1:]
-	if q.done == nil {
-		return nil
+	renewed = s.id != 0 && s.id == response.Session
+	s.id = response.Session
+	s.password = response.Password
+	if response.ReadOnly {
+		s.forgetSession() // no other server knows it
 	}
-	if err := q.done(h, r); err != nil {
-		return err
-	}
-	if r.Err() != nil {
-		return fmt.Errorf("%w: %w", errSpoilt, r.Err())
-	}
-	return nil
+	return renewed, s.timeout(response.TimeoutMs), nil
 }
 
-// readFrame reads one frame; what claims to be larger than the bound is not read.
-func readFrame(br *bufio.Reader, most int) ([]byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(br, head[:]); err != nil {
-		return nil, err
-	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > uint32(most) {
-		return nil, fmt.Errorf("%w: a frame of %d bytes, at most %d", errSpoilt, n, most)
+// timeout is the timeout of the session, given what the server set. One that is longer than requested is not
+// used here: a server that is silent has to be noticed.
+func (s *session) timeout(responseMs int32) time.Duration {
+	timeout := max(time.Duration(responseMs)*time.Millisecond, minSessionTimeout)
+	return min(timeout, max(s.requestedTimeout, minSessionTimeout))
+}
+
+// forgetSession makes the next connection begin a new session.
+func (s *session) forgetSession() {
+	s.id = 0
+	s.password = nil
+}
+
+// noteServerBehind notes that a server is behind the session. Once all have been for resetAfter the registry
+// counts as another one, which is not compared with what was seen before.
+func (s *session) noteServerBehind() {
+	if s.behindSince.IsZero() {
+		s.behindSince = time.Now()
+	} else if time.Since(s.behindSince) > cmp.Or(s.resetAfter, defaultResetAfter) {
+		s.forgetSession()
+		s.zxid = 0
+		s.behindSince = time.Time{}
 	}
-	b := make([]byte, n)
-	_, err := io.ReadFull(br, b)
-	return b, err
 }
+
+// malformed wraps the error of a record that can't be read.
+func malformed(err error) error { return fmt.Errorf("%w: %w", errMalformedFrame, err) }
