--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// i7e1314: the class of least worth was starved though the worst class counts.
+// The class with the least priority weight must not be starved where the worst class counts.
 func TestWorstClassHasAHigherPriority(t *testing.T) {
 	set := testSettings()
 	set.Objective = Objective{Total: 0.5, WorstClass: 0.5}
@@ -18,12 +18,12 @@
 	with := r.b.priority(free) / r.b.priority(once)
 	r.b.classes.worst = 1
 	if without := r.b.priority(free) / r.b.priority(once); with <= without {
-		t.Errorf("the starved class weighs %.2f, when served well %.2f", with, without)
+		t.Errorf("the starved class has priority %.2f, when served well %.2f", with, without)
 	}
 }
 
-// bogota-turnos, nairobi-runner: crowded servers work for clients that have left, and
-// each refusal brings a retry. Errors are no crowd, nor is what finds no room here.
+// Overloaded servers work for clients that have disconnected, and each rejection brings a retry. Errors are
+// no overload.
 func TestLoadIsShedWhileServersAnswerLate(t *testing.T) {
 	for _, c := range []struct {
 		end  Status
@@ -45,26 +45,26 @@
 			}
 		}
 		if c.want && (refused < 100 || refused > 170) || !c.want && refused > 0 {
-			t.Errorf("all end with %d after %.0f ms: %d of 200 refused", c.end, c.rtt, refused)
+			t.Errorf("all end with %d after %.0f ms: %d of 200 rejected", c.end, c.rtt, refused)
 		}
 	}
 }
 
-// An agent that refuses most of what it gets, as its servers were crowded, goes on trying them, and comes back once they
-// are calm: in any dozen and one requests one is sent, and of those that come later all are. Bergen calm+mass: 198 of
-// 294 agents sent nothing for 4 s on end, as each request was worth a little less than all before it.
+// An agent that sheds most of its requests, as its servers were overloaded, keeps sending some, and all
+// again once they have recovered: of any 13 requests one is sent, also while priorities fall from one
+// request to the next.
 func TestSheddingAgentKeepsSendingSomeRequests(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		before int // class of what comes while servers are late, and of what comes then
+		before int // class of the requests while servers are late, and of those after that
 		then   int
 		ending Status
-	}{{"late, one class", 0, 0, OK}, {"late, then another class", 1, 0, OK}, {"late, then a class worth more", 0, 1, OK}, {"turned away", 1, 0, Rejected}} {
+	}{{"late, one class", 0, 0, OK}, {"late, then another class", 1, 0, OK}, {"late, then a class of higher priority", 0, 1, OK}, {"rejected", 1, 0, Rejected}} {
 		set := testSettings()
 		set.Limits.MaxAttempts = 1
 		set.Objective = Objective{Total: 0.8, WorstWindow: 0.1, WorstClass: 0.1}
 		r := newHarness(t, set, 12)
-		for i := range 400 { // both classes are asked for, and all ends badly
+		for i := range 400 { // requests of both classes, and all end badly
 			class := c.before
 			if i%5 == 0 {
 				class = c.then
@@ -75,14 +75,14 @@
 				r.now += 400
 				r.endAttempt(id, 0, a.Server, c.ending, 400)
 			} else if findAction(actions, ActionReject) == nil {
-				t.Fatalf("%s: neither sent nor refused", c.name)
+				t.Fatalf("%s: neither sent nor rejected", c.name)
 			}
 		}
 		if x := r.b.ShedFraction(); x < 0.7 {
-			t.Fatalf("%s: sheds %.2f of a crowd", c.name, x)
+			t.Fatalf("%s: sheds %.2f under overload", c.name, x)
 		}
 		row, longest, shut := 0, 0, 0
-		for i := range 400 { // the servers are calm
+		for i := range 400 { // the servers have recovered
 			r.now += 250
 			id, actions := r.request(c.then, 0)
 			if a := findAction(actions, ActionForward); a != nil {
@@ -99,10 +99,10 @@
 		}
 		t.Logf("%s: %d in a row not sent, %d of the last 100, sheds %.2f", c.name, longest, shut, r.b.ShedFraction())
 		if longest > 12 {
-			t.Errorf("%s: %d in a row not sent to calm servers", c.name, longest)
+			t.Errorf("%s: %d in a row not sent to servers that have recovered", c.name, longest)
 		}
 		if shut > 0 {
-			t.Errorf("%s: %d of 100 refused 75 s after the crowd", c.name, shut)
+			t.Errorf("%s: %d of 100 rejected 75 s after the overload", c.name, shut)
 		}
 	}
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// simulateSilentServer sends requests to three servers, of which one answers nothing from some moment on, for a second behind
-// that. It ticks as the module asks, and from then on each extraMs besides (0: not). It returns when the silent server was left
-// alone, and how often the module asked to be woken in a second of calm before, with requests out all the time.
+// simulateSilentServer sends requests to three servers, of which one answers nothing from some time on, and
+// runs for a second after that. Timers fire as the Balancer sets them, and from that time on ejectSilent
+// runs each extraMs besides (0: not). It returns when the silent server was ejected, and how many timers
+// were set in a second before, with requests in flight all the time.
 func simulateSilentServer(t *testing.T, seed int, extraMs float64) (leftAt float64, ticks int) {
 	r := newHarness(t, testSettings(), 3)
 	type event struct {
@@ -43,7 +44,7 @@
 	}
 	if extraMs > 0 {
 		for at := r.now + silentFrom; at < end-400; at += extraMs {
-			later(at, Event{Kind: EventTimer, Token: 99}) // looked at below
+			later(at, Event{Kind: EventTimer, Token: 99}) // handled below
 		}
 	}
 	for len(todo) > 0 {
@@ -72,25 +73,25 @@
 	return leftAt, ticks
 }
 
-// With all requests out the module asks to be woken when a server would count as silent, and not each few ms; and it
-// leaves a silent server at the most one of these few ms (10 here) later than if it looked all the time.
+// With all requests in flight the timer is set for when a server would count as silent, and not each few
+// ms; a silent server is ejected at most one tick (10 ms here) later than with a check each ms.
 func TestTickTimerRunsOnlyWhenNeeded(t *testing.T) {
 	for seed := range 40 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			leftAt, ticks := simulateSilentServer(t, seed, 0)
 			want, _ := simulateSilentServer(t, seed, 1)
 			if leftAt == 0 || leftAt > want+10 {
-				t.Errorf("a silent server was left after %.1f ms, %.1f if looked at each ms", leftAt, want)
+				t.Errorf("a silent server was ejected after %.1f ms, %.1f if checked each ms", leftAt, want)
 			}
 			if ticks > 60 {
-				t.Errorf("woken %d times in a second of calm", ticks)
+				t.Errorf("%d timers in a second", ticks)
 			}
 		})
 	}
 }
 
-// While nothing is held and no server is silent a tick changes nothing, neither at once nor for what comes later: that is
-// why the module may rest then.
+// While nothing is queued and no server is silent a tick changes nothing, neither at once nor later:
+// therefore no timer has to run then.
 func TestTickWithAnEmptyQueueChangesNothing(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -104,7 +105,7 @@
 				t.Fatalf("ticked %d times only", ticks.ticks)
 			}
 			if !reflect.DeepEqual(got[0], got[1]) {
-				t.Errorf("%d actions, %d with %d ticks more, or others", len(got[0]), len(got[1]), ticks.ticks)
+				t.Errorf("%d actions, %d with %d more ticks, or other actions", len(got[0]), len(got[1]), ticks.ticks)
 			}
 		})
 	}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkDecision is a request from its coming to its answer, of an agent of a fleet of 60, three in ten of which
-// are turned away, with tenants and keys.
+// BenchmarkDecision handles requests from arrival to answer, for an agent with 60 servers, tenants and
+// keys, where servers reject three in ten attempts.
 func BenchmarkDecision(b *testing.B) {
 	set := testSettings()
 	set.Tenants = []Tenant{{QuotaWeight: 0.44}, {QuotaWeight: 0.32}, {QuotaWeight: 0.13}, {QuotaWeight: 0.11}}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A day with one agent and four servers: the first answers were quick (a few hot
-// keys), and what came after counted as crowded at one attempt a server, for good.
+// With one agent the first answers may be fast; what comes after must not count as overload for good at one
+// attempt a server.
 func TestBaselineRisesForALoneAgent(t *testing.T) {
 	for _, agents := range []int{1, 5} {
 		set := testSettings()
@@ -22,13 +22,13 @@
 			r.endAttempt(id, 0, s, OK, rtt)
 		}
 		if grown := r.b.fleet.baselineLatency > 0.15; grown != (agents == 1) {
-			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents, r.b.fleet.baselineLatency)
+			t.Errorf("%d agents: after 2400 answers in 0.2 of the objective, one at a time, the baseline is %.3f", agents, r.b.fleet.baselineLatency)
 		}
 	}
 }
 
-// Few agents see most of the load: what answers well within the aim is not crowded,
-// however low calm was taken. Cold servers are slower before they are.
+// Few agents see most of the load: a server that answers well within the objective is not overloaded,
+// however low the baseline. Servers in slow start are slower before they are overloaded.
 func TestLatencyLimitFallsWithTheNumberOfAgents(t *testing.T) {
 	limit := func(agents int, calm float64) float64 {
 		set := testSettings()
@@ -41,17 +41,17 @@
 		t.Errorf("least limits: %.2f for one agent, want about a third; %.2f for twenty, want little", one, many)
 	}
 	if l := limit(1, 0.9); l != maxLatencyFraction {
-		t.Errorf("limit %.2f with a high calm, want %.2f", l, maxLatencyFraction)
+		t.Errorf("limit %.2f with a high baseline, want %.2f", l, maxLatencyFraction)
 	}
 	r := newHarness(t, testSettings(), 1)
 	r.updateEndpoints(UpdateDelta, Endpoint{Server: addr(1), Health: Ready, Weight: 1, StartedMs: r.now})
 	r.b.fleet.baselineLatency = 0.2
 	if cold, warm := r.b.latencyLimit(r.b.byAddr[addr(1)]), r.b.latencyLimit(r.b.byAddr[addr(0)]); cold < 2*warm {
-		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", cold, warm)
+		t.Errorf("limit %.2f in slow start, %.2f after it", cold, warm)
 	}
 }
 
-// id08146: agents restarted one by one while the fleet was crowded.
+// Agents may be restarted while the fleet is overloaded.
 func TestOverloadAtStartDoesNotSetTheBaseline(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	for range baselineAnswers {
@@ -60,16 +60,16 @@
 		r.endAttempt(id, 0, s, OK, 270)
 	}
 	if r.b.fleet.baselineLatency > maxLatencyFraction/2 {
-		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", r.b.fleet.baselineLatency)
+		t.Errorf("answers in 0.9 of the objective became the baseline: %.2f", r.b.fleet.baselineLatency)
 	}
 }
 
 func TestLimitOfAnOverloadedServerDecreases(t *testing.T) {
 	set := testSettings()
-	set.Replicas = 20 // many, as on ie9df20: each sees little of the load
+	set.Replicas = 20 // each sees little of the load
 	r := newHarness(t, set, 1)
 	srv := r.b.servers[0]
-	for range 300 { // long enough to know the calm answer time
+	for range 300 { // long enough to know the baseline
 		id, s := r.mustForward(0, 1)
 		r.now += 20
 		r.endAttempt(id, 0, s, OK, 20)
@@ -83,16 +83,16 @@
 		r.now += 10
 	}
 	if srv.limit.Size() >= grown {
-		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, srv.limit.Size())
+		t.Errorf("answers took seven times as long and the limit went from %.2f to %.2f", grown, srv.limit.Size())
 	}
-	// ie9df20: with many agents one attempt of each keeps a tipped server busy.
+	// With many agents one attempt of each keeps an overloaded server busy.
 	if srv.limit.Size() >= 1 {
-		t.Errorf("a tipped server is not left to rest: window %.2f", srv.limit.Size())
+		t.Errorf("an overloaded server gets no pause: limit %.2f", srv.limit.Size())
 	}
 }
 
-// i452d3e: windows that grew before calm was known crowded the servers, and the
-// crowded time became the measure of calm.
+// Limits that grew before the baseline is known would overload the servers, and the overload would become
+// the baseline.
 func TestLimitsDoNotGrowBeforeTheBaselineIsKnown(t *testing.T) {
 	r := newHarness(t, testSettings(), 2)
 	for range baselineAnswers - 1 {
@@ -100,7 +100,7 @@
 		r.now += 20
 		r.endAttempt(id, 0, s, OK, 20)
 		if w := r.b.byAddr[s].limit.Size(); w > initialLimit {
-			t.Fatalf("window %.2f after %.0f answers", w, r.b.fleet.answers)
+			t.Fatalf("limit %.2f after %.0f answers", w, r.b.fleet.answers)
 		}
 	}
 	var ids []RequestID
@@ -118,13 +118,13 @@
 		}
 	}
 	if w := max(r.b.servers[0].limit.Size(), r.b.servers[1].limit.Size()); w <= initialLimit {
-		t.Errorf("no window grew once calm was known: %.2f", w)
+		t.Errorf("no limit grew once the baseline was known: %.2f", w)
 	}
 }
 
-// nairobi-runner big-1: an agent that meets a server twice a minute cannot follow its
-// crowd by window. One that was full, late or reports far more than the mean is passed
-// over for about a turn, and where most of the tier would be, none is.
+// An agent that sends a server two requests a minute cannot adjust a limit. A server that rejected, was
+// late or reports far more than the mean is passed over for about one round, unless most of its tier would
+// be.
 func TestOverloadedServerIsInBackoff(t *testing.T) {
 	for _, c := range []struct {
 		crowd  string
@@ -163,8 +163,8 @@
 	}
 }
 
-// colombo-main: a server of few places turns attempts away while all it holds is in time. An agent that is
-// soon back goes on with it, by a smaller window, and its keys stay where they are warm.
+// A server with few places rejects attempts while it answers in time what it has. An agent that soon sends
+// the next attempt adjusts its limit, and the keys stay where they are cached.
 func TestRejectingServerKeepsItsKeysForABusyAgent(t *testing.T) {
 	r := newHarness(t, testSettings(), 6)
 	for range 100 {
@@ -181,7 +181,7 @@
 	}
 }
 
-// Reports may be nonsense; none of it reaches a decision.
+// Invalid reports reach no decision.
 func TestInvalidReportsAreNoOverload(t *testing.T) {
 	set := testSettings()
 	set.Report = ReportFormat{Delivery: "inline", Names: []string{"inflight"}}
@@ -189,18 +189,18 @@
 	nan, inf := float32(math.NaN()), float32(math.Inf(1))
 	for _, report := range [][]float32{nil, {nan}, {inf}, {-inf}, {-3}} {
 		if s := r.b.servers[0]; r.b.overloaded(s, report) || r.b.fleet.reportedLoad != 0 {
-			t.Errorf("report %v: taken for a crowd, or the mean is %v", report, r.b.fleet.reportedLoad)
+			t.Errorf("report %v: taken for overload, or the mean is %v", report, r.b.fleet.reportedLoad)
 		}
 	}
 }
 
-// While requests find no room a server's window bears a longer queue; else the same answers cut it.
+// While requests find no capacity a limit tolerates a longer queue; otherwise the same answers decrease it.
 func TestLimitsTolerateLongerLatencyWhileCapacityIsScarce(t *testing.T) {
 	window := func(crowd int) float64 {
 		s := testSettings()
 		s.Replicas = 20
 		r := newHarness(t, s, 1)
-		for range baselineAnswers + 50 { // calm is known: a fifth of the aim
+		for range baselineAnswers + 50 { // the baseline is known: a fifth of the objective
 			id, _ := r.request(1, 0)
 			r.now += 60
 			r.endAttempt(id, 0, addr(0), OK, 60)
@@ -214,7 +214,7 @@
 				out = append(out, id)
 			}
 		}
-		for range 12 { // answers at 0.38 of the aim: 1.9 times calm
+		for range 12 { // answers at 0.38 of the objective: 1.9 times the baseline
 			if len(out) == 0 {
 				break
 			}
@@ -235,6 +235,6 @@
 		return srv.limit.Size()
 	}
 	if plenty, scarce := window(1), window(40); plenty >= 4 || scarce < plenty+0.5 {
-		t.Errorf("windows from 4: %.2f with room, %.2f without", plenty, scarce)
+		t.Errorf("limits from 4: %.2f with capacity, %.2f without", plenty, scarce)
 	}
 }
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// i29baa9: each of a thousand agents held connections to a third of the servers, which
-// had a price; opening one has another.
+// Each of a thousand agents would keep connections to many servers, which have a price; opening one has
+// another.
 func TestIdleConnectionsAreClosedWhereKeepingThemCostsMore(t *testing.T) {
 	for _, c := range []struct {
 		agents          int
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -14,22 +14,22 @@
 	}
 	first := findAction(b.Start(0, nil), ActionTimer)
 	if first == nil || first.DurationMs > set.Contract.PollIntervalMs {
-		t.Fatalf("no subscription within the contract's time: %+v", first)
+		t.Fatalf("no poll within the poll interval: %+v", first)
 	}
 	if findAction(b.Handle(first.DurationMs, &Event{Kind: EventTimer, Token: first.Token}, nil), ActionWatchEndpoints) == nil {
-		t.Fatal("the timer did not subscribe")
+		t.Fatal("the timer did not poll")
 	}
 	for range 8 {
 		again := findAction(b.Handle(first.DurationMs, &Event{Kind: EventEndpointUpdate, Update: UpdateFailed}, nil), ActionTimer)
 		if again == nil || again.DurationMs > set.Contract.PollIntervalMs {
-			t.Fatalf("a failed call was not repeated in the contract's time: %+v", again)
+			t.Fatalf("a failed poll was not repeated within the poll interval: %+v", again)
 		}
 	}
 }
 
-// What discovery had when a call failed counts as told 6 s later, however often calls failed before: the next call comes
-// in time to stand in a queue of 2 s, and of few agents much sooner. Many make no more calls than one each in the
-// least pause.
+// A change counts as notified 6 s after a poll failed, however often polls failed before: the next poll
+// comes in time to wait 2 s in the queue of discovery, and with few agents much sooner. Many agents poll no
+// more often than once each in the shortest backoff.
 func TestPollBackoffIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		agents       int
@@ -45,14 +45,14 @@
 		for n := range 200 {
 			again := findAction(b.Handle(float64(n), &Event{Kind: EventEndpointUpdate, Update: UpdateFailed}, nil), ActionTimer)
 			if again == nil || again.DurationMs > c.most || n > 20 && again.DurationMs < c.most/2 {
-				t.Fatalf("%d agents, asked within %v ms: failure %d is followed by %+v, want %v ms at the most", c.agents, c.within, n+1, again, c.most)
+				t.Fatalf("%d agents, poll interval %v ms: failure %d is followed by %+v, want at most %v ms", c.agents, c.within, n+1, again, c.most)
 			}
 		}
 	}
 }
 
-// Whatever the settings say of the agent's number and of how many there are, it asks within the contract's
-// time, and a negative count is said by its key.
+// Whatever index and number of replicas the settings have, an agent polls within the poll interval; a
+// negative number is rejected by its key.
 func TestFirstPollWithAnyReplicaIndex(t *testing.T) {
 	set := testSettings()
 	set.DiscoveryMode = "on_request"
@@ -64,7 +64,7 @@
 		}
 		a := findAction(b.Start(0, nil), ActionTimer)
 		if a == nil || !(a.DurationMs >= 0 && a.DurationMs <= maxFirstPollSpread*set.Contract.PollIntervalMs) {
-			t.Errorf("agent %d of %d: first call after %+v", x.index, x.replicas, a)
+			t.Errorf("agent %d of %d: first poll after %+v", x.index, x.replicas, a)
 		}
 	}
 	set.Replicas = -1
@@ -74,8 +74,8 @@
 	}
 }
 
-// A ban keeps all attempts away whatever the list says, and its end is the start of a cold server: the list
-// may tell of the restart later, or never.
+// A cordoned server gets no attempts whatever its health in the endpoint list, and returns in slow start:
+// the list may have the restart later, or never.
 func TestCordonedServerReturnsInSlowStart(t *testing.T) {
 	r := newHarness(t, testSettings(), 2)
 	entry := func(banned bool) Endpoint {
@@ -98,17 +98,17 @@
 	r.updateEndpoints(UpdateOtherSource, entry(true))
 	r.updateEndpoints(UpdateComplete, entry(true), Endpoint{Server: addr(1), Health: Ready, Weight: 1})
 	if to := sent(200); to[0] != 0 || to[1] != 200 {
-		t.Errorf("while banned: %v", to)
+		t.Errorf("while cordoned: %v", to)
 	}
 	r.updateEndpoints(UpdateOtherSource, entry(false))
 	s := r.b.byAddr[addr(0)]
 	if s.state != Unknown || r.b.capacity(s) >= 1 || s.limit.Size() != 1 {
-		t.Errorf("after the ban: state %v, ramp %v, window %v: not cold", s.state, r.b.capacity(s), s.limit.Size())
+		t.Errorf("after the cordon: state %v, capacity %v, limit %v: not in slow start", s.state, r.b.capacity(s), s.limit.Size())
 	}
 	if to := sent(400); to[0] == 0 || to[0] >= to[1]/2 {
-		t.Errorf("in the first 4 s after the ban: %v", to)
+		t.Errorf("in the first 4 s after the cordon: %v", to)
 	}
-	// Whatever the list has told of a restart meanwhile.
+	// Whatever start the endpoint list has meanwhile.
 	r.updateEndpoints(UpdateOtherSource, entry(true))
 	r.now += 5000
 	told := entry(true)
@@ -118,6 +118,6 @@
 	told.Cordoned = false
 	r.updateEndpoints(UpdateOtherSource, told)
 	if s.startedAt != r.now || s.state != Unknown {
-		t.Errorf("called back at %v, counted from %v", r.now, s.startedAt)
+		t.Errorf("uncordoned at %v, started at %v", r.now, s.startedAt)
 	}
 }
--- a/policy/evidence_test.go
+++ b/policy/evidence_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The four states by what others saw: demotion on failure, the hold, pending, return by
-// validation, and by lapse where nobody is heard of.
+// The four states by the evidence of others: ejection on failure, the ejection time, validation, and return
+// with time where there is no evidence.
 func TestObserveStates(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	s := addr(1)
@@ -25,18 +25,18 @@
 	r.wantState(s, Connected) // validated
 	r.observe(Evidence{Server: s, Failed: 20, Silent: true})
 	r.wantState(s, Unhealthy)
-	for range 8 { // strikes double the hold: 2 of them by now, at most
+	for range 8 { // consecutive failures double the ejection time: 2 of them by now, at most
 		r.now += 5000
 		r.observe()
 	}
-	r.wantState(s, Unknown) // lapsed
+	r.wantState(s, Unknown) // with time
 	if v := r.view(s); v.ConsecutiveFailures == 0 {
-		t.Error("a lapse takes back no strike: nothing was served")
+		t.Error("a consecutive failure was taken back though nothing was served")
 	}
 	r.wantState(addr(2), Unknown)
 }
 
-// A few failures among many answers put nobody out; a failing server among well ones is.
+// A few failures among many answers eject no server; a failing server among healthy ones is ejected.
 func TestObserveBaselineFailures(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	for range 20 {
@@ -48,23 +48,23 @@
 	r.wantState(addr(1), Unhealthy)
 }
 
-// A server that nobody reached for long and that answers again may be a new process: it
-// is ramped as one, also where the list knows of no start.
+// A server that nobody reached for long and that answers again may be a new process: it is in slow start,
+// also where the endpoint list has no start.
 func TestObserveAssumesRestart(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	r.observe(Evidence{Server: addr(0), Failed: 5, Silent: true})
 	r.now += r.b.settings.Contract.OverloadWindowMs + 1
 	r.observe(Evidence{Server: addr(0), Served: 1})
 	if v := r.view(addr(0)); v.Capacity != r.b.settings.Contract.SlowStartMinCapacity {
-		t.Errorf("ramp %v, want %v", v.Capacity, r.b.settings.Contract.SlowStartMinCapacity)
+		t.Errorf("capacity %v, want %v", v.Capacity, r.b.settings.Contract.SlowStartMinCapacity)
 	}
-	r.now += r.b.settings.Contract.PollIntervalMs + 1 // the list has not borne it out
+	r.now += r.b.settings.Contract.PollIntervalMs + 1 // the endpoint list has not confirmed it
 	if v := r.view(addr(0)); v.Capacity != 1 {
-		t.Errorf("ramp %v, want 1", v.Capacity)
+		t.Errorf("capacity %v, want 1", v.Capacity)
 	}
 }
 
-// What is no number, and names that are not listed, change nothing.
+// Invalid numbers, and servers that are not listed, change nothing.
 func TestObserveInvalidNumbers(t *testing.T) {
 	r := newHarness(t, testSettings(), 2)
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5} {
@@ -78,20 +78,20 @@
 	}
 }
 
-// Where most is turned away a part of what comes is to be refused, and none once it is served.
+// Where most attempts are rejected a part of the requests is to be shed, and none once they are served.
 func TestObserveShedFraction(t *testing.T) {
 	r := newHarness(t, testSettings(), 2)
 	for range 3 {
 		r.observe(Evidence{Server: addr(0), Served: 20, Rejected: 180})
 	}
 	if x := r.b.ShedFraction(); x < 0.5 || x > maxShedFraction {
-		t.Errorf("shed %v of a crowd", x)
+		t.Errorf("shed %v under overload", x)
 	}
-	r.wantState(addr(0), Connected) // crowded is not unhealthy
+	r.wantState(addr(0), Connected) // an overloaded server is not unhealthy
 	for range 10 {
 		r.observe(Evidence{Server: addr(0), Served: 100})
 	}
 	if x := r.b.ShedFraction(); x != 0 {
-		t.Errorf("shed %v of a calm", x)
+		t.Errorf("shed %v after it", x)
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// scheduledEvent is something that happens to an agent.
+// scheduledEvent is an event that an agent will get.
 type scheduledEvent struct {
 	at    float64
 	order int // of what happens at one time
@@ -14,7 +14,7 @@
 	ev    Event
 }
 
-// eventQueue is a heap, the next first.
+// eventQueue is a heap of events, the next first.
 type eventQueue []scheduledEvent
 
 func (d eventQueue) Len() int { return len(d) }
@@ -33,7 +33,7 @@
 	return last
 }
 
-// fleet is many agents in virtual time, in ms. What they do is answered by the test.
+// fleet runs many agents in virtual time, in ms. Their actions are answered by the test.
 type fleet struct {
 	now       float64
 	sequence  int // events so far
@@ -43,7 +43,7 @@
 	onAction func(agent int, a *Action)
 }
 
-// schedule has an event happen to an agent after some time.
+// schedule schedules an event of an agent.
 func (f *fleet) schedule(ms float64, agent int, ev Event) {
 	f.sequence++
 	heap.Push(&f.scheduled, scheduledEvent{f.now + ms, f.sequence, agent, ev})
@@ -59,14 +59,14 @@
 	}
 }
 
-// start starts an agent with a list.
+// start starts an agent that knows the endpoints.
 func (f *fleet) start(agent int, entries []Endpoint) {
 	b := f.agents[agent]
 	f.do(agent, b.Start(f.now, nil))
 	f.do(agent, b.Handle(f.now, &Event{Kind: EventEndpointUpdate, Update: UpdateCached, Endpoints: entries}, nil))
 }
 
-// runUntil lets time pass.
+// runUntil handles the scheduled events up to a time.
 func (f *fleet) runUntil(end float64) {
 	for len(f.scheduled) > 0 && f.scheduled[0].at < end {
 		d := heap.Pop(&f.scheduled).(scheduledEvent)
@@ -99,8 +99,8 @@
 	return entries
 }
 
-// Without a server all requests are refused; one server serves nearly all; where all are cold each still
-// gets some, so that they warm up.
+// Without a server all requests are rejected; one server serves nearly all; where all servers are in slow
+// start each still gets some requests, so that they warm up.
 func TestNoServerOneServerAndAllInSlowStart(t *testing.T) {
 	for name, x := range map[string]struct {
 		servers int
@@ -133,7 +133,7 @@
 		}
 		f.runUntil(f.now + 8000)
 		if served < x.served || served+refused != 200 || len(at) != x.servers {
-			t.Errorf("%s: %d served, %d refused, of 200, at %d of %d servers", name, served, refused, len(at), x.servers)
+			t.Errorf("%s: %d served, %d rejected, of 200, at %d of %d servers", name, served, refused, len(at), x.servers)
 		}
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// harness drives one Balancer by hand.
+// harness drives one Balancer event by event.
 type harness struct {
 	t   *testing.T
 	b   *Balancer
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// mustForward asks once and returns where the request went.
+// mustForward sends one request and returns where it was forwarded.
 func (r *harness) mustForward(class int, key uint64) (RequestID, Addr) {
 	r.t.Helper()
 	id, actions := r.request(class, key)
@@ -87,7 +87,7 @@
 	return id, a.Server
 }
 
-// tick fires the running timer after ms.
+// tick lets ms pass and fires the tick timer.
 func (r *harness) tick(ms float64) []Action {
 	r.now += ms
 	return r.do(Event{Kind: EventTimer, Token: tickTimerToken})
--- a/policy/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -13,25 +13,24 @@
 	r.now += 2 * r.b.ejectionTime(r.b.byAddr[s])
 	_, actions := r.request(0, 7)
 	if p := findAction(actions, ActionHealthCheck); p == nil || p.Server != s {
-		t.Fatalf("no probe of the pending server: %+v", actions)
+		t.Fatalf("no health check of the pending server: %+v", actions)
 	}
 	if a := findAction(actions, ActionForward); a == nil || a.Server == s {
-		t.Error("a request went to a pending server before its probe")
+		t.Error("a request went to a pending server before its health check")
 	}
 	r.do(Event{Kind: EventHealthCheckEnded, Server: s, Status: Timeout, LatencyMs: 100})
 	if r.b.byAddr[s].state != Unhealthy {
-		t.Error("a failed probe did not demote")
+		t.Error("a failed health check did not eject")
 	}
 	r.now += 10 * r.b.ejectionTime(r.b.byAddr[s])
 	r.request(0, 8)
 	r.do(Event{Kind: EventHealthCheckEnded, Server: s, Status: OK, LatencyMs: 5})
 	if r.b.byAddr[s].state != Connected {
-		t.Error("a good probe did not set Connected")
+		t.Error("a passed health check did not set Connected")
 	}
 }
 
-// bogota-turnos big-2: 3.5 probes a request, as a crowded server turns probes away too
-// and each request sent the next.
+// An overloaded server rejects health checks too, and must not get one for each request.
 func TestHealthChecksAreFewerThanRequests(t *testing.T) {
 	set := testSettings()
 	set.Limits.HealthChecks = true
@@ -55,12 +54,11 @@
 		}
 	}
 	if probes == 0 || probes > 30 {
-		t.Errorf("%d probes in 200 requests", probes)
+		t.Errorf("%d health checks in 200 requests", probes)
 	}
 }
 
-// Kyushu's and south's failing servers: what must not run twice would be lost on a
-// server that is only being checked.
+// A request that must not run twice would be lost on a failing server that is only being validated.
 func TestNonIdempotentRequestsDoNotValidateServers(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	bad := r.b.byAddr[addr(0)]
@@ -80,6 +78,6 @@
 		}
 	}
 	if free == 0 || once > 0 {
-		t.Errorf("a pending server was checked by %d free and %d single shot requests; want some and none", free, once)
+		t.Errorf("a pending server was validated by %d idempotent and %d other requests; want some and none", free, once)
 	}
 }
--- a/policy/keyhash_test.go
+++ b/policy/keyhash_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// ia9314f: one key drew a tenth of the traffic and one server got all of it, as no agent
-// had more than one of its requests in flight. Other keys keep to few servers.
+// A key that draws much of the traffic must not go to one server, though no agent has more than one of its
+// requests in flight. Other keys stay on few servers.
 func TestPopularKeyIsSplit(t *testing.T) {
 	r := newHarness(t, testSettings(), 20)
 	r.splitKeys = true
--- a/policy/keyless_test.go
+++ b/policy/keyless_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Requests without a key that come one after the other stay with few servers, so that connections are used again; the
-// agents' servers are others, and each agent's few are as many as it has requests out at once.
+// Requests without a key that come one after the other stay on few servers, so that connections are used
+// again. Each agent uses other servers, as many as it has requests in flight at once.
 func TestKeylessRequestsStayOnFewServers(t *testing.T) {
 	const agents, servers = 8, 64
 	homes := map[Addr]int{}
@@ -36,8 +36,9 @@
 	}
 }
 
-// An agent whose answers take longer, wherever they come from, has fewer requests without a key out, though no server
-// of its own has shown a crowd; once they are quick again it has more. Requests with a key do not wait for that.
+// An agent whose answers take longer from all servers has fewer requests without a key in flight, though
+// none of the servers alone shows an overload, and more again once answers are fast. Requests with a key do
+// not wait for that.
 func TestKeylessLimitFallsUnderOverload(t *testing.T) {
 	r := newHarness(t, testSettings(), 64)
 	type out struct {
@@ -45,7 +46,7 @@
 		to Addr
 	}
 	var outs []out
-	steady := func(answers int, rtt float64) int { // as many as may be are out, up to 40, and are answered in turn
+	steady := func(answers int, rtt float64) int { // as many as permitted are in flight, up to 40, and are answered in order
 		for range answers {
 			for len(outs) < 40 {
 				id, actions := r.request(0, 0)
@@ -64,22 +65,22 @@
 	}
 	calm := steady(200, 30)
 	if calm < 30 {
-		t.Fatalf("%d out while all is calm", calm)
+		t.Fatalf("%d in flight before the overload", calm)
 	}
 	crowded := steady(300, 120)
 	if crowded > calm/2 {
-		t.Errorf("%d out in a crowd, %d before", crowded, calm)
+		t.Errorf("%d in flight under overload, %d before", crowded, calm)
 	}
 	if _, actions := r.request(0, 99); findAction(actions, ActionForward) == nil {
 		t.Error("a request with a key waits")
 	}
 	if again := steady(1000, 30); again < 2*crowded || math.IsInf(r.b.keyless.max, 1) {
-		t.Errorf("%d out when all is calm again, %d in the crowd", again, crowded)
+		t.Errorf("%d in flight after the overload, %d under it", again, crowded)
 	}
 }
 
-// Requests that hang in crowded servers hold the window for requests without a key up to their deadlines. One more is
-// sent each aim all the same, and no more than that: with many agents before few servers as many as these bear.
+// Requests that hang in overloaded servers fill the keyless limit up to their deadlines. One more is sent
+// in each latency objective all the same; with many agents and few servers no more than these bear.
 func TestHangingRequestsLeaveAKeylessTrickle(t *testing.T) {
 	for _, c := range []struct{ agents, servers, least, most int }{{3, 12, 19, 22}, {240, 12, 1, 3}, {294, 164, 19, 22}} {
 		set := testSettings()
@@ -95,22 +96,22 @@
 		r.b.keyless.max = 3
 		for range 3 {
 			if !ask() {
-				t.Fatal("a window of three has no room for three")
+				t.Fatal("a limit of three does not admit three")
 			}
 		}
 		sent, last, longest := 0, r.now, 0.0
-		for range 6000 / 50 { // 20 aims in which nothing is answered
+		for range 6000 / 50 { // 20 latency objectives in which nothing is answered
 			r.now += 50
 			if ask() {
 				sent, last = sent+1, r.now
 			}
 			longest = max(longest, r.now-last)
-			for _, h := range slices.Clone(r.b.queued) { // what waits in vain
+			for _, h := range slices.Clone(r.b.queued) { // those that wait in vain
 				r.do(Event{Kind: EventClientDisconnected, Request: h.id})
 			}
 		}
 		if sent < c.least || sent > c.most {
-			t.Errorf("%d agents, %d servers: %d sent in 20 aims, want %d to %d; none for %.0f ms", c.agents, c.servers, sent, c.least, c.most, longest)
+			t.Errorf("%d agents, %d servers: %d sent in 20 objectives, want %d to %d; none for %.0f ms", c.agents, c.servers, sent, c.least, c.most, longest)
 		}
 	}
 }
--- a/policy/locality_test.go
+++ b/policy/locality_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Crossing zones costs time and a price: of many keys more stay in the own zone
-// than its servers' part, and still most other servers are used.
+// Crossing zones costs time and has a price: more keys stay in the own zone than its servers' part, and
+// still most other servers are used.
 func TestOwnZoneIsPreferredForKeys(t *testing.T) {
 	r := newHarness(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
 	own, used, all := 0, map[Addr]bool{}, 600
@@ -22,8 +22,7 @@
 	}
 }
 
-// nairobi-runner: crossing has a price, but one hall has more traffic than its servers
-// carry. A fixed weight by the price gained on some days and lost on others.
+// Crossing zones has a price, but one zone may have more traffic than its servers can carry.
 func TestLocalityWeightFollowsServiceInTime(t *testing.T) {
 	weight := func(price, rtt float64) float64 {
 		set := testSettings()
@@ -44,7 +43,7 @@
 	}
 	for _, w := range []float64{weight(0.1, 500), weight(0, 20)} {
 		if w != MinLocalityWeight {
-			t.Errorf("own zone late, or crossing free: weight %.1f, want the least", w)
+			t.Errorf("own zone late, or crossing without a price: weight %.1f, want the least", w)
 		}
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -20,18 +20,18 @@
 	if s2 != s {
 		t.Fatalf("key moved from %v to %v without a cause", s, s2)
 	}
-	srv.failureRate = 0.5 // more than happens to any
+	srv.failureRate = 0.5 // an outlier
 	actions := r.endAttempt(id, 0, s, Error, 5)
 	if srv.state != Unhealthy {
 		t.Fatalf("error: state %d, want Unhealthy", srv.state)
 	}
 	if findAction(actions, ActionFetchEndpoints) == nil {
-		t.Error("a demotion did not force a refresh of the list")
+		t.Error("an ejection did not fetch the endpoint list")
 	}
 	if a := findAction(actions, ActionForward); a == nil || a.Server == s {
-		t.Errorf("the free request did not go on to another server: %+v", actions)
+		t.Errorf("the idempotent request was not retried on another server: %+v", actions)
 	}
-	// While it is Unhealthy its key goes elsewhere; after its hold the next
+	// While it is Unhealthy its key goes elsewhere; after the ejection time the next
 	// request makes it pending, and a served answer Connected.
 	if _, s3 := r.mustForward(0, 7); s3 == s {
 		t.Error("an Unhealthy server was chosen before the better tier")
@@ -39,7 +39,7 @@
 	r.now += r.b.ejectionTime(srv) + 1
 	id, s4 := r.mustForward(0, 7)
 	if srv.state != UnhealthyPending || s4 != s {
-		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", srv.state, s4)
+		t.Fatalf("after the ejection time: state %d, sent to %v; want pending and the first request to validate it", srv.state, s4)
 	}
 	r.now += 50
 	r.endAttempt(id, 0, s, OK, 50)
@@ -53,17 +53,17 @@
 	id, s := r.mustForward(1, 7)
 	actions := r.endAttempt(id, 0, s, Rejected, 1)
 	if got := r.b.byAddr[s].state; got == Unhealthy {
-		t.Error("full demoted the server")
+		t.Error("a rejection ejected the server")
 	}
 	if a := findAction(actions, ActionForward); a == nil || a.Server == s {
-		t.Errorf("a request that was turned away did not go elsewhere: %+v", actions)
+		t.Errorf("a rejected request was not retried elsewhere: %+v", actions)
 	}
 }
 
-// Hung servers stay Connected in the source's scheme; silence demotes them.
+// A server that takes attempts and answers nothing is ejected.
 func TestHungServerIsEjected(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
-	for range 200 { // learn what an answer takes
+	for range 200 { // until the answer time is known
 		id, s := r.mustForward(0, uint64(r.b.rng.Int64()))
 		r.now += 10
 		r.endAttempt(id, 0, s, OK, 10)
@@ -74,11 +74,11 @@
 			return
 		}
 	}
-	t.Error("a server that answers nothing for 300 ms was not demoted")
+	t.Error("a server that answers nothing for 300 ms was not ejected")
 }
 
-// South's rough days: a server that failed often rests long while others can take
-// its requests, but is tried again at once while they are full.
+// A server that failed often has a long ejection time while others can take its requests, and none while
+// they are full.
 func TestFailingServerIsValidatedSoonerWhileOthersAreFull(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		r := newHarness(t, testSettings(), 4)
@@ -89,22 +89,20 @@
 			r.b.eject(bad, false)
 		}
 		if full {
-			for range 40 { // more than the other windows hold
+			for range 40 { // more than the limits of the others
 				r.request(0, 0)
 			}
 		}
 		r.now += r.b.minObjectiveMs + 1
 		r.request(0, 0)
 		if tried := bad.state == UnhealthyPending; tried != full {
-			t.Errorf("others full: %v; failing server tried after one aim: %v", full, tried)
+			t.Errorf("others full: %v; failing server validated after one latency objective: %v", full, tried)
 		}
 	}
 }
 
-// A trace of a day on which connections broke and answers came spoilt, one of twelve from
-// any server alike: each put its server out for an aim and more, and a quarter of the
-// requests was refused for want of servers. Such a failure costs no capacity; more of
-// them than happen to others does.
+// Failures that all servers have alike, here one of twelve attempts, cost no capacity: no request may be
+// lost for want of servers. A server that fails more than the others is ejected.
 func TestBaselineFailuresEjectNoServer(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	refused, n := 0, 0
@@ -125,11 +123,11 @@
 		}
 	}
 	if refused > 0 {
-		t.Errorf("%d of 600 refused", refused)
+		t.Errorf("%d of 600 rejected", refused)
 	}
 	for _, s := range r.b.servers {
-		if s.consecutiveFailures > 2 || !r.b.baselineFailure(s) { // chance may put one out now and then
-			t.Errorf("a server that fails as all do has %d strikes", s.consecutiveFailures)
+		if s.consecutiveFailures > 2 || !r.b.baselineFailure(s) { // one may be ejected by chance
+			t.Errorf("a server that fails as all do has %d consecutive failures", s.consecutiveFailures)
 		}
 	}
 	bad := r.b.servers[0]
@@ -140,23 +138,22 @@
 		r.b.eject(bad, false)
 	}
 	if r.b.ejectionTime(bad) < r.b.minObjectiveMs {
-		t.Error("a server that fails each time is not put out")
+		t.Error("a server that fails each time is not ejected")
 	}
 }
 
-// A trace of a day on which some connections fell silent: the one attempt that hung kept
-// its server out until it ended, although it answered all others.
+// One attempt that hangs must not keep a server ejected that answers the others.
 func TestOneHangingAttemptDoesNotPreventValidation(t *testing.T) {
 	r := newHarness(t, testSettings(), 1)
 	srv := r.b.byAddr[addr(0)]
 	hangs, s := r.mustForward(0, 7)
-	id, _ := r.mustForward(1, 7) // which does not go again
+	id, _ := r.mustForward(1, 7) // which is not retried
 	r.endAttempt(id, 0, s, Error, 5)
 	if srv.state != Unhealthy || r.b.requests[hangs] == nil {
 		t.Fatalf("state %d", srv.state)
 	}
 	r.now += 5
 	if _, to := r.mustForward(0, 7); to != s || srv.state != UnhealthyPending {
-		t.Errorf("not used again while an attempt hangs: state %d", srv.state)
+		t.Errorf("not used while an attempt hangs: state %d", srv.state)
 	}
 }
--- a/policy/overload_simulation_test.go
+++ b/policy/overload_simulation_test.go
@@ -6,38 +6,38 @@
 	"testing"
 )
 
-// overloadScenario is a day of overload in virtual time: agents that don't talk, servers of few places that turn away what
-// finds none, and clients that come back at once, whatever they are told.
+// overloadScenario is a time of overload in virtual time: agents that do not communicate, servers with few
+// places that reject what finds none, and clients that retry at once, whatever Retry-After says.
 type overloadScenario struct {
 	agents, servers int
 	slots, queue    int     // of each server: requests in work, and waiting
-	workMs          float64 // mean, exponential
-	load            float64 // asked for, as a part of what the servers can do
+	workMs          float64 // mean; exponential
+	load            float64 // as a part of what the servers can do
 	weights         []float64
-	tenantLoads     []float64 // tenants' parts of the load; all of it where nil
-	clientRetries   int       // how often a client comes back
+	tenantLoads     []float64 // tenants' parts of the load; their quotas where nil
+	clientRetries   int       // retries of a client
 	seconds         float64
 	keys            int
-	hotKeyPart      float64                                            // part of all traffic that one key draws
+	hotKeyPart      float64                                            // part of the traffic of one key
 	oneBusyAgent    bool                                               // one agent has nine tenths of the traffic
-	surge           func(at float64) float64                           // times the load, at a part of the day
+	surge           func(at float64) float64                           // factor of the load, at a part of the time
 	speed           func(server int, at float64) float64               // of a server
 	report          func(server int, util, inflight float64) []float32 // nil: both, as they are
-	slowStarting    int                                                // servers that start with the day
+	slowStarting    int                                                // servers that are in slow start at first
 	seed            uint64
 }
 
-// overloadResult are what became of it, each a part.
+// overloadResult is what became of the requests, in parts of all.
 type overloadResult struct {
-	served             float64    // first tries answered within the aim
+	served             float64    // part of the first attempts answered within the objective
 	tenants            []float64  // the same by tenant
-	classes            [2]float64 // and by class, the second of which is worth five times the first
-	rejected           float64    // attempts turned away
+	classes            [2]float64 // by class; the second has five times the priority
+	rejected           float64    // attempts rejected by servers
 	busy               float64    // of the servers' time, from the first second on
-	second             []float64  // served, by the second in which the first try came
-	slowestRejectionMs float64    // answer to a refusal, ms
-	slowStartOverload  float64    // most that a cold server was sent in a second, in parts of what it can do in it
-	attemptsPerRequest float64    // attempts for each first try
+	second             []float64  // served, by the second in which the first attempt arrived
+	slowestRejectionMs float64    // longest time until a rejection, ms
+	slowStartOverload  float64    // most that a server in slow start was sent in a second, in parts of what it can do
+	attemptsPerRequest float64    // by the requests, without retries of the client
 }
 
 type overloadServer struct {
@@ -46,7 +46,7 @@
 	work              float64
 	util              float64
 	since             float64
-	slowStartArrivals []float64 // when the cold one was sent something
+	slowStartArrivals []float64 // when an attempt arrived in slow start
 }
 
 type overloadRequest struct {
@@ -76,7 +76,7 @@
 		set.Tenants = append(set.Tenants, Tenant{QuotaWeight: w})
 	}
 	if c.weights == nil {
-		c.weights = []float64{1} // all requests are of one that the settings don't know
+		c.weights = []float64{1} // all requests are of a tenant that the settings do not have
 	}
 	if c.tenantLoads == nil {
 		c.tenantLoads = c.weights
@@ -153,7 +153,7 @@
 				}
 			}
 			s.ends = s.ends[:in]
-			if dt := f.now - s.since; dt > 500 { // the report is made anew twice a second
+			if dt := f.now - s.since; dt > 500 { // the report is updated twice a second
 				s.util, s.work, s.since = min(s.work/(dt*float64(c.slots)), 1), 0, f.now
 			}
 			if in >= c.slots+c.queue {
@@ -183,7 +183,7 @@
 			}
 			f.schedule(ev.LatencyMs, agent, ev)
 			tr2 := tr
-			// The answer ends the request when it comes; nobody else can end it then.
+			// The answer finishes the request when it arrives.
 			f.schedule(ev.LatencyMs, agent, Event{Kind: EventClientDisconnected, Request: a.Request})
 			if f.now+ev.LatencyMs <= tr2.first+overloadObjectiveMs && !tr2.ended {
 				fig.served++
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// Under overload servers are kept busy without turning much away, whoever has the traffic.
+// Under overload servers are kept busy with few rejections, whichever agent has the traffic.
 func TestOverloadKeepsServersBusy(t *testing.T) {
 	t.Parallel() // virtual time alone
 	for name, change := range map[string]func(*overloadScenario){
-		"as usual":                   func(*overloadScenario) {},
+		"default":                    func(*overloadScenario) {},
 		"one agent with the traffic": func(c *overloadScenario) { c.oneBusyAgent = true },
 		"a key with a fifth of it":   func(c *overloadScenario) { c.hotKeyPart = 0.21 },
 		"four in step": func(c *overloadScenario) {
@@ -21,22 +21,22 @@
 		c := defaultOverload(1)
 		change(&c)
 		f := c.run(t)
-		t.Logf("%s: served %.3f, turned away %.3f, busy %.3f, %.2f attempts a request, longest refusal %.0f ms", name, f.served, f.rejected,
+		t.Logf("%s: served %.3f, rejected %.3f, busy %.3f, %.2f attempts a request, slowest rejection %.0f ms", name, f.served, f.rejected,
 			f.busy, f.attemptsPerRequest, f.slowestRejectionMs)
 		most := 0.25
-		if c.agents > 8 { // each sees a server once a second: no window can follow it
+		if c.agents > 8 { // each sees a server once a second: no limit can follow it
 			most = 0.55
 		}
 		if f.busy < 0.9 || f.rejected > most || f.served < 0.6 {
-			t.Errorf("%s: servers busy for %.2f, %.2f turned away, %.2f served", name, f.busy, f.rejected, f.served)
+			t.Errorf("%s: servers busy for %.2f, %.2f rejected, %.2f served", name, f.busy, f.rejected, f.served)
 		}
 		if f.slowestRejectionMs > 0.5*4*overloadObjectiveMs {
-			t.Errorf("%s: a refusal took %.0f ms: held back until the client's time ran out", name, f.slowestRejectionMs)
+			t.Errorf("%s: a rejection took %.0f ms: held back until the client's time ran out", name, f.slowestRejectionMs)
 		}
 	}
 }
 
-// Others are served as without the greedy tenant, at 2, 5 and 20 times its portion.
+// Other tenants are served as without the greedy one, at 2, 5 and 20 times its quota.
 func TestOverloadGreedyTenant(t *testing.T) {
 	t.Parallel() // virtual time alone
 	weights := []float64{0.44, 0.32, 0.13, 0.11}
@@ -49,16 +49,16 @@
 		t.Logf("%v times: served %.3f of all, by tenant %.3f", times, f.served, f.tenants)
 		for i, s := range f.tenants[:3] {
 			if s < 0.96 {
-				t.Errorf("at %v times its portion of another tenant %d is served %.3f", times, i, s)
+				t.Errorf("at %v times the quota of another tenant %d is served %.3f", times, i, s)
 			}
 		}
 		if own := f.tenants[3] * times; own < 0.96 {
-			t.Errorf("at %v times its portion a tenant is served %.3f of it", times, own)
+			t.Errorf("at %v times its quota a tenant is served %.3f of it", times, own)
 		}
 	}
 }
 
-// After a surge the fleet comes back by itself, though clients come back at once.
+// After a surge the fleet recovers by itself, though clients retry at once.
 func TestFleetRecoversAfterASurge(t *testing.T) {
 	t.Parallel() // virtual time alone
 	for seed := range uint64(3) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// Reports that are absent, frozen or lies cost little: what turns away and how long answers take is seen anyhow.
+// Reports that are absent, old or wrong cost little: rejections and answer times are seen anyhow.
 func TestOverloadWithWrongReports(t *testing.T) {
 	t.Parallel() // virtual time alone
 	truth := defaultOverload(4).run(t)
@@ -109,7 +109,7 @@
 	}
 }
 
-// Machines that lose most of their speed for a time, on and off, or for long.
+// Machines lose most of their speed for a time, again and again, or for long.
 func TestOverloadOfSlowedMachines(t *testing.T) {
 	for name, speed := range map[string]func(int, float64) float64{
 		"a quarter at a fifth, then back": func(i int, at float64) float64 {
@@ -135,7 +135,7 @@
 	}
 }
 
-// A cold server beside overloaded ones is not pushed over by all agents together.
+// A server in slow start beside overloaded ones is not overloaded by all agents together.
 func TestOverloadBesideAServerInSlowStart(t *testing.T) {
 	for _, agents := range []int{4, 40} {
 		c := defaultOverload(6)
@@ -143,20 +143,20 @@
 		f := c.run(t)
 		t.Logf("%d agents: at most %.2f times what it could do in a second", agents, f.slowStartOverload)
 		if f.slowStartOverload > testSettings().Contract.OverloadFactor {
-			t.Errorf("%d agents sent a cold server %.2f times what it could do", agents, f.slowStartOverload)
+			t.Errorf("%d agents sent a server in slow start %.2f times what it could do", agents, f.slowStartOverload)
 		}
 	}
 }
 
-// Of many agents with few requests none has a queue to choose from, and no window can follow a server: what is shed
-// there is what is worth least, not anybody.
+// Of many agents with few requests none has a queue to choose from, and no limit can follow a server: what
+// is shed there are the requests of the lowest priority.
 func TestLowestPriorityIsShed(t *testing.T) {
 	c := defaultOverload(7)
 	c.seconds = 20
 	c.agents, c.servers, c.slots, c.queue, c.load = 80, 16, 1, 20, 1.5
 	f := c.run(t)
-	t.Logf("served %.3f of what is worth 1, %.3f of what is worth 5, %.3f of all", f.classes[0], f.classes[1], f.served)
+	t.Logf("served %.3f of priority 1, %.3f of priority 5, %.3f of all", f.classes[0], f.classes[1], f.served)
 	if f.classes[1] < 0.6 || f.classes[1] < f.classes[0]+0.3 {
-		t.Errorf("served %.3f of what is worth 1 and %.3f of what is worth 5", f.classes[0], f.classes[1])
+		t.Errorf("served %.3f of priority 1 and %.3f of priority 5", f.classes[0], f.classes[1])
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// randomRun plays random clients, servers and lists against one Balancer and
-// checks the rules from outside, on the actions alone.
+// randomRun plays random clients, servers and endpoint updates against one Balancer and checks the
+// invariants on its actions alone.
 type randomRun struct {
 	t             *testing.T
 	rng           *rand.Rand
@@ -20,9 +20,9 @@
 	requests      map[RequestID]*randomRequest
 	timers        []randomTimer
 	endpoints     map[Addr]Endpoint
-	drainingSince map[Addr]float64 // told that it drains or is gone
+	drainingSince map[Addr]float64 // notified that it is draining or removed
 	history       []Action
-	// extraTicks: where nothing is held and no server is silent, it ticks at each step though not asked to.
+	// extraTicks adds a tick to each step while nothing is queued and no server is silent.
 	extraTicks bool
 	ticks      int
 }
@@ -92,18 +92,18 @@
 			}
 			c := w.set.Classes[r.class]
 			if a.Kind == ActionReject && r.mayHaveRun() && (c.Effect == NonIdempotent || c.Effect == IdempotentByKey && c.DedupScope != ScopeAll) {
-				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Effect)
+				w.t.Fatalf("request %d of effect %s rejected though it may have run", a.Request, c.Effect)
 			}
 		case ActionCancel:
 			if !w.set.Limits.Cancelling {
-				w.t.Fatal("cancelled where it is not allowed")
+				w.t.Fatal("cancelled where it is not permitted")
 			}
 			if try := r.attempts[a.Attempt]; !try.ended {
 				try.status, try.endsAt = Cancelled, w.now+5
 			}
 		case ActionHealthCheck:
 			if !w.set.Limits.HealthChecks {
-				w.t.Fatal("probed where it is not allowed")
+				w.t.Fatal("health check where it is not permitted")
 			}
 		case ActionTimer:
 			w.timers = append(w.timers, randomTimer{w.now + a.DurationMs, a.Token})
@@ -124,11 +124,11 @@
 		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.attempts)+1, w.set.Limits.MaxAttempts)
 	}
 	if since, bad := w.drainingSince[a.Server]; bad && w.now-since > w.set.Contract.DrainGraceMs {
-		w.t.Fatalf("sent to %v %.0f ms after it was told to drain", a.Server, w.now-since)
+		w.t.Fatalf("sent to %v %.0f ms after it was draining", a.Server, w.now-since)
 	}
 	for _, t := range r.attempts {
 		if !t.ended && !w.set.Limits.HedgedRequests {
-			w.t.Fatalf("request %d: two attempts out at once", a.Request)
+			w.t.Fatalf("request %d: two attempts in flight at once", a.Request)
 		}
 		if t.ended && t.status.NeverRan() {
 			continue
@@ -136,11 +136,11 @@
 		x, y := w.endpoints[t.server], w.endpoints[a.Server]
 		switch {
 		case c.Effect == NonIdempotent:
-			w.t.Fatalf("request %d sent again though it may have run", a.Request)
+			w.t.Fatalf("request %d retried though it may have run", a.Request)
 		case c.Effect == IdempotentByKey && w.now-t.sentAt > c.IdempotencyWindowMs:
-			w.t.Fatalf("request %d sent again %.0f ms after it may have run", a.Request, w.now-t.sentAt)
+			w.t.Fatalf("request %d retried %.0f ms after it may have run", a.Request, w.now-t.sentAt)
 		case c.Effect == IdempotentByKey && (c.DedupScope == ScopeZone && x.Zone != y.Zone || c.DedupScope == ScopeCell && x.Cell != y.Cell):
-			w.t.Fatalf("request %d sent again outside its group", a.Request)
+			w.t.Fatalf("request %d retried outside its scope", a.Request)
 		}
 	}
 }
@@ -176,7 +176,7 @@
 			}
 			t.ended = true
 			if t.status == OK {
-				r.final++ // a second copy's answer changes nothing
+				r.final++ // the answer of a hedged request changes nothing
 				r.final = min(r.final, 1)
 			}
 			w.handle(Event{Kind: EventAttemptEnded, Request: id, Attempt: i, Server: t.server, Status: t.status,
@@ -215,7 +215,7 @@
 		endpoints: map[Addr]Endpoint{}, drainingSince: map[Addr]float64{}}
 }
 
-// play lets a request come in one of so many steps.
+// play runs the steps; in one of so many steps a request arrives.
 func (w *randomRun) play(seed uint64, steps int) []Action {
 	t, rng := w.t, w.rng
 	var err error
@@ -244,7 +244,7 @@
 				r.final = 1
 				w.handle(Event{Kind: EventClientDisconnected, Request: w.next})
 			}
-		case 2: // what is unknown or over is ignored
+		case 2: // events about what is unknown or finished are ignored
 			w.handle(Event{Kind: EventAttemptEnded, Request: 1 << 30, Server: addr(1), Status: OK})
 			w.handle(Event{Kind: EventClientDisconnected, Request: 1 << 30})
 			w.handle(Event{Kind: EventTimer, Token: 99})
@@ -252,15 +252,15 @@
 		}
 	}
 	if n := len(w.b.requests); n != 0 || len(w.b.queued) != 0 || w.b.inflight != 0 {
-		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.queued), w.b.inflight)
+		t.Errorf("seed %d: %d requests, %d queued, %d in flight left at the end", seed, n, len(w.b.queued), w.b.inflight)
 	}
 	for _, s := range w.b.servers {
 		if len(s.inflight) != 0 {
-			t.Errorf("seed %d: server %v keeps %d attempts", seed, s.addr, len(s.inflight))
+			t.Errorf("seed %d: server %v has %d attempts left", seed, s.addr, len(s.inflight))
 		}
 	}
 	if len(w.b.unserved) > maxQueued {
-		t.Errorf("seed %d: %d past requests remembered", seed, len(w.b.unserved))
+		t.Errorf("seed %d: %d unserved requests remembered", seed, len(w.b.unserved))
 	}
 	return w.history
 }
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -11,21 +11,21 @@
 	for range 130 {
 		if a := findAction(actions, ActionReject); a != nil {
 			if a.Request != id {
-				t.Fatalf("refused %d, want %d", a.Request, id)
+				t.Fatalf("rejected %d, want %d", a.Request, id)
 			}
 			return
 		}
 		actions = r.tick(10)
 	}
-	t.Error("a request with an empty list was never answered")
+	t.Error("a request without servers was never answered")
 }
 
-// A request of which nothing was sent is refused before half of its time is gone: from
-// then on the client counts the wait as worse. One that reached a server may go on.
+// A request that was never sent is rejected before half of its time is over: from then on the client counts
+// the wait as worse. One that reached a server may wait longer.
 func TestUnsentRequestEndsBeforeHalfOfItsTime(t *testing.T) {
 	for _, reached := range []bool{false, true} {
 		set := testSettings()
-		set.Classes[0].LateCredit, set.Classes[0].LatencyObjectiveMs = 0.5, 1000 // so that patience ends later
+		set.Classes[0].LateCredit, set.Classes[0].LatencyObjectiveMs = 0.5, 1000 // so that the queue timeout is later
 		r := newHarness(t, set, 1)
 		srv := r.b.byAddr[addr(0)]
 		srv.limit.Reset(1)
@@ -33,7 +33,7 @@
 			id, s := r.mustForward(0, 7)
 			r.endAttempt(id, 0, s, Rejected, 1)
 		}
-		srv.usable = false // no room for anyone
+		srv.usable = false // no capacity at all
 		id, actions := r.request(0, 7)
 		if findAction(actions, ActionForward) != nil {
 			t.Fatal("sent to a server that is not usable")
@@ -55,8 +55,8 @@
 	}
 }
 
-// A queue that was empty while the module rested has not stood, also where what joins it is a request whose attempt was
-// turned away: it waits as long as in a burst.
+// A queue that was empty while no event came is not standing when a request joins it, even one whose
+// attempt was rejected: it may wait as long as in a burst.
 func TestQueueIsNotStandingAfterAnIdleTime(t *testing.T) {
 	set := testSettings()
 	set.Classes[1] = Class{Name: "slow", LatencyObjectiveMs: 1200, ClientTimeoutMs: 5000, Effect: Idempotent, PriorityWeight: 1}
@@ -73,21 +73,21 @@
 	r.updateEndpoints(UpdateDelta, Endpoint{Server: other, Health: Ready, Weight: 1, Cordoned: true}) // the attempt has nowhere else to go
 	r.b.fleet.baselineLatency = 0.05
 	for range 5000 {
-		r.b.queueTimeout.RequestEnded(false) // nearly all is refused: a queue that stands has the short wait, 180 ms
+		r.b.queueTimeout.RequestEnded(false) // nearly all are rejected: a standing queue has the short timeout, 180 ms
 	}
-	r.now += 400 // over the least aim, by which a queue counts as standing
+	r.now += 400 // over the least objective, by which a queue counts as standing
 	if findAction(r.endAttempt(id, 0, s, Rejected, 400), ActionReject) != nil || len(r.b.queued) != 1 {
-		t.Fatalf("%d held behind a turn-away", len(r.b.queued))
+		t.Fatalf("%d queued after a rejection", len(r.b.queued))
 	}
 	if findAction(r.tick(10), ActionReject) != nil {
-		t.Error("given up after 410 ms, as if the queue had stood since the last event")
+		t.Error("rejected after 410 ms, as if the queue had been standing since the last event")
 	}
 	if findAction(r.tick(80), ActionReject) == nil {
-		t.Error("still held after 490 ms, 480 at the most wanted")
+		t.Error("still queued after 490 ms, want at most 480")
 	}
 }
 
-// Of two requests of like worth the one whose key was lately sent comes first.
+// Of two requests with equal priority the one whose key was sent lately comes first.
 func TestRecentKeysAreSentFirst(t *testing.T) {
 	set := testSettings()
 	set.FamilyInfo.WarmKeys, set.Objective.Total = true, 1
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The client's retry of a hopeless request is judged by the client's time.
+// The latency objective of a client's retry runs from its first attempt.
 func TestRetryKeepsTheObjectiveOfItsFirstAttempt(t *testing.T) {
 	r := newHarness(t, testSettings(), 1)
 	id, s := r.mustForward(0, 5)
@@ -15,11 +15,11 @@
 	r.id++
 	r.do(Event{Kind: EventRequest, Request: r.id, Class: 0, Key: 5, RemainingMs: 600, Retry: true})
 	if q := r.b.requests[r.id]; q == nil || q.objectiveAt-r.now > 101 {
-		t.Error("a retry was given the whole aim again")
+		t.Error("a retry was given the complete latency objective again")
 	}
 }
 
-// A started stream belongs to the client: nothing more is sent or answered for it.
+// A response that has started belongs to the client: nothing more is sent or answered for its request.
 func TestStartedResponseIsNeitherRetriedNorAnswered(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Streamed = true
@@ -40,8 +40,8 @@
 	}
 }
 
-// While a stream's body still comes its attempt takes no place on its server, and no silence is blamed on that;
-// its time runs from its last byte on.
+// While a streamed body still arrives its attempt is no load of its server, and the server's silence no
+// failure; the time of the request runs from the last byte.
 func TestStreamedBodyIsNoLoadUntilItIsSent(t *testing.T) {
 	r := newHarness(t, testSettings(), 1)
 	r.id++
@@ -51,39 +51,39 @@
 		t.Fatal("not sent")
 	}
 	s := r.b.byAddr[addr(0)]
-	for range 100 { // 10 s, with others on the server
+	for range 100 { // 10 s, with other requests on the server
 		r.now += 100
 		r.do(Event{Kind: EventTimer, Token: tickTimerToken})
 		other, out := r.request(1, 0)
 		if findAction(out, ActionForward) == nil {
-			t.Fatal("the server is taken")
+			t.Fatal("the server has no capacity")
 		}
 		r.endAttempt(other, 0, addr(0), OK, 20)
 	}
 	if s.state != Connected || len(s.inflight) != 0 || r.b.inflight != 0 {
-		t.Errorf("state %v, %d out, %d in flight", s.state, len(s.inflight), r.b.inflight)
+		t.Errorf("state %v, %d, %d in flight", s.state, len(s.inflight), r.b.inflight)
 	}
 	r.do(Event{Kind: EventBodyWritten, Request: id, Attempt: 0, RemainingMs: 600})
 	q := r.b.requests[id]
 	if len(s.inflight) != 1 || r.b.inflight != 1 || q.deadline < r.now+590 || q.deadline > r.now+600 || q.objectiveAt != r.now+300 {
-		t.Errorf("written: %d out, deadline in %v, aim in %v", len(s.inflight), q.deadline-r.now, q.objectiveAt-r.now)
+		t.Errorf("written: %d in flight, deadline in %v, objective in %v", len(s.inflight), q.deadline-r.now, q.objectiveAt-r.now)
 	}
-	r.do(Event{Kind: EventBodyWritten, Request: id, Attempt: 0, RemainingMs: 600}) // told twice
+	r.do(Event{Kind: EventBodyWritten, Request: id, Attempt: 0, RemainingMs: 600}) // a second time
 	r.endAttempt(id, 0, addr(0), OK, 20)
 	if len(s.inflight) != 0 || r.b.inflight != 0 || len(r.b.requests) != 0 {
-		t.Errorf("in the end %d out, %d in flight, %d requests", len(s.inflight), r.b.inflight, len(r.b.requests))
+		t.Errorf("in the end %d, %d in flight, %d requests", len(s.inflight), r.b.inflight, len(r.b.requests))
 	}
-	// One that ends before it is written takes nothing back that it never took.
+	// One that ends before its body is written is not taken off the load.
 	r.id++
 	id = r.id
 	r.do(Event{Kind: EventRequest, Request: id, Class: 1, RemainingMs: 600, StreamedBody: true})
 	r.do(Event{Kind: EventAttemptEnded, Request: id, Attempt: 0, Server: addr(0), Status: NotStarted, Final: true})
 	if len(s.inflight) != 0 || r.b.inflight != 0 || len(r.b.requests) != 0 {
-		t.Errorf("withdrawn: %d out, %d in flight, %d requests", len(s.inflight), r.b.inflight, len(r.b.requests))
+		t.Errorf("not started: %d, %d in flight, %d requests", len(s.inflight), r.b.inflight, len(r.b.requests))
 	}
 }
 
-// Numbers that are none reach no decision: every request is still sent and ended.
+// Invalid numbers reach no decision: every request is still sent and answered.
 func TestInvalidNumbersReachNoDecision(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, math.MaxFloat64} {
 		r := newHarness(t, testSettings(), 3)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -26,16 +26,16 @@
 	actions := r.endAttempt(id, 0, s, Error, 20)
 	a := findAction(actions, ActionForward)
 	if a == nil || r.b.byAddr[a.Server].cell != r.b.byAddr[s].cell {
-		t.Fatalf("a guarded repeat did not stay in its cell: %+v", actions)
+		t.Fatalf("a retry with an idempotency key did not stay in its cell: %+v", actions)
 	}
-	r.now += 496 // just inside the 500 ms less the margin
+	r.now += 496 // just within the window of 500 ms less the margin
 	actions = r.endAttempt(id, 1, a.Server, Error, 20)
 	if findAction(actions, ActionForward) != nil || findAction(actions, ActionFail) == nil && len(r.b.queued) == 0 {
-		t.Errorf("a guarded repeat went out after its time: %+v", actions)
+		t.Errorf("a retry with an idempotency key was sent after its window: %+v", actions)
 	}
 }
 
-// ia9314f, ifa9784: where nothing is served, further attempts only multiply the load.
+// Where nothing is served retries would only multiply the load.
 func TestRetriesAreEarnedByServedRequests(t *testing.T) {
 	for _, served := range []bool{true, false} {
 		r := newHarness(t, testSettings(), 8)
@@ -57,13 +57,12 @@
 			}
 		}
 		if served && further < 15 || !served && further > int(maxRetryTokens) {
-			t.Errorf("four of five served: %v; %d further attempts", served, further)
+			t.Errorf("four of five served: %v; %d retries", served, further)
 		}
 	}
 }
 
-// A refusal tells the client that trying again is harmless: past the window in which
-// repeats are dropped it is not.
+// A rejection tells the client that a retry is harmless: after the idempotency window it is not.
 func TestIdempotencyKeyRequestIsRejectedOnlyWithinItsWindow(t *testing.T) {
 	for _, c := range []struct {
 		after float64
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -15,15 +15,15 @@
 	}
 }
 
-// i8d4be0, ifafc7b: held requests that wait for their key's servers must not
-// keep others from servers that have room.
+// Queued requests that wait for the servers nearest their key must not keep others from servers with
+// capacity.
 func TestRequestsWaitingForAKeyBlockNoOthers(t *testing.T) {
 	r := newHarness(t, testSettings(), 6)
 	for range 30 {
-		r.request(0, 42) // one key: fills its two servers, the rest are held
+		r.request(0, 42) // one key: fills its two servers, the rest are queued
 	}
 	if len(r.b.queued) == 0 {
-		t.Fatal("nothing is held; the test does not test what it says")
+		t.Fatal("nothing is queued; the test does not test what it says")
 	}
 	free := 0
 	for key := uint64(100); key < 140; key++ {
@@ -32,22 +32,22 @@
 		}
 	}
 	if free == 0 {
-		t.Error("requests for idle servers were held behind a crowded key")
+		t.Error("requests for idle servers were queued behind a popular key")
 	}
 }
 
-// Where attempts are turned away there is little room behind a server: of a burst for one key less goes to
-// its nearest than where none are, and the cap comes back when they have ended.
+// While attempts are rejected servers have little capacity left: of a burst for one key fewer requests go
+// to one server than otherwise, and as many as before when the rejections have ended.
 func TestBoundedLoadFallsWithRejections(t *testing.T) {
 	burst := func(r *harness) int {
 		r.now += 1000
-		r.b.goodput.ended, r.b.goodput.earned = 10, 10 // nothing is to be shed
+		r.b.goodput.ended, r.b.goodput.earned = 10, 10 // nothing is shed
 		n := map[Addr]int{}
 		var ids []RequestID
 		var at []Addr
 		for range 12 {
 			for _, s := range r.b.servers {
-				s.limit.Reset(100) // the cap alone is to bound it
+				s.limit.Reset(100) // only the bounded load is to limit it
 			}
 			id, actions := r.request(0, 7)
 			if a := findAction(actions, ActionForward); a != nil {
@@ -66,7 +66,7 @@
 	}
 	r := newHarness(t, testSettings(), 6)
 	calm := burst(r)
-	for range 300 { // half of the attempts are turned away, as each goes again
+	for range 300 { // half of the attempts are rejected, as each is retried
 		r.now += 10
 		id, actions := r.request(0, r.b.rng.Uint64())
 		for n, st := range []Status{Rejected, OK} {
@@ -86,19 +86,19 @@
 		r.do(Event{Kind: EventClientDisconnected, Request: id})
 	}
 	if again := burst(r); turned >= calm || again < calm {
-		t.Errorf("at one server at most %d of 12 when calm, %d while attempts are turned away, %d after", calm, turned, again)
+		t.Errorf("at one server at most %d of 12 before, %d while attempts are rejected, %d after", calm, turned, again)
 	}
 }
 
-// Before a request is given up any server with idle cores may have it, though its key is at home elsewhere; one
-// that says that it is busy may not.
+// Before a request is rejected any idle server may have it, though its key is nearer to others; one that
+// reports that it is busy may not.
 func TestIdleServerTakesRequestsOfFullServers(t *testing.T) {
 	for _, util := range []float32{0.3, 0.99} {
 		set := testSettings()
 		set.Report.Names = []string{"util"}
 		r := newHarness(t, set, 6)
 		_, home := r.mustForward(0, 7)
-		r.b.byAddr[home].limit.Reset(1) // the two nearest have no room
+		r.b.byAddr[home].limit.Reset(1) // the two nearest have no capacity
 		r.mustForward(0, 7)
 		for _, s := range r.b.servers {
 			s.loadReport.Update(r.now, r.b.reportFields, []float32{util})
@@ -108,7 +108,7 @@
 		}
 		id, actions := r.request(0, 7)
 		if findAction(actions, ActionForward) != nil {
-			t.Fatal("the rig is off: there was room")
+			t.Fatal("the setup is wrong: there was capacity")
 		}
 		var to *Action
 		ended := false
@@ -119,14 +119,14 @@
 				}
 				ended = ended || a.Request == id && a.Kind == ActionReject
 			}
-			r.b.queueTimeout.QueueLength(r.now-1e6, 0) // the queue has stood for long
+			r.b.queueTimeout.QueueLength(r.now-1e6, 0) // the queue is standing
 			for range 3000 {
 				r.b.queueTimeout.RequestEnded(false)
 			}
 			r.b.fleet.baselineLatency = 0.02
 		}
 		if util < 0.9 && to == nil {
-			t.Error("given up beside idle servers")
+			t.Error("rejected beside idle servers")
 		}
 		if util > 0.9 && to != nil {
 			t.Error("moved its key to a server that says it is busy")
@@ -148,7 +148,7 @@
 	for key := range uint64(20) {
 		id, s := r.mustForward(0, key+1)
 		if s == addr(1) {
-			t.Fatal("sent to a server that left the list")
+			t.Fatal("sent to a server that was removed")
 		}
 		r.endAttempt(id, 0, s, OK, 20)
 	}
--- a/policy/slowdown_simulation_test.go
+++ b/policy/slowdown_simulation_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// slowdownSimulation is agents before servers that slow down while they are crowded, in virtual time (ms): each shares its cores among
-// what it holds, works on for who has left, and once it has held too much for too long is slower until it has been nearly
-// empty for a time. Some agents see many times what others do, and requests have no key.
+// slowdownSimulation is agents and servers that slow down under overload, in virtual time (ms): each server
+// shares its cores among its jobs, works on for clients that have disconnected, and once it has had too
+// many jobs for too long is slower until it has been nearly empty for a time. Some agents see many times
+// what others do, and requests have no key.
 type slowdownSimulation struct {
 	*fleet
 	rng       *rand.Rand
@@ -22,13 +23,14 @@
 	inTime    int
 }
 
-// clientAttempt is one of a client's up to three tries.
+// clientAttempt is one of a client's up to three attempts.
 type clientAttempt struct {
 	class, nth      int
 	first, deadline float64
 }
 
-// rejectionSpell is what an agent turned away since its last attempt, and the longest time in which it turned away 15 and more.
+// rejectionSpell is what an agent rejected since it last sent an attempt, and the longest time in which it
+// rejected 15 and more.
 type rejectionSpell struct {
 	since     float64
 	rejected  int
@@ -45,10 +47,10 @@
 	addr            Addr
 	speed           float64
 	jobs            []*slowingJob
-	idleConnections map[int]int // idle connections of each agent
-	calmAt          float64     // when it last held little enough, or was last crowded for too long
-	loadedAt        float64     // when it last held more than what it rests with
-	slowSince       float64     // when it became slow; 0: it is not
+	idleConnections map[int]int // of each agent
+	calmAt          float64     // when it last had few jobs, or last recovered
+	loadedAt        float64     // when it last had more than slowRecoveryJobs
+	slowSince       float64     // 0: it is not slow
 	connections     int
 }
 
@@ -188,7 +190,7 @@
 	}
 }
 
-// load has requests come for a time, at part of what all servers can do.
+// load has requests arrive for a time, at part of what all servers can do.
 func (y *slowdownSimulation) load(ms, part float64) {
 	perMs, all := 0.0, 0.0
 	for _, s := range y.servers {
@@ -218,8 +220,8 @@
 	}
 }
 
-// In a burst that slows servers down, and after it, at most one agent in ten turns away all that it gets, 15 and more, for
-// 4 s on end with no attempt in between (Bergen calm+mass: 198 of 294).
+// In a burst that slows servers down, and after it, at most one agent in ten rejects all of its requests,
+// 15 and more, for 4 s without an attempt in between.
 func TestFewAgentsRejectEverythingUnderOverload(t *testing.T) {
 	t.Parallel() // virtual time alone
 	for seed := range uint64(2) {
@@ -239,12 +241,12 @@
 				shut++
 			}
 		}
-		t.Logf("seed %d: %d of %d servers slowed down; %.3f served; %d of %d agents shut", seed, slow, len(y.servers), float64(y.inTime)/float64(y.requests), shut, len(y.agents))
+		t.Logf("seed %d: %d of %d servers slowed down; %.3f served; %d of %d agents rejected everything", seed, slow, len(y.servers), float64(y.inTime)/float64(y.requests), shut, len(y.agents))
 		if slow < len(y.servers)/4 {
-			t.Errorf("seed %d: %d of %d servers slowed down: no crowd", seed, slow, len(y.servers))
+			t.Errorf("seed %d: %d of %d servers slowed down: no overload", seed, slow, len(y.servers))
 		}
 		if 10*shut > len(y.agents) {
-			t.Errorf("seed %d: %d of %d agents shut for 4 s", seed, shut, len(y.agents))
+			t.Errorf("seed %d: %d of %d agents rejected everything for 4 s", seed, shut, len(y.agents))
 		}
 	}
 }
--- a/policy/slowstart_simulation_test.go
+++ b/policy/slowstart_simulation_test.go
@@ -7,33 +7,34 @@
 	"testing"
 )
 
-// slowStartSimulation is agents before servers that can be overrun, in virtual time (ms): each server works through what it takes in
-// turn, turns away what would wait too long, starts cold, and notes when what came to it came.
+// slowStartSimulation is agents and servers that can be overloaded, in virtual time (ms): each server works
+// through what it takes in order, rejects what would wait too long, starts with a part of its capacity, and
+// notes when something arrived.
 type slowStartSimulation struct {
 	*fleet
 	rng          *rand.Rand
 	set          Settings
-	servers      []Endpoint // as the roster has them
+	servers      []Endpoint // the endpoint list
 	backends     []*simulatedBackend
 	byAddr       map[Addr]*simulatedBackend
-	processes    []int // of each agent, those in fleet.agents that take its requests
+	processes    []int // of each agent: the one in fleet.agents that takes its requests
 	requestsPerS float64
 	keyless      bool    // no request has a key
-	backendPerS  float64 // what a server can do
-	joining      int     // how many join
-	started      int     // processes of agents, over all
+	backendPerS  float64 // requests that a server can do in a second
+	joining      int     // number of servers that join
+	started      int     // processes of all agents
 	open         map[RequestID]bool
 	served       int
 	ended        int
 }
 
-// simulatedBackend is a server as it is, whatever the list says.
+// simulatedBackend is a server as it is, whatever the endpoint list says.
 type simulatedBackend struct {
-	requestsPerS      float64 // what it can do when warm
+	requestsPerS      float64 // after slow start
 	startMs           float64 // start of its process; 0: long past
 	freeAt            float64
 	unreachable       bool
-	slowStartArrivals []float64 // arrivals while it was cold, for which at least one was told of its start
+	slowStartArrivals []float64 // arrivals in slow start
 }
 
 func newSlowStartSimulation(t *testing.T, seed uint64, agents, servers int) *slowStartSimulation {
@@ -62,7 +63,7 @@
 	return w
 }
 
-// capacity is what it can do now, as a part of the full.
+// capacity returns the part of its capacity that a backend has at a time.
 func (w *slowStartSimulation) capacity(b *simulatedBackend, at float64) float64 {
 	c := &w.set.Contract
 	if b.startMs == 0 || at-b.startMs >= c.SlowStartMs {
@@ -71,8 +72,8 @@
 	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*max(at-b.startMs, 0)/c.SlowStartMs
 }
 
-// maxOverload is the most that came in the settings' time, as a part of what a cold server bears then: N, what the settings
-// allow it at the time's beginning, and 2 root N + 2 more.
+// maxOverload returns the most that arrived within the overload window, as a part of what a backend in slow
+// start bears then: N, what the settings allow it at the beginning of the window, and 2 root N + 2 more.
 func (w *slowStartSimulation) maxOverload(b *simulatedBackend) float64 {
 	worst := 0.0
 	for i, from := range b.slowStartArrivals {
@@ -83,7 +84,7 @@
 	return worst
 }
 
-// addBackend adds a server whose process started at some time; 0: long ago.
+// addBackend adds a server whose process started at a time; 0: long ago.
 func (w *slowStartSimulation) addBackend(at float64) *simulatedBackend {
 	b := &simulatedBackend{requestsPerS: w.backendPerS, startMs: at}
 	e := Endpoint{Server: addr(len(w.servers)), Health: Ready, Weight: 1, StartedMs: at}
@@ -92,7 +93,7 @@
 	return b
 }
 
-// startProcess starts a process of an agent; it knows the list as it is.
+// startProcess starts a process of an agent, which knows the endpoint list.
 func (w *slowStartSimulation) startProcess() int {
 	set := w.set
 	set.ReplicaIndex = w.started % w.set.Replicas
@@ -106,7 +107,7 @@
 	return len(w.agents) - 1
 }
 
-// updateProcesses tells all processes of the list as it is.
+// updateProcesses sends the endpoint list to all processes.
 func (w *slowStartSimulation) updateProcesses() {
 	for _, p := range w.processes {
 		w.do(p, w.agents[p].Handle(w.now, &Event{Kind: EventEndpointUpdate, Update: UpdateComplete, Endpoints: w.servers}, nil))
@@ -137,7 +138,7 @@
 		default:
 			w.arrive(b)
 			work := 1000 / (b.requestsPerS * w.capacity(b, w.now))
-			b.freeAt = max(b.freeAt, w.now-3*work) // four at once
+			b.freeAt = max(b.freeAt, w.now-3*work) // four at a time
 			wait := b.freeAt + 4*work - w.now
 			switch {
 			case wait > 1500:
@@ -158,14 +159,15 @@
 	}
 }
 
-// arrive counts what comes to a cold server.
+// arrive counts what arrives at a server in slow start.
 func (w *slowStartSimulation) arrive(b *simulatedBackend) {
 	if w.capacity(b, w.now) < 1 {
 		b.slowStartArrivals = append(b.slowStartArrivals, w.now)
 	}
 }
 
-// load has requests come for a time, at part of the usual rate; every fifth agent sees several times the mean.
+// load has requests arrive for a time, at part of the usual rate; every fifth agent sees several times the
+// mean.
 func (w *slowStartSimulation) load(ms, part float64) {
 	weight := func(i int) float64 {
 		if i%5 == 0 {
@@ -197,7 +199,7 @@
 	return 0
 }
 
-// worstOverload is the most that any server that started here was pushed, of what it bears.
+// worstOverload returns the largest maxOverload of the servers that have started.
 func (w *slowStartSimulation) worstOverload() float64 {
 	worst := 0.0
 	for _, b := range w.backends {
@@ -208,13 +210,14 @@
 	return worst
 }
 
-// Cold servers stay under what they bear, counted over all processes of twenty to thirty agents under a burst: where new
-// ones join, where others come back cold from silence, where agents are started anew, which know of nothing that was
-// spent, and where each agent is two processes for a while; with keys and without. Each attempt, first or further, and each probe counts.
+// Servers in slow start get no more than they bear, counted over all processes of twenty to thirty agents
+// under a burst: where new ones join, where others come back from silence, where agents are restarted and
+// know nothing of the tokens that were spent, and where each agent is two processes for a time; with keys
+// and without. Each attempt and each health check counts.
 func TestServersInSlowStartAreNotOverloaded(t *testing.T) {
 	t.Parallel() // virtual time alone
 	for name, play := range map[string]func(w *slowStartSimulation){
-		"join and come back": func(w *slowStartSimulation) {
+		"join and return": func(w *slowStartSimulation) {
 			dark := w.backends[:2+w.rng.IntN(len(w.backends)-1)]
 			for _, b := range dark {
 				b.unreachable = true
@@ -229,7 +232,7 @@
 			w.updateProcesses()
 			w.load(12_000, 1.5)
 		},
-		"all agents start anew": func(w *slowStartSimulation) {
+		"all agents restart": func(w *slowStartSimulation) {
 			for range w.joining {
 				w.addBackend(w.now)
 			}
@@ -242,7 +245,7 @@
 			}
 			w.load(4000, 1.5)
 		},
-		"one agent after the other starts anew": func(w *slowStartSimulation) {
+		"one agent after the other restarts": func(w *slowStartSimulation) {
 			for range w.joining {
 				w.addBackend(w.now)
 			}
@@ -271,9 +274,9 @@
 		}{{20, false}, {30, false}, {20, true}, {30, true}} {
 			agents := of.agents
 			over, most, served, asked := 0, 0.0, 0, 0
-			// Of sixty seeds those on which a cold server got the most; 17, 29 and 41 come back with no warm one.
+			// Of sixty seeds those on which a server in slow start got the most; with 17, 29 and 41 all servers are in it.
 			seeds := []uint64{2, 34, 29}
-			if name == "join and come back" {
+			if name == "join and return" {
 				seeds = []uint64{2, 12, 17, 29, 34, 41, 47}
 			}
 			for _, seed := range seeds {
@@ -289,9 +292,9 @@
 				served += w.served
 				asked += w.served + w.ended
 			}
-			t.Logf("%s, %d agents, no keys %v: the most of what a cold one bears %.2f; over it in %d of %d; served %.2f", name, agents, of.keyless, most, over, len(seeds), float64(served)/float64(asked))
+			t.Logf("%s, %d agents, no keys %v: the largest part of what a server in slow start bears %.2f; over it in %d of %d; served %.2f", name, agents, of.keyless, most, over, len(seeds), float64(served)/float64(asked))
 			if over > 0 {
-				t.Errorf("%s, %d agents, no keys %v: a cold server falls in %d of %d", name, agents, of.keyless, over, len(seeds))
+				t.Errorf("%s, %d agents, no keys %v: a server in slow start is overloaded in %d of %d", name, agents, of.keyless, over, len(seeds))
 			}
 		}
 	}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A cold server gets no more than its share by ramp, even after a quiet time.
+// A server in slow start gets no more than its share by its capacity, even after a quiet time.
 func TestSlowStartLimitsTheShareOfAServer(t *testing.T) {
 	r := newHarness(t, testSettings(), 5)
 	r.updateEndpoints(UpdateDelta, Endpoint{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now - 10})
@@ -21,23 +21,23 @@
 	}
 	even := float64(all) / 4
 	if limit := even * 0.36 * 0.5 * 1.2; float64(got) > limit || got == 0 {
-		t.Errorf("a cold server got %d of %d sends; want some, and at most %.0f", got, all, limit)
+		t.Errorf("a server in slow start got %d of %d requests; want some, and at most %.0f", got, all, limit)
 	}
 }
 
-// i299663: 69 requests hinted as ten mean ones pushed a cold server over.
+// Hints are rough: many requests that are hinted as small would overload a server in slow start.
 func TestSmallHintsCostAMeanRequest(t *testing.T) {
 	r := newHarness(t, testSettings(), 3)
 	r.b.hints.meanArriving = 50
 	if c := r.b.workCost(&request{workHintMs: 1}); c != 1 {
-		t.Errorf("a request hinted small costs %.2f mean ones, want 1", c)
+		t.Errorf("a request with a small hint costs %.2f mean requests, want 1", c)
 	}
 	if c := r.b.workCost(&request{workHintMs: 200}); c != 4 {
 		t.Errorf("a request hinted at four times the mean costs %.2f, want 4", c)
 	}
 }
 
-// i5d0607: a zone was lost and only cold servers were left.
+// Where only servers in slow start are left they serve.
 func TestServerInSlowStartServesWhenTheOthersFailed(t *testing.T) {
 	r := newHarness(t, testSettings(), 2)
 	for range 200 {
@@ -51,11 +51,11 @@
 		r.b.eject(r.b.byAddr[addr(i)], true)
 	}
 	if _, s := r.mustForward(0, 9); s != addr(2) {
-		t.Errorf("sent to %v, want the cold server", s)
+		t.Errorf("sent to %v, want the server in slow start", s)
 	}
 }
 
-// i958eff: servers came back from silence cold, before the list told.
+// A server that comes back from silence may be a new process, before the endpoint list says so.
 func TestServerBackFromSilenceIsInSlowStart(t *testing.T) {
 	r := newHarness(t, testSettings(), 3)
 	id, s := r.mustForward(0, 9)
@@ -69,16 +69,16 @@
 			break
 		}
 		if key > 50 {
-			t.Fatal("the silent server was never checked again")
+			t.Fatal("the silent server was never validated")
 		}
 	}
 	if srv := r.b.byAddr[s]; r.b.capacity(srv) >= 0.5 {
-		t.Errorf("a server back from silence is taken for warm: ramp %.2f", r.b.capacity(srv))
+		t.Errorf("a server back from silence is not in slow start: capacity %.2f", r.b.capacity(srv))
 	}
 }
 
-// ifa9784: in a crowd most attempts were turned away, and counting them as flow gave a
-// cold server many times its share.
+// Under overload most attempts are rejected; counted as served they would earn a server in slow start many
+// times its share.
 func TestSlowStartTokensAreEarnedByServedRequestsOnly(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	r.updateEndpoints(UpdateDelta, Endpoint{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now})
@@ -92,12 +92,12 @@
 		}
 	}
 	if cold.slowStartTokens > first || r.b.slowStart.flow > 0 {
-		t.Errorf("nothing was served, and the cold server has credit %.2f of a flow of %.2f", cold.slowStartTokens, r.b.slowStart.flow)
+		t.Errorf("nothing was served, and the server in slow start has %.2f tokens of a flow of %.2f", cold.slowStartTokens, r.b.slowStart.flow)
 	}
 }
 
-// ia9314f: of a thousand agents none earned a whole request for a new server, and the new
-// half of the fleet stood idle until it was warm.
+// Of many agents with few requests none earns a complete request for a server in slow start; together they
+// must send it its share.
 func TestServerInSlowStartGetsItsShareFromManySmallAgents(t *testing.T) {
 	cold, all := 0, 0
 	for seed := range uint64(200) {
@@ -124,13 +124,12 @@
 		}
 	}
 	if even := all / 20; cold < even/20 || cold > even {
-		t.Errorf("a cold server got %d of %d requests, where an even share is %d", cold, all, even)
+		t.Errorf("a server in slow start got %d of %d requests, where an even share is %d", cold, all, even)
 	}
 }
 
-// What is new must carry its part soon, or the others are crowded for want of it, and never more than the
-// contract gives it, counted over all agents (join+vast: 36 of 60 servers were replaced in 7 s, and got a
-// third of what they could have done, while attempts at the others timed out).
+// New servers must soon take their share, or the others are overloaded, and never more than the contract
+// permits, counted over all agents.
 func TestNewServersGetTheirShare(t *testing.T) {
 	const agents, servers, fresh, perS, capacity = 80, 60, 18, 1450.0, 31.0
 	set := testSettings()
@@ -139,7 +138,7 @@
 	f := newFleet(t, set, agents)
 	rng := rand.New(rand.NewPCG(7, 7))
 	const began = 5000.0
-	sent := map[Addr][]float64{} // when new ones were sent to
+	sent := map[Addr][]float64{} // when requests were sent to new servers
 	warm := 0
 	f.onAction = func(i int, a *Action) {
 		if a.Kind != ActionForward {
@@ -185,17 +184,17 @@
 		}
 	}
 	each, even := float64(total)/fresh, float64(warm)/(servers-fresh)
-	t.Logf("each new one got %.2f of what a warm one got; the most in any second was %.2f of the contract's", each/even, worst)
+	t.Logf("each new server got %.2f of what another got; the most in any second was %.2f of the contract's", each/even, worst)
 	if each < 0.4*even { // they have 0.65 of the capacity meanwhile
-		t.Errorf("each new server got %.0f, each warm one %.0f", each, even)
+		t.Errorf("each new server got %.0f, each other one %.0f", each, even)
 	}
 	if worst > 0.8 {
-		t.Errorf("a cold server got %.2f of what may push it over", worst)
+		t.Errorf("a server in slow start got %.2f of what overloads it", worst)
 	}
 }
 
-// Eighty agents that start where all servers have just started wake them, and push none over, were it of
-// one core only.
+// Eighty agents that start where all servers have just started use all of them and overload none, were it
+// of one core only.
 func TestAllServersInSlowStartWithManyAgents(t *testing.T) {
 	t.Parallel() // virtual time alone
 	const agents, servers, perS = 80, 60, 1450.0
@@ -235,6 +234,6 @@
 	}
 	t.Logf("%d of %.0f sent, to %d servers; the most in any second was %.2f of what a core may get", total, perS*6, len(sent), worst)
 	if len(sent) < servers || worst > 1 {
-		t.Errorf("%d of %d servers woken; the most in any second was %.2f of what a core may get", len(sent), servers, worst)
+		t.Errorf("%d of %d servers used; the most in any second was %.2f of what a core may get", len(sent), servers, worst)
 	}
 }
