--- a/internal/concurrency/limit.go
+++ b/internal/concurrency/limit.go
@@ -56,13 +56,13 @@
 // Halve leaves half of the limit, and at least one: the server failed.
 func (l *Limit) Halve() { l.size = max(l.size/2, 1) }
 
-// Decrease leaves the given part of the limit, and at least least, because answers take too long. Answers of
+// Decrease leaves the given part of the limit, and at least floor, because answers take too long. Answers of
 // the rttMs after a decrease were in flight before it: the limit is not changed then, and false is returned.
-func (l *Limit) Decrease(now, rttMs, part, least float64) bool {
+func (l *Limit) Decrease(now, rttMs, part, floor float64) bool {
 	if now-l.decreasedAt <= rttMs {
 		return false
 	}
-	l.size = min(l.size, max(l.size*part, least))
+	l.size = min(l.size, max(l.size*part, floor))
 	l.decreasedAt = now
 	return true
 }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -39,7 +39,7 @@
 	return goodput{ended: shedMemoryRequests / 2, earned: shedMemoryRequests / 2}
 }
 
-// record notes an ended request and the part of its worth, 0 to 1, that it earned.
+// record notes an ended request and the part of its value, 0 to 1, that it earned.
 func (g *goodput) record(earned float64) {
 	g.ended += 1 - g.ended/shedMemoryRequests
 	g.earned += earned - g.earned/shedMemoryRequests
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -81,23 +81,23 @@
 	if s.limit.RecentlyRejected(b.now) {
 		return maxLatencyFraction / b.capacity(s)
 	}
-	least := 2 * maxLatencyFraction / (2 + float64(b.settings.Replicas))
+	floor := 2 * maxLatencyFraction / (2 + float64(b.settings.Replicas))
 	factor := overloadLatencyFactor
 	if b.capacityScarce {
 		factor = scarceLatencyFactor
 	}
-	return min(maxLatencyFraction, max(factor*b.fleet.baselineLatency, least)) / b.capacity(s)
+	return min(maxLatencyFraction, max(factor*b.fleet.baselineLatency, floor)) / b.capacity(s)
 }
 
 // adjustLimit moves the server's concurrency limit after an answer that took rttMs.
 func (b *Balancer) adjustLimit(s *server, rttMs, latencyLimit float64) {
 	switch {
 	case s.latency > latencyLimit:
-		least := 1.0
+		floor := 1.0
 		if s.latency > severeOverloadFactor*latencyLimit {
-			least = minLimit
+			floor = minLimit
 		}
-		s.limit.Decrease(b.now, rttMs, limitDecrease, least)
+		s.limit.Decrease(b.now, rttMs, limitDecrease, floor)
 	case s.latency < latencyLimit && float64(len(s.inflight)+2) > s.limit.Size() &&
 		b.fleet.answers > baselineAnswers:
 		s.limit.Increase(b.now)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -175,5 +175,5 @@
 	if b.capacity(s) == 1 || s.slowStartTokens >= b.workCost(r) {
 		return true
 	}
-	return b.warmWeight() == 0 && b.allowedWhileAllSlowStart(s, r)
+	return b.establishedWeight() == 0 && b.allowedWhileAllSlowStart(s, r)
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -8,7 +8,7 @@
 	// slowStartBurst bounds the slow-start tokens that a server saves up, in mean requests. An agent with
 	// sparse traffic saves up to twice as many.
 	slowStartBurst = 1.0
-	// slowStartMargin divides the share of a server in slow start: warm servers save up to three quarters
+	// slowStartMargin divides the share of a server in slow start: the others save up to three quarters
 	// of the work by the keys they know, and the requests of an agent come in bursts.
 	slowStartMargin = 4.0
 	// sparseSlowStartMargin replaces it for sparse traffic, where chance evens out the bursts of many
@@ -31,9 +31,9 @@
 
 	// The weight of all healthy servers that are not in slow start, counted once for all decisions of a
 	// time.
-	warmWeight      float64
-	warmWeightAt    float64
-	warmWeightEpoch uint64
+	establishedWeight float64
+	establishedAt     float64
+	establishedEpoch  uint64
 }
 
 // recordServed notes work served by servers of the given total weight.
@@ -55,21 +55,22 @@
 	return contract.SlowStartMinCapacity + (1-contract.SlowStartMinCapacity)*max(age, 0)/contract.SlowStartMs
 }
 
-// warmWeight returns the weight of the servers of the best tier that are not in slow start.
-func (b *Balancer) warmWeight() float64 {
+// establishedWeight returns the weight of the servers of the best tier that are not in slow start. It is
+// counted once for all decisions of a time.
+func (b *Balancer) establishedWeight() float64 {
 	st := &b.slowStart
-	if st.warmWeightAt == b.now && st.warmWeightEpoch == b.tierEpoch {
-		return st.warmWeight
+	if st.establishedAt == b.now && st.establishedEpoch == b.tierEpoch {
+		return st.establishedWeight
 	}
-	st.warmWeight = 0
-	st.warmWeightAt = b.now
-	st.warmWeightEpoch = b.tierEpoch
+	st.establishedWeight = 0
+	st.establishedAt = b.now
+	st.establishedEpoch = b.tierEpoch
 	for _, s := range b.servers {
 		if s.usable && s.state <= Unknown && b.capacity(s) == 1 {
-			st.warmWeight += s.weight
+			st.establishedWeight += s.weight
 		}
 	}
-	return st.warmWeight
+	return st.establishedWeight
 }
 
 // loadShare returns the part of an even share that a server may be sent. In slow start it keeps the
@@ -101,16 +102,16 @@
 // coordination. Attempts that are only sent do not count: under overload they are many times what is
 // served.
 func (b *Balancer) earnSlowStartTokens(s *server, work float64) {
-	warm := b.warmWeight()
-	if b.capacity(s) < 1 || warm == 0 {
+	established := b.establishedWeight()
+	if b.capacity(s) < 1 || established == 0 {
 		return
 	}
-	b.slowStart.recordServed(b.now, work, warm, b.settings.Contract.SlowStartMs)
+	b.slowStart.recordServed(b.now, work, established, b.settings.Contract.SlowStartMs)
 	for _, starting := range b.servers {
 		if b.capacity(starting) < 1 {
 			sparsity := b.trafficSparsity(starting)
 			factor := 1 + (sparseEarnFactor-1)*sparsity
-			earned := factor * work * b.loadShare(starting) * starting.weight / warm
+			earned := factor * work * b.loadShare(starting) * starting.weight / established
 			starting.slowStartTokens = min(starting.slowStartTokens+earned, slowStartBurst*(1+sparsity))
 		}
 	}
@@ -119,7 +120,7 @@
 // allowedWhileAllSlowStart reports whether the server may get the request while all servers are in slow
 // start and none earns tokens. It gets as much of this agent as its share of the recent flow. An agent that
 // has just started and knows no flow sends one request at a time of all agents, by an answer time and the
-// server's share; without that it would reject all until the first server is warm.
+// server's share; without that it would reject all until the first server has its full capacity.
 func (b *Balancer) allowedWhileAllSlowStart(s *server, r *request) bool {
 	share := b.loadShare(s)
 	cost := b.workCost(r)
