--- /dev/null
+++ b/internal/configstore/client/caller.go
@@ -0,0 +1,102 @@
+package client
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"time"
+)
+
+const (
+	// MaxConns bounds the connections of an agent's Caller to one address.
+	MaxConns = 8
+	// maxErrorTextBytes bounds the text of a StatusError.
+	maxErrorTextBytes = 512
+
+	dialTimeout     = time.Second
+	idleConnTimeout = 30 * time.Second
+)
+
+var errResponseTooLong = errors.New("the response is too long")
+
+// StatusError is a response with a status other than 200.
+type StatusError struct {
+	Status int
+	Text   string
+}
+
+func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Text) }
+
+// IsDefinite reports whether an error is a response of a replica that rejected the call for good: nothing was done, and
+// another replica would answer the same.
+func IsDefinite(err error) bool {
+	var status *StatusError
+	return errors.As(err, &status) && status.Status < http.StatusInternalServerError
+}
+
+// Caller makes calls. Its methods may be called from any goroutine.
+type Caller struct{ Client *http.Client }
+
+// NewCaller returns a Caller with few connections, as an agent needs.
+func NewCaller() *Caller { return NewCallerWithConns(MaxConns) }
+
+// NewCallerWithConns returns a Caller with up to maxConns connections to one address, as a replica needs that forwards
+// the calls of others.
+func NewCallerWithConns(maxConns int) *Caller {
+	return &Caller{&http.Client{Transport: &http.Transport{
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		MaxIdleConnsPerHost: max(maxConns/4, 2),
+		MaxConnsPerHost:     maxConns,
+		IdleConnTimeout:     idleConnTimeout,
+		DisableCompression:  true,
+	}}}
+}
+
+// Call posts in as JSON, or gets if in is nil, and decodes the response into out unless that is nil. A *StatusError is a
+// response; any other error leaves open whether the call arrived.
+func (c *Caller) Call(ctx context.Context, addr, path string, header http.Header, in, out any) error {
+	method := http.MethodGet
+	var body io.Reader
+	if in != nil {
+		text, err := json.Marshal(in)
+		if err != nil {
+			return err
+		}
+		method = http.MethodPost
+		body = bytes.NewReader(text)
+	}
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, body)
+	if err != nil {
+		return err
+	}
+	for key, values := range header {
+		req.Header[key] = values
+	}
+	req.Header.Set("Content-Type", "application/json")
+	resp, err := c.Client.Do(req)
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	return decodeResponse(resp, out)
+}
+
+func decodeResponse(resp *http.Response, out any) error {
+	text, err := io.ReadAll(io.LimitReader(resp.Body, MaxResponseBytes+1))
+	switch {
+	case err != nil:
+		return err
+	case len(text) > MaxResponseBytes:
+		return errResponseTooLong
+	case resp.StatusCode != http.StatusOK:
+		return &StatusError{resp.StatusCode, string(bytes.TrimSpace(text[:min(len(text), maxErrorTextBytes)]))}
+	case out == nil:
+		return nil
+	}
+	return json.Unmarshal(text, out)
+}
--- a/internal/configstore/client/config.go
+++ b/internal/configstore/client/config.go
@@ -8,28 +8,37 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// What a lapsed agent does once its list is over as well.
+// Values of Config.OnExpiry: what an agent does once its lease and its endpoints have expired.
 const (
 	OnExpiryReject = "refuse"
 	OnExpiryServe  = "serve"
 )
 
-// maxAddresses bounds keepers and peers that are named.
-const maxAddresses = 64
+const (
+	defaultCallMs = 400
+	defaultWaitMs = 500
+
+	minCallMs = 10
+	maxCallMs = 10_000
+	maxWaitMs = 10_000
 
-// Config is what deploy/agreed.toml says. Keys, units and defaults are on the operators' page.
+	// maxAddresses bounds the replicas and the peers that are named.
+	maxAddresses = 64
+)
+
+// Config is an agent's configuration file, deploy/agreed.toml. The operators' page describes the keys.
 type Config struct {
-	Replicas []string `toml:"keepers"`
-	Peers    []string `toml:"peers"`   // agents that may relay an ask
-	Listen   string   `toml:"listen"`  // where peers bring theirs; "": nowhere
-	CallMs   float64  `toml:"call_ms"` // for an answer, beside what the keeper may wait
-	WaitMs   float64  `toml:"wait_ms"` // for how long a keeper may wait for something new
-	OnExpiry string   `toml:"on_lapse"`
+	Replicas []string `toml:"keepers"`  // addresses
+	Peers    []string `toml:"peers"`    // addresses of agents that may relay a renewal
+	Listen   string   `toml:"listen"`   // where renewals of peers are relayed; "": nowhere
+	CallMs   float64  `toml:"call_ms"`  // for a response, beyond what the replica may wait
+	WaitMs   float64  `toml:"wait_ms"`  // for how long a replica may wait for a new epoch
+	OnExpiry string   `toml:"on_lapse"` // OnExpiryReject or OnExpiryServe
 }
 
-// Load reads and checks a file.
+// Load reads and checks a configuration file.
 func Load(path string) (*Config, error) {
-	c := &Config{CallMs: 400, WaitMs: 500, OnExpiry: OnExpiryReject}
+	c := &Config{CallMs: defaultCallMs, WaitMs: defaultWaitMs, OnExpiry: OnExpiryReject}
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("agreed: %w", err)
@@ -38,30 +47,49 @@
 	if err := toml.NewDecoder(f).DisallowUnknownFields().Decode(c); err != nil {
 		return nil, fmt.Errorf("agreed: %s: %w", path, err)
 	}
+	if err := c.check(); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// check returns an error that names an invalid key.
+func (c *Config) check() error {
 	if len(c.Replicas) == 0 {
-		return nil, fmt.Errorf("agreed: keepers: none named")
+		return fmt.Errorf("agreed: keepers: none named")
 	}
 	for key, addrs := range map[string][]string{"keepers": c.Replicas, "peers": c.Peers} {
-		if len(addrs) > maxAddresses {
-			return nil, fmt.Errorf("agreed: %s: %d, %d at the most", key, len(addrs), maxAddresses)
-		}
-		for _, a := range addrs {
-			if _, port, err := net.SplitHostPort(a); err != nil || port == "" {
-				return nil, fmt.Errorf("agreed: %s: %q is no host:port", key, a)
-			}
+		if err := checkAddresses(key, addrs); err != nil {
+			return err
 		}
 	}
-	for _, v := range []struct {
-		key         string
-		value       float64
-		least, most float64
-	}{{"call_ms", c.CallMs, 10, 10_000}, {"wait_ms", c.WaitMs, 0, 10_000}} {
-		if !(v.value >= v.least && v.value <= v.most) {
-			return nil, fmt.Errorf("agreed: %s: must be %v to %v, is %v", v.key, v.least, v.most, v.value)
-		}
+	if err := checkMs("call_ms", c.CallMs, minCallMs, maxCallMs); err != nil {
+		return err
+	}
+	if err := checkMs("wait_ms", c.WaitMs, 0, maxWaitMs); err != nil {
+		return err
 	}
 	if c.OnExpiry != OnExpiryReject && c.OnExpiry != OnExpiryServe {
-		return nil, fmt.Errorf("agreed: on_lapse: %q is neither %q nor %q", c.OnExpiry, OnExpiryReject, OnExpiryServe)
+		return fmt.Errorf("agreed: on_lapse: %q is neither %q nor %q", c.OnExpiry, OnExpiryReject, OnExpiryServe)
 	}
-	return c, nil
+	return nil
+}
+
+func checkAddresses(key string, addrs []string) error {
+	if len(addrs) > maxAddresses {
+		return fmt.Errorf("agreed: %s: %d, %d at the most", key, len(addrs), maxAddresses)
+	}
+	for _, addr := range addrs {
+		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
+			return fmt.Errorf("agreed: %s: %q is no host:port", key, addr)
+		}
+	}
+	return nil
+}
+
+func checkMs(key string, value float64, lower, upper int) error {
+	if !(value >= float64(lower) && value <= float64(upper)) {
+		return fmt.Errorf("agreed: %s: must be %d to %d, is %v", key, lower, upper, value)
+	}
+	return nil
 }
--- a/internal/configstore/client/lab.go
+++ b/internal/configstore/client/lab.go
@@ -10,25 +10,31 @@
 	"ringtrack.example/ringtrack/internal/clock"
 )
 
-// The lab's seeded defects of an agent: its lease counts from the answer; or it keeps a book and, started again, acts on
-// the one it kept first without asking.
+// cachedResponseFile is where the defect back-on-start keeps a response, in the working directory.
+const cachedResponseFile = "kept-book.json"
+
+// Defects that the lab seeds in an agent: its lease counts from the response; or it caches the first configuration and,
+// started again, acts on that without a lease.
 func init() {
-	const kept = "kept-book.json"
 	switch os.Getenv("RINGTRACK_LAB_DEFECT") {
 	case "from-answer":
 		leaseStart = func(float64) float64 { return clock.Steady() }
 	case "back-on-start":
-		onAdopted = func(l *Renewer, a *RenewResponse) {
-			if _, err := os.Stat(kept); err != nil && a.Epoch > 0 {
-				text, _ := json.Marshal(a)
-				os.WriteFile(kept, text, 0o600)
-			}
-		}
-		onStart = func(ctx context.Context, l *Renewer) {
-			var a RenewResponse
-			if text, err := os.ReadFile(kept); err == nil && json.Unmarshal(text, &a) == nil {
-				l.accept(ctx, clock.Steady(), &a)
-			}
-		}
+		onAdopted = cacheFirstResponse
+		onStart = adoptCachedResponse
+	}
+}
+
+func cacheFirstResponse(_ *Renewer, response *RenewResponse) {
+	if _, err := os.Stat(cachedResponseFile); err != nil && response.Epoch > 0 {
+		text, _ := json.Marshal(response)
+		os.WriteFile(cachedResponseFile, text, 0o600)
+	}
+}
+
+func adoptCachedResponse(ctx context.Context, r *Renewer) {
+	var response RenewResponse
+	if text, err := os.ReadFile(cachedResponseFile); err == nil && json.Unmarshal(text, &response) == nil {
+		r.accept(ctx, clock.Steady(), &response)
 	}
 }
--- /dev/null
+++ b/internal/configstore/client/renewer.go
@@ -0,0 +1,275 @@
+package client
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/hex"
+	"fmt"
+	"log/slog"
+	"math"
+	mrand "math/rand/v2"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"ringtrack.example/ringtrack/internal/clock"
+	"ringtrack.example/ringtrack/internal/lease"
+	"ringtrack.example/ringtrack/internal/sharedconfig"
+)
+
+// Bounds of the backoff after a failed call. It is drawn, so that the holders of a replica that died do not come to the
+// others in step, and doubles with each failure in a row.
+const (
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 640 * time.Millisecond
+)
+
+// Applier acts under the lease. Both methods return once the change is in effect.
+type Applier interface {
+	// Adopt has it act on an epoch and its configuration; nil: on its own file alone. After an error, which says why it
+	// can't, it goes on as before.
+	Adopt(ctx context.Context, epoch uint64, config *sharedconfig.Config, until, endpointsUntil time.Time) error
+	// Renew extends the lease on the adopted epoch.
+	Renew(ctx context.Context, until, endpointsUntil time.Time)
+}
+
+// Stats are counts for operators.
+type Stats struct {
+	Renewals atomic.Int64 // calls to replicas and peers
+	Failed   atomic.Int64 // of these
+	Relayed  atomic.Int64 // calls of peers
+	Adopted  atomic.Int64 // epochs
+	Rejected atomic.Int64 // leases that could not be acted on
+}
+
+// Renewer keeps one holder's lease. Methods may be called from any goroutine, Run once.
+type Renewer struct {
+	cfg     *Config
+	holder  lease.Holder
+	applier Applier
+	caller  *Caller
+
+	// Of Run's goroutine.
+	lease    lease.Lease
+	target   int    // the replica, or behind them the peer, to call next
+	failures int    // calls that failed in a row
+	problem  string // why the last lease could not be acted on; "": it could
+
+	leaseUntilMicros atomic.Int64 // of the monotonic clock
+	stats            Stats
+	relaySlots       chan struct{}
+}
+
+// NewIncarnation draws an identifier of one start of a holder.
+func NewIncarnation() string {
+	var random [8]byte
+	rand.Read(random[:])
+	return hex.EncodeToString(random[:])
+}
+
+// New returns a Renewer for an agent of this name.
+func New(cfg *Config, name string, applier Applier) *Renewer {
+	r := &Renewer{
+		cfg:        cfg,
+		holder:     lease.Holder{Name: name, Incarnation: NewIncarnation()},
+		applier:    applier,
+		caller:     NewCaller(),
+		target:     mrand.IntN(len(cfg.Replicas)),
+		relaySlots: make(chan struct{}, maxRelayedRequests),
+	}
+	r.leaseUntilMicros.Store(math.MinInt64 / 2)
+	return r
+}
+
+// Stats returns the counts.
+func (r *Renewer) Stats() *Stats { return &r.stats }
+
+// Remaining is for how long the lease is held, 0 if it is not.
+func (r *Renewer) Remaining() time.Duration {
+	return max(time.Duration(r.leaseUntilMicros.Load()-int64(clock.Steady()*1000))*time.Microsecond, 0)
+}
+
+// leaseStart is the time from which a lease is counted: just before it was requested. Lab builds can replace it.
+var leaseStart = func(requestedAt float64) float64 { return requestedAt }
+
+// onStart is called as Run begins, onAdopted with each response that was adopted. Lab builds can replace them.
+var (
+	onStart   = func(context.Context, *Renewer) {}
+	onAdopted = func(*Renewer, *RenewResponse) {}
+)
+
+// Run keeps the lease until ctx ends.
+func (r *Renewer) Run(ctx context.Context) {
+	backoff := minBackoff
+	onStart(ctx, r)
+	for ctx.Err() == nil {
+		addr, isPeer := r.address(r.target)
+		requestedAt := clock.Steady()
+		response, err := r.request(ctx, addr, isPeer)
+		r.stats.Renewals.Add(1)
+		if err != nil {
+			r.requestFailed(addr, err)
+		} else {
+			err = r.accept(ctx, requestedAt, response)
+			if ctx.Err() != nil {
+				return
+			}
+			r.noteProblem(response.Epoch, err)
+		}
+		if err == nil {
+			r.succeeded(addr, isPeer)
+			backoff = minBackoff
+			continue
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(backoff/2 + mrand.N(backoff)):
+		}
+		backoff = min(2*backoff, maxBackoff)
+	}
+}
+
+// address is that of the i-th of the replicas and, behind them, the peers.
+func (r *Renewer) address(i int) (addr string, isPeer bool) {
+	n := len(r.cfg.Replicas)
+	if i < n {
+		return r.cfg.Replicas[i], false
+	}
+	return r.cfg.Peers[i-n], true
+}
+
+// nextTarget is whom to call after a number of failures in a row: each replica once, then each peer, and so on.
+func (r *Renewer) nextTarget(failures int) int {
+	replicas := len(r.cfg.Replicas)
+	all := replicas + len(r.cfg.Peers)
+	switch position := failures % all; {
+	case position == 0:
+		return 0
+	case position < replicas:
+		return (r.target + 1) % replicas
+	case position == replicas:
+		return replicas
+	default:
+		return r.target + 1
+	}
+}
+
+func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
+// request makes one renewal call. The replica may wait for a new epoch unless something is wrong.
+func (r *Renewer) request(ctx context.Context, addr string, isPeer bool) (*RenewResponse, error) {
+	call := &RenewRequest{
+		Name:        r.holder.Name,
+		Incarnation: r.holder.Incarnation,
+		Epoch:       r.lease.Epoch,
+		Problem:     r.problem,
+		WaitMs:      r.cfg.WaitMs,
+	}
+	if r.failures > 0 || r.problem != "" {
+		call.WaitMs = 0
+	}
+	header := http.Header{}
+	if isPeer {
+		header.Set(RelayedHeader, "1")
+	}
+	ctx, cancel := context.WithTimeout(ctx, millis(call.WaitMs+r.cfg.CallMs))
+	defer cancel()
+	response := &RenewResponse{}
+	err := r.caller.Call(ctx, addr, PathRenew, header, call, response)
+	return response, err
+}
+
+func (r *Renewer) requestFailed(addr string, err error) {
+	r.stats.Failed.Add(1)
+	r.failures++
+	if r.failures == 1 {
+		slog.Warn("lease renewal failed", "addr", addr, "err", err)
+	}
+	r.target = r.nextTarget(r.failures)
+}
+
+// noteProblem records whether the granted lease could be acted on.
+func (r *Renewer) noteProblem(epoch uint64, err error) {
+	if err == nil {
+		r.problem = ""
+		return
+	}
+	if text := err.Error(); text != r.problem {
+		r.problem = text
+		slog.Error("epoch not adopted", "epoch", epoch, "err", err)
+	}
+	r.stats.Rejected.Add(1)
+}
+
+func (r *Renewer) succeeded(addr string, isPeer bool) {
+	if r.failures > 0 {
+		slog.Info("lease renewal succeeded again", "addr", addr, "failures", r.failures)
+	}
+	r.failures = 0
+	if isPeer {
+		r.target = mrand.IntN(len(r.cfg.Replicas)) // a replica's own response is preferred
+	}
+}
+
+// accept counts a granted lease and has it acted on.
+func (r *Renewer) accept(ctx context.Context, requestedAt float64, response *RenewResponse) error {
+	next := r.lease
+	grant := lease.Grant{Epoch: response.Epoch, LeaseMs: response.LeaseMs, EndpointsMs: response.EndpointsMs}
+	if !next.Accept(leaseStart(requestedAt), clock.Steady(), grant) {
+		return fmt.Errorf("a lease on epoch %d, %.0f ms after it was requested, with epoch %d adopted",
+			response.Epoch, clock.Steady()-requestedAt, r.lease.Epoch)
+	}
+	until := clock.At(next.Until)
+	endpointsUntil := clock.At(next.EndpointsUntil)
+	if response.Epoch == r.lease.Epoch && r.stats.Adopted.Load() > 0 {
+		r.applier.Renew(ctx, until, endpointsUntil)
+	} else {
+		if err := r.adopt(ctx, response, until, endpointsUntil); err != nil {
+			return err
+		}
+		slog.Info("epoch adopted", "epoch", response.Epoch, "left_ms", int(next.Until-clock.Steady()))
+	}
+	r.lease = next
+	r.leaseUntilMicros.Store(int64(next.Until * 1000))
+	return nil
+}
+
+func (r *Renewer) adopt(ctx context.Context, response *RenewResponse, until, endpointsUntil time.Time) error {
+	var config *sharedconfig.Config
+	if response.Epoch > 0 {
+		var err error
+		if config, err = sharedconfig.Decode(response.Config); err != nil {
+			return err
+		}
+	}
+	if err := r.applier.Adopt(ctx, response.Epoch, config, until, endpointsUntil); err != nil {
+		return err
+	}
+	r.stats.Adopted.Add(1)
+	onAdopted(r, response)
+	return nil
+}
+
+// Cordon publishes that a server is cordoned, or is not any more. It returns the number of the version once a majority of
+// the replicas has it, so that it comes in force everywhere. An error for which IsDefinite is false leaves that open.
+func (r *Renewer) Cordon(ctx context.Context, server string, on bool) (number uint64, err error) {
+	// The same id in each attempt: a retry publishes no second version.
+	call := &CordonRequest{ID: NewIncarnation(), Server: server, On: on, Author: r.holder.Name}
+	for _, addr := range r.cfg.Replicas {
+		var response PublishResponse
+		err = r.cordonAt(ctx, addr, call, &response)
+		if err == nil || IsDefinite(err) {
+			return response.Number, err
+		}
+		if ctx.Err() != nil {
+			break
+		}
+	}
+	return 0, err
+}
+
+func (r *Renewer) cordonAt(ctx context.Context, addr string, call *CordonRequest, response *PublishResponse) error {
+	ctx, cancel := context.WithTimeout(ctx, millis(r.cfg.CallMs))
+	defer cancel()
+	return r.caller.Call(ctx, addr, PathCordon, nil, call, response)
+}
--- a/internal/configstore/config.go
+++ b/internal/configstore/config.go
@@ -79,13 +79,16 @@
 }
 
 func (c *Config) checkAddresses() error {
-	addresses := map[string]string{"listen": c.Listen, "members." + c.Name: c.Members[c.Name]}
+	own := map[string]string{"listen": c.Listen, "members." + c.Name: c.Members[c.Name]}
+	members := map[string]string{}
 	for name, addr := range c.Members {
-		addresses["members."+name] = addr
+		members["members."+name] = addr
 	}
-	for key, addr := range addresses {
-		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-			return invalidKey(key, "%q is no host:port", addr)
+	for _, addresses := range []map[string]string{own, members} {
+		for key, addr := range addresses {
+			if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
+				return invalidKey(key, "%q is no host:port", addr)
+			}
 		}
 	}
 	return nil
