--- a/cmd/ringtrack-configstore/main_test.go
+++ b/cmd/ringtrack-configstore/main_test.go
@@ -8,9 +8,9 @@
 	"github.com/alecthomas/kong"
 )
 
-// TestHelpIsTheOldPrograms compares the help of every command with that of ringtrack-keeper at commit 5a7ac45: kong
+// TestHelpIsUnchanged compares the help of every command with that of ringtrack-keeper at commit 5a7ac45: kong
 // derives flags and commands from names of fields, so that a renamed field shows here.
-func TestHelpIsTheOldPrograms(t *testing.T) {
+func TestHelpIsUnchanged(t *testing.T) {
 	want, err := os.ReadFile("testdata/help.txt")
 	if err != nil {
 		t.Fatal(err)
