--- a/internal/lab/leasemodel/model_test.go
+++ b/internal/lab/leasemodel/model_test.go
@@ -2,31 +2,31 @@
 
 import "testing"
 
-func TestExhaustive(t *testing.T) {
-	states, all, found := Exhaust(Small, None, 3_000_000)
-	if !all && found == nil {
+func TestInvariantsHoldInAllSmallStates(t *testing.T) {
+	states, complete, violation := Exhaust(Small, None, 3_000_000)
+	if !complete && violation == nil {
 		t.Errorf("%d states are not all", states)
 	}
-	if found != nil {
-		t.Fatalf("%s: %v", found.Reason, found.Steps)
+	if violation != nil {
+		t.Fatalf("%s: %v", violation.Reason, violation.Steps)
 	}
 	t.Logf("%d states", states)
 }
 
-func TestRandomWalks(t *testing.T) {
-	made, found := Random(Long, None, 1000, 150, 1)
-	if found != nil {
-		t.Fatalf("%s: %v", found.Reason, found.Steps)
+func TestInvariantsHoldInRandomWalks(t *testing.T) {
+	made, violation := Random(Long, None, 1000, 150, 1)
+	if violation != nil {
+		t.Fatalf("%s: %v", violation.Reason, violation.Steps)
 	}
 	t.Logf("%d steps", made)
 }
 
 func TestSeededDefectsAreFound(t *testing.T) {
-	for name, d := range Defects {
-		if _, found := Random(Long, d, 20_000, 150, 1); found == nil {
+	for name, defect := range Defects {
+		if _, violation := Random(Long, defect, 20_000, 150, 1); violation == nil {
 			t.Errorf("%s is not found", name)
 		} else {
-			t.Logf("%s: %s after %d steps", name, found.Reason, len(found.Steps))
+			t.Logf("%s: %s after %d steps", name, violation.Reason, len(violation.Steps))
 		}
 	}
 }
