--- /dev/null
+++ b/internal/disk/direct.go
@@ -0,0 +1,13 @@
+//go:build !lab
+
+package disk
+
+import "os"
+
+func write(f *os.File, p []byte) (int, error) { return f.Write(p) }
+
+func sync(f *os.File) error { return f.Sync() }
+
+// fileRenamed and fileRemoved are called after a change of a name.
+func fileRenamed(_, _ string) {}
+func fileRemoved(string)      {}
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -1,147 +1,166 @@
-// Package disk is the one seam to files that must last. It adds what is easily forgotten: a file that is replaced is
-// written beside, synced, renamed, and its folder synced; a file whose sync failed once is never written or synced
-// again, as what the kernel then holds of it is unknown ("Can applications recover from fsync failures?", 2020).
-// With the build tag lab it also lies, stalls, fails and notes what would survive a power cut (lab.go).
+// Package disk is the access to files that must survive a crash. A file that is replaced is written beside, synced and
+// renamed, and its directory synced. A file whose sync failed once is never written or synced again, as what the kernel
+// then holds of it is unknown ("Can applications recover from fsync failures?", 2020). With the build tag lab it also
+// simulates faults and records what would survive a power loss (lab.go).
 package disk
 
 import (
 	"errors"
 	"fmt"
+	"io"
 	"io/fs"
 	"os"
 	"path/filepath"
 	"syscall"
 )
 
-// ErrBroken says that an earlier write or sync of the file failed: nothing more is done to it.
-var ErrBroken = errors.New("disk: an earlier write or sync failed")
+var (
+	// ErrBroken says that an earlier write or sync of the file failed: nothing more is done to it.
+	ErrBroken = errors.New("disk: an earlier write or sync failed")
+	// ErrLocked says that another process has the directory.
+	ErrLocked = errors.New("disk: another process has this folder")
+)
+
+const (
+	lockFile = "lock"
+	// newSuffix is that of a file that is about to replace another.
+	newSuffix = ".new"
 
-// ErrLocked says that another process has the folder.
-var ErrLocked = errors.New("disk: another process has this folder")
+	dirMode  = 0o700
+	fileMode = 0o600
+)
 
-// Dir is a folder that one process has. Its methods are for one goroutine.
+// Dir is a directory that belongs to one process. Its methods are for one goroutine.
 type Dir struct {
 	path string
 	lock *os.File
 }
 
-// Open makes the folder, where it is missing, and locks it. The kernel gives the lock back however the process ends.
+// Open makes the directory, if it is missing, and locks it; ErrLocked if another process has it. The kernel releases the
+// lock however the process ends.
 func Open(path string) (*Dir, error) {
-	if err := os.MkdirAll(path, 0o700); err != nil {
+	if err := os.MkdirAll(path, dirMode); err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
 	}
-	f, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(path, lockFile), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
 	}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
+	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		lock.Close()
 		return nil, fmt.Errorf("%w: %s", ErrLocked, path)
 	}
-	return &Dir{path: path, lock: f}, nil
+	return &Dir{path: path, lock: lock}, nil
 }
 
-// Close gives the folder back.
+// Close releases the directory.
 func (d *Dir) Close() error { return d.lock.Close() }
 
-// Read is a file's content, of most bytes at the most. A missing file is fs.ErrNotExist.
-func (d *Dir) Read(name string, most int64) ([]byte, error) {
-	info, err := os.Stat(filepath.Join(d.path, name))
+func (d *Dir) join(name string) string { return filepath.Join(d.path, name) }
+
+// Read returns a file's content; an error if it has more than maxBytes. A missing file is fs.ErrNotExist.
+func (d *Dir) Read(name string, maxBytes int64) ([]byte, error) {
+	info, err := os.Stat(d.join(name))
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > most {
-		return nil, fmt.Errorf("disk: %s has %d bytes, %d at the most", name, info.Size(), most)
+	if info.Size() > maxBytes {
+		return nil, fmt.Errorf("disk: %s has %d bytes, %d at the most", name, info.Size(), maxBytes)
 	}
-	return os.ReadFile(filepath.Join(d.path, name))
+	return os.ReadFile(d.join(name))
 }
 
-// Names are the files in the folder that match a pattern of path.Match, sorted.
+// Names returns the sorted names of the files that match a pattern of filepath.Match.
 func (d *Dir) Names(pattern string) ([]string, error) {
-	found, err := filepath.Glob(filepath.Join(d.path, pattern))
-	for i := range found {
-		found[i] = filepath.Base(found[i])
+	names, err := filepath.Glob(d.join(pattern))
+	for i := range names {
+		names[i] = filepath.Base(names[i])
 	}
-	return found, err
+	return names, err
 }
 
-// Remove removes a file; one that is not there is no error.
+// Remove removes a file; a missing one is no error.
 func (d *Dir) Remove(name string) error {
-	if err := os.Remove(filepath.Join(d.path, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Remove(d.join(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	fileRemoved(filepath.Join(d.path, name))
+	fileRemoved(d.join(name))
 	return nil
 }
 
-// Replace makes text a file's content: after a crash the file has the old or the new, whole. It has lasted when
-// Replace returns nil.
-func (d *Dir) Replace(name string, text []byte) error {
-	f, err := d.create(name + ".new")
+// Replace replaces a file's content: after a crash the file has either the old or the new content, complete. The new
+// one is durable when Replace returns nil.
+func (d *Dir) Replace(name string, content []byte) error {
+	if err := d.writeNew(name+newSuffix, content); err != nil {
+		return fmt.Errorf("disk: %s: %w", name, err)
+	}
+	if err := os.Rename(d.join(name+newSuffix), d.join(name)); err != nil {
+		return fmt.Errorf("disk: %w", err)
+	}
+	fileRenamed(d.join(name+newSuffix), d.join(name))
+	return d.sync()
+}
+
+// writeNew writes and syncs an empty file.
+func (d *Dir) writeNew(name string, content []byte) error {
+	f, err := d.open(name, os.O_TRUNC)
 	if err != nil {
 		return err
 	}
-	if _, err = f.Write(text); err == nil {
+	if _, err = f.Write(content); err == nil {
 		err = f.Sync()
 	}
-	if cerr := f.Close(); err == nil {
-		err = cerr
-	}
-	if err != nil {
-		return fmt.Errorf("disk: %s: %w", name, err)
-	}
-	if err := os.Rename(filepath.Join(d.path, name+".new"), filepath.Join(d.path, name)); err != nil {
-		return fmt.Errorf("disk: %w", err)
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
-	fileRenamed(filepath.Join(d.path, name+".new"), filepath.Join(d.path, name))
-	return d.sync()
+	return err
 }
 
-// sync makes names of the folder last.
+// sync makes the names of the directory durable.
 func (d *Dir) sync() error {
-	f, err := os.Open(d.path)
+	dir, err := os.Open(d.path)
 	if err != nil {
 		return fmt.Errorf("disk: %w", err)
 	}
-	defer f.Close()
-	if err := f.Sync(); err != nil {
+	defer dir.Close()
+	if err := dir.Sync(); err != nil {
 		return fmt.Errorf("disk: %s: %w", d.path, err)
 	}
 	return nil
 }
 
-// create opens an empty file for writing.
-func (d *Dir) create(name string) (*File, error) {
-	f, err := os.OpenFile(filepath.Join(d.path, name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+// open opens a file for writing and creates it if it is missing.
+func (d *Dir) open(name string, flags int) (*File, error) {
+	f, err := os.OpenFile(d.join(name), os.O_CREATE|os.O_WRONLY|flags, fileMode)
 	if err != nil {
-		return nil, fmt.Errorf("disk: %w", err)
+		return nil, err
 	}
 	return &File{f: f}, nil
 }
 
-// Append opens a file, cut to size bytes, for writing behind them.
+// Append opens a file, truncated to size bytes, for writing at its end.
 func (d *Dir) Append(name string, size int64) (*File, error) {
-	f, err := os.OpenFile(filepath.Join(d.path, name), os.O_CREATE|os.O_WRONLY, 0o600)
+	f, err := d.open(name, 0)
 	if err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
 	}
-	if err = f.Truncate(size); err == nil {
-		_, err = f.Seek(size, 0)
+	if err = f.f.Truncate(size); err == nil {
+		_, err = f.f.Seek(size, io.SeekStart)
 	}
 	if err != nil {
 		f.Close()
 		return nil, fmt.Errorf("disk: %w", err)
 	}
-	return &File{f: f}, nil
+	return f, nil
 }
 
-// File is one that is written from its start, or its end, on.
+// File is a file that is written sequentially. Its methods are for one goroutine.
 type File struct {
 	f   *os.File
 	err error // of the first write or sync that failed
 }
 
-// Write writes all of p or fails; then the file is broken.
+// Write writes all of p, or fails; then the file is broken.
 func (f *File) Write(p []byte) (int, error) {
 	if f.err != nil {
 		return 0, ErrBroken
@@ -151,7 +170,7 @@
 	return n, err
 }
 
-// Sync returns nil once all that was written lasts; if it fails the file is broken.
+// Sync returns nil once all that was written is durable, or fails; then the file is broken.
 func (f *File) Sync() error {
 	if f.err != nil {
 		return ErrBroken
@@ -160,5 +179,5 @@
 	return f.err
 }
 
-// Close closes the file; it does not sync.
+// Close closes the file without a sync.
 func (f *File) Close() error { return f.f.Close() }
--- a/internal/disk/lab.go
+++ b/internal/disk/lab.go
@@ -12,76 +12,96 @@
 	"time"
 )
 
-// In lab builds a file "faults" beside the folder's files says what its disk does from now on, one word a line:
+// In lab builds a file "faults" in the directory says how its disk behaves from now on, one fault a line:
 //
 //	full            writes fail, no space
 //	error           writes fail
 //	sync-error      syncs fail
 //	sync-ms N       each sync takes N ms more
-//	lie             syncs say that they are done, and nothing of it lasts
+//	lie             syncs report success, and nothing of them is durable
 //
-// Beside each file, NAME.lasts holds how many bytes of it would survive a power cut.
+// Beside each file, NAME.lasts holds how many bytes of it would survive a power loss.
 const (
-	faults = "faults"
-	lasts  = ".lasts"
+	faultsFile    = "faults"
+	durableSuffix = ".lasts"
+
+	faultFull      = "full"
+	faultError     = "error"
+	faultSyncError = "sync-error"
+	faultSyncDelay = "sync-ms"
+	faultSyncLie   = "lie"
 )
 
-// fault is what the file's disk does now, and its argument.
-func fault(f *os.File) map[string]int {
-	text, err := os.ReadFile(filepath.Join(filepath.Dir(f.Name()), faults))
+// faults are the faults of a disk with their arguments, by name.
+type faults map[string]int
+
+func (f faults) has(name string) bool {
+	_, ok := f[name]
+	return ok
+}
+
+// faultsOf are those of a file's disk now.
+func faultsOf(f *os.File) faults {
+	text, err := os.ReadFile(filepath.Join(filepath.Dir(f.Name()), faultsFile))
 	if err != nil {
 		return nil
 	}
-	out := map[string]int{}
+	out := faults{}
 	for line := range strings.Lines(string(text)) {
-		word, n, _ := strings.Cut(strings.TrimSpace(line), " ")
-		out[word], _ = strconv.Atoi(n)
+		name, argument, _ := strings.Cut(strings.TrimSpace(line), " ")
+		out[name], _ = strconv.Atoi(argument)
 	}
 	return out
 }
 
 func write(f *os.File, p []byte) (int, error) {
-	if now := fault(f); now != nil {
-		if _, is := now["full"]; is {
-			n, _ := f.Write(p[:len(p)/2])
-			return n, fmt.Errorf("write %s: %w", f.Name(), syscall.ENOSPC)
-		}
-		if _, is := now["error"]; is {
-			return 0, fmt.Errorf("write %s: %w", f.Name(), syscall.EIO)
-		}
+	faults := faultsOf(f)
+	if faults.has(faultFull) {
+		n, _ := f.Write(p[:len(p)/2])
+		return n, fmt.Errorf("write %s: %w", f.Name(), syscall.ENOSPC)
+	}
+	if faults.has(faultError) {
+		return 0, fmt.Errorf("write %s: %w", f.Name(), syscall.EIO)
 	}
 	return f.Write(p)
 }
 
 func sync(f *os.File) error {
-	now := fault(f)
-	if n, is := now["sync-ms"]; is {
-		time.Sleep(time.Duration(n) * time.Millisecond)
+	faults := faultsOf(f)
+	if faults.has(faultSyncDelay) {
+		time.Sleep(time.Duration(faults[faultSyncDelay]) * time.Millisecond)
 	}
-	if _, is := now["sync-error"]; is {
+	if faults.has(faultSyncError) {
 		return fmt.Errorf("sync %s: %w", f.Name(), syscall.EIO)
 	}
-	if _, is := now["lie"]; is {
+	if faults.has(faultSyncLie) {
 		return nil
 	}
 	if os.Getenv("RINGTRACK_LAB_DEFECT") == "no-sync" {
-		return nil // the seeded defect of keeper-kills: who syncs nothing
+		return nil // a defect that the lab seeds: nothing is synced
 	}
+	return recordDurable(f)
+}
+
+// recordDurable records the file's size as durable, in place of a sync: the lab simulates a power loss by that, and the
+// machine's own disk is not under test. The record is renamed into place, as the process may be killed meanwhile.
+func recordDurable(f *os.File) error {
 	info, err := f.Stat()
 	if err != nil {
 		return err
 	}
-	// Not f.Sync: the lab's power cut is told by this file, and the machine's own disk is not what is tested.
-	// By a rename, as the process may be killed within.
-	if err := os.WriteFile(f.Name()+lasts+".new", []byte(strconv.FormatInt(info.Size(), 10)), 0o600); err != nil {
+	record := f.Name() + durableSuffix
+	if err := os.WriteFile(record+newSuffix, []byte(strconv.FormatInt(info.Size(), 10)), fileMode); err != nil {
 		return err
 	}
-	return os.Rename(f.Name()+lasts+".new", f.Name()+lasts)
+	return os.Rename(record+newSuffix, record)
 }
 
+// fileRenamed and fileRemoved are called after a change of a name.
 func fileRenamed(from, to string) {
-	if os.Rename(from+lasts, to+lasts) != nil {
-		os.WriteFile(to+lasts, []byte("0"), 0o600) // its sync was a lie
+	if os.Rename(from+durableSuffix, to+durableSuffix) != nil {
+		os.WriteFile(to+durableSuffix, []byte("0"), fileMode) // the sync was a lie
 	}
 }
-func fileRemoved(name string) { os.Remove(name + lasts) }
+
+func fileRemoved(name string) { os.Remove(name + durableSuffix) }
