--- a/internal/disk/direct.go
+++ b/internal/disk/direct.go
@@ -8,6 +8,5 @@
 
 func sync(f *os.File) error { return f.Sync() }
 
-// fileRenamed and fileRemoved are called after a change of a name.
+// fileRenamed is called after a rename.
 func fileRenamed(_, _ string) {}
-func fileRemoved(string)      {}
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -8,7 +8,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"syscall"
@@ -79,15 +78,6 @@
 	return names, err
 }
 
-// Remove removes a file; a missing one is no error.
-func (d *Dir) Remove(name string) error {
-	if err := os.Remove(d.join(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return err
-	}
-	fileRemoved(d.join(name))
-	return nil
-}
-
 // Replace replaces a file's content: after a crash the file has either the old or the new content, complete. The new
 // one is durable when Replace returns nil.
 func (d *Dir) Replace(name string, content []byte) error {
--- a/internal/disk/lab.go
+++ b/internal/disk/lab.go
@@ -97,11 +97,9 @@
 	return os.Rename(record+newSuffix, record)
 }
 
-// fileRenamed and fileRemoved are called after a change of a name.
+// fileRenamed is called after a rename.
 func fileRenamed(from, to string) {
 	if os.Rename(from+durableSuffix, to+durableSuffix) != nil {
 		os.WriteFile(to+durableSuffix, []byte("0"), fileMode) // the sync was a lie
 	}
 }
-
-func fileRemoved(name string) { os.Remove(name + durableSuffix) }
