--- a/cmd/ringtrack-configstore/replicas.go
+++ b/cmd/ringtrack-configstore/replicas.go
@@ -17,7 +17,7 @@
 )
 
 var (
-	errNoLeader         = errors.New("no keeper leads")
+	errNoLeader         = errors.New("no replica leads")
 	errNothingPublished = errors.New("nothing is published yet")
 )
 
--- a/internal/configstore/api.go
+++ b/internal/configstore/api.go
@@ -31,21 +31,21 @@
 type callHandler func(req *http.Request, body []byte) (any, error)
 
 // handler answers all calls. Each that needs the loop waits for it, for a bounded time.
-func (k *Replica) handler(id *sharedIdentity) http.Handler {
+func (r *Replica) handler(id *sharedIdentity) http.Handler {
 	calls := make(chan struct{}, maxCalls)
 	mux := http.NewServeMux()
 	handle := func(pattern string, maxBytes int64, handler callHandler) {
 		mux.HandleFunc(pattern, limitCalls(calls, serveJSON(maxBytes, handler)))
 	}
 	handle("GET "+pathIdentity, 0, func(*http.Request, []byte) (any, error) { return id.get(), nil })
-	handle("POST "+client.PathRenew, maxCallBytes, k.renew)
-	handle("POST "+client.PathPublish, client.MaxResponseBytes, k.publish)
-	handle("POST "+client.PathCordon, maxCallBytes, k.cordon)
-	handle("POST "+client.PathMembers, maxCallBytes, k.members)
-	handle("GET "+client.PathHistory, 0, k.history)
-	handle("GET "+client.PathVersion, 0, k.version)
-	handle("GET "+client.PathStatus, 0, k.status)
-	mux.HandleFunc("POST "+pathRaftMessages, k.raftMessagesHandler(id))
+	handle("POST "+client.PathRenew, maxCallBytes, r.renew)
+	handle("POST "+client.PathPublish, client.MaxResponseBytes, r.publish)
+	handle("POST "+client.PathCordon, maxCallBytes, r.cordon)
+	handle("POST "+client.PathMembers, maxCallBytes, r.members)
+	handle("GET "+client.PathHistory, 0, r.history)
+	handle("GET "+client.PathVersion, 0, r.version)
+	handle("GET "+client.PathStatus, 0, r.status)
+	mux.HandleFunc("POST "+pathRaftMessages, r.raftMessagesHandler(id))
 	return mux
 }
 
@@ -102,7 +102,7 @@
 }
 
 // raftMessagesHandler takes the messages of another replica.
-func (k *Replica) raftMessagesHandler(id *sharedIdentity) http.HandlerFunc {
+func (r *Replica) raftMessagesHandler(id *sharedIdentity) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		messages, err := readRaftMessages(req.Body)
 		if err != nil {
@@ -112,8 +112,8 @@
 		received := make(chan error, 1)
 		ctx, cancel := context.WithTimeout(req.Context(), peerCallTimeout)
 		defer cancel()
-		formed := id.get().Formed != nil || k.cfg.Join
-		if !formed || !k.post(ctx, func() { received <- k.receive(messages) }) {
+		formed := id.get().Formed != nil || r.cfg.Join
+		if !formed || !r.post(ctx, func() { received <- r.receive(messages) }) {
 			http.Error(w, "not yet", http.StatusServiceUnavailable)
 			return
 		}
@@ -129,23 +129,23 @@
 }
 
 // forward has the leader answer a call. A call that was forwarded once is not forwarded again.
-func (k *Replica) forward(req *http.Request, in, out any, timeout time.Duration) error {
+func (r *Replica) forward(req *http.Request, in, out any, timeout time.Duration) error {
 	if req.Header.Get(client.ForwardedHeader) != "" {
 		return errNotLeading
 	}
 	leader := make(chan string, 1)
 	ctx, cancel := context.WithTimeout(req.Context(), timeout)
 	defer cancel()
-	if !k.post(ctx, func() { leader <- k.addr(k.softState.Lead) }) {
+	if !r.post(ctx, func() { leader <- r.addr(r.softState.Lead) }) {
 		return errNotLeading
 	}
 	select {
 	case addr := <-leader:
-		if addr == "" || addr == k.cfg.Members[k.cfg.Name] {
+		if addr == "" || addr == r.cfg.Members[r.cfg.Name] {
 			return errNoLeader
 		}
 		header := http.Header{client.ForwardedHeader: {"1"}}
-		return k.caller.Call(ctx, addr, req.URL.RequestURI(), header, in, out)
+		return r.caller.Call(ctx, addr, req.URL.RequestURI(), header, in, out)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/internal/configstore/api_members.go
+++ b/internal/configstore/api_members.go
@@ -9,7 +9,7 @@
 )
 
 // members adds or removes a replica.
-func (k *Replica) members(req *http.Request, body []byte) (any, error) {
+func (r *Replica) members(req *http.Request, body []byte) (any, error) {
 	var call MembersRequest
 	if err := json.Unmarshal(body, &call); err != nil {
 		return nil, invalidCallError{err}
@@ -20,21 +20,21 @@
 	added := &Identity{}
 	if call.Add != "" {
 		var err error
-		if added, err = k.identifyAdded(req.Context(), &call); err != nil {
+		if added, err = r.identifyAdded(req.Context(), &call); err != nil {
 			return nil, err
 		}
 	}
 	done := make(chan error, 1)
 	ctx, cancel := context.WithTimeout(req.Context(), forwardTimeout)
 	defer cancel()
-	if !k.post(ctx, func() { done <- k.changeMembers(&call, added) }) {
+	if !r.post(ctx, func() { done <- r.changeMembers(&call, added) }) {
 		return nil, errNotLeading
 	}
 	out := &struct{}{}
 	select {
 	case err := <-done:
 		if errors.Is(err, errNotLeading) {
-			return out, k.forward(req, &call, out, forwardTimeout)
+			return out, r.forward(req, &call, out, forwardTimeout)
 		}
 		return out, err
 	case <-ctx.Done():
@@ -42,16 +42,16 @@
 	}
 }
 
-// identifyAdded asks the replica to add for its identity.
-func (k *Replica) identifyAdded(ctx context.Context, call *MembersRequest) (*Identity, error) {
+// identifyAdded returns the identity of the replica to add.
+func (r *Replica) identifyAdded(ctx context.Context, call *MembersRequest) (*Identity, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout/2)
 	defer cancel()
 	added := &Identity{}
-	if err := k.caller.Call(ctx, call.Addr, pathIdentity, http.Header{}, nil, added); err != nil {
-		return nil, fmt.Errorf("members: the keeper at %s does not tell who it is: %w", call.Addr, err)
+	if err := r.caller.Call(ctx, call.Addr, pathIdentity, http.Header{}, nil, added); err != nil {
+		return nil, fmt.Errorf("members: the replica at %s does not identify itself: %w", call.Addr, err)
 	}
 	if added.Name != call.Add {
-		return nil, invalidCallError{fmt.Errorf("members: at %s is keeper %q", call.Addr, added.Name)}
+		return nil, invalidCallError{fmt.Errorf("members: at %s is replica %q", call.Addr, added.Name)}
 	}
 	return added, nil
 }
--- a/internal/configstore/api_publish.go
+++ b/internal/configstore/api_publish.go
@@ -23,7 +23,7 @@
 var errPublishUnknown = errors.New("whether it was published is not known: publish it again, under the same id")
 
 // publish publishes a version.
-func (k *Replica) publish(req *http.Request, body []byte) (any, error) {
+func (r *Replica) publish(req *http.Request, body []byte) (any, error) {
 	var call client.PublishRequest
 	if err := json.Unmarshal(body, &call); err != nil {
 		return nil, invalidCallError{err}
@@ -43,11 +43,11 @@
 		Reason: call.Reason,
 		AtMs:   time.Now().UnixMilli(),
 	}}
-	return k.proposeAndWait(req, call.ID, command, &call)
+	return r.proposeAndWait(req, call.ID, command, &call)
 }
 
 // cordon publishes a version in which a server is cordoned, or is not any more.
-func (k *Replica) cordon(req *http.Request, body []byte) (any, error) {
+func (r *Replica) cordon(req *http.Request, body []byte) (any, error) {
 	var call client.CordonRequest
 	if err := json.Unmarshal(body, &call); err != nil {
 		return nil, invalidCallError{err}
@@ -62,7 +62,7 @@
 		Author: call.Author,
 		AtMs:   time.Now().UnixMilli(),
 	}}
-	return k.proposeAndWait(req, call.ID, command, &call)
+	return r.proposeAndWait(req, call.ID, command, &call)
 }
 
 // checkPublisher checks what a publisher states beside the configuration.
@@ -80,18 +80,18 @@
 
 // proposeAndWait proposes a command and waits until it is applied. in is the call to forward if this replica does not
 // lead.
-func (k *Replica) proposeAndWait(req *http.Request, id string, command *history.Command, in any) (any, error) {
+func (r *Replica) proposeAndWait(req *http.Request, id string, command *history.Command, in any) (any, error) {
 	answer := make(chan proposalResult, 1)
 	ctx, cancel := context.WithTimeout(req.Context(), publishTimeout)
 	defer cancel()
-	if !k.post(ctx, func() { k.propose(id, command, answer) }) {
+	if !r.post(ctx, func() { r.propose(id, command, answer) }) {
 		return nil, errNotLeading
 	}
 	select {
 	case result := <-answer:
 		if errors.Is(result.err, errNotLeading) {
 			var out client.PublishResponse
-			return &out, k.forward(req, in, &out, publishTimeout)
+			return &out, r.forward(req, in, &out, publishTimeout)
 		}
 		return publishResponse(result)
 	case <-ctx.Done():
--- a/internal/configstore/api_read.go
+++ b/internal/configstore/api_read.go
@@ -15,18 +15,18 @@
 
 // confirmedRead has the loop call fill, which sets out, once a majority has confirmed that this replica leads. If it does
 // not lead it forwards the call.
-func (k *Replica) confirmedRead(req *http.Request, out any, fill func() error) (any, error) {
+func (r *Replica) confirmedRead(req *http.Request, out any, fill func() error) (any, error) {
 	ctx, cancel := context.WithTimeout(req.Context(), forwardTimeout)
 	defer cancel()
-	result := k.wait(ctx, &request{read: true})
+	result := r.wait(ctx, &request{read: true})
 	if errors.Is(result.err, errNotLeading) {
-		return out, k.forward(req, nil, out, forwardTimeout)
+		return out, r.forward(req, nil, out, forwardTimeout)
 	}
 	if result.err != nil {
 		return nil, result.err
 	}
 	done := make(chan error, 1)
-	if !k.post(ctx, func() { done <- fill() }) {
+	if !r.post(ctx, func() { done <- fill() }) {
 		return nil, errNotLeading
 	}
 	select {
@@ -38,10 +38,10 @@
 }
 
 // history lists the versions without their configurations.
-func (k *Replica) history(req *http.Request, _ []byte) (any, error) {
+func (r *Replica) history(req *http.Request, _ []byte) (any, error) {
 	out := &client.HistoryResponse{}
-	return k.confirmedRead(req, out, func() error {
-		log := &k.state.History
+	return r.confirmedRead(req, out, func() error {
+		log := &r.state.History
 		out.Epoch = log.Epoch
 		out.Dropped = log.Dropped
 		out.Versions = slices.Clone(log.Versions)
@@ -53,14 +53,14 @@
 }
 
 // version returns the version with the number n, 0: the last.
-func (k *Replica) version(req *http.Request, _ []byte) (any, error) {
+func (r *Replica) version(req *http.Request, _ []byte) (any, error) {
 	number, err := strconv.ParseUint(req.URL.Query().Get("n"), 10, 64)
 	if err != nil {
 		return nil, invalidCallError{errors.New("version: n: a number is needed; 0 is the last")}
 	}
 	out := &sharedconfig.Version{}
-	return k.confirmedRead(req, out, func() error {
-		log := &k.state.History
+	return r.confirmedRead(req, out, func() error {
+		log := &r.state.History
 		last := log.Last()
 		wanted := number
 		if wanted == 0 {
@@ -71,7 +71,7 @@
 		}
 		v := log.Version(wanted)
 		if v == nil {
-			return invalidCallError{fmt.Errorf("version %d is not kept; there are %d to %d", number, log.Dropped+1, last)}
+			return invalidCallError{fmt.Errorf("version %d is not retained; there are %d to %d", number, log.Dropped+1, last)}
 		}
 		*out = *v
 		return nil
@@ -79,16 +79,16 @@
 }
 
 // status is what this replica knows, without asking another.
-func (k *Replica) status(req *http.Request, _ []byte) (any, error) {
+func (r *Replica) status(req *http.Request, _ []byte) (any, error) {
 	out := &client.Status{}
 	done := make(chan struct{})
 	ctx, cancel := context.WithTimeout(req.Context(), forwardTimeout)
 	defer cancel()
 	fill := func() {
-		k.fillStatus(out)
+		r.fillStatus(out)
 		close(done)
 	}
-	if !k.post(ctx, fill) {
+	if !r.post(ctx, fill) {
 		return nil, errNotLeading
 	}
 	select {
@@ -99,31 +99,31 @@
 	}
 }
 
-func (k *Replica) fillStatus(s *client.Status) {
+func (r *Replica) fillStatus(s *client.Status) {
 	*s = client.Status{
-		Name:        k.cfg.Name,
-		ID:          k.identity.ID,
-		Leader:      k.state.Members[k.softState.Lead].Name,
-		Term:        k.node.BasicStatus().GetTerm(),
-		Applied:     k.applied,
-		Epoch:       k.state.History.Epoch,
-		Last:        k.state.History.Last(),
-		Members:     k.describeMembers(),
-		Unreachable: k.unreachable(),
-		Loop:        k.delays.status(),
+		Name:        r.cfg.Name,
+		ID:          r.identity.ID,
+		Leader:      r.state.Members[r.softState.Lead].Name,
+		Term:        r.node.BasicStatus().GetTerm(),
+		Applied:     r.applied,
+		Epoch:       r.state.History.Epoch,
+		Last:        r.state.History.Last(),
+		Members:     r.describeMembers(),
+		Unreachable: r.unreachable(),
+		Loop:        r.delays.status(),
 	}
-	if k.lessor != nil {
-		now := k.now()
-		s.Holders = maps.Clone(k.lessor.Holders(now))
-		s.BlockedBy = k.lessor.Adopted(now, k.state.History.Epoch, k.state.History.EndpointsChanged).Holders
+	if r.lessor != nil {
+		now := r.now()
+		s.Holders = maps.Clone(r.lessor.Holders(now))
+		s.BlockedBy = r.lessor.Adopted(now, r.state.History.Epoch, r.state.History.EndpointsChanged).Holders
 	}
 }
 
-func (k *Replica) describeMembers() []string {
+func (r *Replica) describeMembers() []string {
 	var members []string
-	for id, m := range k.state.Members {
+	for id, m := range r.state.Members {
 		text := m.Name + " " + m.Addr
-		if slices.Contains(k.confState.GetLearners(), id) {
+		if slices.Contains(r.confState.GetLearners(), id) {
 			text += " learner"
 		}
 		members = append(members, text)
@@ -133,16 +133,16 @@
 }
 
 // unreachable is why replicas reject each other's messages, by name.
-func (k *Replica) unreachable() map[string]string {
+func (r *Replica) unreachable() map[string]string {
 	reasons := map[string]string{}
-	for id, reason := range k.watermarks.Rejected {
-		if m, isMember := k.state.Members[id]; isMember {
+	for id, reason := range r.watermarks.Rejected {
+		if m, isMember := r.state.Members[id]; isMember {
 			reasons[m.Name] = reason
 		}
 	}
-	for _, p := range k.peers {
+	for _, p := range r.peers {
 		if p.rejection != "" {
-			reasons[k.cfg.Name+" by "+k.state.Members[p.id].Name] = p.rejection
+			reasons[r.cfg.Name+" by "+r.state.Members[p.id].Name] = p.rejection
 		}
 	}
 	return reasons
--- a/internal/configstore/api_renew.go
+++ b/internal/configstore/api_renew.go
@@ -32,7 +32,7 @@
 }
 
 // renew grants a lease. It waits for a new epoch for a third of a lease at most.
-func (k *Replica) renew(req *http.Request, body []byte) (any, error) {
+func (r *Replica) renew(req *http.Request, body []byte) (any, error) {
 	var call client.RenewRequest
 	if err := json.Unmarshal(body, &call); err != nil {
 		return nil, invalidCallError{err}
@@ -40,27 +40,31 @@
 	if err := checkRenew(&call); err != nil {
 		return nil, err
 	}
-	waitMs := min(call.WaitMs, k.cfg.LeaseMs/3)
+	waitMs := min(call.WaitMs, r.cfg.LeaseMs/3)
 	timeout := time.Duration(waitMs*float64(time.Millisecond)) + forwardTimeout
 	ctx, cancel := context.WithTimeout(req.Context(), timeout)
 	defer cancel()
-	result := k.wait(ctx, &request{
+	result := r.wait(ctx, &request{
 		Request: lease.Request{
 			Holder:  lease.Holder{Name: call.Name, Incarnation: call.Incarnation},
 			Epoch:   call.Epoch,
 			Problem: call.Problem,
 		},
-		deadline: k.now() + waitMs,
+		deadline: r.now() + waitMs,
 	})
 	switch {
 	case errors.Is(result.err, errNotLeading):
 		var out client.RenewResponse
-		return &out, k.forward(req, &call, &out, timeout)
+		return &out, r.forward(req, &call, &out, timeout)
 	case result.err != nil:
 		return nil, result.err
 	case result.encoded != nil:
 		return encodedJSON(result.encoded), nil
 	}
-	grant := result.grant
-	return &client.RenewResponse{Epoch: grant.Epoch, LeaseMs: grant.LeaseMs, EndpointsMs: grant.EndpointsMs}, nil
+	return newRenewResponse(result.grant), nil
+}
+
+// newRenewResponse is the response that carries a grant without the configuration.
+func newRenewResponse(grant lease.Grant) *client.RenewResponse {
+	return &client.RenewResponse{Epoch: grant.Epoch, LeaseMs: grant.LeaseMs, EndpointsMs: grant.EndpointsMs}
 }
--- a/internal/configstore/delays.go
+++ b/internal/configstore/delays.go
@@ -93,21 +93,21 @@
 }
 
 // countElection counts and logs the beginning of an election, with the delays of this replica before it.
-func (k *Replica) countElection(previous, next raft.SoftState) {
+func (r *Replica) countElection(previous, next raft.SoftState) {
 	if next.RaftState == raft.StateLeader {
-		k.delays.lastHeartbeat = longAgo // a leader receives none
+		r.delays.lastHeartbeat = longAgo // a leader receives none
 	}
 	switch {
 	case next.RaftState == raft.StatePreCandidate && previous.RaftState != raft.StatePreCandidate:
-		k.delays.loop.Elections++
+		r.delays.loop.Elections++
 		silentMs := -1
-		if k.delays.lastHeartbeat != longAgo {
-			silentMs = int(k.now() - k.delays.lastHeartbeat)
+		if r.delays.lastHeartbeat != longAgo {
+			silentMs = int(r.now() - r.delays.lastHeartbeat)
 		}
 		slog.Warn("election: no heartbeat of the leader", "silent_ms", silentMs,
-			"longest_ms", k.delays.recentLongest(), "queue", len(k.inbox))
+			"longest_ms", r.delays.recentLongest(), "queue", len(r.inbox))
 	case previous.RaftState == raft.StateLeader && next.RaftState != raft.StateLeader:
-		k.delays.loop.SteppedDown++
-		slog.Warn("election: this replica leads no more", "longest_ms", k.delays.recentLongest(), "queue", len(k.inbox))
+		r.delays.loop.SteppedDown++
+		slog.Warn("election: this replica leads no more", "longest_ms", r.delays.recentLongest(), "queue", len(r.inbox))
 	}
 }
--- a/internal/configstore/durability.go
+++ b/internal/configstore/durability.go
@@ -43,13 +43,13 @@
 }
 
 // submitReady has the writer make raft's new records durable; then raft and the other replicas get the responses.
-func (k *Replica) submitReady(ready *raft.Ready, responses []*pb.Message) error {
-	j, hasVote, err := k.storage.save(ready)
+func (r *Replica) submitReady(ready *raft.Ready, responses []*pb.Message) error {
+	j, hasVote, err := r.storage.save(ready)
 	if err != nil {
 		return err
 	}
 	if hasVote {
-		k.disk.voteJob = k.disk.submitted + 1
+		r.disk.voteJob = r.disk.submitted + 1
 	}
 	storageDurable := j.onDurable
 	snapshot := ready.Snapshot
@@ -58,61 +58,61 @@
 			return err
 		}
 		if !raft.IsEmptySnap(snapshot) {
-			if err := k.restore(snapshot); err != nil {
+			if err := r.restore(snapshot); err != nil {
 				return err
 			}
 		}
-		k.deliver(responses)
+		r.deliver(responses)
 		return nil
 	}
-	return submitJob(k, j)
+	return submitJob(r, j)
 }
 
 // deliver gives raft's responses to the local node and to other replicas.
-func (k *Replica) deliver(responses []*pb.Message) {
+func (r *Replica) deliver(responses []*pb.Message) {
 	for _, m := range responses {
-		if m.GetTo() == k.identity.ID {
-			k.node.Step(m)
+		if m.GetTo() == r.identity.ID {
+			r.node.Step(m)
 		} else {
-			k.send(m)
+			r.send(m)
 		}
 	}
 }
 
 // enqueueJob gives the writer a job.
-func (k *Replica) enqueueJob(j *job) error {
-	k.disk.submitted++
-	k.writer.jobs <- j
+func (r *Replica) enqueueJob(j *job) error {
+	r.disk.submitted++
+	r.writer.jobs <- j
 	return nil
 }
 
 // runJob gives the writer a job and waits until it has come back.
-func (k *Replica) runJob(j *job) error {
-	k.disk.submitted++
-	k.writer.jobs <- j
+func (r *Replica) runJob(j *job) error {
+	r.disk.submitted++
+	r.writer.jobs <- j
 	for {
-		finished := <-k.writer.done
-		if err := k.jobFinished(finished); err != nil || finished == j {
+		finished := <-r.writer.done
+		if err := r.jobFinished(finished); err != nil || finished == j {
 			return err
 		}
 	}
 }
 
 // jobFinished takes a job back from the writer.
-func (k *Replica) jobFinished(j *job) error {
-	k.disk.done++
+func (r *Replica) jobFinished(j *job) error {
+	r.disk.done++
 	kind := delaySave
 	if j.replace != nil {
 		kind = delayReplace
 	}
-	k.delays.record(kind, j.startedAt, j.finishedAt)
+	r.delays.record(kind, j.startedAt, j.finishedAt)
 	if j.err != nil {
 		return fmt.Errorf("keeper: it ends, for what its disk has now is not known: %w", j.err)
 	}
-	if k.disk.done == k.disk.voteJob {
-		unsent := k.disk.unsent
-		k.disk.unsent = nil
-		k.sendWhenDurable(unsent)
+	if r.disk.done == r.disk.voteJob {
+		unsent := r.disk.unsent
+		r.disk.unsent = nil
+		r.sendWhenDurable(unsent)
 	}
 	if j.onDurable != nil {
 		return j.onDurable()
@@ -122,17 +122,17 @@
 
 // sendWhenDurable sends messages that do not depend on entries being durable. They do depend on the term and vote: a
 // replica that lost these could lead, or vote, twice in one term.
-func (k *Replica) sendWhenDurable(messages []*pb.Message) {
+func (r *Replica) sendWhenDurable(messages []*pb.Message) {
 	for _, m := range messages {
 		switch {
-		case k.disk.stalled():
+		case r.disk.stalled():
 			if m.GetType() == pb.MsgSnap {
-				k.node.ReportSnapshot(m.GetTo(), raft.SnapshotFailure)
+				r.node.ReportSnapshot(m.GetTo(), raft.SnapshotFailure)
 			}
-		case !k.disk.voteDurable():
-			k.disk.unsent = append(k.disk.unsent, m)
+		case !r.disk.voteDurable():
+			r.disk.unsent = append(r.disk.unsent, m)
 		default:
-			k.send(m)
+			r.send(m)
 		}
 	}
 }
--- a/internal/configstore/identity.go
+++ b/internal/configstore/identity.go
@@ -99,11 +99,11 @@
 }
 
 // saveFormed makes the identity of a member of the formed cluster durable.
-func (k *Replica) saveFormed(formed *Identity) error {
-	if err := writeJSON(k.dir, identityFile, formed); err != nil {
+func (r *Replica) saveFormed(formed *Identity) error {
+	if err := writeJSON(r.dir, identityFile, formed); err != nil {
 		return err
 	}
-	*k.identity = *formed
+	*r.identity = *formed
 	slog.Info("cluster formed", "name", formed.Name, "id", formed.ID, "members", len(formed.Formed))
 	return nil
 }
--- a/internal/configstore/membership.go
+++ b/internal/configstore/membership.go
@@ -30,46 +30,46 @@
 }
 
 // changeMembers proposes a change of members, unless one is going on. added is the identity of the replica to add.
-func (k *Replica) changeMembers(r *MembersRequest, added *Identity) error {
-	if k.softState.RaftState != raft.StateLeader {
+func (r *Replica) changeMembers(change *MembersRequest, added *Identity) error {
+	if r.softState.RaftState != raft.StateLeader {
 		return errNotLeading
 	}
-	if k.now() < k.memberChangeUntil || len(k.confState.GetLearners()) > 0 && r.Add != "" {
+	if r.now() < r.memberChangeUntil || len(r.confState.GetLearners()) > 0 && change.Add != "" {
 		return invalidCallError{errors.New("members: another change is going on")}
 	}
-	if r.Add != "" {
-		return k.addMember(r, added)
+	if change.Add != "" {
+		return r.addMember(change, added)
 	}
-	return k.removeMember(r.Remove)
+	return r.removeMember(change.Remove)
 }
 
-func (k *Replica) addMember(r *MembersRequest, added *Identity) error {
-	for id, m := range k.state.Members {
+func (r *Replica) addMember(change *MembersRequest, added *Identity) error {
+	for id, m := range r.state.Members {
 		if id == added.ID {
 			return nil // it is a member already
 		}
-		if m.Name == r.Add {
-			return invalidCallError{fmt.Errorf("members: there is a keeper %q with another folder: remove it first", r.Add)}
+		if m.Name == change.Add {
+			return invalidCallError{fmt.Errorf("members: there is a replica %q with another data directory: remove it first", change.Add)}
 		}
 	}
-	return k.proposeMemberChange(pb.ConfChangeAddLearnerNode, added.ID, &member{Name: r.Add, Addr: r.Addr})
+	return r.proposeMemberChange(pb.ConfChangeAddLearnerNode, added.ID, &member{Name: change.Add, Addr: change.Addr})
 }
 
-func (k *Replica) removeMember(name string) error {
-	for id, m := range k.state.Members {
+func (r *Replica) removeMember(name string) error {
+	for id, m := range r.state.Members {
 		if m.Name != name {
 			continue
 		}
-		if voters := k.confState.GetVoters(); len(voters) == 1 && slices.Contains(voters, id) {
+		if voters := r.confState.GetVoters(); len(voters) == 1 && slices.Contains(voters, id) {
 			return invalidCallError{errors.New("members: the last one can't be removed")}
 		}
-		return k.proposeMemberChange(pb.ConfChangeRemoveNode, id, nil)
+		return r.proposeMemberChange(pb.ConfChangeRemoveNode, id, nil)
 	}
 	return invalidCallError{fmt.Errorf("members: there is no keeper %q", name)}
 }
 
 // proposeMemberChange proposes a change of one member.
-func (k *Replica) proposeMemberChange(kind pb.ConfChangeType, id uint64, m *member) error {
+func (r *Replica) proposeMemberChange(kind pb.ConfChangeType, id uint64, m *member) error {
 	var details []byte
 	if m != nil {
 		var err error
@@ -77,40 +77,40 @@
 			return err
 		}
 	}
-	k.memberChangeUntil = k.now() + k.electionTimeoutMs()*4
+	r.memberChangeUntil = r.now() + r.electionTimeoutMs()*4
 	change := &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: proto.Uint64(id)}
-	return k.node.ProposeConfChange(&pb.ConfChangeV2{Context: details, Changes: []*pb.ConfChangeSingle{change}})
+	return r.node.ProposeConfChange(&pb.ConfChangeV2{Context: details, Changes: []*pb.ConfChangeSingle{change}})
 }
 
 // applyMemberChange applies a committed change of members.
-func (k *Replica) applyMemberChange(change *pb.ConfChangeV2) {
-	k.memberChangeUntil = longAgo
+func (r *Replica) applyMemberChange(change *pb.ConfChangeV2) {
+	r.memberChangeUntil = longAgo
 	for _, c := range change.GetChanges() {
 		id := c.GetNodeId()
 		if c.GetType() == pb.ConfChangeRemoveNode {
-			slog.Info("member removed", "name", k.state.Members[id].Name, "id", id)
-			delete(k.state.Members, id)
+			slog.Info("member removed", "name", r.state.Members[id].Name, "id", id)
+			delete(r.state.Members, id)
 			continue
 		}
 		var m member
 		if json.Unmarshal(change.GetContext(), &m) == nil && m.Name != "" {
-			k.state.Members[id] = m
+			r.state.Members[id] = m
 		}
-		slog.Info("member changed", "change", c.GetType().String(), "name", k.state.Members[id].Name, "id", id)
+		slog.Info("member changed", "change", c.GetType().String(), "name", r.state.Members[id].Name, "id", id)
 	}
-	k.updatePeers()
+	r.updatePeers()
 }
 
 // promoteLearners makes a learner that has caught up a voter.
-func (k *Replica) promoteLearners(now float64) {
-	if now < k.memberChangeUntil {
+func (r *Replica) promoteLearners(now float64) {
+	if now < r.memberChangeUntil {
 		return
 	}
-	status := k.node.Status()
+	status := r.node.Status()
 	for id, p := range status.Progress {
 		caughtUp := p.State == tracker.StateReplicate && p.Match+learnerLagEntries >= status.GetCommit()
 		if p.IsLearner && p.RecentActive && caughtUp {
-			k.proposeMemberChange(pb.ConfChangeAddNode, id, nil)
+			r.proposeMemberChange(pb.ConfChangeAddNode, id, nil)
 		}
 	}
 }
--- a/internal/configstore/peer.go
+++ b/internal/configstore/peer.go
@@ -40,22 +40,22 @@
 }
 
 // updatePeers makes the peers those of the current members.
-func (k *Replica) updatePeers() {
-	for id := range k.state.Members {
-		if id == k.identity.ID {
+func (r *Replica) updatePeers() {
+	for id := range r.state.Members {
+		if id == r.identity.ID {
 			continue
 		}
-		addr := k.addr(id)
-		if p := k.peers[id]; p != nil {
+		addr := r.addr(id)
+		if p := r.peers[id]; p != nil {
 			if p.addr == addr {
 				continue
 			}
 			p.cancel()
 		}
-		k.startPeer(id, addr)
+		r.startPeer(id, addr)
 	}
-	maps.DeleteFunc(k.peers, func(id uint64, p *peer) bool {
-		if _, isMember := k.state.Members[id]; isMember {
+	maps.DeleteFunc(r.peers, func(id uint64, p *peer) bool {
+		if _, isMember := r.state.Members[id]; isMember {
 			return false
 		}
 		p.cancel()
@@ -63,32 +63,32 @@
 	})
 }
 
-func (k *Replica) startPeer(id uint64, addr string) {
-	ctx, cancel := context.WithCancel(k.ctx)
+func (r *Replica) startPeer(id uint64, addr string) {
+	ctx, cancel := context.WithCancel(r.ctx)
 	p := &peer{
-		replica:    k,
+		replica:    r,
 		id:         id,
 		addr:       addr,
 		heartbeats: make(chan *pb.Message, heartbeatQueueLength),
 		queue:      make(chan *pb.Message, peerQueueLength),
 		cancel:     cancel,
 	}
-	k.peers[id] = p
-	k.goroutines.Go(func() { k.runPeer(p, ctx) })
+	r.peers[id] = p
+	r.goroutines.Go(func() { r.runPeer(p, ctx) })
 }
 
 // addr is where this replica reaches another: as its own file says, else as the member was added; "": unknown.
-func (k *Replica) addr(id uint64) string {
-	m := k.state.Members[id]
-	if configured := k.cfg.Members[m.Name]; configured != "" {
+func (r *Replica) addr(id uint64) string {
+	m := r.state.Members[id]
+	if configured := r.cfg.Members[m.Name]; configured != "" {
 		return configured
 	}
 	return m.Addr
 }
 
 // send queues a message for its receiver. It is dropped if the queue is full.
-func (k *Replica) send(m *pb.Message) {
-	p := k.peers[m.GetTo()]
+func (r *Replica) send(m *pb.Message) {
+	p := r.peers[m.GetTo()]
 	if p == nil {
 		return
 	}
@@ -100,7 +100,7 @@
 	case queue <- m:
 	default:
 		if m.GetType() == pb.MsgSnap {
-			k.node.ReportSnapshot(p.id, raft.SnapshotFailure)
+			r.node.ReportSnapshot(p.id, raft.SnapshotFailure)
 		}
 	}
 }
@@ -183,7 +183,7 @@
 }
 
 // sent takes the outcome of a call.
-func (k *Replica) sent(p *peer, err error, hasSnapshot bool) {
+func (r *Replica) sent(p *peer, err error, hasSnapshot bool) {
 	rejection := ""
 	if status := (*client.StatusError)(nil); errors.As(err, &status) && status.Status == http.StatusForbidden {
 		rejection = status.Text
@@ -191,11 +191,11 @@
 	if rejection != p.rejection {
 		p.rejection = rejection
 		if rejection != "" {
-			slog.Error("a keeper does not hear this one", "keeper", k.state.Members[p.id].Name, "why", rejection)
+			slog.Error("a keeper does not hear this one", "keeper", r.state.Members[p.id].Name, "why", rejection)
 		}
 	}
 	if err != nil {
-		k.node.ReportUnreachable(p.id)
+		r.node.ReportUnreachable(p.id)
 	}
 	if !hasSnapshot {
 		return
@@ -204,5 +204,5 @@
 	if err != nil {
 		status = raft.SnapshotFailure
 	}
-	k.node.ReportSnapshot(p.id, status)
+	r.node.ReportSnapshot(p.id, status)
 }
--- a/internal/configstore/peer_test.go
+++ b/internal/configstore/peer_test.go
@@ -43,21 +43,21 @@
 	defer dir.Close()
 	members := map[string]string{"k1": "127.0.0.1:1", "k2": strings.TrimPrefix(other.URL, "http://")}
 	ctx, cancel := context.WithCancel(t.Context())
-	k := newReplica(ctx, &Config{Name: "k1", Members: members, LeaseMs: 2000, EndpointsMs: 3000, TickMs: 25}, dir,
+	replica := newReplica(ctx, &Config{Name: "k1", Members: members, LeaseMs: 2000, EndpointsMs: 3000, TickMs: 25}, dir,
 		&Identity{Name: "k1", ID: 1, Cluster: 1, Formed: map[string]uint64{"k1": 1, "k2": 2}})
-	k.runPeer = (*peer).run
-	defer k.goroutines.Wait()
+	replica.runPeer = (*peer).run
+	defer replica.goroutines.Wait()
 	defer cancel()
-	if err := k.watermarks.load(dir); err != nil {
+	if err := replica.watermarks.load(dir); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.openStorage(); err != nil {
+	if err := replica.openStorage(); err != nil {
 		t.Fatal(err)
 	}
-	k.goroutines.Go(func() { // stands in for the loop
+	replica.goroutines.Go(func() { // stands in for the loop
 		for {
 			select {
-			case f := <-k.inbox:
+			case f := <-replica.inbox:
 				f()
 			case <-ctx.Done():
 				return
@@ -75,8 +75,8 @@
 			t.Fatalf("no %v", want)
 		}
 	}
-	k.send(&pb.Message{Type: pb.MsgApp.Enum(), From: proto.Uint64(1), To: proto.Uint64(2)})
+	replica.send(&pb.Message{Type: pb.MsgApp.Enum(), From: proto.Uint64(1), To: proto.Uint64(2)})
 	expect(pb.MsgApp)
-	k.send(&pb.Message{Type: pb.MsgHeartbeat.Enum(), From: proto.Uint64(1), To: proto.Uint64(2)})
+	replica.send(&pb.Message{Type: pb.MsgHeartbeat.Enum(), From: proto.Uint64(1), To: proto.Uint64(2)})
 	expect(pb.MsgHeartbeat)
 }
--- a/internal/configstore/proposals.go
+++ b/internal/configstore/proposals.go
@@ -29,55 +29,55 @@
 }
 
 // propose proposes a command; the result comes when it is applied, if ever.
-func (k *Replica) propose(id string, command *history.Command, answer chan proposalResult) {
-	if k.softState.RaftState != raft.StateLeader {
+func (r *Replica) propose(id string, command *history.Command, answer chan proposalResult) {
+	if r.softState.RaftState != raft.StateLeader {
 		answer <- proposalResult{err: errNotLeading}
 		return
 	}
-	if len(k.proposals) >= maxProposals {
+	if len(r.proposals) >= maxProposals {
 		answer <- proposalResult{err: errTooManyProposals}
 		return
 	}
 	data, err := json.Marshal(command)
 	if err == nil {
-		err = k.node.Propose(data)
+		err = r.node.Propose(data)
 	}
 	if err != nil {
 		answer <- proposalResult{err: err}
 		return
 	}
-	k.proposals[id] = append(k.proposals[id], answer)
+	r.proposals[id] = append(r.proposals[id], answer)
 }
 
 // answerProposals answers those who wait for the command with this id.
-func (k *Replica) answerProposals(id string, result proposalResult) {
-	for _, answer := range k.proposals[id] {
+func (r *Replica) answerProposals(id string, result proposalResult) {
+	for _, answer := range r.proposals[id] {
 		answer <- result
 	}
-	delete(k.proposals, id)
+	delete(r.proposals, id)
 }
 
-func (k *Replica) failProposals(err error) {
-	for id := range k.proposals {
-		k.answerProposals(id, proposalResult{err: err})
+func (r *Replica) failProposals(err error) {
+	for id := range r.proposals {
+		r.answerProposals(id, proposalResult{err: err})
 	}
 }
 
 // advance proposes the next epoch once nobody acts on an epoch before this one.
-func (k *Replica) advance(now float64) {
-	log := &k.state.History
-	if k.lessor == nil || !log.CanAdvance() {
+func (r *Replica) advance(now float64) {
+	log := &r.state.History
+	if r.lessor == nil || !log.CanAdvance() {
 		return
 	}
-	if log.Epoch == k.advancing.epoch && now-k.advancing.at < k.electionTimeoutMs() {
+	if log.Epoch == r.advancing.epoch && now-r.advancing.at < r.electionTimeoutMs() {
 		return // the proposal is under way
 	}
-	if !k.lessor.MayAdvance(now, log.Epoch, log.EndpointsChanged) {
+	if !r.lessor.MayAdvance(now, log.Epoch, log.EndpointsChanged) {
 		return
 	}
 	epoch := log.Epoch
 	data, err := json.Marshal(&history.Command{Advance: &epoch})
-	if err == nil && k.node.Propose(data) == nil {
-		k.advancing = epochProposal{epoch: epoch, at: now}
+	if err == nil && r.node.Propose(data) == nil {
+		r.advancing = epochProposal{epoch: epoch, at: now}
 	}
 }
--- a/internal/configstore/raft.go
+++ b/internal/configstore/raft.go
@@ -24,13 +24,13 @@
 	maxUncommittedBytes       = 64 << 20
 )
 
-func (k *Replica) raftConfig() *raft.Config {
+func (r *Replica) raftConfig() *raft.Config {
 	return &raft.Config{
-		ID:                        k.identity.ID,
+		ID:                        r.identity.ID,
 		ElectionTick:              electionTicks,
 		HeartbeatTick:             heartbeatTicks,
-		Storage:                   k.storage,
-		Applied:                   k.applied,
+		Storage:                   r.storage,
+		Applied:                   r.applied,
 		MaxSizePerMsg:             maxEntriesPerMessageBytes,
 		MaxInflightMsgs:           maxInflightMessages,
 		MaxUncommittedEntriesSize: maxUncommittedBytes,
@@ -45,54 +45,54 @@
 
 // handleTick runs a tick. What has arrived by then is handled before it: a leader whose message has arrived is not
 // silent, nor is a disk that has answered.
-func (k *Replica) handleTick() error {
-	k.runPosted(nil)
-	for range len(k.writer.done) {
-		if err := k.jobFinished(<-k.writer.done); err != nil {
+func (r *Replica) handleTick() error {
+	r.runPosted(nil)
+	for range len(r.writer.done) {
+		if err := r.jobFinished(<-r.writer.done); err != nil {
 			return err
 		}
 	}
-	k.tick()
+	r.tick()
 	return nil
 }
 
-func (k *Replica) tick() {
-	now := k.now()
-	k.delays.tick(now, k.cfg.TickMs, k.cfg.TickMs*electionTicks*2)
-	k.node.Tick()
-	k.disk.tick()
-	k.requests.expire(now, k.electionTimeoutMs())
-	k.recordWatermarks()
-	if k.lessor == nil {
+func (r *Replica) tick() {
+	now := r.now()
+	r.delays.tick(now, r.cfg.TickMs, r.cfg.TickMs*electionTicks*2)
+	r.node.Tick()
+	r.disk.tick()
+	r.requests.expire(now, r.electionTimeoutMs())
+	r.recordWatermarks()
+	if r.lessor == nil {
 		return
 	}
-	k.promoteLearners(now)
+	r.promoteLearners(now)
 }
 
-func (k *Replica) electionTimeoutMs() float64 { return k.cfg.TickMs * electionTicks }
+func (r *Replica) electionTimeoutMs() float64 { return r.cfg.TickMs * electionTicks }
 
 // processReady carries out what raft wants: the writer makes records durable, and messages that depend on them wait.
 // All else goes on, so that a slow disk delays neither ticks nor heartbeats.
-func (k *Replica) processReady() error {
-	for k.node.HasReady() && !k.disk.full() {
-		ready := k.node.Ready()
-		if err := k.handleReady(&ready); err != nil {
+func (r *Replica) processReady() error {
+	for r.node.HasReady() && !r.disk.full() {
+		ready := r.node.Ready()
+		if err := r.handleReady(&ready); err != nil {
 			return err
 		}
 	}
-	k.serveRequests()
-	return k.snapshotIfDue()
+	r.serveRequests()
+	return r.snapshotIfDue()
 }
 
-func (k *Replica) handleReady(ready *raft.Ready) error {
+func (r *Replica) handleReady(ready *raft.Ready) error {
 	if ready.SoftState != nil {
-		k.softStateChanged(*ready.SoftState)
+		r.softStateChanged(*ready.SoftState)
 	}
 	var outgoing, whenApplied []*pb.Message
 	for _, m := range ready.Messages {
 		switch m.GetTo() {
 		case raft.LocalAppendThread:
-			if err := k.submitReady(ready, m.GetResponses()); err != nil {
+			if err := r.submitReady(ready, m.GetResponses()); err != nil {
 				return err
 			}
 		case raft.LocalApplyThread:
@@ -101,41 +101,41 @@
 			outgoing = append(outgoing, m)
 		}
 	}
-	k.sendWhenDurable(outgoing)
+	r.sendWhenDurable(outgoing)
 	for _, entry := range ready.CommittedEntries {
-		if err := k.apply(entry); err != nil {
+		if err := r.apply(entry); err != nil {
 			return err
 		}
 	}
 	for _, m := range whenApplied {
-		k.node.Step(m)
+		r.node.Step(m)
 	}
 	for _, readState := range ready.ReadStates {
-		k.requests.confirmed(readState)
+		r.requests.confirmed(readState)
 	}
 	return nil
 }
 
 // softStateChanged follows who leads.
-func (k *Replica) softStateChanged(next raft.SoftState) {
-	if next.RaftState != k.softState.RaftState || next.Lead != k.softState.Lead {
-		slog.Info("raft", "state", next.RaftState.String(), "leader", k.state.Members[next.Lead].Name)
+func (r *Replica) softStateChanged(next raft.SoftState) {
+	if next.RaftState != r.softState.RaftState || next.Lead != r.softState.Lead {
+		slog.Info("raft", "state", next.RaftState.String(), "leader", r.state.Members[next.Lead].Name)
 	}
-	k.countElection(k.softState, next)
-	k.softState = next
+	r.countElection(r.softState, next)
+	r.softState = next
 	if next.RaftState != raft.StateLeader {
-		k.lessor = nil
-		k.failRequests(errNotLeading)
+		r.lessor = nil
+		r.failRequests(errNotLeading)
 	}
 }
 
 // apply applies one committed entry.
-func (k *Replica) apply(entry *pb.Entry) error {
-	k.applied = entry.GetIndex()
+func (r *Replica) apply(entry *pb.Entry) error {
+	r.applied = entry.GetIndex()
 	switch entry.GetType() {
 	case pb.EntryNormal:
 		if len(entry.GetData()) > 0 {
-			if err := k.applyCommand(entry); err != nil {
+			if err := r.applyCommand(entry); err != nil {
 				return err
 			}
 		}
@@ -144,25 +144,25 @@
 		if err != nil {
 			return err
 		}
-		k.confState = k.node.ApplyConfChange(change)
-		k.applyMemberChange(change)
-		k.membersChanged = true
+		r.confState = r.node.ApplyConfChange(change)
+		r.applyMemberChange(change)
+		r.membersChanged = true
 	}
-	k.becomeLessor(entry)
+	r.becomeLessor(entry)
 	return nil
 }
 
-func (k *Replica) applyCommand(entry *pb.Entry) error {
+func (r *Replica) applyCommand(entry *pb.Entry) error {
 	var command history.Command
 	if err := json.Unmarshal(entry.GetData(), &command); err != nil {
 		return fmt.Errorf("%w: entry %d: %w", ErrCorrupt, entry.GetIndex(), err)
 	}
-	previous := k.state.History.Epoch
-	version, err := k.state.History.Apply(&command)
-	k.answerProposals(command.ID(), proposalResult{version: version, err: err, applied: true})
-	if k.state.History.Epoch != previous {
-		slog.Info("epoch in force", "epoch", k.state.History.Epoch)
-		k.requests.requeueWaiting()
+	previous := r.state.History.Epoch
+	version, err := r.state.History.Apply(&command)
+	r.answerProposals(command.ID(), proposalResult{version: version, err: err, applied: true})
+	if r.state.History.Epoch != previous {
+		slog.Info("epoch in force", "epoch", r.state.History.Epoch)
+		r.requests.requeueWaiting()
 	}
 	return nil
 }
@@ -181,33 +181,33 @@
 
 // becomeLessor begins to grant leases once the leader has applied an entry of its own term: then it has applied all that
 // was committed before.
-func (k *Replica) becomeLessor(entry *pb.Entry) {
-	term := k.node.BasicStatus().GetTerm()
-	if k.softState.RaftState != raft.StateLeader || entry.GetTerm() != term {
+func (r *Replica) becomeLessor(entry *pb.Entry) {
+	term := r.node.BasicStatus().GetTerm()
+	if r.softState.RaftState != raft.StateLeader || entry.GetTerm() != term {
 		return
 	}
-	if k.lessor == nil || k.lessorTerm != term {
-		k.lessor = lease.NewLessor(k.now(), k.cfg.LeaseMs, k.cfg.EndpointsMs)
-		k.lessorTerm = term
+	if r.lessor == nil || r.lessorTerm != term {
+		r.lessor = lease.NewLessor(r.now(), r.cfg.LeaseMs, r.cfg.EndpointsMs)
+		r.lessorTerm = term
 	}
 }
 
 // transferLeadership hands the leadership to another voter, if this replica leads and there is one.
-func (k *Replica) transferLeadership() {
-	if to := k.transferTarget(); to != 0 {
-		slog.Info("transferring leadership", "to", k.state.Members[to].Name)
-		k.node.TransferLeader(to)
+func (r *Replica) transferLeadership() {
+	if to := r.transferTarget(); to != 0 {
+		slog.Info("transferring leadership", "to", r.state.Members[to].Name)
+		r.node.TransferLeader(to)
 	}
 }
 
 // transferTarget is the voter that is most up to date; 0: this replica does not lead, or there is none.
-func (k *Replica) transferTarget() uint64 {
-	if k.softState.RaftState != raft.StateLeader {
+func (r *Replica) transferTarget() uint64 {
+	if r.softState.RaftState != raft.StateLeader {
 		return 0
 	}
 	var target, bestMatch uint64
-	for id, progress := range k.node.Status().Progress {
-		if id != k.identity.ID && !progress.IsLearner && progress.RecentActive && progress.Match >= bestMatch {
+	for id, progress := range r.node.Status().Progress {
+		if id != r.identity.ID && !progress.IsLearner && progress.RecentActive && progress.Match >= bestMatch {
 			bestMatch = progress.Match
 			target = id
 		}
--- a/internal/configstore/raft_messages.go
+++ b/internal/configstore/raft_messages.go
@@ -21,8 +21,8 @@
 // Reasons to reject messages.
 var (
 	errOtherCluster  = errors.New("another cluster")
-	errNotMember     = errors.New("no member has this id: it was removed, or its folder is not the one that was added")
-	errForeignSender = errors.New("a message of another keeper")
+	errNotMember     = errors.New("no member has this id: it was removed, or its data directory is not the one that was added")
+	errForeignSender = errors.New("a message of another replica")
 )
 
 // raftMessages is what one replica sends another in a call.
@@ -47,51 +47,51 @@
 }
 
 // setSender fills in this replica as the sender.
-func (k *Replica) setSender(messages *raftMessages) {
-	messages.Cluster = k.identity.Cluster
-	messages.From = k.identity.ID
-	messages.Name = k.identity.Name
-	messages.Nonce = k.nonce
-	messages.Last, _ = k.storage.LastIndex()
-	if k.softState.RaftState == raft.StateLeader {
-		messages.Acked = maps.Clone(k.watermarks.Acked)
+func (r *Replica) setSender(messages *raftMessages) {
+	messages.Cluster = r.identity.Cluster
+	messages.From = r.identity.ID
+	messages.Name = r.identity.Name
+	messages.Nonce = r.nonce
+	messages.Last, _ = r.storage.LastIndex()
+	if r.softState.RaftState == raft.StateLeader {
+		messages.Acked = maps.Clone(r.watermarks.Acked)
 	}
 }
 
 // receive takes messages; an error is why they are rejected.
-func (k *Replica) receive(messages *raftMessages) error {
-	if messages.To != k.identity.ID {
-		return fmt.Errorf("this is keeper %d, another folder than %d; it was wiped or replaced", k.identity.ID, messages.To)
+func (r *Replica) receive(messages *raftMessages) error {
+	if messages.To != r.identity.ID {
+		return fmt.Errorf("this is replica %d, another data directory than %d; it was wiped or replaced", r.identity.ID, messages.To)
 	}
-	if k.identity.Cluster == 0 && k.cfg.Join {
-		if err := k.joinCluster(messages.Cluster); err != nil {
+	if r.identity.Cluster == 0 && r.cfg.Join {
+		if err := r.joinCluster(messages.Cluster); err != nil {
 			return err
 		}
 	}
-	if messages.Cluster != k.identity.Cluster {
+	if messages.Cluster != r.identity.Cluster {
 		return errOtherCluster
 	}
-	if _, isMember := k.state.Members[messages.From]; !isMember {
-		if k.applied != 0 {
+	if _, isMember := r.state.Members[messages.From]; !isMember {
+		if r.applied != 0 {
 			return errNotMember
 		}
 		// This replica joins and has no state yet: it answers the sender at the address that its own file has.
-		k.state.Members[messages.From] = member{Name: messages.Name}
-		k.updatePeers()
+		r.state.Members[messages.From] = member{Name: messages.Name}
+		r.updatePeers()
 	}
-	if err := k.watermarks.accept(messages.From, messages.Nonce, messages.Last); err != nil {
+	if err := r.watermarks.accept(messages.From, messages.Nonce, messages.Last); err != nil {
 		return err
 	}
-	k.watermarks.merge(messages.Acked)
+	r.watermarks.merge(messages.Acked)
 	for _, text := range messages.Msgs {
-		if err := k.receiveMessage(messages.From, text); err != nil {
+		if err := r.receiveMessage(messages.From, text); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (k *Replica) receiveMessage(from uint64, text []byte) error {
+func (r *Replica) receiveMessage(from uint64, text []byte) error {
 	m := &pb.Message{}
 	if err := proto.Unmarshal(text, m); err != nil {
 		return err
@@ -99,25 +99,25 @@
 	if m.GetFrom() != from {
 		return errForeignSender
 	}
-	if from == k.softState.Lead && (m.GetType() == pb.MsgHeartbeat || m.GetType() == pb.MsgApp) {
-		k.delays.heartbeat(k.now())
+	if from == r.softState.Lead && (m.GetType() == pb.MsgHeartbeat || m.GetType() == pb.MsgApp) {
+		r.delays.heartbeat(r.now())
 	}
-	k.node.Step(m) // an error is a message that raft drops
+	r.node.Step(m) // an error is a message that raft drops
 	return nil
 }
 
 // joinCluster makes the cluster that a replica joins durable.
-func (k *Replica) joinCluster(cluster uint64) error {
-	joined := *k.identity
+func (r *Replica) joinCluster(cluster uint64) error {
+	joined := *r.identity
 	joined.Cluster = cluster
 	var writeErr error
 	write := &job{replace: func() error {
-		writeErr = writeJSON(k.dir, identityFile, &joined)
+		writeErr = writeJSON(r.dir, identityFile, &joined)
 		return nil
 	}}
-	if err := k.runJob(write); err != nil || writeErr != nil {
+	if err := r.runJob(write); err != nil || writeErr != nil {
 		return errors.Join(err, writeErr)
 	}
-	*k.identity = joined
+	*r.identity = joined
 	return nil
 }
--- a/internal/configstore/raft_test.go
+++ b/internal/configstore/raft_test.go
@@ -43,20 +43,20 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { dir.Close() })
-		k := newReplica(t.Context(), &Config{Name: name, Members: members, LeaseMs: 2000, EndpointsMs: 3000, TickMs: 25}, dir,
+		replica := newReplica(t.Context(), &Config{Name: name, Members: members, LeaseMs: 2000, EndpointsMs: 3000, TickMs: 25}, dir,
 			&Identity{Name: name, ID: uint64(i + 1), Cluster: 1, Formed: formed})
-		k.runPeer = func(*peer, context.Context) {}
-		if err := k.watermarks.load(dir); err != nil {
+		replica.runPeer = func(*peer, context.Context) {}
+		if err := replica.watermarks.load(dir); err != nil {
 			t.Fatal(err)
 		}
-		if err := k.openStorage(); err != nil {
+		if err := replica.openStorage(); err != nil {
 			t.Fatal(err)
 		}
-		s.replicas = append(s.replicas, k)
+		s.replicas = append(s.replicas, replica)
 	}
 	t.Cleanup(func() {
-		for _, k := range s.replicas {
-			k.goroutines.Wait()
+		for _, replica := range s.replicas {
+			replica.goroutines.Wait()
 		}
 	})
 	return s
@@ -74,23 +74,23 @@
 	s.t.Helper()
 	for busy := true; busy; {
 		busy = false
-		for _, k := range s.replicas {
-			if s.dead[k] {
+		for _, replica := range s.replicas {
+			if s.dead[replica] {
 				continue
 			}
-			s.must(k.processReady())
-			for !s.stalled[k] && len(k.writer.jobs) > 0 {
+			s.must(replica.processReady())
+			for !s.stalled[replica] && len(replica.writer.jobs) > 0 {
 				busy = true
-				k.writer.runBatch(<-k.writer.jobs)
-				for len(k.writer.done) > 0 {
-					s.must(k.jobFinished(<-k.writer.done))
+				replica.writer.runBatch(<-replica.writer.jobs)
+				for len(replica.writer.done) > 0 {
+					s.must(replica.jobFinished(<-replica.writer.done))
 				}
-				s.must(k.processReady())
+				s.must(replica.processReady())
 			}
-			for _, p := range k.peers {
+			for _, p := range replica.peers {
 				for len(p.heartbeats)+len(p.queue) > 0 {
 					busy = true
-					s.deliverNext(k, p)
+					s.deliverNext(replica, p)
 				}
 			}
 		}
@@ -120,9 +120,9 @@
 // tick makes a tick of all replicas that live; what they send is delivered.
 func (s *testCluster) tick() {
 	s.t.Helper()
-	for _, k := range s.replicas {
-		if !s.dead[k] {
-			s.must(k.handleTick())
+	for _, replica := range s.replicas {
+		if !s.dead[replica] {
+			s.must(replica.handleTick())
 		}
 	}
 	s.settle()
@@ -132,9 +132,9 @@
 func (s *testCluster) waitForLeader(maxTicks int) (*Replica, int) {
 	s.t.Helper()
 	for n := range maxTicks {
-		for _, k := range s.replicas {
-			if !s.dead[k] && k.softState.RaftState == raft.StateLeader && k.lessor != nil {
-				return k, n
+		for _, replica := range s.replicas {
+			if !s.dead[replica] && replica.softState.RaftState == raft.StateLeader && replica.lessor != nil {
+				return replica, n
 			}
 		}
 		s.tick()
@@ -144,18 +144,20 @@
 }
 
 func (s *testCluster) elections() (n int64) {
-	for _, k := range s.replicas {
-		n += k.delays.loop.Elections + k.delays.loop.SteppedDown
+	for _, replica := range s.replicas {
+		n += replica.delays.loop.Elections + replica.delays.loop.SteppedDown
 	}
 	return n
 }
 
 // publish proposes a version at a replica; the answer comes once it is applied there.
-func (s *testCluster) publish(k *Replica) chan proposalResult {
+func (s *testCluster) publish(replica *Replica) chan proposalResult {
 	s.version++
 	answer := make(chan proposalResult, 1)
 	id := fmt.Sprint("p", s.version)
-	k.propose(id, &history.Command{Publish: &history.Publish{ID: id, Parent: s.version - 1, Config: &sharedconfig.Config{Cordoned: []string{id}}}}, answer)
+	config := &sharedconfig.Config{Cordoned: []string{id}}
+	command := &history.Command{Publish: &history.Publish{ID: id, Parent: s.version - 1, Config: config}}
+	replica.propose(id, command, answer)
 	return answer
 }
 
@@ -184,16 +186,16 @@
 				s.tick()
 			}
 			term, before := lead.node.BasicStatus().GetTerm(), s.elections()
-			for i, k := range s.replicas {
+			for i, replica := range s.replicas {
 				switch whose {
 				case "the leader's":
-					s.stalled[k] = k == lead
+					s.stalled[replica] = replica == lead
 				case "the others'":
-					s.stalled[k] = k != lead
+					s.stalled[replica] = replica != lead
 				case "one other's":
-					s.stalled[k] = k == s.replicas[(slices.Index(s.replicas, lead)+1)%len(s.replicas)]
+					s.stalled[replica] = replica == s.replicas[(slices.Index(s.replicas, lead)+1)%len(s.replicas)]
 				default:
-					s.stalled[k] = i >= 0
+					s.stalled[replica] = i >= 0
 				}
 			}
 			answer := s.publish(lead)
@@ -212,12 +214,13 @@
 			if whose != "one other's" {
 				requirePublished(t, answer)
 			}
-			if now := lead.node.BasicStatus().GetTerm(); now != term || s.elections() != before || lead.softState.RaftState != raft.StateLeader {
+			now := lead.node.BasicStatus().GetTerm()
+			if now != term || s.elections() != before || lead.softState.RaftState != raft.StateLeader {
 				t.Errorf("term %d, then %d; %d elections; %v", term, now, s.elections()-before, lead.softState)
 			}
-			for _, k := range s.replicas {
-				if last := k.state.History.Last(); last != s.version {
-					t.Errorf("%s has version %d of %d", k.cfg.Name, last, s.version)
+			for _, replica := range s.replicas {
+				if last := replica.state.History.Last(); last != s.version {
+					t.Errorf("%s has version %d of %d", replica.cfg.Name, last, s.version)
 				}
 			}
 		})
@@ -244,9 +247,9 @@
 				var next *Replica
 				for ; next == nil && took < 4*x.maxTicks; took++ {
 					s.tick()
-					for _, k := range s.replicas {
-						if k != lead && k.softState.RaftState == raft.StateLeader {
-							next = k
+					for _, replica := range s.replicas {
+						if replica != lead && replica.softState.RaftState == raft.StateLeader {
+							next = replica
 						}
 					}
 				}
@@ -280,18 +283,18 @@
 	}
 	lead, _ := s.waitForLeader(10 * electionTicks)
 	for i := range 4 * electionTicks { // disks that answer now and then, while the leader changes
-		for j, k := range s.replicas {
-			s.stalled[k] = (i+j)%3 != 0
+		for j, replica := range s.replicas {
+			s.stalled[replica] = (i+j)%3 != 0
 		}
 		if i%electionTicks == 0 {
 			if to := lead.transferTarget(); to != 0 {
 				lead.node.TransferLeader(to)
 			}
 		}
-		for _, k := range s.replicas {
-			if k.softState.RaftState == raft.StateLeader {
-				lead = k
-				s.publish(k)
+		for _, replica := range s.replicas {
+			if replica.softState.RaftState == raft.StateLeader {
+				lead = replica
+				s.publish(replica)
 			}
 		}
 		s.tick()
@@ -304,11 +307,11 @@
 // TestInboxIsHandledBeforeATick checks that a message of the leader that is in the inbox at a tick is handled first.
 func TestInboxIsHandledBeforeATick(t *testing.T) {
 	s := newTestCluster(t, 1)
-	k := s.replicas[0]
-	handledAt, before := math.Inf(1), k.delays.lastTick
-	k.inbox <- func() { handledAt = k.delays.lastTick }
+	replica := s.replicas[0]
+	handledAt, before := math.Inf(1), replica.delays.lastTick
+	replica.inbox <- func() { handledAt = replica.delays.lastTick }
 	s.tick()
-	if handledAt != before || k.delays.lastTick <= before {
-		t.Errorf("handled after the tick at %v ms; the one before was at %v, the next at %v", handledAt, before, k.delays.lastTick)
+	if handledAt != before || replica.delays.lastTick <= before {
+		t.Errorf("handled after the tick at %v ms; the one before was at %v, the next at %v", handledAt, before, replica.delays.lastTick)
 	}
 }
--- a/internal/configstore/replica.go
+++ b/internal/configstore/replica.go
@@ -109,45 +109,45 @@
 		return fmt.Errorf("keeper: listen: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	k := newReplica(ctx, cfg, dir, id)
-	k.runPeer = (*peer).run
-	defer k.goroutines.Wait()
+	r := newReplica(ctx, cfg, dir, id)
+	r.runPeer = (*peer).run
+	defer r.goroutines.Wait()
 	defer cancel()
-	if err := k.watermarks.load(dir); err != nil {
+	if err := r.watermarks.load(dir); err != nil {
 		ln.Close()
 		return err
 	}
-	// Identities are asked for before there is anything to vote on, so calls are answered from now on.
+	// Other members need the identity to form the cluster, so calls are answered from now on.
 	var shared sharedIdentity
 	shared.set(id)
-	server := k.newServer(&shared)
-	k.goroutines.Go(func() { server.Serve(ln) })
+	server := r.newServer(&shared)
+	r.goroutines.Go(func() { server.Serve(ln) })
 	defer server.Close()
 	if ready != nil {
 		ready(ln.Addr())
 	}
 	if id.Formed == nil && !cfg.Join {
 		formed := *id
-		if err := formed.form(stop, cfg.Members, k.caller); err != nil {
+		if err := formed.form(stop, cfg.Members, r.caller); err != nil {
 			if stop.Err() != nil {
 				return nil
 			}
 			return err
 		}
-		if err := k.saveFormed(&formed); err != nil {
+		if err := r.saveFormed(&formed); err != nil {
 			return err
 		}
 		shared.set(id)
 	}
-	if err := k.openStorage(); err != nil {
+	if err := r.openStorage(); err != nil {
 		return err
 	}
-	return k.loop(stop)
+	return r.loop(stop)
 }
 
-func (k *Replica) newServer(id *sharedIdentity) *http.Server {
+func (r *Replica) newServer(id *sharedIdentity) *http.Server {
 	return &http.Server{
-		Handler:        k.handler(id),
+		Handler:        r.handler(id),
 		ReadTimeout:    serverTimeout,
 		WriteTimeout:   serverTimeout,
 		IdleTimeout:    serverIdleTimeout,
@@ -158,7 +158,7 @@
 
 // newReplica returns a replica whose storage is not open yet.
 func newReplica(ctx context.Context, cfg *Config, dir *disk.Dir, id *Identity) *Replica {
-	k := &Replica{
+	r := &Replica{
 		cfg:               cfg,
 		dir:               dir,
 		identity:          id,
@@ -172,95 +172,95 @@
 		memberChangeUntil: longAgo,
 		delays:            newDelays(),
 	}
-	k.watermarks.savedAt = longAgo
+	r.watermarks.savedAt = longAgo
 	var nonce [8]byte
 	rand.Read(nonce[:])
-	k.nonce = binary.BigEndian.Uint64(nonce[:])
-	return k
+	r.nonce = binary.BigEndian.Uint64(nonce[:])
+	return r
 }
 
 // loop owns the replica's state until stop is done or the disk fails.
-func (k *Replica) loop(stop context.Context) error {
-	ticker := time.NewTicker(time.Duration(k.cfg.TickMs * float64(time.Millisecond)))
+func (r *Replica) loop(stop context.Context) error {
+	ticker := time.NewTicker(time.Duration(r.cfg.TickMs * float64(time.Millisecond)))
 	defer ticker.Stop()
-	defer k.failAll(errShutDown)
-	k.goroutines.Go(k.writer.run)
-	defer close(k.writer.jobs)
+	defer r.failAll(errShutDown)
+	r.goroutines.Go(r.writer.run)
+	defer close(r.writer.jobs)
 	var transferOver <-chan time.Time
 	stopping := stop.Done()
 	for {
-		start := k.now()
+		start := r.now()
 		select {
 		case <-ticker.C:
-			start = k.now()
-			if err := k.handleTick(); err != nil {
+			start = r.now()
+			if err := r.handleTick(); err != nil {
 				return err
 			}
-		case f := <-k.inbox:
-			start = k.now()
-			k.runPosted(f)
-		case j := <-k.writer.done:
-			start = k.now()
-			if err := k.jobFinished(j); err != nil {
+		case f := <-r.inbox:
+			start = r.now()
+			r.runPosted(f)
+		case j := <-r.writer.done:
+			start = r.now()
+			if err := r.jobFinished(j); err != nil {
 				return err
 			}
 		case <-stopping:
 			stopping = nil
-			k.transferLeadership()
+			r.transferLeadership()
 			transferOver = time.After(transferTimeout)
 		case <-transferOver:
 			return nil
 		}
-		if err := k.processReady(); err != nil {
+		if err := r.processReady(); err != nil {
 			return err
 		}
-		k.delays.record(delayIteration, start, k.now())
-		if stopping == nil && transferOver != nil && k.softState.RaftState != raft.StateLeader {
+		r.delays.record(delayIteration, start, r.now())
+		if stopping == nil && transferOver != nil && r.softState.RaftState != raft.StateLeader {
 			return nil
 		}
 	}
 }
 
 // now is the monotonic clock, ms.
-func (k *Replica) now() float64 { return clock.Steady() }
+func (r *Replica) now() float64 { return clock.Steady() }
 
 // post has the loop run a function. It returns false if it won't.
-func (k *Replica) post(ctx context.Context, f func()) bool {
+func (r *Replica) post(ctx context.Context, f func()) bool {
 	select {
-	case k.inbox <- f:
+	case r.inbox <- f:
 		return true
 	case <-ctx.Done():
 		return false
-	case <-k.ctx.Done():
+	case <-r.ctx.Done():
 		return false
 	}
 }
 
 // runAgain has the loop run once more; a full inbox does so anyway.
-func (k *Replica) runAgain() {
+func (r *Replica) runAgain() {
 	select {
-	case k.inbox <- func() {}:
+	case r.inbox <- func() {}:
 	default:
 	}
 }
 
 // runPosted runs f, if any, and the functions that are in the inbox now. Those that come meanwhile are left to the next
 // iteration.
-func (k *Replica) runPosted(f func()) {
-	start := k.now()
-	n := len(k.inbox)
+func (r *Replica) runPosted(f func()) {
+	start := r.now()
+	n := len(r.inbox)
 	if f != nil {
 		f()
-		k.delays.queued(n + 1)
+		r.delays.queued(n + 1)
 	}
 	for range n {
-		(<-k.inbox)()
+		(<-r.inbox)()
 	}
-	k.delays.record(delayInbox, start, k.now())
+	r.delays.record(delayInbox, start, r.now())
 }
 
 // failAll ends all calls that wait.
-func (k *Replica) failAll(err error) {
-	k.failRequests(err)
-	k.failProposals(err)
+func (r *Replica) failAll(err error) {
+	r.failRequests(err)
+	r.failProposals(err)
 }
--- a/internal/configstore/requests.go
+++ b/internal/configstore/requests.go
@@ -77,8 +77,8 @@
 }
 
 // failRequests fails all requests.
-func (k *Replica) failRequests(err error) {
-	q := &k.requests
+func (r *Replica) failRequests(err error) {
+	q := &r.requests
 	failRequests(q.waiting, err)
 	failRequests(q.pending, err)
 	failRequests(q.confirming, err)
@@ -88,53 +88,53 @@
 }
 
 // wait gives the loop a request and waits for its answer. It may be called from any goroutine.
-func (k *Replica) wait(ctx context.Context, r *request) requestResult {
-	r.answer = make(chan requestResult, 1)
-	if !k.post(ctx, func() { k.enqueue(r) }) {
+func (r *Replica) wait(ctx context.Context, req *request) requestResult {
+	req.answer = make(chan requestResult, 1)
+	if !r.post(ctx, func() { r.enqueue(req) }) {
 		return requestResult{err: errNotLeading}
 	}
 	select {
-	case result := <-r.answer:
+	case result := <-req.answer:
 		return result
 	case <-ctx.Done():
 		return requestResult{err: ctx.Err()}
-	case <-k.ctx.Done():
+	case <-r.ctx.Done():
 		return requestResult{err: errNotLeading}
 	}
 }
 
 // enqueue takes a request. A renewal of the epoch in force waits for a new epoch, until its deadline.
-func (k *Replica) enqueue(r *request) {
+func (r *Replica) enqueue(req *request) {
 	switch {
-	case k.softState.RaftState != raft.StateLeader:
-		r.answer <- requestResult{err: errNotLeading}
+	case r.softState.RaftState != raft.StateLeader:
+		req.answer <- requestResult{err: errNotLeading}
 		return
-	case k.requests.len() >= maxPendingRequests:
-		r.answer <- requestResult{err: errTooManyRequests}
+	case r.requests.len() >= maxPendingRequests:
+		req.answer <- requestResult{err: errTooManyRequests}
 		return
 	}
-	now := k.now()
-	if k.lessor != nil && !r.read {
-		k.lessor.Observe(now, r.Request)
+	now := r.now()
+	if r.lessor != nil && !req.read {
+		r.lessor.Observe(now, req.Request)
 	}
-	if !r.read && r.Epoch == k.state.History.Epoch && r.deadline > now && k.lessor != nil {
-		k.requests.waiting = append(k.requests.waiting, r)
+	if !req.read && req.Epoch == r.state.History.Epoch && req.deadline > now && r.lessor != nil {
+		r.requests.waiting = append(r.requests.waiting, req)
 		return
 	}
-	k.requests.pending = append(k.requests.pending, r)
+	r.requests.pending = append(r.requests.pending, req)
 }
 
 // serveRequests answers a batch that is confirmed and begins the next one.
-func (k *Replica) serveRequests() {
-	now := k.now()
-	k.advance(now)
-	if k.lessor == nil {
+func (r *Replica) serveRequests() {
+	now := r.now()
+	r.advance(now)
+	if r.lessor == nil {
 		return
 	}
-	q := &k.requests
-	if len(q.confirming) > 0 && q.readIndex > 0 && k.applied >= q.readIndex {
-		for _, r := range q.confirming {
-			k.answer(now, r)
+	q := &r.requests
+	if len(q.confirming) > 0 && q.readIndex > 0 && r.applied >= q.readIndex {
+		for _, req := range q.confirming {
+			r.answer(now, req)
 		}
 		q.confirming = nil
 	}
@@ -144,30 +144,30 @@
 		q.batch++
 		q.readIndex = 0
 		q.startedAt = now
-		k.node.ReadIndex([]byte(strconv.FormatUint(q.batch, 10)))
-		k.runAgain() // a single replica confirms at once, and HasReady has to be asked again
+		r.node.ReadIndex([]byte(strconv.FormatUint(q.batch, 10)))
+		r.runAgain() // a single replica confirms at once, and HasReady has to be checked once more
 	}
 }
 
 // answer answers a request of a confirmed batch.
-func (k *Replica) answer(now float64, r *request) {
-	if r.read {
-		r.answer <- requestResult{}
+func (r *Replica) answer(now float64, req *request) {
+	if req.read {
+		req.answer <- requestResult{}
 		return
 	}
-	log := &k.state.History
-	if t := k.transitions.get(log); t != nil && !t.Config.AllowsAgent(r.Name) {
-		r.answer <- requestResult{err: fmt.Errorf("agent %q is not in the list of agents", r.Name)}
+	log := &r.state.History
+	if t := r.transitions.get(log); t != nil && !t.Config.AllowsAgent(req.Name) {
+		req.answer <- requestResult{err: fmt.Errorf("agent %q is not in the list of agents", req.Name)}
 		return
 	}
-	grant, ok := k.lessor.Grant(now, r.Request, log.Epoch)
+	grant, ok := r.lessor.Grant(now, req.Request, log.Epoch)
 	if !ok {
-		r.answer <- requestResult{err: fmt.Errorf("no lease: the agent has epoch %d, in force is %d", r.Epoch, log.Epoch)}
+		req.answer <- requestResult{err: fmt.Errorf("no lease: the agent has epoch %d, in force is %d", req.Epoch, log.Epoch)}
 		return
 	}
 	result := requestResult{grant: grant}
-	if r.Epoch != grant.Epoch {
-		result.encoded, result.err = k.transitions.encodedResponse(log, grant)
+	if req.Epoch != grant.Epoch {
+		result.encoded, result.err = r.transitions.encodedResponse(log, grant)
 	}
-	r.answer <- result
+	req.answer <- result
 }
--- a/internal/configstore/snapshot.go
+++ b/internal/configstore/snapshot.go
@@ -19,82 +19,82 @@
 )
 
 // openStorage loads the data directory and starts raft's node with it.
-func (k *Replica) openStorage() (err error) {
-	if k.storage, err = loadStorage(k.dir); err != nil {
+func (r *Replica) openStorage() (err error) {
+	if r.storage, err = loadStorage(r.dir); err != nil {
 		return err
 	}
-	if k.storage.truncatedBytes > 0 {
-		slog.Warn("the log ended with an incomplete record, which was removed", "bytes", k.storage.truncatedBytes)
+	if r.storage.truncatedBytes > 0 {
+		slog.Warn("the log ended with an incomplete record, which was removed", "bytes", r.storage.truncatedBytes)
 	}
-	snapshot, err := k.storage.Snapshot()
+	snapshot, err := r.storage.Snapshot()
 	if err != nil {
 		return err
 	}
-	if raft.IsEmptySnap(snapshot) && k.identity.Formed != nil {
-		if snapshot, err = k.writeFirstSnapshot(); err != nil {
+	if raft.IsEmptySnap(snapshot) && r.identity.Formed != nil {
+		if snapshot, err = r.writeFirstSnapshot(); err != nil {
 			return err
 		}
 	}
 	if !raft.IsEmptySnap(snapshot) {
-		if err := k.restore(snapshot); err != nil {
+		if err := r.restore(snapshot); err != nil {
 			return err
 		}
 	}
-	k.writer = newWriter(k.storage.file)
-	k.node, err = raft.NewRawNode(k.raftConfig())
+	r.writer = newWriter(r.storage.file)
+	r.node, err = raft.NewRawNode(r.raftConfig())
 	return err
 }
 
 // writeFirstSnapshot makes the first state, which is the same at all first members, durable.
-func (k *Replica) writeFirstSnapshot() (*pb.Snapshot, error) {
+func (r *Replica) writeFirstSnapshot() (*pb.Snapshot, error) {
 	conf := &pb.ConfState{}
-	for name, id := range k.identity.Formed {
-		k.state.Members[id] = member{Name: name, Addr: k.cfg.Members[name]}
+	for name, id := range r.identity.Formed {
+		r.state.Members[id] = member{Name: name, Addr: r.cfg.Members[name]}
 		conf.Voters = append(conf.Voters, id)
 	}
 	slices.Sort(conf.Voters)
-	data, err := json.Marshal(&k.state)
+	data, err := json.Marshal(&r.state)
 	if err != nil {
 		return nil, err
 	}
-	if last, _ := k.storage.LastIndex(); last > 0 {
+	if last, _ := r.storage.LastIndex(); last > 0 {
 		return nil, fmt.Errorf("%w: there are entries and no snapshot", ErrCorrupt)
 	}
 	snapshot := &pb.Snapshot{
 		Data:     data,
 		Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)},
 	}
-	return snapshot, k.storage.writeInitialSnapshot(snapshot)
+	return snapshot, r.storage.writeInitialSnapshot(snapshot)
 }
 
 // restore replaces the state by a snapshot's.
-func (k *Replica) restore(snapshot *pb.Snapshot) error {
+func (r *Replica) restore(snapshot *pb.Snapshot) error {
 	var restored state
 	if err := json.Unmarshal(snapshot.GetData(), &restored); err != nil {
 		return fmt.Errorf("%w: snapshot: %w", ErrCorrupt, err)
 	}
-	k.state = restored
-	k.confState = snapshot.GetMetadata().GetConfState()
-	k.applied = snapshot.GetMetadata().GetIndex()
-	k.updatePeers()
+	r.state = restored
+	r.confState = snapshot.GetMetadata().GetConfState()
+	r.applied = snapshot.GetMetadata().GetIndex()
+	r.updatePeers()
 	return nil
 }
 
 // snapshotIfDue takes a snapshot of the state and shortens the log, if that is due and the writer has capacity.
-func (k *Replica) snapshotIfDue() error {
-	due := k.membersChanged || k.applied-k.storage.snapshotIndex >= snapshotEntries ||
-		k.storage.logBytes > maxLogBeforeSnapshotBytes
-	if !due || k.applied <= k.storage.snapshotIndex || k.storage.pendingSnapshots != 0 || k.disk.full() {
+func (r *Replica) snapshotIfDue() error {
+	due := r.membersChanged || r.applied-r.storage.snapshotIndex >= snapshotEntries ||
+		r.storage.logBytes > maxLogBeforeSnapshotBytes
+	if !due || r.applied <= r.storage.snapshotIndex || r.storage.pendingSnapshots != 0 || r.disk.full() {
 		return nil
 	}
-	data, err := json.Marshal(&k.state)
+	data, err := json.Marshal(&r.state)
 	if err != nil {
 		return err
 	}
-	k.membersChanged = false
-	j, err := k.storage.compact(k.applied, k.confState, data)
+	r.membersChanged = false
+	j, err := r.storage.compact(r.applied, r.confState, data)
 	if err != nil {
 		return err
 	}
-	return submitJob(k, j)
+	return submitJob(r, j)
 }
--- a/internal/configstore/storage.go
+++ b/internal/configstore/storage.go
@@ -100,7 +100,7 @@
 			return 0, fmt.Errorf("%w: log at byte %d: the checksum does not fit, and records follow", ErrCorrupt, end)
 		}
 	}
-	// Whether a last record of full length was torn or changed later can't be told from here, unless it was known to be
+	// Whether a last record of full length was torn or changed later is not known here, unless it was known to be
 	// committed; else the other replicas know how far this one had come (watermarks).
 	state, _, _ := s.InitialState()
 	if last, _ := s.LastIndex(); state.GetCommit() > last {
--- a/internal/configstore/storage_write.go
+++ b/internal/configstore/storage_write.go
@@ -18,7 +18,8 @@
 		return nil, false, err
 	}
 	if !raft.IsEmptyHardState(ready.HardState) {
-		hasVote = ready.HardState.GetTerm() != s.submittedState.GetTerm() || ready.HardState.GetVote() != s.submittedState.GetVote()
+		hasVote = ready.HardState.GetTerm() != s.submittedState.GetTerm() ||
+			ready.HardState.GetVote() != s.submittedState.GetVote()
 		s.submittedState = ready.HardState
 	}
 	entries, state, snapshot, records := ready.Entries, ready.HardState, ready.Snapshot, j.records
--- a/internal/configstore/transition_cache.go
+++ b/internal/configstore/transition_cache.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 
-	"ringtrack.example/ringtrack/internal/configstore/client"
 	"ringtrack.example/ringtrack/internal/lease"
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 	"ringtrack.example/ringtrack/internal/sharedconfig/history"
@@ -43,7 +42,8 @@
 	if err != nil {
 		return nil, err
 	}
-	response := &client.RenewResponse{Epoch: grant.Epoch, LeaseMs: grant.LeaseMs, EndpointsMs: grant.EndpointsMs, Config: config}
+	response := newRenewResponse(grant)
+	response.Config = config
 	text, err := json.Marshal(response)
 	if err != nil {
 		return nil, err
--- a/internal/configstore/transition_cache_test.go
+++ b/internal/configstore/transition_cache_test.go
@@ -75,7 +75,9 @@
 				continue
 			}
 			var plain bytes.Buffer
-			json.NewEncoder(&plain).Encode(&client.RenewResponse{Epoch: g.Epoch, LeaseMs: g.LeaseMs, EndpointsMs: g.EndpointsMs, Config: json.RawMessage(encodeJSON(t, want.Config))})
+			config := json.RawMessage(encodeJSON(t, want.Config))
+			response := &client.RenewResponse{Epoch: g.Epoch, LeaseMs: g.LeaseMs, EndpointsMs: g.EndpointsMs, Config: config}
+			json.NewEncoder(&plain).Encode(response)
 			if !bytes.Equal(text, plain.Bytes()) {
 				t.Fatalf("seed %d, step %d: the answer is %s, the encoder's %s", seed, i, text, plain.Bytes())
 			}
@@ -88,49 +90,51 @@
 
 // newLeader returns a leader with n holders on the epoch before the one in force, which is a transition between versions
 // of so many classes.
-func newLeader(t *testing.T, n, classes int) (k *Replica, now float64) {
-	k = &Replica{cfg: &Config{TickMs: 50, LeaseMs: 2000, EndpointsMs: 3000}, advancing: epochProposal{at: longAgo}}
+func newLeader(t *testing.T, n, classes int) (replica *Replica, now float64) {
+	replica = &Replica{cfg: &Config{TickMs: 50, LeaseMs: 2000, EndpointsMs: 3000}, advancing: epochProposal{at: longAgo}}
 	now = 1e6
-	k.lessor = lease.NewLessor(0, k.cfg.LeaseMs, k.cfg.EndpointsMs)
+	replica.lessor = lease.NewLessor(0, replica.cfg.LeaseMs, replica.cfg.EndpointsMs)
 	for v := range uint64(2) {
 		config := &sharedconfig.Config{MaxAttempts: int(v) + 1, Classes: map[string]sharedconfig.Class{}}
 		for c := range classes {
 			config.Classes[fmt.Sprint("class", c)] = sharedconfig.Class{Effect: policy.NonIdempotent}
 		}
-		if _, err := k.state.History.Apply(&history.Command{Publish: &history.Publish{ID: fmt.Sprint(v), Parent: v, Config: config}}); err != nil {
+		command := &history.Command{Publish: &history.Publish{ID: fmt.Sprint(v), Parent: v, Config: config}}
+		if _, err := replica.state.History.Apply(command); err != nil {
 			t.Fatal(err)
 		}
-		for k.state.History.Epoch < 2*v+2-v {
-			at := k.state.History.Epoch
-			k.state.History.Apply(&history.Command{Advance: &at})
+		for replica.state.History.Epoch < 2*v+2-v {
+			at := replica.state.History.Epoch
+			replica.state.History.Apply(&history.Command{Advance: &at})
 		}
 	}
-	if k.state.History.Epoch != 3 {
-		t.Fatalf("epoch %d, want 3", k.state.History.Epoch)
+	if replica.state.History.Epoch != 3 {
+		t.Fatalf("epoch %d, want 3", replica.state.History.Epoch)
 	}
 	for i := range n {
-		k.lessor.Grant(now, lease.Request{Holder: lease.Holder{Name: fmt.Sprint(i), Incarnation: "a"}, Epoch: 2}, 2)
+		replica.lessor.Grant(now, lease.Request{Holder: lease.Holder{Name: fmt.Sprint(i), Incarnation: "a"}, Epoch: 2}, 2)
 	}
-	return k, now
+	return replica, now
 }
 
 // allocationsOfTransition has all holders but one request the epoch in force and adopt it, with the loop's advance after
 // each; it returns how many objects that allocated.
 func allocationsOfTransition(t *testing.T, n int) float64 {
-	k, now := newLeader(t, n, 82)
+	replica, now := newLeader(t, n, 82)
 	requests := make([]*request, n-1)
 	for i := range requests {
-		requests[i] = &request{Request: lease.Request{Holder: lease.Holder{Name: fmt.Sprint(i), Incarnation: "a"}, Epoch: 2}, answer: make(chan requestResult, 1)}
+		holder := lease.Holder{Name: fmt.Sprint(i), Incarnation: "a"}
+		requests[i] = &request{Request: lease.Request{Holder: holder, Epoch: 2}, answer: make(chan requestResult, 1)}
 	}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for _, a := range requests {
-		k.answer(now, a)
-		k.advance(now)
+		replica.answer(now, a)
+		replica.advance(now)
 		adopted := a.Request
 		adopted.Epoch = 3
-		k.lessor.Observe(now, adopted)
-		k.advance(now)
+		replica.lessor.Observe(now, adopted)
+		replica.advance(now)
 	}
 	runtime.ReadMemStats(&after)
 	for _, a := range requests {
@@ -138,7 +142,7 @@
 			t.Fatalf("%+v", g)
 		}
 	}
-	if k.advancing.epoch != 0 {
+	if replica.advancing.epoch != 0 {
 		t.Fatal("the epoch ended before all had adopted it")
 	}
 	return float64(after.Mallocs - before.Mallocs)
--- a/internal/configstore/watermarks.go
+++ b/internal/configstore/watermarks.go
@@ -18,7 +18,7 @@
 	maxNonces = 64
 )
 
-var errLateStart = errors.New("a later start of this keeper was heard: two processes have one identity, or this is late")
+var errLateStart = errors.New("a later start of this replica is known: two processes have one identity, or this is late")
 
 const rollbackReason = "its folder went back: it has less than it had acknowledged; replace this keeper"
 
@@ -97,28 +97,28 @@
 }
 
 // recordWatermarks notes, in the leader, how far each follower has come, and writes the watermarks now and then.
-func (k *Replica) recordWatermarks() {
-	if k.softState.RaftState == raft.StateLeader {
-		commit := k.node.BasicStatus().GetCommit()
+func (r *Replica) recordWatermarks() {
+	if r.softState.RaftState == raft.StateLeader {
+		commit := r.node.BasicStatus().GetCommit()
 		acked := map[uint64]uint64{}
-		for id, progress := range k.node.Status().Progress {
+		for id, progress := range r.node.Status().Progress {
 			acked[id] = min(progress.Match, commit)
 		}
-		k.watermarks.merge(acked)
+		r.watermarks.merge(acked)
 	}
-	now := k.now()
-	if !k.watermarks.dirty || now-k.watermarks.savedAt <= watermarkIntervalMs || k.disk.full() {
+	now := r.now()
+	if !r.watermarks.dirty || now-r.watermarks.savedAt <= watermarkIntervalMs || r.disk.full() {
 		return
 	}
-	k.watermarks.dirty = false
-	k.watermarks.savedAt = now
-	text, err := json.Marshal(&k.watermarks)
+	r.watermarks.dirty = false
+	r.watermarks.savedAt = now
+	text, err := json.Marshal(&r.watermarks)
 	if err != nil {
 		slog.Warn("watermarks not written", "err", err)
 		return
 	}
-	submitJob(k, &job{replace: func() error {
-		if err := k.dir.Replace(watermarksFile, seal(text)); err != nil {
+	submitJob(r, &job{replace: func() error {
+		if err := r.dir.Replace(watermarksFile, seal(text)); err != nil {
 			slog.Warn("watermarks not written", "err", err)
 		}
 		return nil
--- a/internal/configstore/writer.go
+++ b/internal/configstore/writer.go
@@ -2,7 +2,7 @@
 
 import "ringtrack.example/ringtrack/internal/clock"
 
-// maxPendingJobs bounds the jobs that wait for the disk; while there are so many raft is asked for nothing more.
+// maxPendingJobs bounds the jobs that wait for the disk; while there are so many, processReady takes nothing from raft.
 const maxPendingJobs = 1024
 
 // job is a change of the data directory that has to be durable.
--- a/internal/lab/leasemodel/log.go
+++ b/internal/lab/leasemodel/log.go
@@ -79,7 +79,7 @@
 	l.endpoints = append(l.endpoints, endpoints)
 }
 
-// endpointsChanged is what a lessor is told of endpoints.
+// endpointsChanged reports to a lessor whether endpoints change.
 func (l *replicatedLog) endpointsChanged(d Defect) lease.EndpointsChanged {
 	return func(from, to uint64) bool { return d != IgnoreEndpoints && l.history.EndpointsChanged(from, to) }
 }
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -37,6 +37,11 @@
 	return expiry{lease: max(e.lease, other.lease), endpoints: max(e.endpoints, other.endpoints)}
 }
 
+// remaining is for how long each still holds, as text.
+func (e expiry) remaining(now float64) string {
+	return fmt.Sprintf("%.3f,%.3f", max(e.lease-now, 0), max(e.endpoints-now, 0))
+}
+
 // expiryBelow is until when the holder may act on an epoch below this one.
 func (h *holderState) expiryBelow(epoch uint64) expiry {
 	if h.grantedEpoch < epoch {
@@ -174,7 +179,8 @@
 }
 
 func (h *holderState) describe(holder Holder, remainingMs float64) string {
-	text := fmt.Sprintf("%s (incarnation %s) at epoch %d, for at most %.0f ms", holder.Name, holder.Incarnation, h.epoch, remainingMs)
+	text := fmt.Sprintf("%s (incarnation %s) at epoch %d, for at most %.0f ms",
+		holder.Name, holder.Incarnation, h.epoch, remainingMs)
 	if h.problem != "" {
 		text += ": " + h.problem
 	}
@@ -218,8 +224,8 @@
 		if h.current.endpoints <= now && h.previous.endpoints <= now {
 			continue
 		}
-		lines = append(lines, fmt.Sprintf("%s/%s:%d,%d,%.3f,%.3f,%.3f,%.3f", holder.Name, holder.Incarnation, h.epoch, h.grantedEpoch,
-			max(h.current.lease-now, 0), max(h.current.endpoints-now, 0), max(h.previous.lease-now, 0), max(h.previous.endpoints-now, 0)))
+		lines = append(lines, fmt.Sprintf("%s/%s:%d,%d,%s,%s", holder.Name, holder.Incarnation, h.epoch, h.grantedEpoch,
+			h.current.remaining(now), h.previous.remaining(now)))
 	}
 	slices.Sort(lines)
 	return fmt.Sprintf("%.3f %.3f %v", max(l.inheritedUntil-now, 0), max(l.inheritedEndpointsUntil-now, 0), lines)
--- a/internal/sharedconfig/history/history_test.go
+++ b/internal/sharedconfig/history/history_test.go
@@ -8,11 +8,15 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
+func publishCommand(id string, parent uint64, config *sharedconfig.Config) *Command {
+	return &Command{Publish: &Publish{ID: id, Parent: parent, Config: config}}
+}
+
 func newHistory(t *testing.T, cordoned ...string) *History {
 	t.Helper()
 	h := &History{}
 	for i, id := range cordoned {
-		if _, err := h.Apply(&Command{Publish: &Publish{ID: fmt.Sprint(i), Parent: uint64(i), Config: &sharedconfig.Config{Cordoned: []string{id}}}}); err != nil {
+		if _, err := h.Apply(publishCommand(fmt.Sprint(i), uint64(i), &sharedconfig.Config{Cordoned: []string{id}})); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -39,7 +43,7 @@
 	h.advanceTo(t, 1)
 	h.advanceTo(t, 2)
 	for n, id := range []string{"x", "b"} {
-		if _, err := h.Apply(&Command{Publish: &Publish{ID: id, Parent: uint64(n + 1), Config: &sharedconfig.Config{Cordoned: []string{id}}}}); err != nil {
+		if _, err := h.Apply(publishCommand(id, uint64(n+1), &sharedconfig.Config{Cordoned: []string{id}})); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -47,7 +51,7 @@
 	if got := fmt.Sprint(h.Transition().Config.Cordoned); got != "[a b]" {
 		t.Errorf("in the transition %s are cordoned", got)
 	}
-	if _, err := h.Apply(&Command{Publish: &Publish{ID: "b2", Parent: 3, Config: &sharedconfig.Config{Cordoned: []string{"b"}, MaxAttempts: 1}}}); err != nil {
+	if _, err := h.Apply(publishCommand("b2", 3, &sharedconfig.Config{Cordoned: []string{"b"}, MaxAttempts: 1})); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -69,14 +73,14 @@
 // A retried publish is the same version, one with another parent is rejected, and pending versions are bounded.
 func TestPublishIsCompareAndSet(t *testing.T) {
 	h := newHistory(t, "a", "b")
-	retry := &Command{Publish: &Publish{ID: "0", Parent: 0, Config: &sharedconfig.Config{Cordoned: []string{"a"}}}}
+	retry := publishCommand("0", 0, &sharedconfig.Config{Cordoned: []string{"a"}})
 	if v, err := h.Apply(retry); err != nil || v.Number != 1 || h.Last() != 2 {
 		t.Errorf("the retry: %+v, %v", v, err)
 	}
-	if _, err := h.Apply(&Command{Publish: &Publish{ID: "x", Parent: 1, Config: &sharedconfig.Config{}}}); !errors.Is(err, ErrParentMismatch) {
+	if _, err := h.Apply(publishCommand("x", 1, &sharedconfig.Config{})); !errors.Is(err, ErrParentMismatch) {
 		t.Errorf("an older parent: %v", err)
 	}
-	if _, err := h.Apply(&Command{Publish: &Publish{ID: "y", Parent: 2, Config: &sharedconfig.Config{MaxAttempts: 9}}}); err == nil {
+	if _, err := h.Apply(publishCommand("y", 2, &sharedconfig.Config{MaxAttempts: 9})); err == nil {
 		t.Error("an invalid configuration is published")
 	}
 	var err error
@@ -97,7 +101,7 @@
 		h := newHistory(t, from)
 		h.advanceTo(t, 1)
 		h.advanceTo(t, 2)
-		if _, err := h.Apply(&Command{Publish: &Publish{ID: "to", Parent: 1, Config: &sharedconfig.Config{Cordoned: []string{to}}}}); err != nil {
+		if _, err := h.Apply(publishCommand("to", 1, &sharedconfig.Config{Cordoned: []string{to}})); err != nil {
 			t.Fatal(err)
 		}
 		h.advanceTo(t, 3)
