--- a/cmd/ringtrack-control/main.go
+++ b/cmd/ringtrack-control/main.go
@@ -1,5 +1,5 @@
-// Command ringtrack-control is one replica of the control service: it hands the decision module's
-// choices to other proxies over xDS. See docs/operators/control.md.
+// Command ringtrack-control is one replica of the control service: it serves the balancer's decisions to proxies
+// over xDS. See docs/operators/control.md.
 package main
 
 import (
@@ -22,8 +22,9 @@
 	}
 }
 
+// run runs the program until a signal ends it.
 func run() error {
-	// From the first moment on: its default is to end the program.
+	// Subscribed before anything else: the default action of SIGHUP ends the program.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	file := flag.String("config", "deploy/control.toml", "the configuration `file`")
@@ -45,39 +46,53 @@
 	if err != nil {
 		return err
 	}
-	ln, err := net.Listen("tcp", cfg.Listen)
+	ln, admin, err := listen(cfg)
 	if err != nil {
-		return fmt.Errorf("listen: %w", err)
-	}
-	var admin net.Listener
-	if cfg.Admin != "" {
-		if admin, err = net.Listen("tcp", cfg.Admin); err != nil {
-			ln.Close()
-			return fmt.Errorf("admin: %w", err)
-		}
+		return err
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	go func() {
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case <-reload:
-			}
-			next, err := control.Load(*file)
-			if err == nil {
-				err = server.Reload(next)
-			}
-			if err != nil {
-				log.Error("configuration not used, the old one holds", "err", err)
-			}
-		}
-	}()
-	where := ""
+	go reloadOnSignal(ctx, reload, server, *file, log)
+	adminAddr := ""
 	if admin != nil {
-		where = admin.Addr().String()
+		adminAddr = admin.Addr().String()
 	}
-	log.Info("serving", "listen", ln.Addr().String(), "admin", where)
+	log.Info("serving", "listen", ln.Addr().String(), "admin", adminAddr)
 	return server.Run(ctx, ln, admin)
 }
+
+// listen opens the listeners for proxies and, where one is configured, for the admin endpoint.
+func listen(cfg *control.Config) (proxies, admin net.Listener, err error) {
+	proxies, err = net.Listen("tcp", cfg.Listen)
+	if err != nil {
+		return nil, nil, fmt.Errorf("listen: %w", err)
+	}
+	if cfg.Admin == "" {
+		return proxies, nil, nil
+	}
+	admin, err = net.Listen("tcp", cfg.Admin)
+	if err != nil {
+		proxies.Close()
+		return nil, nil, fmt.Errorf("admin: %w", err)
+	}
+	return proxies, admin, nil
+}
+
+// reloadOnSignal loads the configuration at each signal, until ctx ends. A configuration with an error leaves the
+// last one in use.
+func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, server *control.Server, file string, log *slog.Logger) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-signals:
+		}
+		next, err := control.Load(file)
+		if err == nil {
+			err = server.Reload(next)
+		}
+		if err != nil {
+			log.Error("configuration not used, the old one holds", "err", err)
+		}
+	}
+}
--- a/cmd/ringtrack-control/main_test.go
+++ b/cmd/ringtrack-control/main_test.go
@@ -19,9 +19,9 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// The test's own process, run again, is the program.
+// The test binary is the program where the environment says so.
 func TestMain(m *testing.M) {
 	if os.Getenv("RINGTRACK_TEST_MAIN") != "" {
 		main()
@@ -53,8 +53,8 @@
 	return filepath.Join(dir, "control.toml")
 }
 
-// Bad configuration ends the program with one line that names the key, and code 1.
-func TestBadConfig(t *testing.T) {
+// An invalid configuration ends the program with one line that names the key, and exit code 1.
+func TestInvalidConfigEndsTheProgram(t *testing.T) {
 	out, err := program(t, "-config", config(t, "127.0.0.1:1", "service = \"a b\"\n")).CombinedOutput()
 	if err == nil || bytes.Count(out, []byte("\n")) != 1 || !bytes.Contains(out, []byte("service: ")) {
 		t.Errorf("%v: %s", err, out)
@@ -64,9 +64,9 @@
 	}
 }
 
-// The program serves, reads its configuration again on SIGHUP and keeps the old one where the new is
-// bad, and ends in order on SIGTERM.
-func TestProgram(t *testing.T) {
+// The program serves, reloads its configuration on SIGHUP, keeps the last one where the new one is invalid, and shuts
+// down on SIGTERM.
+func TestReloadAndShutdownBySignal(t *testing.T) {
 	roster, err := lab.NewRoster(membership.Entry{ID: "s-1", Addr: "127.0.0.1:80", Zone: "east", State: membership.Up, Weight: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -89,20 +89,20 @@
 			lines <- in.Text()
 		}
 	}()
-	say := func(what string) string {
+	waitForLine := func(what string) string {
 		t.Helper()
-		over := time.After(patience)
+		timeout := time.After(testTimeout)
 		for {
 			select {
 			case l, ok := <-lines:
 				if !ok {
-					t.Fatalf("it ended before it said %q", what)
+					t.Fatalf("the program ended before it logged %q", what)
 				}
 				if strings.Contains(l, what) {
 					return l
 				}
-			case <-over:
-				t.Fatalf("it never said %q", what)
+			case <-timeout:
+				t.Fatalf("the program never logged %q", what)
 			}
 		}
 	}
@@ -111,9 +111,9 @@
 		v, _, _ := strings.Cut(rest, " ")
 		return v
 	}
-	line := say("msg=serving")
+	line := waitForLine("msg=serving")
 	addr, admin := field(line, "listen"), field(line, "admin")
-	say("PLAIN TEXT")
+	waitForLine("PLAIN TEXT")
 	p, err := xdsproxy.Dial(xdsproxy.Options{Target: addr, Node: "p"})
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +121,7 @@
 	defer p.Close()
 	select {
 	case <-p.Ready():
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("no configuration: %s", p.LastError())
 	}
 	for path, want := range map[string]int{"/": 200, "/ready": 200, "/none": 404} {
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	say("the old one holds")
+	waitForLine("the old one holds")
 	good, err := os.ReadFile(config(t, roster.Addr, ""))
 	if err != nil {
 		t.Fatal(err)
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	say("configuration read again")
+	waitForLine("configuration read again")
 	cmd.Process.Signal(syscall.SIGTERM)
 	for range lines { // to its end
 	}
--- a/internal/control/raw_test.go
+++ b/internal/control/client_test.go
@@ -20,15 +20,15 @@
 	"ringtrack.example/ringtrack/internal/control/resource"
 )
 
-// raw is a scripted ADS stream: it sends what a test tells it to, and never acknowledges by itself.
-type raw struct {
-	t     *testing.T
-	conn  *grpc.ClientConn
-	full  discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient
-	delta discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
-	got   chan *discoveryv3.DiscoveryResponse
-	gotD  chan *discoveryv3.DeltaDiscoveryResponse
-	ended chan error
+// adsClient is a scripted ADS stream: it sends what a test says, and never acknowledges by itself.
+type adsClient struct {
+	t              *testing.T
+	conn           *grpc.ClientConn
+	sotw           discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient
+	delta          discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
+	responses      chan *discoveryv3.DiscoveryResponse
+	deltaResponses chan *discoveryv3.DeltaDiscoveryResponse
+	ended          chan error
 }
 
 func connect(t *testing.T, addr string, creds credentials.TransportCredentials) *grpc.ClientConn {
@@ -44,18 +44,18 @@
 	return conn
 }
 
-func openFull(t *testing.T, conn *grpc.ClientConn) *raw {
+func openSotW(t *testing.T, conn *grpc.ClientConn) *adsClient {
 	t.Helper()
-	r, err := openFullErr(t, conn)
+	r, err := tryOpenSotW(t, conn)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func openDelta(t *testing.T, conn *grpc.ClientConn) *raw {
+func openDelta(t *testing.T, conn *grpc.ClientConn) *adsClient {
 	t.Helper()
-	r := &raw{t: t, conn: conn, gotD: make(chan *discoveryv3.DeltaDiscoveryResponse, 1000), ended: make(chan error, 1)}
+	r := &adsClient{t: t, conn: conn, deltaResponses: make(chan *discoveryv3.DeltaDiscoveryResponse, 1000), ended: make(chan error, 1)}
 	var err error
 	if r.delta, err = discoveryv3.NewAggregatedDiscoveryServiceClient(conn).DeltaAggregatedResources(t.Context()); err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 				r.ended <- err
 				return
 			}
-			r.gotD <- m
+			r.deltaResponses <- m
 		}
 	}()
 	return r
@@ -77,86 +77,86 @@
 	return &corev3.Node{Id: id, Locality: &corev3.Locality{Zone: "east"}, ClientFeatures: features}
 }
 
-func (r *raw) ask(req *discoveryv3.DiscoveryRequest) {
+func (r *adsClient) send(req *discoveryv3.DiscoveryRequest) {
 	r.t.Helper()
-	if err := r.full.Send(req); err != nil {
+	if err := r.sotw.Send(req); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-func (r *raw) askDelta(req *discoveryv3.DeltaDiscoveryRequest) {
+func (r *adsClient) sendDelta(req *discoveryv3.DeltaDiscoveryRequest) {
 	r.t.Helper()
 	if err := r.delta.Send(req); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// next waits for the next response.
-func (r *raw) next() *discoveryv3.DiscoveryResponse {
+// receive waits for the next response.
+func (r *adsClient) receive() *discoveryv3.DiscoveryResponse {
 	r.t.Helper()
 	select {
-	case m := <-r.got:
+	case m := <-r.responses:
 		return m
 	case err := <-r.ended:
 		r.t.Fatalf("the stream ended: %v", err)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		r.t.Fatal("no response came")
 	}
 	return nil
 }
 
-func (r *raw) nextDelta() *discoveryv3.DeltaDiscoveryResponse {
+func (r *adsClient) receiveDelta() *discoveryv3.DeltaDiscoveryResponse {
 	r.t.Helper()
 	select {
-	case m := <-r.gotD:
+	case m := <-r.deltaResponses:
 		return m
 	case err := <-r.ended:
 		r.t.Fatalf("the stream ended: %v", err)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		r.t.Fatal("no response came")
 	}
 	return nil
 }
 
-// quiet checks that nothing comes for a while: long enough for anything that was on its way.
-func (r *raw) quiet(for_ time.Duration) {
+// expectNone checks that no response comes within d.
+func (r *adsClient) expectNone(d time.Duration) {
 	r.t.Helper()
 	select {
-	case m := <-r.got:
+	case m := <-r.responses:
 		r.t.Errorf("a response came: %s %s", m.TypeUrl, m.Nonce)
-	case m := <-r.gotD:
+	case m := <-r.deltaResponses:
 		r.t.Errorf("a response came: %s %s", m.TypeUrl, m.Nonce)
 	case err := <-r.ended:
 		r.t.Errorf("the stream ended: %v", err)
-	case <-time.After(for_):
+	case <-time.After(d):
 	}
 }
 
-// wantEnd waits for the stream's end with a code.
-func (r *raw) wantEnd(code codes.Code) {
+// expectEnd waits until the stream ends with a code.
+func (r *adsClient) expectEnd(code codes.Code) {
 	r.t.Helper()
 	select {
 	case err := <-r.ended:
 		if status.Code(err) != code {
 			r.t.Errorf("ended with %v, want %v", err, code)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		r.t.Errorf("the stream did not end; want %v", code)
 	}
 }
 
-func (r *raw) ack(m *discoveryv3.DiscoveryResponse, names ...string) {
+func (r *adsClient) ack(m *discoveryv3.DiscoveryResponse, names ...string) {
 	r.t.Helper()
-	r.ask(&discoveryv3.DiscoveryRequest{TypeUrl: m.TypeUrl, ResponseNonce: m.Nonce, VersionInfo: m.VersionInfo, ResourceNames: names})
+	r.send(&discoveryv3.DiscoveryRequest{TypeUrl: m.TypeUrl, ResponseNonce: m.Nonce, VersionInfo: m.VersionInfo, ResourceNames: names})
 }
 
-func (r *raw) nack(m *discoveryv3.DiscoveryResponse, why string, names ...string) {
+func (r *adsClient) nack(m *discoveryv3.DiscoveryResponse, why string, names ...string) {
 	r.t.Helper()
-	r.ask(&discoveryv3.DiscoveryRequest{TypeUrl: m.TypeUrl, ResponseNonce: m.Nonce, ResourceNames: names,
+	r.send(&discoveryv3.DiscoveryRequest{TypeUrl: m.TypeUrl, ResponseNonce: m.Nonce, ResourceNames: names,
 		ErrorDetail: &rpcstatus.Status{Code: 3, Message: why}})
 }
 
-// draining lists the servers that a response says drain, and all it lists.
+// draining returns the addresses that drain by a response, and all in it.
 func draining(t *testing.T, m *discoveryv3.DiscoveryResponse) (drains, all map[string]bool) {
 	t.Helper()
 	drains, all = map[string]bool{}, map[string]bool{}
@@ -194,18 +194,18 @@
 		Address: host, PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(n)}}}}
 }
 
-// noise is a codec that sends bytes as they are.
-type noise struct{}
+// rawCodec is a codec that sends bytes as they are.
+type rawCodec struct{}
 
-func (noise) Name() string                  { return "proto" }
-func (noise) Marshal(v any) ([]byte, error) { return v.([]byte), nil }
-func (noise) Unmarshal([]byte, any) error   { return nil }
+func (rawCodec) Name() string                  { return "proto" }
+func (rawCodec) Marshal(v any) ([]byte, error) { return v.([]byte), nil }
+func (rawCodec) Unmarshal([]byte, any) error   { return nil }
 
-// garbage sends bytes that are no message.
-func garbage(t *testing.T, addr string) {
+// sendGarbage sends bytes that are no message.
+func sendGarbage(t *testing.T, addr string) {
 	t.Helper()
 	s, err := connect(t, addr, nil).NewStream(t.Context(), &grpc.StreamDesc{ClientStreams: true, ServerStreams: true},
-		"/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources", grpc.ForceCodec(noise{}))
+		"/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources", grpc.ForceCodec(rawCodec{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,21 +218,21 @@
 	}
 }
 
-// openFullErr is openFull where opening itself may fail.
-func openFullErr(t *testing.T, conn *grpc.ClientConn) (*raw, error) {
-	r := &raw{t: t, conn: conn, got: make(chan *discoveryv3.DiscoveryResponse, 1000), ended: make(chan error, 1)}
+// tryOpenSotW is openSotW for tests in which opening may fail.
+func tryOpenSotW(t *testing.T, conn *grpc.ClientConn) (*adsClient, error) {
+	r := &adsClient{t: t, conn: conn, responses: make(chan *discoveryv3.DiscoveryResponse, 1000), ended: make(chan error, 1)}
 	var err error
-	if r.full, err = discoveryv3.NewAggregatedDiscoveryServiceClient(conn).StreamAggregatedResources(t.Context()); err != nil {
+	if r.sotw, err = discoveryv3.NewAggregatedDiscoveryServiceClient(conn).StreamAggregatedResources(t.Context()); err != nil {
 		return nil, err
 	}
 	go func() {
 		for {
-			m, err := r.full.Recv()
+			m, err := r.sotw.Recv()
 			if err != nil {
 				r.ended <- err
 				return
 			}
-			r.got <- m
+			r.responses <- m
 		}
 	}()
 	return r, nil
--- a/internal/control/config_test.go
+++ b/internal/control/config_test.go
@@ -24,8 +24,8 @@
 
 const good = "listen = \"127.0.0.1:18000\"\nsettings = \"settings.json\"\n[roster]\naddr = \"127.0.0.1:8500\"\n"
 
-// Bad configuration names its key.
-func TestConfigNamesTheKey(t *testing.T) {
+// An invalid configuration is reported with its key.
+func TestConfigErrorsNameTheKey(t *testing.T) {
 	if c, err := load(t, good, goodSettings); err != nil || c.Proxies.AckTimeoutMs != 200 || c.XDS.Balancer != "ring_hash" {
 		t.Fatalf("%v, %+v", err, c)
 	}
@@ -67,8 +67,8 @@
 	}
 }
 
-// The file that is shipped is sound.
-func TestShippedConfig(t *testing.T) {
+// The shipped configuration is valid.
+func TestShippedConfigIsValid(t *testing.T) {
 	if _, err := Load("../../deploy/control.toml"); err != nil {
 		t.Error(err)
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -12,11 +12,11 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// patience bounds every wait of the tests; none of them needs more than a part of it.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of the tests; each needs only a small part of it.
+const testTimeout = 20 * time.Second
 
-// fleet are entries of servers that nobody needs to reach.
-func fleet(n int) []membership.Entry {
+// testEntries returns entries of servers that need not be reachable.
+func testEntries(n int) []membership.Entry {
 	var out []membership.Entry
 	for i := range n {
 		out = append(out, membership.Entry{ID: fmt.Sprintf("s-%03d", i), Addr: fmt.Sprintf("127.0.%d.%d:8000", 1+i/250, 1+i%250),
@@ -25,14 +25,14 @@
 	return out
 }
 
-// world is a roster and a replica beside it.
-type world struct {
+// fixture is service discovery and a replica of the control service.
+type fixture struct {
 	t      *testing.T
 	roster *lab.Roster
 	*service.Service
 }
 
-func newWorld(t *testing.T, entries []membership.Entry, change func(*control.Config)) *world {
+func newFixture(t *testing.T, entries []membership.Entry, change func(*control.Config)) *fixture {
 	t.Helper()
 	r, err := lab.NewRoster(entries...)
 	if err != nil {
@@ -48,52 +48,52 @@
 			t.Errorf("the service ended with %v", err)
 		}
 	})
-	return &world{t, r, s}
+	return &fixture{t, r, s}
 }
 
-func (w *world) dial(o xdsproxy.Options) *xdsproxy.Proxy {
-	w.t.Helper()
-	o.Target = w.Addr
+func (f *fixture) dial(o xdsproxy.Options) *xdsproxy.Proxy {
+	f.t.Helper()
+	o.Target = f.Addr
 	p, err := xdsproxy.Dial(o)
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	w.t.Cleanup(p.Close)
+	f.t.Cleanup(p.Close)
 	return p
 }
 
-func (w *world) ready(p *xdsproxy.Proxy) {
-	w.t.Helper()
+func (f *fixture) ready(p *xdsproxy.Proxy) {
+	f.t.Helper()
 	select {
 	case <-p.Ready():
-	case <-time.After(patience):
-		w.t.Fatalf("the proxy is not ready: %s", p.LastError())
+	case <-time.After(testTimeout):
+		f.t.Fatalf("the proxy is not ready: %s", p.LastError())
 	}
 }
 
-// await waits until a proxy's table is as wanted.
-func (w *world) await(p *xdsproxy.Proxy, what string, want func(*xdsproxy.Table) bool) {
-	w.t.Helper()
-	if !p.Await(patience, want) {
+// await waits until a proxy's table satisfies want.
+func (f *fixture) await(p *xdsproxy.Proxy, what string, want func(*xdsproxy.Table) bool) {
+	f.t.Helper()
+	if !p.Await(testTimeout, want) {
 		t, _ := p.Table()
-		w.t.Fatalf("never saw %s; holds %.600s; last error %q", what, fmt.Sprintf("%+v", t.Endpoints), p.LastError())
+		f.t.Fatalf("never saw %s; holds %.600s; last error %q", what, fmt.Sprintf("%+v", t.Endpoints), p.LastError())
 	}
 }
 
-// eventually waits until the admin page is as wanted.
-func (w *world) eventually(what string, want func(*control.Report) bool) *control.Report {
-	w.t.Helper()
+// eventually waits until the admin report satisfies want.
+func (f *fixture) eventually(what string, want func(*control.Report) bool) *control.Report {
+	f.t.Helper()
 	var r *control.Report
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		var err error
-		if r, err = w.Report(); err != nil {
-			w.t.Fatal(err)
+		if r, err = f.Report(); err != nil {
+			f.t.Fatal(err)
 		}
 		if want(r) {
 			return r
 		}
 	}
-	w.t.Fatalf("never saw %s; the admin page tells %.1500s", what, fmt.Sprintf("%+v", r))
+	f.t.Fatalf("never saw %s; the admin endpoint reports %.1500s", what, fmt.Sprintf("%+v", r))
 	return nil
 }
 
@@ -105,41 +105,51 @@
 	return func(t *xdsproxy.Table) bool { return len(t.Parts()) == n }
 }
 
-// variants are the protocols that a proxy may speak.
+// variants are the variants of the protocol that a proxy may use.
 var variants = map[string]xdsproxy.Options{
 	"sotw":  {Node: "p-sotw", Zone: "east"},
 	"delta": {Node: "p-delta", Zone: "east", Delta: true},
 	"leds":  {Node: "p-leds", Zone: "east", Delta: true, LEDS: true},
 }
 
-// Every variant gets all, follows a drain, a return, a server that is gone and a new one.
-func TestFollow(t *testing.T) {
+// In every variant a proxy gets all resources and follows a drain, a return, a removal and an addition.
+func TestProxiesFollowMembership(t *testing.T) {
 	for name, o := range variants {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, fleet(6), nil)
-			p := w.dial(o)
-			w.ready(p)
-			w.await(p, "all servers", holds(6))
+			f := newFixture(t, testEntries(6), nil)
+			p := f.dial(o)
+			f.ready(p)
+			f.await(p, "all servers", holds(6))
 			tab, _ := p.Table()
 			if r := tab.Route("order"); r == nil || r.Retries != 2 {
 				t.Errorf("route of order: %+v", r)
 			}
-			drains := fleet(6)[0]
+			drains := testEntries(6)[0]
 			drains.State = membership.Draining
-			w.roster.Set(drains)
-			w.await(p, "the drain", usable("s-000", false))
+			f.roster.Set(drains)
+			f.await(p, "the drain", usable("s-000", false))
 			if tab, _ = p.Table(); len(tab.Endpoints) != 6 {
-				t.Errorf("a drain took the server out: %+v", tab.Endpoints)
+				t.Errorf("a drain removed the server: %+v", tab.Endpoints)
 			}
-			w.roster.Set(fleet(6)[0])
-			w.await(p, "the return", usable("s-000", true))
-			w.roster.Remove("s-001")
-			w.await(p, "the removal", func(t *xdsproxy.Table) bool { _, ok := t.Find("s-001"); return !ok })
-			w.roster.Set(fleet(7)[6])
-			w.await(p, "the new server", usable("s-006", true))
-			w.eventually("the proxy up to date", func(r *control.Report) bool {
+			f.roster.Set(testEntries(6)[0])
+			f.await(p, "the return", usable("s-000", true))
+			f.roster.Remove("s-001")
+			f.await(p, "the removal", func(t *xdsproxy.Table) bool { _, ok := t.Find("s-001"); return !ok })
+			f.roster.Set(testEntries(7)[6])
+			f.await(p, "the new server", usable("s-006", true))
+			f.eventually("the proxy up to date", func(r *control.Report) bool {
 				return len(r.Proxies) == 1 && !r.Proxies[0].Behind && r.Proxies[0].DrainAckMs >= 0 && len(r.Proxies[0].Acked) >= 4
 			})
 		})
 	}
 }
+
+// settleTime is long enough for a response that was in flight to arrive.
+const settleTime = 300 * time.Millisecond
+
+func (f *fixture) drain(i int) membership.Entry {
+	e := testEntries(i + 1)[i]
+	e.State = membership.Draining
+	f.roster.Set(e)
+	return e
+}
--- a/internal/control/witness_test.go
+++ b/internal/control/grpc_test.go
@@ -18,20 +18,20 @@
 	"google.golang.org/grpc/credentials/insecure"
 	healthpb "google.golang.org/grpc/health/grpc_health_v1"
 	"google.golang.org/grpc/metadata"
-	_ "google.golang.org/grpc/xds" // the witness: nobody here wrote it
+	_ "google.golang.org/grpc/xds" // an independent xDS client
 
 	"ringtrack.example/ringtrack/internal/control"
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// The witness is grpc-go's own xDS client. Its bootstrap comes by environment, which it reads at its
-// start, so that it runs in a process of its own: this test's, run again.
-const witnessEnv = "RINGTRACK_TEST_WITNESS"
+// grpc-go's own xDS client reads its bootstrap from the environment at startup, so that it runs in a process of its own:
+// this test binary, started with clientEnv.
+const clientEnv = "RINGTRACK_TEST_GRPC_CLIENT"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(witnessEnv) != "" {
-		if err := witness(); err != nil {
-			fmt.Fprintln(os.Stderr, "witness:", err)
+	if os.Getenv(clientEnv) != "" {
+		if err := runClient(); err != nil {
+			fmt.Fprintln(os.Stderr, "client:", err)
 			os.Exit(1)
 		}
 		os.Exit(0)
@@ -39,9 +39,9 @@
 	os.Exit(m.Run())
 }
 
-// witness makes calls as it is told to, a line "CLASS FIRSTKEY CALLS" each, and answers with the
-// number of calls that each server answered, "" for those that failed.
-func witness() error {
+// runClient reads lines "CLASS FIRSTKEY CALLS" from standard input, makes the calls of each and writes how many each server
+// answered; "" counts those that failed.
+func runClient() error {
 	conn, err := grpc.NewClient("xds:///orders", grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 			if err == nil {
 				server = strings.Join(header.Get("server"), ",")
 			} else {
-				fmt.Fprintln(os.Stderr, "witness:", err)
+				fmt.Fprintln(os.Stderr, "client:", err)
 			}
 			got[server]++
 		}
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// grpcServer answers with its own id.
+// grpcServer answers with its own ID.
 type grpcServer struct {
 	healthpb.UnimplementedHealthServer
 	id   string
@@ -106,9 +106,9 @@
 	t.Cleanup(g.s.Stop)
 }
 
-// grpc-go's xDS client resolves the service, spreads by the ring, sends a key where it was, follows a
-// drain, falls over to the next priority and returns.
-func TestWitness(t *testing.T) {
+// grpc-go's xDS client resolves the service, distributes requests over the ring, keeps the affinity of a key, follows a
+// drain, fails over to the next priority and fails back.
+func TestGRPCClientFollowsTheService(t *testing.T) {
 	var servers []*grpcServer
 	var entries []membership.Entry
 	for i := range 4 {
@@ -117,7 +117,7 @@
 		servers = append(servers, g)
 		entries = append(entries, membership.Entry{ID: g.id, Addr: g.addr, Zone: "east", State: membership.Up, Weight: 1})
 	}
-	w := newWorld(t, entries, func(c *control.Config) {
+	f := newFixture(t, entries, func(c *control.Config) {
 		c.XDS.AffinityHeader = "x-affinity-key"
 		c.Evidence.ReportMs, c.Evidence.EjectionMs = 200, 600_000
 	})
@@ -126,8 +126,8 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(self)
-	cmd.Env = append(os.Environ(), witnessEnv+"=1", "GRPC_XDS_BOOTSTRAP_CONFIG="+fmt.Sprintf(
-		`{"xds_servers":[{"server_uri":%q,"channel_creds":[{"type":"insecure"}],"server_features":["xds_v3"]}],"node":{"id":"witness","locality":{"zone":"east"}}}`, w.Addr))
+	cmd.Env = append(os.Environ(), clientEnv+"=1", "GRPC_XDS_BOOTSTRAP_CONFIG="+fmt.Sprintf(
+		`{"xds_servers":[{"server_uri":%q,"channel_creds":[{"type":"insecure"}],"server_features":["xds_v3"]}],"node":{"id":"grpc-client","locality":{"zone":"east"}}}`, f.Addr))
 	var log strings.Builder
 	cmd.Stderr = &log
 	in, err := cmd.StdinPipe()
@@ -145,7 +145,7 @@
 		in.Close()
 		cmd.Wait()
 		if t.Failed() {
-			t.Logf("the witness: %.3000s", log.String())
+			t.Logf("the client: %.3000s", log.String())
 		}
 	})
 	answers := bufio.NewScanner(out)
@@ -153,7 +153,7 @@
 		t.Helper()
 		fmt.Fprintln(in, class, first, calls)
 		if !answers.Scan() {
-			t.Fatal("the witness says nothing")
+			t.Fatal("the client ended")
 		}
 		got := map[string]int{}
 		if err := json.Unmarshal(answers.Bytes(), &got); err != nil {
@@ -165,7 +165,7 @@
 	until := func(what string, want func(map[string]int) bool) {
 		t.Helper()
 		var got map[string]int
-		for end := time.Now().Add(patience); time.Now().Before(end); {
+		for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 			if got = call("order", 0, 60); want(got) {
 				return
 			}
@@ -191,30 +191,30 @@
 		}
 	}
 
-	// A drain: within 250 ms nothing new goes there.
+	// A drain: after 250 ms no new request reaches the server.
 	drained := entries[0]
 	drained.State = membership.Draining
-	w.roster.Set(drained)
+	f.roster.Set(drained)
 	time.Sleep(250 * time.Millisecond)
 	if got = call("order", 0, 400); got["s-0"] != 0 || got[""] != 0 {
 		t.Errorf("after the drain: %v", got)
 	}
 
-	// A priority: s-3 is reported dead by all, and stands behind the others; then the others go.
+	// Priorities: s-3 is reported failing by all and gets the last priority; then the others stop.
 	var mu sync.Mutex
-	dead := 10
+	failing := true
 	for i := range 3 {
 		id := fmt.Sprint("reporter-", i)
-		r := openFull(t, connect(t, w.Addr, nil))
-		r.ask(edsRequest(id, "orders"))
-		r.next()
-		w.lrs(t, id, 100*time.Millisecond, func() []*endpointv3.UpstreamEndpointStats {
+		r := openSotW(t, connect(t, f.Addr, nil))
+		r.send(edsRequest(id, "orders"))
+		r.receive()
+		f.lrs(t, id, 100*time.Millisecond, func() []*endpointv3.UpstreamEndpointStats {
 			mu.Lock()
 			defer mu.Unlock()
 			var out []*endpointv3.UpstreamEndpointStats
 			for i, e := range entries {
 				st := &endpointv3.UpstreamEndpointStats{Address: addressOf(e.Addr), TotalSuccessfulRequests: 10}
-				if i == 3 && dead > 0 {
+				if i == 3 && failing {
 					st.TotalSuccessfulRequests, st.TotalErrorRequests = 0, 10
 				}
 				out = append(out, st)
@@ -222,15 +222,15 @@
 			return out
 		})
 	}
-	until("s-3 left alone", func(got map[string]int) bool { return got["s-3"] == 0 && got["s-1"] > 0 && got["s-2"] > 0 })
+	until("s-3 without requests", func(got map[string]int) bool { return got["s-3"] == 0 && got["s-1"] > 0 && got["s-2"] > 0 })
 	servers[1].s.Stop()
 	servers[2].s.Stop()
-	until("the fall-over to s-3", func(got map[string]int) bool { return got["s-3"] == 60 })
+	until("the failover to s-3", func(got map[string]int) bool { return got["s-3"] == 60 })
 	servers[1].start(t)
 	until("the return to s-1", func(got map[string]int) bool { return got["s-1"] == 60 })
-	w.roster.Set(entries[0])
+	f.roster.Set(entries[0])
 	until("s-0 served again", func(got map[string]int) bool { return got["s-0"] > 0 && got[""] == 0 })
-	if r, err := w.Report(); err != nil || r.Counts["rejections"] != 0 {
+	if r, err := f.Report(); err != nil || r.Counts["rejections"] != 0 {
 		t.Errorf("%v, %d rejections", err, r.Counts["rejections"])
 	}
 }
--- /dev/null
+++ b/internal/control/membership_test.go
@@ -0,0 +1,136 @@
+package control_test
+
+import (
+	"bytes"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+
+	"ringtrack.example/ringtrack/internal/control"
+	"ringtrack.example/ringtrack/internal/control/resource"
+	"ringtrack.example/ringtrack/internal/lab/service"
+	"ringtrack.example/ringtrack/internal/lab/xdsproxy"
+	"ringtrack.example/ringtrack/internal/membership"
+)
+
+// Discovery fails, or lists nothing: proxies keep their resources, and the admin report says that the list is stale.
+func TestMembershipLostOrEmpty(t *testing.T) {
+	f := newFixture(t, testEntries(6), func(c *control.Config) { c.Discovery.StaleAfterMs = 1000 })
+	p := f.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true})
+	f.ready(p)
+	f.await(p, "all", holds(6))
+	f.drain(1)
+	f.await(p, "the drain", usable("s-001", false))
+	n := p.Count.Load()
+	f.roster.Replace()
+	f.eventually("the empty list reported", func(r *control.Report) bool { return strings.Contains(r.Membership[0].Reason, "not believed") })
+	f.eventually("the list reported stale", func(r *control.Report) bool { return r.Membership[0].Stale })
+	f.roster.SetDown(true)
+	f.eventually("discovery reported lost", func(r *control.Report) bool { return r.Membership[0].Stale && r.Membership[0].Entries == 6 })
+	if tab, _ := p.Table(); len(tab.Parts()) != 5 || tab.Usable("s-001") {
+		t.Errorf("holds %+v", tab.Endpoints)
+	}
+	if p.Count.Load() != n {
+		t.Errorf("%d responses arrived", p.Count.Load()-n)
+	}
+	f.roster.SetDown(false)
+	f.roster.Replace(testEntries(4)...)
+	f.await(p, "the new list", holds(4))
+	f.eventually("the list fresh", func(r *control.Report) bool { return !r.Membership[0].Stale })
+}
+
+// The service restarts empty while discovery is down: proxies keep their resources, and get what they miss once
+// discovery is back.
+func TestProxiesSurviveARestart(t *testing.T) {
+	f := newFixture(t, testEntries(6), nil)
+	s, err := service.Start("", f.roster.Addr, nil, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var proxies []*xdsproxy.Proxy
+	for _, o := range variants {
+		o.Target = s.Addr
+		p, err := xdsproxy.Dial(o)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(p.Close)
+		f.ready(p)
+		f.await(p, "all", holds(6))
+		proxies = append(proxies, p)
+	}
+	f.roster.SetDown(true)
+	if err := s.Close(); err != nil {
+		t.Errorf("ended with %v", err)
+	}
+	restarted, err := service.Start(s.Addr, f.roster.Addr, nil, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer restarted.Close()
+	streams := make([]int64, len(proxies))
+	for i, p := range proxies {
+		for end := time.Now().Add(testTimeout); p.Streams.Load() < 2 && time.Now().Before(end); {
+			time.Sleep(5 * time.Millisecond)
+		}
+		streams[i] = p.Streams.Load()
+		if tab, _ := p.Table(); len(tab.Parts()) != 6 {
+			t.Errorf("proxy %d lost its servers: %+v", i, tab.Endpoints)
+		}
+	}
+	e := testEntries(6)[3]
+	e.State = membership.Draining
+	f.roster.Set(e)
+	f.roster.SetDown(false)
+	for _, p := range proxies {
+		f.await(p, "the missed drain", usable("s-003", false))
+		if tab, _ := p.Table(); len(tab.Endpoints) != 6 {
+			t.Errorf("holds %+v", tab.Endpoints)
+		}
+	}
+}
+
+// Two replicas with one endpoint list serve the same bytes.
+func TestReplicasAgree(t *testing.T) {
+	f := newFixture(t, testEntries(9), nil)
+	f.drain(4)
+	other, err := service.StartWith(f.roster, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	full := func(addr string) [][]byte {
+		r := openSotW(t, connect(t, addr, nil))
+		var out [][]byte
+		for _, typeURL := range []string{resource.Endpoints, resource.Cluster, resource.Listener, resource.Route} {
+			req := &discoveryv3.DiscoveryRequest{Node: node("p"), TypeUrl: typeURL}
+			if typeURL == resource.Endpoints || typeURL == resource.Route {
+				req.ResourceNames = []string{"orders"}
+			}
+			r.send(req)
+			m := r.receive()
+			out = append(out, []byte(m.VersionInfo))
+			for _, a := range m.Resources {
+				out = append(out, a.Value)
+			}
+			r.ack(m, req.ResourceNames...)
+		}
+		return out
+	}
+	both := func(r *control.Report) bool {
+		a := r.Assignments["east"]
+		return a == nil || a.Endpoints[4].Draining
+	}
+	f.eventually("the drain", both)
+	x := full(f.Addr)
+	var y [][]byte
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); { // the other may not have its endpoint list yet
+		if y = full(other.Addr); slices.EqualFunc(x, y, bytes.Equal) {
+			return
+		}
+	}
+	t.Errorf("replicas differ: %q and %q", x[0], y[0])
+}
--- a/internal/control/rules_test.go
+++ b/internal/control/proxy_test.go
@@ -10,26 +10,26 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// Rule 2 as routes, at the proxy: each class against each ending, beside a model made of the brief.
-func TestRuleTwoAtTheProxy(t *testing.T) {
-	w := newWorld(t, fleet(3), nil)
-	p := w.dial(xdsproxy.Options{Node: "p", Zone: "east"})
-	w.ready(p)
+// Rule 2 as a proxy reads it from its routes: each class against each outcome of an attempt.
+func TestProxiesRetryOnlyWhatIsSafe(t *testing.T) {
+	f := newFixture(t, testEntries(3), nil)
+	p := f.dial(xdsproxy.Options{Node: "p", Zone: "east"})
+	f.ready(p)
 	tab, _ := p.Table()
 	mayRun := map[xdsproxy.Ending]bool{xdsproxy.Answer5xx: true, xdsproxy.NotStarted: false, xdsproxy.ConnectFailed: false,
 		xdsproxy.RefusedStream: false, xdsproxy.Reset: true, xdsproxy.TimedOut: true}
-	for class, repeatable := range map[string]bool{"read": true, "send": true, "order": false, "nobody knows it": false} {
+	for class, repeatable := range map[string]bool{"read": true, "send": true, "order": false, "unknown class": false} {
 		r := tab.Route(class)
 		if r == nil || r.Hedged || r.TryTime != 0 || r.Timeout <= 0 || r.Timeout >= 1200*time.Millisecond {
 			t.Fatalf("%s: route %+v", class, r)
 		}
 		for end, ran := range mayRun {
-			again := r.Again(end, 1)
+			retried := r.Again(end, 1)
 			switch {
-			case again && ran && !repeatable:
-				t.Errorf("%s is sent again after ending %d", class, end)
-			case !again && !ran:
-				t.Errorf("%s is not sent again after ending %d, which proves that it never ran", class, end)
+			case retried && ran && !repeatable:
+				t.Errorf("%s is retried after outcome %d", class, end)
+			case !retried && !ran:
+				t.Errorf("%s is not retried after outcome %d, after which it cannot have run", class, end)
 			}
 			if r.Again(end, 3) {
 				t.Errorf("%s has a fourth attempt", class)
@@ -38,16 +38,16 @@
 	}
 }
 
-// The same on sockets: what runs is counted at the servers.
-func TestRuleTwoOnSockets(t *testing.T) {
+// The same over sockets, with the executions counted at the servers.
+func TestServersSeeOnlySafeRetries(t *testing.T) {
 	classes := map[string]lab.Effect{"read": lab.Safe, "send": lab.Keyed, "order": lab.Unsafe}
 	for name, c := range map[string]struct {
 		mode       lab.Mode
-		unsafe     int // attempts of an unsafe request
+		unsafe     int // attempts of a request that is not idempotent
 		repeatable int
 	}{
 		"serving": {lab.Serving, 1, 1}, "failing": {lab.Failing, 1, 3}, "breaking": {lab.Breaking, 1, 3},
-		"turning away": {lab.Full, 3, 3}, "silent": {lab.Silent, 1, 1},
+		"rejecting": {lab.Full, 3, 3}, "silent": {lab.Silent, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -62,10 +62,10 @@
 				s.Set(c.mode)
 				entries = append(entries, s.Entry)
 			}
-			w := newWorld(t, entries, nil)
-			p := w.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true})
-			w.ready(p)
-			w.await(p, "all", holds(4))
+			f := newFixture(t, entries, nil)
+			p := f.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true})
+			f.ready(p)
+			f.await(p, "all", holds(4))
 			for class, effect := range classes {
 				for i := range 5 {
 					id := fmt.Sprint(class, "-", i)
@@ -87,22 +87,22 @@
 					ledger.Answered(id, v, time.Now())
 				}
 			}
-			if broken, words := ledger.Breaches(time.Now()); len(broken) > 0 {
-				t.Errorf("broken %v: %q", broken, words)
+			if broken, texts := ledger.Breaches(time.Now()); len(broken) > 0 {
+				t.Errorf("broken %v: %q", broken, texts)
 			}
 		})
 	}
 }
 
-// When a server leaves, its own keys move; the ring as proxies make it gives the others more points
-// then, which moves about as many again. The assignment's own part is in package assign's tests.
-func TestKeysStay(t *testing.T) {
+// When a server drains or is removed, its own keys migrate, and about as many others, since the remaining servers
+// get more points on the ring. Package assign tests the assignment's part of this.
+func TestMostKeysStay(t *testing.T) {
 	for _, n := range []int{3, 9, 30, 120} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			w := newWorld(t, fleet(n), nil)
-			p := w.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true, LEDS: n%2 == 0})
-			w.ready(p)
-			w.await(p, "all", holds(n))
+			f := newFixture(t, testEntries(n), nil)
+			p := f.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true, LEDS: n%2 == 0})
+			f.ready(p)
+			f.await(p, "all", holds(n))
 			const keys = 3000
 			place := func() []string {
 				tab, _ := p.Table()
@@ -115,9 +115,9 @@
 			before := place()
 			tab, _ := p.Table()
 			share := tab.Parts()[fmt.Sprintf("s-%03d", n/2)]
-			for _, leave := range []func(){func() { w.drain(n / 2) }, func() { w.roster.Remove(fmt.Sprintf("s-%03d", n/2)) }} {
-				leave()
-				w.await(p, "the server's end", usable(fmt.Sprintf("s-%03d", n/2), false))
+			for _, remove := range []func(){func() { f.drain(n / 2) }, func() { f.roster.Remove(fmt.Sprintf("s-%03d", n/2)) }} {
+				remove()
+				f.await(p, "the server's end", usable(fmt.Sprintf("s-%03d", n/2), false))
 				moved := 0
 				for k, at := range place() {
 					if at != before[k] {
@@ -125,7 +125,7 @@
 					}
 				}
 				if limit := int(2.5 * keys * share); moved >= limit || moved == 0 {
-					t.Errorf("%d of %d keys moved, at most %d", moved, keys, limit)
+					t.Errorf("%d of %d keys migrated, at most %d", moved, keys, limit)
 				}
 			}
 		})
--- /dev/null
+++ b/internal/control/reload_test.go
@@ -0,0 +1,65 @@
+package control_test
+
+import (
+	"bytes"
+	"os"
+	"slices"
+	"testing"
+
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+
+	"ringtrack.example/ringtrack/internal/control"
+	"ringtrack.example/ringtrack/internal/control/resource"
+	"ringtrack.example/ringtrack/internal/lab/service"
+	"ringtrack.example/ringtrack/internal/lab/xdsproxy"
+)
+
+// A reload changes classes: routes are sent after their clusters, and the clusters of older routes stay for a while.
+func TestReload(t *testing.T) {
+	f := newFixture(t, testEntries(3), nil)
+	p := f.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true})
+	f.ready(p)
+	next, remove, err := service.Config(f.roster.Addr, func(c *control.Config) {
+		text := bytes.ReplaceAll(service.Settings, []byte(`"order"`), []byte(`"booking"`))
+		if err := os.WriteFile(c.Settings, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer remove()
+	f.await(p, "all", holds(3))
+	d := openDelta(t, connect(t, f.Addr, nil))
+	d.sendDelta(&discoveryv3.DeltaDiscoveryRequest{Node: node("d"), TypeUrl: resource.Cluster})
+	d.sendDelta(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: resource.Route, ResourceNamesSubscribe: []string{"orders"}})
+	ack := func(m *discoveryv3.DeltaDiscoveryResponse) {
+		d.sendDelta(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: m.TypeUrl, ResponseNonce: m.Nonce})
+	}
+	first := d.receiveDelta()
+	ack(first)
+	ack(d.receiveDelta())
+	if err := f.Server.Reload(next); err != nil {
+		t.Fatal(err)
+	}
+	m := d.receiveDelta()
+	if m.TypeUrl != resource.Cluster || len(m.Resources) != 1 || m.Resources[0].Name != "orders/booking" || len(m.RemovedResources) > 0 {
+		t.Fatalf("%s: %d resources, %q removed", m.TypeUrl, len(m.Resources), m.RemovedResources)
+	}
+	d.expectNone(settleTime) // the routes wait until their cluster is acknowledged
+	ack(m)
+	if m = d.receiveDelta(); m.TypeUrl != resource.Route {
+		t.Fatalf("%s came", m.TypeUrl)
+	}
+	ack(m)
+	if m = d.receiveDelta(); m.TypeUrl != resource.Cluster || !slices.Equal(m.RemovedResources, []string{"orders/order"}) {
+		t.Errorf("%s: %q removed", m.TypeUrl, m.RemovedResources)
+	}
+	f.await(p, "the new class", func(t *xdsproxy.Table) bool {
+		r := t.Route("booking")
+		return r != nil && r.Cluster == "orders/booking"
+	})
+	if tab, _ := p.Table(); len(tab.Parts()) != 3 {
+		t.Errorf("holds %+v", tab.Endpoints)
+	}
+}
--- a/internal/control/report_test.go
+++ b/internal/control/report_test.go
@@ -8,7 +8,7 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// The keys of the admin page are what operators and the lab read: they do not follow the names of fields.
+// Operators and the lab read the keys of the admin report: they do not change with the names of fields.
 func TestReportKeysAreStable(t *testing.T) {
 	r := &Report{NowMs: 1, Membership: []membership.Status{}, Problems: []string{"p"},
 		Servers: []ServerReport{{ID: "s", State: "unknown", SinceMs: 2, Usable: true, Capacity: 0.5, ConsecutiveFailures: 3}},
--- /dev/null
+++ b/internal/control/subscription_test.go
@@ -0,0 +1,119 @@
+package control_test
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	rpcstatus "google.golang.org/genproto/googleapis/rpc/status"
+	"google.golang.org/grpc/codes"
+
+	"ringtrack.example/ringtrack/internal/control"
+	"ringtrack.example/ringtrack/internal/control/resource"
+)
+
+// After a NACK the reason is reported, and the same version is not sent a second time, only newer ones.
+func TestNackIsReportedAndNotResent(t *testing.T) {
+	f := newFixture(t, testEntries(6), nil)
+	for _, delta := range []bool{false, true} {
+		t.Run(fmt.Sprint("delta ", delta), func(t *testing.T) {
+			f.t = t
+			conn := connect(t, f.Addr, nil)
+			id := fmt.Sprint("p-", delta)
+			var r *adsClient
+			if delta {
+				r = openDelta(t, conn)
+				r.sendDelta(deltaRequest(id, "orders"))
+				m := r.receiveDelta()
+				r.sendDelta(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: m.TypeUrl, ResponseNonce: m.Nonce,
+					ErrorDetail: &rpcstatus.Status{Code: 3, Message: "no such thing"}})
+			} else {
+				r = openSotW(t, conn)
+				r.send(edsRequest(id, "orders"))
+				r.nack(r.receive(), "no such thing", "orders")
+			}
+			f.eventually("the reason", func(rep *control.Report) bool {
+				return slices.ContainsFunc(rep.Proxies, func(p control.ProxyReport) bool {
+					return p.Node == id && strings.Contains(p.Rejected[resource.Endpoints], "no such thing")
+				})
+			})
+			r.expectNone(settleTime)
+			f.drain(map[bool]int{false: 1, true: 2}[delta])
+			if delta {
+				r.receiveDelta()
+			} else {
+				r.receive()
+			}
+		})
+	}
+}
+
+// A proxy reconnects with versions and nonces of an earlier process.
+func TestReconnectWithOldVersions(t *testing.T) {
+	f := newFixture(t, testEntries(6), nil)
+	r := openSotW(t, connect(t, f.Addr, nil))
+	req := edsRequest("p", "orders")
+	req.VersionInfo, req.ResponseNonce = "an older one", "deadbeef-17"
+	r.send(req)
+	m := r.receive()
+	if _, all := draining(t, m); len(all) != 6 {
+		t.Errorf("%d servers", len(all))
+	}
+	d := openDelta(t, connect(t, f.Addr, nil))
+	q := deltaRequest("d", "orders")
+	q.InitialResourceVersions = map[string]string{"orders": "an older one", "removed": "1"}
+	q.ResponseNonce = "deadbeef-18"
+	d.sendDelta(q)
+	dm := d.receiveDelta()
+	if len(dm.Resources) != 1 {
+		t.Errorf("%+v", dm)
+	}
+	// With the current version there is nothing to send until something changes.
+	e := openDelta(t, connect(t, f.Addr, nil))
+	q = deltaRequest("e", "orders")
+	q.InitialResourceVersions = map[string]string{"orders": dm.Resources[0].Version}
+	e.sendDelta(q)
+	e.expectNone(settleTime)
+	f.drain(0)
+	if m := e.receiveDelta(); len(m.Resources) != 1 || m.Resources[0].Version == dm.Resources[0].Version {
+		t.Errorf("%+v", m)
+	}
+}
+
+// A name that does not exist is reported as removed, where the protocol can express that.
+func TestNamesThatDoNotExist(t *testing.T) {
+	f := newFixture(t, testEntries(6), nil)
+	r := openSotW(t, connect(t, f.Addr, nil))
+	r.send(edsRequest("p", "nothing"))
+	r.expectNone(settleTime)
+	d := openDelta(t, connect(t, f.Addr, nil))
+	d.sendDelta(deltaRequest("d", "nothing", "orders"))
+	if m := d.receiveDelta(); len(m.Resources) != 1 || !slices.Equal(m.RemovedResources, []string{"nothing"}) {
+		t.Errorf("%+v", m)
+	}
+}
+
+// 10,000 names are served; more end the stream, and no other.
+func TestManyNames(t *testing.T) {
+	f := newFixture(t, testEntries(6), nil)
+	names := []string{"orders"}
+	for i := range 9999 {
+		names = append(names, fmt.Sprint("name-", i))
+	}
+	r := openSotW(t, connect(t, f.Addr, nil))
+	r.send(edsRequest("p", names...))
+	r.receive()
+	d := openDelta(t, connect(t, f.Addr, nil))
+	d.sendDelta(deltaRequest("d", names...))
+	if m := d.receiveDelta(); len(m.RemovedResources) != 9999 {
+		t.Errorf("%d names are reported not to exist", len(m.RemovedResources))
+	}
+	d.sendDelta(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: resource.Endpoints, ResourceNamesSubscribe: []string{"one more"}})
+	d.expectEnd(codes.ResourceExhausted)
+	more := openSotW(t, connect(t, f.Addr, nil))
+	more.send(edsRequest("q", append(names, "one more")...))
+	more.expectEnd(codes.ResourceExhausted)
+	r.expectNone(settleTime)
+}
