--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -102,7 +102,7 @@
 }
 
 func holds(n int) func(*xdsproxy.Table) bool {
-	return func(t *xdsproxy.Table) bool { return len(t.Parts()) == n }
+	return func(t *xdsproxy.Table) bool { return len(t.Shares()) == n }
 }
 
 // variants are the variants of the protocol that a proxy may use.
@@ -121,7 +121,7 @@
 			f.ready(p)
 			f.await(p, "all servers", holds(6))
 			tab, _ := p.Table()
-			if r := tab.Route("order"); r == nil || r.Retries != 2 {
+			if r := tab.Route("order"); r == nil || r.MaxRetries != 2 {
 				t.Errorf("route of order: %+v", r)
 			}
 			drains := testEntries(6)[0]
--- a/internal/control/lrs_test.go
+++ b/internal/control/lrs_test.go
@@ -76,7 +76,7 @@
 	for _, p := range proxies {
 		f.await(p, "the failing server in the next priority", func(t *xdsproxy.Table) bool {
 			e, ok := t.Find("s-002")
-			return ok && e.Priority == 1 && len(t.Parts()) == 3
+			return ok && e.Priority == 1 && len(t.Shares()) == 3
 		})
 	}
 	mu.Lock()
@@ -85,7 +85,7 @@
 	for _, p := range proxies {
 		f.await(p, "its return", func(t *xdsproxy.Table) bool {
 			e, ok := t.Find("s-002")
-			return ok && e.Priority == 0 && len(t.Parts()) == 4
+			return ok && e.Priority == 0 && len(t.Shares()) == 4
 		})
 	}
 }
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -24,17 +24,17 @@
 	f.await(p, "all", holds(6))
 	f.drain(1)
 	f.await(p, "the drain", usable("s-001", false))
-	n := p.Count.Load()
+	n := p.ResponseCount.Load()
 	f.roster.Replace()
 	f.eventually("the empty list reported", func(r *control.Report) bool { return strings.Contains(r.Membership[0].Reason, "not believed") })
 	f.eventually("the list reported stale", func(r *control.Report) bool { return r.Membership[0].Stale })
 	f.roster.SetDown(true)
 	f.eventually("discovery reported lost", func(r *control.Report) bool { return r.Membership[0].Stale && r.Membership[0].Entries == 6 })
-	if tab, _ := p.Table(); len(tab.Parts()) != 5 || tab.Usable("s-001") {
+	if tab, _ := p.Table(); len(tab.Shares()) != 5 || tab.Usable("s-001") {
 		t.Errorf("holds %+v", tab.Endpoints)
 	}
-	if p.Count.Load() != n {
-		t.Errorf("%d responses arrived", p.Count.Load()-n)
+	if p.ResponseCount.Load() != n {
+		t.Errorf("%d responses arrived", p.ResponseCount.Load()-n)
 	}
 	f.roster.SetDown(false)
 	f.roster.Replace(testEntries(4)...)
@@ -77,7 +77,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		streams[i] = p.Streams.Load()
-		if tab, _ := p.Table(); len(tab.Parts()) != 6 {
+		if tab, _ := p.Table(); len(tab.Shares()) != 6 {
 			t.Errorf("proxy %d lost its servers: %+v", i, tab.Endpoints)
 		}
 	}
--- a/internal/control/proxy_test.go
+++ b/internal/control/proxy_test.go
@@ -16,22 +16,22 @@
 	p := f.dial(xdsproxy.Options{Node: "p", Zone: "east"})
 	f.ready(p)
 	tab, _ := p.Table()
-	mayRun := map[xdsproxy.Ending]bool{xdsproxy.Answer5xx: true, xdsproxy.NotStarted: false, xdsproxy.ConnectFailed: false,
+	mayRun := map[xdsproxy.Outcome]bool{xdsproxy.Answer5xx: true, xdsproxy.NotStarted: false, xdsproxy.ConnectFailed: false,
 		xdsproxy.RefusedStream: false, xdsproxy.Reset: true, xdsproxy.TimedOut: true}
 	for class, repeatable := range map[string]bool{"read": true, "send": true, "order": false, "unknown class": false} {
 		r := tab.Route(class)
-		if r == nil || r.Hedged || r.TryTime != 0 || r.Timeout <= 0 || r.Timeout >= 1200*time.Millisecond {
+		if r == nil || r.Hedged || r.PerTryTimeout != 0 || r.Timeout <= 0 || r.Timeout >= 1200*time.Millisecond {
 			t.Fatalf("%s: route %+v", class, r)
 		}
 		for end, ran := range mayRun {
-			retried := r.Again(end, 1)
+			retried := r.MayRetry(end, 1)
 			switch {
 			case retried && ran && !repeatable:
 				t.Errorf("%s is retried after outcome %d", class, end)
 			case !retried && !ran:
 				t.Errorf("%s is not retried after outcome %d, after which it cannot have run", class, end)
 			}
-			if r.Again(end, 3) {
+			if r.MayRetry(end, 3) {
 				t.Errorf("%s has a fourth attempt", class)
 			}
 		}
@@ -81,7 +81,7 @@
 					v := lab.Failed
 					if res.Status == 200 {
 						v = lab.Served
-					} else if !res.Sent {
+					} else if !res.MayHaveRun {
 						v = lab.Refused
 					}
 					ledger.Answered(id, v, time.Now())
@@ -114,7 +114,7 @@
 			}
 			before := place()
 			tab, _ := p.Table()
-			share := tab.Parts()[fmt.Sprintf("s-%03d", n/2)]
+			share := tab.Shares()[fmt.Sprintf("s-%03d", n/2)]
 			for _, remove := range []func(){func() { f.drain(n / 2) }, func() { f.roster.Remove(fmt.Sprintf("s-%03d", n/2)) }} {
 				remove()
 				f.await(p, "the server's end", usable(fmt.Sprintf("s-%03d", n/2), false))
--- a/internal/control/reload_test.go
+++ b/internal/control/reload_test.go
@@ -59,7 +59,7 @@
 		r := t.Route("booking")
 		return r != nil && r.Cluster == "orders/booking"
 	})
-	if tab, _ := p.Table(); len(tab.Parts()) != 3 {
+	if tab, _ := p.Table(); len(tab.Shares()) != 3 {
 		t.Errorf("holds %+v", tab.Endpoints)
 	}
 }
--- a/internal/lab/acceptance/cold.go
+++ b/internal/lab/acceptance/cold.go
@@ -56,7 +56,7 @@
 		all = append(all, p)
 		rate := 10 + 60*rng.Float64()*rng.Float64() // a second
 		total += rate
-		running.Go(func() { p.Report(ctx) })
+		running.Go(func() { p.ReportLoad(ctx) })
 		seed := rng.Uint64()
 		running.Go(func() {
 			select {
@@ -74,7 +74,7 @@
 				}
 				tab, _ := p.Table()
 				if addr := tab.Pick(fmt.Sprint(seed, n%5000), nil, nil); addr != "" {
-					p.Note(addr)
+					p.RecordServed(addr)
 					ledger.Began(ids[addr], time.Now())
 				}
 			}
@@ -114,7 +114,7 @@
 	warmShare := 0.0
 	for _, p := range all[deaf:] {
 		tab, _ := p.Table()
-		warmShare += tab.Parts()[e.ID] / float64(len(all)-deaf)
+		warmShare += tab.Shares()[e.ID] / float64(len(all)-deaf)
 	}
 	cancel()
 	running.Wait()
--- a/internal/lab/acceptance/drains.go
+++ b/internal/lab/acceptance/drains.go
@@ -93,7 +93,7 @@
 	for i, v := range []xdsproxy.Options{{Node: "sotw"}, {Node: "delta", Delta: true}, {Node: "leds", Delta: true, LEDS: true}} {
 		v.Target, v.Zone = svc.Addr, zones[i]
 		if o.Defect {
-			v.ApplyAfter = 400 * time.Millisecond
+			v.ApplyDelay = 400 * time.Millisecond
 		}
 		p, err := xdsproxy.Dial(v)
 		if err != nil {
@@ -106,7 +106,7 @@
 		case <-time.After(10 * time.Second):
 			return nil, fmt.Errorf("%s got no configuration: %s", v.Node, p.LastError())
 		}
-		running.Go(func() { p.Report(ctx) })
+		running.Go(func() { p.ReportLoad(ctx) })
 		for w := range 4 {
 			running.Go(func() { steady(ctx, p, ledger, fmt.Sprintf("%s-%d", v.Node, w)) })
 		}
@@ -222,7 +222,7 @@
 		switch {
 		case res.Status == 200:
 			v = lab.Served
-		case !res.Sent && (res.Status == 429 || res.Status == 503):
+		case !res.MayHaveRun && (res.Status == 429 || res.Status == 503):
 			v = lab.Refused
 		}
 		ledger.Answered(id, v, time.Now())
--- a/internal/lab/xdsproxy/call.go
+++ b/internal/lab/xdsproxy/call.go
@@ -11,24 +11,24 @@
 	"time"
 )
 
-// Ending is how an attempt ended, as a proxy knows it.
-type Ending int
+// Outcome is how an attempt ended, as a proxy knows it.
+type Outcome int
 
 // The endings.
 const (
-	OK            Ending = iota
-	Answer5xx            // a 5xx that says nothing more
-	NotStarted           // one that says it never ran
-	ConnectFailed        // no connection came up
+	OK            Outcome = iota
+	Answer5xx             // a 5xx that says nothing more
+	NotStarted            // one that says it never ran
+	ConnectFailed         // no connection came up
 	RefusedStream
 	Reset
 	TimedOut
 )
 
-// Again tells whether a route lets a proxy try again after an ending, as Envoy's page on the router's
+// MayRetry tells whether a route lets a proxy try again after an ending, as Envoy's page on the router's
 // x-envoy-retry-on has it.
-func (r *Route) Again(e Ending, tries int) bool {
-	if tries > r.Retries {
+func (r *Route) MayRetry(e Outcome, tries int) bool {
+	if tries > r.MaxRetries {
 		return false
 	}
 	on := func(word string) bool {
@@ -43,7 +43,7 @@
 	case Answer5xx:
 		return on("5xx")
 	case NotStarted:
-		return on("5xx") || on("retriable-headers") && r.NotRan != ""
+		return on("5xx") || on("retriable-headers") && r.NotStartedHeader != ""
 	case ConnectFailed: // Envoy counts these as 5xx too
 		return on("5xx") || on("connect-failure")
 	case RefusedStream:
@@ -59,16 +59,16 @@
 
 // Result is how a call through the proxy ended for its client.
 type Result struct {
-	Status   int // 503 also for what was never sent
-	Attempts int
-	Sent     bool // an attempt may have run
+	Status     int // 503 also for what was never sent
+	Attempts   int
+	MayHaveRun bool // an attempt may have run
 }
 
 // Call passes one request on as the proxy's configuration says. body names the operation.
 func (p *Proxy) Call(ctx context.Context, class, key, body string) Result {
 	t, _ := p.Table()
 	r := t.Route(class)
-	if r == nil || rand.Float64() < t.Shed {
+	if r == nil || rand.Float64() < t.DropFraction {
 		return Result{Status: http.StatusServiceUnavailable}
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
@@ -87,9 +87,9 @@
 		end, status := p.attempt(ctx, addr, key, body)
 		out.Status = status
 		if end != NotStarted && end != ConnectFailed {
-			out.Sent = true
+			out.MayHaveRun = true
 		}
-		if end == OK || !r.Again(end, out.Attempts) {
+		if end == OK || !r.MayRetry(end, out.Attempts) {
 			return out
 		}
 		select {
@@ -107,7 +107,7 @@
 	return p.inflight[addr]
 }
 
-func (p *Proxy) attempt(ctx context.Context, addr, key, body string) (end Ending, status int) {
+func (p *Proxy) attempt(ctx context.Context, addr, key, body string) (end Outcome, status int) {
 	p.mu.Lock()
 	s := p.stats[addr]
 	if s == nil {
@@ -160,9 +160,9 @@
 	return Answer5xx, resp.StatusCode
 }
 
-// Note counts a request at a server as sent and served, without sending any: for proofs that only
+// RecordServed counts a request at a server as sent and served, without sending any: for proofs that only
 // look at where requests would go.
-func (p *Proxy) Note(addr string) {
+func (p *Proxy) RecordServed(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.stats[addr]
--- a/internal/lab/xdsproxy/proxy.go
+++ b/internal/lab/xdsproxy/proxy.go
@@ -53,9 +53,9 @@
 	Creds  credentials.TransportCredentials
 	// Reject, if set, says why a response of a type is rejected; "" accepts it.
 	Reject func(typeURL string) string
-	// ApplyAfter holds back what came before it is used, though it is acknowledged at once: the seeded
+	// ApplyDelay holds back what came before it is used, though it is acknowledged at once: the seeded
 	// defect of the proof of drains.
-	ApplyAfter time.Duration
+	ApplyDelay time.Duration
 }
 
 // Endpoint is a server as the proxy has it.
@@ -69,17 +69,17 @@
 
 // Proxy is one proxy. It reconnects by itself until it is closed.
 type Proxy struct {
-	o       Options
-	conn    *grpc.ClientConn
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
-	ready   chan struct{}
-	gate    gate
-	Bytes   atomic.Int64 // of responses
-	Count   atomic.Int64 // of responses
-	Streams atomic.Int64 // that were opened
-	Errors  atomic.Int64 // streams that ended with an error
-	last    atomic.Pointer[string]
+	o             Options
+	conn          *grpc.ClientConn
+	cancel        context.CancelFunc
+	done          sync.WaitGroup
+	ready         chan struct{}
+	gate          gate
+	Bytes         atomic.Int64 // of responses
+	ResponseCount atomic.Int64 // of responses
+	Streams       atomic.Int64 // that were opened
+	Errors        atomic.Int64 // streams that ended with an error
+	last          atomic.Pointer[string]
 
 	mu       sync.Mutex
 	clusters map[string]*clusterv3.Cluster
@@ -256,7 +256,7 @@
 			return err
 		}
 		p.Bytes.Add(int64(r.size))
-		p.Count.Add(1)
+		p.ResponseCount.Add(1)
 		reason := ""
 		if p.o.Reject != nil {
 			reason = p.o.Reject(r.typeURL)
@@ -379,8 +379,8 @@
 		p.version[r.typeURL] = r.version
 	}
 	table := p.build()
-	if p.o.ApplyAfter > 0 {
-		time.AfterFunc(p.o.ApplyAfter, func() {
+	if p.o.ApplyDelay > 0 {
+		time.AfterFunc(p.o.ApplyDelay, func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.use(table)
@@ -593,8 +593,8 @@
 	return s.g.Send(req)
 }
 
-// Report sends load reports at the interval that the service asks for, until ctx ends.
-func (p *Proxy) Report(ctx context.Context) error {
+// ReportLoad sends load reports at the interval that the service asks for, until ctx ends.
+func (p *Proxy) ReportLoad(ctx context.Context) error {
 	g, err := loadstatsv3.NewLoadReportingServiceClient(p.conn).StreamLoadStats(ctx)
 	if err != nil {
 		return err
--- a/internal/lab/xdsproxy/table.go
+++ b/internal/lab/xdsproxy/table.go
@@ -20,13 +20,13 @@
 
 // Table is what a proxy picks by. It is never changed once made.
 type Table struct {
-	Endpoints []Endpoint // by id
-	Shed      float64    // part of requests to drop
-	routes    map[string]Route
-	rest      *Route
-	factor    float64            // of the bounded load; 0: none
-	ring      func() []point     // made when it is first picked from
-	usable    map[string]float64 // part of the requests, by address, in the priority in use
+	Endpoints    []Endpoint // by id
+	DropFraction float64    // part of requests to drop
+	routes       map[string]Route
+	rest         *Route
+	factor       float64            // of the bounded load; 0: none
+	ring         func() []point     // made when it is first picked from
+	usable       map[string]float64 // part of the requests, by address, in the priority in use
 }
 
 type point struct {
@@ -36,13 +36,13 @@
 
 // Route is what the proxy may do with a request of a class.
 type Route struct {
-	Cluster string
-	Timeout time.Duration
-	RetryOn string
-	Retries int
-	Hedged  bool
-	TryTime time.Duration
-	NotRan  string // header of an answer that says so
+	Cluster          string
+	Timeout          time.Duration
+	RetryOn          string
+	MaxRetries       int
+	Hedged           bool
+	PerTryTimeout    time.Duration
+	NotStartedHeader string // header of an answer that says so
 }
 
 // Find returns a server by id.
@@ -77,10 +77,10 @@
 				a := r.GetRoute()
 				rp := a.GetRetryPolicy()
 				route := Route{Cluster: a.GetCluster(), Timeout: a.GetTimeout().AsDuration(), RetryOn: rp.GetRetryOn(),
-					Retries: int(rp.GetNumRetries().GetValue()), Hedged: a.GetHedgePolicy() != nil,
-					TryTime: rp.GetPerTryTimeout().AsDuration()}
+					MaxRetries: int(rp.GetNumRetries().GetValue()), Hedged: a.GetHedgePolicy() != nil,
+					PerTryTimeout: rp.GetPerTryTimeout().AsDuration()}
 				for _, h := range rp.GetRetriableHeaders() {
-					route.NotRan = h.GetName()
+					route.NotStartedHeader = h.GetName()
 				}
 				if hs := r.GetMatch().GetHeaders(); len(hs) == 1 {
 					t.routes[hs[0].GetStringMatch().GetExact()] = route
@@ -105,7 +105,7 @@
 	var places []*place
 	for _, set := range p.sets {
 		for _, d := range set.GetPolicy().GetDropOverloads() {
-			t.Shed = max(t.Shed, float64(d.GetDropPercentage().GetNumerator())/100)
+			t.DropFraction = max(t.DropFraction, float64(d.GetDropPercentage().GetNumerator())/100)
 		}
 		for _, l := range set.GetEndpoints() {
 			pl := &place{weight: float64(l.GetLoadBalancingWeight().GetValue()), prio: l.GetPriority()}
@@ -236,8 +236,8 @@
 	return last
 }
 
-// Parts are the parts of requests by server id, in the priority in use.
-func (t *Table) Parts() map[string]float64 {
+// Shares are the parts of requests by server id, in the priority in use.
+func (t *Table) Shares() map[string]float64 {
 	out := map[string]float64{}
 	for i := range t.Endpoints {
 		if e := &t.Endpoints[i]; !e.Draining && t.usable[e.Addr] > 0 {
