--- a/internal/lab/xdsproxy/call.go
+++ b/internal/lab/xdsproxy/call.go
@@ -7,135 +7,146 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"time"
 )
 
-// Outcome is how an attempt ended, as a proxy knows it.
+const (
+	dialTimeout        = 300 * time.Millisecond
+	idleTimeout        = 10 * time.Second
+	maxIdleConnections = 64 // per server
+	maxRetryBackoff    = 20 * time.Millisecond
+)
+
+// Outcome is how an attempt ended, as the proxy knows it.
 type Outcome int
 
-// The endings.
+// The outcomes.
 const (
 	OK            Outcome = iota
-	Answer5xx             // a 5xx that says nothing more
-	NotStarted            // one that says it never ran
-	ConnectFailed         // no connection came up
+	Answer5xx             // a 5xx answer without more information
+	NotStarted            // a 5xx answer that says that the attempt never ran
+	ConnectFailed         // the connection was not established
 	RefusedStream
 	Reset
 	TimedOut
 )
 
-// MayRetry tells whether a route lets a proxy try again after an ending, as Envoy's page on the router's
-// x-envoy-retry-on has it.
-func (r *Route) MayRetry(e Outcome, tries int) bool {
-	if tries > r.MaxRetries {
-		return false
-	}
-	on := func(word string) bool {
-		for w := range strings.SplitSeq(r.RetryOn, ",") {
-			if w == word {
-				return true
-			}
-		}
+// MayRetry reports whether a route permits a retry after an outcome of the given number of attempts, by the
+// documentation of Envoy's x-envoy-retry-on.
+func (r *Route) MayRetry(outcome Outcome, attempts int) bool {
+	if attempts > r.MaxRetries {
 		return false
 	}
-	switch e {
+	conditions := strings.Split(r.RetryOn, ",")
+	on := func(condition string) bool { return slices.Contains(conditions, condition) }
+	switch outcome {
 	case Answer5xx:
 		return on("5xx")
 	case NotStarted:
 		return on("5xx") || on("retriable-headers") && r.NotStartedHeader != ""
-	case ConnectFailed: // Envoy counts these as 5xx too
+	case ConnectFailed: // 5xx includes all of the following
 		return on("5xx") || on("connect-failure")
 	case RefusedStream:
 		return on("5xx") || on("refused-stream")
 	case Reset:
 		return on("5xx") || on("reset")
 	}
-	return false // the route's time is over
+	return false // the route's timeout has expired
 }
 
-var transport = &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 10 * time.Second,
-	DialContext: (&net.Dialer{Timeout: 300 * time.Millisecond}).DialContext, DisableCompression: true}
+var transport = &http.Transport{
+	MaxIdleConnsPerHost: maxIdleConnections,
+	IdleConnTimeout:     idleTimeout,
+	DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+	DisableCompression:  true,
+}
 
 // Result is how a call through the proxy ended for its client.
 type Result struct {
-	Status     int // 503 also for what was never sent
+	Status     int // 503 also for a call that was never sent
 	Attempts   int
-	MayHaveRun bool // an attempt may have run
+	MayHaveRun bool
 }
 
-// Call passes one request on as the proxy's configuration says. body names the operation.
+// Call forwards one request by the current resources. body names the operation.
 func (p *Proxy) Call(ctx context.Context, class, key, body string) Result {
 	t, _ := p.Table()
-	r := t.Route(class)
-	if r == nil || rand.Float64() < t.DropFraction {
+	route := t.Route(class)
+	if route == nil || rand.Float64() < t.DropFraction {
 		return Result{Status: http.StatusServiceUnavailable}
 	}
-	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, route.Timeout)
 	defer cancel()
-	out := Result{}
+	result := Result{}
 	avoid := map[string]bool{}
 	for {
-		t, _ = p.Table() // as it is when it is sent
-		addr := t.Pick(key, p.open, avoid)
+		t, _ = p.Table() // each attempt uses the current one
+		addr := t.Pick(key, p.requestsInFlight, avoid)
 		if addr == "" {
-			out.Status = http.StatusServiceUnavailable
-			return out
+			result.Status = http.StatusServiceUnavailable
+			return result
 		}
 		avoid[addr] = true
-		out.Attempts++
-		end, status := p.attempt(ctx, addr, key, body)
-		out.Status = status
-		if end != NotStarted && end != ConnectFailed {
-			out.MayHaveRun = true
+		result.Attempts++
+		outcome, status := p.attempt(ctx, addr, key, body)
+		result.Status = status
+		if outcome != NotStarted && outcome != ConnectFailed {
+			result.MayHaveRun = true
 		}
-		if end == OK || !r.MayRetry(end, out.Attempts) {
-			return out
+		if outcome == OK || !route.MayRetry(outcome, result.Attempts) {
+			return result
 		}
 		select {
-		case <-time.After(rand.N(20 * time.Millisecond)):
+		case <-time.After(rand.N(maxRetryBackoff)):
 		case <-ctx.Done():
-			out.Status = http.StatusGatewayTimeout
-			return out
+			result.Status = http.StatusGatewayTimeout
+			return result
 		}
 	}
 }
 
-func (p *Proxy) open(addr string) int {
+// requestsInFlight returns how many requests an address has from this proxy.
+func (p *Proxy) requestsInFlight(addr string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.inflight[addr]
+	return p.inFlight[addr]
 }
 
-func (p *Proxy) attempt(ctx context.Context, addr, key, body string) (end Outcome, status int) {
+// attempt sends one attempt and counts it for the load report.
+func (p *Proxy) attempt(ctx context.Context, addr, key, body string) (outcome Outcome, status int) {
 	p.mu.Lock()
-	s := p.stats[addr]
-	if s == nil {
-		s = &stat{}
-		p.stats[addr] = s
-	}
-	s.issued++
-	s.open++
-	p.inflight[addr]++
+	load := p.load(addr)
+	load.issued++
+	load.inProgress++
+	p.inFlight[addr]++
 	p.mu.Unlock()
-	defer func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		s.open--
-		if p.inflight[addr]--; p.inflight[addr] == 0 {
-			delete(p.inflight, addr)
-		}
-		if end == OK {
-			s.ok++
-		} else {
-			s.failed++
-		}
-	}()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/api/"+key, struct{ io.Reader }{strings.NewReader(body)})
+	outcome, status = send(ctx, addr, key, body)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	load.inProgress--
+	p.inFlight[addr]--
+	if p.inFlight[addr] == 0 {
+		delete(p.inFlight, addr)
+	}
+	if outcome == OK {
+		load.served++
+	} else {
+		load.failed++
+	}
+	return outcome, status
+}
+
+// send sends one attempt to a server.
+func send(ctx context.Context, addr, key, body string) (Outcome, int) {
+	// The wrapper hides that the body can be read a second time, so that the transport never resends it.
+	oneTimeBody := struct{ io.Reader }{strings.NewReader(body)}
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/api/"+key, oneTimeBody)
 	if err != nil {
 		return ConnectFailed, http.StatusServiceUnavailable
 	}
-	req.ContentLength = int64(len(body)) // a body that can't be read again: nothing is sent twice unseen
+	req.ContentLength = int64(len(body))
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		var op *net.OpError
@@ -152,24 +163,10 @@
 		return Reset, http.StatusServiceUnavailable
 	}
 	switch {
-	case resp.StatusCode < 500:
+	case resp.StatusCode < http.StatusInternalServerError:
 		return OK, resp.StatusCode
 	case resp.Header.Get("Not-Started") == "1":
 		return NotStarted, resp.StatusCode
 	}
 	return Answer5xx, resp.StatusCode
 }
-
-// RecordServed counts a request at a server as sent and served, without sending any: for proofs that only
-// look at where requests would go.
-func (p *Proxy) RecordServed(addr string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	s := p.stats[addr]
-	if s == nil {
-		s = &stat{}
-		p.stats[addr] = s
-	}
-	s.issued++
-	s.ok++
-}
--- a/internal/lab/xdsproxy/table.go
+++ b/internal/lab/xdsproxy/table.go
@@ -2,36 +2,42 @@
 
 import (
 	"cmp"
-	"fmt"
-	"hash/fnv"
 	"math"
 	"slices"
-	"sort"
 	"sync"
 	"time"
 
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
-	"google.golang.org/grpc/backoff"
+	routev3 "github.com/envoyproxy/go-control-plane/envoy/config/route/v3"
 )
 
-func backoffConfig() backoff.Config {
-	return backoff.Config{BaseDelay: 20 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}
-}
+const (
+	// weightScale makes Endpoint.Weight of a share of requests.
+	weightScale = 1e6
+	// defaultMinRingSize is Envoy's, for clusters that do not set one.
+	defaultMinRingSize = 1024
+)
 
-// Table is what a proxy picks by. It is never changed once made.
+// Table is what a proxy selects servers by. It is immutable.
 type Table struct {
-	Endpoints    []Endpoint // by id
-	DropFraction float64    // part of requests to drop
-	routes       map[string]Route
-	rest         *Route
-	factor       float64            // of the bounded load; 0: none
-	ring         func() []point     // made when it is first picked from
-	usable       map[string]float64 // part of the requests, by address, in the priority in use
+	Endpoints    []Endpoint // sorted by ID
+	DropFraction float64    // of the requests
+
+	routes       map[string]Route // by class
+	defaultRoute *Route
+	boundedLoad  float64            // factor of the bounded load; 0: unbounded
+	ring         func() []ringEntry // built at the first use
+	shares       map[string]float64 // of the requests, by address, in the priority in use
 }
 
-type point struct {
-	hash uint64
-	addr string
+// Endpoint is a server as the proxy holds it.
+type Endpoint struct {
+	ID, Addr string
+	Zone     string
+	Priority uint32
+	Draining bool
+	Weight   float64 // its share of the priority's requests, times 1e6
 }
 
 // Route is what the proxy may do with a request of a class.
@@ -42,10 +48,10 @@
 	MaxRetries       int
 	Hedged           bool
 	PerTryTimeout    time.Duration
-	NotStartedHeader string // header of an answer that says so
+	NotStartedHeader string // of answers that say that the attempt never ran; "": none
 }
 
-// Find returns a server by id.
+// Find returns a server by ID.
 func (t *Table) Find(id string) (Endpoint, bool) {
 	i, ok := slices.BinarySearchFunc(t.Endpoints, id, func(e Endpoint, id string) int { return cmp.Compare(e.ID, id) })
 	if !ok {
@@ -54,195 +60,157 @@
 	return t.Endpoints[i], true
 }
 
-// Usable tells whether the picker may send anything to a server.
+// Usable reports whether the picker may send requests to a server.
 func (t *Table) Usable(id string) bool {
 	e, ok := t.Find(id)
-	return ok && !e.Draining && t.usable[e.Addr] > 0
+	return ok && !e.Draining && t.shares[e.Addr] > 0
 }
 
-// Route returns that of a class, or that of all others.
+// Route returns the route of a class, or that of all other requests; nil if there is none.
 func (t *Table) Route(class string) *Route {
 	if r, ok := t.routes[class]; ok {
 		return &r
 	}
-	return t.rest
+	return t.defaultRoute
 }
 
-// build makes the table of what the proxy holds.
-func (p *Proxy) build() *Table {
-	t := &Table{routes: map[string]Route{}, usable: map[string]float64{}}
-	for _, rc := range p.routes {
-		for _, vh := range rc.GetVirtualHosts() {
-			for _, r := range vh.GetRoutes() {
-				a := r.GetRoute()
-				rp := a.GetRetryPolicy()
-				route := Route{Cluster: a.GetCluster(), Timeout: a.GetTimeout().AsDuration(), RetryOn: rp.GetRetryOn(),
-					MaxRetries: int(rp.GetNumRetries().GetValue()), Hedged: a.GetHedgePolicy() != nil,
-					PerTryTimeout: rp.GetPerTryTimeout().AsDuration()}
-				for _, h := range rp.GetRetriableHeaders() {
-					route.NotStartedHeader = h.GetName()
-				}
-				if hs := r.GetMatch().GetHeaders(); len(hs) == 1 {
-					t.routes[hs[0].GetStringMatch().GetExact()] = route
-				} else if t.rest == nil {
-					t.rest = &route
-				}
-			}
+// Shares returns the shares of the requests by server ID, in the priority in use.
+func (t *Table) Shares() map[string]float64 {
+	shares := map[string]float64{}
+	for i := range t.Endpoints {
+		if e := &t.Endpoints[i]; !e.Draining && t.shares[e.Addr] > 0 {
+			shares[e.ID] = t.shares[e.Addr]
 		}
 	}
-	minimum := uint64(1024)
-	for _, c := range p.clusters {
-		t.factor = float64(c.GetCommonLbConfig().GetConsistentHashingLbConfig().GetHashBalanceFactor().GetValue()) / 100
-		minimum = max(c.GetRingHashLbConfig().GetMinimumRingSize().GetValue(), 1)
-	}
-	type place struct {
-		weight float64 // of the locality
-		sum    float64 // of its usable servers
-		all    []Endpoint
-		raw    []float64
-		prio   uint32
-	}
-	var places []*place
-	for _, set := range p.sets {
-		for _, d := range set.GetPolicy().GetDropOverloads() {
-			t.DropFraction = max(t.DropFraction, float64(d.GetDropPercentage().GetNumerator())/100)
-		}
-		for _, l := range set.GetEndpoints() {
-			pl := &place{weight: float64(l.GetLoadBalancingWeight().GetValue()), prio: l.GetPriority()}
-			list := l.GetLbEndpoints()
-			if c := l.GetLedsClusterLocalityConfig(); c != nil {
-				for _, e := range p.single[c.GetLedsCollectionName()] {
-					list = append(list, e)
-				}
-			}
-			for _, e := range list {
-				ep := Endpoint{ID: keyOf(e), Addr: addrOf(e), Zone: l.GetLocality().GetZone(), Priority: l.GetPriority(),
-					Draining: e.GetHealthStatus() != 0 && e.GetHealthStatus() != 1}
-				w := float64(max(e.GetLoadBalancingWeight().GetValue(), 1))
-				pl.all, pl.raw = append(pl.all, ep), append(pl.raw, w)
-				if !ep.Draining {
-					pl.sum += w
-				}
+	return shares
+}
+
+// locality is one LocalityLbEndpoints.
+type locality struct {
+	priority  uint32
+	weight    float64
+	endpoints []Endpoint
+	weights   []float64 // of the endpoints
+	sum       float64   // of the weights of those that are not draining
+}
+
+// buildTable makes the table of the held resources.
+func (s *state) buildTable() *Table {
+	t := &Table{routes: map[string]Route{}, shares: map[string]float64{}}
+	for _, config := range s.routes {
+		for _, host := range config.GetVirtualHosts() {
+			for _, r := range host.GetRoutes() {
+				t.addRoute(r)
 			}
-			places = append(places, pl)
 		}
 	}
-	// The first priority that has a usable server takes all: over-provisioned as the service says.
-	best, total := uint32(math.MaxUint32), 0.0
-	for _, pl := range places {
-		if pl.sum > 0 {
-			best = min(best, pl.prio)
-		}
+	minRingSize := uint64(defaultMinRingSize)
+	for _, c := range s.clusters {
+		t.boundedLoad = float64(c.GetCommonLbConfig().GetConsistentHashingLbConfig().GetHashBalanceFactor().GetValue()) / 100
+		minRingSize = max(c.GetRingHashLbConfig().GetMinimumRingSize().GetValue(), 1)
 	}
-	for _, pl := range places {
-		if pl.prio == best && pl.sum > 0 {
-			total += pl.weight
+	var localities []*locality
+	for _, assignment := range s.endpoints {
+		for _, drop := range assignment.GetPolicy().GetDropOverloads() {
+			t.DropFraction = max(t.DropFraction, float64(drop.GetDropPercentage().GetNumerator())/100)
 		}
-	}
-	parts := map[string]float64{}
-	least := 1.0
-	for _, pl := range places {
-		for i := range pl.all {
-			e := &pl.all[i]
-			if pl.prio == best && !e.Draining && pl.sum > 0 && total > 0 {
-				part := pl.weight / total * pl.raw[i] / pl.sum
-				e.Weight = part * 1e6
-				t.usable[e.Addr] += part
-				parts[e.ID] = part
-				least = min(least, part)
-			}
-			t.Endpoints = append(t.Endpoints, *e)
+		for _, l := range assignment.GetEndpoints() {
+			localities = append(localities, s.locality(l))
 		}
 	}
+	shares, smallest := t.addEndpoints(localities)
 	slices.SortFunc(t.Endpoints, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
-	t.ring = sync.OnceValue(func() []point { return t.makeRing(parts, least, minimum) })
+	t.ring = sync.OnceValue(func() []ringEntry { return t.buildRing(shares, smallest, minRingSize) })
 	return t
 }
 
-func keyOf(e *endpointv3.LbEndpoint) string {
-	if k := e.GetMetadata().GetFilterMetadata()["envoy.lb"].GetFields()["hash_key"].GetStringValue(); k != "" {
-		return k
+// addRoute adds a route by the class that it matches, or as the default.
+func (t *Table) addRoute(r *routev3.Route) {
+	action := r.GetRoute()
+	retry := action.GetRetryPolicy()
+	route := Route{
+		Cluster:       action.GetCluster(),
+		Timeout:       action.GetTimeout().AsDuration(),
+		RetryOn:       retry.GetRetryOn(),
+		MaxRetries:    int(retry.GetNumRetries().GetValue()),
+		Hedged:        action.GetHedgePolicy() != nil,
+		PerTryTimeout: retry.GetPerTryTimeout().AsDuration(),
+	}
+	for _, header := range retry.GetRetriableHeaders() {
+		route.NotStartedHeader = header.GetName()
+	}
+	if headers := r.GetMatch().GetHeaders(); len(headers) == 1 {
+		t.routes[headers[0].GetStringMatch().GetExact()] = route
+	} else if t.defaultRoute == nil {
+		t.defaultRoute = &route
 	}
-	return addrOf(e)
 }
 
-// makeRing places each server in proportion to its part, as ketama rings do: so many points that the
-// smallest has one at least.
-func (t *Table) makeRing(parts map[string]float64, least float64, minimum uint64) (ring []point) {
-	if len(parts) == 0 {
-		return nil
+// locality reads a LocalityLbEndpoints, with the endpoints of its collection if it has one.
+func (s *state) locality(l *endpointv3.LocalityLbEndpoints) *locality {
+	read := &locality{priority: l.GetPriority(), weight: float64(l.GetLoadBalancingWeight().GetValue())}
+	members := l.GetLbEndpoints()
+	if c := l.GetLedsClusterLocalityConfig(); c != nil {
+		for _, e := range s.collections[c.GetLedsCollectionName()] {
+			members = append(members, e)
+		}
 	}
-	scale := math.Ceil(least*float64(minimum)) / least
-	scale = min(scale, 8*float64(minimum))
-	current, target := 0.0, 0.0
-	for i := range t.Endpoints {
-		e := &t.Endpoints[i]
-		part, ok := parts[e.ID]
-		if !ok {
-			continue
+	for _, member := range members {
+		health := member.GetHealthStatus()
+		e := Endpoint{
+			ID:       hashKeyOf(member),
+			Addr:     addressOf(member),
+			Zone:     l.GetLocality().GetZone(),
+			Priority: l.GetPriority(),
+			Draining: health != corev3.HealthStatus_UNKNOWN && health != corev3.HealthStatus_HEALTHY,
 		}
-		target += part * scale
-		for n := 0; current < target; n++ {
-			ring = append(ring, point{hash(fmt.Sprintf("%s_%d", e.ID, n)), e.Addr})
-			current++
+		weight := float64(max(member.GetLoadBalancingWeight().GetValue(), 1))
+		read.endpoints = append(read.endpoints, e)
+		read.weights = append(read.weights, weight)
+		if !e.Draining {
+			read.sum += weight
 		}
 	}
-	slices.SortFunc(ring, func(a, b point) int { return cmp.Compare(a.hash, b.hash) })
-	return ring
+	return read
 }
 
-func hash(s string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(s))
-	x := h.Sum64()
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
-}
-
-// Pick walks the ring from the key's place to a server that is not over its bound; inflight tells how
-// many requests an address has. "" where there is nobody.
-func (t *Table) Pick(key string, inflight func(addr string) int, avoid map[string]bool) string {
-	if t.ring == nil {
-		return ""
-	}
-	ring := t.ring()
-	h := hash(key)
-	start := sort.Search(len(ring), func(i int) bool { return ring[i].hash >= h })
-	total := 0
-	if t.factor > 0 && inflight != nil {
-		for addr := range t.usable {
-			total += inflight(addr)
+// addEndpoints adds the endpoints and their shares. The first priority with a server that is not draining gets
+// all requests. It returns the shares by ID and the smallest of them.
+func (t *Table) addEndpoints(localities []*locality) (shares map[string]float64, smallest float64) {
+	priority := uint32(math.MaxUint32)
+	for _, l := range localities {
+		if l.sum > 0 {
+			priority = min(priority, l.priority)
 		}
 	}
-	seen, last := map[string]bool{}, ""
-	for i := range ring {
-		addr := ring[(start+i)%len(ring)].addr
-		if seen[addr] {
-			continue
-		}
-		seen[addr] = true
-		if last == "" || !avoid[addr] {
-			last = addr
+	total := 0.0
+	for _, l := range localities {
+		if l.priority == priority && l.sum > 0 {
+			total += l.weight
 		}
-		bound := math.Ceil(t.factor * float64(total+1) * t.usable[addr])
-		if !avoid[addr] && (t.factor == 0 || inflight == nil || float64(inflight(addr)) < bound) {
-			return addr
-		}
-		if len(seen) == len(t.usable) {
-			break
+	}
+	shares = map[string]float64{}
+	smallest = 1.0
+	for _, l := range localities {
+		for i := range l.endpoints {
+			e := &l.endpoints[i]
+			if l.priority == priority && !e.Draining && l.sum > 0 && total > 0 {
+				share := l.weight / total * l.weights[i] / l.sum
+				e.Weight = share * weightScale
+				t.shares[e.Addr] += share
+				shares[e.ID] = share
+				smallest = min(smallest, share)
+			}
+			t.Endpoints = append(t.Endpoints, *e)
 		}
 	}
-	return last
+	return shares, smallest
 }
 
-// Shares are the parts of requests by server id, in the priority in use.
-func (t *Table) Shares() map[string]float64 {
-	out := map[string]float64{}
-	for i := range t.Endpoints {
-		if e := &t.Endpoints[i]; !e.Draining && t.usable[e.Addr] > 0 {
-			out[e.ID] = t.usable[e.Addr]
-		}
+// hashKeyOf returns an endpoint's key on the ring, its address by default.
+func hashKeyOf(e *endpointv3.LbEndpoint) string {
+	if key := e.GetMetadata().GetFilterMetadata()["envoy.lb"].GetFields()["hash_key"].GetStringValue(); key != "" {
+		return key
 	}
-	return out
+	return addressOf(e)
 }
