--- a/internal/control/assign/slowstart_test.go
+++ b/internal/control/assign/slowstart_test.go
@@ -123,12 +123,12 @@
 	f.connect(2)
 	f.update(1, func(e *membership.Entry) { e.StartedMs = f.now })
 	f.ackAll(2)
-	kept := f.entries
+	listed := f.entries
 	for range 5 {
-		f.entries = append(append([]membership.Entry(nil), kept[:1]...), kept[2:]...)
+		f.entries = append(append([]membership.Entry(nil), listed[:1]...), listed[2:]...)
 		f.a.UpdateMembership(f.now, f.entries)
 		f.advance(100)
-		f.entries = append([]membership.Entry(nil), kept...)
+		f.entries = append([]membership.Entry(nil), listed...)
 		f.entries[1].StartedMs = 0
 		f.a.UpdateMembership(f.now, f.entries)
 		f.advance(100)
