--- a/internal/zkwire/jute.go
+++ b/internal/zkwire/jute.go
@@ -1,9 +1,8 @@
-// Package zkwire reads and writes the records of ZooKeeper's client protocol: frames of jute, each behind
-// its length. It does no I/O and keeps nothing. What comes is bounded by the frame that it stands in: no
-// count or length of it makes more memory than the frame has bytes.
+// Package zkwire reads and writes the records of ZooKeeper's client protocol: jute records in frames that begin
+// with their length. It does no I/O and has no state. No count or length in a record allocates more memory than
+// its frame has bytes.
 //
-// Source: the ZooKeeper project's zookeeper.jute and its "Programmer's Guide"; operation and error codes
-// are those of ZooDefs and KeeperException.Code.
+// The records are those of the ZooKeeper project's zookeeper.jute and "Programmer's Guide".
 package zkwire
 
 import (
@@ -12,25 +11,36 @@
 	"fmt"
 )
 
-// ErrMalformed marks a record that can't be read. It is final.
+// ErrMalformed is wrapped by the error of a record that can't be read.
 var ErrMalformed = errors.New("zookeeper: malformed record")
 
-// DefaultMaxFrameBytes bounds a frame, in bytes: the servers' own default, jute.maxbuffer, with room for the head.
+// DefaultMaxFrameBytes is the servers' own default, jute.maxbuffer, plus some bytes for the header.
 const DefaultMaxFrameBytes = 0xfffff + 1024
 
-// Reader reads a record. After the first error it returns zero values; Err tells it.
+const (
+	// lengthBytes is the size of the length before a frame, a buffer or a string.
+	lengthBytes = 4
+	// minStringBytes is the size of an empty string.
+	minStringBytes = lengthBytes
+	// nullLength is the length of a buffer or vector that is null.
+	nullLength = -1
+	// initialFrameBytes fits most requests.
+	initialFrameBytes = 64
+)
+
+// Reader reads a record. After the first error it returns zero values; Err returns that error.
 type Reader struct {
 	b   []byte
 	err error
 }
 
-// NewReader reads from a frame without its length.
+// NewReader returns a reader of a frame without its length. What it returns may share memory with the frame.
 func NewReader(b []byte) *Reader { return &Reader{b: b} }
 
-// Err is what went wrong, if anything did.
+// Err returns the first error, if there was one.
 func (r *Reader) Err() error { return r.err }
 
-// Len is the number of bytes that are left.
+// Len is the number of unread bytes.
 func (r *Reader) Len() int { return len(r.b) }
 
 func (r *Reader) fail(what string) {
@@ -40,7 +50,8 @@
 	r.b = nil
 }
 
-func (r *Reader) take(n int) []byte {
+// next returns the next n bytes.
+func (r *Reader) next(n int) []byte {
 	if n < 0 || n > len(r.b) {
 		r.fail(fmt.Sprintf("%d bytes wanted, %d left", n, len(r.b)))
 		return nil
@@ -52,7 +63,7 @@
 
 // Int reads an int.
 func (r *Reader) Int() int32 {
-	if b := r.take(4); b != nil {
+	if b := r.next(4); b != nil {
 		return int32(binary.BigEndian.Uint32(b))
 	}
 	return 0
@@ -60,7 +71,7 @@
 
 // Long reads a long.
 func (r *Reader) Long() int64 {
-	if b := r.take(8); b != nil {
+	if b := r.next(8); b != nil {
 		return int64(binary.BigEndian.Uint64(b))
 	}
 	return 0
@@ -68,17 +79,17 @@
 
 // Bool reads a boolean.
 func (r *Reader) Bool() bool {
-	b := r.take(1)
+	b := r.next(1)
 	return len(b) == 1 && b[0] != 0
 }
 
-// Buffer reads a buffer; it is part of the frame. -1 for a length is none.
+// Buffer reads a buffer, nil where its length is nullLength. It shares memory with the frame.
 func (r *Reader) Buffer() []byte {
 	n := r.Int()
-	if n == -1 {
+	if n == nullLength {
 		return nil
 	}
-	return r.take(int(n))
+	return r.next(int(n))
 }
 
 // String reads a string.
@@ -86,7 +97,7 @@
 
 // Strings reads a vector of strings.
 func (r *Reader) Strings() []string {
-	n := r.count(4)
+	n := r.vectorLen(minStringBytes)
 	if n == 0 {
 		return nil
 	}
@@ -97,21 +108,19 @@
 	return out
 }
 
-// count reads the length of a vector whose elements have so many bytes at least.
-func (r *Reader) count(least int) int {
+// vectorLen reads the length of a vector whose elements have minBytes bytes at least.
+func (r *Reader) vectorLen(minBytes int) int {
 	n := int(r.Int())
-	if n == -1 {
+	if n == nullLength {
 		return 0
 	}
-	if n < 0 || n > len(r.b)/least {
+	if n < 0 || n > len(r.b)/minBytes {
 		r.fail(fmt.Sprintf("a vector of %d in %d bytes", n, len(r.b)))
 		return 0
 	}
 	return n
 }
 
-// Appenders of jute's types.
-
 // AppendInt appends an int.
 func AppendInt(b []byte, v int32) []byte { return binary.BigEndian.AppendUint32(b, uint32(v)) }
 
@@ -126,10 +135,10 @@
 	return append(b, 0)
 }
 
-// AppendBuffer appends a buffer; nil is none.
+// AppendBuffer appends a buffer; nil has the length nullLength.
 func AppendBuffer(b, v []byte) []byte {
 	if v == nil {
-		return AppendInt(b, -1)
+		return AppendInt(b, nullLength)
 	}
 	return append(AppendInt(b, int32(len(v))), v...)
 }
@@ -146,9 +155,9 @@
 	return b
 }
 
-// Frame returns a frame whose record append writes.
+// Frame returns a frame with the record that write appends.
 func Frame(write func([]byte) []byte) []byte {
-	b := write(make([]byte, 4, 64))
-	binary.BigEndian.PutUint32(b, uint32(len(b)-4))
+	b := write(make([]byte, lengthBytes, initialFrameBytes))
+	binary.BigEndian.PutUint32(b, uint32(len(b)-lengthBytes))
 	return b
 }
--- a/internal/zkwire/records.go
+++ b/internal/zkwire/records.go
@@ -1,137 +1,31 @@
 package zkwire
 
-import "fmt"
-
-// Op is an operation's code.
-type Op int32
-
-// The operations.
-const (
-	OpNotification  Op = 0
-	OpCreate        Op = 1
-	OpDelete        Op = 2
-	OpExists        Op = 3
-	OpGetData       Op = 4
-	OpSetData       Op = 5
-	OpGetACL        Op = 6
-	OpSetACL        Op = 7
-	OpGetChildren   Op = 8
-	OpSync          Op = 9
-	OpPing          Op = 11
-	OpGetChildren2  Op = 12
-	OpCheck         Op = 13
-	OpMulti         Op = 14
-	OpCreate2       Op = 15
-	OpAuth          Op = 100
-	OpSetWatches    Op = 101
-	OpSetWatches2   Op = 105
-	OpAddWatch      Op = 106
-	OpCreateSession Op = -10
-	OpCloseSession  Op = -11
-	OpError         Op = -1
-)
-
-// Code is an error's code; 0 is none.
-type Code int32
-
-// The errors.
-const (
-	OK                Code = 0
-	SystemError       Code = -1
-	ConnectionLoss    Code = -4
-	MarshallingError  Code = -5
-	Unimplemented     Code = -6
-	BadArguments      Code = -8
-	NoNode            Code = -101
-	NoAuth            Code = -102
-	BadVersion        Code = -103
-	EphemeralChildren Code = -108
-	NodeExists        Code = -110
-	NotEmpty          Code = -111
-	SessionExpired    Code = -112
-	InvalidACL        Code = -114
-	AuthFailed        Code = -115
-	NotReadOnly       Code = -119
-	RolledBack        Code = -2
-)
-
-var codes = map[Code]string{OK: "ok", SystemError: "system error", ConnectionLoss: "connection loss", MarshallingError: "marshalling error",
-	Unimplemented: "unimplemented", BadArguments: "bad arguments", NoNode: "no node", NoAuth: "not authorised", BadVersion: "bad version",
-	EphemeralChildren: "ephemeral nodes have no children", NodeExists: "node exists", NotEmpty: "node has children",
-	SessionExpired: "session expired", InvalidACL: "invalid ACL", AuthFailed: "authentication failed",
-	NotReadOnly: "the server is read-only", RolledBack: "rolled back"}
-
-func (c Code) Error() string {
-	if s := codes[c]; s != "" {
-		return "zookeeper: " + s
-	}
-	return fmt.Sprintf("zookeeper: error %d", int32(c))
-}
-
-// Transaction ids of what is no reply to a request.
-const (
-	XidEvent      = -1
-	XidPing       = -2
-	XidAuth       = -4
-	XidSetWatches = -8
-)
-
-// Event is what a watch tells.
-type Event int32
-
-// The events.
-const (
-	NodeCreated         Event = 1
-	NodeDeleted         Event = 2
-	NodeDataChanged     Event = 3
-	NodeChildrenChanged Event = 4
-)
-
-// SyncConnected is the state that events of nodes carry.
-const SyncConnected = 3
-
-// Flags of a node that is created.
-const (
-	FlagEphemeral  = 1
-	FlagSequential = 2
-)
-
-// Modes of AddWatch.
-const (
-	WatchPersistent          = 0
-	WatchPersistentRecursive = 1
-)
-
-// Permissions of an ACL.
-const (
-	PermRead   = 1
-	PermWrite  = 2
-	PermCreate = 4
-	PermDelete = 8
-	PermAdmin  = 16
-	PermAll    = 31
-)
-
-// Connect is the first record on a connection, and its answer. Both have the same form, but that the
-// request begins with the last zxid that the client saw.
+// Connect is the first record on a connection, and the response to it. Both have the same form, except that the
+// request begins with the last transaction id that the client saw.
 type Connect struct {
 	LastZxid    int64 // request only
-	TimeoutMs   int32 // ms; 0 in an answer: the session has expired
+	TimeoutMs   int32 // of the session; 0 in a response: the session has expired
 	Session     int64
 	Password    []byte
 	ReadOnly    bool
-	HasReadOnly bool // whether the read-only byte was there: servers and clients before 3.4 have none
+	HasReadOnly bool // the read-only byte is present: servers and clients before 3.4 have none
 }
 
-// AppendRequest appends the request's form.
+// protocolVersion is the only version of the protocol.
+const protocolVersion = 0
+
+// AppendRequest appends the form of a request.
 func (c *Connect) AppendRequest(b []byte) []byte {
-	b = AppendInt(b, 0)
+	b = AppendInt(b, protocolVersion)
 	b = AppendLong(b, c.LastZxid)
 	return c.appendCommon(b)
 }
 
-// AppendResponse appends the answer's form.
-func (c *Connect) AppendResponse(b []byte) []byte { return c.appendCommon(AppendInt(b, 0)) }
+// AppendResponse appends the form of a response.
+func (c *Connect) AppendResponse(b []byte) []byte {
+	b = AppendInt(b, protocolVersion)
+	return c.appendCommon(b)
+}
 
 func (c *Connect) appendCommon(b []byte) []byte {
 	b = AppendInt(b, c.TimeoutMs)
@@ -143,104 +37,141 @@
 	return b
 }
 
-// Connect reads a Connect, as a request or as an answer.
-func (r *Reader) Connect(request bool) (c Connect) {
-	r.Int() // the protocol's version, 0
+// Connect reads a Connect, as a request or as a response.
+func (r *Reader) Connect(request bool) Connect {
+	var c Connect
+	r.Int() // protocolVersion
 	if request {
 		c.LastZxid = r.Long()
 	}
-	c.TimeoutMs, c.Session = r.Int(), r.Long()
+	c.TimeoutMs = r.Int()
+	c.Session = r.Long()
 	c.Password = append([]byte(nil), r.Buffer()...)
 	if r.Len() > 0 {
-		c.ReadOnly, c.HasReadOnly = r.Bool(), true
+		c.ReadOnly = r.Bool()
+		c.HasReadOnly = true
 	}
 	return c
 }
 
-// ReplyHeader stands before each reply and event.
+// AppendRequest appends the header of a request.
+func AppendRequest(b []byte, xid int32, op Op) []byte {
+	b = AppendInt(b, xid)
+	return AppendInt(b, int32(op))
+}
+
+// ReplyHeader precedes each reply and event.
 type ReplyHeader struct {
-	Xid  int32
-	Zxid int64 // last change that the server had seen
+	Xid  int32 // of the request
+	Zxid int64 // the last transaction that the server had seen
 	Err  Code
 }
 
-// Append appends it.
+// Append appends the header.
 func (h ReplyHeader) Append(b []byte) []byte {
-	return AppendInt(AppendLong(AppendInt(b, h.Xid), h.Zxid), int32(h.Err))
+	b = AppendInt(b, h.Xid)
+	b = AppendLong(b, h.Zxid)
+	return AppendInt(b, int32(h.Err))
 }
 
-// ReplyHeader reads one.
+// ReplyHeader reads a ReplyHeader.
 func (r *Reader) ReplyHeader() ReplyHeader {
 	return ReplyHeader{Xid: r.Int(), Zxid: r.Long(), Err: Code(r.Int())}
 }
 
-// AppendRequest appends a request's header.
-func AppendRequest(b []byte, xid int32, op Op) []byte { return AppendInt(AppendInt(b, xid), int32(op)) }
-
-// Stat is what a server knows of a node.
+// Stat is the metadata of a node.
 type Stat struct {
-	Czxid, Mzxid       int64 // changes that made and last modified it
-	Ctime, Mtime       int64 // Unix ms, by the server's clock
-	Version            int32
-	Cversion, Aversion int32
-	EphemeralOwner     int64 // session of an ephemeral node, else 0
-	DataLength         int32
-	NumChildren        int32
-	Pzxid              int64 // last change of its children
-}
-
-// Append appends it.
+	Czxid          int64 // transaction that created the node
+	Mzxid          int64 // transaction that last modified it
+	Ctime          int64 // Unix ms, by the server's clock
+	Mtime          int64 // Unix ms, by the server's clock
+	Version        int32 // of the data
+	Cversion       int32 // of the children
+	Aversion       int32 // of the ACL
+	EphemeralOwner int64 // session of an ephemeral node, else 0
+	DataLength     int32 // bytes
+	NumChildren    int32
+	Pzxid          int64 // transaction that last modified the children
+}
+
+// Append appends the metadata.
 func (s *Stat) Append(b []byte) []byte {
-	b = AppendLong(AppendLong(AppendLong(AppendLong(b, s.Czxid), s.Mzxid), s.Ctime), s.Mtime)
-	b = AppendInt(AppendInt(AppendInt(b, s.Version), s.Cversion), s.Aversion)
-	b = AppendInt(AppendInt(AppendLong(b, s.EphemeralOwner), s.DataLength), s.NumChildren)
+	b = AppendLong(b, s.Czxid)
+	b = AppendLong(b, s.Mzxid)
+	b = AppendLong(b, s.Ctime)
+	b = AppendLong(b, s.Mtime)
+	b = AppendInt(b, s.Version)
+	b = AppendInt(b, s.Cversion)
+	b = AppendInt(b, s.Aversion)
+	b = AppendLong(b, s.EphemeralOwner)
+	b = AppendInt(b, s.DataLength)
+	b = AppendInt(b, s.NumChildren)
 	return AppendLong(b, s.Pzxid)
 }
 
-// Stat reads one.
+// Stat reads a Stat.
 func (r *Reader) Stat() Stat {
-	return Stat{Czxid: r.Long(), Mzxid: r.Long(), Ctime: r.Long(), Mtime: r.Long(), Version: r.Int(), Cversion: r.Int(),
-		Aversion: r.Int(), EphemeralOwner: r.Long(), DataLength: r.Int(), NumChildren: r.Int(), Pzxid: r.Long()}
+	return Stat{
+		Czxid:          r.Long(),
+		Mzxid:          r.Long(),
+		Ctime:          r.Long(),
+		Mtime:          r.Long(),
+		Version:        r.Int(),
+		Cversion:       r.Int(),
+		Aversion:       r.Int(),
+		EphemeralOwner: r.Long(),
+		DataLength:     r.Int(),
+		NumChildren:    r.Int(),
+		Pzxid:          r.Long(),
+	}
 }
 
-// WatchEvent is an event with its node.
+// WatchEvent is the event of a watch.
 type WatchEvent struct {
 	Type  Event
-	State int32
+	State int32 // of the connection
 	Path  string
 }
 
-// Append appends it.
+// Append appends the event.
 func (e *WatchEvent) Append(b []byte) []byte {
-	return AppendString(AppendInt(AppendInt(b, int32(e.Type)), e.State), e.Path)
+	b = AppendInt(b, int32(e.Type))
+	b = AppendInt(b, e.State)
+	return AppendString(b, e.Path)
 }
 
-// WatchEvent reads one.
+// WatchEvent reads a WatchEvent.
 func (r *Reader) WatchEvent() WatchEvent {
 	return WatchEvent{Type: Event(r.Int()), State: r.Int(), Path: r.String()}
 }
 
 // ACL is one entry of a node's access control list.
 type ACL struct {
-	Perms      int32
-	Scheme, ID string
+	Perms  int32
+	Scheme string
+	ID     string
 }
 
-// OpenACL lets everybody do all.
+// minACLBytes is the size of an ACL with empty strings.
+const minACLBytes = 12
+
+// OpenACL permits everything to everybody.
 var OpenACL = []ACL{{PermAll, "world", "anyone"}}
 
-// AppendACLs appends a list.
+// AppendACLs appends an access control list.
 func AppendACLs(b []byte, list []ACL) []byte {
 	b = AppendInt(b, int32(len(list)))
-	for _, a := range list {
-		b = AppendString(AppendString(AppendInt(b, a.Perms), a.Scheme), a.ID)
+	for _, acl := range list {
+		b = AppendInt(b, acl.Perms)
+		b = AppendString(b, acl.Scheme)
+		b = AppendString(b, acl.ID)
 	}
 	return b
 }
 
-// ACLs reads a list.
+// ACLs reads an access control list.
 func (r *Reader) ACLs() []ACL {
-	n := r.count(12)
+	n := r.vectorLen(minACLBytes)
 	out := make([]ACL, 0, n)
 	for range n {
 		out = append(out, ACL{Perms: r.Int(), Scheme: r.String(), ID: r.String()})
@@ -248,45 +179,59 @@
 	return out
 }
 
-// SetWatches are the watches that a client had and asks for anew; what changed since Zxid is told at once.
+// SetWatches sets the watches of a session again. What changed since Zxid is notified at once.
 type SetWatches struct {
-	Zxid                                      int64
-	Data, Exist, Child, Persistent, Recursive []string
+	Zxid       int64
+	Data       []string
+	Exist      []string
+	Child      []string
+	Persistent []string // OpSetWatches2 only
+	Recursive  []string // OpSetWatches2 only
 }
 
-// Append appends it, in the form of OpSetWatches2 where two.
-func (s *SetWatches) Append(b []byte, two bool) []byte {
+// Append appends the record in the form of OpSetWatches, or of OpSetWatches2.
+func (s *SetWatches) Append(b []byte, setWatches2 bool) []byte {
 	b = AppendLong(b, s.Zxid)
-	b = AppendStrings(AppendStrings(AppendStrings(b, s.Data), s.Exist), s.Child)
-	if two {
-		b = AppendStrings(AppendStrings(b, s.Persistent), s.Recursive)
+	b = AppendStrings(b, s.Data)
+	b = AppendStrings(b, s.Exist)
+	b = AppendStrings(b, s.Child)
+	if setWatches2 {
+		b = AppendStrings(b, s.Persistent)
+		b = AppendStrings(b, s.Recursive)
 	}
 	return b
 }
 
-// SetWatches reads one.
-func (r *Reader) SetWatches(two bool) (s SetWatches) {
-	s.Zxid = r.Long()
-	s.Data, s.Exist, s.Child = r.Strings(), r.Strings(), r.Strings()
-	if two {
-		s.Persistent, s.Recursive = r.Strings(), r.Strings()
+// SetWatches reads a SetWatches in the form of OpSetWatches, or of OpSetWatches2.
+func (r *Reader) SetWatches(setWatches2 bool) SetWatches {
+	s := SetWatches{
+		Zxid:  r.Long(),
+		Data:  r.Strings(),
+		Exist: r.Strings(),
+		Child: r.Strings(),
+	}
+	if setWatches2 {
+		s.Persistent = r.Strings()
+		s.Recursive = r.Strings()
 	}
 	return s
 }
 
-// MultiHeader stands before each operation of a multi and of its reply, and ends both.
+// MultiHeader precedes each operation of a multi and each part of its reply, and ends both.
 type MultiHeader struct {
 	Type Op
-	Done bool
+	Done bool // the end
 	Err  Code
 }
 
-// Append appends it.
+// Append appends the header.
 func (h MultiHeader) Append(b []byte) []byte {
-	return AppendInt(AppendBool(AppendInt(b, int32(h.Type)), h.Done), int32(h.Err))
+	b = AppendInt(b, int32(h.Type))
+	b = AppendBool(b, h.Done)
+	return AppendInt(b, int32(h.Err))
 }
 
-// MultiHeader reads one.
+// MultiHeader reads a MultiHeader.
 func (r *Reader) MultiHeader() MultiHeader {
 	return MultiHeader{Type: Op(r.Int()), Done: r.Bool(), Err: Code(r.Int())}
 }
--- a/internal/zkwire/zkwire_test.go
+++ b/internal/zkwire/zkwire_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The bytes that the protocol has, written out by hand from its records' definitions.
-func TestTranscript(t *testing.T) {
+// The expected bytes are written out by hand from the definitions of the records.
+func TestRecordBytes(t *testing.T) {
 	for name, test := range map[string]struct {
 		got  []byte
 		want string
@@ -31,7 +31,7 @@
 		"setWatches2": {Frame(func(b []byte) []byte {
 			return (&SetWatches{Zxid: 5, Data: []string{"/a"}, Recursive: []string{"/"}}).Append(AppendRequest(b, XidSetWatches, OpSetWatches2), true)
 		}), "0000002f fffffff8 00000069 0000000000000005 00000001 00000002 2f61 00000000 00000000 00000000 00000001 00000001 2f"},
-		"multi's end": {MultiHeader{Type: OpError, Done: true, Err: -1}.Append(nil), "ffffffff 01 ffffffff"},
+		"end of a multi": {MultiHeader{Type: OpError, Done: true, Err: -1}.Append(nil), "ffffffff 01 ffffffff"},
 	} {
 		if got := hex.EncodeToString(test.got); got != strings.ReplaceAll(test.want, " ", "") {
 			t.Errorf("%s:\n got %s\nwant %s", name, got, strings.ReplaceAll(test.want, " ", ""))
@@ -39,8 +39,8 @@
 	}
 }
 
-// What is written is read, and no cut of it is.
-func TestReadBack(t *testing.T) {
+// A record is read as it was written; a truncated one is malformed.
+func TestRoundTrip(t *testing.T) {
 	stat := Stat{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}
 	b := (&Connect{LastZxid: 9, TimeoutMs: 1, Session: 2, Password: []byte("pw")}).AppendRequest(nil)
 	b = stat.Append(AppendStrings(AppendACLs(b, OpenACL), []string{"a", "", "c"}))
@@ -56,14 +56,14 @@
 	}
 	for i := range b {
 		if _, _, _, _, err := read(b[:i]); !errors.Is(err, ErrMalformed) {
-			t.Errorf("cut at %d: %v", i, err)
+			t.Errorf("truncated at %d: %v", i, err)
 		}
 	}
 }
 
-// No length or count makes more memory than the frame has bytes.
-func TestBounds(t *testing.T) {
-	for name, text := range map[string]string{"buffer of 2 GB": "7fffffff", "buffer of -2": "fffffffe", "cut": "0000"} {
+// No length or count allocates more memory than the frame has bytes.
+func TestLengthsAreBounded(t *testing.T) {
+	for name, text := range map[string]string{"buffer of 2 GB": "7fffffff", "buffer of -2": "fffffffe", "truncated": "0000"} {
 		b, _ := hex.DecodeString(text)
 		r := NewReader(b)
 		if r.Buffer(); !errors.Is(r.Err(), ErrMalformed) {
