--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -37,7 +37,7 @@
 	defer cancel() // only after the front: requests held need the loop to the end
 	budget := semaphore.NewWeighted(cfg.budget())
 	pool := newPool(cfg)
-	upstream := &httpup.Upstream{Pool: pool, Budget: budget, Reports: cfg.reports()}
+	upstream := &httpup.Upstream{Pool: pool, Budget: budget, ReportFields: cfg.reports()}
 	f := httpfront.New(&cfg.Settings, budget, upstream, cfg.clientRoom(), cfg.clientConns())
 	upstreams := []core.Upstream{upstream}
 	tf, tln, err := newThrift(cfg, budget, pool)
@@ -63,8 +63,8 @@
 		return fmt.Errorf("agent: %w", err)
 	}
 	serve, answer := cfg.ending()
-	f.Loop, f.Linger = l, serve
-	pool.Written = &l.Counters().Written
+	f.EventLoop, f.Linger = l, serve
+	pool.AttemptsWritten = &l.Counters().Written
 	pair.loop = l
 	pair.use = func(n int) {
 		debug.SetMemoryLimit(cfg.MemoryLimit() / int64(n))
@@ -96,7 +96,7 @@
 	go func() { failed <- f.Serve(ln) }()
 	pair.serve(up)
 	if tf != nil {
-		tf.Loop, tf.Linger = l, serve
+		tf.EventLoop, tf.Linger = l, serve
 		go func() {
 			if err := tf.Serve(tln); err != nil {
 				failed <- err
@@ -130,7 +130,7 @@
 }
 
 // newThrift makes the Thrift front and its listener, where there is to be one.
-func newThrift(cfg *Config, budget *semaphore.Weighted, pool *conns.Pool) (*thrift.Front, net.Listener, error) {
+func newThrift(cfg *Config, budget *semaphore.Weighted, pool *conns.Pool) (*thrift.Server, net.Listener, error) {
 	if cfg.Thrift == "" {
 		return nil, nil, nil
 	}
@@ -148,8 +148,8 @@
 	}
 	slog.Info("listening for Thrift", "addr", ln.Addr().String())
 	limits := thriftwire.Limits{Size: c.FrameLimit, Depth: c.DepthLimit}
-	return &thrift.Front{Upstream: &thriftup.Upstream{Pool: pool, Budget: budget, Limits: limits}, Budget: budget,
-		Table: table, Limits: limits, Most: cfg.clientConns(), AfterMs: cfg.Settings.Limits.MaxRetryAfterMs}, ln, nil
+	return &thrift.Server{Upstream: &thriftup.Upstream{Pool: pool, Budget: budget, Limits: limits}, Budget: budget,
+		Table: table, Limits: limits, MaxConns: cfg.clientConns(), RetryAfterMs: cfg.Settings.Limits.MaxRetryAfterMs}, ln, nil
 }
 
 func ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -83,7 +83,7 @@
 			raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel", false), 502, 1},
 		{"an answer without an end may have run", "order", raw("HTTP/1.1 200 OK\r\n\r\nhalf", false), 502, 1},
 		{"unreadable head may have run", "order", raw("nonsense\r\n\r\n", true), 502, 1},
-		{"a body too large may have run", "order", raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", httpup.MaxAnswer+1), true), 502, 1},
+		{"a body too large may have run", "order", raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", httpup.MaxResponseBodyBytes+1), true), 502, 1},
 		{"a large answer", "order", always(200, "", strings.Repeat("x", 400<<10)), 200, 1},
 		{"the same in chunks", "order", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+
 			fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", 400<<10, strings.Repeat("x", 400<<10)), true), 200, 1},
--- a/internal/downstream/http/body.go
+++ b/internal/downstream/http/body.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// MaxBody is the largest body of a request; wholeBody what of it is taken before a server is chosen, where
+	// MaxBodyBytes is the largest body of a request; wholeBody what of it is taken before a server is chosen, where
 	// there is memory for it.
-	MaxBody, wholeBody = 64 << 20, 1 << 20
-	// freeBody is read before the budget is asked for the rest of a body, so that who
+	MaxBodyBytes, maxBufferedBody = 64 << 20, 1 << 20
+	// unreservedBytes is read before the budget is asked for the rest of a body, so that who
 	// only claims a long one holds nothing.
-	freeBody = 4 << 10
-	// bodyGrace and bodyRate bound how slowly a body may come: so long for nothing, and so many bytes a second.
-	bodyGrace, bodyRate = 1500 * time.Millisecond, 24 << 10
+	unreservedBytes = 4 << 10
+	// bodyGracePeriod and bodyRate bound how slowly a body may come: so long for nothing, and so many bytes a second.
+	bodyGracePeriod, minBodyBytesPerSecond = 1500 * time.Millisecond, 24 << 10
 )
 
 // clientBody reads a request's body from its client, who has a bounded time for it. What the client waits for
 // us is not counted.
 type clientBody struct {
-	mu       sync.Mutex
-	from     io.Reader
-	deadline func(time.Time) error // of the connection's reads
-	waited   time.Duration
-	read     int64
-	over     bool // nobody but the front reads on
-	ended    bool // nothing more will come
+	mu         sync.Mutex
+	from       io.Reader
+	deadline   func(time.Time) error // of the connection's reads
+	readTime   time.Duration
+	readBytes  int64
+	discarding bool // nobody but the front reads on
+	ended      bool // nothing more will come
 }
 
 var errTooLong = errors.New("body too long")
@@ -41,18 +41,18 @@
 func (b *clientBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.over {
-		return 0, conns.ErrUnread
+	if b.discarding {
+		return 0, conns.ErrIncompleteRequest
 	}
 	return b.next(p)
 }
 
 func (b *clientBody) next(p []byte) (int, error) {
 	from := time.Now()
-	_ = b.deadline(from.Add(slowest(b.read) - b.waited))
+	_ = b.deadline(from.Add(maxReadTime(b.readBytes) - b.readTime))
 	n, err := b.from.Read(p)
-	b.waited += time.Since(from)
-	if b.read += int64(n); b.read > MaxBody {
+	b.readTime += time.Since(from)
+	if b.readBytes += int64(n); b.readBytes > MaxBodyBytes {
 		return n, errTooLong
 	}
 	if err != nil {
@@ -66,17 +66,17 @@
 	return n, err
 }
 
-// slowest is the time that n bytes may take to come.
-func slowest(n int64) time.Duration {
-	return bodyGrace + time.Duration(n)*time.Second/bodyRate
+// maxReadTime is the time that n bytes may take to come.
+func maxReadTime(n int64) time.Duration {
+	return bodyGracePeriod + time.Duration(n)*time.Second/minBodyBytesPerSecond
 }
 
-// finish reads what is left, for nobody, behind an answer that is given before: some clients read it only once
+// discard reads what is left, for nobody, behind an answer that is given before: some clients read it only once
 // they have sent all.
-func (b *clientBody) finish(w http.ResponseWriter) {
+func (b *clientBody) discard(w http.ResponseWriter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.over = true; b.ended {
+	if b.discarding = true; b.ended {
 		return
 	}
 	_ = http.NewResponseController(w).Flush()
@@ -88,14 +88,14 @@
 	}
 }
 
-// take reads the body whole, as far as wholeBody and the budget go. What it takes from the budget the caller
+// buffer reads the body whole, as far as wholeBody and the budget go. What it takes from the budget the caller
 // gives back: held bytes. more says that the body goes on behind what was read.
-func (b *clientBody) take(length int64, budget *semaphore.Weighted) (body []byte, held int64, more bool, err error) {
-	most := int64(wholeBody)
+func (b *clientBody) buffer(length int64, budget *semaphore.Weighted) (body []byte, held int64, more bool, err error) {
+	most := int64(maxBufferedBody)
 	if length >= 0 {
 		most = min(most, length)
 	}
-	body = make([]byte, 0, min(most, freeBody))
+	body = make([]byte, 0, min(most, unreservedBytes))
 	for {
 		if length >= 0 && int64(len(body)) == length {
 			// The end is read, too: net/http looks out for a client that leaves only from there on.
--- a/internal/downstream/http/conns.go
+++ b/internal/downstream/http/conns.go
@@ -30,53 +30,53 @@
 // closes them has lost their requests. So they stay for as long as there are descriptors, and requests are
 // refused before there are none: a part of the connections is left for those that still bring one.
 type clientConns struct {
-	max     int // from here on those that idle or were silent for long give way
-	most    int // all there may be: from here on newcomers do, too
-	mu      sync.Mutex
-	conns   map[net.Conn]*clientConn // bound: the descriptors; beyond max those without a request go
-	closing int
+	softLimit int // from here on those that idle or were silent for long give way
+	hardLimit int // all there may be: from here on newcomers do, too
+	mu        sync.Mutex
+	conns     map[net.Conn]*clientConn // bound: the descriptors; beyond max those without a request go
+	closing   int
 	// Connections with no request open, by how readily they give way.
-	waiting [3]list.List
+	evictable [3]list.List
 }
 
 const (
-	silent = iota // nothing whole has come yet
-	idle          // between requests
-	coming        // a head has come, its body is being read
+	noRequest   = iota // nothing whole has come yet
+	idle               // between requests
+	readingBody        // a head has come, its body is being read
 )
 
-// newcomer is how long a connection may take to bring a request, and its body, before
+// newConnGracePeriod is how long a connection may take to bring a request, and its body, before
 // it gives way to all others.
-const newcomer = 250 * time.Millisecond
+const newConnGracePeriod = 250 * time.Millisecond
 
 // clientConn is one connection; at is its place in kind, nil while a request is open.
 type clientConn struct {
-	at      *list.Element
-	kind    int
-	since   time.Time // of that kind
-	closing bool
-	hurried time.Time // until when it has to bring what it has begun; zero: nobody has hurried it
+	element   *list.Element
+	kind      int
+	since     time.Time // of that kind
+	closing   bool
+	readLimit time.Time // until when it has to bring what it has begun; zero: nobody has hurried it
 }
 
 type connKey struct{}
 
 // newClientConns makes room from max connections on, and has at most most of them.
 func newClientConns(max, most int) *clientConns {
-	return &clientConns{max: max, most: most, conns: map[net.Conn]*clientConn{}}
+	return &clientConns{softLimit: max, hardLimit: most, conns: map[net.Conn]*clientConn{}}
 }
 
-// busyPart of the connections may have a request open; the others are for those that still bring one.
-const busyPart = 7.0 / 8
+// maxBusyFraction of the connections may have a request open; the others are for those that still bring one.
+const maxBusyFraction = 7.0 / 8
 
-// crowded tells whether too many connections have a request open for one more.
-func (c *clientConns) crowded() bool {
+// overloaded tells whether too many connections have a request open for one more.
+func (c *clientConns) overloaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	busy := len(c.conns) - c.closing
-	for i := range c.waiting {
-		busy -= c.waiting[i].Len()
+	for i := range c.evictable {
+		busy -= c.evictable[i].Len()
 	}
-	return float64(busy) > busyPart*float64(c.most)
+	return float64(busy) > maxBusyFraction*float64(c.hardLimit)
 }
 
 // context lets a handler find its connection.
@@ -91,50 +91,50 @@
 	switch state {
 	case http.StateNew:
 		c.conns[nc] = &clientConn{}
-		c.wait(nc, silent)
+		c.setEvictable(nc, noRequest)
 	case http.StateActive:
-		c.wait(nc, coming)
+		c.setEvictable(nc, readingBody)
 	case http.StateIdle:
-		c.wait(nc, idle)
+		c.setEvictable(nc, idle)
 	case http.StateClosed, http.StateHijacked:
-		c.busy(nc)
+		c.setBusy(nc)
 		if x := c.conns[nc]; x != nil && x.closing {
 			c.closing--
 		}
 		delete(c.conns, nc)
 	}
-	for len(c.conns)-c.closing > c.max {
-		old := c.first()
+	for len(c.conns)-c.closing > c.softLimit {
+		old := c.nextVictim()
 		if old == nil {
 			break
 		}
-		c.shut(old)
+		c.evict(old)
 	}
 }
 
-// shut closes a connection that has no request open.
-func (c *clientConns) shut(nc net.Conn) {
-	c.busy(nc)
+// evict closes a connection that has no request open.
+func (c *clientConns) evict(nc net.Conn) {
+	c.setBusy(nc)
 	c.conns[nc].closing = true
 	c.closing++
-	cut(nc) // the server's read then fails, and it reports the close
+	abort(nc) // the server's read then fails, and it reports the close
 }
 
-// cut closes a connection at once, with no answer on its way.
-func cut(nc net.Conn) {
+// abort closes a connection at once, with no answer on its way.
+func abort(nc net.Conn) {
 	if f, ok := nc.(*framedConn); ok {
-		f.cut()
+		f.abort()
 		return
 	}
 	nc.Close()
 }
 
-// cutAll closes all connections at once.
-func (c *clientConns) cutAll() {
+// abortAll closes all connections at once.
+func (c *clientConns) abortAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for nc := range c.conns {
-		cut(nc)
+		abort(nc)
 	}
 }
 
@@ -143,26 +143,26 @@
 func (c *clientConns) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for e := c.waiting[idle].Front(); e != nil; {
+	for e := c.evictable[idle].Front(); e != nil; {
 		nc := e.Value.(net.Conn)
 		if e = e.Next(); socket.Look(nc) != socket.Unread {
-			c.shut(nc)
+			c.evict(nc)
 		}
 	}
 }
 
-// first is the connection to give way next, nil if there is none, or only newcomers and room for them.
-func (c *clientConns) first() net.Conn {
+// nextVictim is the connection to give way next, nil if there is none, or only newcomers and room for them.
+func (c *clientConns) nextVictim() net.Conn {
 	var oldest net.Conn
-	full, burst := len(c.conns)-c.closing > c.most, false
-	for _, kind := range []int{silent, coming} {
+	full, burst := len(c.conns)-c.closing > c.hardLimit, false
+	for _, kind := range []int{noRequest, readingBody} {
 		e := c.candidate(kind, full)
 		if e == nil {
 			continue
 		}
 		nc := e.Value.(net.Conn)
-		many := c.waiting[kind].Len() > c.max/4
-		if many && full || time.Since(c.conns[nc].since) > newcomer {
+		many := c.evictable[kind].Len() > c.softLimit/4
+		if many && full || time.Since(c.conns[nc].since) > newConnGracePeriod {
 			return nc
 		}
 		burst = burst || many
@@ -183,67 +183,67 @@
 // candidate is the oldest connection of a kind that may be closed: one that has brought what nobody has read yet
 // is on its way to be served, and goes only where there is no room at all.
 func (c *clientConns) candidate(kind int, full bool) *list.Element {
-	e := c.waiting[kind].Front()
+	e := c.evictable[kind].Front()
 	for !full && e != nil && socket.Look(e.Value.(net.Conn)) == socket.Unread {
 		e = e.Next()
 	}
 	return e
 }
 
-// taken tells that the handler's connection has brought a whole request: it stays
+// requestRead tells that the handler's connection has brought a whole request: it stays
 // until that is answered. One that has just been made to give way can't carry an answer
 // any more, and its client sends the request again: then taken returns false.
-func (c *clientConns) taken(ctx context.Context) bool {
+func (c *clientConns) requestRead(ctx context.Context) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	nc, ok := ctx.Value(connKey{}).(net.Conn)
 	if !ok {
 		return true
 	}
-	c.busy(nc)
+	c.setBusy(nc)
 	x := c.conns[nc]
 	if x == nil || x.closing {
 		return false
 	}
-	if !x.hurried.IsZero() {
-		x.hurried = time.Time{}
-		nc.SetReadDeadline(x.hurried) // else its end would look like the client's leaving
+	if !x.readLimit.IsZero() {
+		x.readLimit = time.Time{}
+		nc.SetReadDeadline(x.readLimit) // else its end would look like the client's leaving
 	}
 	return true
 }
 
-// none tells whether nobody is connected.
-func (c *clientConns) none() bool {
+// empty tells whether nobody is connected.
+func (c *clientConns) empty() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns) == 0
 }
 
-// hurry gives those that still have to bring a request until a time for it.
-func (c *clientConns) hurry(by time.Time) {
+// limitReads gives those that still have to bring a request until a time for it.
+func (c *clientConns) limitReads(by time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, kind := range []int{silent, coming} {
-		for e := c.waiting[kind].Front(); e != nil; e = e.Next() {
+	for _, kind := range []int{noRequest, readingBody} {
+		for e := c.evictable[kind].Front(); e != nil; e = e.Next() {
 			nc := e.Value.(net.Conn)
-			c.conns[nc].hurried = by
+			c.conns[nc].readLimit = by
 			nc.SetReadDeadline(by)
 		}
 	}
 }
 
-// wait puts a connection last among those of a kind.
-func (c *clientConns) wait(nc net.Conn, kind int) {
-	c.busy(nc)
+// setEvictable puts a connection last among those of a kind.
+func (c *clientConns) setEvictable(nc net.Conn, kind int) {
+	c.setBusy(nc)
 	if x := c.conns[nc]; x != nil && !x.closing {
-		x.kind, x.at, x.since = kind, c.waiting[kind].PushBack(nc), time.Now()
+		x.kind, x.element, x.since = kind, c.evictable[kind].PushBack(nc), time.Now()
 	}
 }
 
-// busy takes a connection off those that may give way.
-func (c *clientConns) busy(nc net.Conn) {
-	if x := c.conns[nc]; x != nil && x.at != nil {
-		c.waiting[x.kind].Remove(x.at)
-		x.at = nil
+// setBusy takes a connection off those that may give way.
+func (c *clientConns) setBusy(nc net.Conn) {
+	if x := c.conns[nc]; x != nil && x.element != nil {
+		c.evictable[x.kind].Remove(x.element)
+		x.element = nil
 	}
 }
--- a/internal/downstream/http/disconnect.go
+++ b/internal/downstream/http/disconnect.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// mostAhead is what is read of what a client sends behind its open request: a client sends one request at a
+	// maxReadAheadBytes is what is read of what a client sends behind its open request: a client sends one request at a
 	// time (protocol page), so that there is little, and net/http reads none of it before the answer.
-	mostAhead = 16 << 10
-	// hungUpEvery is how often a client that has sent more than that is looked at.
-	hungUpEvery = 25 * time.Millisecond
+	maxReadAheadBytes = 16 << 10
+	// disconnectPollInterval is how often a client that has sent more than that is looked at.
+	disconnectPollInterval = 25 * time.Millisecond
 )
 
 // disconnectDetector detects that a client disconnects while its request is open. net/http's own look ends with the
@@ -25,22 +25,22 @@
 // its own read without losing the one that the server set.
 type disconnectDetector struct {
 	conn         net.Conn
-	read         func(p []byte) // is told what was read
+	onRead       func(p []byte) // is told what was read
 	mu           sync.Mutex
-	ahead        []byte
+	readAhead    []byte
 	err          error         // how reading ahead ended, behind ahead
-	until        time.Time     // the server's deadline
-	end          chan struct{} // closed to have it end; nil: it does not run
-	over         chan struct{} // closed once it has
+	readDeadline time.Time     // the server's deadline
+	stop         chan struct{} // closed to have it end; nil: it does not run
+	stopped      chan struct{} // closed once it has
 	disconnected chan struct{} // closed once the client has
 	once         sync.Once     // closes it: who has hung up comes to the end of its bytes, too
 }
 
-// tell tells that the client has disconnected, once.
-func (d *disconnectDetector) tell() { d.once.Do(func() { close(d.disconnected) }) }
+// notify tells that the client has disconnected, once.
+func (d *disconnectDetector) notify() { d.once.Do(func() { close(d.disconnected) }) }
 
-// gone tells whether the client has left, as its socket has it now: it is asked where a moment counts.
-func (d *disconnectDetector) gone() bool {
+// isDisconnected tells whether the client has left, as its socket has it now: it is asked where a moment counts.
+func (d *disconnectDetector) isDisconnected() bool {
 	select {
 	case <-d.disconnected:
 		return true
@@ -49,19 +49,19 @@
 	if !socket.HungUp(d.conn) {
 		return false
 	}
-	d.tell()
+	d.notify()
 	return true
 }
 
-// begin begins to look. It does nothing where it runs already, or the client has left.
-func (d *disconnectDetector) begin() {
+// start begins to look. It does nothing where it runs already, or the client has left.
+func (d *disconnectDetector) start() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.end != nil || d.err != nil {
+	if d.stop != nil || d.err != nil {
 		return
 	}
-	d.end, d.over = make(chan struct{}), make(chan struct{})
-	go d.run(d.end, d.over)
+	d.stop, d.stopped = make(chan struct{}), make(chan struct{})
+	go d.run(d.stop, d.stopped)
 }
 
 func (d *disconnectDetector) run(end, over chan struct{}) {
@@ -70,11 +70,11 @@
 	var look *time.Ticker
 	for {
 		d.mu.Lock()
-		room := mostAhead - len(d.ahead)
+		room := maxReadAheadBytes - len(d.readAhead)
 		d.mu.Unlock()
 		if room <= 0 {
 			if look == nil {
-				look = time.NewTicker(hungUpEvery)
+				look = time.NewTicker(disconnectPollInterval)
 				defer look.Stop()
 			}
 			select {
@@ -82,18 +82,18 @@
 				return
 			case <-look.C:
 			}
-			if d.gone() {
+			if d.isDisconnected() {
 				return
 			}
 			continue
 		}
 		n, err := d.conn.Read(buf[:min(room, len(buf))])
-		d.read(buf[:n])
+		d.onRead(buf[:n])
 		d.mu.Lock()
-		d.ahead = append(d.ahead, buf[:n]...)
+		d.readAhead = append(d.readAhead, buf[:n]...)
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			d.err = err
-			d.tell()
+			d.notify()
 		}
 		d.mu.Unlock()
 		if err != nil {
@@ -102,22 +102,22 @@
 	}
 }
 
-// take ends the look, and gives what was read ahead, or how that ended; 0 and nil: there is nothing.
-func (d *disconnectDetector) take(p []byte) (int, error) {
+// stopAndRead ends the look, and gives what was read ahead, or how that ended; 0 and nil: there is nothing.
+func (d *disconnectDetector) stopAndRead(p []byte) (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if end, over := d.end, d.over; end != nil {
+	if end, over := d.stop, d.stopped; end != nil {
 		close(end)
 		d.conn.SetReadDeadline(time.Unix(1, 0))
 		d.mu.Unlock()
 		<-over
 		d.mu.Lock()
-		d.end = nil
-		d.conn.SetReadDeadline(d.until)
+		d.stop = nil
+		d.conn.SetReadDeadline(d.readDeadline)
 	}
-	n := copy(p, d.ahead)
-	if d.ahead = d.ahead[n:]; len(d.ahead) == 0 {
-		d.ahead = nil
+	n := copy(p, d.readAhead)
+	if d.readAhead = d.readAhead[n:]; len(d.readAhead) == 0 {
+		d.readAhead = nil
 	}
 	if n > 0 {
 		return n, nil
@@ -129,10 +129,10 @@
 func (d *disconnectDetector) setReadDeadline(t time.Time) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.until = t
-	if d.end != nil {
+	d.readDeadline = t
+	if d.stop != nil {
 		select {
-		case <-d.end:
+		case <-d.stop:
 			return nil // take sets it
 		default:
 		}
--- a/internal/downstream/http/disconnect_test.go
+++ b/internal/downstream/http/disconnect_test.go
@@ -28,7 +28,7 @@
 	}
 	t.Cleanup(func() { nc.Close() })
 	c = nc.(*framedConn)
-	c.disconnect.begin()
+	c.disconnect.start()
 	return client, c
 }
 
@@ -36,7 +36,7 @@
 // to the end: what is noticed a second time, by the end of the bytes, is the same leaving.
 func TestLeavingIsToldOnce(t *testing.T) {
 	client, c := watched(t)
-	io.WriteString(client, strings.Repeat("x", mostAhead+1))
+	io.WriteString(client, strings.Repeat("x", maxReadAheadBytes+1))
 	client.(*net.TCPConn).CloseWrite()
 	select {
 	case <-c.disconnect.disconnected:
@@ -44,12 +44,12 @@
 		t.Fatal("nobody noticed")
 	}
 	one := make([]byte, 1) // as net/http's look reads: it begins to look ahead behind the last byte
-	for n := 0; n <= mostAhead; n++ {
+	for n := 0; n <= maxReadAheadBytes; n++ {
 		if _, err := c.Read(one); err != nil {
 			t.Fatalf("byte %d: %v", n, err)
 		}
 	}
-	<-c.disconnect.over // it has come to the end
+	<-c.disconnect.stopped // it has come to the end
 	if n, err := c.Read(one); n != 0 || err != io.EOF {
 		t.Errorf("behind the end: %d, %v", n, err)
 	}
@@ -62,7 +62,7 @@
 	io.WriteString(client, "three")
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		c.disconnect.mu.Lock()
-		n := len(c.disconnect.ahead)
+		n := len(c.disconnect.readAhead)
 		c.disconnect.mu.Unlock()
 		if n == len("three") {
 			break
--- a/internal/downstream/http/framing.go
+++ b/internal/downstream/http/framing.go
@@ -14,21 +14,21 @@
 	"ringtrack.example/ringtrack/internal/socket"
 )
 
-// framing follows the raw bytes of a client's connection from message to message, to see what net/http settles
+// framingChecker follows the raw bytes of a client's connection from message to message, to see what net/http settles
 // without a word: a Content-Length beside a Transfer-Encoding, of which it drops the first. A request whose
 // length can be read in two ways may hide another one. It decides only whether a chunked request is sound;
 // what it can't follow it takes for unsound, from there on.
 //
 // Source: RFC 9112, sections 6 and 7.
-type framing struct {
-	state   state
-	line    []byte // of the head, or a chunk's size, as far as it has come; at most maxLine
-	length  int64  // of the body by Content-Length; -1: none was told
-	coded   bool   // the head has a Transfer-Encoding
-	begun   bool   // a line of the head has come
-	left    int64  // of the body or the chunk
-	heads   int    // heads that have come whole
-	unsound int    // the first head that is not to be trusted, counted from 1; 0: none
+type framingChecker struct {
+	state            state
+	line             []byte // of the head, or a chunk's size, as far as it has come; at most maxLine
+	length           int64  // of the body by Content-Length; -1: none was told
+	transferEncoding bool   // the head has a Transfer-Encoding
+	headBegun        bool   // a line of the head has come
+	remaining        int64  // of the body or the chunk
+	heads            int    // heads that have come whole
+	firstUntrusted   int    // the first head that is not to be trusted, counted from 1; 0: none
 }
 
 type state uint8
@@ -40,7 +40,7 @@
 	inChunk
 	inChunkEnd
 	inTrailer
-	lost
+	untrusted
 )
 
 // maxLine bounds a line of a head as it is kept: a length and a coding are far shorter, and of the longer
@@ -48,17 +48,17 @@
 const maxLine = 256
 
 // feed takes what was read from the connection.
-func (f *framing) feed(p []byte) {
-	for len(p) > 0 && f.state != lost {
+func (f *framingChecker) feed(p []byte) {
+	for len(p) > 0 && f.state != untrusted {
 		switch f.state {
 		case inBody, inChunk:
-			n := min(int64(len(p)), f.left)
-			p, f.left = p[n:], f.left-n
-			if f.left == 0 {
+			n := min(int64(len(p)), f.remaining)
+			p, f.remaining = p[n:], f.remaining-n
+			if f.remaining == 0 {
 				if f.state == inChunk {
 					f.state = inChunkEnd
 				} else {
-					f.next()
+					f.nextMessage()
 				}
 			}
 		default:
@@ -78,13 +78,15 @@
 	}
 }
 
-// next begins a message.
-func (f *framing) next() { f.state, f.length, f.coded, f.begun = inHead, -1, false, false }
+// nextMessage begins a message.
+func (f *framingChecker) nextMessage() {
+	f.state, f.length, f.transferEncoding, f.headBegun = inHead, -1, false, false
+}
 
-// lose gives up: the head that is coming, or has just come, is not to be trusted, nor anything behind it.
-func (f *framing) lose(head int) { f.state, f.unsound = lost, head }
+// distrust gives up: the head that is coming, or has just come, is not to be trusted, nor anything behind it.
+func (f *framingChecker) distrust(head int) { f.state, f.firstUntrusted = untrusted, head }
 
-func (f *framing) endLine(line string) {
+func (f *framingChecker) endLine(line string) {
 	switch f.state {
 	case inHead:
 		f.headLine(line)
@@ -93,53 +95,53 @@
 		n, err := strconv.ParseUint(strings.TrimRight(size, " \t"), 16, 62)
 		switch {
 		case err != nil:
-			f.lose(f.heads + 1) // net/http finds the same, and closes the connection
+			f.distrust(f.heads + 1) // net/http finds the same, and closes the connection
 		case n == 0:
 			f.state = inTrailer
 		default:
-			f.state, f.left = inChunk, int64(n)
+			f.state, f.remaining = inChunk, int64(n)
 		}
 	case inChunkEnd:
 		if f.state = inSize; line != "" {
-			f.lose(f.heads + 1)
+			f.distrust(f.heads + 1)
 		}
 	case inTrailer:
 		if line == "" {
-			f.next()
+			f.nextMessage()
 		}
 	}
 }
 
-func (f *framing) headLine(line string) {
+func (f *framingChecker) headLine(line string) {
 	if line != "" {
-		f.begun = true
+		f.headBegun = true
 		name, value, _ := strings.Cut(line, ":")
 		switch strings.ToLower(strings.TrimRight(name, " \t")) {
 		case "content-length":
 			n, err := strconv.ParseUint(strings.Trim(value, " \t"), 10, 62)
 			if err != nil || f.length >= 0 && f.length != int64(n) {
-				f.lose(f.heads + 1)
+				f.distrust(f.heads + 1)
 				return
 			}
 			f.length = int64(n)
 		case "transfer-encoding":
-			f.coded = true
+			f.transferEncoding = true
 		}
 		return
 	}
-	if !f.begun {
+	if !f.headBegun {
 		return // an empty line ahead of a request is none
 	}
 	f.heads++
 	switch {
-	case f.coded && f.length >= 0:
-		f.lose(f.heads)
-	case f.coded:
+	case f.transferEncoding && f.length >= 0:
+		f.distrust(f.heads)
+	case f.transferEncoding:
 		f.state = inSize
 	case f.length > 0:
-		f.state, f.left = inBody, f.length
+		f.state, f.remaining = inBody, f.length
 	default:
-		f.next()
+		f.nextMessage()
 	}
 }
 
@@ -147,24 +149,24 @@
 type framedConn struct {
 	net.Conn
 	mu         sync.Mutex // net/http reads ahead in the background
-	framing    framing
-	asked      int // requests that the handler has seen
+	framing    framingChecker
+	requests   int // requests that the handler has seen
 	disconnect disconnectDetector
 }
 
 // newFramedConn follows a connection that has just come.
 func newFramedConn(nc net.Conn) *framedConn {
-	c := &framedConn{Conn: nc, framing: framing{length: -1}}
-	c.disconnect.conn, c.disconnect.read, c.disconnect.disconnected = nc, c.follow, make(chan struct{})
+	c := &framedConn{Conn: nc, framing: framingChecker{length: -1}}
+	c.disconnect.conn, c.disconnect.onRead, c.disconnect.disconnected = nc, c.follow, make(chan struct{})
 	return c
 }
 
 // Read reads and follows.
 func (c *framedConn) Read(p []byte) (int, error) {
-	n, err := c.disconnect.take(p)
+	n, err := c.disconnect.stopAndRead(p)
 	if n == 0 && err == nil {
 		n, err = c.Conn.Read(p)
-		if errors.Is(err, os.ErrDeadlineExceeded) && c.resting() {
+		if errors.Is(err, os.ErrDeadlineExceeded) && c.betweenRequests() {
 			// A request that came in the moment in which it was to be closed as idle is served.
 			if m := socket.ReadNow(c.Conn, p); m > 0 {
 				n, err = m, nil
@@ -173,7 +175,7 @@
 		c.follow(p[:n])
 	}
 	if n == 1 && len(p) == 1 {
-		c.disconnect.begin() // this was net/http's look for the client's leaving, and it is over now
+		c.disconnect.start() // this was net/http's look for the client's leaving, and it is over now
 	}
 	return n, err
 }
@@ -200,23 +202,23 @@
 	return nil
 }
 
-// resting tells whether nothing of a request has come behind the last one.
-func (c *framedConn) resting() bool {
+// betweenRequests tells whether nothing of a request has come behind the last one.
+func (c *framedConn) betweenRequests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.framing.state == inHead && !c.framing.begun && len(c.framing.line) == 0
+	return c.framing.state == inHead && !c.framing.headBegun && len(c.framing.line) == 0
 }
 
 // Close closes the connection, and resets no answer over what its client has sent behind.
 func (c *framedConn) Close() error {
 	c.disconnect.mu.Lock()
-	ahead := len(c.disconnect.ahead) > 0
+	ahead := len(c.disconnect.readAhead) > 0
 	c.disconnect.mu.Unlock()
 	return socket.LingeringClose(c.Conn, ahead)
 }
 
-// cut closes the connection at once.
-func (c *framedConn) cut() error { return c.Conn.Close() }
+// abort closes the connection at once.
+func (c *framedConn) abort() error { return c.Conn.Close() }
 
 // SyscallConn lets the socket be asked beside whoever reads it.
 func (c *framedConn) SyscallConn() (syscall.RawConn, error) {
@@ -226,12 +228,12 @@
 	return nil, errors.ErrUnsupported
 }
 
-// asks counts a request, and tells whether its framing can be trusted.
-func (c *framedConn) asks() bool {
+// trustNextRequest counts a request, and tells whether its framing can be trusted.
+func (c *framedConn) trustNextRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked++
-	return c.framing.unsound == 0 || c.asked < c.framing.unsound
+	c.requests++
+	return c.framing.firstUntrusted == 0 || c.requests < c.framing.firstUntrusted
 }
 
 // framedListener follows the framing on each connection that it accepts.
--- a/internal/downstream/http/framing_test.go
+++ b/internal/downstream/http/framing_test.go
@@ -37,14 +37,14 @@
 		{"a line longer than is kept", plainHead + "X: " + strings.Repeat("p", 5*maxLine) + "\r\nContent-Length: 2\r\n\r\nab" + chunked, 2, 0},
 	} {
 		for _, step := range []int{1, 2, 3, 7, 64, len(c.text)} {
-			f := framing{length: -1}
+			f := framingChecker{length: -1}
 			for rest := []byte(c.text); len(rest) > 0; {
 				n := min(step, len(rest))
 				f.feed(rest[:n])
 				rest = rest[n:]
 			}
-			if f.heads != c.heads || f.unsound != c.unsound {
-				t.Errorf("%s, %d bytes at once: %d heads, unsound %d; want %d, %d", c.name, step, f.heads, f.unsound, c.heads, c.unsound)
+			if f.heads != c.heads || f.firstUntrusted != c.unsound {
+				t.Errorf("%s, %d bytes at once: %d heads, unsound %d; want %d, %d", c.name, step, f.heads, f.firstUntrusted, c.heads, c.unsound)
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 	f.Add([]byte(plainHead + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Add([]byte(plainHead + "Content-Length: 2\r\n\r\nab\r\n\r\n" + plainHead + "\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		fr := framing{length: -1}
+		fr := framingChecker{length: -1}
 		fr.feed(text)
 		br := bufio.NewReader(bytes.NewReader(text))
 		for n := 1; n < 10; n++ {
@@ -66,7 +66,7 @@
 			if err != nil || len(text) > 4000 {
 				return
 			}
-			if len(req.TransferEncoding) > 0 && (fr.unsound == 0 || n < fr.unsound) {
+			if len(req.TransferEncoding) > 0 && (fr.firstUntrusted == 0 || n < fr.firstUntrusted) {
 				head, _, _ := strings.Cut(string(text[at:]), "\n\r\n")
 				if strings.Contains(strings.ToLower("\n"+head), "\ncontent-length:") && !strings.Contains(head, "\n\n") {
 					t.Fatalf("request %d of %q is trusted", n, text)
--- a/internal/downstream/http/request.go
+++ b/internal/downstream/http/request.go
@@ -17,67 +17,67 @@
 )
 
 const (
-	// maxHead is the largest head.
-	maxHead = 16 << 10
-	// maxTimeout bounds the time that a client may give, in ms.
-	maxTimeout = 60_000
-	// maxToken bounds an id and a key.
-	maxToken = 128
+	// maxHeadBytes is the largest head.
+	maxHeadBytes = 16 << 10
+	// maxTimeoutMs bounds the time that a client may give, in ms.
+	maxTimeoutMs = 60_000
+	// maxTokenBytes bounds an id and a key.
+	maxTokenBytes = 128
 )
 
-// single are the fields with a meaning here: one of them twice means two things.
-var single = []string{"Request-Id", "Request-Class", "Tenant", "Request-Timeout-Ms", "Idempotency-Key",
+// singleValued are the fields with a meaning here: one of them twice means two things.
+var singleValued = []string{"Request-Id", "Request-Class", "Tenant", "Request-Timeout-Ms", "Idempotency-Key",
 	"Client-Retry", "Work-Hint", "Request-Info"}
 
 // call is a client's request as the front took it, and where its answer goes.
 type call struct {
 	core.Call
-	out  upstream.Call // what goes on
-	time time.Duration // what the client gives it, from its last byte on
+	upstreamCall upstream.Call // what goes on
+	timeout      time.Duration // what the client gives it, from its last byte on
 }
 
-// bad is what is wrong with a request, and the status that says so. It is never a
+// requestError is what is wrong with a request, and the status that says so. It is never a
 // refusal: that would tell the client to send the same again.
-type bad struct {
+type requestError struct {
 	status int
 	text   string
 }
 
-func (b *bad) Error() string { return b.text }
+func (b *requestError) Error() string { return b.text }
 
-func badf(status int, format string, args ...any) error {
-	return &bad{status, fmt.Sprintf(format, args...)}
+func requestErrorf(status int, format string, args ...any) error {
+	return &requestError{status, fmt.Sprintf(format, args...)}
 }
 
-// check turns the head of a client's request into a call or tells what is wrong with
+// parseCall turns the head of a client's request into a call or tells what is wrong with
 // it. What passes is what a usual client sends: a backend turns away or closes on the
 // rest, and would be taken for a bad one. framed says that the framing of a chunked body can be trusted.
-func (f *Front) check(req *http.Request, now time.Time, framed bool) (*call, error) {
+func (f *Server) parseCall(req *http.Request, now time.Time, framed bool) (*call, error) {
 	h := req.Header
 	refuse := func(format string, args ...any) (*call, error) {
-		return nil, badf(http.StatusBadRequest, format, args...)
+		return nil, requestErrorf(http.StatusBadRequest, format, args...)
 	}
 	switch {
 	case req.ProtoMajor != 1 || req.ProtoMinor != 1:
-		return nil, badf(http.StatusHTTPVersionNotSupported, "the protocol version is not spoken here")
+		return nil, requestErrorf(http.StatusHTTPVersionNotSupported, "the protocol version is not spoken here")
 	case len(req.TransferEncoding) > 0 && !framed || len(h["Transfer-Encoding"]) > 0:
 		// What follows may be a request hidden in the body, and is never read.
-		return nil, badf(http.StatusLengthRequired, "a body needs one length: Content-Length, or Transfer-Encoding: chunked")
-	case req.ContentLength > MaxBody:
-		return nil, badf(http.StatusRequestEntityTooLarge, "body over %d bytes", MaxBody)
+		return nil, requestErrorf(http.StatusLengthRequired, "a body needs one length: Content-Length, or Transfer-Encoding: chunked")
+	case req.ContentLength > MaxBodyBytes:
+		return nil, requestErrorf(http.StatusRequestEntityTooLarge, "body over %d bytes", MaxBodyBytes)
 	case req.Method != http.MethodGet && req.Method != http.MethodPost:
-		return nil, badf(http.StatusMethodNotAllowed, "method %s is not allowed", req.Method)
+		return nil, requestErrorf(http.StatusMethodNotAllowed, "method %s is not allowed", req.Method)
 	case !strings.HasPrefix(req.RequestURI, "/") || strings.ContainsFunc(req.RequestURI, notInTarget):
 		return refuse("the target is no path")
 	}
-	for _, name := range single {
+	for _, name := range singleValued {
 		if len(h[name]) > 1 {
 			return refuse("%s more than once", name)
 		}
 	}
 	c := &call{Call: core.Call{ID: h.Get("Request-Id"), Upstream: f.upstream, Answer: make(chan core.Answer, 1)},
-		out: upstream.Call{Method: req.Method, Target: req.RequestURI, Host: req.Host, Header: h}}
-	c.Payload = &c.out
+		upstreamCall: upstream.Call{Method: req.Method, Target: req.RequestURI, Host: req.Host, Header: h}}
+	c.Payload = &c.upstreamCall
 	var ok bool
 	if c.Class, ok = f.classes[h.Get("Request-Class")]; !ok {
 		return refuse("unknown Request-Class")
@@ -87,8 +87,8 @@
 			return refuse("unknown Tenant")
 		}
 	}
-	if !token(c.ID) {
-		return refuse("Request-Id is no token of 1 to %d characters", maxToken)
+	if !isToken(c.ID) {
+		return refuse("Request-Id is no token of 1 to %d characters", maxTokenBytes)
 	}
 	_, keyed := h["Idempotency-Key"]
 	switch effect := f.settings.Classes[c.Class].Effect; {
@@ -96,18 +96,18 @@
 		return refuse("method %s does not fit the class", req.Method)
 	case keyed != (effect == policy.IdempotentByKey):
 		return refuse("Idempotency-Key does not fit the class")
-	case keyed && !token(h.Get("Idempotency-Key")):
-		return refuse("Idempotency-Key is no token of 1 to %d characters", maxToken)
+	case keyed && !isToken(h.Get("Idempotency-Key")):
+		return refuse("Idempotency-Key is no token of 1 to %d characters", maxTokenBytes)
 	case req.Method == http.MethodGet && req.ContentLength != 0:
 		return refuse("GET with a body")
 	}
 	// ParseUint takes no sign.
 	left, err := strconv.ParseUint(h.Get("Request-Timeout-Ms"), 10, 32)
-	if err != nil || left == 0 || left > maxTimeout {
-		return refuse("Request-Timeout-Ms is no whole number from 1 to %d", maxTimeout)
+	if err != nil || left == 0 || left > maxTimeoutMs {
+		return refuse("Request-Timeout-Ms is no whole number from 1 to %d", maxTimeoutMs)
 	}
-	c.time = time.Duration(left) * time.Millisecond
-	c.Deadline = now.Add(c.time)
+	c.timeout = time.Duration(left) * time.Millisecond
+	c.Deadline = now.Add(c.timeout)
 	if text := h.Get("Work-Hint"); text != "" {
 		us, err := strconv.ParseFloat(text, 64)
 		if c.HasHint = err == nil && us > 0 && us < 1e12; c.HasHint { // a guess: a bad one is none
@@ -121,9 +121,9 @@
 	return c, nil
 }
 
-// token tells whether s is one of the words that ids and keys are.
-func token(s string) bool {
-	return len(s) <= maxToken && httpguts.ValidHeaderFieldName(s)
+// isToken tells whether s is one of the words that ids and keys are.
+func isToken(s string) bool {
+	return len(s) <= maxTokenBytes && httpguts.ValidHeaderFieldName(s)
 }
 
 // notInTarget tells the characters that no request target holds as they are.
--- a/internal/downstream/http/front_test.go
+++ b/internal/downstream/http/server_test.go
@@ -47,12 +47,12 @@
 		return got
 	}
 	quiet := add("silent")
-	c.conns[quiet].since = time.Now().Add(-2 * newcomer)
+	c.conns[quiet].since = time.Now().Add(-2 * newConnGracePeriod)
 	add("coming", http.StateActive)
 	add("idle", http.StateActive, http.StateIdle)
 	busy := func() {
 		x := add("busy", http.StateActive)
-		c.taken(c.context(t.Context(), x))
+		c.requestRead(c.context(t.Context(), x))
 	}
 	for range room - 4 {
 		busy()
@@ -86,23 +86,23 @@
 		if err != nil {
 			return
 		}
-		c, err := front.check(req, time.Now(), true)
+		c, err := front.parseCall(req, time.Now(), true)
 		if err != nil {
-			var b *bad
+			var b *requestError
 			if !errors.As(err, &b) || b.status < 400 || b.status == 429 || b.status == 503 {
 				t.Errorf("rejected with %v", err)
 			}
 			return
 		}
-		c.out.Body = make([]byte, max(req.ContentLength, 0))
+		c.upstreamCall.Body = make([]byte, max(req.ContentLength, 0))
 		// What goes on is one request, the same, and nothing behind it.
-		br := bufio.NewReader(strings.NewReader(string(c.out.Head(time.Second)) + string(c.out.Body)))
+		br := bufio.NewReader(strings.NewReader(string(c.upstreamCall.Head(time.Second)) + string(c.upstreamCall.Body)))
 		out, err := http.ReadRequest(br)
 		if err != nil {
-			t.Fatalf("passed on as %q: %v", c.out.Head(time.Second), err)
+			t.Fatalf("passed on as %q: %v", c.upstreamCall.Head(time.Second), err)
 		}
 		body, err := io.ReadAll(out.Body)
-		if err != nil || len(body) != len(c.out.Body) || out.RequestURI != c.out.Target || out.Header.Get("Request-Id") != c.ID || br.Buffered() > 0 {
+		if err != nil || len(body) != len(c.upstreamCall.Body) || out.RequestURI != c.upstreamCall.Target || out.Header.Get("Request-Id") != c.ID || br.Buffered() > 0 {
 			t.Errorf("%q became %+v", text, out)
 		}
 	})
@@ -116,7 +116,7 @@
 	for range most - 1 { // with a request open
 		x, _ := net.Pipe()
 		c.track(x, http.StateNew)
-		c.taken(c.context(t.Context(), x))
+		c.requestRead(c.context(t.Context(), x))
 	}
 	x, other := net.Pipe()
 	defer other.Close()
@@ -126,19 +126,19 @@
 	c.track(x, http.StateActive) // its request has come, and is about to be taken
 	c.track(y, http.StateNew)
 	c.track(y, http.StateActive)
-	if c.taken(ctx) || !c.taken(c.context(t.Context(), y)) {
+	if c.requestRead(ctx) || !c.requestRead(c.context(t.Context(), y)) {
 		t.Error("the one that gave way is taken, or the other is not")
 	}
 	c.track(x, http.StateClosed)
-	if c.taken(ctx) {
+	if c.requestRead(ctx) {
 		t.Error("a closed one is taken")
 	}
 	z, peer := net.Pipe()
 	c.track(y, http.StateClosed)
 	c.track(z, http.StateNew)
 	c.track(z, http.StateActive)
-	c.hurry(time.Now().Add(-time.Second))
-	if !c.taken(c.context(t.Context(), z)) {
+	c.limitReads(time.Now().Add(-time.Second))
+	if !c.requestRead(c.context(t.Context(), z)) {
 		t.Fatal("not taken")
 	}
 	go peer.Write([]byte("x"))
--- a/internal/downstream/rules_test.go
+++ b/internal/downstream/rules_test.go
@@ -385,7 +385,7 @@
 		c, r := dial(t, w), w.Request("order", long)
 		r.Kind = thriftlab.Reply
 		c.Write(w.Protocol.Encode(r))
-		if a, err := c.Read(); err != nil || a.Code != thrift.Kind || a.Seq != r.Seq || w.Begun() != 0 {
+		if a, err := c.Read(); err != nil || a.Code != thrift.CodeInvalidMessageType || a.Seq != r.Seq || w.Begun() != 0 {
 			t.Errorf("answered %+v, %v; %d calls went out", a, err, w.Begun())
 		}
 	}},
@@ -398,7 +398,7 @@
 		b[i+len("spoil")] = 0x7f
 		c.Write(b)
 		a, err := c.Read()
-		if err != nil || a.Code != thrift.Broken || a.Seq != r.Seq || strings.Contains(a.Text, "reply") || !strings.Contains(a.Text, "call") {
+		if err != nil || a.Code != thrift.CodeMalformed || a.Seq != r.Seq || strings.Contains(a.Text, "reply") || !strings.Contains(a.Text, "call") {
 			t.Errorf("answered %+v, %v", a, err)
 		}
 		if w.Begun() != 0 {
@@ -414,7 +414,7 @@
 			b := append(w.Protocol.Encode(r), 0, 0)
 			binary.BigEndian.PutUint32(b, uint32(len(b)-2-4+more))
 			c.Write(b)
-			if a, err := c.Read(); err != nil || a.Code != thrift.Broken || a.Seq != r.Seq {
+			if a, err := c.Read(); err != nil || a.Code != thrift.CodeMalformed || a.Seq != r.Seq {
 				t.Errorf("%+d bytes: answered %+v, %v", more, a, err)
 			}
 			if _, err := c.Read(); err == nil {
@@ -432,7 +432,7 @@
 		}
 	}},
 	{name: "an unlisted method that is refused", thrift: true, opts: world.Options{Refuse: true}, run: func(t *testing.T, w *world.World) {
-		if a := call(t, w, "nobody", long, lab.Failed); a.Code != thrift.Unknown || w.Begun() != 0 {
+		if a := call(t, w, "nobody", long, lab.Failed); a.Code != thrift.CodeUnknownMethod || w.Begun() != 0 {
 			t.Errorf("answered %+v, %d attempts", a, w.Begun())
 		}
 	}},
--- a/internal/downstream/thrift/accept_test.go
+++ b/internal/downstream/thrift/accept_test.go
@@ -28,13 +28,13 @@
 		return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", n)}
 	}
 	ln := &queue{errs: []error{of(syscall.EMFILE), of(syscall.ENFILE), of(syscall.ENOBUFS), of(syscall.ECONNABORTED), net.ErrClosed}}
-	if err := (&Front{}).Serve(ln); err != nil {
+	if err := (&Server{}).Serve(ln); err != nil {
 		t.Errorf("the front ended: %v", err)
 	}
 	if len(ln.errs) > 0 {
 		t.Errorf("%d accepts were not made", len(ln.errs))
 	}
-	if err := (&Front{}).Serve(&queue{errs: []error{of(syscall.EINVAL)}}); err == nil {
+	if err := (&Server{}).Serve(&queue{errs: []error{of(syscall.EINVAL)}}); err == nil {
 		t.Error("a listener that can't be used ended with no error")
 	}
 }
@@ -62,7 +62,7 @@
 // the process's end, which resets it.
 func TestTheEndWaitsForTheLastAccept(t *testing.T) {
 	ln := &lastAccept{accepting: make(chan struct{}), closed: make(chan struct{})}
-	f := &Front{Linger: time.Nanosecond}
+	f := &Server{Linger: time.Nanosecond}
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(ln) }()
 	<-ln.accepting
--- a/internal/downstream/thrift/routes.go
+++ b/internal/downstream/thrift/config.go
@@ -46,9 +46,9 @@
 
 // Table tells what methods are. It is never changed once made.
 type Table struct {
-	methods map[string]*method
-	rest    *method // nil: what is not listed is refused
-	paths   []thriftwire.Path
+	methods  map[string]*method
+	unlisted *method // nil: what is not listed is refused
+	paths    []thriftwire.Path
 }
 
 // method is what is done with a call.
@@ -62,10 +62,10 @@
 }
 
 const (
-	// mostDeadline bounds the time that a client may give, in ms.
-	mostDeadline = 60_000
-	// mostMethods bounds the table.
-	mostMethods = 10_000
+	// maxDeadlineMs bounds the time that a client may give, in ms.
+	maxDeadlineMs = 60_000
+	// maxMethods bounds the table.
+	maxMethods = 10_000
 )
 
 // Load reads a file; an error names the key.
@@ -99,8 +99,8 @@
 		return nil, fmt.Errorf("thrift: depth_limit: must be 4 to 1000, is %d", c.DepthLimit)
 	case c.Unlisted != "unsafe" && c.Unlisted != "refuse":
 		return nil, fmt.Errorf("thrift: unlisted: %q is neither \"unsafe\" nor \"refuse\"", c.Unlisted)
-	case len(c.Method) > mostMethods:
-		return nil, fmt.Errorf("thrift: method: %d are listed, at most %d", len(c.Method), mostMethods)
+	case len(c.Method) > maxMethods:
+		return nil, fmt.Errorf("thrift: method: %d are listed, at most %d", len(c.Method), maxMethods)
 	}
 	t := &Table{methods: map[string]*method{}}
 	find := func(at, name string) (int, error) {
@@ -118,8 +118,8 @@
 		if ms == 0 {
 			ms = classes[class].ClientTimeoutMs
 		}
-		if !(ms >= 1 && ms <= mostDeadline) {
-			return 0, fmt.Errorf("thrift: %s: must be 1 to %d ms, is %v", at, mostDeadline, ms)
+		if !(ms >= 1 && ms <= maxDeadlineMs) {
+			return 0, fmt.Errorf("thrift: %s: must be 1 to %d ms, is %v", at, maxDeadlineMs, ms)
 		}
 		return ms, nil
 	}
@@ -131,8 +131,8 @@
 		if classes[i].Effect != policy.NonIdempotent {
 			return nil, fmt.Errorf("thrift: class: %q may run twice: what is not listed is taken as unsafe", c.Class)
 		}
-		t.rest = &method{class: i, key: -1, deadline: -1}
-		if t.rest.deadlineMs, err = deadline("deadline_ms", 0, i); err != nil {
+		t.unlisted = &method{class: i, key: -1, deadline: -1}
+		if t.unlisted.deadlineMs, err = deadline("deadline_ms", 0, i); err != nil {
 			return nil, err
 		}
 	}
@@ -150,10 +150,10 @@
 		if out.deadlineMs, err = deadline(at("deadline_ms"), m.DeadlineMs, class); err != nil {
 			return nil, err
 		}
-		if out.key, err = t.path(at("key"), m.Key); err != nil {
+		if out.key, err = t.pathIndex(at("key"), m.Key); err != nil {
 			return nil, err
 		}
-		if out.deadline, err = t.path(at("deadline"), m.Deadline); err != nil {
+		if out.deadline, err = t.pathIndex(at("deadline"), m.Deadline); err != nil {
 			return nil, err
 		}
 		t.methods[m.Name] = out
@@ -161,8 +161,8 @@
 	return t, nil
 }
 
-// path finds or adds a path to those that the reader looks for, and returns its place.
-func (t *Table) path(at, text string) (int, error) {
+// pathIndex finds or adds a path to those that the reader looks for, and returns its place.
+func (t *Table) pathIndex(at, text string) (int, error) {
 	if text == "" {
 		return -1, nil
 	}
@@ -203,5 +203,5 @@
 			return m
 		}
 	}
-	return t.rest
+	return t.unlisted
 }
--- a/internal/downstream/thrift/config_test.go
+++ b/internal/downstream/thrift/config_test.go
@@ -85,10 +85,10 @@
 	msg := []byte("xxkeyxx")
 	field := thriftwire.Field{Found: true, Start: 2, End: 5, Type: thriftwire.String}
 	number := thriftwire.Field{Found: true, Type: thriftwire.I64, Int: ^uint64(0)}
-	if keyOf(msg, &field) == 0 || keyOf(msg, &field) != keyOf([]byte("yykey"), &field) || keyOf(msg, &number) == keyOf(msg, &field) {
+	if affinityKey(msg, &field) == 0 || affinityKey(msg, &field) != affinityKey([]byte("yykey"), &field) || affinityKey(msg, &number) == affinityKey(msg, &field) {
 		t.Error("keys differ, or are one")
 	}
-	if keyOf(msg, &thriftwire.Field{}) != 0 || keyOf(msg, &thriftwire.Field{Found: true, Type: thriftwire.String}) != 0 {
+	if affinityKey(msg, &thriftwire.Field{}) != 0 || affinityKey(msg, &thriftwire.Field{Found: true, Type: thriftwire.String}) != 0 {
 		t.Error("no key is one")
 	}
 }
--- a/internal/lab/world/protocol.go
+++ b/internal/lab/world/protocol.go
@@ -115,7 +115,7 @@
 		if code >= 0 {
 			a.Verdict, a.Code = lab.Failed, int(code)
 		}
-		if code == thrift.Refused {
+		if code == thrift.CodeRejected {
 			a.Verdict = lab.Refused
 			if _, rest, ok := strings.Cut(res.Text, "come back after "); ok {
 				ms, _ := strconv.ParseFloat(strings.TrimSuffix(rest, " ms"), 64)
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -176,14 +176,14 @@
 			ln.Close()
 			return err
 		}
-		f := &thriftfront.Front{Upstream: upstream, Budget: w.budget, Table: table, Limits: limits, Most: room,
-			AfterMs: cfg.Settings.Limits.MaxRetryAfterMs, Linger: linger}
-		serve = func() error { f.Loop = w.Loop; return f.Serve(ln) }
+		f := &thriftfront.Server{Upstream: upstream, Budget: w.budget, Table: table, Limits: limits, MaxConns: room,
+			RetryAfterMs: cfg.Settings.Limits.MaxRetryAfterMs, Linger: linger}
+		serve = func() error { f.EventLoop = w.Loop; return f.Serve(ln) }
 		shutdown = func() error { f.Shutdown(ln, 3*time.Second); return nil }
 	} else {
 		f := httpfront.New(&cfg.Settings, w.budget, upstream, room, room)
 		f.Linger, ready = linger, f.Ready
-		serve = func() error { f.Loop = w.Loop; return f.Serve(ln) }
+		serve = func() error { f.EventLoop = w.Loop; return f.Serve(ln) }
 		shutdown = func() error { return f.Shutdown(3 * time.Second) }
 	}
 	if w.Loop, err = core.New(ctx, cfg, w.budget, []core.Upstream{upstream}, ready); err != nil {
--- a/internal/upstream/conns/gone_test.go
+++ b/internal/upstream/conns/disconnect_test.go
@@ -44,7 +44,7 @@
 	return addr, func() (n int64) {
 		fill.Close()
 		for range 2 { // fill, and the one that came late
-			ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+			ln.(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout))
 			c, err := ln.Accept()
 			if err != nil {
 				t.Error(err)
@@ -61,7 +61,7 @@
 
 // A connection that comes up late, after the client has left, carries nothing: neither where the attempt is not
 // withdrawn yet, nor on one that was at hand; it is kept for others.
-func TestNothingIsBegunForAClientThatHasGone(t *testing.T) {
+func TestNothingIsBegunForADisconnectedClient(t *testing.T) {
 	t.Parallel()
 	for _, late := range []bool{false, true} {
 		var addr string
@@ -70,26 +70,26 @@
 		if late {
 			addr, accept = lateListener(t)
 		} else {
-			addr = peer(t, func(c net.Conn) {
+			addr = startPeer(t, func(c net.Conn) {
 				n, _ := c.Read(make([]byte, 8))
 				read.Add(int64(n))
 			})
 		}
-		p, key := New(patience, time.Minute, 8), newKey()
+		p, key := New(waitTimeout, time.Minute, 8), newKey()
 		var gone atomic.Bool
 		gone.Store(!late)
 		done := make(chan core.Result, 1)
 		go func() {
 			done <- p.Do(t.Context(), &Exchange{Key: key, Addr: addr, Sent: time.Now(), Deadline: time.Now().Add(2 * time.Second),
-				Budget: semaphore.NewWeighted(1), Gone: gone.Load,
-				Request: func() net.Buffers { return net.Buffers{[]byte("asked")} },
-				Answer: func(cn *Conn, _ func(int64) error) (core.Result, bool, error) {
+				Budget: semaphore.NewWeighted(1), Disconnected: gone.Load,
+				EncodeRequest: func() net.Buffers { return net.Buffers{[]byte("asked")} },
+				ReadResponse: func(cn *Conn, _ func(int64) error) (core.Result, bool, error) {
 					_, err := cn.Read(make([]byte, 1))
 					return core.Result{}, true, err
 				}})
 		}()
 		if late {
-			until(t, "no connect is out", func() bool { return p.Open() == 1 })
+			waitFor(t, "no connect is out", func() bool { return p.Open() == 1 })
 			gone.Store(true)
 			if n := accept(); n != 0 {
 				t.Errorf("late: %d bytes were written", n)
@@ -102,32 +102,32 @@
 }
 
 // A withdrawal ends a connect that is out, at once, and nothing is written on what comes up later.
-func TestAWithdrawnConnectCarriesNothing(t *testing.T) {
+func TestCancelledConnectCarriesNothing(t *testing.T) {
 	t.Parallel()
 	addr, _ := lateListener(t)
-	p, key := New(patience, time.Minute, 8), newKey()
+	p, key := New(waitTimeout, time.Minute, 8), newKey()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan core.Result, 1)
 	go func() {
-		done <- p.Do(ctx, &Exchange{Key: key, Addr: addr, Sent: time.Now(), Deadline: time.Now().Add(patience), Budget: semaphore.NewWeighted(1),
-			Request: func() net.Buffers { t.Error("a request was made"); return nil }})
+		done <- p.Do(ctx, &Exchange{Key: key, Addr: addr, Sent: time.Now(), Deadline: time.Now().Add(waitTimeout), Budget: semaphore.NewWeighted(1),
+			EncodeRequest: func() net.Buffers { t.Error("a request was made"); return nil }})
 	}()
-	until(t, "no connect is out", func() bool { return p.Open() == 1 })
+	waitFor(t, "no connect is out", func() bool { return p.Open() == 1 })
 	cancel()
 	select {
 	case r := <-done:
 		if !r.Status.NeverRan() || p.Open() != 0 {
 			t.Errorf("%+v, %d open", r, p.Open())
 		}
-	case <-time.After(patience / 4):
+	case <-time.After(waitTimeout / 4):
 		t.Fatal("the connect goes on")
 	}
 }
 
-// until waits for something.
-func until(t *testing.T, what string, is func() bool) {
+// waitFor waits for something.
+func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal(what)
 		}
--- a/internal/upstream/conns/pool.go
+++ b/internal/upstream/conns/pool.go
@@ -25,18 +25,18 @@
 type Pool struct {
 	connectTimeout time.Duration
 	keepalive      time.Duration // idle connections older than this are not used again
-	max            int
-	// Written, where it is set, counts the attempts that were written whole. It is to be set before the first.
-	Written *atomic.Int64
+	maxConns       int
+	// AttemptsWritten, where it is set, counts the attempts that were written whole. It is to be set before the first.
+	AttemptsWritten *atomic.Int64
 
 	mu sync.Mutex
 	// By backend, not by address: one that has gone may leave its address to another.
 	// The most recently used last.
 	idle map[Key][]*Conn // bound: max connections; a key with none has no entry
 	open int
-	ages ages
-	// unasked is when a connection last brought bytes that nobody had asked for.
-	unasked time.Time
+	ages idleAges
+	// unexpectedAt is when a connection last brought bytes that nobody had asked for.
+	unexpectedAt time.Time
 }
 
 // Key tells which connections may be used for one another: those to one backend, on which one kind of
@@ -49,56 +49,60 @@
 // Conn is a connection of a pool.
 type Conn struct {
 	net.Conn
-	BR    *bufio.Reader
-	key   Key
-	addr  string
-	since time.Time // idle since
-	rest  *Rest     // of the answer on it, which will own it
-	slot  int       // how long it idled before its last use, as ages tells times apart
+	Reader    *bufio.Reader
+	key       Key
+	addr      string
+	idleSince time.Time // idle since
+	stream    *Stream   // of the answer on it, which will own it
+	ageBucket int       // how long it idled before its last use, as ages tells times apart
 
 	mu        sync.Mutex
-	withdrawn bool // what reads or writes ends at once, from now on
+	cancelled bool // what reads or writes ends at once, from now on
 }
 
-// withdraw ends whatever reads or writes on the connection, for good: no deadline that is set later undoes it.
-func (c *Conn) withdraw() {
+// cancel ends whatever reads or writes on the connection, for good: no deadline that is set later undoes it.
+func (c *Conn) cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.withdrawn = true
+	c.cancelled = true
 	c.Conn.SetDeadline(time.Unix(1, 0))
 }
 
 // SetDeadline sets both.
-func (c *Conn) SetDeadline(t time.Time) error { return c.deadline(c.Conn.SetDeadline, t) }
+func (c *Conn) SetDeadline(t time.Time) error { return c.setUnlessCancelled(c.Conn.SetDeadline, t) }
 
 // SetReadDeadline sets that of reads.
-func (c *Conn) SetReadDeadline(t time.Time) error { return c.deadline(c.Conn.SetReadDeadline, t) }
+func (c *Conn) SetReadDeadline(t time.Time) error {
+	return c.setUnlessCancelled(c.Conn.SetReadDeadline, t)
+}
 
 // SetWriteDeadline sets that of writes.
-func (c *Conn) SetWriteDeadline(t time.Time) error { return c.deadline(c.Conn.SetWriteDeadline, t) }
+func (c *Conn) SetWriteDeadline(t time.Time) error {
+	return c.setUnlessCancelled(c.Conn.SetWriteDeadline, t)
+}
 
-func (c *Conn) deadline(set func(time.Time) error, t time.Time) error {
+func (c *Conn) setUnlessCancelled(set func(time.Time) error, t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.withdrawn {
+	if c.cancelled {
 		return os.ErrDeadlineExceeded
 	}
 	return set(t)
 }
 
 const (
-	// settle is how long a connection is left alone behind an answer before it is used again, for unaskedFor
+	// settleTime is how long a connection is left alone behind an answer before it is used again, for unaskedFor
 	// after any connection brought bytes that nobody had asked for: a second answer may come some ms after the
 	// first, behind the next request's last byte, and nothing in it tells whose it is.
-	settle, unaskedFor = 50 * time.Millisecond, time.Minute
+	settleTime, settlePeriod = 50 * time.Millisecond, time.Minute
 )
 
-// ErrTooMany says that all descriptors for backends are in use.
-var ErrTooMany = errors.New("no descriptor left for a connection")
+// ErrTooManyConns says that all descriptors for backends are in use.
+var ErrTooManyConns = errors.New("no descriptor left for a connection")
 
 // New returns a pool of max connections at the most. Times of 0 stand for a second.
 func New(connectTimeout, keepalive time.Duration, max int) *Pool {
-	p := &Pool{connectTimeout: connectTimeout, keepalive: keepalive, max: max, idle: map[Key][]*Conn{}}
+	p := &Pool{connectTimeout: connectTimeout, keepalive: keepalive, maxConns: max, idle: map[Key][]*Conn{}}
 	if p.connectTimeout <= 0 {
 		p.connectTimeout = time.Second
 	}
@@ -115,8 +119,8 @@
 func (p *Pool) SetMax(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.max = n
-	for p.open > p.max && p.evict() {
+	p.maxConns = n
+	for p.open > p.maxConns && p.evict() {
 	}
 }
 
@@ -134,15 +138,15 @@
 	return len(p.idle[key])
 }
 
-// Ended notes how an attempt on a connection ended: whether it broke without a byte of an answer.
-func (p *Pool) Ended(cn *Conn, broke bool) { p.ages.count(cn.slot, broke) }
+// RecordEnd notes how an attempt on a connection ended: whether it broke without a byte of an answer.
+func (p *Pool) RecordEnd(cn *Conn, broke bool) { p.ages.record(cn.ageBucket, broke) }
 
 // Adopt takes in an idle connection that was opened elsewhere.
 func (p *Pool) Adopt(nc net.Conn, key Key, addr string) {
 	p.mu.Lock()
 	p.open++
 	p.mu.Unlock()
-	p.Put(&Conn{Conn: nc, BR: bufio.NewReader(nc), key: key, addr: addr})
+	p.Put(&Conn{Conn: nc, Reader: bufio.NewReader(nc), key: key, addr: addr})
 }
 
 // Get returns an idle connection that is still good, the most recently used
@@ -155,8 +159,8 @@
 			break
 		}
 		at := len(list) - 1
-		if !p.unasked.IsZero() && time.Since(p.unasked) < unaskedFor {
-			for at >= 0 && time.Since(list[at].since) < settle {
+		if !p.unexpectedAt.IsZero() && time.Since(p.unexpectedAt) < settlePeriod {
+			for at >= 0 && time.Since(list[at].idleSince) < settleTime {
 				at--
 			}
 			if at < 0 {
@@ -164,18 +168,18 @@
 			}
 		}
 		cn := list[at]
-		p.keep(key, slices.Delete(list, at, at+1))
+		p.setIdle(key, slices.Delete(list, at, at+1))
 		p.mu.Unlock()
-		age := time.Since(cn.since)
-		if cn.addr == addr && age < p.keepalive && p.ages.usable(age) && p.quiet(cn) {
-			cn.slot = ageSlot(age)
+		age := time.Since(cn.idleSince)
+		if cn.addr == addr && age < p.keepalive && p.ages.usable(age) && p.isSilent(cn) {
+			cn.ageBucket = ageBucket(age)
 			return cn, nil
 		}
 		p.Close(cn)
 	}
-	if p.open >= p.max && !p.evict() {
+	if p.open >= p.maxConns && !p.evict() {
 		p.mu.Unlock()
-		return nil, ErrTooMany
+		return nil, ErrTooManyConns
 	}
 	p.open++
 	p.mu.Unlock()
@@ -187,11 +191,11 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	return &Conn{Conn: nc, BR: bufio.NewReaderSize(nc, 4<<10), key: key, addr: addr}, nil
+	return &Conn{Conn: nc, Reader: bufio.NewReaderSize(nc, 4<<10), key: key, addr: addr}, nil
 }
 
-// keep stores what is idle of a backend. The lock is held.
-func (p *Pool) keep(key Key, list []*Conn) {
+// setIdle stores what is idle of a backend. The lock is held.
+func (p *Pool) setIdle(key Key, list []*Conn) {
 	if len(list) == 0 {
 		delete(p.idle, key)
 		return
@@ -204,14 +208,14 @@
 func (p *Pool) evict() bool {
 	var oldest *Conn
 	for _, list := range p.idle {
-		if oldest == nil || list[0].since.Before(oldest.since) {
+		if oldest == nil || list[0].idleSince.Before(oldest.idleSince) {
 			oldest = list[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	p.keep(oldest.key, p.idle[oldest.key][1:])
+	p.setIdle(oldest.key, p.idle[oldest.key][1:])
 	p.open--
 	oldest.Close()
 	return true
@@ -221,8 +225,8 @@
 // asked for: the rest would be taken for the next answer.
 func (p *Pool) Put(cn *Conn) {
 	cn.SetDeadline(time.Time{})
-	cn.since = time.Now()
-	if cn.key.Backend.Unavailable() || !p.quiet(cn) {
+	cn.idleSince = time.Now()
+	if cn.key.Backend.Unavailable() || !p.isSilent(cn) {
 		p.Close(cn)
 		return
 	}
@@ -262,39 +266,39 @@
 	defer p.mu.Unlock()
 	for key, list := range p.idle {
 		n := 0
-		for n < len(list) && (key.Backend.Unavailable() || time.Since(list[n].since) >= p.keepalive) {
+		for n < len(list) && (key.Backend.Unavailable() || time.Since(list[n].idleSince) >= p.keepalive) {
 			p.open--
 			list[n].Close()
 			n++
 		}
-		p.keep(key, list[n:])
+		p.setIdle(key, list[n:])
 	}
 }
 
-// quiet tells whether a connection on which nothing is asked is still open and
+// isSilent tells whether a connection on which nothing is asked is still open and
 // silent. One that the peer closed, or that brings bytes nobody asked for, must not
 // carry a request: it would end as a reset, or take those bytes for its answer.
-func (p *Pool) quiet(cn *Conn) bool {
-	if cn.BR.Buffered() > 0 {
-		p.brought()
+func (p *Pool) isSilent(cn *Conn) bool {
+	if cn.Reader.Buffered() > 0 {
+		p.noteUnexpectedBytes()
 		return false
 	}
 	state := socket.Look(cn.Conn)
 	if state == socket.Unread {
-		p.brought()
+		p.noteUnexpectedBytes()
 	}
 	return state == socket.Silent
 }
 
-// brought notes bytes that nobody had asked for.
-func (p *Pool) brought() {
+// noteUnexpectedBytes notes bytes that nobody had asked for.
+func (p *Pool) noteUnexpectedBytes() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unasked = time.Now()
+	p.unexpectedAt = time.Now()
 }
 
-// Ours tells whether a connection failed for want of something here.
-func Ours(err error) bool {
-	return errors.Is(err, ErrTooMany) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
+// IsLocalError tells whether a connection failed for want of something here.
+func IsLocalError(err error) bool {
+	return errors.Is(err, ErrTooManyConns) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 		errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, context.Canceled)
 }
--- a/internal/upstream/conns/pool_test.go
+++ b/internal/upstream/conns/pool_test.go
@@ -10,11 +10,11 @@
 	"ringtrack.example/ringtrack/internal/lab"
 )
 
-// patience bounds every wait of the tests.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait of the tests.
+const waitTimeout = 20 * time.Second
 
-// peer is a stand-in that does with each connection what it is told to, then waits for its end.
-func peer(t *testing.T, do func(net.Conn)) string {
+// startPeer is a stand-in that does with each connection what it is told to, then waits for its end.
+func startPeer(t *testing.T, do func(net.Conn)) string {
 	t.Helper()
 	a, err := lab.Accept(func(c net.Conn) {
 		if do != nil {
@@ -29,9 +29,9 @@
 	return a.Addr
 }
 
-func get(t *testing.T, p *Pool, key Key, addr string) *Conn {
+func getConn(t *testing.T, p *Pool, key Key, addr string) *Conn {
 	t.Helper()
-	cn, err := p.Get(t.Context(), key, addr, time.Now().Add(patience))
+	cn, err := p.Get(t.Context(), key, addr, time.Now().Add(waitTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,12 +42,12 @@
 func newKey() Key { return Key{Backend: &core.Backend{}} }
 
 // A new backend at the address of one that has gone gets none of its connections.
-func TestAddressOfAGoneBackend(t *testing.T) {
-	addr := peer(t, nil)
-	p, old, heir := New(patience, time.Minute, 8), newKey(), newKey()
-	x := get(t, p, old, addr)
+func TestAddressOfARemovedBackend(t *testing.T) {
+	addr := startPeer(t, nil)
+	p, old, heir := New(waitTimeout, time.Minute, 8), newKey(), newKey()
+	x := getConn(t, p, old, addr)
 	p.Put(x)
-	y := get(t, p, heir, addr)
+	y := getConn(t, p, heir, addr)
 	if x == y {
 		t.Error("the heir got the connection")
 	}
@@ -60,16 +60,16 @@
 }
 
 // Beyond the most no connection is opened, but an idle one of another backend gives way.
-func TestMost(t *testing.T) {
-	p, one, two := New(patience, time.Minute, 2), newKey(), newKey()
-	addr := peer(t, nil)
-	x := get(t, p, one, addr)
-	get(t, p, one, addr)
-	if _, err := p.Get(t.Context(), one, addr, time.Now().Add(patience)); err != ErrTooMany || !Ours(err) {
+func TestMaxConns(t *testing.T) {
+	p, one, two := New(waitTimeout, time.Minute, 2), newKey(), newKey()
+	addr := startPeer(t, nil)
+	x := getConn(t, p, one, addr)
+	getConn(t, p, one, addr)
+	if _, err := p.Get(t.Context(), one, addr, time.Now().Add(waitTimeout)); err != ErrTooManyConns || !IsLocalError(err) {
 		t.Errorf("a third connection of two: %v", err)
 	}
 	p.Put(x)
-	get(t, p, two, addr)
+	getConn(t, p, two, addr)
 	if p.Open() != 2 || p.Idle(one) != 0 {
 		t.Errorf("%d connections counted, want 2; %d idle", p.Open(), p.Idle(one))
 	}
@@ -77,30 +77,30 @@
 
 // A kept connection is used again, the last used first, unless it was closed, brought what nobody asked
 // for, leads to another address, speaks another protocol, or its backend was hung up on.
-func TestWhatIsUsedAgain(t *testing.T) {
-	silent := peer(t, nil)
+func TestIdleConnReuse(t *testing.T) {
+	silent := startPeer(t, nil)
 	did := make(chan struct{}, 8)
-	closes := peer(t, func(c net.Conn) { c.Close(); did <- struct{}{} })
-	talks := peer(t, func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\n"); did <- struct{}{} })
+	closes := startPeer(t, func(c net.Conn) { c.Close(); did <- struct{}{} })
+	talks := startPeer(t, func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\n"); did <- struct{}{} })
 	again := func(addr string, between func(p *Pool, key *Key, addr *string)) bool {
-		p, key := New(patience, time.Minute, 8), newKey()
-		x := get(t, p, key, addr)
+		p, key := New(waitTimeout, time.Minute, 8), newKey()
+		x := getConn(t, p, key, addr)
 		if addr != silent {
 			<-did
-			for end := time.Now().Add(patience); p.quiet(x) && time.Now().Before(end); {
+			for end := time.Now().Add(waitTimeout); p.isSilent(x) && time.Now().Before(end); {
 				time.Sleep(time.Millisecond) // what was done there arrives
 			}
 			// As it came back whole before that.
-			p.idle[key], x.since = []*Conn{x}, time.Now()
+			p.idle[key], x.idleSince = []*Conn{x}, time.Now()
 		} else {
 			p.Put(x)
 		}
 		if between != nil {
 			between(p, &key, &addr)
 		}
-		return get(t, p, key, addr) == x
+		return getConn(t, p, key, addr) == x
 	}
-	other := peer(t, nil)
+	other := startPeer(t, nil)
 	for name, test := range map[string]struct {
 		addr    string
 		between func(*Pool, *Key, *string)
@@ -113,7 +113,7 @@
 		"another protocol": {silent, func(_ *Pool, key *Key, _ *string) { key.Kind = 3 }, false},
 		"hung up":          {silent, func(p *Pool, key *Key, _ *string) { p.CloseIdle(key.Backend) }, false},
 		"too old": {silent, func(p *Pool, key *Key, _ *string) {
-			p.idle[*key][0].since = time.Now().Add(-2 * time.Minute)
+			p.idle[*key][0].idleSince = time.Now().Add(-2 * time.Minute)
 		}, false},
 	} {
 		if got := again(test.addr, test.between); got != test.want {
@@ -123,12 +123,12 @@
 }
 
 // Connections that idled for long and break make the pool open new ones, and only those.
-func TestAges(t *testing.T) {
-	var a ages
+func TestIdleAges(t *testing.T) {
+	var a idleAges
 	for range 200 {
-		a.count(0, false)
-		a.count(ageSlot(time.Millisecond), false)
-		a.count(ageSlot(time.Second), true)
+		a.record(0, false)
+		a.record(ageBucket(time.Millisecond), false)
+		a.record(ageBucket(time.Second), true)
 	}
 	if !a.usable(time.Millisecond) || a.usable(time.Second) || a.usable(10*time.Second) {
 		t.Errorf("usable after 1 ms %v, 1 s %v, 10 s %v", a.usable(time.Millisecond), a.usable(time.Second), a.usable(10*time.Second))
@@ -160,7 +160,7 @@
 	if p.Open() != 3 {
 		t.Errorf("%d open, want the 3 in use", p.Open())
 	}
-	if _, err := get(); err != ErrTooMany {
+	if _, err := get(); err != ErrTooManyConns {
 		t.Errorf("another one: %v", err)
 	}
 	p.Close(used[1])
--- a/internal/upstream/http/attempt.go
+++ b/internal/upstream/http/attempt.go
@@ -22,8 +22,8 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// freeBody is what an answer's body may take of memory without asking for it.
-const freeBody = 4 << 10
+// unreservedBytes is what an answer's body may take of memory without asking for it.
+const unreservedBytes = 4 << 10
 
 // Call is what the front hands on with a core.Call.
 type Call struct {
@@ -32,27 +32,27 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Rest is what comes of the body behind Body, and is sent as it comes; nil: nothing. It is read once, and
+	// Remaining is what comes of the body behind Body, and is sent as it comes; nil: nothing. It is read once, and
 	// its errors are the client's. Length is that of all of the body, -1: unknown.
-	Rest   io.Reader
-	Length int64
+	Remaining io.Reader
+	Length    int64
 }
 
 // Stream is a backend's answer whose body goes on behind Reply.Body.
 type Stream struct {
 	Reply
 	Length int64 // of all of the body, -1: unknown
-	rest   *conns.Rest
+	stream *conns.Stream
 }
 
 // Read reads on behind Reply.Body; io.EOF says that the answer has come whole.
-func (s *Stream) Read(p []byte) (int, error) { return s.rest.Read(p) }
+func (s *Stream) Read(p []byte) (int, error) { return s.stream.Read(p) }
 
 // Close ends with the answer, and tells whether io.EOF was read.
-func (s *Stream) Close(whole bool) { s.rest.Close(whole) }
+func (s *Stream) Close(whole bool) { s.stream.Close(whole) }
 
-// Withdraw has Read end at once: nobody waits for the rest any more.
-func (s *Stream) Withdraw() { s.rest.Withdraw() }
+// Cancel has Read end at once: nobody waits for the rest any more.
+func (s *Stream) Cancel() { s.stream.Cancel() }
 
 // Reply is a backend's whole answer.
 type Reply struct {
@@ -63,9 +63,9 @@
 
 // Upstream makes attempts.
 type Upstream struct {
-	Pool    *conns.Pool
-	Budget  *semaphore.Weighted // memory for bodies over freeBody
-	Reports []string            // names of the values of a load report, in the module's order; none: reports are not read
+	Pool         *conns.Pool
+	Budget       *semaphore.Weighted // memory for bodies over freeBody
+	ReportFields []string            // names of the values of a load report, in the module's order; none: reports are not read
 }
 
 // CloseIdle closes the idle connections to a backend.
@@ -77,26 +77,26 @@
 // Do makes one attempt.
 func (u *Upstream) Do(ctx context.Context, b *core.Backend, addr string, cc *core.Call, sent, deadline time.Time) core.Result {
 	c := cc.Payload.(*Call)
-	x := &conns.Exchange{Key: conns.Key{Backend: b}, Addr: addr, Sent: sent, Deadline: deadline, RepeatBy: cc.RetryBefore, Outdated: &cc.Superseded, Gone: cc.Disconnected, Budget: u.Budget}
-	x.Request = func() net.Buffers { return net.Buffers{c.Head(time.Until(deadline)), c.Body} }
-	if c.Rest != nil {
-		x.Request = func() net.Buffers {
+	x := &conns.Exchange{Key: conns.Key{Backend: b}, Addr: addr, Sent: sent, Deadline: deadline, StartBefore: cc.RetryBefore, Superseded: &cc.Superseded, Disconnected: cc.Disconnected, Budget: u.Budget}
+	x.EncodeRequest = func() net.Buffers { return net.Buffers{c.Head(time.Until(deadline)), c.Body} }
+	if c.Remaining != nil {
+		x.EncodeRequest = func() net.Buffers {
 			first := c.Body
 			if c.Length < 0 {
-				first = chunk(nil, c.Body)
+				first = appendChunk(nil, c.Body)
 			}
 			return net.Buffers{c.Head(cc.TimeAfterBody), first}
 		}
-		x.Body = func(w io.Writer) (time.Time, error) {
-			if err := c.sendRest(w); err != nil {
+		x.WriteBody = func(w io.Writer) (time.Time, error) {
+			if err := c.writeRemaining(w); err != nil {
 				return time.Time{}, err
 			}
 			return cc.BodyWritten(time.Now()), nil
 		}
 	}
-	x.Answer = func(cn *conns.Conn, reserve func(int64) error) (core.Result, bool, error) {
-		resp, body, err := readAnswer(cn.BR, func(n int64) error {
-			if n <= freeBody {
+	x.ReadResponse = func(cn *conns.Conn, reserve func(int64) error) (core.Result, bool, error) {
+		resp, body, err := readResponse(cn.Reader, func(n int64) error {
+			if n <= unreservedBytes {
 				return nil
 			}
 			return reserve(n)
@@ -109,31 +109,31 @@
 		if err != nil {
 			return core.Result{}, false, err
 		}
-		status := outcome(resp)
-		res := core.Result{Status: status, Report: parseReport(resp.Header["Server-Load"], u.Reports), BadRequest: status == policy.Cancelled}
-		reply := Reply{resp.StatusCode, resp.Header, body.read}
-		if body.more == nil {
+		status := statusOf(resp)
+		res := core.Result{Status: status, Report: parseReport(resp.Header["Server-Load"], u.ReportFields), BadRequest: status == policy.Cancelled}
+		reply := Reply{resp.StatusCode, resp.Header, body.bytes}
+		if body.readMore == nil {
 			res.Reply = &reply
 			return res, !resp.Close, nil
 		}
-		res.Reply = &Stream{reply, body.size, u.Pool.NewRest(cn, body.more, !resp.Close)}
+		res.Reply = &Stream{reply, body.size, u.Pool.NewStream(cn, body.readMore, !resp.Close)}
 		return res, false, nil
 	}
 	return u.Pool.Do(ctx, x)
 }
 
-// restBuffer is what is read at once of a body that is passed on, in bytes.
-const restBuffer = 16 << 10
+// streamBufferBytes is what is read at once of a body that is passed on, in bytes.
+const streamBufferBytes = 16 << 10
 
-// sendRest sends the rest of the body as it comes.
-func (c *Call) sendRest(w io.Writer) error {
-	buf, left := make([]byte, restBuffer), c.Length-int64(len(c.Body))
+// writeRemaining sends the rest of the body as it comes.
+func (c *Call) writeRemaining(w io.Writer) error {
+	buf, left := make([]byte, streamBufferBytes), c.Length-int64(len(c.Body))
 	for {
-		n, err := c.Rest.Read(buf)
+		n, err := c.Remaining.Read(buf)
 		if left -= int64(n); n > 0 {
 			piece := buf[:n]
 			if c.Length < 0 {
-				piece = chunk(nil, piece)
+				piece = appendChunk(nil, piece)
 			}
 			if _, err := w.Write(piece); err != nil {
 				return err
@@ -146,13 +146,13 @@
 		case c.Length >= 0 && left == 0:
 			return nil
 		case err != nil:
-			return fmt.Errorf("%w: %w", conns.ErrUnread, err)
+			return fmt.Errorf("%w: %w", conns.ErrIncompleteRequest, err)
 		}
 	}
 }
 
-// chunk appends a piece of a body as a chunk; of nothing there is none, as that would end the body.
-func chunk(to, piece []byte) []byte {
+// appendChunk appends a piece of a body as a chunk; of nothing there is none, as that would end the body.
+func appendChunk(to, piece []byte) []byte {
 	if len(piece) == 0 {
 		return to
 	}
@@ -162,34 +162,34 @@
 	return append(to, "\r\n"...)
 }
 
-// probeHead is how each probe begins.
-const probeHead = " HTTP/1.1\r\nHost: backend.local\r\n\r\n"
+// healthCheckHead is how each probe begins.
+const healthCheckHead = " HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 
 // Probe asks a backend how it is, beside its requests: for its load report where there are any, else whether
 // it is healthy (protocol page, "Agents to backends"). A 503 says that it runs and takes nothing now; one
 // that knows no probes has said nothing.
 func (u *Upstream) Probe(ctx context.Context, b *core.Backend, addr string, sent, deadline time.Time) core.Result {
 	path := "/-/healthy"
-	if len(u.Reports) > 0 {
+	if len(u.ReportFields) > 0 {
 		path = "/-/load"
 	}
-	return u.Pool.Do(ctx, &conns.Exchange{Key: conns.Key{Backend: b}, Addr: addr, Sent: sent, Deadline: deadline, Budget: u.Budget, Probe: true,
-		Request: func() net.Buffers { return net.Buffers{[]byte("GET " + path + probeHead)} },
-		Answer: func(cn *conns.Conn, _ func(int64) error) (core.Result, bool, error) {
+	return u.Pool.Do(ctx, &conns.Exchange{Key: conns.Key{Backend: b}, Addr: addr, Sent: sent, Deadline: deadline, Budget: u.Budget, HealthCheck: true,
+		EncodeRequest: func() net.Buffers { return net.Buffers{[]byte("GET " + path + healthCheckHead)} },
+		ReadResponse: func(cn *conns.Conn, _ func(int64) error) (core.Result, bool, error) {
 			whole := int64(0) // a chunked body asks as it grows
-			resp, body, err := readAnswer(cn.BR, func(n int64) error {
-				if whole += n; whole > freeBody {
-					return conns.Spoilt("probe answered with over %d bytes", freeBody)
+			resp, body, err := readResponse(cn.Reader, func(n int64) error {
+				if whole += n; whole > unreservedBytes {
+					return conns.MalformedResponse("probe answered with over %d bytes", unreservedBytes)
 				}
 				return nil
 			}, nil)
-			if err == nil && body.more != nil {
-				err = conns.Spoilt("probe answered with %d bytes", body.size)
+			if err == nil && body.readMore != nil {
+				err = conns.MalformedResponse("probe answered with %d bytes", body.size)
 			}
 			if err != nil {
 				return core.Result{}, false, err
 			}
-			res := core.Result{Status: policy.Error, Report: parseReport([]string{string(body.read)}, u.Reports)}
+			res := core.Result{Status: policy.Error, Report: parseReport([]string{string(body.bytes)}, u.ReportFields)}
 			switch resp.StatusCode {
 			case http.StatusOK:
 				res.Status = policy.OK
@@ -202,10 +202,10 @@
 		}})
 }
 
-// outcome maps a whole answer. Only the backend's own word proves that a request
+// statusOf maps a whole answer. Only the backend's own word proves that a request
 // did not run: a bare 503 or 504 may come from half-way through. A 4xx is about the
 // request, and tells nothing of the backend.
-func outcome(resp *http.Response) policy.Status {
+func statusOf(resp *http.Response) policy.Status {
 	switch code := resp.StatusCode; {
 	case code == http.StatusOK:
 		return policy.OK
@@ -224,9 +224,9 @@
 	h := EndToEnd(c.Header)
 	h.Set("Request-Timeout-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 	switch {
-	case c.Rest != nil && c.Length < 0:
+	case c.Remaining != nil && c.Length < 0:
 		h.Set("Transfer-Encoding", "chunked")
-	case c.Rest != nil:
+	case c.Remaining != nil:
 		h.Set("Content-Length", strconv.FormatInt(c.Length, 10))
 	case c.Method != http.MethodGet:
 		h.Set("Content-Length", strconv.Itoa(len(c.Body)))
--- a/internal/upstream/http/attempt_test.go
+++ b/internal/upstream/http/attempt_test.go
@@ -27,7 +27,7 @@
 
 // testUpstream makes attempts with most connections at the most.
 func testUpstream(most int) *Upstream {
-	return &Upstream{Budget: semaphore.NewWeighted(1 << 20), Reports: []string{"qps", "util", "eps"},
+	return &Upstream{Budget: semaphore.NewWeighted(1 << 20), ReportFields: []string{"qps", "util", "eps"},
 		Pool: conns.New(patience, time.Minute, most)}
 }
 
@@ -154,19 +154,19 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nT: x\r\n\r\nrest"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		resp, body, err := readAnswer(bufio.NewReader(bytes.NewReader(text)), func(int64) error { return nil }, nil)
+		resp, body, err := readResponse(bufio.NewReader(bytes.NewReader(text)), func(int64) error { return nil }, nil)
 		if err != nil {
 			return
 		}
-		if len(body.read) > wholeAnswer || resp.StatusCode < 200 {
-			t.Fatalf("%d bytes, status %d", len(body.read), resp.StatusCode)
+		if len(body.bytes) > maxBufferedBody || resp.StatusCode < 200 {
+			t.Fatalf("%d bytes, status %d", len(body.bytes), resp.StatusCode)
 		}
-		if body.more != nil { // a long one; its end may be spoilt
-			rest, err := io.ReadAll(readFunc(body.more))
+		if body.readMore != nil { // a long one; its end may be spoilt
+			rest, err := io.ReadAll(readFunc(body.readMore))
 			if err != nil {
 				return
 			}
-			body.read = append(body.read, rest...)
+			body.bytes = append(body.bytes, rest...)
 		}
 		br := bufio.NewReader(bytes.NewReader(text))
 		for {
@@ -178,8 +178,8 @@
 				continue
 			}
 			want, err := io.ReadAll(other.Body)
-			if err != nil || other.StatusCode != resp.StatusCode || !bytes.Equal(body.read, want) {
-				t.Errorf("read %d %q, net/http %d %q, %v", resp.StatusCode, body.read, other.StatusCode, want, err)
+			if err != nil || other.StatusCode != resp.StatusCode || !bytes.Equal(body.bytes, want) {
+				t.Errorf("read %d %q, net/http %d %q, %v", resp.StatusCode, body.bytes, other.StatusCode, want, err)
 			}
 			return
 		}
@@ -198,16 +198,16 @@
 	}{
 		{200, "qps=3,util=0.5,eps=0", policy.OK, 3}, {200, "", policy.OK, 0}, {200, "qps=x", policy.OK, 0},
 		{503, "qps=3,util=1,eps=0", policy.Rejected, 3}, {404, "", policy.NotStarted, 0}, {500, "", policy.Error, 0},
-		{302, "", policy.Error, 0}, {200, strings.Repeat("x", freeBody+1), policy.Error, 0},
+		{302, "", policy.Error, 0}, {200, strings.Repeat("x", unreservedBytes+1), policy.Error, 0},
 	} {
-		for _, reports := range [][]string{u.Reports, nil} {
+		for _, reports := range [][]string{u.ReportFields, nil} {
 			var path, id string
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				path, id = r.Method+" "+r.URL.Path, r.Header.Get("Request-Id")
 				w.WriteHeader(c.answer)
 				io.WriteString(w, c.body)
 			}))
-			probe, b := &Upstream{Pool: u.Pool, Budget: u.Budget, Reports: reports}, &core.Backend{}
+			probe, b := &Upstream{Pool: u.Pool, Budget: u.Budget, ReportFields: reports}, &core.Backend{}
 			res := probe.Probe(t.Context(), b, s.Listener.Addr().String(), time.Now(), time.Now().Add(patience))
 			asked, report := "GET /-/load", c.report
 			if reports == nil {
@@ -216,7 +216,7 @@
 			if res.Status != c.want || len(res.Report) != report || path != asked || id != "" {
 				t.Errorf("%s answered %d %.20q: %+v, id %q; want %v with %d values", path, c.answer, c.body, res, id, c.want, report)
 			}
-			if kept := probe.Pool.Idle(conns.Key{Backend: b}); (kept == 1) != (len(c.body) <= freeBody) {
+			if kept := probe.Pool.Idle(conns.Key{Backend: b}); (kept == 1) != (len(c.body) <= unreservedBytes) {
 				t.Errorf("%d %.20q: %d connections kept", c.answer, c.body, kept)
 			}
 			b.MarkUnavailable()
--- a/internal/upstream/http/chunks.go
+++ b/internal/upstream/http/chunked.go
@@ -12,42 +12,42 @@
 	"ringtrack.example/ringtrack/internal/upstream/conns"
 )
 
-// chunks reads a chunked body (RFC 9112, section 7.1). net/http's reader is not used: once a read has run out
+// chunkedReader reads a chunked body (RFC 9112, section 7.1). net/http's reader is not used: once a read has run out
 // of time it is of no more use, and an answer that comes slowly is passed on from where it was.
-type chunks struct {
-	br    *bufio.Reader
-	left  int64 // of the chunk
-	all   int64 // of the body, with this chunk
-	began bool  // a chunk has been read whose end has not
-	last  bool  // the last chunk has come, and trailers do
-	ended bool
+type chunkedReader struct {
+	br         *bufio.Reader
+	chunkLeft  int64 // of the chunk
+	total      int64 // of the body, with this chunk
+	inChunk    bool  // a chunk has been read whose end has not
+	inTrailers bool  // the last chunk has come, and trailers do
+	ended      bool
 
 	trailers []byte // as far as they have come
 }
 
 // Read reads of the body. After an error of the connection that is a time-out it may be called again.
-func (c *chunks) Read(p []byte) (int, error) {
-	for c.left == 0 {
+func (c *chunkedReader) Read(p []byte) (int, error) {
+	for c.chunkLeft == 0 {
 		if c.ended {
 			return 0, io.EOF
 		}
-		if c.last {
+		if c.inTrailers {
 			if err := c.readTrailers(); err != nil {
 				return 0, err
 			}
 			c.ended = true
 			continue
 		}
-		if c.began {
+		if c.inChunk {
 			end, err := c.br.Peek(2)
 			if err != nil {
 				return 0, unexpected(err)
 			}
 			if string(end) != "\r\n" {
-				return 0, conns.Spoilt("a chunk that does not end where it says")
+				return 0, conns.MalformedResponse("a chunk that does not end where it says")
 			}
 			c.br.Discard(2)
-			c.began = false
+			c.inChunk = false
 		}
 		line, err := peekLine(c.br)
 		if err != nil {
@@ -57,19 +57,19 @@
 		size, _, _ = bytes.Cut(size, []byte(";"))
 		size = bytes.TrimRight(size, " \t")
 		n, err := strconv.ParseUint(string(size), 16, 63)
-		if !sound || err != nil || c.all+int64(min(n, MaxAnswer+1)) > MaxAnswer {
-			return 0, conns.Spoilt("chunk size %.20q", line)
+		if !sound || err != nil || c.total+int64(min(n, MaxResponseBodyBytes+1)) > MaxResponseBodyBytes {
+			return 0, conns.MalformedResponse("chunk size %.20q", line)
 		}
 		c.br.Discard(len(line))
 		if n == 0 {
-			c.last = true
+			c.inTrailers = true
 			continue
 		}
-		c.left, c.began = int64(n), true
-		c.all += c.left
+		c.chunkLeft, c.inChunk = int64(n), true
+		c.total += c.chunkLeft
 	}
-	n, err := c.br.Read(p[:min(int64(len(p)), c.left)])
-	c.left -= int64(n)
+	n, err := c.br.Read(p[:min(int64(len(p)), c.chunkLeft)])
+	c.chunkLeft -= int64(n)
 	return n, unexpected(err)
 }
 
@@ -77,7 +77,7 @@
 // and an empty line that is CR LF and nothing else (RFC 9112, section 7.1.2). What this
 // reader and net/http's do not both take for the end is none: two readers that disagree
 // on where an answer ends are how answers get mixed up on a kept connection.
-func (c *chunks) readTrailers() error {
+func (c *chunkedReader) readTrailers() error {
 	for {
 		line, err := peekLine(c.br)
 		if err != nil {
@@ -86,17 +86,17 @@
 		c.trailers = append(c.trailers, line...)
 		c.br.Discard(len(line))
 		switch {
-		case len(c.trailers) > maxTrailers:
-			return conns.Spoilt("trailers too large")
+		case len(c.trailers) > maxTrailerBytes:
+			return conns.MalformedResponse("trailers too large")
 		case !bytes.HasSuffix(line, []byte("\r\n")):
-			return conns.Spoilt("a trailer line that ends in no CR LF")
+			return conns.MalformedResponse("a trailer line that ends in no CR LF")
 		case len(line) > 2:
 			continue
 		case len(c.trailers) == 2:
 			return nil // none, as nearly always
 		}
 		if _, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(c.trailers))).ReadMIMEHeader(); err != nil {
-			return conns.Spoilt("trailers: %v", err)
+			return conns.MalformedResponse("trailers: %v", err)
 		}
 		return nil
 	}
@@ -110,7 +110,7 @@
 			return line[:i+1], nil
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
-			return nil, conns.Spoilt("line too long")
+			return nil, conns.MalformedResponse("line too long")
 		} else if err != nil {
 			return nil, unexpected(err)
 		}
--- a/internal/upstream/http/chunks_test.go
+++ b/internal/upstream/http/chunked_test.go
@@ -53,7 +53,7 @@
 		{"more than may be", "5\r\nhello\r\n3ffffff\r\n", "hello", true, false},
 	} {
 		for _, step := range []int{1, 2, 3, 50} {
-			ch := &chunks{br: bufio.NewReaderSize(&slow{text: c.text, step: step}, 4<<10)}
+			ch := &chunkedReader{br: bufio.NewReaderSize(&slow{text: c.text, step: step}, 4<<10)}
 			var got bytes.Buffer
 			var err error
 			for buf := make([]byte, 64); ; {
@@ -64,7 +64,7 @@
 					break
 				}
 			}
-			spoilt, broken := errors.Is(err, conns.ErrSpoilt), err == io.ErrUnexpectedEOF
+			spoilt, broken := errors.Is(err, conns.ErrMalformedResponse), err == io.ErrUnexpectedEOF
 			if got.String() != c.body || spoilt != c.spoilt || broken != c.broken || !spoilt && !broken && err != io.EOF {
 				t.Errorf("%s, %d at once: %q, %v", c.name, step, got.String(), err)
 			}
--- a/internal/upstream/thrift/thrift.go
+++ b/internal/upstream/thrift/thrift.go
@@ -29,7 +29,7 @@
 	Message   []byte // whole, without a frame's length
 	Head      thriftwire.Message
 	Transport thriftwire.Transport
-	Oneway    bool // no answer will come
+	OneWay    bool // no answer will come
 	NeverRan  NeverRan
 }
 
@@ -51,23 +51,23 @@
 	Budget *semaphore.Weighted // memory for replies over free bytes
 	Limits thriftwire.Limits   // of replies
 
-	seq atomic.Int32
+	lastSeq atomic.Int32
 }
 
-// free is what a reply may take of memory without asking for it, and what is read at once.
-const free = 4 << 10
+// unreservedBytes is what a reply may take of memory without asking for it, and what is read at once.
+const unreservedBytes = 4 << 10
 
-// unreadable marks what Read could not take for a message, whoever sent it.
-type unreadable struct{ error }
+// unreadableError marks what Read could not take for a message, whoever sent it.
+type unreadableError struct{ error }
 
-func (u unreadable) Unwrap() error { return u.error }
+func (u unreadableError) Unwrap() error { return u.error }
 
-func unread(format string, args ...any) error {
-	return unreadable{fmt.Errorf("%w: %s", thriftwire.ErrMalformed, fmt.Sprintf(format, args...))}
+func unreadablef(format string, args ...any) error {
+	return unreadableError{fmt.Errorf("%w: %s", thriftwire.ErrMalformed, fmt.Sprintf(format, args...))}
 }
 
-// kind numbers what is spoken on a connection, for the pool; 0 is HTTP's.
-func kind(c *Call) uint8 { return uint8(c.Transport)<<4 | uint8(c.Head.Protocol) }
+// connKind numbers what is spoken on a connection, for the pool; 0 is HTTP's.
+func connKind(c *Call) uint8 { return uint8(c.Transport)<<4 | uint8(c.Head.Protocol) }
 
 // CloseIdle closes the idle connections to a backend.
 func (u *Upstream) CloseIdle(b *core.Backend) { u.Pool.CloseIdle(b) }
@@ -78,24 +78,24 @@
 // Do makes one attempt.
 func (u *Upstream) Do(ctx context.Context, b *core.Backend, addr string, cc *core.Call, sent, deadline time.Time) core.Result {
 	c := cc.Payload.(*Call)
-	seq := u.seq.Add(1)
-	x := conns.Exchange{Key: conns.Key{Backend: b, Kind: kind(c)}, Addr: addr, Sent: sent, Deadline: deadline, RepeatBy: cc.RetryBefore, Outdated: &cc.Superseded, Gone: cc.Disconnected, Budget: u.Budget,
-		Request: func() net.Buffers { return c.bytes(seq) },
-		Answer: func(cn *conns.Conn, reserve func(int64) error) (core.Result, bool, error) {
-			reply, err := u.read(cn.BR, c, seq, reserve)
+	seq := u.lastSeq.Add(1)
+	x := conns.Exchange{Key: conns.Key{Backend: b, Kind: connKind(c)}, Addr: addr, Sent: sent, Deadline: deadline, StartBefore: cc.RetryBefore, Superseded: &cc.Superseded, Disconnected: cc.Disconnected, Budget: u.Budget,
+		EncodeRequest: func() net.Buffers { return c.encode(seq) },
+		ReadResponse: func(cn *conns.Conn, reserve func(int64) error) (core.Result, bool, error) {
+			reply, err := u.read(cn.Reader, c, seq, reserve)
 			if err != nil {
 				return core.Result{}, false, err
 			}
-			return c.ending(reply), true, nil
+			return c.result(reply), true, nil
 		}}
-	if c.Oneway {
-		x.Answer = nil
+	if c.OneWay {
+		x.ReadResponse = nil
 	}
 	return u.Pool.Do(ctx, &x)
 }
 
-// bytes are the call as it goes out, under this sequence id.
-func (c *Call) bytes(seq int32) net.Buffers {
+// encode are the call as it goes out, under this sequence id.
+func (c *Call) encode(seq int32) net.Buffers {
 	var head []byte
 	if c.Transport == thriftwire.Framed {
 		head = make([]byte, 4, 4+c.Head.Body)
@@ -108,8 +108,8 @@
 	return net.Buffers{head, rest}
 }
 
-// ending is what a whole reply says of the call.
-func (c *Call) ending(reply *Reply) core.Result {
+// result is what a whole reply says of the call.
+func (c *Call) result(reply *Reply) core.Result {
 	res := core.Result{Status: policy.OK, Reply: reply}
 	switch {
 	case reply.Head.Kind == thriftwire.Exception:
@@ -133,26 +133,26 @@
 func (u *Upstream) read(br *bufio.Reader, c *Call, seq int32, reserve func(int64) error) (*Reply, error) {
 	msg, head, err := Read(br, c.Transport, u.Limits, []thriftwire.Path{{2}}, reserve)
 	if IsUnreadable(err) {
-		err = conns.Spoilt("%v", err)
+		err = conns.MalformedResponse("%v", err)
 	}
 	if err != nil {
 		return nil, err
 	}
 	switch {
 	case head.Protocol != c.Head.Protocol:
-		return nil, conns.Spoilt("a %v reply to a %v call", head.Protocol, c.Head.Protocol)
+		return nil, conns.MalformedResponse("a %v reply to a %v call", head.Protocol, c.Head.Protocol)
 	case head.Kind != thriftwire.Reply && head.Kind != thriftwire.Exception:
-		return nil, conns.Spoilt("a reply of kind %d", head.Kind)
+		return nil, conns.MalformedResponse("a reply of kind %d", head.Kind)
 	case head.Seq != seq:
-		return nil, conns.Spoilt("sequence id %d, asked with %d", head.Seq, seq)
-	case string(head.Name) != string(c.Head.Name) && string(head.Name) != unplexed(c.Head.Name):
-		return nil, conns.Spoilt("a reply to another method")
+		return nil, conns.MalformedResponse("sequence id %d, asked with %d", head.Seq, seq)
+	case string(head.Name) != string(c.Head.Name) && string(head.Name) != unqualifiedName(c.Head.Name):
+		return nil, conns.MalformedResponse("a reply to another method")
 	}
 	return &Reply{msg, head}, nil
 }
 
-// unplexed is a method's name without its service: some servers answer by that.
-func unplexed(name []byte) string {
+// unqualifiedName is a method's name without its service: some servers answer by that.
+func unqualifiedName(name []byte) string {
 	if i := slices.Index(name, ':'); i >= 0 {
 		return string(name[i+1:])
 	}
@@ -167,7 +167,7 @@
 	if t == thriftwire.Framed {
 		b, err := br.Peek(4)
 		if err != nil {
-			return nil, r.Message, cut(br, err)
+			return nil, r.Message, truncated(br, err)
 		}
 		most := limits.Size
 		if most <= 0 {
@@ -175,35 +175,35 @@
 		}
 		size, err := thriftwire.FrameSize(b, most)
 		if err != nil {
-			return nil, r.Message, unreadable{err}
+			return nil, r.Message, unreadableError{err}
 		}
 		br.Discard(4)
-		msg := make([]byte, min(size, free))
+		msg := make([]byte, min(size, unreservedBytes))
 		if _, err := io.ReadFull(br, msg); err != nil {
 			return nil, r.Message, err
 		}
 		// Who only claims a large frame holds nothing.
-		if size > free {
+		if size > unreservedBytes {
 			if err := reserve(int64(size)); err != nil {
 				return nil, r.Message, err
 			}
 			msg = append(make([]byte, 0, size), msg...)[:size]
-			if _, err := io.ReadFull(br, msg[free:]); err != nil {
+			if _, err := io.ReadFull(br, msg[unreservedBytes:]); err != nil {
 				return nil, r.Message, err
 			}
 		}
 		ok, err := r.Read(msg)
 		switch {
 		case err != nil:
-			return nil, r.Message, unreadable{err}
+			return nil, r.Message, unreadableError{err}
 		case !ok:
-			return nil, r.Message, unread("a frame shorter than its message")
+			return nil, r.Message, unreadablef("a frame shorter than its message")
 		case r.Size != size:
-			return nil, r.Message, unread("a frame of %d bytes with a message of %d", size, r.Size)
+			return nil, r.Message, unreadablef("a frame of %d bytes with a message of %d", size, r.Size)
 		}
 		return msg, r.Message, nil
 	}
-	msg := make([]byte, 0, free)
+	msg := make([]byte, 0, unreservedBytes)
 	for {
 		// One byte at least, and no more than has come: what stands behind the message is the next
 		// one's.
@@ -225,7 +225,7 @@
 		msg = append(msg, chunk...)
 		ok, err := r.Read(msg)
 		if err != nil {
-			return nil, r.Message, unreadable{err}
+			return nil, r.Message, unreadableError{err}
 		}
 		if ok {
 			br.Discard(r.Size - had)
@@ -236,8 +236,8 @@
 	}
 }
 
-// cut makes the end of a connection in the midst of a frame's length what it is.
-func cut(br *bufio.Reader, err error) error {
+// truncated makes the end of a connection in the midst of a frame's length what it is.
+func truncated(br *bufio.Reader, err error) error {
 	if err == io.EOF && br.Buffered() > 0 {
 		return io.ErrUnexpectedEOF
 	}
@@ -246,6 +246,6 @@
 
 // IsUnreadable tells whether Read took what came for no message, as against a connection that broke.
 func IsUnreadable(err error) bool {
-	var u unreadable
+	var u unreadableError
 	return errors.As(err, &u)
 }
