--- a/internal/upstream/conns/disconnect_test.go
+++ b/internal/upstream/conns/disconnect_test.go
@@ -16,8 +16,8 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// lateListener listens with an accept queue that is full, so that whoever connects waits, until accept is called: it
-// returns how many bytes came on all connections, each up to its end.
+// lateListener listens with a full accept queue, so that a connect waits until accept is called, which returns how many
+// bytes arrived on all connections, each up to its end.
 func lateListener(t *testing.T) (addr string, accept func() int64) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 	return addr, func() (n int64) {
 		fill.Close()
-		for range 2 { // fill, and the one that came late
+		for range 2 { // fill, and the late one
 			ln.(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout))
 			c, err := ln.Accept()
 			if err != nil {
@@ -51,7 +51,7 @@
 				return n
 			}
 			t.Cleanup(func() { c.Close() })
-			c.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // what was written has come before Do returns
+			c.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // what was written has arrived before Do returns
 			m, _ := io.Copy(io.Discard, c)
 			n += m
 		}
@@ -59,8 +59,8 @@
 	}
 }
 
-// A connection that comes up late, after the client has left, carries nothing: neither where the attempt is not
-// withdrawn yet, nor on one that was at hand; it is kept for others.
+// For a client that disconnected before the first byte nothing is sent, whether the connection is late or not; the
+// connection stays idle for others.
 func TestNothingIsBegunForADisconnectedClient(t *testing.T) {
 	t.Parallel()
 	for _, late := range []bool{false, true} {
@@ -76,21 +76,21 @@
 			})
 		}
 		p, key := New(waitTimeout, time.Minute, 8), newKey()
-		var gone atomic.Bool
-		gone.Store(!late)
+		var disconnected atomic.Bool
+		disconnected.Store(!late)
 		done := make(chan core.Result, 1)
 		go func() {
 			done <- p.Do(t.Context(), &Exchange{Key: key, Addr: addr, Sent: time.Now(), Deadline: time.Now().Add(2 * time.Second),
-				Budget: semaphore.NewWeighted(1), Disconnected: gone.Load,
-				EncodeRequest: func() net.Buffers { return net.Buffers{[]byte("asked")} },
+				Budget: semaphore.NewWeighted(1), Disconnected: disconnected.Load,
+				EncodeRequest: func() net.Buffers { return net.Buffers{[]byte("request")} },
 				ReadResponse: func(cn *Conn, _ func(int64) error) (core.Result, bool, error) {
 					_, err := cn.Read(make([]byte, 1))
 					return core.Result{}, true, err
 				}})
 		}()
 		if late {
-			waitFor(t, "no connect is out", func() bool { return p.Open() == 1 })
-			gone.Store(true)
+			waitFor(t, "there is no connect", func() bool { return p.Open() == 1 })
+			disconnected.Store(true)
 			if n := accept(); n != 0 {
 				t.Errorf("late: %d bytes were written", n)
 			}
@@ -101,7 +101,7 @@
 	}
 }
 
-// A withdrawal ends a connect that is out, at once, and nothing is written on what comes up later.
+// A cancellation ends a connect at once, and nothing is written on a connection that is accepted later.
 func TestCancelledConnectCarriesNothing(t *testing.T) {
 	t.Parallel()
 	addr, _ := lateListener(t)
@@ -110,9 +110,9 @@
 	done := make(chan core.Result, 1)
 	go func() {
 		done <- p.Do(ctx, &Exchange{Key: key, Addr: addr, Sent: time.Now(), Deadline: time.Now().Add(waitTimeout), Budget: semaphore.NewWeighted(1),
-			EncodeRequest: func() net.Buffers { t.Error("a request was made"); return nil }})
+			EncodeRequest: func() net.Buffers { t.Error("a request was encoded"); return nil }})
 	}()
-	waitFor(t, "no connect is out", func() bool { return p.Open() == 1 })
+	waitFor(t, "there is no connect", func() bool { return p.Open() == 1 })
 	cancel()
 	select {
 	case r := <-done:
@@ -120,11 +120,11 @@
 			t.Errorf("%+v, %d open", r, p.Open())
 		}
 	case <-time.After(waitTimeout / 4):
-		t.Fatal("the connect goes on")
+		t.Fatal("the connect does not end")
 	}
 }
 
-// waitFor waits for something.
+// waitFor waits until a condition holds.
 func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !is(); time.Sleep(time.Millisecond) {
--- a/internal/upstream/conns/exchange.go
+++ b/internal/upstream/conns/exchange.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"net"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
@@ -17,174 +16,137 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// ErrMalformedResponse marks an answer that can't be read, or is another request's: the request may have run, and its
-// connection is of no further use.
-var ErrMalformedResponse = errors.New("spoilt answer")
+const (
+	// bodyWriteTimeout bounds how long a backend may accept nothing of a request's body.
+	bodyWriteTimeout = 5 * time.Second
+	// earlyResponseTimeout bounds the wait for a response after the backend stopped to accept the body.
+	earlyResponseTimeout = 50 * time.Millisecond
+)
+
+var (
+	// ErrMalformedResponse is wrapped by the error of a response that can't be read, or belongs to another
+	// request. The attempt may have run; its connection is closed.
+	ErrMalformedResponse = errors.New("malformed response")
+	// ErrIncompleteRequest is wrapped by the error of a body that did not arrive completely from the client.
+	ErrIncompleteRequest = errors.New("incomplete request body")
+)
 
-// MalformedResponse says what is wrong with an answer.
+// MalformedResponse returns an ErrMalformedResponse with a reason.
 func MalformedResponse(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformedResponse, fmt.Sprintf(format, args...))
 }
 
-// Exchange is one attempt: a request that is written once and its answer, in whatever protocol.
+// Exchange is one attempt: a request that is written once and its response, in any protocol.
 type Exchange struct {
 	Key      Key
 	Addr     string
 	Sent     time.Time // when the attempt began
 	Deadline time.Time
-	// StartBefore, where it is not zero, is until when the attempt may be begun.
+	// StartBefore, if not zero, is until when the attempt may be begun.
 	StartBefore time.Time
-	// Superseded, where it is set and true, says that the attempt is not to be begun any more.
+	// Superseded, if not nil and true, says that the attempt is not to be begun any more.
 	Superseded *atomic.Bool
-	// Disconnected, where it is set, tells whether the client has left: asked last of all, right before the first byte.
+	// Disconnected, if not nil, says whether the client has disconnected. It is checked last, right before the
+	// first byte.
 	Disconnected func() bool
-	Budget       *semaphore.Weighted // memory for the answer
-	HealthCheck  bool                // it is no attempt, and not counted as one
-	// EncodeRequest makes the bytes, once the connection is up.
-	EncodeRequest func() net.Buffers
-	// ReadResponse reads the answer and tells whether the connection may carry another request. It asks reserve
-	// for memory. nil: nothing will ever come.
-	ReadResponse func(cn *Conn, reserve func(n int64) error) (res core.Result, reusable bool, err error)
-	// WriteBody, where it is set, writes what comes behind Request, from where it still comes itself, and then says
-	// until when the attempt has time. An error that is ErrUnread is not the backend's.
-	WriteBody func(w io.Writer) (until time.Time, err error)
-}
+	Budget       *semaphore.Weighted // memory for the response, in bytes
+	HealthCheck  bool                // not counted as an attempt
 
-// ErrIncompleteRequest says that the rest of a request did not come from its client.
-var ErrIncompleteRequest = errors.New("the rest of the request did not come")
-
-// Stream is the rest of an answer that is passed on as it comes. It owns the connection until it is closed.
-type Stream struct {
-	pool     *Pool
-	mu       sync.Mutex
-	conn     *Conn // nil: closed
-	read     func(p []byte) (int, error)
-	reusable bool // the connection may carry another request once the answer has ended
+	// EncodeRequest returns the bytes of the request, once there is a connection.
+	EncodeRequest func() net.Buffers
+	// ReadResponse reads the response and says whether the connection may carry another request. It calls
+	// reserve for memory. nil: there is no response.
+	ReadResponse func(cn *Conn, reserve func(bytes int64) error) (result core.Result, reusable bool, err error)
+	// WriteBody, if not nil, writes what follows EncodeRequest, as it arrives from the client, and returns the
+	// deadline of the attempt from then on. An ErrIncompleteRequest is not the backend's fault.
+	WriteBody func(w io.Writer) (deadline time.Time, err error)
 }
 
-// streamReadTimeout is how long a backend may give nothing of an answer that it has begun.
-const streamReadTimeout = 15 * time.Second
-
-// NewStream hands an answer's connection to the rest of it, which read reads; keep tells whether the connection
-// may be used again behind it. It is for Answer, which is to return it in the reply, as Exchange.Rest.
-func (p *Pool) NewStream(cn *Conn, read func(p []byte) (int, error), keep bool) *Stream {
-	cn.stream = &Stream{pool: p, conn: cn, read: read, reusable: keep}
-	return cn.stream
+// Do makes the attempt and returns its outcome. It never sends anything twice. Cancelling ctx cancels the attempt
+// and closes its connection.
+//
+// Here, and nowhere else, it is decided whether an attempt may have run: if its last byte was written, or if that
+// is unknown.
+func (p *Pool) Do(ctx context.Context, x *Exchange) core.Result {
+	result := p.attempt(ctx, x)
+	// A cancelled attempt says nothing about its backend, even if the cancellation ended a connect. A response
+	// that had arrived counts, and what was never written never ran.
+	if ctx.Err() != nil && result.Reply == nil && result.Status != policy.NotStarted {
+		result.Status = policy.Cancelled
+	}
+	result.LatencyMs = float64(time.Since(x.Sent).Microseconds()) / 1000
+	return result
 }
 
-// Read reads on; io.EOF says that the answer has come whole.
-func (r *Stream) Read(p []byte) (int, error) {
-	r.mu.Lock()
-	cn := r.conn
-	r.mu.Unlock()
-	if cn == nil {
-		return 0, net.ErrClosed
+// attempt gets a connection and makes the exchange on it.
+func (p *Pool) attempt(ctx context.Context, x *Exchange) (result core.Result) {
+	connectDeadline := time.Now().Add(p.connectTimeout)
+	deadline := connectDeadline
+	if x.Deadline.Before(deadline) {
+		deadline = x.Deadline
 	}
-	cn.SetDeadline(time.Now().Add(streamReadTimeout))
-	return r.read(p)
+	cn, err := p.Get(ctx, x.Key, x.Addr, deadline)
+	if err != nil {
+		return core.Result{Status: connectStatus(err, x.Deadline.Before(connectDeadline))}
+	}
+	reusable := false
+	stop := context.AfterFunc(ctx, cn.cancel)
+	defer func() { p.release(cn, stop(), reusable) }()
+	cn.SetDeadline(x.Deadline)
+	result, reusable = p.exchange(ctx, cn, x)
+	return result
 }
 
-// Cancel has a Read end at once, and each later one. It may be called from any goroutine, and at any time.
-func (r *Stream) Cancel() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.conn != nil {
-		r.conn.cancel()
+// connectStatus is the outcome of an attempt without a connection: not a byte was sent. It is the backend's fault
+// only if it rejected the connection, or had the time to accept it.
+func connectStatus(err error, cutShort bool) policy.Status {
+	if IsLocalError(err) || cutShort && !errors.Is(err, syscall.ECONNREFUSED) {
+		return policy.NotStarted
 	}
+	return policy.ConnectFailed
 }
 
-// Close ends with the connection: whole says that io.EOF was read.
-func (r *Stream) Close(whole bool) {
-	r.mu.Lock()
-	cn := r.conn
-	r.conn = nil
-	r.mu.Unlock()
-	if cn == nil {
-		return
+// release ends the use of a connection. usable is false if its cancellation has begun: that could hit the next
+// user.
+func (p *Pool) release(cn *Conn, usable, reusable bool) {
+	if stream := cn.stream; stream != nil {
+		cn.stream = nil
+		if usable {
+			return // the stream owns the connection now
+		}
+		stream.conn = nil
 	}
-	if whole && r.reusable && !cn.cancelled { // nobody withdraws it any more
-		r.pool.Put(cn)
+	if usable && reusable {
+		p.Put(cn)
 	} else {
-		r.pool.Close(cn)
-	}
-}
-
-// Do makes the attempt and returns how it ended, exactly once. It never sends anything twice. Cancelling ctx
-// withdraws the attempt and closes its connection. Here, and nowhere else, it is settled whether an attempt
-// may have run: it may once its last byte was written, or nobody can say that it was not.
-func (p *Pool) Do(ctx context.Context, x *Exchange) core.Result {
-	r := p.attempt(ctx, x)
-	// A withdrawn attempt says nothing of its backend, also where the withdrawal cut
-	// off a connect; an answer that was already there stands, and what was never
-	// written never ran.
-	if ctx.Err() != nil && r.Reply == nil && r.Status != policy.NotStarted {
-		r.Status = policy.Cancelled
+		p.Close(cn)
 	}
-	r.LatencyMs = float64(time.Since(x.Sent).Microseconds()) / 1000
-	return r
 }
 
-func (p *Pool) attempt(ctx context.Context, x *Exchange) core.Result {
-	connectBy := time.Now().Add(p.connectTimeout)
-	by := connectBy
-	if x.Deadline.Before(by) {
-		by = x.Deadline
-	}
-	cn, err := p.Get(ctx, x.Key, x.Addr, by)
-	if err != nil {
-		// Refused or never came up: not a byte was sent. Only what the backend had the
-		// time for, or did, is its fault.
-		if IsLocalError(err) || x.Deadline.Before(connectBy) && !errors.Is(err, syscall.ECONNREFUSED) {
-			return core.Result{Status: policy.NotStarted}
-		}
-		return core.Result{Status: policy.ConnectFailed}
-	}
-	reusable := false
-	// Withdrawing makes whatever reads or writes end at once.
-	stop := context.AfterFunc(ctx, cn.cancel)
-	defer func() {
-		// If the withdrawal has begun its deadline would hit the next user.
-		still := stop()
-		if rest := cn.stream; rest != nil {
-			if cn.stream = nil; still {
-				return // the rest of the answer has it now
-			}
-			rest.conn = nil
-		}
-		if still && reusable {
-			p.Put(cn)
-		} else {
-			p.Close(cn)
-		}
-	}()
-	cn.SetDeadline(x.Deadline)
-	// The connect may have taken long: the drain grace runs from the telling, so
-	// nothing is begun on a backend that was told to drain meanwhile; and repeats are
-	// dropped for a time only.
-	if ctx.Err() != nil || x.Key.Backend.Unavailable() || !x.StartBefore.IsZero() && time.Now().After(x.StartBefore) || x.Superseded != nil && x.Superseded.Load() {
-		reusable = true
-		return core.Result{Status: policy.NotStarted}
+// exchange writes the request and reads the response. reusable says whether the connection may carry another
+// request.
+func (p *Pool) exchange(ctx context.Context, cn *Conn, x *Exchange) (result core.Result, reusable bool) {
+	if ctx.Err() != nil || !x.mayBegin() {
+		return core.Result{Status: policy.NotStarted}, true
 	}
-	out := x.EncodeRequest()
-	whole := int64(0)
-	for _, b := range out {
-		whole += int64(len(b))
+	request := x.EncodeRequest()
+	size := int64(0)
+	for _, b := range request {
+		size += int64(len(b))
 	}
 	if x.Disconnected != nil && x.Disconnected() {
-		reusable = true
-		return core.Result{Status: policy.NotStarted, ClientDisconnected: true}
+		return core.Result{Status: policy.NotStarted, ClientDisconnected: true}, true
 	}
-	if n, err := out.WriteTo(cn.Conn); err != nil {
-		if n < whole || x.WriteBody != nil {
-			// The last byte never left, and the connection is closed: it cannot run.
-			return core.Result{Status: policy.ConnectFailed}
+	if n, err := request.WriteTo(cn.Conn); err != nil {
+		if n < size || x.WriteBody != nil {
+			// The last byte was not sent, and the connection is closed: it can't run.
+			return core.Result{Status: policy.ConnectFailed}, false
 		}
-		return core.Result{Status: statusOf(err)}
+		return core.Result{Status: statusOf(err)}, false
 	}
-	spent := x.WriteBody != nil
-	if spent {
-		if r, ok := p.writeBody(ctx, cn, x); !ok {
-			return r
+	if x.WriteBody != nil {
+		if result, ok := p.writeBody(ctx, cn, x); !ok {
+			return result, false
 		}
 	}
 	if p.AttemptsWritten != nil && !x.HealthCheck {
@@ -192,67 +154,86 @@
 	}
 	if x.ReadResponse == nil {
 		// It may have run, and nobody can know more.
-		reusable = true
-		return core.Result{Status: policy.Cancelled, NoReplyExpected: true}
+		return core.Result{Status: policy.Cancelled, NoReplyExpected: true}, true
+	}
+	return p.readResponse(ctx, cn, x)
+}
+
+// mayBegin says whether the attempt may still be begun. The connect may have taken long: a backend that has begun
+// to drain meanwhile gets no new request, and the idempotency window of a retry may be over.
+func (x *Exchange) mayBegin() bool {
+	switch {
+	case x.Key.Backend.Unavailable():
+		return false
+	case !x.StartBefore.IsZero() && time.Now().After(x.StartBefore):
+		return false
 	}
-	held := int64(0)
-	by = x.Deadline
-	res, again, err := x.ReadResponse(cn, func(n int64) error {
-		within, cancel := context.WithDeadline(ctx, by)
+	return x.Superseded == nil || !x.Superseded.Load()
+}
+
+// readResponse reads the response and accounts for its memory.
+func (p *Pool) readResponse(ctx context.Context, cn *Conn, x *Exchange) (result core.Result, reusable bool) {
+	reserved := int64(0)
+	deadline := x.Deadline
+	reserve := func(bytes int64) error {
+		reserveCtx, cancel := context.WithDeadline(ctx, deadline)
 		defer cancel()
-		err := x.Budget.Acquire(within, n)
+		err := x.Budget.Acquire(reserveCtx, bytes)
 		if err == nil {
-			held += n
+			reserved += bytes
 		}
 		return err
-	})
+	}
+	bodyConsumed := x.WriteBody != nil
+	result, reusable, err := x.ReadResponse(cn, reserve)
 	if err != nil {
-		x.Budget.Release(held)
+		x.Budget.Release(reserved)
 		p.RecordEnd(cn, statusOf(err) == policy.Reset)
-		return core.Result{Status: statusOf(err), BodyConsumed: spent}
+		return core.Result{Status: statusOf(err), BodyConsumed: bodyConsumed}, false
 	}
 	p.RecordEnd(cn, false)
-	res.BodyConsumed = spent && res.Status != policy.OK
-	reusable, res.ReservedBytes = again, held // more behind the answer is looked for by Put
-	return res
+	result.BodyConsumed = bodyConsumed && result.Status != policy.OK
+	result.ReservedBytes = reserved
+	return result, reusable
 }
 
-// bodyWriteTimeout is how long a backend may take nothing of a request's body.
-const bodyWriteTimeout = 5 * time.Second
-
-// writeBody writes what still comes of a request. Where it does not come whole, or does not get there whole,
-// the attempt has ended, and never ran: the connection is closed before its last byte. A backend that has
-// turned it away meanwhile is heard.
+// writeBody writes the body as it arrives from the client. If it returns false the attempt has ended with the
+// result and never ran: the connection is closed before the last byte. A backend that has rejected the request
+// meanwhile counts as having done so.
 func (p *Pool) writeBody(ctx context.Context, cn *Conn, x *Exchange) (core.Result, bool) {
 	cn.SetDeadline(time.Time{})
-	until, err := x.WriteBody(deadlineWriter{ctx, cn})
+	deadline, err := x.WriteBody(bodyWriter{ctx, cn})
 	switch {
 	case err == nil:
-		// What the attempt's time begins with is now: latency is what the backend took.
-		x.Sent, x.Deadline = time.Now(), until
-		if cn.SetDeadline(until); ctx.Err() != nil {
+		// The time of the attempt begins now: latency is what the backend takes.
+		x.Sent = time.Now()
+		x.Deadline = deadline
+		cn.SetDeadline(deadline)
+		if ctx.Err() != nil {
 			return core.Result{Status: policy.Reset, BodyConsumed: true}, false
 		}
 		return core.Result{}, true
 	case errors.Is(err, ErrIncompleteRequest) || ctx.Err() != nil:
-		return core.Result{Status: policy.NotStarted, BodyConsumed: true, IncompleteRequest: errors.Is(err, ErrIncompleteRequest)}, false
+		incomplete := errors.Is(err, ErrIncompleteRequest)
+		return core.Result{Status: policy.NotStarted, BodyConsumed: true, IncompleteRequest: incomplete}, false
 	}
 	status := policy.ConnectFailed
-	cn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	if res, _, err := x.ReadResponse(cn, func(int64) error { return ErrMalformedResponse }); err == nil && res.Status == policy.Rejected {
+	cn.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
+	noMemory := func(int64) error { return ErrMalformedResponse }
+	if result, _, err := x.ReadResponse(cn, noMemory); err == nil && result.Status == policy.Rejected {
 		status = policy.Rejected
 	}
 	cn.stream = nil
 	return core.Result{Status: status, BodyConsumed: true}, false
 }
 
-// deadlineWriter gives each write a time of its own.
-type deadlineWriter struct {
-	ctx context.Context // the attempt's: once it is withdrawn nothing more is written
+// bodyWriter gives each write of a body a timeout of its own.
+type bodyWriter struct {
+	ctx context.Context // of the attempt: once it is cancelled nothing more is written
 	cn  *Conn
 }
 
-func (w deadlineWriter) Write(p []byte) (int, error) {
+func (w bodyWriter) Write(p []byte) (int, error) {
 	w.cn.SetWriteDeadline(time.Now().Add(bodyWriteTimeout))
 	if err := w.ctx.Err(); err != nil {
 		return 0, err
@@ -260,13 +241,13 @@
 	return w.cn.Write(p)
 }
 
-// statusOf maps what ended an attempt whose last byte was written: it may have run.
+// statusOf is the outcome of an attempt that ended with an error after its last byte was written: it may have run.
 func statusOf(err error) policy.Status {
-	var timeout net.Error
+	var netErr net.Error
 	switch {
 	case errors.Is(err, ErrMalformedResponse):
 		return policy.Error
-	case errors.As(err, &timeout) && timeout.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return policy.Timeout
 	}
 	return policy.Reset
--- a/internal/upstream/conns/exchange_test.go
+++ b/internal/upstream/conns/exchange_test.go
@@ -13,52 +13,52 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// An attempt that is withdrawn as its answer comes keeps the answer, and its connection is not used again:
-// the withdrawal's deadline would hit whoever has it next. Memory that a failed one asked for is given back.
+// An attempt that is cancelled as its response arrives has the response, and its connection is not used again: the
+// deadline of the cancellation would hit the next user. Memory that a failed attempt reserved is released.
 func TestCancelledAsTheResponseArrives(t *testing.T) {
 	addr := startPeer(t, func(c net.Conn) { io.WriteString(c, "answer") })
-	for _, withdrawn := range []bool{false, true} {
+	for _, cancelled := range []bool{false, true} {
 		p, key := New(waitTimeout, time.Minute, 8), newKey()
 		budget := semaphore.NewWeighted(100)
 		ctx, cancel := context.WithCancel(t.Context())
 		x := Exchange{Key: key, Addr: addr, Sent: time.Now(), Deadline: time.Now().Add(waitTimeout), Budget: budget,
-			EncodeRequest: func() net.Buffers { return net.Buffers{[]byte("ask"), []byte("ed")} },
+			EncodeRequest: func() net.Buffers { return net.Buffers{[]byte("requ"), []byte("est")} },
 			ReadResponse: func(cn *Conn, reserve func(int64) error) (core.Result, bool, error) {
 				if err := reserve(60); err != nil {
 					return core.Result{}, false, err
 				}
 				_, err := io.ReadFull(cn.Reader, make([]byte, len("answer")))
-				if withdrawn {
+				if cancelled {
 					cancel()
 				}
 				return core.Result{Status: policy.OK, Reply: "answer"}, true, err
 			}}
 		r := p.Do(ctx, &x)
 		idle := 1
-		if withdrawn {
+		if cancelled {
 			idle = 0
 		}
 		if r.Status != policy.OK || r.ReservedBytes != 60 || p.Idle(key) != idle || p.Open() != idle {
-			t.Errorf("withdrawn %v: %+v, %d idle, %d open", withdrawn, r, p.Idle(key), p.Open())
+			t.Errorf("cancelled %v: %+v, %d idle, %d open", cancelled, r, p.Idle(key), p.Open())
 		}
 		budget.Release(r.ReservedBytes)
 		x.ReadResponse = func(_ *Conn, reserve func(int64) error) (core.Result, bool, error) {
 			reserve(60)
-			return core.Result{}, true, MalformedResponse("it says nothing")
+			return core.Result{}, true, MalformedResponse("it is empty")
 		}
 		if r := p.Do(t.Context(), &x); r.Status != policy.Error || r.ReservedBytes != 0 || p.Open() != 0 || !budget.TryAcquire(100) {
-			t.Errorf("spoilt: %+v, %d open", r, p.Open())
+			t.Errorf("malformed: %+v, %d open", r, p.Open())
 		}
 		cancel()
 	}
 }
 
-// A repeat whose key is no longer known once the connection is up is not begun, and the connection is kept.
+// A retry whose idempotency window is over once there is a connection is not begun, and the connection stays idle.
 func TestAttemptIsNotBegunAfterStartBefore(t *testing.T) {
-	asked := make(chan struct{}, 2)
+	requests := make(chan struct{}, 2)
 	addr := startPeer(t, func(c net.Conn) {
 		if _, err := c.Read(make([]byte, 8)); err == nil {
-			asked <- struct{}{}
+			requests <- struct{}{}
 			io.WriteString(c, "answer")
 		}
 	})
@@ -66,7 +66,7 @@
 		p, key := New(waitTimeout, time.Minute, 8), newKey()
 		x := Exchange{Key: key, Addr: addr, Sent: time.Now(), Deadline: time.Now().Add(waitTimeout), StartBefore: time.Now().Add(waitTimeout),
 			Budget:        semaphore.NewWeighted(100),
-			EncodeRequest: func() net.Buffers { return net.Buffers{[]byte("asked")} },
+			EncodeRequest: func() net.Buffers { return net.Buffers{[]byte("request")} },
 			ReadResponse: func(cn *Conn, _ func(int64) error) (core.Result, bool, error) {
 				_, err := io.ReadFull(cn.Reader, make([]byte, len("answer")))
 				return core.Result{Status: policy.OK}, true, err
@@ -75,25 +75,25 @@
 		if late {
 			x.StartBefore, want = time.Now(), policy.NotStarted
 		}
-		if r := p.Do(t.Context(), &x); r.Status != want || p.Idle(key) != 1 || late && len(asked) != 0 {
-			t.Errorf("late %v: %+v, %d idle, %d asked", late, r, p.Idle(key), len(asked))
+		if r := p.Do(t.Context(), &x); r.Status != want || p.Idle(key) != 1 || late && len(requests) != 0 {
+			t.Errorf("late %v: %+v, %d idle, %d requests", late, r, p.Idle(key), len(requests))
 		}
 	}
 }
 
-// A withdrawal stands, whatever deadline is set behind it: the reader of an answer that comes in pieces sets one for
-// each of them, and the attempt would stay out. Its connection is not used again.
+// A cancellation lasts, whatever deadline is set after it: the reader of a response that arrives in pieces sets one for
+// each of them, and the attempt would not end. Its connection is not used again.
 func TestNoDeadlineUndoesACancellation(t *testing.T) {
-	addr := startPeer(t, func(c net.Conn) { c.Read(make([]byte, 8)) }) // it never answers
+	addr := startPeer(t, func(c net.Conn) { c.Read(make([]byte, 8)) }) // it never responds
 	p, key := New(waitTimeout, time.Minute, 8), newKey()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan core.Result, 1)
 	go func() {
 		done <- p.Do(ctx, &Exchange{Key: key, Addr: addr, Sent: time.Now(), Deadline: time.Now().Add(waitTimeout),
-			Budget: semaphore.NewWeighted(1), EncodeRequest: func() net.Buffers { return net.Buffers{[]byte("asked")} },
+			Budget: semaphore.NewWeighted(1), EncodeRequest: func() net.Buffers { return net.Buffers{[]byte("request")} },
 			ReadResponse: func(cn *Conn, _ func(int64) error) (core.Result, bool, error) {
 				cancel()
-				_, err := cn.Read(make([]byte, 1)) // ends with the withdrawal: it has come
+				_, err := cn.Read(make([]byte, 1)) // ends with the cancellation
 				cn.SetDeadline(time.Now().Add(waitTimeout))
 				cn.SetReadDeadline(time.Now().Add(waitTimeout))
 				if _, err2 := cn.Read(make([]byte, 1)); err2 != nil {
@@ -108,11 +108,11 @@
 			t.Errorf("%+v, %d open", r, p.Open())
 		}
 	case <-time.After(waitTimeout / 4):
-		t.Fatal("the attempt stays out")
+		t.Fatal("the attempt does not end")
 	}
 }
 
-// The rest of an answer that is withdrawn ends its read at once, and its connection is not used again.
+// Cancelling a stream ends its read at once, and its connection is not used again.
 func TestStreamIsCancelled(t *testing.T) {
 	addr := startPeer(t, func(c net.Conn) { c.Read(make([]byte, 8)) })
 	p, key := New(waitTimeout, time.Minute, 8), newKey()
@@ -121,70 +121,70 @@
 		t.Fatal(err)
 	}
 	reading, read := make(chan struct{}), make(chan error, 1)
-	rest := p.NewStream(cn, func(b []byte) (int, error) {
+	stream := p.NewStream(cn, func(b []byte) (int, error) {
 		close(reading)
 		return cn.Read(b)
 	}, true)
 	go func() {
-		_, err := rest.Read(make([]byte, 1))
+		_, err := stream.Read(make([]byte, 1))
 		read <- err
 	}()
 	<-reading
-	rest.Cancel()
+	stream.Cancel()
 	select {
 	case err := <-read:
 		if err == nil {
 			t.Error("read something")
 		}
 	case <-time.After(waitTimeout / 4):
-		t.Fatal("the read goes on")
+		t.Fatal("the read does not end")
 	}
-	if rest.Close(true); p.Idle(key) != 0 || p.Open() != 0 {
+	if stream.Close(true); p.Idle(key) != 0 || p.Open() != 0 {
 		t.Errorf("%d idle, %d open", p.Idle(key), p.Open())
 	}
-	rest.Cancel() // late: it touches nobody's connection
+	stream.Cancel() // after the end: it affects no connection
 }
 
-// A second answer that comes some ms after the first is not taken for the next request's: once a backend was seen to
-// send what nobody asked for, a connection is left to settle behind each answer, and meanwhile another one is opened.
+// A second response that arrives some ms after the first is not taken for the next one: once a backend has sent
+// unexpected bytes, a connection settles after each response, and meanwhile another one is opened.
 func TestLateSecondResponseIsNotTakenForTheNext(t *testing.T) {
-	asked := make(chan net.Conn, 8)
+	requests := make(chan net.Conn, 8)
 	addr := startPeer(t, func(c net.Conn) {
-		for buf := make([]byte, 5); ; {
+		for buf := make([]byte, len("request")); ; {
 			if _, err := io.ReadFull(c, buf); err != nil {
 				return
 			}
-			asked <- c
+			requests <- c
 		}
 	})
 	p, key := New(waitTimeout, time.Minute, 8), newKey()
-	do := func(behind string, meanwhile func(c net.Conn)) string {
+	do := func(extra string, meanwhile func(c net.Conn)) string {
 		got := make([]byte, 6)
 		done := make(chan core.Result, 1)
 		go func() {
 			done <- p.Do(t.Context(), &Exchange{Key: key, Addr: addr, Sent: time.Now(), Deadline: time.Now().Add(waitTimeout),
-				Budget: semaphore.NewWeighted(1), EncodeRequest: func() net.Buffers { return net.Buffers{[]byte("asked")} },
+				Budget: semaphore.NewWeighted(1), EncodeRequest: func() net.Buffers { return net.Buffers{[]byte("request")} },
 				ReadResponse: func(cn *Conn, _ func(int64) error) (core.Result, bool, error) {
 					_, err := io.ReadFull(cn.Reader, got)
 					return core.Result{Status: policy.OK}, true, err
 				}})
 		}()
-		c := <-asked
+		c := <-requests
 		meanwhile(c)
-		io.WriteString(c, "answer"+behind)
+		io.WriteString(c, "answer"+extra)
 		if r := <-done; r.Status != policy.OK {
 			t.Fatalf("%+v", r)
 		}
 		return string(got)
 	}
-	do("second", func(net.Conn) {}) // in one segment: seen at once, and its connection closed
+	do("second", func(net.Conn) {}) // in one segment: noticed at once, and its connection closed
 	var first net.Conn
 	do("", func(c net.Conn) { first = c })
 	if p.Idle(key) != 1 {
 		t.Fatalf("%d idle", p.Idle(key))
 	}
-	got := do("", func(net.Conn) { io.WriteString(first, "second") }) // the request is out by now
+	got := do("", func(net.Conn) { io.WriteString(first, "second") }) // the request has been sent
 	if got != "answer" {
-		t.Errorf("the next request was answered with %q", got)
+		t.Errorf("the next response is %q", got)
 	}
 }
--- a/internal/upstream/conns/idleages.go
+++ b/internal/upstream/conns/idleages.go
@@ -8,33 +8,37 @@
 )
 
 const (
-	// firstAgeBound is the first bound between idle times that are told apart; each further one
-	// is twice the one before.
+	// ageBuckets is the number of ranges of idle time that are distinguished, new connections included.
+	ageBuckets = 16
+	// firstAgeBound is the upper bound of the first range; each further one is twice the one before.
 	firstAgeBound = 5 * time.Millisecond
-	// maxExtraResetRate is how much more often than new ones kept connections may break before a
-	// new one is worth its handshake.
+	// maxExtraResetRate is how much more often idle connections may be reset than new ones before opening a new
+	// one is cheaper.
 	maxExtraResetRate = 0.04
-	// ageHalfLife is after how long what was seen counts half.
+	// minNewConns is the number of new connections below which their rate of resets is underestimated.
+	minNewConns = 10
+	// ageHalfLife is after how long records count half.
 	ageHalfLife = 10 * time.Second
 )
 
-// idleAges learns for how long a connection may have idled to be used again. A backend
-// says at the latest when it closes one; some close sooner, and something on the way
-// may forget a connection without a word to either end. The next request on it then
-// ends as a reset, and an unsafe one has failed.
+// idleAges learns how long a connection may be idle and still be used. Some backends close idle connections
+// sooner than they say, and a middlebox may forget one without notice to either end: the next request on it ends
+// as a reset, and one that is not idempotent has failed.
 type idleAges struct {
 	mu       sync.Mutex
 	halvedAt time.Time
-	// Attempts and breaks without a byte of an answer, by idle time; first the new ones.
-	uses, resets [16]float64
+	// Attempts, and resets without a byte of a response, by bucket of idle time; 0 are new connections.
+	uses   [ageBuckets]float64
+	resets [ageBuckets]float64
 }
 
+// ageBucket is the bucket of an idle time.
 func ageBucket(age time.Duration) int {
-	return min(1+bits.Len64(uint64(max(age, 0)/firstAgeBound)), len(idleAges{}.uses)-1)
+	return min(1+bits.Len64(uint64(max(age, 0)/firstAgeBound)), ageBuckets-1)
 }
 
-// record takes an attempt's end; slot is 0 for a new connection.
-func (a *idleAges) record(slot int, broke bool) {
+// record records the end of an attempt on a connection of a bucket.
+func (a *idleAges) record(bucket int, reset bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if now := time.Now(); now.Sub(a.halvedAt) > ageHalfLife {
@@ -44,20 +48,21 @@
 			a.resets[i] /= 2
 		}
 	}
-	a.uses[slot]++
-	if broke {
-		a.resets[slot]++
+	a.uses[bucket]++
+	if reset {
+		a.resets[bucket]++
 	}
 }
 
-// usable tells whether a connection that idled so long is as good as a new one. Where a
-// shorter time breaks them a longer one does.
+// usable says whether a connection of this idle time is as good as a new one. If a shorter idle time has too many
+// resets, a longer one has too.
 func (a *idleAges) usable(age time.Duration) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	most := maxExtraResetRate + a.resets[0]/max(a.uses[0], 10)
+	maxRate := maxExtraResetRate + a.resets[0]/max(a.uses[0], minNewConns)
 	for i := 1; i <= ageBucket(age); i++ {
-		if a.resets[i]-math.Sqrt(a.resets[i]) > most*a.uses[i] { // beyond chance
+		// One standard deviation less: the difference has to be more than chance.
+		if a.resets[i]-math.Sqrt(a.resets[i]) > maxRate*a.uses[i] {
 			return false
 		}
 	}
--- a/internal/upstream/conns/pool.go
+++ b/internal/upstream/conns/pool.go
@@ -1,5 +1,5 @@
-// Package conns keeps idle connections to backends and bounds all there are, for upstreams of every
-// protocol: descriptors are shared, connections never are.
+// Package conns pools connections to backends, for the upstreams of all protocols: they share the bound on
+// descriptors, never a connection. Exchange is one attempt on a connection.
 package conns
 
 import (
@@ -7,7 +7,6 @@
 	"context"
 	"errors"
 	"net"
-	"os"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -18,104 +17,72 @@
 	"ringtrack.example/ringtrack/internal/socket"
 )
 
-// Pool keeps idle connections to backends and bounds all there are. http.Transport
-// is not used on purpose: it sends again by itself on a broken kept connection, and
-// does not tell whether the last byte was written, on which hangs whether an attempt
-// may have run.
-type Pool struct {
-	connectTimeout time.Duration
-	keepalive      time.Duration // idle connections older than this are not used again
-	maxConns       int
-	// AttemptsWritten, where it is set, counts the attempts that were written whole. It is to be set before the first.
-	AttemptsWritten *atomic.Int64
-
-	mu sync.Mutex
-	// By backend, not by address: one that has gone may leave its address to another.
-	// The most recently used last.
-	idle map[Key][]*Conn // bound: max connections; a key with none has no entry
-	open int
-	ages idleAges
-	// unexpectedAt is when a connection last brought bytes that nobody had asked for.
-	unexpectedAt time.Time
-}
-
-// Key tells which connections may be used for one another: those to one backend, on which one kind of
-// thing is spoken. 0 is HTTP; other upstreams number their own.
-type Key struct {
-	Backend *core.Backend
-	Kind    uint8
-}
+const (
+	// defaultTimeout stands for a connect timeout or keepalive of 0.
+	defaultTimeout = time.Second
+	// readBufferBytes is the size of a connection's read buffer.
+	readBufferBytes = 4 << 10
 
-// Conn is a connection of a pool.
-type Conn struct {
-	net.Conn
-	Reader    *bufio.Reader
-	key       Key
-	addr      string
-	idleSince time.Time // idle since
-	stream    *Stream   // of the answer on it, which will own it
-	ageBucket int       // how long it idled before its last use, as ages tells times apart
+	// A second response to one request may arrive some ms after the first, behind the last byte of the next
+	// request, and nothing in it says which request it belongs to. For settlePeriod after any connection
+	// brought unexpected bytes, a connection is therefore used again only settleTime after its response.
+	settleTime   = 50 * time.Millisecond
+	settlePeriod = time.Minute
+)
 
-	mu        sync.Mutex
-	cancelled bool // what reads or writes ends at once, from now on
-}
+// ErrTooManyConns says that the pool has as many connections as it may have, all of them in use.
+var ErrTooManyConns = errors.New("no descriptor left for a connection")
 
-// cancel ends whatever reads or writes on the connection, for good: no deadline that is set later undoes it.
-func (c *Conn) cancel() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.cancelled = true
-	c.Conn.SetDeadline(time.Unix(1, 0))
-}
+// Pool has the idle connections to backends and bounds the number of all connections. Its methods may be called
+// from any goroutine.
+//
+// http.Transport is not used: it resends requests on a broken idle connection, and does not say whether the last
+// byte of a request was written, which decides whether an attempt may have run.
+type Pool struct {
+	// AttemptsWritten, if not nil, counts the attempts that were written completely. It is set before the
+	// first attempt.
+	AttemptsWritten *atomic.Int64
 
-// SetDeadline sets both.
-func (c *Conn) SetDeadline(t time.Time) error { return c.setUnlessCancelled(c.Conn.SetDeadline, t) }
+	connectTimeout time.Duration
+	keepalive      time.Duration // idle connections older than this are not used
+	idleAges       idleAges
 
-// SetReadDeadline sets that of reads.
-func (c *Conn) SetReadDeadline(t time.Time) error {
-	return c.setUnlessCancelled(c.Conn.SetReadDeadline, t)
+	mu       sync.Mutex
+	maxConns int
+	open     int // idle and in use
+	// idle has the idle connections, the most recently used last; a key without any has no entry. The key is the
+	// backend and not its address, which may pass from a removed backend to another one.
+	idle         map[Key][]*Conn
+	unexpectedAt time.Time // when a connection last brought unexpected bytes
 }
 
-// SetWriteDeadline sets that of writes.
-func (c *Conn) SetWriteDeadline(t time.Time) error {
-	return c.setUnlessCancelled(c.Conn.SetWriteDeadline, t)
+// Key says which connections are interchangeable: those to one backend with one protocol.
+type Key struct {
+	Backend *core.Backend
+	Kind    uint8 // of protocol: 0 is HTTP, other upstreams number their own
 }
 
-func (c *Conn) setUnlessCancelled(set func(time.Time) error, t time.Time) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.cancelled {
-		return os.ErrDeadlineExceeded
+// New returns a pool of at most maxConns connections. Idle ones are closed after keepalive. Times of 0 mean a
+// second.
+func New(connectTimeout, keepalive time.Duration, maxConns int) *Pool {
+	if connectTimeout <= 0 {
+		connectTimeout = defaultTimeout
 	}
-	return set(t)
-}
-
-const (
-	// settleTime is how long a connection is left alone behind an answer before it is used again, for unaskedFor
-	// after any connection brought bytes that nobody had asked for: a second answer may come some ms after the
-	// first, behind the next request's last byte, and nothing in it tells whose it is.
-	settleTime, settlePeriod = 50 * time.Millisecond, time.Minute
-)
-
-// ErrTooManyConns says that all descriptors for backends are in use.
-var ErrTooManyConns = errors.New("no descriptor left for a connection")
-
-// New returns a pool of max connections at the most. Times of 0 stand for a second.
-func New(connectTimeout, keepalive time.Duration, max int) *Pool {
-	p := &Pool{connectTimeout: connectTimeout, keepalive: keepalive, maxConns: max, idle: map[Key][]*Conn{}}
-	if p.connectTimeout <= 0 {
-		p.connectTimeout = time.Second
+	if keepalive <= 0 {
+		keepalive = defaultTimeout
 	}
-	if p.keepalive <= 0 {
-		p.keepalive = time.Second
+	return &Pool{
+		connectTimeout: connectTimeout,
+		keepalive:      keepalive,
+		maxConns:       maxConns,
+		idle:           map[Key][]*Conn{},
 	}
-	return p
 }
 
-// ConnectTimeout is how long a connection may take to come up.
+// ConnectTimeout is how long connecting may take.
 func (p *Pool) ConnectTimeout() time.Duration { return p.connectTimeout }
 
-// SetMax changes how many connections there may be. Where there are more, none is opened until there are not.
+// SetMax changes the bound on connections. While there are more, idle ones are closed and none is opened.
 func (p *Pool) SetMax(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,10 +105,10 @@
 	return len(p.idle[key])
 }
 
-// RecordEnd notes how an attempt on a connection ended: whether it broke without a byte of an answer.
-func (p *Pool) RecordEnd(cn *Conn, broke bool) { p.ages.record(cn.ageBucket, broke) }
+// RecordEnd records whether an attempt ended with a reset of its connection, without a byte of a response.
+func (p *Pool) RecordEnd(cn *Conn, reset bool) { p.idleAges.record(cn.ageBucket, reset) }
 
-// Adopt takes in an idle connection that was opened elsewhere.
+// Adopt adds an idle connection that was opened elsewhere.
 func (p *Pool) Adopt(nc net.Conn, key Key, addr string) {
 	p.mu.Lock()
 	p.open++
@@ -149,41 +116,62 @@
 	p.Put(&Conn{Conn: nc, Reader: bufio.NewReader(nc), key: key, addr: addr})
 }
 
-// Get returns an idle connection that is still good, the most recently used
-// first, or opens one.
-func (p *Pool) Get(ctx context.Context, key Key, addr string, until time.Time) (*Conn, error) {
+// Get returns an idle connection that is still usable, the most recently used first, or opens one until the
+// deadline. The caller ends its use with Put or Close.
+func (p *Pool) Get(ctx context.Context, key Key, addr string, deadline time.Time) (*Conn, error) {
 	for {
-		p.mu.Lock()
-		list := p.idle[key]
-		if len(list) == 0 {
-			break
+		cn, err := p.takeIdleOrReserve(key)
+		if err != nil {
+			return nil, err
 		}
-		at := len(list) - 1
-		if !p.unexpectedAt.IsZero() && time.Since(p.unexpectedAt) < settlePeriod {
-			for at >= 0 && time.Since(list[at].idleSince) < settleTime {
-				at--
-			}
-			if at < 0 {
-				break // those there are have not settled
-			}
+		if cn == nil {
+			return p.dial(ctx, key, addr, deadline)
 		}
-		cn := list[at]
-		p.setIdle(key, slices.Delete(list, at, at+1))
-		p.mu.Unlock()
 		age := time.Since(cn.idleSince)
-		if cn.addr == addr && age < p.keepalive && p.ages.usable(age) && p.isSilent(cn) {
+		if cn.addr == addr && age < p.keepalive && p.idleAges.usable(age) && p.isSilent(cn) {
 			cn.ageBucket = ageBucket(age)
 			return cn, nil
 		}
 		p.Close(cn)
 	}
+}
+
+// takeIdleOrReserve takes an idle connection. Where there is none it returns nil and counts a connection that is to
+// be opened; at the bound an idle one of any key is closed for it.
+func (p *Pool) takeIdleOrReserve(key Key) (*Conn, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if cn := p.takeIdle(key); cn != nil {
+		return cn, nil
+	}
 	if p.open >= p.maxConns && !p.evict() {
-		p.mu.Unlock()
 		return nil, ErrTooManyConns
 	}
 	p.open++
-	p.mu.Unlock()
-	dialer := net.Dialer{Deadline: until, KeepAlive: -1}
+	return nil, nil
+}
+
+// takeIdle removes and returns the idle connection that was used last and has settled; nil: there is none. The
+// lock is held.
+func (p *Pool) takeIdle(key Key) *Conn {
+	idle := p.idle[key]
+	last := len(idle) - 1
+	if !p.unexpectedAt.IsZero() && time.Since(p.unexpectedAt) < settlePeriod {
+		for last >= 0 && time.Since(idle[last].idleSince) < settleTime {
+			last--
+		}
+	}
+	if last < 0 {
+		return nil
+	}
+	cn := idle[last]
+	p.setIdle(key, slices.Delete(idle, last, last+1))
+	return cn
+}
+
+// dial opens a connection that has been counted.
+func (p *Pool) dial(ctx context.Context, key Key, addr string, deadline time.Time) (*Conn, error) {
+	dialer := net.Dialer{Deadline: deadline, KeepAlive: -1}
 	nc, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		p.mu.Lock()
@@ -191,25 +179,24 @@
 		p.mu.Unlock()
 		return nil, err
 	}
-	return &Conn{Conn: nc, Reader: bufio.NewReaderSize(nc, 4<<10), key: key, addr: addr}, nil
+	return &Conn{Conn: nc, Reader: bufio.NewReaderSize(nc, readBufferBytes), key: key, addr: addr}, nil
 }
 
-// setIdle stores what is idle of a backend. The lock is held.
-func (p *Pool) setIdle(key Key, list []*Conn) {
-	if len(list) == 0 {
+// setIdle sets the idle connections of a key. The lock is held.
+func (p *Pool) setIdle(key Key, idle []*Conn) {
+	if len(idle) == 0 {
 		delete(p.idle, key)
 		return
 	}
-	p.idle[key] = list
+	p.idle[key] = idle
 }
 
-// evict closes the connection that has been idle longest, to make room for
-// another backend's. The lock is held.
+// evict closes the connection that has been idle longest; false if none is idle. The lock is held.
 func (p *Pool) evict() bool {
 	var oldest *Conn
-	for _, list := range p.idle {
-		if oldest == nil || list[0].idleSince.Before(oldest.idleSince) {
-			oldest = list[0]
+	for _, idle := range p.idle {
+		if oldest == nil || idle[0].idleSince.Before(oldest.idleSince) {
+			oldest = idle[0]
 		}
 	}
 	if oldest == nil {
@@ -221,8 +208,8 @@
 	return true
 }
 
-// Put keeps a connection for the next attempt, unless it brought more than it was
-// asked for: the rest would be taken for the next answer.
+// Put returns a connection for the next attempt. It is closed if its backend is unavailable, or if it brought
+// more than its response: that would be taken for the next one.
 func (p *Pool) Put(cn *Conn) {
 	cn.SetDeadline(time.Time{})
 	cn.idleSince = time.Now()
@@ -235,7 +222,7 @@
 	p.idle[cn.key] = append(p.idle[cn.key], cn)
 }
 
-// Close closes a connection that was got.
+// Close closes a connection that Get returned.
 func (p *Pool) Close(cn *Conn) {
 	cn.Close()
 	p.mu.Lock()
@@ -247,11 +234,11 @@
 func (p *Pool) CloseIdle(b *core.Backend) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for key, list := range p.idle {
+	for key, idle := range p.idle {
 		if key.Backend != b {
 			continue
 		}
-		for _, cn := range list {
+		for _, cn := range idle {
 			p.open--
 			cn.Close()
 		}
@@ -259,25 +246,25 @@
 	}
 }
 
-// CloseExpired closes connections that have idled too long, and those of backends that were
-// closed while a connection was on its way back.
+// CloseExpired closes connections that have been idle for the keepalive, and those to backends that became
+// unavailable while a connection was in use.
 func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for key, list := range p.idle {
-		n := 0
-		for n < len(list) && (key.Backend.Unavailable() || time.Since(list[n].idleSince) >= p.keepalive) {
+	for key, idle := range p.idle {
+		expired := 0
+		for expired < len(idle) && (key.Backend.Unavailable() || time.Since(idle[expired].idleSince) >= p.keepalive) {
 			p.open--
-			list[n].Close()
-			n++
+			idle[expired].Close()
+			expired++
 		}
-		p.setIdle(key, list[n:])
+		p.setIdle(key, idle[expired:])
 	}
 }
 
-// isSilent tells whether a connection on which nothing is asked is still open and
-// silent. One that the peer closed, or that brings bytes nobody asked for, must not
-// carry a request: it would end as a reset, or take those bytes for its answer.
+// isSilent says whether a connection without a request is open and brought no bytes. One that the peer closed, or
+// that brought unexpected bytes, must not carry a request: it would end as a reset, or take those bytes for its
+// response.
 func (p *Pool) isSilent(cn *Conn) bool {
 	if cn.Reader.Buffered() > 0 {
 		p.noteUnexpectedBytes()
@@ -290,15 +277,23 @@
 	return state == socket.Silent
 }
 
-// noteUnexpectedBytes notes bytes that nobody had asked for.
 func (p *Pool) noteUnexpectedBytes() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unexpectedAt = time.Now()
 }
 
-// IsLocalError tells whether a connection failed for want of something here.
+// localErrors are those of Get for which the backend is not responsible.
+var localErrors = []error{
+	ErrTooManyConns,
+	syscall.EMFILE,
+	syscall.ENFILE,
+	syscall.EADDRNOTAVAIL,
+	syscall.ENOBUFS,
+	context.Canceled,
+}
+
+// IsLocalError says whether an error of Get is due to this host or process, not to the backend.
 func IsLocalError(err error) bool {
-	return errors.Is(err, ErrTooManyConns) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
-		errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, context.Canceled)
+	return slices.ContainsFunc(localErrors, func(local error) bool { return errors.Is(err, local) })
 }
--- a/internal/upstream/conns/pool_test.go
+++ b/internal/upstream/conns/pool_test.go
@@ -10,10 +10,10 @@
 	"ringtrack.example/ringtrack/internal/lab"
 )
 
-// waitTimeout bounds every wait of the tests.
+// waitTimeout bounds each wait of the tests.
 const waitTimeout = 20 * time.Second
 
-// startPeer is a stand-in that does with each connection what it is told to, then waits for its end.
+// startPeer starts a server that calls do with each connection, then waits for its end.
 func startPeer(t *testing.T, do func(net.Conn)) string {
 	t.Helper()
 	a, err := lab.Accept(func(c net.Conn) {
@@ -41,25 +41,25 @@
 
 func newKey() Key { return Key{Backend: &core.Backend{}} }
 
-// A new backend at the address of one that has gone gets none of its connections.
+// A new backend at the address of a removed one gets none of its connections.
 func TestAddressOfARemovedBackend(t *testing.T) {
 	addr := startPeer(t, nil)
-	p, old, heir := New(waitTimeout, time.Minute, 8), newKey(), newKey()
-	x := getConn(t, p, old, addr)
+	p, removed, successor := New(waitTimeout, time.Minute, 8), newKey(), newKey()
+	x := getConn(t, p, removed, addr)
 	p.Put(x)
-	y := getConn(t, p, heir, addr)
+	y := getConn(t, p, successor, addr)
 	if x == y {
-		t.Error("the heir got the connection")
+		t.Error("the new backend got the connection")
 	}
 	p.Put(y)
-	old.Backend.MarkUnavailable()
+	removed.Backend.MarkUnavailable()
 	p.CloseExpired()
-	if p.Open() != 1 || p.Idle(old) != 0 || p.Idle(heir) != 1 {
-		t.Errorf("%d open, %d and %d idle", p.Open(), p.Idle(old), p.Idle(heir))
+	if p.Open() != 1 || p.Idle(removed) != 0 || p.Idle(successor) != 1 {
+		t.Errorf("%d open, %d and %d idle", p.Open(), p.Idle(removed), p.Idle(successor))
 	}
 }
 
-// Beyond the most no connection is opened, but an idle one of another backend gives way.
+// Beyond the bound no connection is opened, unless an idle one of another backend can be closed.
 func TestMaxConns(t *testing.T) {
 	p, one, two := New(waitTimeout, time.Minute, 2), newKey(), newKey()
 	addr := startPeer(t, nil)
@@ -75,22 +75,22 @@
 	}
 }
 
-// A kept connection is used again, the last used first, unless it was closed, brought what nobody asked
-// for, leads to another address, speaks another protocol, or its backend was hung up on.
+// An idle connection is used again unless it was closed, brought unexpected bytes, has another address or another
+// protocol, or the idle connections of its backend were closed.
 func TestIdleConnReuse(t *testing.T) {
 	silent := startPeer(t, nil)
-	did := make(chan struct{}, 8)
-	closes := startPeer(t, func(c net.Conn) { c.Close(); did <- struct{}{} })
-	talks := startPeer(t, func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\n"); did <- struct{}{} })
-	again := func(addr string, between func(p *Pool, key *Key, addr *string)) bool {
+	acted := make(chan struct{}, 8)
+	closes := startPeer(t, func(c net.Conn) { c.Close(); acted <- struct{}{} })
+	talks := startPeer(t, func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\n"); acted <- struct{}{} })
+	reused := func(addr string, between func(p *Pool, key *Key, addr *string)) bool {
 		p, key := New(waitTimeout, time.Minute, 8), newKey()
 		x := getConn(t, p, key, addr)
 		if addr != silent {
-			<-did
+			<-acted
 			for end := time.Now().Add(waitTimeout); p.isSilent(x) && time.Now().Before(end); {
-				time.Sleep(time.Millisecond) // what was done there arrives
+				time.Sleep(time.Millisecond) // until what the peer did arrives
 			}
-			// As it came back whole before that.
+			// As if it had been put back before.
 			p.idle[key], x.idleSince = []*Conn{x}, time.Now()
 		} else {
 			p.Put(x)
@@ -111,18 +111,18 @@
 		"brought bytes":    {talks, nil, false},
 		"another address":  {silent, func(_ *Pool, _ *Key, addr *string) { *addr = other }, false},
 		"another protocol": {silent, func(_ *Pool, key *Key, _ *string) { key.Kind = 3 }, false},
-		"hung up":          {silent, func(p *Pool, key *Key, _ *string) { p.CloseIdle(key.Backend) }, false},
+		"closed by us":     {silent, func(p *Pool, key *Key, _ *string) { p.CloseIdle(key.Backend) }, false},
 		"too old": {silent, func(p *Pool, key *Key, _ *string) {
 			p.idle[*key][0].idleSince = time.Now().Add(-2 * time.Minute)
 		}, false},
 	} {
-		if got := again(test.addr, test.between); got != test.want {
+		if got := reused(test.addr, test.between); got != test.want {
 			t.Errorf("%s: used again: %v", name, got)
 		}
 	}
 }
 
-// Connections that idled for long and break make the pool open new ones, and only those.
+// If connections that were idle for long are reset, only those are replaced by new ones.
 func TestIdleAges(t *testing.T) {
 	var a idleAges
 	for range 200 {
@@ -135,7 +135,7 @@
 	}
 }
 
-// A smaller bound closes idle connections at once, and opens none until there are few enough.
+// A smaller bound closes idle connections at once, and none is opened until there are few enough.
 func TestSetMax(t *testing.T) {
 	p := New(time.Second, time.Minute, 4)
 	b := &core.Backend{}
