--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -48,7 +48,7 @@
 		upstreams = append(upstreams, tf.Upstream)
 	}
 	loop := cfg.eventLoopConfig()
-	loop.HealthCheck = upstream.Probe
+	loop.HealthCheck = upstream.HealthCheck
 	pair, err := newSharedState(cfg, &loop)
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
--- a/internal/upstream/http/chunked.go
+++ b/internal/upstream/http/chunked.go
@@ -5,78 +5,97 @@
 	"bytes"
 	"errors"
 	"io"
-	"net"
 	"net/textproto"
 	"strconv"
 
 	"ringtrack.example/ringtrack/internal/upstream/conns"
 )
 
-// chunkedReader reads a chunked body (RFC 9112, section 7.1). net/http's reader is not used: once a read has run out
-// of time it is of no more use, and an answer that comes slowly is passed on from where it was.
+// maxTrailerBytes bounds the trailers of a chunked body, their empty line included: the limit of net/http's reader.
+const maxTrailerBytes = 4 << 10
+
+var crlf = []byte("\r\n")
+
+// chunkedReader reads a chunked body (RFC 9112, section 7.1). Unlike net/http's reader it can be used after a
+// timeout: a response that arrives slowly is passed on from where it was.
 type chunkedReader struct {
 	br         *bufio.Reader
-	chunkLeft  int64 // of the chunk
-	total      int64 // of the body, with this chunk
-	inChunk    bool  // a chunk has been read whose end has not
-	inTrailers bool  // the last chunk has come, and trailers do
+	chunkLeft  int64 // unread bytes of the chunk
+	total      int64 // bytes of the body, this chunk included
+	inChunk    bool  // the end of a chunk is still to be read
+	inTrailers bool  // the last chunk has been read
 	ended      bool
-
-	trailers []byte // as far as they have come
+	trailers   []byte // as far as they have arrived
 }
 
-// Read reads of the body. After an error of the connection that is a time-out it may be called again.
+// Read reads the body. After a timeout of the connection it may be called again.
 func (c *chunkedReader) Read(p []byte) (int, error) {
 	for c.chunkLeft == 0 {
-		if c.ended {
-			return 0, io.EOF
-		}
-		if c.inTrailers {
-			if err := c.readTrailers(); err != nil {
-				return 0, err
-			}
-			c.ended = true
-			continue
-		}
-		if c.inChunk {
-			end, err := c.br.Peek(2)
-			if err != nil {
-				return 0, unexpected(err)
-			}
-			if string(end) != "\r\n" {
-				return 0, conns.MalformedResponse("a chunk that does not end where it says")
-			}
-			c.br.Discard(2)
-			c.inChunk = false
-		}
-		line, err := peekLine(c.br)
-		if err != nil {
+		if err := c.nextChunk(); err != nil {
 			return 0, err
 		}
-		size, sound := bytes.CutSuffix(line, []byte("\r\n"))
-		size, _, _ = bytes.Cut(size, []byte(";"))
-		size = bytes.TrimRight(size, " \t")
-		n, err := strconv.ParseUint(string(size), 16, 63)
-		if !sound || err != nil || c.total+int64(min(n, MaxResponseBodyBytes+1)) > MaxResponseBodyBytes {
-			return 0, conns.MalformedResponse("chunk size %.20q", line)
-		}
-		c.br.Discard(len(line))
-		if n == 0 {
-			c.inTrailers = true
-			continue
-		}
-		c.chunkLeft, c.inChunk = int64(n), true
-		c.total += c.chunkLeft
 	}
 	n, err := c.br.Read(p[:min(int64(len(p)), c.chunkLeft)])
 	c.chunkLeft -= int64(n)
-	return n, unexpected(err)
+	return n, unexpectedEOF(err)
+}
+
+// nextChunk takes one step towards the data of the next chunk; io.EOF: the body has ended.
+func (c *chunkedReader) nextChunk() error {
+	switch {
+	case c.ended:
+		return io.EOF
+	case c.inTrailers:
+		err := c.readTrailers()
+		c.ended = err == nil
+		return err
+	case c.inChunk:
+		return c.readChunkEnd()
+	}
+	return c.readChunkSize()
+}
+
+// readChunkEnd reads the line end after the data of a chunk.
+func (c *chunkedReader) readChunkEnd() error {
+	end, err := c.br.Peek(len(crlf))
+	if err != nil {
+		return unexpectedEOF(err)
+	}
+	if !bytes.Equal(end, crlf) {
+		return conns.MalformedResponse("a chunk longer than its size")
+	}
+	c.br.Discard(len(crlf))
+	c.inChunk = false
+	return nil
+}
+
+// readChunkSize reads the line before the data of a chunk. Extensions are ignored.
+func (c *chunkedReader) readChunkSize() error {
+	line, err := peekLine(c.br)
+	if err != nil {
+		return err
+	}
+	text, hasCRLF := bytes.CutSuffix(line, crlf)
+	text, _, _ = bytes.Cut(text, []byte(";"))
+	text = bytes.TrimRight(text, " \t")
+	size, err := strconv.ParseUint(string(text), 16, 63)
+	if !hasCRLF || err != nil || c.total+int64(min(size, MaxResponseBodyBytes+1)) > MaxResponseBodyBytes {
+		return conns.MalformedResponse("chunk size %.20q", line)
+	}
+	c.br.Discard(len(line))
+	if size == 0 {
+		c.inTrailers = true
+		return nil
+	}
+	c.chunkLeft = int64(size)
+	c.total += c.chunkLeft
+	c.inChunk = true
+	return nil
 }
 
-// readTrailers reads what ends a chunked body: trailer fields, which nobody here wants,
-// and an empty line that is CR LF and nothing else (RFC 9112, section 7.1.2). What this
-// reader and net/http's do not both take for the end is none: two readers that disagree
-// on where an answer ends are how answers get mixed up on a kept connection.
+// readTrailers reads the end of a chunked body: trailer fields, which are ignored, and an empty line that is CR LF
+// and nothing else (RFC 9112, section 7.1.2). What net/http's reader does not take for the end is malformed:
+// responses get mixed up on a reused connection where two readers disagree on the end of one.
 func (c *chunkedReader) readTrailers() error {
 	for {
 		line, err := peekLine(c.br)
@@ -88,12 +107,12 @@
 		switch {
 		case len(c.trailers) > maxTrailerBytes:
 			return conns.MalformedResponse("trailers too large")
-		case !bytes.HasSuffix(line, []byte("\r\n")):
-			return conns.MalformedResponse("a trailer line that ends in no CR LF")
-		case len(line) > 2:
+		case !bytes.HasSuffix(line, crlf):
+			return conns.MalformedResponse("a trailer line without CR LF")
+		case len(line) > len(crlf):
 			continue
-		case len(c.trailers) == 2:
-			return nil // none, as nearly always
+		case len(c.trailers) == len(crlf):
+			return nil // no trailer fields, as nearly always
 		}
 		if _, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(c.trailers))).ReadMIMEHeader(); err != nil {
 			return conns.MalformedResponse("trailers: %v", err)
@@ -102,7 +121,7 @@
 	}
 }
 
-// peekLine waits for a whole line, and leaves it where it is.
+// peekLine waits for a complete line, and leaves it in the buffer.
 func peekLine(br *bufio.Reader) ([]byte, error) {
 	for n := max(br.Buffered(), 1); ; n = max(n+1, br.Buffered()) {
 		line, err := br.Peek(n)
@@ -112,20 +131,15 @@
 		if errors.Is(err, bufio.ErrBufferFull) {
 			return nil, conns.MalformedResponse("line too long")
 		} else if err != nil {
-			return nil, unexpected(err)
+			return nil, unexpectedEOF(err)
 		}
 	}
 }
 
-// unexpected is the error of a body that ends before its end.
-func unexpected(err error) error {
+// unexpectedEOF replaces the end of the connection, which came before the end of the body.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
-
-func isTimeout(err error) bool {
-	var n net.Error
-	return errors.As(err, &n) && n.Timeout()
-}
--- /dev/null
+++ b/internal/upstream/http/responsebody.go
@@ -0,0 +1,119 @@
+package http
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"time"
+
+	"ringtrack.example/ringtrack/internal/upstream/conns"
+)
+
+const (
+	// MaxResponseBodyBytes bounds the body of a response: one that claims more is malformed.
+	MaxResponseBodyBytes = 64 << 20
+	// maxBufferedBody is the longest body that is read completely before any of it is passed on. A longer one is
+	// passed on as it arrives, and so is one of unknown length that has not ended bufferTimeout after its head.
+	maxBufferedBody = 64 << 10
+	bufferTimeout   = 100 * time.Millisecond
+)
+
+// responseBody is the body of a response as far as it was read.
+type responseBody struct {
+	bytes    []byte
+	readMore func(p []byte) (int, error) // continues it and ends with io.EOF; nil: it is complete
+	size     int64                       // of the complete body; -1: unknown
+}
+
+// readBody reads the body of a response, or the beginning of a long one.
+func readBody(br *bufio.Reader, resp *http.Response, closes bool, reserve reserveFunc, setReadDeadline func(time.Time)) (*responseBody, error) {
+	streamable := resp.StatusCode == http.StatusOK
+	size := resp.ContentLength
+	switch {
+	case size > MaxResponseBodyBytes:
+		return nil, conns.MalformedResponse("body of %d bytes", size)
+	case resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified:
+		return &responseBody{size: size}, nil
+	case len(resp.TransferEncoding) > 0:
+		return readUnknownLength(&chunkedReader{br: br}, streamable, reserve, setReadDeadline)
+	case size >= 0 && size <= maxBufferedBody:
+		return readBuffered(br, size, reserve)
+	case size >= 0 && !streamable:
+		return nil, conns.MalformedResponse("body of %d bytes with status %d", size, resp.StatusCode)
+	case size >= 0:
+		return &responseBody{size: size, readMore: exactLength(io.LimitReader(br, size).Read, size)}, nil
+	case closes:
+		// It ends where the connection does (RFC 9112, section 6.3).
+		return readUnknownLength(br, streamable, reserve, setReadDeadline)
+	}
+	// A complete response could not be told from a truncated one.
+	return nil, conns.MalformedResponse("a response without length")
+}
+
+// readBuffered reads a body completely.
+func readBuffered(br *bufio.Reader, size int64, reserve reserveFunc) (*responseBody, error) {
+	if err := reserve(size); err != nil {
+		return nil, err
+	}
+	b := &responseBody{size: size, bytes: make([]byte, size)}
+	_, err := io.ReadFull(br, b.bytes)
+	return b, err
+}
+
+// exactLength returns a reader for which the end of the body before its n bytes is io.ErrUnexpectedEOF.
+func exactLength(read func(p []byte) (int, error), n int64) func(p []byte) (int, error) {
+	return func(p []byte) (int, error) {
+		m, err := read(p)
+		n -= int64(m)
+		if err == io.EOF && n > 0 {
+			err = io.ErrUnexpectedEOF
+		}
+		return m, err
+	}
+}
+
+// readUnknownLength reads a body of unknown length and reserves memory as it grows. It reads it completely or, if
+// it is streamable, up to maxBufferedBody bytes and for bufferTimeout.
+func readUnknownLength(from io.Reader, streamable bool, reserve reserveFunc, setReadDeadline func(time.Time)) (*responseBody, error) {
+	b := &responseBody{size: -1}
+	timed := streamable && setReadDeadline != nil
+	if timed {
+		setReadDeadline(time.Now().Add(bufferTimeout))
+	}
+	for {
+		if len(b.bytes) == cap(b.bytes) {
+			grown := max(2*cap(b.bytes), unreservedBytes)
+			if grown > maxBufferedBody && streamable {
+				b.readMore = from.Read
+				return b, nil
+			}
+			if grown > maxBufferedBody {
+				return nil, conns.MalformedResponse("body over %d bytes", maxBufferedBody)
+			}
+			if err := reserve(int64(grown - cap(b.bytes))); err != nil {
+				return nil, err
+			}
+			b.bytes = append(make([]byte, 0, grown), b.bytes...)
+		}
+		n, err := from.Read(b.bytes[len(b.bytes):cap(b.bytes)])
+		b.bytes = b.bytes[:len(b.bytes)+n]
+		switch {
+		case err == nil:
+		case err == io.EOF:
+			return b, nil
+		case timed && isTimeout(err):
+			setReadDeadline(time.Time{})
+			b.readMore = from.Read
+			return b, nil
+		default:
+			return nil, err
+		}
+	}
+}
+
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
--- a/internal/upstream/http/attempt_test.go
+++ b/internal/upstream/http/upstream_test.go
@@ -22,20 +22,20 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// patience bounds every wait of the tests; none of them needs more than a part of it.
-const patience = 20 * time.Second
+// waitTimeout bounds each wait of the tests; none of them needs more than a part of it.
+const waitTimeout = 20 * time.Second
 
-// testUpstream makes attempts with most connections at the most.
-func testUpstream(most int) *Upstream {
+// testUpstream returns an upstream with at most maxConns connections.
+func testUpstream(maxConns int) *Upstream {
 	return &Upstream{Budget: semaphore.NewWeighted(1 << 20), ReportFields: []string{"qps", "util", "eps"},
-		Pool: conns.New(patience, time.Minute, most)}
+		Pool: conns.New(waitTimeout, time.Minute, maxConns)}
 }
 
 func testCall(body []byte) *core.Call {
 	return &core.Call{Payload: &Call{Method: "POST", Target: "/api/a1", Host: "x", Header: http.Header{"Request-Id": {"1"}}, Body: body}}
 }
 
-func server(t *testing.T) *lab.OrderServer {
+func startServer(t *testing.T) *lab.OrderServer {
 	t.Helper()
 	s, err := lab.NewOrderServer("s-1", "east", 0, nil)
 	if err != nil {
@@ -45,9 +45,9 @@
 	return s
 }
 
-// A connection that breaks before the last byte is written proves that the
-// attempt never ran; only the count of bytes written tells it from a reset.
-func TestBreakBeforeLastByteNeverRan(t *testing.T) {
+// A reset before the last byte is written proves that the attempt never ran; only the count of bytes written
+// distinguishes it from a later one.
+func TestResetBeforeLastByteNeverRan(t *testing.T) {
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	}}
@@ -75,7 +75,7 @@
 	s.Pool.Adopt(nc, conns.Key{Backend: b}, addr)
 	c := testCall(make([]byte, 64<<10))
 	now := time.Now()
-	if res := s.Do(context.Background(), b, addr, c, now, now.Add(patience)); res.Status != policy.ConnectFailed {
+	if res := s.Do(context.Background(), b, addr, c, now, now.Add(waitTimeout)); res.Status != policy.ConnectFailed {
 		t.Errorf("ended as %d, want %d", res.Status, policy.ConnectFailed)
 	}
 	if s.Pool.Open() != 0 {
@@ -83,25 +83,25 @@
 	}
 }
 
-// A backend told to drain while the attempt was connecting gets nothing new, and an
-// attempt withdrawn meanwhile says nothing against its backend.
-func TestNothingIsBegunOnceDrainedOrWithdrawn(t *testing.T) {
-	b := server(t)
+// A backend that begins to drain while the attempt connects gets nothing new, and an attempt that is cancelled
+// meanwhile says nothing about its backend.
+func TestNothingIsBegunOnceDrainingOrCancelled(t *testing.T) {
+	b := startServer(t)
 	s := testUpstream(8)
 	c := testCall([]byte("x"))
 	now := time.Now()
-	drained := &core.Backend{}
-	drained.MarkUnavailable()
-	if res := s.Do(t.Context(), drained, b.Addr, c, now, now.Add(patience)); res.Status != policy.NotStarted {
-		t.Errorf("drained: ended as %d, want %d", res.Status, policy.NotStarted)
+	draining := &core.Backend{}
+	draining.MarkUnavailable()
+	if res := s.Do(t.Context(), draining, b.Addr, c, now, now.Add(waitTimeout)); res.Status != policy.NotStarted {
+		t.Errorf("draining: ended as %d, want %d", res.Status, policy.NotStarted)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if res := s.Do(ctx, &core.Backend{}, b.Addr, c, now, now.Add(patience)); res.Status != policy.NotStarted {
-		t.Errorf("withdrawn: ended as %d, want %d", res.Status, policy.NotStarted)
+	if res := s.Do(ctx, &core.Backend{}, b.Addr, c, now, now.Add(waitTimeout)); res.Status != policy.NotStarted {
+		t.Errorf("cancelled: ended as %d, want %d", res.Status, policy.NotStarted)
 	}
-	// One more goes through, after which an earlier one would have arrived as well.
-	if res := s.Do(t.Context(), &core.Backend{}, b.Addr, c, now, now.Add(patience)); res.Status != policy.OK {
+	// After this one has arrived an earlier one would have, too.
+	if res := s.Do(t.Context(), &core.Backend{}, b.Addr, c, now, now.Add(waitTimeout)); res.Status != policy.OK {
 		t.Errorf("ended as %d, want %d", res.Status, policy.OK)
 	}
 	if b.Begun() != 1 {
@@ -109,12 +109,12 @@
 	}
 }
 
-// A failure of the agent's own says nothing of the backend.
-func TestBlame(t *testing.T) {
-	b := server(t)
+// A failure on the agent's own host says nothing about the backend.
+func TestLocalFailureIsNotTheBackends(t *testing.T) {
+	b := startServer(t)
 	now := time.Now()
 	full := testUpstream(0)
-	if res := full.Do(t.Context(), &core.Backend{}, b.Addr, testCall(nil), now, now.Add(patience)); res.Status != policy.NotStarted {
+	if res := full.Do(t.Context(), &core.Backend{}, b.Addr, testCall(nil), now, now.Add(waitTimeout)); res.Status != policy.NotStarted {
 		t.Errorf("no descriptor: ended as %d, want %d", res.Status, policy.NotStarted)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -122,12 +122,12 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	if res := testUpstream(8).Do(t.Context(), &core.Backend{}, ln.Addr().String(), testCall(nil), now, now.Add(patience)); res.Status != policy.ConnectFailed {
-		t.Errorf("refused: ended as %d, want %d", res.Status, policy.ConnectFailed)
+	if res := testUpstream(8).Do(t.Context(), &core.Backend{}, ln.Addr().String(), testCall(nil), now, now.Add(waitTimeout)); res.Status != policy.ConnectFailed {
+		t.Errorf("connection refused: ended as %d, want %d", res.Status, policy.ConnectFailed)
 	}
 }
 
-func TestReport(t *testing.T) {
+func TestParseReport(t *testing.T) {
 	names := []string{"qps", "util", "eps"}
 	for text, want := range map[string]string{
 		"eps=1,qps=3,util=0.5": "[3 0.5 1]", "inflight=7, qps=3, util=0.5, eps=1": "[3 0.5 1]",
@@ -137,19 +137,18 @@
 		"%%%|qps=3,util=0.5,eps=1": "[3 0.5 1]", // two fields, the first unreadable
 	} {
 		if got := fmt.Sprint(parseReport(strings.Split(text, "|"), names)); got != want {
-			t.Errorf("%q read as %s, want %s", text, got, want)
+			t.Errorf("%q parsed as %s, want %s", text, got, want)
 		}
 	}
 }
 
-// Whatever comes, the reader ends, within its bounds, and what it takes for an
-// answer is one to net/http as well.
-// readFunc is a reader.
+// readFunc is a function as an io.Reader.
 type readFunc func([]byte) (int, error)
 
 func (f readFunc) Read(p []byte) (int, error) { return f(p) }
 
-func FuzzAnswer(f *testing.F) {
+// Whatever arrives, the reader ends within its bounds, and what it takes for a response is the same to net/http.
+func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 103 E\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokrest"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nT: x\r\n\r\nrest"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n"))
@@ -161,7 +160,7 @@
 		if len(body.bytes) > maxBufferedBody || resp.StatusCode < 200 {
 			t.Fatalf("%d bytes, status %d", len(body.bytes), resp.StatusCode)
 		}
-		if body.readMore != nil { // a long one; its end may be spoilt
+		if body.readMore != nil { // a long one; its end may be malformed
 			rest, err := io.ReadAll(readFunc(body.readMore))
 			if err != nil {
 				return
@@ -186,12 +185,12 @@
 	})
 }
 
-// What a probe's answer says of its backend: 503 that it runs and takes nothing now, 404 nothing at all; only
-// 200 is well. The report is that of the body, and the connection serves the next probe.
-func TestProbeEndings(t *testing.T) {
+// In response to a health check 503 means that the backend runs and accepts nothing now, 404 nothing at all; only 200
+// is healthy. The report is that of the body, and the connection serves the next health check.
+func TestHealthCheckOutcomes(t *testing.T) {
 	u := testUpstream(1)
 	for _, c := range []struct {
-		answer int
+		code   int
 		body   string
 		want   policy.Status
 		report int
@@ -204,26 +203,26 @@
 			var path, id string
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				path, id = r.Method+" "+r.URL.Path, r.Header.Get("Request-Id")
-				w.WriteHeader(c.answer)
+				w.WriteHeader(c.code)
 				io.WriteString(w, c.body)
 			}))
-			probe, b := &Upstream{Pool: u.Pool, Budget: u.Budget, ReportFields: reports}, &core.Backend{}
-			res := probe.Probe(t.Context(), b, s.Listener.Addr().String(), time.Now(), time.Now().Add(patience))
-			asked, report := "GET /-/load", c.report
+			checker, b := &Upstream{Pool: u.Pool, Budget: u.Budget, ReportFields: reports}, &core.Backend{}
+			res := checker.HealthCheck(t.Context(), b, s.Listener.Addr().String(), time.Now(), time.Now().Add(waitTimeout))
+			wantPath, report := "GET /-/load", c.report
 			if reports == nil {
-				asked, report = "GET /-/healthy", 0
+				wantPath, report = "GET /-/healthy", 0
 			}
-			if res.Status != c.want || len(res.Report) != report || path != asked || id != "" {
-				t.Errorf("%s answered %d %.20q: %+v, id %q; want %v with %d values", path, c.answer, c.body, res, id, c.want, report)
+			if res.Status != c.want || len(res.Report) != report || path != wantPath || id != "" {
+				t.Errorf("%s answered %d %.20q: %+v, id %q; want %v with %d values", path, c.code, c.body, res, id, c.want, report)
 			}
-			if kept := probe.Pool.Idle(conns.Key{Backend: b}); (kept == 1) != (len(c.body) <= unreservedBytes) {
-				t.Errorf("%d %.20q: %d connections kept", c.answer, c.body, kept)
+			if idle := checker.Pool.Idle(conns.Key{Backend: b}); (idle == 1) != (len(c.body) <= unreservedBytes) {
+				t.Errorf("%d %.20q: %d idle connections", c.code, c.body, idle)
 			}
 			b.MarkUnavailable()
-			if res := probe.Probe(t.Context(), b, s.Listener.Addr().String(), time.Now(), time.Now().Add(patience)); res.Status != policy.NotStarted {
-				t.Errorf("a backend that drains is probed: %+v", res)
+			if res := checker.HealthCheck(t.Context(), b, s.Listener.Addr().String(), time.Now(), time.Now().Add(waitTimeout)); res.Status != policy.NotStarted {
+				t.Errorf("a draining backend is checked: %+v", res)
 			}
-			probe.CloseIdle(b)
+			checker.CloseIdle(b)
 			s.Close()
 		}
 	}
