--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -83,8 +83,8 @@
 	state      *sharedState
 	ready      chan struct{} // closed once requests can be served
 
-	http           *httpfront.Front
-	thrift         *thrift.Front // nil: there is none
+	http           *httpfront.Server
+	thrift         *thrift.Server // nil: there is none
 	thriftListener net.Listener
 
 	serveFor     time.Duration // see shutdownPlan
@@ -95,7 +95,7 @@
 func newProcess(ctx context.Context, cfg *Config) (*process, error) {
 	p := &process{cfg: cfg, bodyBudget: semaphore.NewWeighted(cfg.bodyBudget()), pool: newPool(cfg), ready: make(chan struct{})}
 	p.serveFor, p.answerWithin = cfg.shutdownPlan()
-	upstream := &httpup.Upstream{Pool: p.pool, Budget: p.bodyBudget, Reports: cfg.loadReportNames()}
+	upstream := &httpup.Upstream{Pool: p.pool, Budget: p.bodyBudget, ReportFields: cfg.loadReportNames()}
 	p.http = httpfront.New(&cfg.Settings, p.bodyBudget, upstream, cfg.maxIdleClients(), cfg.maxClientConnections())
 	upstreams := []core.Upstream{upstream}
 	if err := p.newThrift(); err != nil {
@@ -105,7 +105,7 @@
 		upstreams = append(upstreams, p.thrift.Upstream)
 	}
 	loopConfig := cfg.eventLoopConfig()
-	loopConfig.HealthCheck = upstream.Probe
+	loopConfig.HealthCheck = upstream.HealthCheck
 	var err error
 	if p.state, err = newSharedState(cfg, &loopConfig); err != nil {
 		return nil, err
@@ -118,9 +118,9 @@
 	if err != nil {
 		return nil, err
 	}
-	p.http.Loop = p.loop
+	p.http.EventLoop = p.loop
 	p.http.Linger = p.serveFor
-	p.pool.Written = &p.loop.Counters().Written
+	p.pool.AttemptsWritten = &p.loop.Counters().Written
 	p.state.loop = p.loop
 	p.state.useLimits = p.divideLimits
 	return p, nil
@@ -151,13 +151,13 @@
 	}
 	slog.Info("listening for Thrift", "addr", p.thriftListener.Addr().String())
 	limits := thriftwire.Limits{Size: c.FrameLimit, Depth: c.DepthLimit}
-	p.thrift = &thrift.Front{
-		Upstream: &thriftup.Upstream{Pool: p.pool, Budget: p.bodyBudget, Limits: limits},
-		Budget:   p.bodyBudget,
-		Table:    table,
-		Limits:   limits,
-		Most:     p.cfg.maxClientConnections(),
-		AfterMs:  p.cfg.Settings.Limits.MaxRetryAfterMs,
+	p.thrift = &thrift.Server{
+		Upstream:     &thriftup.Upstream{Pool: p.pool, Budget: p.bodyBudget, Limits: limits},
+		Budget:       p.bodyBudget,
+		Table:        table,
+		Limits:       limits,
+		MaxConns:     p.cfg.maxClientConnections(),
+		RetryAfterMs: p.cfg.Settings.Limits.MaxRetryAfterMs,
 	}
 	return nil
 }
@@ -168,7 +168,7 @@
 	go func() { failed <- p.http.Serve(ln) }()
 	p.state.markServing(p.ready)
 	if p.thrift != nil {
-		p.thrift.Loop = p.loop
+		p.thrift.EventLoop = p.loop
 		p.thrift.Linger = p.serveFor
 		go func() {
 			if err := p.thrift.Serve(p.thriftListener); err != nil {
