--- a/policy/keyless_test.go
+++ b/policy/keyless_test.go
@@ -2,24 +2,25 @@
 
 import (
 	"math"
+	"slices"
 	"testing"
 )
 
-// Requests without a key that come one after the other stay with few servers, so that connections are used again; the
-// agents' servers are others, and each agent's few are as many as it has requests out at once.
-func TestKeylessRequestsStayWithFewServers(t *testing.T) {
+// Requests without a key that come one after the other stay on few servers, so that connections are used
+// again. Each agent uses other servers, as many as it has requests in flight at once.
+func TestKeylessRequestsStayOnFewServers(t *testing.T) {
 	const agents, servers = 8, 64
 	homes := map[Addr]int{}
 	for agent := range agents {
 		s := testSettings()
 		s.ReplicaIndex, s.Replicas = agent, agents
-		r := newRig(t, s, servers)
+		r := newHarness(t, s, servers)
 		used := map[Addr]bool{}
 		for range 100 {
-			id, to := r.sent(0, 0)
+			id, to := r.mustForward(0, 0)
 			used[to] = true
 			r.now += 40
-			r.outcome(id, 0, to, OK, 40)
+			r.endAttempt(id, 0, to, OK, 40)
 		}
 		for to := range used {
 			homes[to]++
@@ -35,20 +36,21 @@
 	}
 }
 
-// An agent whose answers take longer, wherever they come from, has fewer requests without a key out, though no server
-// of its own has shown a crowd; once they are quick again it has more. Requests with a key do not wait for that.
-func TestACrowdEverywhereLeavesFewerKeylessRequestsOut(t *testing.T) {
-	r := newRig(t, testSettings(), 64)
+// An agent whose answers take longer from all servers has fewer requests without a key in flight, though
+// none of the servers alone shows an overload, and more again once answers are fast. Requests with a key do
+// not wait for that.
+func TestKeylessLimitFallsUnderOverload(t *testing.T) {
+	r := newHarness(t, testSettings(), 64)
 	type out struct {
 		id RequestID
 		to Addr
 	}
 	var outs []out
-	steady := func(answers int, rtt float64) int { // as many as may be are out, up to 40, and are answered in turn
+	steady := func(answers int, rtt float64) int { // as many as permitted are in flight, up to 40, and are answered in order
 		for range answers {
 			for len(outs) < 40 {
-				id, actions := r.ask(0, 0)
-				a := find(actions, ActionForward)
+				id, actions := r.request(0, 0)
+				a := findAction(actions, ActionForward)
 				if a == nil {
 					r.do(Event{Kind: EventClientDisconnected, Request: id})
 					break
@@ -56,23 +58,60 @@
 				outs = append(outs, out{id, a.Server})
 			}
 			r.now += rtt / float64(len(outs))
-			r.outcome(outs[0].id, 0, outs[0].to, OK, rtt)
+			r.endAttempt(outs[0].id, 0, outs[0].to, OK, rtt)
 			outs = outs[1:]
 		}
 		return len(outs) + 1
 	}
 	calm := steady(200, 30)
 	if calm < 30 {
-		t.Fatalf("%d out while all is calm", calm)
+		t.Fatalf("%d in flight before the overload", calm)
 	}
 	crowded := steady(300, 120)
 	if crowded > calm/2 {
-		t.Errorf("%d out in a crowd, %d before", crowded, calm)
+		t.Errorf("%d in flight under overload, %d before", crowded, calm)
 	}
-	if _, actions := r.ask(0, 99); find(actions, ActionForward) == nil {
+	if _, actions := r.request(0, 99); findAction(actions, ActionForward) == nil {
 		t.Error("a request with a key waits")
 	}
 	if again := steady(1000, 30); again < 2*crowded || math.IsInf(r.b.keyless.max, 1) {
-		t.Errorf("%d out when all is calm again, %d in the crowd", again, crowded)
+		t.Errorf("%d in flight after the overload, %d under it", again, crowded)
+	}
+}
+
+// Requests that hang in overloaded servers fill the keyless limit up to their deadlines. One more is sent
+// in each latency objective all the same; with many agents and few servers no more than these bear.
+func TestHangingRequestsLeaveAKeylessTrickle(t *testing.T) {
+	for _, c := range []struct{ agents, servers, least, most int }{{3, 12, 19, 22}, {240, 12, 1, 3}, {294, 164, 19, 22}} {
+		set := testSettings()
+		set.Replicas = c.agents
+		for i := range set.Classes {
+			set.Classes[i].ClientTimeoutMs = 20_000
+		}
+		r := newHarness(t, set, c.servers)
+		ask := func() bool {
+			r.id++
+			return findAction(r.do(Event{Kind: EventRequest, Request: r.id, RemainingMs: 20_000}), ActionForward) != nil
+		}
+		r.b.keyless.max = 3
+		for range 3 {
+			if !ask() {
+				t.Fatal("a limit of three does not admit three")
+			}
+		}
+		sent, last, longest := 0, r.now, 0.0
+		for range 6000 / 50 { // 20 latency objectives in which nothing is answered
+			r.now += 50
+			if ask() {
+				sent, last = sent+1, r.now
+			}
+			longest = max(longest, r.now-last)
+			for _, h := range slices.Clone(r.b.queued) { // those that wait in vain
+				r.do(Event{Kind: EventClientDisconnected, Request: h.id})
+			}
+		}
+		if sent < c.least || sent > c.most {
+			t.Errorf("%d agents, %d servers: %d sent in 20 objectives, want %d to %d; none for %.0f ms", c.agents, c.servers, sent, c.least, c.most, longest)
+		}
 	}
 }
