--- a/internal/control/ack.go
+++ b/internal/control/ack.go
@@ -37,7 +37,8 @@
 func (s *stream) handleNack(r *request, sub *subscription, response pendingResponse) {
 	sub.rejected = true
 	s.publisher.counts.nacks.Add(1)
-	s.publisher.log.Warn("proxy rejected a response", "node", s.node, "type", r.typeURL, "version", response.version, "reason", r.reason)
+	s.publisher.log.Warn("proxy rejected a response",
+		"node", s.node, "type", r.typeURL, "version", response.version, "reason", r.reason)
 	s.mu.Lock()
 	s.stats.Rejected[r.typeURL] = response.version + ": " + r.reason
 	s.mu.Unlock()
--- a/internal/control/acktimeout.go
+++ b/internal/control/acktimeout.go
@@ -60,7 +60,8 @@
 		}
 		if !s.unresponsive.Swap(true) {
 			p.counts.unresponsive.Add(1)
-			p.log.Warn("proxy has not acknowledged a drain", "node", s.node, "after_ms", now-overdue.publishedMs, "server", overdue.server)
+			p.log.Warn("proxy has not acknowledged a drain",
+				"node", s.node, "after_ms", now-overdue.publishedMs, "server", overdue.server)
 		}
 		if !p.closeLimiter.Allow() {
 			p.urgent.checkDueMs = now + checkRetryMs
--- a/internal/control/ads.go
+++ b/internal/control/ads.go
@@ -78,7 +78,8 @@
 	if n := s.streamCount.Add(1); n > int64(cfg.Proxies.MaxStreams) {
 		s.streamCount.Add(-1)
 		s.publisher.counts.rejected.Add(1)
-		return status.Errorf(codes.ResourceExhausted, "%d proxies are connected, at most %d are allowed", n-1, cfg.Proxies.MaxStreams)
+		return status.Errorf(codes.ResourceExhausted,
+			"%d proxies are connected, at most %d are allowed", n-1, cfg.Proxies.MaxStreams)
 	}
 	defer s.streamCount.Add(-1)
 	first, node, err := receive()
@@ -119,7 +120,8 @@
 			return err
 		}
 		if id := node.GetId(); id != "" && id != s.node {
-			return status.Errorf(codes.PermissionDenied, "the node id changed on a stream from %q to %q", clipText(s.node), clipText(id))
+			return status.Errorf(codes.PermissionDenied,
+				"the node id changed on a stream from %q to %q", clipText(s.node), clipText(id))
 		}
 		r = next
 	}
--- a/internal/control/certificates.go
+++ b/internal/control/certificates.go
@@ -8,6 +8,7 @@
 	"errors"
 	"fmt"
 	"os"
+	"slices"
 	"sync/atomic"
 	"time"
 
@@ -38,7 +39,8 @@
 			return false, fmt.Errorf("tls: %w", err)
 		}
 	}
-	if c.current.Load() != nil && bytes.Equal(files[0], c.files[0]) && bytes.Equal(files[1], c.files[1]) && bytes.Equal(files[2], c.files[2]) {
+	same := slices.EqualFunc(files[:], c.files[:], bytes.Equal)
+	if c.current.Load() != nil && same {
 		return false, nil
 	}
 	pair, err := tls.X509KeyPair(files[0], files[1])
--- a/internal/control/delta.go
+++ b/internal/control/delta.go
@@ -34,19 +34,18 @@
 
 // pushDeltaWildcard sends what changed of all resources of the type.
 func (s *stream) pushDeltaWildcard(snap *snapshot, typeURL string, sub *subscription, current *resource.Set) error {
-	ttl := s.ttlSeconds(typeURL)
+	response := resource.DeltaResponse{TypeURL: typeURL, Version: current.Version, TTLSeconds: s.ttlSeconds(typeURL)}
 	first := sub.nothingSent
 	var f frame
 	if first && len(sub.initialVersions) > 0 {
-		changed, removed := sub.changesSinceInitial(current, func(name string) bool { return !sub.names[name] })
-		response := resource.DeltaResponse{TypeURL: typeURL, Version: current.Version, Changed: changed, Removed: removed, TTLSeconds: ttl}
+		withoutNames := func(name string) bool { return !sub.names[name] }
+		response.Changed, response.Removed = sub.changesSinceInitial(current, withoutNames)
 		f = snap.newFrame(encodeDelta(response, false))
 	} else {
 		from := sub.wildcardSent
-		key := frameKey{typeURL: typeURL, delta: true, from: from, to: current, ttl: ttl > 0, first: first}
+		key := frameKey{typeURL: typeURL, delta: true, from: from, to: current, ttl: response.TTLSeconds > 0, first: first}
 		f = s.sharedFrame(snap, sub, key, func(nonce string) ([]byte, bool) {
-			changed, removed := current.Diff(from)
-			response := resource.DeltaResponse{TypeURL: typeURL, Version: current.Version, Changed: changed, Removed: removed, TTLSeconds: ttl}
+			response.Changed, response.Removed = current.Diff(from)
 			return encodeDelta(response, first)(nonce)
 		})
 	}
@@ -140,7 +139,8 @@
 	response := resource.DeltaResponse{TypeURL: resource.LbEndpoint, Version: to.Version}
 	if from == nil && len(sub.initialVersions) > 0 {
 		prefix := strings.TrimSuffix(update.glob, "*")
-		response.Changed, response.Removed = sub.changesSinceInitial(to, func(name string) bool { return strings.HasPrefix(name, prefix) })
+		inCollection := func(name string) bool { return strings.HasPrefix(name, prefix) }
+		response.Changed, response.Removed = sub.changesSinceInitial(to, inCollection)
 		return snap.newFrame(encodeDelta(response, true))
 	}
 	key := frameKey{typeURL: resource.LbEndpoint, delta: true, from: from, to: to, name: update.glob}
@@ -152,7 +152,9 @@
 
 // changesSinceInitial compares the current set with what the proxy held when the stream opened, perhaps from
 // another replica. Only names in scope are removed.
-func (sub *subscription) changesSinceInitial(current *resource.Set, inScope func(name string) bool) (changed []*resource.Resource, removed []string) {
+func (sub *subscription) changesSinceInitial(
+	current *resource.Set, inScope func(name string) bool,
+) (changed []*resource.Resource, removed []string) {
 	changed = slices.DeleteFunc(current.All(), func(r *resource.Resource) bool {
 		return sub.initialVersions[r.Name] == r.Version
 	})
--- a/internal/control/resource/endpoints.go
+++ b/internal/control/resource/endpoints.go
@@ -158,7 +158,8 @@
 // locality renders the endpoints of a locality, or returns it from the cache where none of them changed.
 func (r *Renderer) locality(key localityKey, members []*assign.Endpoint, collection string) (*cachedLocality, error) {
 	cached := r.localities[key]
-	if cached != nil && slices.EqualFunc(cached.members, members, func(x assign.Endpoint, y *assign.Endpoint) bool { return x == *y }) {
+	equal := func(x assign.Endpoint, y *assign.Endpoint) bool { return x == *y }
+	if cached != nil && slices.EqualFunc(cached.members, members, equal) {
 		cached.lastRender = r.renders
 		return cached, nil
 	}
--- a/internal/control/validate.go
+++ b/internal/control/validate.go
@@ -91,7 +91,8 @@
 
 func (c *Config) checkXDS() error {
 	if c.XDS.Balancer != resource.BalancerRingHash && c.XDS.Balancer != resource.BalancerMaglev {
-		return fmt.Errorf("xds.balancer: %q is neither %q nor %q", c.XDS.Balancer, resource.BalancerRingHash, resource.BalancerMaglev)
+		return fmt.Errorf("xds.balancer: %q is neither %q nor %q",
+			c.XDS.Balancer, resource.BalancerRingHash, resource.BalancerMaglev)
 	}
 	if header := c.XDS.AffinityHeader; header != "" && strings.ContainsAny(header, " \t\r\n:") {
 		return fmt.Errorf("xds.affinity_header: %q is not a header name", header)
--- a/internal/invariant/server.go
+++ b/internal/invariant/server.go
@@ -49,7 +49,8 @@
 // CheckSlowStart checks the requests that a server received in slow start.
 func (c *Checker) CheckSlowStart(s *Server) {
 	if overload := c.Overload(s); overload > c.Rules.OverloadFactor {
-		c.violate(ruleSlowStart, "%s: received %.2f times its capacity in slow start, %v allowed", s.Name, overload, c.Rules.OverloadFactor)
+		c.violate(ruleSlowStart, "%s: received %.2f times its capacity in slow start, %v allowed",
+			s.Name, overload, c.Rules.OverloadFactor)
 	}
 }
 
--- a/internal/lab/xdsproxy/delta.go
+++ b/internal/lab/xdsproxy/delta.go
@@ -17,7 +17,9 @@
 	subscribed map[string]map[string]bool // names by type; a type that has an entry was subscribed to
 }
 
-func newDeltaStream(client discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient, p *Proxy, node *corev3.Node) *deltaStream {
+func newDeltaStream(
+	client discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient, p *Proxy, node *corev3.Node,
+) *deltaStream {
 	return &deltaStream{client: client, proxy: p, node: node, subscribed: map[string]map[string]bool{}}
 }
 
--- a/internal/lab/xdsproxy/sotw.go
+++ b/internal/lab/xdsproxy/sotw.go
@@ -19,7 +19,9 @@
 	names  map[string][]string // subscribed, by type
 }
 
-func newSotWStream(client discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient, p *Proxy, node *corev3.Node) *sotwStream {
+func newSotWStream(
+	client discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient, p *Proxy, node *corev3.Node,
+) *sotwStream {
 	return &sotwStream{client: client, proxy: p, node: node, nonces: map[string]string{}, names: map[string][]string{}}
 }
 
