--- a/internal/sharedconfig/config.go
+++ b/internal/sharedconfig/config.go
@@ -40,16 +40,18 @@
 	Weight float64 `json:"weight,omitempty" toml:"weight"` // 0: as in the endpoint list
 }
 
-// Config is the content of one version.
+// Config is the content of one version. 0 in a number leaves it to the agent's file.
 type Config struct {
-	Classes        map[string]Class  `json:"classes,omitempty" toml:"classes"`
-	MaxAttempts    int               `json:"max_attempts,omitempty" toml:"max_attempts"`     // 1 to 3; 0: as the agent's file
-	DrainGraceMs   float64           `json:"drain_grace_ms,omitempty" toml:"drain_grace_ms"` // 0: as the agent's file
-	OverloadFactor float64           `json:"fall_multiple,omitempty" toml:"fall_multiple"`   // of a warming server's part; 0: as the agent's file
-	Servers        map[string]Server `json:"servers,omitempty" toml:"servers"`               // by id, those in service
-	Listed         bool              `json:"listed,omitempty" toml:"listed"`                 // Servers are all; else the endpoint list decides
-	Cordoned       []string          `json:"bans,omitempty" toml:"bans"`                     // server ids, sorted
-	Agents         []string          `json:"agents,omitempty" toml:"agents"`                 // that may hold a lease, sorted; none: any
+	Classes      map[string]Class `json:"classes,omitempty" toml:"classes"`
+	MaxAttempts  int              `json:"max_attempts,omitempty" toml:"max_attempts"` // 1 to 3
+	DrainGraceMs float64          `json:"drain_grace_ms,omitempty" toml:"drain_grace_ms"`
+	// OverloadFactor is relative to the capacity of a warming server.
+	OverloadFactor float64 `json:"fall_multiple,omitempty" toml:"fall_multiple"`
+	// Servers are those in service, by id, if Listed; else the endpoint list decides.
+	Servers  map[string]Server `json:"servers,omitempty" toml:"servers"`
+	Listed   bool              `json:"listed,omitempty" toml:"listed"`
+	Cordoned []string          `json:"bans,omitempty" toml:"bans"`     // server ids, sorted
+	Agents   []string          `json:"agents,omitempty" toml:"agents"` // that may hold a lease, sorted; none: any
 }
 
 // Decode reads and checks the JSON text of a configuration. Unknown keys are an error: they might forbid something.
