--- /dev/null
+++ b/internal/upstream/http/chunked.go
@@ -0,0 +1,145 @@
+package http
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"io"
+	"net/textproto"
+	"strconv"
+
+	"ringtrack.example/ringtrack/internal/upstream/conns"
+)
+
+// maxTrailerBytes bounds the trailers of a chunked body, their empty line included: the limit of net/http's reader.
+const maxTrailerBytes = 4 << 10
+
+var crlf = []byte("\r\n")
+
+// chunkedReader reads a chunked body (RFC 9112, section 7.1). Unlike net/http's reader it can be used after a
+// timeout: a response that arrives slowly is passed on from where it was.
+type chunkedReader struct {
+	br         *bufio.Reader
+	chunkLeft  int64 // unread bytes of the chunk
+	total      int64 // bytes of the body, this chunk included
+	inChunk    bool  // the end of a chunk is still to be read
+	inTrailers bool  // the last chunk has been read
+	ended      bool
+	trailers   []byte // as far as they have arrived
+}
+
+// Read reads the body. After a timeout of the connection it may be called again.
+func (c *chunkedReader) Read(p []byte) (int, error) {
+	for c.chunkLeft == 0 {
+		if err := c.nextChunk(); err != nil {
+			return 0, err
+		}
+	}
+	n, err := c.br.Read(p[:min(int64(len(p)), c.chunkLeft)])
+	c.chunkLeft -= int64(n)
+	return n, unexpectedEOF(err)
+}
+
+// nextChunk takes one step towards the data of the next chunk; io.EOF: the body has ended.
+func (c *chunkedReader) nextChunk() error {
+	switch {
+	case c.ended:
+		return io.EOF
+	case c.inTrailers:
+		err := c.readTrailers()
+		c.ended = err == nil
+		return err
+	case c.inChunk:
+		return c.readChunkEnd()
+	}
+	return c.readChunkSize()
+}
+
+// readChunkEnd reads the line end after the data of a chunk.
+func (c *chunkedReader) readChunkEnd() error {
+	end, err := c.br.Peek(len(crlf))
+	if err != nil {
+		return unexpectedEOF(err)
+	}
+	if !bytes.Equal(end, crlf) {
+		return conns.MalformedResponse("a chunk longer than its size")
+	}
+	c.br.Discard(len(crlf))
+	c.inChunk = false
+	return nil
+}
+
+// readChunkSize reads the line before the data of a chunk. Extensions are ignored.
+func (c *chunkedReader) readChunkSize() error {
+	line, err := peekLine(c.br)
+	if err != nil {
+		return err
+	}
+	text, hasCRLF := bytes.CutSuffix(line, crlf)
+	text, _, _ = bytes.Cut(text, []byte(";"))
+	text = bytes.TrimRight(text, " \t")
+	size, err := strconv.ParseUint(string(text), 16, 63)
+	if !hasCRLF || err != nil || c.total+int64(min(size, MaxResponseBodyBytes+1)) > MaxResponseBodyBytes {
+		return conns.MalformedResponse("chunk size %.20q", line)
+	}
+	c.br.Discard(len(line))
+	if size == 0 {
+		c.inTrailers = true
+		return nil
+	}
+	c.chunkLeft = int64(size)
+	c.total += c.chunkLeft
+	c.inChunk = true
+	return nil
+}
+
+// readTrailers reads the end of a chunked body: trailer fields, which are ignored, and an empty line that is CR LF
+// and nothing else (RFC 9112, section 7.1.2). What net/http's reader does not take for the end is malformed:
+// responses get mixed up on a reused connection where two readers disagree on the end of one.
+func (c *chunkedReader) readTrailers() error {
+	for {
+		line, err := peekLine(c.br)
+		if err != nil {
+			return err
+		}
+		c.trailers = append(c.trailers, line...)
+		c.br.Discard(len(line))
+		switch {
+		case len(c.trailers) > maxTrailerBytes:
+			return conns.MalformedResponse("trailers too large")
+		case !bytes.HasSuffix(line, crlf):
+			return conns.MalformedResponse("a trailer line without CR LF")
+		case len(line) > len(crlf):
+			continue
+		case len(c.trailers) == len(crlf):
+			return nil // no trailer fields, as nearly always
+		}
+		if _, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(c.trailers))).ReadMIMEHeader(); err != nil {
+			return conns.MalformedResponse("trailers: %v", err)
+		}
+		return nil
+	}
+}
+
+// peekLine waits for a complete line, and leaves it in the buffer.
+func peekLine(br *bufio.Reader) ([]byte, error) {
+	for n := max(br.Buffered(), 1); ; n = max(n+1, br.Buffered()) {
+		line, err := br.Peek(n)
+		if i := bytes.IndexByte(line, '\n'); i >= 0 {
+			return line[:i+1], nil
+		}
+		if errors.Is(err, bufio.ErrBufferFull) {
+			return nil, conns.MalformedResponse("line too long")
+		} else if err != nil {
+			return nil, unexpectedEOF(err)
+		}
+	}
+}
+
+// unexpectedEOF replaces the end of the connection, which came before the end of the body.
+func unexpectedEOF(err error) error {
+	if err == io.EOF {
+		return io.ErrUnexpectedEOF
+	}
+	return err
+}
--- /dev/null
+++ b/internal/upstream/http/response.go
@@ -0,0 +1,109 @@
+package http
+
+import (
+	"bufio"
+	"bytes"
+	"net/http"
+	"net/textproto"
+	"time"
+
+	"golang.org/x/net/http/httpguts"
+
+	"ringtrack.example/ringtrack/internal/upstream/conns"
+)
+
+const (
+	// maxHeadBytes bounds the head of a response.
+	maxHeadBytes = 16 << 10
+	// maxInterimResponses bounds the 1xx responses before the final one.
+	maxInterimResponses = 8
+	// versionPrefix begins each status line.
+	versionPrefix = "HTTP/"
+)
+
+// reserveFunc reserves memory for n bytes of a body.
+type reserveFunc func(n int64) error
+
+// readResponse reads one final response and its complete body, or the beginning of a long one. Only a response
+// whose head and framing leave no doubt is returned; then nothing of what follows on the connection has been taken
+// for part of it. setReadDeadline, if not nil, sets the deadline of reads; the zero time means the attempt's.
+func readResponse(br *bufio.Reader, reserve reserveFunc, setReadDeadline func(time.Time)) (*http.Response, *responseBody, error) {
+	for range maxInterimResponses + 1 {
+		resp, closes, err := readHead(br)
+		if err != nil {
+			return nil, nil, err
+		}
+		switch {
+		case resp.ProtoMajor != 1:
+			return nil, nil, conns.MalformedResponse("protocol %s", resp.Proto)
+		case resp.StatusCode == http.StatusSwitchingProtocols || resp.StatusCode < 100:
+			return nil, nil, conns.MalformedResponse("status %d", resp.StatusCode)
+		case resp.StatusCode < 200:
+			continue
+		}
+		body, err := readBody(br, resp, closes, reserve, setReadDeadline)
+		if err != nil {
+			return nil, nil, err
+		}
+		return resp, body, nil
+	}
+	return nil, nil, conns.MalformedResponse("more than %d interim responses", maxInterimResponses)
+}
+
+// readHead reads and parses a head. closes says whether it has "Connection: close". net/http parses the head alone:
+// with the connection it would read beyond this response.
+func readHead(br *bufio.Reader) (resp *http.Response, closes bool, err error) {
+	head, err := readHeadBytes(br)
+	if err != nil {
+		return nil, false, err
+	}
+	closes, err = checkHead(head)
+	if err != nil {
+		return nil, false, err
+	}
+	resp, err = http.ReadResponse(bufio.NewReader(bytes.NewReader(head)), nil)
+	if err != nil {
+		return nil, false, conns.MalformedResponse("%v", err)
+	}
+	return resp, closes, nil
+}
+
+// readHeadBytes reads up to the empty line, and never more than maxHeadBytes.
+func readHeadBytes(br *bufio.Reader) ([]byte, error) {
+	// Bytes that are no response may have no line end: the first ones show it.
+	for _, n := range []int{1, len(versionPrefix)} {
+		if start, err := br.Peek(n); err != nil {
+			return nil, err
+		} else if string(start) != versionPrefix[:n] {
+			return nil, conns.MalformedResponse("no status line")
+		}
+	}
+	var head []byte
+	for {
+		line, err := br.ReadSlice('\n')
+		head = append(head, line...)
+		switch {
+		case len(head) > maxHeadBytes || err == bufio.ErrBufferFull:
+			return nil, conns.MalformedResponse("head too large")
+		case err != nil:
+			return nil, err
+		case len(line) <= 2 && (line[0] == '\n' || line[0] == '\r'):
+			return head, nil
+		}
+	}
+}
+
+// checkHead rejects what net/http accepts silently: more than one length, or one beside a transfer encoding. It
+// returns whether the head has "Connection: close", which net/http also assumes where there is no length.
+func checkHead(head []byte) (closes bool, err error) {
+	_, fields, _ := bytes.Cut(head, []byte("\n"))
+	h, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(fields))).ReadMIMEHeader()
+	if err != nil {
+		return false, conns.MalformedResponse("%v", err)
+	}
+	lengths, encodings := len(h["Content-Length"]), len(h["Transfer-Encoding"])
+	if lengths+encodings > 1 {
+		return false, conns.MalformedResponse("%d lengths and %d transfer encodings", lengths, encodings)
+	}
+	return httpguts.HeaderValuesContainsToken(h["Connection"], "close"), nil
+}
