--- a/internal/downstream/http/conns.go
+++ b/internal/downstream/http/conns.go
@@ -11,80 +11,91 @@
 	"ringtrack.example/ringtrack/internal/socket"
 )
 
-// clientConns makes room among the clients' connections when there are nearly as
-// many as may be. Every client is accepted: one that waits in the accept queue has
-// neither an answer nor a close. Those with no request open give way: first the ones
-// that have not brought a whole one in the moment that it takes, or that are too many,
-// then those that idle, then the rest, and of each the oldest. So hundreds that
-// connect and say nothing, or half of something, push out each other, and not the
-// clients that are served.
+const (
+	// newConnGracePeriod is how long a connection may take to bring a request, with its body, before it is
+	// evicted ahead of all others.
+	newConnGracePeriod = 250 * time.Millisecond
+	// maxBusyFraction of the connections may have an open request; the others are for those that still bring one.
+	maxBusyFraction = 7.0 / 8
+	// A burst is more than a part of the soft limit, 1/burstDivisor, of one kind.
+	burstDivisor = 4
+)
+
+// connKind is what a connection without an open request is doing.
+type connKind int
+
+const (
+	noRequest   connKind = iota // nothing complete has arrived yet
+	idle                        // between requests
+	readingBody                 // a head has arrived, its body is being read
+	connKinds                   // the number of kinds
+)
+
+// clientConns evicts clients' connections when there are nearly as many as there may be. Every client is accepted:
+// one that waits in the accept queue gets neither an answer nor a close.
 //
-// It looks whenever a connection changes its state. One that is being closed no
-// longer counts and is not chosen again: the server notices the close only later.
+// Connections without an open request are evicted, the oldest of each kind first: those that have brought no
+// complete request for newConnGracePeriod, or that are part of a burst; then idle ones; then the others. So hundreds
+// of clients that connect and send nothing, or half a request, evict each other and not the clients that are served.
 //
-// It makes room long before the descriptors run out: the application has a limit of
-// its own, and where all it may hold are connections of callers that asked once and
-// stay, it can't bring another request. Which of them idle for good only it knows.
+// Eviction begins at a soft limit, long before the descriptors run out: an application with a limit of its own may
+// have nothing but connections that it uses no more, and could not bring another request. Where nearly all
+// connections have an open request only new ones are left to evict, and their requests would be lost. They stay up
+// to the hard limit, and requests are rejected before that is reached.
 //
-// Where nearly all have a request open there is nobody else to give way but those that have just come, and who
-// closes them has lost their requests. So they stay for as long as there are descriptors, and requests are
-// refused before there are none: a part of the connections is left for those that still bring one.
+// It evicts whenever a connection changes its state. A connection that is being closed does not count and is not
+// selected again: net/http notices the close only later.
 type clientConns struct {
-	softLimit int // from here on those that idle or were silent for long give way
-	hardLimit int // all there may be: from here on newcomers do, too
+	softLimit int // above it idle connections and those that were silent for long are evicted
+	hardLimit int // above it new ones are, too
+
 	mu        sync.Mutex
-	conns     map[net.Conn]*clientConn // bound: the descriptors; beyond max those without a request go
-	closing   int
-	// Connections with no request open, by how readily they give way.
-	evictable [3]list.List
+	conns     map[net.Conn]*clientConn
+	closing   int                  // evicted and still in conns
+	evictable [connKinds]list.List // connections without an open request, the oldest first
 }
 
-const (
-	noRequest   = iota // nothing whole has come yet
-	idle               // between requests
-	readingBody        // a head has come, its body is being read
-)
-
-// newConnGracePeriod is how long a connection may take to bring a request, and its body, before
-// it gives way to all others.
-const newConnGracePeriod = 250 * time.Millisecond
-
-// clientConn is one connection; at is its place in kind, nil while a request is open.
+// clientConn is one connection.
 type clientConn struct {
-	element   *list.Element
-	kind      int
-	since     time.Time // of that kind
-	closing   bool
-	readLimit time.Time // until when it has to bring what it has begun; zero: nobody has hurried it
+	element      *list.Element // in evictable; nil while a request is open
+	kind         connKind
+	since        time.Time // of that kind
+	closing      bool
+	readDeadline time.Time // by limitReads; zero: none
 }
 
+// connKey is the key of the connection in the context of a request.
 type connKey struct{}
 
-// newClientConns makes room from max connections on, and has at most most of them.
-func newClientConns(max, most int) *clientConns {
-	return &clientConns{softLimit: max, hardLimit: most, conns: map[net.Conn]*clientConn{}}
+// newClientConns returns an empty clientConns with these limits.
+func newClientConns(softLimit, hardLimit int) *clientConns {
+	return &clientConns{softLimit: softLimit, hardLimit: hardLimit, conns: map[net.Conn]*clientConn{}}
 }
 
-// maxBusyFraction of the connections may have a request open; the others are for those that still bring one.
-const maxBusyFraction = 7.0 / 8
-
-// overloaded tells whether too many connections have a request open for one more.
+// overloaded says whether too many connections have an open request for one more.
 func (c *clientConns) overloaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	busy := len(c.conns) - c.closing
-	for i := range c.evictable {
-		busy -= c.evictable[i].Len()
+	for kind := range c.evictable {
+		busy -= c.evictable[kind].Len()
 	}
 	return float64(busy) > maxBusyFraction*float64(c.hardLimit)
 }
 
-// context lets a handler find its connection.
+// empty says whether nobody is connected.
+func (c *clientConns) empty() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.conns) == 0
+}
+
+// context puts the connection into the context of its requests.
 func (c *clientConns) context(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
-// track follows the server's states.
+// track follows the states of net/http.
 func (c *clientConns) track(nc net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,70 +109,108 @@
 		c.setEvictable(nc, idle)
 	case http.StateClosed, http.StateHijacked:
 		c.setBusy(nc)
-		if x := c.conns[nc]; x != nil && x.closing {
+		if conn := c.conns[nc]; conn != nil && conn.closing {
 			c.closing--
 		}
 		delete(c.conns, nc)
 	}
 	for len(c.conns)-c.closing > c.softLimit {
-		old := c.nextVictim()
-		if old == nil {
+		victim := c.nextVictim()
+		if victim == nil {
 			break
 		}
-		c.evict(old)
+		c.evict(victim)
 	}
 }
 
-// evict closes a connection that has no request open.
-func (c *clientConns) evict(nc net.Conn) {
+// requestRead notes that the connection of a handler has brought a complete request: it stays until that is
+// answered. It returns false for a connection that has just been evicted: it can't carry an answer any longer, and
+// its client sends the request again.
+func (c *clientConns) requestRead(ctx context.Context) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	nc, ok := ctx.Value(connKey{}).(net.Conn)
+	if !ok {
+		return true
+	}
 	c.setBusy(nc)
-	c.conns[nc].closing = true
-	c.closing++
-	abort(nc) // the server's read then fails, and it reports the close
-}
-
-// abort closes a connection at once, with no answer on its way.
-func abort(nc net.Conn) {
-	if f, ok := nc.(*framedConn); ok {
-		f.abort()
-		return
+	conn := c.conns[nc]
+	if conn == nil || conn.closing {
+		return false
 	}
-	nc.Close()
+	if !conn.readDeadline.IsZero() {
+		conn.readDeadline = time.Time{}
+		nc.SetReadDeadline(time.Time{}) // else its end would look like a disconnect
+	}
+	return true
 }
 
-// abortAll closes all connections at once.
-func (c *clientConns) abortAll() {
+// limitReads sets a deadline for connections that have begun a request, or still have to bring their first.
+func (c *clientConns) limitReads(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for nc := range c.conns {
-		abort(nc)
+	for _, kind := range []connKind{noRequest, readingBody} {
+		for e := c.evictable[kind].Front(); e != nil; e = e.Next() {
+			nc := e.Value.(net.Conn)
+			c.conns[nc].readDeadline = deadline
+			nc.SetReadDeadline(deadline)
+		}
 	}
 }
 
-// closeIdle closes the connections between requests. One on which a request has come that the server has not read
-// yet is none of them: who closes it loses that request. It is on its way, and its answer closes the connection.
+// closeIdle closes the connections between requests, except those on which a request has arrived that net/http has
+// not read yet: the close would lose it. Its answer closes the connection.
 func (c *clientConns) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for e := c.evictable[idle].Front(); e != nil; {
 		nc := e.Value.(net.Conn)
-		if e = e.Next(); socket.Look(nc) != socket.Unread {
+		e = e.Next()
+		if socket.Look(nc) != socket.Unread {
 			c.evict(nc)
 		}
 	}
 }
 
-// nextVictim is the connection to give way next, nil if there is none, or only newcomers and room for them.
+// abortAll closes all connections at once.
+func (c *clientConns) abortAll() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for nc := range c.conns {
+		abort(nc)
+	}
+}
+
+// evict closes a connection without an open request. The lock is held.
+func (c *clientConns) evict(nc net.Conn) {
+	c.setBusy(nc)
+	c.conns[nc].closing = true
+	c.closing++
+	abort(nc) // net/http's read then fails, and it reports StateClosed
+}
+
+// abort closes a connection at once. No answer may be on its way.
+func abort(nc net.Conn) {
+	if conn, ok := nc.(*framedConn); ok {
+		conn.abort()
+		return
+	}
+	nc.Close()
+}
+
+// nextVictim is the connection to evict next; nil: there is none, or only new ones below the hard limit. The lock
+// is held.
 func (c *clientConns) nextVictim() net.Conn {
+	full := len(c.conns)-c.closing > c.hardLimit
+	burst := false
 	var oldest net.Conn
-	full, burst := len(c.conns)-c.closing > c.hardLimit, false
-	for _, kind := range []int{noRequest, readingBody} {
+	for _, kind := range []connKind{noRequest, readingBody} {
 		e := c.candidate(kind, full)
 		if e == nil {
 			continue
 		}
 		nc := e.Value.(net.Conn)
-		many := c.evictable[kind].Len() > c.softLimit/4
+		many := c.evictable[kind].Len() > c.softLimit/burstDivisor
 		if many && full || time.Since(c.conns[nc].since) > newConnGracePeriod {
 			return nc
 		}
@@ -170,7 +219,7 @@
 			oldest = nc
 		}
 	}
-	// Many that come at once push out nobody but each other.
+	// The connections of a burst evict nobody but each other.
 	if e := c.candidate(idle, full); e != nil && !burst {
 		return e.Value.(net.Conn)
 	}
@@ -180,9 +229,9 @@
 	return oldest
 }
 
-// candidate is the oldest connection of a kind that may be closed: one that has brought what nobody has read yet
-// is on its way to be served, and goes only where there is no room at all.
-func (c *clientConns) candidate(kind int, full bool) *list.Element {
+// candidate is the oldest connection of a kind that may be evicted. One that has brought bytes that nobody has read
+// yet may be only where the hard limit is exceeded. The lock is held.
+func (c *clientConns) candidate(kind connKind, full bool) *list.Element {
 	e := c.evictable[kind].Front()
 	for !full && e != nil && socket.Look(e.Value.(net.Conn)) == socket.Unread {
 		e = e.Next()
@@ -190,60 +239,20 @@
 	return e
 }
 
-// requestRead tells that the handler's connection has brought a whole request: it stays
-// until that is answered. One that has just been made to give way can't carry an answer
-// any more, and its client sends the request again: then taken returns false.
-func (c *clientConns) requestRead(ctx context.Context) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	nc, ok := ctx.Value(connKey{}).(net.Conn)
-	if !ok {
-		return true
-	}
-	c.setBusy(nc)
-	x := c.conns[nc]
-	if x == nil || x.closing {
-		return false
-	}
-	if !x.readLimit.IsZero() {
-		x.readLimit = time.Time{}
-		nc.SetReadDeadline(x.readLimit) // else its end would look like the client's leaving
-	}
-	return true
-}
-
-// empty tells whether nobody is connected.
-func (c *clientConns) empty() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.conns) == 0
-}
-
-// limitReads gives those that still have to bring a request until a time for it.
-func (c *clientConns) limitReads(by time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, kind := range []int{noRequest, readingBody} {
-		for e := c.evictable[kind].Front(); e != nil; e = e.Next() {
-			nc := e.Value.(net.Conn)
-			c.conns[nc].readLimit = by
-			nc.SetReadDeadline(by)
-		}
-	}
-}
-
-// setEvictable puts a connection last among those of a kind.
-func (c *clientConns) setEvictable(nc net.Conn, kind int) {
+// setEvictable notes that a connection has no open request and is the newest of its kind. The lock is held.
+func (c *clientConns) setEvictable(nc net.Conn, kind connKind) {
 	c.setBusy(nc)
-	if x := c.conns[nc]; x != nil && !x.closing {
-		x.kind, x.element, x.since = kind, c.evictable[kind].PushBack(nc), time.Now()
+	if conn := c.conns[nc]; conn != nil && !conn.closing {
+		conn.kind = kind
+		conn.element = c.evictable[kind].PushBack(nc)
+		conn.since = time.Now()
 	}
 }
 
-// setBusy takes a connection off those that may give way.
+// setBusy takes a connection off those that may be evicted. The lock is held.
 func (c *clientConns) setBusy(nc net.Conn) {
-	if x := c.conns[nc]; x != nil && x.element != nil {
-		c.evictable[x.kind].Remove(x.element)
-		x.element = nil
+	if conn := c.conns[nc]; conn != nil && conn.element != nil {
+		c.evictable[conn.kind].Remove(conn.element)
+		conn.element = nil
 	}
 }
--- a/internal/downstream/http/disconnect.go
+++ b/internal/downstream/http/disconnect.go
@@ -11,35 +11,37 @@
 )
 
 const (
-	// maxReadAheadBytes is what is read of what a client sends behind its open request: a client sends one request at a
-	// time (protocol page), so that there is little, and net/http reads none of it before the answer.
+	// maxReadAheadBytes bounds what is read of what a client sends after its open request. Clients send one
+	// request at a time, so that there is little, and net/http reads none of it before the answer.
 	maxReadAheadBytes = 16 << 10
-	// disconnectPollInterval is how often a client that has sent more than that is looked at.
+	// readAheadBufferBytes is how much of it is read at once.
+	readAheadBufferBytes = 4 << 10
+	// disconnectPollInterval is how often the socket of a client that has sent more than that is checked.
 	disconnectPollInterval = 25 * time.Millisecond
 )
 
-// disconnectDetector detects that a client disconnects while its request is open. net/http's own look ends with the
-// first byte that comes
-// behind the request, and does not begin while a part of the body is to come: then this reads ahead, as far as
-// mostAhead, and hands what it read to whoever reads next. It owns the connection's read deadline, as it has to end
-// its own read without losing the one that the server set.
+// disconnectDetector detects that a client disconnects while its request is open. net/http's own check ends with
+// the first byte that arrives after the request, and does not begin while a part of the body is still to arrive:
+// then the detector reads ahead, up to maxReadAheadBytes, and hands what it read to the next reader. It owns the
+// read deadline of the connection, as it has to end its own read without losing the deadline that net/http set.
 type disconnectDetector struct {
 	conn         net.Conn
-	onRead       func(p []byte) // is told what was read
+	onRead       func(p []byte) // called with what was read ahead
+	disconnected chan struct{}  // closed once the client has disconnected
+	once         sync.Once      // closes it: the socket and the end of the bytes may both show it
+
 	mu           sync.Mutex
 	readAhead    []byte
-	err          error         // how reading ahead ended, behind ahead
-	readDeadline time.Time     // the server's deadline
-	stop         chan struct{} // closed to have it end; nil: it does not run
-	stopped      chan struct{} // closed once it has
-	disconnected chan struct{} // closed once the client has
-	once         sync.Once     // closes it: who has hung up comes to the end of its bytes, too
+	err          error         // how reading ahead ended, after readAhead
+	readDeadline time.Time     // that net/http set
+	stop         chan struct{} // closed to stop the detector; nil: it does not run
+	stopped      chan struct{} // closed once it has stopped
 }
 
-// notify tells that the client has disconnected, once.
+// notify notes that the client has disconnected.
 func (d *disconnectDetector) notify() { d.once.Do(func() { close(d.disconnected) }) }
 
-// isDisconnected tells whether the client has left, as its socket has it now: it is asked where a moment counts.
+// isDisconnected says whether the client has disconnected, by the present state of its socket.
 func (d *disconnectDetector) isDisconnected() bool {
 	select {
 	case <-d.disconnected:
@@ -53,41 +55,31 @@
 	return true
 }
 
-// start begins to look. It does nothing where it runs already, or the client has left.
+// start starts the detector, unless it runs or the client has disconnected.
 func (d *disconnectDetector) start() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stop != nil || d.err != nil {
 		return
 	}
-	d.stop, d.stopped = make(chan struct{}), make(chan struct{})
+	d.stop = make(chan struct{})
+	d.stopped = make(chan struct{})
 	go d.run(d.stop, d.stopped)
 }
 
-func (d *disconnectDetector) run(end, over chan struct{}) {
-	defer close(over)
-	buf := make([]byte, 4<<10)
-	var look *time.Ticker
+// run reads ahead until stop, an error or the bound, and from there on polls the socket.
+func (d *disconnectDetector) run(stop, stopped chan struct{}) {
+	defer close(stopped)
+	buf := make([]byte, readAheadBufferBytes)
 	for {
 		d.mu.Lock()
-		room := maxReadAheadBytes - len(d.readAhead)
+		capacity := maxReadAheadBytes - len(d.readAhead)
 		d.mu.Unlock()
-		if room <= 0 {
-			if look == nil {
-				look = time.NewTicker(disconnectPollInterval)
-				defer look.Stop()
-			}
-			select {
-			case <-end:
-				return
-			case <-look.C:
-			}
-			if d.isDisconnected() {
-				return
-			}
-			continue
+		if capacity <= 0 {
+			d.poll(stop)
+			return
 		}
-		n, err := d.conn.Read(buf[:min(room, len(buf))])
+		n, err := d.conn.Read(buf[:min(capacity, len(buf))])
 		d.onRead(buf[:n])
 		d.mu.Lock()
 		d.readAhead = append(d.readAhead, buf[:n]...)
@@ -102,21 +94,38 @@
 	}
 }
 
-// stopAndRead ends the look, and gives what was read ahead, or how that ended; 0 and nil: there is nothing.
+// poll checks the socket until stop or the client has disconnected.
+func (d *disconnectDetector) poll(stop chan struct{}) {
+	ticker := time.NewTicker(disconnectPollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-stop:
+			return
+		case <-ticker.C:
+		}
+		if d.isDisconnected() {
+			return
+		}
+	}
+}
+
+// stopAndRead stops the detector and reads what it has read ahead, or how that ended. 0 and nil: there is nothing.
 func (d *disconnectDetector) stopAndRead(p []byte) (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if end, over := d.stop, d.stopped; end != nil {
-		close(end)
-		d.conn.SetReadDeadline(time.Unix(1, 0))
+	if stop, stopped := d.stop, d.stopped; stop != nil {
+		close(stop)
+		d.conn.SetReadDeadline(time.Unix(1, 0)) // ends its read
 		d.mu.Unlock()
-		<-over
+		<-stopped
 		d.mu.Lock()
 		d.stop = nil
 		d.conn.SetReadDeadline(d.readDeadline)
 	}
 	n := copy(p, d.readAhead)
-	if d.readAhead = d.readAhead[n:]; len(d.readAhead) == 0 {
+	d.readAhead = d.readAhead[n:]
+	if len(d.readAhead) == 0 {
 		d.readAhead = nil
 	}
 	if n > 0 {
@@ -125,7 +134,7 @@
 	return 0, d.err
 }
 
-// setReadDeadline sets the server's deadline.
+// setReadDeadline sets the deadline of net/http's reads.
 func (d *disconnectDetector) setReadDeadline(t time.Time) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -133,7 +142,7 @@
 	if d.stop != nil {
 		select {
 		case <-d.stop:
-			return nil // take sets it
+			return nil // stopAndRead will set it
 		default:
 		}
 	}
--- a/internal/downstream/http/disconnect_test.go
+++ b/internal/downstream/http/disconnect_test.go
@@ -10,8 +10,8 @@
 	"ringtrack.example/ringtrack/internal/socket"
 )
 
-// watched is a client's connection at both ends, whose leaving is looked for.
-func watched(t *testing.T) (client net.Conn, c *framedConn) {
+// newWatchedConn returns both ends of a client's connection, whose disconnect detector runs.
+func newWatchedConn(t *testing.T) (client net.Conn, c *framedConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,33 +32,33 @@
 	return client, c
 }
 
-// A client that hung up behind more than is read ahead is told once, also where its answer won and the server reads on
-// to the end: what is noticed a second time, by the end of the bytes, is the same leaving.
-func TestLeavingIsToldOnce(t *testing.T) {
-	client, c := watched(t)
+// The disconnect of a client that sent more than is read ahead is notified once, even if the server reads on to the end
+// of the bytes, which shows it a second time.
+func TestDisconnectIsNotifiedOnce(t *testing.T) {
+	client, c := newWatchedConn(t)
 	io.WriteString(client, strings.Repeat("x", maxReadAheadBytes+1))
 	client.(*net.TCPConn).CloseWrite()
 	select {
 	case <-c.disconnect.disconnected:
 	case <-time.After(10 * time.Second):
-		t.Fatal("nobody noticed")
+		t.Fatal("the disconnect is not detected")
 	}
-	one := make([]byte, 1) // as net/http's look reads: it begins to look ahead behind the last byte
+	one := make([]byte, 1) // as net/http's own check reads: the detector starts after the last byte
 	for n := 0; n <= maxReadAheadBytes; n++ {
 		if _, err := c.Read(one); err != nil {
 			t.Fatalf("byte %d: %v", n, err)
 		}
 	}
-	<-c.disconnect.stopped // it has come to the end
+	<-c.disconnect.stopped // it has reached the end
 	if n, err := c.Read(one); n != 0 || err != io.EOF {
-		t.Errorf("behind the end: %d, %v", n, err)
+		t.Errorf("after the end: %d, %v", n, err)
 	}
 }
 
-// A client that leaves during the second of the requests that it sent together is noticed, where more stands behind
-// that one: net/http's look then finds a byte that was read ahead before.
-func TestLeavingBehindTheSecondOfMany(t *testing.T) {
-	client, c := watched(t)
+// A client that disconnects during the second of several pipelined requests is detected: net/http's own check then
+// finds a byte that was read ahead before.
+func TestDisconnectDuringASecondPipelinedRequest(t *testing.T) {
+	client, c := newWatchedConn(t)
 	io.WriteString(client, "three")
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		c.disconnect.mu.Lock()
@@ -71,20 +71,20 @@
 	if n, err := c.Read(make([]byte, 2)); n != 2 || err != nil { // the second request
 		t.Fatalf("%d, %v", n, err)
 	}
-	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil { // the look during it
+	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil { // net/http's check during it
 		t.Fatalf("%d, %v", n, err)
 	}
 	client.Close()
 	select {
 	case <-c.disconnect.disconnected:
 	case <-time.After(time.Second):
-		t.Fatal("nobody noticed")
+		t.Fatal("the disconnect is not detected")
 	}
 }
 
-// A request that comes in the very moment in which its connection is to be closed as idle is read all the same; what
-// has begun to come is not given more time by that.
-func TestARequestAtTheEndOfItsIdleTimeIsRead(t *testing.T) {
+// A request that arrives in the moment in which its connection is closed as idle is read; that gives one that has begun
+// to arrive no more time.
+func TestRequestAtTheIdleTimeoutIsRead(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -104,7 +104,7 @@
 	for i, part := range []string{"GET /api HTTP/1.1\r\n", "Host: x\r\n"} {
 		io.WriteString(client, part)
 		for end := time.Now().Add(10 * time.Second); socket.Look(nc) != socket.Unread && time.Now().Before(end); {
-			time.Sleep(time.Millisecond) // until it has come
+			time.Sleep(time.Millisecond) // until it has arrived
 		}
 		got := make([]byte, 100)
 		n, err := nc.Read(got)
--- a/internal/downstream/http/framing_test.go
+++ b/internal/downstream/http/framing_test.go
@@ -11,30 +11,30 @@
 
 const plainHead = "POST /api/a HTTP/1.1\r\nHost: x\r\n"
 
-// What the framing reader says of each head, however the bytes are cut.
-func TestFraming(t *testing.T) {
+// Complete heads and the first untrusted one are found however the bytes are split.
+func TestFramingChecker(t *testing.T) {
 	chunked := plainHead + "Transfer-Encoding: chunked\r\n\r\n5;x=y\r\nhello\r\n0\r\nT: x\r\n\r\n"
 	sized := plainHead + "Content-Length: 5\r\n\r\nhello"
 	for _, c := range []struct {
 		name, text string
 		heads      int
-		unsound    int // the first head not to be trusted; 0: all are sound
+		untrusted  int // the first head that is not trusted; 0: all are
 	}{
 		{"sized, chunked, sized", sized + chunked + sized, 3, 0},
 		{"no body", "GET / HTTP/1.1\r\nHost: x\r\n\r\n" + chunked, 2, 0},
 		{"both lengths", sized + plainHead + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 2, 2},
-		{"the other way round, in other letters", plainHead + "transfer-ENCODING: chunked\r\ncontent-length: 5\r\n\r\n", 1, 1},
-		{"a space ahead of the colon", plainHead + "Transfer-Encoding: chunked\r\nContent-Length : 5\r\n\r\n", 1, 1},
+		{"in the other order and letter case", plainHead + "transfer-ENCODING: chunked\r\ncontent-length: 5\r\n\r\n", 1, 1},
+		{"a space before the colon", plainHead + "Transfer-Encoding: chunked\r\nContent-Length : 5\r\n\r\n", 1, 1},
 		{"a body that looks like a head", plainHead + "Content-Length: 39\r\n\r\nContent-Length: 1\r\nTransfer-Encoding: x" + chunked, 2, 0},
 		{"a chunk that looks like one", plainHead + "Transfer-Encoding: chunked\r\n\r\n13\r\nContent-Length: 1\r\n\r\n0\r\n\r\n" + sized, 2, 0},
 		{"a trailer that looks like one", plainHead + "Transfer-Encoding: chunked\r\n\r\n0\r\nContent-Length: 3\r\n\r\n" + sized, 2, 0},
 		{"an empty line between", sized + "\r\n" + chunked, 2, 0},
 		{"bare LF", strings.ReplaceAll(sized+sized, "\r\n", "\n"), 2, 0},
 		{"two lengths", plainHead + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n", 0, 1},
-		{"a length that is none", plainHead + "Content-Length: +5\r\n\r\n", 0, 1},
-		{"a chunk's size that is none", plainHead + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 1, 2},
+		{"an invalid length", plainHead + "Content-Length: +5\r\n\r\n", 0, 1},
+		{"an invalid chunk size", plainHead + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", 1, 2},
 		{"a chunk without end", plainHead + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", 1, 2},
-		{"a line longer than is kept", plainHead + "X: " + strings.Repeat("p", 5*maxLine) + "\r\nContent-Length: 2\r\n\r\nab" + chunked, 2, 0},
+		{"a line longer than is stored", plainHead + "X: " + strings.Repeat("p", 5*maxLine) + "\r\nContent-Length: 2\r\n\r\nab" + chunked, 2, 0},
 	} {
 		for _, step := range []int{1, 2, 3, 7, 64, len(c.text)} {
 			f := framingChecker{length: -1}
@@ -43,16 +43,16 @@
 				f.feed(rest[:n])
 				rest = rest[n:]
 			}
-			if f.heads != c.heads || f.firstUntrusted != c.unsound {
-				t.Errorf("%s, %d bytes at once: %d heads, unsound %d; want %d, %d", c.name, step, f.heads, f.firstUntrusted, c.heads, c.unsound)
+			if f.heads != c.heads || f.firstUntrusted != c.untrusted {
+				t.Errorf("%s, %d bytes at once: %d heads, untrusted %d; want %d, %d", c.name, step, f.heads, f.firstUntrusted, c.heads, c.untrusted)
 			}
 		}
 	}
 }
 
-// Whatever comes: where net/http reads a chunked request as sound and the framing trusts it, a Content-Length
-// was not beside it, and both find the next request at the same place.
-func FuzzFraming(f *testing.F) {
+// Whatever arrives, a chunked request that net/http accepts and the framing checker trusts has no Content-Length, and
+// both find the next request at the same place.
+func FuzzFramingChecker(f *testing.F) {
 	f.Add([]byte(plainHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n" + plainHead + "Content-Length: 1\r\n\r\nx"))
 	f.Add([]byte(plainHead + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Add([]byte(plainHead + "Content-Length: 2\r\n\r\nab\r\n\r\n" + plainHead + "\r\n"))
--- a/internal/downstream/http/request.go
+++ b/internal/downstream/http/request.go
@@ -17,114 +17,177 @@
 )
 
 const (
-	// maxHeadBytes is the largest head.
+	// maxHeadBytes bounds a head.
 	maxHeadBytes = 16 << 10
-	// maxTimeoutMs bounds the time that a client may give, in ms.
+	// maxTimeoutMs bounds the timeout that a client may set.
 	maxTimeoutMs = 60_000
-	// maxTokenBytes bounds an id and a key.
+	// maxTokenBytes bounds an id and an idempotency key.
 	maxTokenBytes = 128
+	// maxWorkHintUs bounds a work hint.
+	maxWorkHintUs = 1e12
 )
 
-// singleValued are the fields with a meaning here: one of them twice means two things.
-var singleValued = []string{"Request-Id", "Request-Class", "Tenant", "Request-Timeout-Ms", "Idempotency-Key",
-	"Client-Retry", "Work-Hint", "Request-Info"}
+// Header fields of the protocol between clients and agents.
+const (
+	requestIDHeader      = "Request-Id"
+	requestClassHeader   = "Request-Class"
+	tenantHeader         = "Tenant"
+	timeoutHeader        = "Request-Timeout-Ms"
+	idempotencyKeyHeader = "Idempotency-Key"
+	clientRetryHeader    = "Client-Retry"
+	workHintHeader       = "Work-Hint"
+	requestInfoHeader    = "Request-Info"
+)
+
+// singleValued are the fields with a meaning here: one that occurs twice is ambiguous.
+var singleValued = []string{
+	requestIDHeader,
+	requestClassHeader,
+	tenantHeader,
+	timeoutHeader,
+	idempotencyKeyHeader,
+	clientRetryHeader,
+	workHintHeader,
+	requestInfoHeader,
+}
 
-// call is a client's request as the front took it, and where its answer goes.
+// call is the request of a client, and where its answer goes.
 type call struct {
 	core.Call
-	upstreamCall upstream.Call // what goes on
-	timeout      time.Duration // what the client gives it, from its last byte on
+	upstreamCall upstream.Call // what is forwarded
+	timeout      time.Duration // of the client, from the last byte of the request on
 }
 
-// requestError is what is wrong with a request, and the status that says so. It is never a
-// refusal: that would tell the client to send the same again.
+// requestError says what is wrong with a request. Its status is never one that makes the client send the same
+// request again.
 type requestError struct {
 	status int
 	text   string
 }
 
-func (b *requestError) Error() string { return b.text }
+func (e *requestError) Error() string { return e.text }
 
 func requestErrorf(status int, format string, args ...any) error {
 	return &requestError{status, fmt.Sprintf(format, args...)}
 }
 
-// parseCall turns the head of a client's request into a call or tells what is wrong with
-// it. What passes is what a usual client sends: a backend turns away or closes on the
-// rest, and would be taken for a bad one. framed says that the framing of a chunked body can be trusted.
-func (f *Server) parseCall(req *http.Request, now time.Time, framed bool) (*call, error) {
-	h := req.Header
-	refuse := func(format string, args ...any) (*call, error) {
-		return nil, requestErrorf(http.StatusBadRequest, format, args...)
-	}
-	switch {
-	case req.ProtoMajor != 1 || req.ProtoMinor != 1:
-		return nil, requestErrorf(http.StatusHTTPVersionNotSupported, "the protocol version is not spoken here")
-	case len(req.TransferEncoding) > 0 && !framed || len(h["Transfer-Encoding"]) > 0:
-		// What follows may be a request hidden in the body, and is never read.
-		return nil, requestErrorf(http.StatusLengthRequired, "a body needs one length: Content-Length, or Transfer-Encoding: chunked")
-	case req.ContentLength > MaxBodyBytes:
-		return nil, requestErrorf(http.StatusRequestEntityTooLarge, "body over %d bytes", MaxBodyBytes)
-	case req.Method != http.MethodGet && req.Method != http.MethodPost:
-		return nil, requestErrorf(http.StatusMethodNotAllowed, "method %s is not allowed", req.Method)
-	case !strings.HasPrefix(req.RequestURI, "/") || strings.ContainsFunc(req.RequestURI, notInTarget):
-		return refuse("the target is no path")
+func badRequestf(format string, args ...any) error {
+	return requestErrorf(http.StatusBadRequest, format, args...)
+}
+
+// parseCall turns the head of a request into a call. It accepts what usual clients send: a backend would reject
+// the rest or close the connection, and count as an outlier. framingTrusted says that the framing of a chunked
+// body is unambiguous. An error is a *requestError.
+func (s *Server) parseCall(req *http.Request, now time.Time, framingTrusted bool) (*call, error) {
+	if err := checkMessage(req, framingTrusted); err != nil {
+		return nil, err
 	}
+	h := req.Header
 	for _, name := range singleValued {
 		if len(h[name]) > 1 {
-			return refuse("%s more than once", name)
+			return nil, badRequestf("%s more than once", name)
 		}
 	}
-	c := &call{Call: core.Call{ID: h.Get("Request-Id"), Upstream: f.upstream, Answer: make(chan core.Answer, 1)},
-		upstreamCall: upstream.Call{Method: req.Method, Target: req.RequestURI, Host: req.Host, Header: h}}
-	c.Payload = &c.upstreamCall
-	var ok bool
-	if c.Class, ok = f.classes[h.Get("Request-Class")]; !ok {
-		return refuse("unknown Request-Class")
+	c := &call{
+		Call: core.Call{
+			ID:       h.Get(requestIDHeader),
+			Upstream: s.upstream,
+			Answer:   make(chan core.Answer, 1),
+		},
+		upstreamCall: upstream.Call{
+			Method: req.Method,
+			Target: req.RequestURI,
+			Host:   req.Host,
+			Header: h,
+		},
 	}
-	if len(f.tenants) > 0 {
-		if c.Tenant, ok = f.tenants[h.Get("Tenant")]; !ok {
-			return refuse("unknown Tenant")
-		}
+	c.Payload = &c.upstreamCall
+	if err := s.setClass(c, h); err != nil {
+		return nil, err
 	}
 	if !isToken(c.ID) {
-		return refuse("Request-Id is no token of 1 to %d characters", maxTokenBytes)
+		return nil, badRequestf("Request-Id is no token of 1 to %d characters", maxTokenBytes)
 	}
-	_, keyed := h["Idempotency-Key"]
-	switch effect := f.settings.Classes[c.Class].Effect; {
-	case (effect == policy.Idempotent) != (req.Method == http.MethodGet):
-		return refuse("method %s does not fit the class", req.Method)
-	case keyed != (effect == policy.IdempotentByKey):
-		return refuse("Idempotency-Key does not fit the class")
-	case keyed && !isToken(h.Get("Idempotency-Key")):
-		return refuse("Idempotency-Key is no token of 1 to %d characters", maxTokenBytes)
-	case req.Method == http.MethodGet && req.ContentLength != 0:
-		return refuse("GET with a body")
+	if err := checkEffect(req, s.settings.Classes[c.Class].Effect); err != nil {
+		return nil, err
 	}
-	// ParseUint takes no sign.
-	left, err := strconv.ParseUint(h.Get("Request-Timeout-Ms"), 10, 32)
-	if err != nil || left == 0 || left > maxTimeoutMs {
-		return refuse("Request-Timeout-Ms is no whole number from 1 to %d", maxTimeoutMs)
+	timeoutMs, err := strconv.ParseUint(h.Get(timeoutHeader), 10, 32) // takes no sign
+	if err != nil || timeoutMs == 0 || timeoutMs > maxTimeoutMs {
+		return nil, badRequestf("Request-Timeout-Ms is no whole number from 1 to %d", maxTimeoutMs)
 	}
-	c.timeout = time.Duration(left) * time.Millisecond
+	c.timeout = time.Duration(timeoutMs) * time.Millisecond
 	c.Deadline = now.Add(c.timeout)
-	if text := h.Get("Work-Hint"); text != "" {
-		us, err := strconv.ParseFloat(text, 64)
-		if c.HasHint = err == nil && us > 0 && us < 1e12; c.HasHint { // a guess: a bad one is none
-			c.HintMs = us / 1000
-		}
-	}
-	c.Retry = f.settings.Clients.MarksRetry && h.Get("Client-Retry") == "1"
+	c.HintMs, c.HasHint = parseWorkHint(h.Get(workHintHeader))
+	c.Retry = s.settings.Clients.MarksRetry && h.Get(clientRetryHeader) == "1"
 	if dir, last := path.Split(req.URL.EscapedPath()); len(dir) > 1 && last != "" {
 		c.Key = membership.Hash(last)
 	}
 	return c, nil
 }
 
-// isToken tells whether s is one of the words that ids and keys are.
+// checkMessage checks version, framing, method and target.
+func checkMessage(req *http.Request, framingTrusted bool) error {
+	chunked := len(req.TransferEncoding) > 0
+	switch {
+	case req.ProtoMajor != 1 || req.ProtoMinor != 1:
+		return requestErrorf(http.StatusHTTPVersionNotSupported, "the protocol version is not spoken here")
+	case chunked && !framingTrusted || len(req.Header["Transfer-Encoding"]) > 0:
+		// What follows may be a request hidden in the body, and is never read.
+		return requestErrorf(http.StatusLengthRequired, "a body needs one length: Content-Length, or Transfer-Encoding: chunked")
+	case req.ContentLength > MaxBodyBytes:
+		return requestErrorf(http.StatusRequestEntityTooLarge, "body over %d bytes", MaxBodyBytes)
+	case req.Method != http.MethodGet && req.Method != http.MethodPost:
+		return requestErrorf(http.StatusMethodNotAllowed, "method %s is not allowed", req.Method)
+	case !strings.HasPrefix(req.RequestURI, "/") || strings.ContainsFunc(req.RequestURI, isNotInTarget):
+		return badRequestf("the target is no path")
+	}
+	return nil
+}
+
+// setClass sets class and tenant of the call.
+func (s *Server) setClass(c *call, h http.Header) error {
+	var ok bool
+	if c.Class, ok = s.classes[h.Get(requestClassHeader)]; !ok {
+		return badRequestf("unknown Request-Class")
+	}
+	if len(s.tenants) == 0 {
+		return nil
+	}
+	if c.Tenant, ok = s.tenants[h.Get(tenantHeader)]; !ok {
+		return badRequestf("unknown Tenant")
+	}
+	return nil
+}
+
+// checkEffect checks that method and idempotency key fit the effect of the class.
+func checkEffect(req *http.Request, effect policy.Effect) error {
+	_, hasKey := req.Header[idempotencyKeyHeader]
+	switch {
+	case (effect == policy.Idempotent) != (req.Method == http.MethodGet):
+		return badRequestf("method %s does not fit the class", req.Method)
+	case hasKey != (effect == policy.IdempotentByKey):
+		return badRequestf("Idempotency-Key does not fit the class")
+	case hasKey && !isToken(req.Header.Get(idempotencyKeyHeader)):
+		return badRequestf("Idempotency-Key is no token of 1 to %d characters", maxTokenBytes)
+	case req.Method == http.MethodGet && req.ContentLength != 0:
+		return badRequestf("GET with a body")
+	}
+	return nil
+}
+
+// parseWorkHint reads the client's estimate of the work, in µs. One that can't be read is ignored.
+func parseWorkHint(text string) (ms float64, ok bool) {
+	us, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(us > 0 && us < maxWorkHintUs) {
+		return 0, false
+	}
+	return us / 1000, true
+}
+
+// isToken says whether s may be an id or a key.
 func isToken(s string) bool {
 	return len(s) <= maxTokenBytes && httpguts.ValidHeaderFieldName(s)
 }
 
-// notInTarget tells the characters that no request target holds as they are.
-func notInTarget(r rune) bool { return r <= ' ' || r > '~' || r == '#' }
+// isNotInTarget says whether a request target never contains r unescaped.
+func isNotInTarget(r rune) bool { return r <= ' ' || r > '~' || r == '#' }
--- /dev/null
+++ b/internal/downstream/http/response.go
@@ -0,0 +1,128 @@
+package http
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"ringtrack.example/ringtrack/internal/core"
+	upstream "ringtrack.example/ringtrack/internal/upstream/http"
+)
+
+const (
+	// writeTimeout bounds how long a client may take to read its answer.
+	writeTimeout = 2 * time.Second
+	// streamWriteTimeout bounds the same for each piece of a stream, of streamBufferBytes at most.
+	streamWriteTimeout = 10 * time.Second
+	streamBufferBytes  = 16 << 10
+)
+
+// reject answers a request that can't be used, and closes the connection: a client that sends one such request
+// sends more, and what follows may be part of it.
+func reject(w http.ResponseWriter, err error) {
+	status := http.StatusBadRequest
+	var requestErr *requestError
+	if errors.As(err, &requestErr) {
+		status = requestErr.status
+	}
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	w.Header().Set("Connection", "close")
+	http.Error(w, err.Error(), status)
+}
+
+// rejectStatus is reject with the text of the status.
+func rejectStatus(w http.ResponseWriter, status int) {
+	reject(w, requestErrorf(status, "%s", http.StatusText(status)))
+}
+
+// write writes the final answer.
+func (s *Server) write(w http.ResponseWriter, a core.Answer, class int) {
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	if s.draining.Load() { // it may have begun after the request arrived
+		w.Header().Set("Connection", "close")
+	}
+	switch {
+	case a.Outcome == core.Served:
+		s.writeReply(w, a.Reply, class)
+	case a.Outcome == core.Rejected:
+		if a.RetryAfterMs > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfterMs/1000, 'f', 3, 64))
+		}
+		w.WriteHeader(http.StatusServiceUnavailable)
+	case a.Reason == core.BadRequest:
+		rejectStatus(w, a.Reply.(*upstream.Reply).Status)
+	case a.Reason == core.Duplicate:
+		rejectStatus(w, http.StatusConflict)
+	case a.Reason == core.IncompleteRequest:
+		reject(w, requestErrorf(http.StatusBadRequest, "body can't be read"))
+	case a.Reason == core.DeadlineExceeded:
+		w.WriteHeader(http.StatusGatewayTimeout)
+	default:
+		w.WriteHeader(http.StatusBadGateway)
+	}
+}
+
+// writeReply writes the reply of a backend.
+func (s *Server) writeReply(w http.ResponseWriter, reply any, class int) {
+	if stream, ok := reply.(*upstream.Stream); ok {
+		s.writeStream(w, stream, class)
+		return
+	}
+	r := reply.(*upstream.Reply)
+	setHeader(w, r, int64(len(r.Body)))
+	w.WriteHeader(http.StatusOK)
+	_, _ = w.Write(r.Body) // an error means that the client has disconnected
+}
+
+// setHeader sets the header of a backend's reply. length is that of the body; -1: unknown.
+func setHeader(w http.ResponseWriter, r *upstream.Reply, length int64) {
+	for name, values := range upstream.EndToEnd(r.Header) {
+		w.Header()[name] = values
+	}
+	if length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
+	}
+}
+
+// writeStream passes a long reply on as it arrives. If it breaks off, the connection ends before the end of the
+// answer, so that the client notices.
+func (s *Server) writeStream(w http.ResponseWriter, stream *upstream.Stream, class int) {
+	outcome := core.Failed
+	defer func() {
+		stream.Close(outcome == core.Served)
+		s.EventLoop.Counters().CountStreamed(class, outcome)
+		if outcome != core.Served {
+			panic(http.ErrAbortHandler) // net/http then closes the connection
+		}
+	}()
+	setHeader(w, &stream.Reply, stream.Length)
+	w.WriteHeader(http.StatusOK)
+	if copyStream(w, stream) == nil {
+		outcome = core.Served
+	}
+}
+
+// copyStream writes a stream, each piece as soon as it has arrived.
+func copyStream(w http.ResponseWriter, stream *upstream.Stream) error {
+	out := http.NewResponseController(w)
+	piece := stream.Body
+	buf := make([]byte, streamBufferBytes)
+	for {
+		_ = out.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
+		if _, err := w.Write(piece); err != nil {
+			return err
+		}
+		if err := out.Flush(); err != nil {
+			return err
+		}
+		n, err := stream.Read(buf)
+		piece = buf[:n]
+		if err == io.EOF && n == 0 {
+			return nil
+		} else if err != nil && err != io.EOF {
+			return err
+		}
+	}
+}
--- a/internal/downstream/http/server_test.go
+++ b/internal/downstream/http/server_test.go
@@ -14,19 +14,18 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// rawOrder is an unsafe request; lines go into its head.
+// rawOrder is a request that is not idempotent; lines are part of its head.
 func rawOrder(target, id, lines, body string) string {
 	return "POST " + target + " HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nRequest-Class: order\r\n" +
 		"Request-Timeout-Ms: 4000\r\n" + lines + "\r\n" + body
 }
 
-// Connections that were silent for long give way first, then idle ones, then those that
-// have just come or whose request still comes, never one with a request open; none is
-// chosen twice while its close is under way.
-// Newcomers do so only where there are as many as there may be at all: they would have lost what they bring.
-func TestWhoGivesWay(t *testing.T) {
-	const room, most = 16, 20
-	c := newClientConns(room, most)
+// Connections that were silent for long are evicted first, then idle ones, and new ones or those whose request still
+// arrives only above the hard limit; one with an open request never is, and none is selected twice while it is being
+// closed.
+func TestEvictionOrder(t *testing.T) {
+	const softLimit, hardLimit = 16, 20
+	c := newClientConns(softLimit, hardLimit)
 	names := map[net.Conn]string{}
 	add := func(name string, states ...http.ConnState) net.Conn {
 		x, y := net.Pipe()
@@ -46,37 +45,37 @@
 		}
 		return got
 	}
-	quiet := add("silent")
-	c.conns[quiet].since = time.Now().Add(-2 * newConnGracePeriod)
-	add("coming", http.StateActive)
+	silent := add("silent")
+	c.conns[silent].since = time.Now().Add(-2 * newConnGracePeriod)
+	add("reading body", http.StateActive)
 	add("idle", http.StateActive, http.StateIdle)
 	busy := func() {
 		x := add("busy", http.StateActive)
 		c.requestRead(c.context(t.Context(), x))
 	}
-	for range room - 4 {
+	for range softLimit - 4 {
 		busy()
 	}
 	add("new")
 	if got := closed(); len(got) != 0 {
 		t.Fatalf("closed %v below the limit", got)
 	}
-	for i, want := range []string{"silent", "idle", "", "", "", "", "coming", "new"} {
+	for i, want := range []string{"silent", "idle", "", "", "", "", "reading body", "new"} {
 		busy()
 		if got := closed(); want == "" && len(got) > 0 || want != "" && (len(got) != 1 || got[0] != want) {
 			t.Errorf("%d: closed %v, want %s", i, got, want)
 		}
 	}
-	// With a request open everywhere else, it is the newcomer that has none.
+	// If all others have an open request, the new connection is evicted.
 	add("last")
 	if got := closed(); len(got) != 1 || got[0] != "last" {
 		t.Errorf("closed %v, want the last", got)
 	}
 }
 
-// The check never passes what is not for a backend, whatever the bytes.
-func FuzzRequest(f *testing.F) {
-	front := New(&policy.Settings{Classes: []policy.Class{{Name: "read", Effect: policy.Idempotent}, {Name: "send", Effect: policy.IdempotentByKey},
+// Whatever the bytes, parseCall accepts nothing that must not reach a backend.
+func FuzzParseCall(f *testing.F) {
+	server := New(&policy.Settings{Classes: []policy.Class{{Name: "read", Effect: policy.Idempotent}, {Name: "send", Effect: policy.IdempotentByKey},
 		{Name: "order", Effect: policy.NonIdempotent}}}, nil, nil, 16, 16)
 	f.Add(rawOrder("/api/a1", "1", "Content-Length: 1\r\n", "x"))
 	f.Add(rawOrder("/api/a1", "1", "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"))
@@ -86,20 +85,20 @@
 		if err != nil {
 			return
 		}
-		c, err := front.parseCall(req, time.Now(), true)
+		c, err := server.parseCall(req, time.Now(), true)
 		if err != nil {
-			var b *requestError
-			if !errors.As(err, &b) || b.status < 400 || b.status == 429 || b.status == 503 {
+			var requestErr *requestError
+			if !errors.As(err, &requestErr) || requestErr.status < 400 || requestErr.status == 429 || requestErr.status == 503 {
 				t.Errorf("rejected with %v", err)
 			}
 			return
 		}
 		c.upstreamCall.Body = make([]byte, max(req.ContentLength, 0))
-		// What goes on is one request, the same, and nothing behind it.
+		// What is forwarded is the same request, and nothing after it.
 		br := bufio.NewReader(strings.NewReader(string(c.upstreamCall.Head(time.Second)) + string(c.upstreamCall.Body)))
 		out, err := http.ReadRequest(br)
 		if err != nil {
-			t.Fatalf("passed on as %q: %v", c.upstreamCall.Head(time.Second), err)
+			t.Fatalf("forwarded as %q: %v", c.upstreamCall.Head(time.Second), err)
 		}
 		body, err := io.ReadAll(out.Body)
 		if err != nil || len(body) != len(c.upstreamCall.Body) || out.RequestURI != c.upstreamCall.Target || out.Header.Get("Request-Id") != c.ID || br.Buffered() > 0 {
@@ -108,12 +107,13 @@
 	})
 }
 
-// A request whose connection has just been made to give way is not taken: its client finds the connection closed
-// and sends it again, and it would be sent on twice. One that was hurried has its whole time once it is taken.
-func TestAConnectionThatGivesWayBringsNoRequest(t *testing.T) {
-	const most = 8
-	c := newClientConns(most, most)
-	for range most - 1 { // with a request open
+// A request whose connection has just been evicted is not accepted: its client finds the connection closed and sends it
+// again, and it would be forwarded twice. A connection whose reads were limited has no deadline once its request is
+// accepted.
+func TestEvictedConnectionBringsNoRequest(t *testing.T) {
+	const limit = 8
+	c := newClientConns(limit, limit)
+	for range limit - 1 { // with an open request
 		x, _ := net.Pipe()
 		c.track(x, http.StateNew)
 		c.requestRead(c.context(t.Context(), x))
@@ -123,15 +123,15 @@
 	y, _ := net.Pipe()
 	ctx := c.context(t.Context(), x)
 	c.track(x, http.StateNew)
-	c.track(x, http.StateActive) // its request has come, and is about to be taken
+	c.track(x, http.StateActive) // its request has arrived, and is about to be accepted
 	c.track(y, http.StateNew)
 	c.track(y, http.StateActive)
 	if c.requestRead(ctx) || !c.requestRead(c.context(t.Context(), y)) {
-		t.Error("the one that gave way is taken, or the other is not")
+		t.Error("the evicted one is accepted, or the other is not")
 	}
 	c.track(x, http.StateClosed)
 	if c.requestRead(ctx) {
-		t.Error("a closed one is taken")
+		t.Error("a closed one is accepted")
 	}
 	z, peer := net.Pipe()
 	c.track(y, http.StateClosed)
@@ -139,17 +139,17 @@
 	c.track(z, http.StateActive)
 	c.limitReads(time.Now().Add(-time.Second))
 	if !c.requestRead(c.context(t.Context(), z)) {
-		t.Fatal("not taken")
+		t.Fatal("not accepted")
 	}
 	go peer.Write([]byte("x"))
 	if _, err := z.Read(make([]byte, 1)); err != nil {
-		t.Errorf("after it was taken: %v", err)
+		t.Errorf("after it was accepted: %v", err)
 	}
 }
 
-// A kept connection on which a request has come that the server has not read yet is not closed as idle at an end of
-// service; one on which nothing has come is.
-func TestAnUnreadRequestKeepsItsConnection(t *testing.T) {
+// In a shutdown an idle connection on which a request has arrived that the server has not read yet is not closed as
+// idle; one without is.
+func TestConnectionWithUnreadRequestIsNotIdle(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -171,20 +171,20 @@
 		}
 		return ours, theirs
 	}
-	brings, client := pair()
+	withRequest, client := pair()
 	pair()
 	io.WriteString(client, "GET")
-	for end := time.Now().Add(10 * time.Second); socket.Look(brings) != socket.Unread && time.Now().Before(end); {
-		time.Sleep(time.Millisecond) // until it has come
+	for end := time.Now().Add(10 * time.Second); socket.Look(withRequest) != socket.Unread && time.Now().Before(end); {
+		time.Sleep(time.Millisecond) // until it has arrived
 	}
-	if c.closeIdle(); c.closing != 1 || c.conns[brings].closing {
-		t.Errorf("%d of two were closed, the one with a request %v", c.closing, c.conns[brings].closing)
+	if c.closeIdle(); c.closing != 1 || c.conns[withRequest].closing {
+		t.Errorf("%d of two were closed, the one with a request %v", c.closing, c.conns[withRequest].closing)
 	}
 	got := make([]byte, 3)
-	if _, err := io.ReadFull(brings, got); err != nil || string(got) != "GET" {
+	if _, err := io.ReadFull(withRequest, got); err != nil || string(got) != "GET" {
 		t.Errorf("%q, %v", got, err)
 	}
-	if c.closeIdle(); c.closing != 2 { // read by nobody here, it is idle again
+	if c.closeIdle(); c.closing != 2 { // once read, it is idle
 		t.Errorf("%d closed", c.closing)
 	}
 }
