--- a/cmd/ringtrack/main_test.go
+++ b/cmd/ringtrack/main_test.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // The test binary is the program itself when it is started with this variable.
 func TestMain(m *testing.M) {
@@ -31,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, config string) *exec.Cmd {
+func newProgram(t *testing.T, config string) *exec.Cmd {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "RINGTRACK_AS_PROGRAM=1", "PROXY_CONFIG="+path,
 		"PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=",
-		"GORACE=atexit_sleep_ms=0") // or the race detector's second of sleep counts as the program's
+		"GORACE=atexit_sleep_ms=0") // without it the race detector's sleep of 1 s counts as the program's
 	return cmd
 }
 
@@ -48,8 +48,8 @@
 "limits":{"cancelling":true,"connectTimeoutMs":1000,"keepaliveMs":30000,"maxAttempts":3,"maxRetryAfterMs":600},
 "membershipMode":"on_request","objectiveMix":{"whole":1},"roundMs":5}`
 
-func TestBadConfigEndsTheProgramWithOneLine(t *testing.T) {
-	cmd := program(t, strings.Replace(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
+func TestInvalidConfigExitsWithOneLine(t *testing.T) {
+	cmd := newProgram(t, strings.Replace(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":`+settings+`}`, "single_shot", "twice", 1))
 	var stderr strings.Builder
 	cmd.Stderr = &stderr
@@ -62,27 +62,26 @@
 	}
 }
 
-// SIGTERM under traffic: connections go on coming for a while and those there are
-// go on being used; each request on an accepted connection has its answer, and
-// the program ends by itself, without error, well before it would be killed.
-func TestSIGTERMUnderTraffic(t *testing.T) {
+// After SIGTERM under traffic new connections are accepted for a while and open ones stay in use. Each request on an
+// accepted connection is answered, and the program exits without error before SIGKILL.
+func TestSIGTERMAnswersAcceptedRequests(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/api/long" {
-			time.Sleep(time.Second) // held beyond the time in which connections still come
+			time.Sleep(time.Second) // longer than the time in which connections are accepted
 		}
 		if r.URL.Path == "/api/never" {
-			io.Copy(io.Discard, r.Body) // or the server would not notice who leaves
+			io.Copy(io.Discard, r.Body) // else the server would not notice a disconnect
 			<-r.Context().Done()
 			return
 		}
-		time.Sleep(20 * time.Millisecond) // work, so that requests are held at the signal
+		time.Sleep(20 * time.Millisecond) // work, so that requests are in flight at the signal
 		fmt.Fprint(w, "done")
 	}))
 	defer backend.Close()
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-r.Context().Done():
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 		}
 	}))
 	defer discovery.Close()
@@ -96,7 +95,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := program(t, string(config))
+	cmd := newProgram(t, string(config))
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -130,9 +129,9 @@
 			}
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
-				return // no longer accepted: nothing is taken
+				return // no longer accepted
 			}
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			br := bufio.NewReader(c)
 			for first := true; ; first = false {
 				late := signalled.Load()
@@ -142,8 +141,8 @@
 					resp, err = http.ReadResponse(br, nil)
 				}
 				if err != nil {
-					// A kept connection may be closed between requests; the first
-					// request on a new one is owed an answer.
+					// An open connection may be closed between requests; the first
+					// request on a new one must be answered.
 					if first {
 						lost.Add(1)
 					}
@@ -169,32 +168,32 @@
 			worker()
 		}()
 	}
-	for end := time.Now().Add(patience); answered.Load() < 50 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); answered.Load() < 50 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	// One client keeps its connection and goes on; near the end of service it asks for what takes too long.
+	// One client reuses its connection; near the end of service it sends a request that takes too long.
 	type ending struct {
-		served time.Duration // after the signal, the last
-		status int           // of what took too long
+		served time.Duration // of the last one, after the signal
+		status int           // of the request that took too long
 		at     time.Duration
 		err    error
 	}
-	kept, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer kept.Close()
-	kept.SetDeadline(time.Now().Add(patience))
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	signal, went := make(chan time.Time, 1), make(chan ending, 1)
 	go func() {
 		var e ending
-		br, from := bufio.NewReader(kept), <-signal
+		br, from := bufio.NewReader(conn), <-signal
 		for path := "/api/a1"; e.status == 0 && e.err == nil; {
 			if time.Since(from) > 2*time.Second {
 				path = "/api/never"
 			}
 			var resp *http.Response
-			if _, e.err = fmt.Fprint(kept, request(path)); e.err == nil {
+			if _, e.err = fmt.Fprint(conn, request(path)); e.err == nil {
 				resp, e.err = http.ReadResponse(br, nil)
 			}
 			switch {
@@ -219,7 +218,7 @@
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(patience))
+			c.SetDeadline(time.Now().Add(testTimeout))
 			_, err = fmt.Fprint(c, request("/api/long"))
 		}
 		if err == nil {
@@ -230,7 +229,7 @@
 		}
 		long <- err
 	}()
-	time.AfterFunc(300*time.Millisecond, func() { close(stop) }) // new connections cease before 0.4 s
+	time.AfterFunc(300*time.Millisecond, func() { close(stop) }) // new connections end before 0.4 s
 	for err == nil {
 		_, err = log.ReadString('\n')
 	}
@@ -240,26 +239,26 @@
 	took := time.Since(from)
 	workers.Wait()
 	if err := <-long; err != nil {
-		t.Errorf("a request held at the end: %v", err)
+		t.Errorf("a request in flight at the end: %v", err)
 	}
 	if lost.Load() > 0 || afterSignal.Load() == 0 {
-		t.Errorf("%d requests lost; %d answered, %d of them asked after the signal", lost.Load(), answered.Load(), afterSignal.Load())
+		t.Errorf("%d requests lost; %d answered, %d of them sent after the signal", lost.Load(), answered.Load(), afterSignal.Load())
 	}
 	if e := <-went; e.err != nil || e.served < 1900*time.Millisecond || e.status < 500 || e.at > 3600*time.Millisecond {
-		t.Errorf("on a kept connection: served until %v, then %d at %v, %v", e.served, e.status, e.at, e.err)
+		t.Errorf("on an open connection: served until %v, then %d at %v, %v", e.served, e.status, e.at, e.err)
 	}
 	if took > 3700*time.Millisecond {
 		t.Errorf("ended %v after SIGTERM", took)
 	}
 }
 
-// SIGHUP never ends the program, whatever the file holds then, and the discovery that
-// the file comes to name is asked although the environment named another at the start.
-func TestSIGHUPChangesDiscovery(t *testing.T) {
-	discovery := func(asked chan struct{}) string {
+// SIGHUP never ends the program, whatever the file holds. The discovery server that the file names then is used, although
+// the environment named another at the start.
+func TestSIGHUPSwitchesDiscovery(t *testing.T) {
+	discovery := func(called chan struct{}) string {
 		d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
-			case asked <- struct{}{}:
+			case called <- struct{}{}:
 			default:
 			}
 			if r.URL.Query().Has("index") {
@@ -280,7 +279,7 @@
 		return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"version":1,"full":true,"servers":[]},"settings":%s}`, discovery, settings)
 	}
-	cmd := program(t, config(old))
+	cmd := newProgram(t, config(old))
 	cmd.Env = append(cmd.Env, "PROXY_DISCOVERY="+old)
 	path := ""
 	for _, v := range cmd.Env {
@@ -307,7 +306,7 @@
 		t.Helper()
 		select {
 		case <-got:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal(what)
 		}
 	}
@@ -322,12 +321,12 @@
 				if strings.Contains(line, text) {
 					return
 				}
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Fatalf("no %q in the log", text)
 			}
 		}
 	}
-	wait("the first discovery is not asked", before)
+	wait("the first discovery server is not called", before)
 	for _, text := range []string{"", config(next)[:200], config(next)} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -341,7 +340,7 @@
 			logged("not used")
 		}
 	}
-	wait("the new discovery is not asked", after)
+	wait("the new discovery server is not called", after)
 	cmd.Process.Signal(syscall.SIGHUP)
 	cmd.Process.Signal(syscall.SIGTERM)
 	cmd.Process.Signal(syscall.SIGHUP)
--- /dev/null
+++ b/policy/outlier_test.go
@@ -0,0 +1,159 @@
+package policy
+
+import (
+	"testing"
+)
+
+func TestStateTransitions(t *testing.T) {
+	r := newHarness(t, testSettings(), 4)
+	id, s := r.mustForward(0, 7)
+	srv := r.b.byAddr[s]
+	if srv.state != Unknown {
+		t.Fatalf("a listed server starts in state %d, want Unknown", srv.state)
+	}
+	r.now += 50
+	r.endAttempt(id, 0, s, OK, 50)
+	if srv.state != Connected {
+		t.Fatalf("served: state %d, want Connected", srv.state)
+	}
+	id, s2 := r.mustForward(0, 7)
+	if s2 != s {
+		t.Fatalf("key moved from %v to %v without a cause", s, s2)
+	}
+	srv.failureRate = 0.5 // an outlier
+	actions := r.endAttempt(id, 0, s, Error, 5)
+	if srv.state != Unhealthy {
+		t.Fatalf("error: state %d, want Unhealthy", srv.state)
+	}
+	if findAction(actions, ActionFetchEndpoints) == nil {
+		t.Error("an ejection did not fetch the endpoint list")
+	}
+	if a := findAction(actions, ActionForward); a == nil || a.Server == s {
+		t.Errorf("the idempotent request was not retried on another server: %+v", actions)
+	}
+	// While it is Unhealthy its key goes elsewhere; after the ejection time the next
+	// request makes it pending, and a served answer Connected.
+	if _, s3 := r.mustForward(0, 7); s3 == s {
+		t.Error("an Unhealthy server was chosen before the better tier")
+	}
+	r.now += r.b.ejectionTime(srv) + 1
+	id, s4 := r.mustForward(0, 7)
+	if srv.state != UnhealthyPending || s4 != s {
+		t.Fatalf("after the ejection time: state %d, sent to %v; want pending and the first request to validate it", srv.state, s4)
+	}
+	r.now += 50
+	r.endAttempt(id, 0, s, OK, 50)
+	if srv.state != Connected {
+		t.Fatalf("validated: state %d, want Connected", srv.state)
+	}
+}
+
+func TestRejectionEjectsNoServer(t *testing.T) {
+	r := newHarness(t, testSettings(), 3)
+	id, s := r.mustForward(1, 7)
+	actions := r.endAttempt(id, 0, s, Rejected, 1)
+	if got := r.b.byAddr[s].state; got == Unhealthy {
+		t.Error("a rejection ejected the server")
+	}
+	if a := findAction(actions, ActionForward); a == nil || a.Server == s {
+		t.Errorf("a rejected request was not retried elsewhere: %+v", actions)
+	}
+}
+
+// A server that takes attempts and answers nothing is ejected.
+func TestHungServerIsEjected(t *testing.T) {
+	r := newHarness(t, testSettings(), 4)
+	for range 200 { // until the answer time is known
+		id, s := r.mustForward(0, uint64(r.b.rng.Int64()))
+		r.now += 10
+		r.endAttempt(id, 0, s, OK, 10)
+	}
+	_, s := r.mustForward(0, 9)
+	for range 30 {
+		if r.tick(10); r.b.byAddr[s].state == Unhealthy {
+			return
+		}
+	}
+	t.Error("a server that answers nothing for 300 ms was not ejected")
+}
+
+// A server that failed often has a long ejection time while others can take its requests, and none while
+// they are full.
+func TestFailingServerIsValidatedSoonerWhileOthersAreFull(t *testing.T) {
+	for _, full := range []bool{false, true} {
+		r := newHarness(t, testSettings(), 4)
+		bad := r.b.byAddr[addr(0)]
+		bad.failureRate = 1
+		for range 3 {
+			r.b.setState(bad, Connected)
+			r.b.eject(bad, false)
+		}
+		if full {
+			for range 40 { // more than the limits of the others
+				r.request(0, 0)
+			}
+		}
+		r.now += r.b.minObjectiveMs + 1
+		r.request(0, 0)
+		if tried := bad.state == UnhealthyPending; tried != full {
+			t.Errorf("others full: %v; failing server validated after one latency objective: %v", full, tried)
+		}
+	}
+}
+
+// Failures that all servers have alike, here one of twelve attempts, cost no capacity: no request may be
+// lost for want of servers. A server that fails more than the others is ejected.
+func TestBaselineFailuresEjectNoServer(t *testing.T) {
+	r := newHarness(t, testSettings(), 4)
+	refused, n := 0, 0
+	for range 600 {
+		r.now += 10
+		id, s := r.mustForward(0, uint64(r.b.rng.Int64()))
+		status := OK
+		if n++; n%12 == 0 {
+			status = Reset
+		}
+		for _, a := range r.endAttempt(id, 0, s, status, 5) {
+			switch a.Kind {
+			case ActionReject, ActionFail:
+				refused++
+			case ActionForward:
+				r.endAttempt(id, 1, a.Server, OK, 5)
+			}
+		}
+	}
+	if refused > 0 {
+		t.Errorf("%d of 600 rejected", refused)
+	}
+	for _, s := range r.b.servers {
+		if s.consecutiveFailures > 2 || !r.b.baselineFailure(s) { // one may be ejected by chance
+			t.Errorf("a server that fails as all do has %d consecutive failures", s.consecutiveFailures)
+		}
+	}
+	bad := r.b.servers[0]
+	r.b.capacityScarce = false
+	for range 4 {
+		r.b.recordFailure(bad, 1)
+		r.b.setState(bad, Connected)
+		r.b.eject(bad, false)
+	}
+	if r.b.ejectionTime(bad) < r.b.minObjectiveMs {
+		t.Error("a server that fails each time is not ejected")
+	}
+}
+
+// One attempt that hangs must not keep a server ejected that answers the others.
+func TestOneHangingAttemptDoesNotPreventValidation(t *testing.T) {
+	r := newHarness(t, testSettings(), 1)
+	srv := r.b.byAddr[addr(0)]
+	hangs, s := r.mustForward(0, 7)
+	id, _ := r.mustForward(1, 7) // which is not retried
+	r.endAttempt(id, 0, s, Error, 5)
+	if srv.state != Unhealthy || r.b.requests[hangs] == nil {
+		t.Fatalf("state %d", srv.state)
+	}
+	r.now += 5
+	if _, to := r.mustForward(0, 7); to != s || srv.state != UnhealthyPending {
+		t.Errorf("not used while an attempt hangs: state %d", srv.state)
+	}
+}
