--- a/policy/overload_simulation_test.go
+++ b/policy/overload_simulation_test.go
@@ -43,220 +43,317 @@
 type overloadServer struct {
 	free              []float64 // when each slot is free
 	ends              []float64 // when what is in it ends
-	work              float64
-	util              float64
-	since             float64
+	work              float64   // since reportedAt
+	utilization       float64   // as reported
+	reportedAt        float64
 	slowStartArrivals []float64 // when an attempt arrived in slow start
 }
 
+// overloadRequest is a request of a client, or its retry.
 type overloadRequest struct {
-	tenant  int
-	key     uint64
-	first   float64
-	arrived float64
-	tries   int
-	ended   bool
-	attempt int
+	tenant       int
+	key          uint64
+	firstArrival float64 // of the first attempt of the client
+	arrived      float64
+	clientTries  int
+	ended        bool
+	attempts     int // of the agent
 }
 
 const overloadObjectiveMs = 600.0
 
+// overloadRun is a run of a scenario.
+type overloadRun struct {
+	scenario  overloadScenario
+	set       Settings
+	rng       *rand.Rand
+	fleet     *fleet
+	startedAt float64
+	endpoints []Endpoint
+	servers   []overloadServer
+	index     map[Addr]int                     // of servers
+	requests  []map[RequestID]*overloadRequest // by agent
+	ids       []RequestID                      // last one, by agent
+	result    overloadResult
+
+	// Counts.
+	arrived          float64 // first attempts of clients
+	arrivedByTenant  []float64
+	arrivedByClass   [2]float64
+	arrivedBySecond  []float64
+	attempts         float64
+	attemptsRejected float64
+}
+
+// run plays the scenario.
 func (c overloadScenario) run(t *testing.T) overloadResult {
 	t.Helper()
+	r := newOverloadRun(t, c)
+	for i := range c.agents {
+		r.fleet.start(i, r.endpoints)
+	}
+	r.scheduleRequests()
+	r.fleet.runUntil(r.startedAt + c.seconds*1000 + 5000)
+	return r.finish()
+}
+
+// overloadSettings returns the settings of a run with tenants of these weights.
+func overloadSettings(weights []float64) Settings {
 	set := testSettings()
-	set.Classes = []Class{{Name: "read", LatencyObjectiveMs: overloadObjectiveMs, ClientTimeoutMs: 4 * overloadObjectiveMs, Effect: Idempotent, PriorityWeight: 1},
-		{Name: "book", LatencyObjectiveMs: overloadObjectiveMs, ClientTimeoutMs: 4 * overloadObjectiveMs, Effect: Idempotent, PriorityWeight: 5}}
+	class := Class{LatencyObjectiveMs: overloadObjectiveMs, ClientTimeoutMs: 4 * overloadObjectiveMs, Effect: Idempotent}
+	read, book := class, class
+	read.Name, read.PriorityWeight = "read", 1
+	book.Name, book.PriorityWeight = "book", 5
+	set.Classes = []Class{read, book}
 	set.Limits.Cancelling = false
 	set.Clients.MarksRetry = false
 	set.FamilyInfo.WarmKeys = true
 	set.Report.Names = []string{"util", "inflight"}
 	set.Objective = Objective{Total: 0.4, WorstWindow: 0.15, WorstClass: 0.2, WorstTenant: 0.25}
 	set.OverQuotaWeight = 0.1
-	for _, w := range c.weights {
+	for _, w := range weights {
 		set.Tenants = append(set.Tenants, Tenant{QuotaWeight: w})
 	}
+	return set
+}
+
+func newOverloadRun(t *testing.T, c overloadScenario) *overloadRun {
+	t.Helper()
+	r := &overloadRun{set: overloadSettings(c.weights), rng: rand.New(rand.NewPCG(c.seed, 5)), index: map[Addr]int{}}
 	if c.weights == nil {
 		c.weights = []float64{1} // all requests are of a tenant that the settings do not have
 	}
 	if c.tenantLoads == nil {
 		c.tenantLoads = c.weights
 	}
-	rng := rand.New(rand.NewPCG(c.seed, 5))
-	f := newFleet(t, set, c.agents)
-	f.now = 1e6
-	start := f.now
-	servers := make([]overloadServer, c.servers)
-	index := map[Addr]int{}
-	entries := readyEndpoints(c.servers)
-	for i := range servers {
-		servers[i].free = make([]float64, c.slots)
-		index[entries[i].Server] = i
+	r.scenario = c
+	r.fleet = newFleet(t, r.set, c.agents)
+	r.fleet.now = 1e6
+	r.fleet.onAction = r.handleAction
+	r.startedAt = r.fleet.now
+	r.servers = make([]overloadServer, c.servers)
+	r.endpoints = readyEndpoints(c.servers)
+	for i := range r.servers {
+		r.servers[i].free = make([]float64, c.slots)
+		r.index[r.endpoints[i].Server] = i
 		if i < c.slowStarting {
-			entries[i].StartedMs = start
+			r.endpoints[i].StartedMs = r.startedAt
 		}
 	}
-	tries := make([]map[RequestID]*overloadRequest, c.agents)
-	ids := make([]RequestID, c.agents)
-	for i := range tries {
-		tries[i] = map[RequestID]*overloadRequest{}
+	r.requests = make([]map[RequestID]*overloadRequest, c.agents)
+	r.ids = make([]RequestID, c.agents)
+	for i := range r.requests {
+		r.requests[i] = map[RequestID]*overloadRequest{}
 	}
 	seconds := int(math.Ceil(c.seconds))
-	var fig overloadResult
-	fig.tenants, fig.second = make([]float64, len(c.weights)), make([]float64, seconds)
-	askedBy, askedIn := make([]float64, len(c.weights)), make([]float64, seconds)
-	asked, attempts, away := 0.0, 0.0, 0.0
-	askedFor := [2]float64{}
-	ask := func(agent int, delay float64, try overloadRequest) {
-		ids[agent]++
-		tr := try
-		tr.arrived, tr.tries, tr.attempt, tr.ended = f.now+delay, try.tries+1, 0, false
-		tries[agent][ids[agent]] = &tr
-		class := 0
-		if try.key%2 == 1 {
-			class = 1
-		}
-		f.schedule(delay, agent, Event{Kind: EventRequest, Request: ids[agent], Class: class, Tenant: try.tenant, Key: try.key,
-			RemainingMs: 4 * overloadObjectiveMs})
-	}
-	f.onAction = func(agent int, a *Action) {
-		tr := tries[agent][a.Request]
-		switch a.Kind {
-		case ActionForward:
-			i := index[a.Server]
-			s := &servers[i]
-			attempts++
-			n := tr.attempt
-			tr.attempt++
-			ev := Event{Kind: EventAttemptEnded, Request: a.Request, Attempt: n, Server: a.Server}
-			speed := 1.0
-			if c.speed != nil {
-				speed = c.speed(i, (f.now-start)/1000/c.seconds)
-			}
-			if i < c.slowStarting {
-				age := f.now - start
-				s.slowStartArrivals = append(s.slowStartArrivals, f.now)
-				k := min(set.Contract.SlowStartMinCapacity+(1-set.Contract.SlowStartMinCapacity)*age/set.Contract.SlowStartMs, 1)
-				speed *= k
-				sent := 0.0
-				for j := len(s.slowStartArrivals) - 1; j >= 0 && s.slowStartArrivals[j] > f.now-1000; j-- {
-					sent++
-				}
-				if age > 1000 && age < set.Contract.SlowStartMs {
-					fig.slowStartOverload = max(fig.slowStartOverload, sent/(k*1000*float64(c.slots)/c.workMs))
-				}
-			}
-			in := 0
-			for _, end := range s.ends {
-				if end > f.now {
-					s.ends[in] = end
-					in++
-				}
-			}
-			s.ends = s.ends[:in]
-			if dt := f.now - s.since; dt > 500 { // the report is updated twice a second
-				s.util, s.work, s.since = min(s.work/(dt*float64(c.slots)), 1), 0, f.now
-			}
-			if in >= c.slots+c.queue {
-				away++
-				ev.Status, ev.LatencyMs = Rejected, 2
-				f.schedule(2, agent, ev)
-				return
-			}
-			k := 0
-			for j := range s.free {
-				if s.free[j] < s.free[k] {
-					k = j
-				}
-			}
-			work := c.workMs * rng.ExpFloat64() / speed
-			end := max(f.now, s.free[k]) + work
-			s.free[k] = end
-			s.ends = append(s.ends, end)
-			s.work += work
-			if f.now > start+1000 {
-				fig.busy += min(work, max(start+c.seconds*1000-end+work, 0))
-			}
-			ev.Status, ev.LatencyMs, ev.Final = OK, end-f.now+2, true
-			ev.Report = []float32{float32(s.util), float32(in + 1)}
-			if c.report != nil {
-				ev.Report = c.report(i, s.util, float64(in+1))
-			}
-			f.schedule(ev.LatencyMs, agent, ev)
-			tr2 := tr
-			// The answer finishes the request when it arrives.
-			f.schedule(ev.LatencyMs, agent, Event{Kind: EventClientDisconnected, Request: a.Request})
-			if f.now+ev.LatencyMs <= tr2.first+overloadObjectiveMs && !tr2.ended {
-				fig.served++
-				fig.tenants[tr2.tenant]++
-				fig.classes[tr2.key%2]++
-				if sec := int((tr2.first - start) / 1000); sec < seconds {
-					fig.second[sec]++
-				}
-			}
-			tr2.ended = true
-		case ActionReject, ActionFail:
-			if tr == nil || tr.ended {
-				return
-			}
-			tr.ended = true
-			fig.slowestRejectionMs = max(fig.slowestRejectionMs, f.now-tr.arrived)
-			if tr.tries <= c.clientRetries && f.now < start+c.seconds*1000 {
-				ask(agent, 1, *tr)
-			}
-		}
-	}
-	for i := range c.agents {
-		f.start(i, entries)
-	}
+	r.result.tenants = make([]float64, len(c.weights))
+	r.result.second = make([]float64, seconds)
+	r.arrivedByTenant = make([]float64, len(c.weights))
+	r.arrivedBySecond = make([]float64, seconds)
+	return r
+}
+
+// scheduleRequests schedules the first attempts of all clients.
+func (r *overloadRun) scheduleRequests() {
+	c := &r.scenario
 	perMs := c.load * float64(c.servers*c.slots) / c.workMs
-	total := 0.0
-	for _, a := range c.tenantLoads {
-		total += a
-	}
 	for at := 0.0; ; {
 		rate := perMs
 		if c.surge != nil {
 			rate *= c.surge(at / 1000 / c.seconds)
 		}
-		if at += rng.ExpFloat64() / rate; at >= c.seconds*1000 {
+		if at += r.rng.ExpFloat64() / rate; at >= c.seconds*1000 {
 			break
 		}
-		tenant, x := 0, rng.Float64()*total
-		for tenant = 0; tenant < len(c.tenantLoads)-1 && x >= c.tenantLoads[tenant]; tenant++ {
-			x -= c.tenantLoads[tenant]
-		}
-		agent := rng.IntN(c.agents)
-		if c.oneBusyAgent && rng.Float64() < 0.9 {
+		tenant := r.drawTenant()
+		agent := r.rng.IntN(c.agents)
+		if c.oneBusyAgent && r.rng.Float64() < 0.9 {
 			agent = 0
 		}
-		key := uint64(0)
-		if c.keys > 0 {
-			key = 1 + uint64(math.Pow(rng.Float64(), 2)*float64(c.keys))
-			if rng.Float64() < c.hotKeyPart {
-				key = 1
-			}
+		key := r.drawKey()
+		r.arrived++
+		r.arrivedByTenant[tenant]++
+		r.arrivedByClass[key%2]++
+		r.arrivedBySecond[int(at/1000)]++
+		r.send(agent, at, overloadRequest{tenant: tenant, key: key, firstArrival: r.startedAt + at})
+	}
+}
+
+// drawTenant draws the tenant of a request by the loads.
+func (r *overloadRun) drawTenant() int {
+	loads := r.scenario.tenantLoads
+	total := 0.0
+	for _, load := range loads {
+		total += load
+	}
+	x := r.rng.Float64() * total
+	tenant := 0
+	for ; tenant < len(loads)-1 && x >= loads[tenant]; tenant++ {
+		x -= loads[tenant]
+	}
+	return tenant
+}
+
+// drawKey draws the key of a request.
+func (r *overloadRun) drawKey() uint64 {
+	if r.scenario.keys == 0 {
+		return 0
+	}
+	key := 1 + uint64(math.Pow(r.rng.Float64(), 2)*float64(r.scenario.keys))
+	if r.rng.Float64() < r.scenario.hotKeyPart {
+		return 1
+	}
+	return key
+}
+
+// send schedules the next attempt of a client.
+func (r *overloadRun) send(agent int, delayMs float64, request overloadRequest) {
+	r.ids[agent]++
+	request.arrived = r.fleet.now + delayMs
+	request.clientTries++
+	request.attempts = 0
+	request.ended = false
+	r.requests[agent][r.ids[agent]] = &request
+	r.fleet.schedule(delayMs, agent, Event{Kind: EventRequest, Request: r.ids[agent], Class: int(request.key % 2),
+		Tenant: request.tenant, Key: request.key, RemainingMs: 4 * overloadObjectiveMs})
+}
+
+func (r *overloadRun) handleAction(agent int, a *Action) {
+	request := r.requests[agent][a.Request]
+	switch a.Kind {
+	case ActionForward:
+		r.forward(agent, a, request)
+	case ActionReject, ActionFail:
+		if request == nil || request.ended {
+			return
+		}
+		request.ended = true
+		r.result.slowestRejectionMs = max(r.result.slowestRejectionMs, r.fleet.now-request.arrived)
+		running := r.fleet.now < r.startedAt+r.scenario.seconds*1000
+		if request.clientTries <= r.scenario.clientRetries && running {
+			r.send(agent, 1, *request)
 		}
-		asked++
-		askedBy[tenant]++
-		askedFor[key%2]++
-		askedIn[int(at/1000)]++
-		ask(agent, at, overloadRequest{tenant: tenant, key: key, first: start + at})
 	}
-	f.runUntil(start + c.seconds*1000 + 5000)
-	fig.served /= asked
-	for i := range fig.tenants {
-		fig.tenants[i] /= max(askedBy[i], 1)
+}
+
+// forward has a server answer an attempt, or reject it.
+func (r *overloadRun) forward(agent int, a *Action, request *overloadRequest) {
+	c, now := &r.scenario, r.fleet.now
+	i := r.index[a.Server]
+	s := &r.servers[i]
+	r.attempts++
+	ev := Event{Kind: EventAttemptEnded, Request: a.Request, Attempt: request.attempts, Server: a.Server}
+	request.attempts++
+	speed := 1.0
+	if c.speed != nil {
+		speed = c.speed(i, (now-r.startedAt)/1000/c.seconds)
+	}
+	if i < c.slowStarting {
+		speed *= r.arriveInSlowStart(s)
+	}
+	inServer := s.update(now)
+	if inServer >= c.slots+c.queue {
+		r.attemptsRejected++
+		ev.Status, ev.LatencyMs = Rejected, 2
+		r.fleet.schedule(2, agent, ev)
+		return
+	}
+	work := c.workMs * r.rng.ExpFloat64() / speed
+	end := s.begin(now, work)
+	if now > r.startedAt+1000 {
+		r.result.busy += min(work, max(r.startedAt+c.seconds*1000-end+work, 0))
+	}
+	ev.Status, ev.LatencyMs, ev.Final = OK, end-now+2, true
+	ev.Report = []float32{float32(s.utilization), float32(inServer + 1)}
+	if c.report != nil {
+		ev.Report = c.report(i, s.utilization, float64(inServer+1))
+	}
+	r.fleet.schedule(ev.LatencyMs, agent, ev)
+	// The answer finishes the request when it arrives.
+	r.fleet.schedule(ev.LatencyMs, agent, Event{Kind: EventClientDisconnected, Request: a.Request})
+	if now+ev.LatencyMs <= request.firstArrival+overloadObjectiveMs && !request.ended {
+		r.countServed(request)
+	}
+	request.ended = true
+}
+
+// arriveInSlowStart notes an attempt at a server that started with the run, and returns its capacity.
+func (r *overloadRun) arriveInSlowStart(s *overloadServer) float64 {
+	contract, now := &r.set.Contract, r.fleet.now
+	age := now - r.startedAt
+	s.slowStartArrivals = append(s.slowStartArrivals, now)
+	capacity := min(contract.SlowStartMinCapacity+(1-contract.SlowStartMinCapacity)*age/contract.SlowStartMs, 1)
+	sent := 0.0
+	for j := len(s.slowStartArrivals) - 1; j >= 0 && s.slowStartArrivals[j] > now-1000; j-- {
+		sent++
+	}
+	if age > 1000 && age < contract.SlowStartMs {
+		perS := capacity * 1000 * float64(r.scenario.slots) / r.scenario.workMs
+		r.result.slowStartOverload = max(r.result.slowStartOverload, sent/perS)
+	}
+	return capacity
+}
+
+// update removes what has ended, updates the report twice a second, and returns the requests in the server.
+func (s *overloadServer) update(now float64) int {
+	in := 0
+	for _, end := range s.ends {
+		if end > now {
+			s.ends[in] = end
+			in++
+		}
+	}
+	s.ends = s.ends[:in]
+	if dt := now - s.reportedAt; dt > 500 {
+		s.utilization = min(s.work/(dt*float64(len(s.free))), 1)
+		s.work = 0
+		s.reportedAt = now
+	}
+	return in
+}
+
+// begin puts work into the slot that is free first, and returns when it ends.
+func (s *overloadServer) begin(now, work float64) (end float64) {
+	slot := 0
+	for j := range s.free {
+		if s.free[j] < s.free[slot] {
+			slot = j
+		}
+	}
+	end = max(now, s.free[slot]) + work
+	s.free[slot] = end
+	s.ends = append(s.ends, end)
+	s.work += work
+	return end
+}
+
+// countServed counts a request that is served within its objective.
+func (r *overloadRun) countServed(request *overloadRequest) {
+	r.result.served++
+	r.result.tenants[request.tenant]++
+	r.result.classes[request.key%2]++
+	if second := int((request.firstArrival - r.startedAt) / 1000); second < len(r.result.second) {
+		r.result.second[second]++
+	}
+}
+
+// finish returns the result, in parts.
+func (r *overloadRun) finish() overloadResult {
+	result, c := r.result, &r.scenario
+	result.served /= r.arrived
+	for i := range result.tenants {
+		result.tenants[i] /= max(r.arrivedByTenant[i], 1)
 	}
-	for i := range fig.second {
-		fig.second[i] /= max(askedIn[i], 1)
+	for i := range result.second {
+		result.second[i] /= max(r.arrivedBySecond[i], 1)
 	}
-	fig.rejected = away / max(attempts, 1)
-	for i := range fig.classes {
-		fig.classes[i] /= max(askedFor[i], 1)
+	result.rejected = r.attemptsRejected / max(r.attempts, 1)
+	for i := range result.classes {
+		result.classes[i] /= max(r.arrivedByClass[i], 1)
 	}
-	fig.busy /= (c.seconds - 1) * 1000 * float64(c.servers*c.slots)
-	fig.attemptsPerRequest = attempts / asked
-	return fig
+	result.busy /= (c.seconds - 1) * 1000 * float64(c.servers*c.slots)
+	result.attemptsPerRequest = r.attempts / r.arrived
+	return result
 }
 
 func defaultOverload(seed uint64) overloadScenario {
