--- a/internal/concurrency/limit_test.go
+++ b/internal/concurrency/limit_test.go
@@ -97,7 +97,8 @@
 	}
 	_, idle, _ := simulate(rng, w, queueSize, 10, 120)
 	if sizes[true] > 8 || sizes[false] < 2*sizes[true] || idle > 0.05 {
-		t.Errorf("limits of %.1f with a queue of 4, %.1f with 20, idle for %.2f", sizes[true], sizes[false], idle)
+		t.Errorf("limits of %.1f with a queue of 4, %.1f with 20, idle for %.2f",
+			sizes[true], sizes[false], idle)
 	}
 }
 
@@ -105,7 +106,8 @@
 	var w Limit
 	w.Reset(3)
 	if w.Rejected(100); w.Size() != 2.25 || !w.RecentlyRejected(100+rejectionMemoryMs-1) || w.RecentlyRejected(100+rejectionMemoryMs) {
-		t.Errorf("rejected at 3: %v, recently rejected %v, %v", w.Size(), w.RecentlyRejected(100+rejectionMemoryMs-1), w.RecentlyRejected(100+rejectionMemoryMs))
+		t.Errorf("rejected at 3: %v, recently rejected %v, %v",
+			w.Size(), w.RecentlyRejected(100+rejectionMemoryMs-1), w.RecentlyRejected(100+rejectionMemoryMs))
 	}
 	near := w
 	near.Increase(200)
--- a/internal/limits/fairshare_test.go
+++ b/internal/limits/fairshare_test.go
@@ -93,7 +93,8 @@
 	rates[9] = 0.2
 	served = serve(rng, p, weights, rates, 0.5, 200)
 	if served[9] < 7 || served[9] > 10+maxBalance+3 {
-		t.Errorf("the flow that returned got %v of 100, want about 10 and at most %v more at first", served[9], maxBalance)
+		t.Errorf("the flow that returned got %v of 100, want about 10 and at most %v more at first",
+			served[9], maxBalance)
 	}
 }
 
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -33,7 +33,7 @@
 		set := testSettings()
 		set.Limits.MaxAttempts = 1
 		r := newHarness(t, set, 6)
-		refused := 0
+		rejected := 0
 		for range 200 {
 			r.now += 500
 			id, actions := r.request(0, r.b.rng.Uint64())
@@ -41,11 +41,11 @@
 				r.now += c.rtt
 				r.endAttempt(id, 0, a.Server, c.end, c.rtt)
 			} else if findAction(actions, ActionReject) != nil {
-				refused++
+				rejected++
 			}
 		}
-		if c.want && (refused < 100 || refused > 170) || !c.want && refused > 0 {
-			t.Errorf("all end with %d after %.0f ms: %d of 200 rejected", c.end, c.rtt, refused)
+		if c.want && (rejected < 100 || rejected > 170) || !c.want && rejected > 0 {
+			t.Errorf("all end with %d after %.0f ms: %d of 200 rejected", c.end, c.rtt, rejected)
 		}
 	}
 }
@@ -81,28 +81,29 @@
 		if x := r.b.ShedFraction(); x < 0.7 {
 			t.Fatalf("%s: sheds %.2f under overload", c.name, x)
 		}
-		row, longest, shut := 0, 0, 0
+		run, longest, rejected := 0, 0, 0
 		for i := range 400 { // the servers have recovered
 			r.now += 250
 			id, actions := r.request(c.then, 0)
 			if a := findAction(actions, ActionForward); a != nil {
 				r.now += 20
 				r.endAttempt(id, 0, a.Server, OK, 20)
-				row = 0
+				run = 0
 				continue
 			}
-			row++
-			longest = max(longest, row)
+			run++
+			longest = max(longest, run)
 			if i >= 300 {
-				shut++
+				rejected++
 			}
 		}
-		t.Logf("%s: %d in a row not sent, %d of the last 100, sheds %.2f", c.name, longest, shut, r.b.ShedFraction())
+		t.Logf("%s: %d in a row not sent, %d of the last 100, sheds %.2f",
+			c.name, longest, rejected, r.b.ShedFraction())
 		if longest > 12 {
 			t.Errorf("%s: %d in a row not sent to servers that have recovered", c.name, longest)
 		}
-		if shut > 0 {
-			t.Errorf("%s: %d of 100 rejected 75 s after the overload", c.name, shut)
+		if rejected > 0 {
+			t.Errorf("%s: %d of 100 rejected 75 s after the overload", c.name, rejected)
 		}
 	}
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -105,7 +105,8 @@
 				t.Fatalf("ticked %d times only", ticks.ticks)
 			}
 			if !reflect.DeepEqual(got[0], got[1]) {
-				t.Errorf("%d actions, %d with %d more ticks, or other actions", len(got[0]), len(got[1]), ticks.ticks)
+				t.Errorf("%d actions, %d with %d more ticks, or other actions",
+					len(got[0]), len(got[1]), ticks.ticks)
 			}
 		})
 	}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -22,7 +22,8 @@
 			r.endAttempt(id, 0, s, OK, rtt)
 		}
 		if grown := r.b.fleet.baselineLatency > 0.15; grown != (agents == 1) {
-			t.Errorf("%d agents: after 2400 answers in 0.2 of the objective, one at a time, the baseline is %.3f", agents, r.b.fleet.baselineLatency)
+			t.Errorf("%d agents: after 2400 answers in 0.2 of the objective, one at a time, the baseline is %.3f",
+				agents, r.b.fleet.baselineLatency)
 		}
 	}
 }
@@ -30,15 +31,16 @@
 // Few agents see most of the load: a server that answers well within the objective is not overloaded,
 // however low the baseline. Servers in slow start are slower before they are overloaded.
 func TestLatencyLimitFallsWithTheNumberOfAgents(t *testing.T) {
-	limit := func(agents int, calm float64) float64 {
+	limit := func(agents int, baseline float64) float64 {
 		set := testSettings()
 		set.Replicas = agents
 		r := newHarness(t, set, 1)
-		r.b.fleet.baselineLatency = calm
+		r.b.fleet.baselineLatency = baseline
 		return r.b.latencyLimit(r.b.byAddr[addr(0)])
 	}
 	if one, many := limit(1, 0.01), limit(20, 0.01); one < 0.3 || many > 0.1 {
-		t.Errorf("least limits: %.2f for one agent, want about a third; %.2f for twenty, want little", one, many)
+		t.Errorf("least limits: %.2f for one agent, want about a third; %.2f for twenty, want little",
+			one, many)
 	}
 	if l := limit(1, 0.9); l != maxLatencyFraction {
 		t.Errorf("limit %.2f with a high baseline, want %.2f", l, maxLatencyFraction)
@@ -83,7 +85,8 @@
 		r.now += 10
 	}
 	if srv.limit.Size() >= grown {
-		t.Errorf("answers took seven times as long and the limit went from %.2f to %.2f", grown, srv.limit.Size())
+		t.Errorf("answers took seven times as long and the limit went from %.2f to %.2f",
+			grown, srv.limit.Size())
 	}
 	// With many agents one attempt of each keeps an overloaded server busy.
 	if srv.limit.Size() >= 1 {
--- a/policy/discovery_simulation_test.go
+++ b/policy/discovery_simulation_test.go
@@ -230,7 +230,8 @@
 		t.Logf("%d agents, %d%% restarted, %d%% with no answer before, %v ms for all: these have the list after %.1f s, the others after %.1f s; %d polls a second, %d failed",
 			c.agents, c.restarted, c.stale, c.all, last[true]/1000, last[false]/1000, r.maxCallsPerSecond(), r.failed)
 		if last[true] == 0 || last[true] > updateDeadlineMs-minRestartMs {
-			t.Errorf("%d agents, %d%% restarted: the last has the list after %.1f s", c.agents, c.restarted, last[true]/1000)
+			t.Errorf("%d agents, %d%% restarted: the last has the list after %.1f s",
+				c.agents, c.restarted, last[true]/1000)
 		}
 		if bound := max(c.agents/2, 24); r.maxCallsPerSecond() > bound {
 			t.Errorf("%d agents: %d polls in a second, over %d", c.agents, r.maxCallsPerSecond(), bound)
@@ -276,7 +277,8 @@
 		t.Logf("%d agents, %d%% restarted, %v ms for all: the last has the list after %.1f s; %d polls a second, %d failed",
 			c.agents, c.restarted, c.all, last/1000, r.maxCallsPerSecond(), r.failed)
 		if slices.Contains(has, false) || last > c.within {
-			t.Errorf("%d agents, %d%% restarted, %v ms for all: the last has the list after %.1f s", c.agents, c.restarted, c.all, last/1000)
+			t.Errorf("%d agents, %d%% restarted, %v ms for all: the last has the list after %.1f s",
+				c.agents, c.restarted, c.all, last/1000)
 		}
 		if bound := max(c.agents/2, 24); r.maxCallsPerSecond() > bound {
 			t.Errorf("%d agents: %d polls in a second, over %d", c.agents, r.maxCallsPerSecond(), bound)
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -45,7 +45,8 @@
 		for n := range 200 {
 			again := findAction(b.Handle(float64(n), &Event{Kind: EventEndpointUpdate, Update: UpdateFailed}, nil), ActionTimer)
 			if again == nil || again.DurationMs > c.most || n > 20 && again.DurationMs < c.most/2 {
-				t.Fatalf("%d agents, poll interval %v ms: failure %d is followed by %+v, want at most %v ms", c.agents, c.within, n+1, again, c.most)
+				t.Fatalf("%d agents, poll interval %v ms: failure %d is followed by %+v, want at most %v ms",
+					c.agents, c.within, n+1, again, c.most)
 			}
 		}
 	}
@@ -103,7 +104,8 @@
 	r.updateEndpoints(UpdateOtherSource, entry(false))
 	s := r.b.byAddr[addr(0)]
 	if s.state != Unknown || r.b.capacity(s) >= 1 || s.limit.Size() != 1 {
-		t.Errorf("after the cordon: state %v, capacity %v, limit %v: not in slow start", s.state, r.b.capacity(s), s.limit.Size())
+		t.Errorf("after the cordon: state %v, capacity %v, limit %v: not in slow start",
+			s.state, r.b.capacity(s), s.limit.Size())
 	}
 	if to := sent(400); to[0] == 0 || to[0] >= to[1]/2 {
 		t.Errorf("in the first 4 s after the cordon: %v", to)
@@ -111,12 +113,12 @@
 	// Whatever start the endpoint list has meanwhile.
 	r.updateEndpoints(UpdateOtherSource, entry(true))
 	r.now += 5000
-	told := entry(true)
-	told.StartedMs = r.now - 3000
-	r.updateEndpoints(UpdateDelta, told)
+	restarted := entry(true)
+	restarted.StartedMs = r.now - 3000
+	r.updateEndpoints(UpdateDelta, restarted)
 	r.now += 1000
-	told.Cordoned = false
-	r.updateEndpoints(UpdateOtherSource, told)
+	restarted.Cordoned = false
+	r.updateEndpoints(UpdateOtherSource, restarted)
 	if s.startedAt != r.now || s.state != Unknown {
 		t.Errorf("uncordoned at %v, started at %v", r.now, s.startedAt)
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -110,7 +110,7 @@
 		set := testSettings()
 		f := newFleet(t, set, 3)
 		f.now = 1e6
-		served, refused, at := 0, 0, map[Addr]int{}
+		served, rejected, at := 0, 0, map[Addr]int{}
 		f.onAction = func(i int, a *Action) {
 			switch a.Kind {
 			case ActionForward:
@@ -118,7 +118,7 @@
 				f.schedule(5, i, Event{Kind: EventAttemptEnded, Request: a.Request, Server: a.Server, Status: OK, LatencyMs: 5, Final: true})
 				served++
 			case ActionReject:
-				refused++
+				rejected++
 			}
 		}
 		entries := readyEndpoints(x.servers)
@@ -132,8 +132,9 @@
 			f.schedule(20*float64(i), 0, Event{Kind: EventRequest, Request: RequestID(i + 1), Class: 1, Key: uint64(i) * 7919, RemainingMs: 600})
 		}
 		f.runUntil(f.now + 8000)
-		if served < x.served || served+refused != 200 || len(at) != x.servers {
-			t.Errorf("%s: %d served, %d rejected, of 200, at %d of %d servers", name, served, refused, len(at), x.servers)
+		if served < x.served || served+rejected != 200 || len(at) != x.servers {
+			t.Errorf("%s: %d served, %d rejected, of 200, at %d of %d servers",
+				name, served, rejected, len(at), x.servers)
 		}
 	}
 }
--- a/policy/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -38,14 +38,14 @@
 	for i := range 4 {
 		r.b.eject(r.b.byAddr[addr(i)], true)
 	}
-	probes := 0
+	healthChecks := 0
 	for range 200 {
 		r.now += 50
 		id, actions := r.request(0, r.b.rng.Uint64())
 		sent := findAction(actions, ActionForward)
 		for _, a := range actions {
 			if a.Kind == ActionHealthCheck {
-				probes++
+				healthChecks++
 				r.do(Event{Kind: EventHealthCheckEnded, Server: a.Server, Status: Rejected, LatencyMs: 1})
 			}
 		}
@@ -53,8 +53,8 @@
 			r.endAttempt(id, 0, sent.Server, Rejected, 1)
 		}
 	}
-	if probes == 0 || probes > 30 {
-		t.Errorf("%d health checks in 200 requests", probes)
+	if healthChecks == 0 || healthChecks > 30 {
+		t.Errorf("%d health checks in 200 requests", healthChecks)
 	}
 }
 
@@ -64,10 +64,10 @@
 	bad := r.b.byAddr[addr(0)]
 	r.b.setState(bad, UnhealthyPending)
 	bad.failureRate = 1
-	free, once := 0, 0
+	idempotent, nonIdempotent := 0, 0
 	for range 200 {
 		r.now += 10
-		for class, n := range []*int{&free, &once} {
+		for class, n := range []*int{&idempotent, &nonIdempotent} {
 			id, s := r.mustForward(class, uint64(r.b.rng.Int64()))
 			if s == bad.addr {
 				*n++
@@ -77,7 +77,8 @@
 			bad.failureRate = 1
 		}
 	}
-	if free == 0 || once > 0 {
-		t.Errorf("a pending server was validated by %d idempotent and %d other requests; want some and none", free, once)
+	if idempotent == 0 || nonIdempotent > 0 {
+		t.Errorf("a pending server was validated by %d idempotent and %d other requests; want some and none",
+			idempotent, nonIdempotent)
 	}
 }
--- a/policy/keyless_test.go
+++ b/policy/keyless_test.go
@@ -26,7 +26,8 @@
 			homes[to]++
 		}
 		if len(used) > 4 {
-			t.Errorf("agent %d: 100 requests, one at a time, went to %d of %d servers", agent, len(used), servers)
+			t.Errorf("agent %d: 100 requests, one at a time, went to %d of %d servers",
+				agent, len(used), servers)
 		}
 	}
 	for to, n := range homes {
@@ -45,37 +46,37 @@
 		id RequestID
 		to Addr
 	}
-	var outs []out
+	var inflight []out
 	steady := func(answers int, rtt float64) int { // as many as permitted are in flight, up to 40, and are answered in order
 		for range answers {
-			for len(outs) < 40 {
+			for len(inflight) < 40 {
 				id, actions := r.request(0, 0)
 				a := findAction(actions, ActionForward)
 				if a == nil {
 					r.do(Event{Kind: EventClientDisconnected, Request: id})
 					break
 				}
-				outs = append(outs, out{id, a.Server})
+				inflight = append(inflight, out{id, a.Server})
 			}
-			r.now += rtt / float64(len(outs))
-			r.endAttempt(outs[0].id, 0, outs[0].to, OK, rtt)
-			outs = outs[1:]
+			r.now += rtt / float64(len(inflight))
+			r.endAttempt(inflight[0].id, 0, inflight[0].to, OK, rtt)
+			inflight = inflight[1:]
 		}
-		return len(outs) + 1
+		return len(inflight) + 1
 	}
-	calm := steady(200, 30)
-	if calm < 30 {
-		t.Fatalf("%d in flight before the overload", calm)
+	before := steady(200, 30)
+	if before < 30 {
+		t.Fatalf("%d in flight before the overload", before)
 	}
-	crowded := steady(300, 120)
-	if crowded > calm/2 {
-		t.Errorf("%d in flight under overload, %d before", crowded, calm)
+	overloaded := steady(300, 120)
+	if overloaded > before/2 {
+		t.Errorf("%d in flight under overload, %d before", overloaded, before)
 	}
 	if _, actions := r.request(0, 99); findAction(actions, ActionForward) == nil {
 		t.Error("a request with a key waits")
 	}
-	if again := steady(1000, 30); again < 2*crowded || math.IsInf(r.b.keyless.max, 1) {
-		t.Errorf("%d in flight after the overload, %d under it", again, crowded)
+	if again := steady(1000, 30); again < 2*overloaded || math.IsInf(r.b.keyless.max, 1) {
+		t.Errorf("%d in flight after the overload, %d under it", again, overloaded)
 	}
 }
 
@@ -89,20 +90,20 @@
 			set.Classes[i].ClientTimeoutMs = 20_000
 		}
 		r := newHarness(t, set, c.servers)
-		ask := func() bool {
+		send := func() bool {
 			r.id++
 			return findAction(r.do(Event{Kind: EventRequest, Request: r.id, RemainingMs: 20_000}), ActionForward) != nil
 		}
 		r.b.keyless.max = 3
 		for range 3 {
-			if !ask() {
+			if !send() {
 				t.Fatal("a limit of three does not admit three")
 			}
 		}
 		sent, last, longest := 0, r.now, 0.0
 		for range 6000 / 50 { // 20 latency objectives in which nothing is answered
 			r.now += 50
-			if ask() {
+			if send() {
 				sent, last = sent+1, r.now
 			}
 			longest = max(longest, r.now-last)
@@ -111,7 +112,8 @@
 			}
 		}
 		if sent < c.least || sent > c.most {
-			t.Errorf("%d agents, %d servers: %d sent in 20 objectives, want %d to %d; none for %.0f ms", c.agents, c.servers, sent, c.least, c.most, longest)
+			t.Errorf("%d agents, %d servers: %d sent in 20 objectives, want %d to %d; none for %.0f ms",
+				c.agents, c.servers, sent, c.least, c.most, longest)
 		}
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -39,7 +39,8 @@
 	r.now += r.b.ejectionTime(srv) + 1
 	id, s4 := r.mustForward(0, 7)
 	if srv.state != UnhealthyPending || s4 != s {
-		t.Fatalf("after the ejection time: state %d, sent to %v; want pending and the first request to validate it", srv.state, s4)
+		t.Fatalf("after the ejection time: state %d, sent to %v; want pending and the first request to validate it",
+			srv.state, s4)
 	}
 	r.now += 50
 	r.endAttempt(id, 0, s, OK, 50)
@@ -95,8 +96,8 @@
 		}
 		r.now += r.b.minObjectiveMs + 1
 		r.request(0, 0)
-		if tried := bad.state == UnhealthyPending; tried != full {
-			t.Errorf("others full: %v; failing server validated after one latency objective: %v", full, tried)
+		if validated := bad.state == UnhealthyPending; validated != full {
+			t.Errorf("others full: %v; failing server validated after one latency objective: %v", full, validated)
 		}
 	}
 }
@@ -105,7 +106,7 @@
 // lost for want of servers. A server that fails more than the others is ejected.
 func TestBaselineFailuresEjectNoServer(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
-	refused, n := 0, 0
+	rejected, n := 0, 0
 	for range 600 {
 		r.now += 10
 		id, s := r.mustForward(0, uint64(r.b.rng.Int64()))
@@ -116,14 +117,14 @@
 		for _, a := range r.endAttempt(id, 0, s, status, 5) {
 			switch a.Kind {
 			case ActionReject, ActionFail:
-				refused++
+				rejected++
 			case ActionForward:
 				r.endAttempt(id, 1, a.Server, OK, 5)
 			}
 		}
 	}
-	if refused > 0 {
-		t.Errorf("%d of 600 rejected", refused)
+	if rejected > 0 {
+		t.Errorf("%d of 600 rejected", rejected)
 	}
 	for _, s := range r.b.servers {
 		if s.consecutiveFailures > 2 || !r.b.baselineFailure(s) { // one may be ejected by chance
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -28,10 +28,12 @@
 			most = 0.55
 		}
 		if f.busy < 0.9 || f.rejected > most || f.served < 0.6 {
-			t.Errorf("%s: servers busy for %.2f, %.2f rejected, %.2f served", name, f.busy, f.rejected, f.served)
+			t.Errorf("%s: servers busy for %.2f, %.2f rejected, %.2f served",
+				name, f.busy, f.rejected, f.served)
 		}
 		if f.slowestRejectionMs > 0.5*4*overloadObjectiveMs {
-			t.Errorf("%s: a rejection took %.0f ms: held back until the client's time ran out", name, f.slowestRejectionMs)
+			t.Errorf("%s: a rejection took %.0f ms: held back until the client's time ran out",
+				name, f.slowestRejectionMs)
 		}
 	}
 }
@@ -77,7 +79,8 @@
 		}
 		t.Logf("seed %d: served by second %.2f; back after %d s", seed, f.second, back)
 		if back > 2 {
-			t.Errorf("seed %d: %d s after the surge goodput is still under 0.95: %.2f", seed, back, f.second[12:])
+			t.Errorf("seed %d: %d s after the surge goodput is still under 0.95: %.2f",
+				seed, back, f.second[12:])
 		}
 	}
 }
@@ -103,7 +106,8 @@
 				want = 0.99
 			}
 			if f := c.run(t); f.served < want-0.04 {
-				t.Errorf("%s, load %v: served %.3f, want %.3f as with true reports", name, load, f.served, want)
+				t.Errorf("%s, load %v: served %.3f, want %.3f as with true reports",
+					name, load, f.served, want)
 			}
 		}
 	}
@@ -143,7 +147,8 @@
 		f := c.run(t)
 		t.Logf("%d agents: at most %.2f times what it could do in a second", agents, f.slowStartOverload)
 		if f.slowStartOverload > testSettings().Contract.OverloadFactor {
-			t.Errorf("%d agents sent a server in slow start %.2f times what it could do", agents, f.slowStartOverload)
+			t.Errorf("%d agents sent a server in slow start %.2f times what it could do",
+				agents, f.slowStartOverload)
 		}
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -121,7 +121,8 @@
 		w.t.Fatalf("request %d sent after its end", a.Request)
 	}
 	if len(r.attempts) >= w.set.Limits.MaxAttempts {
-		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, len(r.attempts)+1, w.set.Limits.MaxAttempts)
+		w.t.Fatalf("request %d: attempt %d of at most %d",
+			a.Request, len(r.attempts)+1, w.set.Limits.MaxAttempts)
 	}
 	if since, bad := w.drainingSince[a.Server]; bad && w.now-since > w.set.Contract.DrainGraceMs {
 		w.t.Fatalf("sent to %v %.0f ms after it was draining", a.Server, w.now-since)
@@ -183,7 +184,8 @@
 				LatencyMs: w.now - t.sentAt, Final: r.final > 0})
 		}
 		if r.final == 0 && w.now > r.deadline+w.set.Contract.AnswerSlackMs {
-			w.t.Fatalf("request %d of class %d lost: no answer %.0f ms after its deadline", id, r.class, w.now-r.deadline)
+			w.t.Fatalf("request %d of class %d lost: no answer %.0f ms after its deadline",
+				id, r.class, w.now-r.deadline)
 		}
 		if r.final > 0 && !open && len(r.attempts) > 0 && w.now > r.deadline+100 {
 			delete(w.requests, id)
@@ -252,7 +254,8 @@
 		}
 	}
 	if n := len(w.b.requests); n != 0 || len(w.b.queued) != 0 || w.b.inflight != 0 {
-		t.Errorf("seed %d: %d requests, %d queued, %d in flight left at the end", seed, n, len(w.b.queued), w.b.inflight)
+		t.Errorf("seed %d: %d requests, %d queued, %d in flight left at the end",
+			seed, n, len(w.b.queued), w.b.inflight)
 	}
 	for _, s := range w.b.servers {
 		if len(s.inflight) != 0 {
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -95,14 +95,14 @@
 	s := r.b.servers[0]
 	s.limit.Reset(1)
 	_, to := r.mustForward(0, 5)
-	cold, _ := r.request(0, 6)
+	other, _ := r.request(0, 6)
 	r.now++
-	warm, _ := r.request(0, 5)
+	recent, _ := r.request(0, 5)
 	r.now++
 	newest, _ := r.request(0, 8)
 	r.now += 20
 	out := r.endAttempt(1, 0, to, OK, 20)
-	if a := findAction(out, ActionForward); a == nil || a.Request != warm {
-		t.Errorf("sent %+v, want %d, not %d or %d", a, warm, cold, newest)
+	if a := findAction(out, ActionForward); a == nil || a.Request != recent {
+		t.Errorf("sent %+v, want %d, not %d or %d", a, recent, other, newest)
 	}
 }
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -66,7 +66,8 @@
 	r.do(Event{Kind: EventBodyWritten, Request: id, Attempt: 0, RemainingMs: 600})
 	q := r.b.requests[id]
 	if len(s.inflight) != 1 || r.b.inflight != 1 || q.deadline < r.now+590 || q.deadline > r.now+600 || q.objectiveAt != r.now+300 {
-		t.Errorf("written: %d in flight, deadline in %v, objective in %v", len(s.inflight), q.deadline-r.now, q.objectiveAt-r.now)
+		t.Errorf("written: %d in flight, deadline in %v, objective in %v",
+			len(s.inflight), q.deadline-r.now, q.objectiveAt-r.now)
 	}
 	r.do(Event{Kind: EventBodyWritten, Request: id, Attempt: 0, RemainingMs: 600}) // a second time
 	r.endAttempt(id, 0, addr(0), OK, 20)
@@ -79,7 +80,8 @@
 	r.do(Event{Kind: EventRequest, Request: id, Class: 1, RemainingMs: 600, StreamedBody: true})
 	r.do(Event{Kind: EventAttemptEnded, Request: id, Attempt: 0, Server: addr(0), Status: NotStarted, Final: true})
 	if len(s.inflight) != 0 || r.b.inflight != 0 || len(r.b.requests) != 0 {
-		t.Errorf("not started: %d, %d in flight, %d requests", len(s.inflight), r.b.inflight, len(r.b.requests))
+		t.Errorf("not started: %d, %d in flight, %d requests",
+			len(s.inflight), r.b.inflight, len(r.b.requests))
 	}
 }
 
@@ -95,7 +97,8 @@
 		r.do(Event{Kind: EventAttemptEnded, Request: 99, Attempt: -1, Server: s, Status: OK})
 		for _, srv := range r.b.servers {
 			if w := r.b.score(&request{hashKey: 3}, srv); math.IsNaN(w) || math.IsNaN(srv.latency) || srv.startedAt > r.now {
-				t.Errorf("%v: server %v has score %v, time %v, start %v", x, srv.addr, w, srv.latency, srv.startedAt)
+				t.Errorf("%v: server %v has score %v, time %v, start %v",
+					x, srv.addr, w, srv.latency, srv.startedAt)
 			}
 		}
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -39,7 +39,7 @@
 func TestRetriesAreEarnedByServedRequests(t *testing.T) {
 	for _, served := range []bool{true, false} {
 		r := newHarness(t, testSettings(), 8)
-		further := 0
+		retries := 0
 		for i := range 100 {
 			r.now += 500
 			r.b.goodput.ended = 0 // nothing is shed
@@ -53,11 +53,11 @@
 				if a == nil {
 					break
 				}
-				s, further = a.Server, further+1
+				s, retries = a.Server, retries+1
 			}
 		}
-		if served && further < 15 || !served && further > int(maxRetryTokens) {
-			t.Errorf("four of five served: %v; %d retries", served, further)
+		if served && retries < 15 || !served && retries > int(maxRetryTokens) {
+			t.Errorf("four of five served: %v; %d retries", served, retries)
 		}
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -65,7 +65,7 @@
 		return most
 	}
 	r := newHarness(t, testSettings(), 6)
-	calm := burst(r)
+	before := burst(r)
 	for range 300 { // half of the attempts are rejected, as each is retried
 		r.now += 10
 		id, actions := r.request(0, r.b.rng.Uint64())
@@ -76,7 +76,7 @@
 		}
 		r.do(Event{Kind: EventClientDisconnected, Request: id})
 	}
-	turned := burst(r)
+	rejecting := burst(r)
 	for range 3000 {
 		r.now += 10
 		id, actions := r.request(0, r.b.rng.Uint64())
@@ -85,8 +85,9 @@
 		}
 		r.do(Event{Kind: EventClientDisconnected, Request: id})
 	}
-	if again := burst(r); turned >= calm || again < calm {
-		t.Errorf("at one server at most %d of 12 before, %d while attempts are rejected, %d after", calm, turned, again)
+	if again := burst(r); rejecting >= before || again < before {
+		t.Errorf("at one server at most %d of 12 before, %d while attempts are rejected, %d after",
+			before, rejecting, again)
 	}
 }
 
--- a/policy/slowdown_simulation_test.go
+++ b/policy/slowdown_simulation_test.go
@@ -235,18 +235,19 @@
 			}
 		}
 		y.load(8000, 0.7)
-		shut := 0
+		rejecting := 0
 		for i := range y.rejecting {
 			if y.rejecting[i].update(y.now); y.rejecting[i].longestMs >= 4000 {
-				shut++
+				rejecting++
 			}
 		}
-		t.Logf("seed %d: %d of %d servers slowed down; %.3f served; %d of %d agents rejected everything", seed, slow, len(y.servers), float64(y.inTime)/float64(y.requests), shut, len(y.agents))
+		t.Logf("seed %d: %d of %d servers slowed down; %.3f served; %d of %d agents rejected everything",
+			seed, slow, len(y.servers), float64(y.inTime)/float64(y.requests), rejecting, len(y.agents))
 		if slow < len(y.servers)/4 {
 			t.Errorf("seed %d: %d of %d servers slowed down: no overload", seed, slow, len(y.servers))
 		}
-		if 10*shut > len(y.agents) {
-			t.Errorf("seed %d: %d of %d agents rejected everything for 4 s", seed, shut, len(y.agents))
+		if 10*rejecting > len(y.agents) {
+			t.Errorf("seed %d: %d of %d agents rejected everything for 4 s", seed, rejecting, len(y.agents))
 		}
 	}
 }
--- a/policy/slowstart_simulation_test.go
+++ b/policy/slowstart_simulation_test.go
@@ -210,70 +210,73 @@
 	return worst
 }
 
+// slowStartDisturbances are what happens to a running simulation.
+var slowStartDisturbances = map[string]func(w *slowStartSimulation){
+	"join and return": func(w *slowStartSimulation) {
+		dark := w.backends[:2+w.rng.IntN(len(w.backends)-1)]
+		for _, b := range dark {
+			b.unreachable = true
+		}
+		w.load(3000, 1)
+		for i, b := range dark {
+			b.unreachable, b.startMs, w.servers[i].StartedMs = false, w.now, w.now
+		}
+		for range w.joining {
+			w.addBackend(w.now)
+		}
+		w.updateProcesses()
+		w.load(12_000, 1.5)
+	},
+	"all agents restart": func(w *slowStartSimulation) {
+		for range w.joining {
+			w.addBackend(w.now)
+		}
+		w.updateProcesses()
+		for range 4 {
+			w.load(1500, 1.5)
+			for i := range w.processes {
+				w.processes[i] = w.startProcess()
+			}
+		}
+		w.load(4000, 1.5)
+	},
+	"one agent after the other restarts": func(w *slowStartSimulation) {
+		for range w.joining {
+			w.addBackend(w.now)
+		}
+		w.updateProcesses()
+		for n := range 120 {
+			w.load(100, 1.5)
+			w.processes[n%len(w.processes)] = w.startProcess()
+		}
+	},
+	"two processes each": func(w *slowStartSimulation) {
+		for i := range w.processes {
+			w.processes = append(w.processes, w.startProcess())
+			w.processes[i], w.processes[len(w.processes)-1] = w.processes[len(w.processes)-1], w.processes[i]
+		}
+		w.load(500, 1)
+		for range w.joining {
+			w.addBackend(w.now)
+		}
+		w.updateProcesses()
+		w.load(12_000, 1.5)
+	},
+}
+
 // Servers in slow start get no more than they bear, counted over all processes of twenty to thirty agents
 // under a burst: where new ones join, where others come back from silence, where agents are restarted and
 // know nothing of the tokens that were spent, and where each agent is two processes for a time; with keys
 // and without. Each attempt and each health check counts.
 func TestServersInSlowStartAreNotOverloaded(t *testing.T) {
 	t.Parallel() // virtual time alone
-	for name, play := range map[string]func(w *slowStartSimulation){
-		"join and return": func(w *slowStartSimulation) {
-			dark := w.backends[:2+w.rng.IntN(len(w.backends)-1)]
-			for _, b := range dark {
-				b.unreachable = true
-			}
-			w.load(3000, 1)
-			for i, b := range dark {
-				b.unreachable, b.startMs, w.servers[i].StartedMs = false, w.now, w.now
-			}
-			for range w.joining {
-				w.addBackend(w.now)
-			}
-			w.updateProcesses()
-			w.load(12_000, 1.5)
-		},
-		"all agents restart": func(w *slowStartSimulation) {
-			for range w.joining {
-				w.addBackend(w.now)
-			}
-			w.updateProcesses()
-			for range 4 {
-				w.load(1500, 1.5)
-				for i := range w.processes {
-					w.processes[i] = w.startProcess()
-				}
-			}
-			w.load(4000, 1.5)
-		},
-		"one agent after the other restarts": func(w *slowStartSimulation) {
-			for range w.joining {
-				w.addBackend(w.now)
-			}
-			w.updateProcesses()
-			for n := range 120 {
-				w.load(100, 1.5)
-				w.processes[n%len(w.processes)] = w.startProcess()
-			}
-		},
-		"two processes each": func(w *slowStartSimulation) {
-			for i := range w.processes {
-				w.processes = append(w.processes, w.startProcess())
-				w.processes[i], w.processes[len(w.processes)-1] = w.processes[len(w.processes)-1], w.processes[i]
-			}
-			w.load(500, 1)
-			for range w.joining {
-				w.addBackend(w.now)
-			}
-			w.updateProcesses()
-			w.load(12_000, 1.5)
-		},
-	} {
+	for name, play := range slowStartDisturbances {
 		for _, of := range []struct {
 			agents  int
 			keyless bool
 		}{{20, false}, {30, false}, {20, true}, {30, true}} {
 			agents := of.agents
-			over, most, served, asked := 0, 0.0, 0, 0
+			overloaded, worst, served, requests := 0, 0.0, 0, 0
 			// Of sixty seeds those on which a server in slow start got the most; with 17, 29 and 41 all servers are in it.
 			seeds := []uint64{2, 34, 29}
 			if name == "join and return" {
@@ -286,15 +289,17 @@
 				w.served, w.ended = 0, 0
 				play(w)
 				x := w.worstOverload()
-				if most = max(most, x); x > 1 {
-					over++
+				if worst = max(worst, x); x > 1 {
+					overloaded++
 				}
 				served += w.served
-				asked += w.served + w.ended
+				requests += w.served + w.ended
 			}
-			t.Logf("%s, %d agents, no keys %v: the largest part of what a server in slow start bears %.2f; over it in %d of %d; served %.2f", name, agents, of.keyless, most, over, len(seeds), float64(served)/float64(asked))
-			if over > 0 {
-				t.Errorf("%s, %d agents, no keys %v: a server in slow start is overloaded in %d of %d", name, agents, of.keyless, over, len(seeds))
+			t.Logf("%s, %d agents, no keys %v: the largest part of what a server in slow start bears %.2f; over it in %d of %d; served %.2f",
+				name, agents, of.keyless, worst, overloaded, len(seeds), float64(served)/float64(requests))
+			if overloaded > 0 {
+				t.Errorf("%s, %d agents, no keys %v: a server in slow start is overloaded in %d of %d",
+					name, agents, of.keyless, overloaded, len(seeds))
 			}
 		}
 	}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -82,8 +82,8 @@
 func TestSlowStartTokensAreEarnedByServedRequestsOnly(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	r.updateEndpoints(UpdateDelta, Endpoint{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now})
-	cold := r.b.byAddr[addr(4)]
-	first := cold.slowStartTokens
+	starting := r.b.byAddr[addr(4)]
+	first := starting.slowStartTokens
 	for range 50 {
 		r.now += 5
 		id, actions := r.request(1, r.b.rng.Uint64())
@@ -91,15 +91,16 @@
 			r.endAttempt(id, 0, a.Server, Rejected, 1)
 		}
 	}
-	if cold.slowStartTokens > first || r.b.slowStart.flow > 0 {
-		t.Errorf("nothing was served, and the server in slow start has %.2f tokens of a flow of %.2f", cold.slowStartTokens, r.b.slowStart.flow)
+	if starting.slowStartTokens > first || r.b.slowStart.flow > 0 {
+		t.Errorf("nothing was served, and the server in slow start has %.2f tokens of a flow of %.2f",
+			starting.slowStartTokens, r.b.slowStart.flow)
 	}
 }
 
 // Of many agents with few requests none earns a complete request for a server in slow start; together they
 // must send it its share.
 func TestServerInSlowStartGetsItsShareFromManySmallAgents(t *testing.T) {
-	cold, all := 0, 0
+	starting, all := 0, 0
 	for seed := range uint64(200) {
 		r := newHarness(t, testSettings(), 19)
 		b, err := New(testSettings(), seed)
@@ -118,20 +119,20 @@
 			r.now += 100
 			id, s := r.mustForward(0, r.b.rng.Uint64())
 			if all++; s == addr(19) {
-				cold++
+				starting++
 			}
 			r.endAttempt(id, 0, s, OK, 20)
 		}
 	}
-	if even := all / 20; cold < even/20 || cold > even {
-		t.Errorf("a server in slow start got %d of %d requests, where an even share is %d", cold, all, even)
+	if even := all / 20; starting < even/20 || starting > even {
+		t.Errorf("a server in slow start got %d of %d requests, where an even share is %d", starting, all, even)
 	}
 }
 
 // New servers must soon take their share, or the others are overloaded, and never more than the contract
 // permits, counted over all agents.
 func TestNewServersGetTheirShare(t *testing.T) {
-	const agents, servers, fresh, perS, capacity = 80, 60, 18, 1450.0, 31.0
+	const agents, servers, joining, perS, capacity = 80, 60, 18, 1450.0, 31.0
 	set := testSettings()
 	set.Contract.SlowStartMinCapacity, set.Contract.SlowStartMs, set.Contract.OverloadFactor = 0.31, 8600, 2.5
 	set.Classes = []Class{{Name: "once", LatencyObjectiveMs: 550, ClientTimeoutMs: 2200, Effect: NonIdempotent, PriorityWeight: 4}}
@@ -139,16 +140,16 @@
 	rng := rand.New(rand.NewPCG(7, 7))
 	const began = 5000.0
 	sent := map[Addr][]float64{} // when requests were sent to new servers
-	warm := 0
+	toOthers := 0
 	f.onAction = func(i int, a *Action) {
 		if a.Kind != ActionForward {
 			return
 		}
 		if f.now >= began {
-			if k := int(a.Server[3]); k >= servers-fresh {
+			if k := int(a.Server[3]); k >= servers-joining {
 				sent[a.Server] = append(sent[a.Server], f.now)
 			} else {
-				warm++
+				toOthers++
 			}
 		}
 		f.schedule(60+rng.ExpFloat64()*40, i, Event{Kind: EventAttemptEnded, Request: a.Request, Server: a.Server, Status: OK, LatencyMs: 100, Final: true})
@@ -166,25 +167,26 @@
 	arrive(began)
 	f.runUntil(began)
 	entries := readyEndpoints(servers)
-	for k := servers - fresh; k < servers; k++ {
+	for k := servers - joining; k < servers; k++ {
 		entries[k].StartedMs = began
 	}
 	for i := range agents {
-		f.do(i, f.agents[i].Handle(f.now, &Event{Kind: EventEndpointUpdate, Update: UpdateDelta, Endpoints: entries[servers-fresh:]}, nil))
+		f.do(i, f.agents[i].Handle(f.now, &Event{Kind: EventEndpointUpdate, Update: UpdateDelta, Endpoints: entries[servers-joining:]}, nil))
 	}
 	arrive(set.Contract.SlowStartMs)
 	f.runUntil(began + set.Contract.SlowStartMs)
-	ramp := func(at float64) float64 { return 0.31 + 0.69*(at-began)/8600 }
+	capacityAt := func(at float64) float64 { return 0.31 + 0.69*(at-began)/8600 }
 	worst, total := 0.0, 0
 	for _, times := range sent {
 		total += len(times)
 		for i, from := range times {
 			n, _ := slices.BinarySearch(times[i:], from+1000)
-			worst = max(worst, float64(n)/(set.Contract.OverloadFactor*capacity*ramp(from)))
+			worst = max(worst, float64(n)/(set.Contract.OverloadFactor*capacity*capacityAt(from)))
 		}
 	}
-	each, even := float64(total)/fresh, float64(warm)/(servers-fresh)
-	t.Logf("each new server got %.2f of what another got; the most in any second was %.2f of the contract's", each/even, worst)
+	each, even := float64(total)/joining, float64(toOthers)/(servers-joining)
+	t.Logf("each new server got %.2f of what another got; the most in any second was %.2f of the contract's",
+		each/even, worst)
 	if each < 0.4*even { // they have 0.65 of the capacity meanwhile
 		t.Errorf("each new server got %.0f, each other one %.0f", each, even)
 	}
@@ -232,8 +234,10 @@
 			worst = max(worst, float64(n)/(2.5*k*1000/mean))
 		}
 	}
-	t.Logf("%d of %.0f sent, to %d servers; the most in any second was %.2f of what a core may get", total, perS*6, len(sent), worst)
+	t.Logf("%d of %.0f sent, to %d servers; the most in any second was %.2f of what a core may get",
+		total, perS*6, len(sent), worst)
 	if len(sent) < servers || worst > 1 {
-		t.Errorf("%d of %d servers used; the most in any second was %.2f of what a core may get", len(sent), servers, worst)
+		t.Errorf("%d of %d servers used; the most in any second was %.2f of what a core may get",
+			len(sent), servers, worst)
 	}
 }
