--- a/internal/lab/acceptance/agreed.go
+++ b/internal/lab/acceptance/agreed.go
@@ -13,12 +13,12 @@
 
 // agreedPlan is a run at a scale: 5 keepers, 40 agents and 24 servers in full, 3, 6 and 6 at the least.
 func agreedPlan(o *Options) *cluster.Plan {
-	p := &cluster.Plan{Seed: o.Seed, Keepers: 5, Agents: o.scaled(40, 6), Servers: o.scaled(24, 6), LeaseMs: 600,
+	p := &cluster.Plan{Seed: o.Seed, Replicas: 5, Agents: o.scaled(40, 6), Servers: o.scaled(24, 6), LeaseMs: 600,
 		RunMs: o.scaled(60_000, 3000), Versions: 2000, PauseMs: o.scaled(40, 10)}
 	if o.Scale < 0.25 {
-		p.Keepers = 3
+		p.Replicas = 3
 	}
-	p.Draw()
+	p.DrawFaults()
 	return p
 }
 
@@ -54,7 +54,7 @@
 	if o.Scale < scripted {
 		p.Faults = nil
 		for try := range uint64(3) { // a defect is to be found within three seeds; without one there is one try
-			if out, err = cluster.Script(ctx, filepath.Join(dir, fmt.Sprint(try)), p.Defect, p.Seed+try); err != nil || p.Defect == "" || out.Bad() {
+			if out, err = cluster.RunScript(ctx, filepath.Join(dir, fmt.Sprint(try)), p.Defect, p.Seed+try); err != nil || p.Defect == "" || out.Failing() {
 				break
 			}
 		}
@@ -70,31 +70,31 @@
 		}
 		return nil, err
 	}
-	r.add("keepers", float64(p.Keepers), "")
+	r.add("keepers", float64(p.Replicas), "")
 	r.add("agents", float64(p.Agents), "")
 	r.add("faults", float64(len(p.Faults)), "")
 	r.add("versions", float64(out.Versions), "")
-	r.add("acts", float64(out.Acts), "")
-	r.add("repeats", float64(out.Repeats), "")
-	r.add("contradictions", float64(len(out.Breaches)), "")
-	r.add("by a stop between look and write", float64(out.Stopped), "")
+	r.add("acts", float64(out.Attempts), "")
+	r.add("repeats", float64(out.Retries), "")
+	r.add("contradictions", float64(len(out.Violations)), "")
+	r.add("by a stop between look and write", float64(out.PausedSenders), "")
 	r.add("lost or changed", float64(len(out.Lost)), "")
-	r.add("in force p50", millis(percentile(out.Took, 0.5)), " ms")
-	r.add("p99", millis(percentile(out.Took, 0.99)), " ms")
-	r.add("max", millis(percentile(out.Took, 1)), " ms")
-	if n := len(out.Old); n > 0 {
-		r.add("last act by old rules p50", millis(percentile(out.Old, 0.5)), " ms")
-		r.add("max", millis(out.Old[n-1]), " ms")
+	r.add("in force p50", millis(percentile(out.PublishLatencies, 0.5)), " ms")
+	r.add("p99", millis(percentile(out.PublishLatencies, 0.99)), " ms")
+	r.add("max", millis(percentile(out.PublishLatencies, 1)), " ms")
+	if n := len(out.Staleness); n > 0 {
+		r.add("last act by old rules p50", millis(percentile(out.Staleness, 0.5)), " ms")
+		r.add("max", millis(out.Staleness[n-1]), " ms")
 	}
-	r.add("second tries of a publish", float64(out.Unknown), "")
+	r.add("second tries of a publish", float64(out.RetriedPublishes), "")
 	r.add("keepers replaced", float64(out.Replaced), "")
 	r.add("served", float64(out.Served), "")
-	r.add("refused", float64(out.Refused), "")
+	r.add("refused", float64(out.Rejected), "")
 	r.add("failed", float64(out.Failed), "")
 	r.add("no answer", float64(out.Unanswered), "")
-	for i, b := range out.Breaches {
+	for i, b := range out.Violations {
 		if i == 5 {
-			r.short("and %d more", len(out.Breaches)-i)
+			r.short("and %d more", len(out.Violations)-i)
 			break
 		}
 		r.short("%s (%v late)", b.Text, b.Late.Round(time.Millisecond))
@@ -105,8 +105,8 @@
 	for _, e := range out.Errors {
 		r.short("%s", e)
 	}
-	if least := 3; out.Versions < least || out.Acts < 100 {
-		r.short("too little happened: %d versions, %d acts", out.Versions, out.Acts)
+	if least := 3; out.Versions < least || out.Attempts < 100 {
+		r.short("too little happened: %d versions, %d acts", out.Versions, out.Attempts)
 	}
 	if len(r.Short) > 0 {
 		keep := filepath.Join(os.TempDir(), fmt.Sprintf("ringtrack-agreed-%d.json", p.Seed))
--- a/internal/lab/acceptance/histories.go
+++ b/internal/lab/acceptance/histories.go
@@ -123,7 +123,7 @@
 			last := uint64(0)
 			for n := 0; run.Err() == nil; n++ {
 				op := bookOp{read: rng.IntN(2) == 0, id: fmt.Sprintf("c%d-%d", proposer, n), parent: last}
-				at := c.Keepers[rng.IntN(3)]
+				at := c.Replicas[rng.IntN(3)]
 				from := time.Since(begun)
 				try, stop := context.WithTimeout(ctx, 250*time.Millisecond)
 				var out bookAnswer
@@ -168,24 +168,24 @@
 		})
 	}
 	rng := rand.New(rand.NewPCG(seed, 99))
-	liar := c.Keepers[rng.IntN(3)]
-	liar.Disk("lie")
+	liar := c.Replicas[rng.IntN(3)]
+	liar.SetDiskFault("lie")
 	for run.Err() == nil {
 		time.Sleep(time.Duration(50+rng.IntN(150)) * time.Millisecond)
-		k := c.Keepers[rng.IntN(3)]
+		k := c.Replicas[rng.IntN(3)]
 		switch rng.IntN(4) {
 		case 0:
 			k.Freeze()
 			time.Sleep(time.Duration(rng.IntN(600)) * time.Millisecond)
 			k.Thaw()
 		case 1:
-			c.Cut(k.Name, c.Keepers, cluster.Stall, cluster.Pass)
+			c.SetLinks(k.Name, c.Replicas, cluster.Stall, cluster.Pass)
 			time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
-			c.Cut(k.Name, c.Keepers, cluster.Pass, cluster.Pass)
+			c.SetLinks(k.Name, c.Replicas, cluster.Pass, cluster.Pass)
 		case 2:
-			c.Cut(k.Name, c.Keepers, cluster.Pass, cluster.Lose)
+			c.SetLinks(k.Name, c.Replicas, cluster.Pass, cluster.Drop)
 			time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
-			c.Cut(k.Name, c.Keepers, cluster.Pass, cluster.Pass)
+			c.SetLinks(k.Name, c.Replicas, cluster.Pass, cluster.Pass)
 		case 3:
 			if k == liar { // the power goes for the one whose disk lied: it comes back with less
 				if err := k.PowerCut(nil); err != nil {
--- a/internal/lab/acceptance/keepers.go
+++ b/internal/lab/acceptance/keepers.go
@@ -34,11 +34,11 @@
 	c := cluster.New(dir, bin, leaseMs)
 	c.TickMs = tickMs
 	end := func() { c.Close(); os.RemoveAll(dir) }
-	if err := c.AddKeepers(n); err != nil {
+	if err := c.AddReplicas(n); err != nil {
 		end()
 		return nil, nil, err
 	}
-	for _, k := range c.Keepers {
+	for _, k := range c.Replicas {
 		if defect != "" {
 			k.Env = append(k.Env, "RINGTRACK_LAB_DEFECT="+defect)
 		}
@@ -76,9 +76,9 @@
 		b := &sharedconfig.Config{Cordoned: []string{fmt.Sprintf("s-%d", parent)}}
 		id := fmt.Sprintf("p-%d", parent)
 		return cluster.Until(ctx, "a publish is taken", 20*time.Second, func() bool {
-			for _, i := range rng.Perm(len(c.Keepers)) {
+			for _, i := range rng.Perm(len(c.Replicas)) {
 				try, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
-				out, err := c.Publish(try, c.Keepers[i], id, parent, b)
+				out, err := c.Publish(try, c.Replicas[i], id, parent, b)
 				cancel()
 				if err == nil {
 					if out.Number != parent+1 {
@@ -101,12 +101,12 @@
 			break
 		}
 		// The one that leads, mostly; and now and then all of them, or the power for all.
-		victims := []*cluster.Process{c.Keepers[rng.IntN(3)]}
+		victims := []*cluster.Process{c.Replicas[rng.IntN(3)]}
 		if lead, _ := c.Leader(ctx); lead != nil && rng.IntN(2) == 0 {
 			victims[0] = lead
 		}
 		if rng.IntN(20) == 0 {
-			victims = c.Keepers
+			victims = c.Replicas
 		}
 		// Under publishing: one is on its way as it dies.
 		var on sync.WaitGroup
@@ -138,7 +138,7 @@
 			break
 		}
 		took = append(took, time.Since(from))
-		for _, k := range c.Keepers {
+		for _, k := range c.Replicas {
 			if !k.Runs() {
 				r.short("%s does not run: %s", k.Name, lastLine(k.Log()))
 			}
@@ -206,7 +206,7 @@
 	var all []*client.Renewer
 	acts := make([]*idle, n)
 	cfg := &client.Config{CallMs: 400, WaitMs: 500}
-	for _, k := range c.Keepers {
+	for _, k := range c.Replicas {
 		cfg.Replicas = append(cfg.Replicas, k.Addr)
 	}
 	for i := range n {
@@ -232,7 +232,7 @@
 		return err
 	}
 	cpu := func() (s float64) {
-		for _, k := range c.Keepers {
+		for _, k := range c.Replicas {
 			s += k.CPU().Seconds()
 		}
 		return s
@@ -246,7 +246,7 @@
 	var took []time.Duration
 	for v := range uint64(o.scaled(40, 3)) {
 		from := time.Now()
-		if _, err := c.Publish(ctx, c.Keepers[0], fmt.Sprintf("v%d", v), v, &sharedconfig.Config{Cordoned: []string{fmt.Sprint("s", v)}}); err != nil {
+		if _, err := c.Publish(ctx, c.Replicas[0], fmt.Sprintf("v%d", v), v, &sharedconfig.Config{Cordoned: []string{fmt.Sprint("s", v)}}); err != nil {
 			return err
 		}
 		if err := cluster.Until(ctx, "all have it", 20*time.Second, func() bool {
--- a/internal/lab/acceptance/slowdisk.go
+++ b/internal/lab/acceptance/slowdisk.go
@@ -44,18 +44,18 @@
 		if terms() > 0 {
 			break
 		}
-		for _, k := range c.Keepers {
+		for _, k := range c.Replicas {
 			words := ""
 			if turn := n % 3; turn == 2 || (k == lead) == (turn == 0) {
 				words = fmt.Sprintf("sync-ms %d", slow)
 			}
-			if err := k.Disk(words); err != nil {
+			if err := k.SetDiskFault(words); err != nil {
 				return nil, err
 			}
 		}
 		from := time.Now()
 		if err := cluster.Until(ctx, "a publish is taken", 20*time.Second, func() bool {
-			for _, k := range c.Keepers {
+			for _, k := range c.Replicas {
 				try, cancel := context.WithTimeout(ctx, 2*time.Second)
 				out, err := c.Publish(try, k, fmt.Sprintf("p-%d", n), n, &sharedconfig.Config{Cordoned: []string{fmt.Sprint("s-", n)}})
 				cancel()
--- a/internal/lab/cluster/acts.go
+++ b/internal/lab/cluster/acts.go
@@ -12,14 +12,14 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Acts is what the stand-in servers saw, and what was published and said to be in force when. It judges whether any
+// AttemptLog is what the stand-in servers saw, and what was published and said to be in force when. It judges whether any
 // act was one that no stage permits that may have been in force then. It may be used from any goroutine.
-type Acts struct {
+type AttemptLog struct {
 	// Slack is what may pass between an agent's last look and the stand-in's first byte.
 	Slack time.Duration
-	// Own is what the agents' files permit.
-	Own  policy.Settings
-	Zone map[string]string // of servers
+	// AgentSettings is what the agents' files permit.
+	AgentSettings policy.Settings
+	Zone          map[string]string // of servers
 
 	mu       sync.Mutex
 	acts     []act
@@ -29,8 +29,8 @@
 	stages   []uint64          // all there were, in order
 }
 
-// History tells which versions were gone to, and from which: those between never were in force.
-func (a *Acts) History(all []sharedconfig.Version) {
+// SetHistory tells which versions were gone to, and from which: those between never were in force.
+func (a *AttemptLog) SetHistory(all []sharedconfig.Version) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.froms, a.stages = map[uint64]uint64{}, []uint64{0}
@@ -62,8 +62,8 @@
 	at    time.Time
 }
 
-// Saw notes that a request came to a server.
-func (a *Acts) Saw(server, op string, at time.Time) {
+// Record notes that a request came to a server.
+func (a *AttemptLog) Record(server, op string, at time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.acts) < mostActs {
@@ -72,10 +72,10 @@
 }
 
 // Len is the number of acts so far, By how many since the from-th came to a server, by agent.
-func (a *Acts) Len() int { a.mu.Lock(); defer a.mu.Unlock(); return len(a.acts) }
+func (a *AttemptLog) Len() int { a.mu.Lock(); defer a.mu.Unlock(); return len(a.acts) }
 
-// By implements the other half of Len.
-func (a *Acts) By(server string, from int) map[string]int {
+// CountByAgent implements the other half of Len.
+func (a *AttemptLog) CountByAgent(server string, from int) map[string]int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := map[string]int{}
@@ -89,7 +89,7 @@
 }
 
 // Published notes a version whose publish was begun at sent.
-func (a *Acts) Published(number uint64, b *sharedconfig.Config, sent time.Time) {
+func (a *AttemptLog) Published(number uint64, b *sharedconfig.Config, sent time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.versions = append(a.versions, version{number: number, book: b, sent: sent})
@@ -97,7 +97,7 @@
 }
 
 // InForce notes that a keeper has said, at this time, that nobody acts on a stage before this one.
-func (a *Acts) InForce(stage uint64, at time.Time) {
+func (a *AttemptLog) InForce(stage uint64, at time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if n := len(a.force); n > 0 && a.force[n-1].stage >= stage {
@@ -111,8 +111,8 @@
 	}
 }
 
-// Took is how long each version took from its publish until it was said to be in force, sorted, and how many were not.
-func (a *Acts) Took() (took []time.Duration, not int) {
+// PublishLatencies is how long each version took from its publish until it was said to be in force, sorted, and how many were not.
+func (a *AttemptLog) PublishLatencies() (took []time.Duration, not int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, v := range a.versions {
@@ -135,8 +135,8 @@
 	return parts[1]
 }
 
-// Breach is an act that no stage permitted which may have been in force.
-type Breach struct {
+// Violation is an act that no stage permitted which may have been in force.
+type Violation struct {
 	At   time.Time
 	Op   string
 	Text string
@@ -144,18 +144,18 @@
 	Late time.Duration
 }
 
-// Judged is what came of all acts.
-type Judged struct {
-	Acts, Repeats int
-	Breaches      []Breach
-	// Old is how long after a version's publish the last act came that it forbids, one a version that had any, sorted.
-	Old []time.Duration
+// Verdict is what came of all acts.
+type Verdict struct {
+	Attempts, Retries int
+	Violations        []Violation
+	// Staleness is how long after a version's publish the last act came that it forbids, one a version that had any, sorted.
+	Staleness []time.Duration
 }
 
-// Judge judges all acts so far. There has to be, for each moment, one stage S that only grows, such that every act is
+// Check judges all acts so far. There has to be, for each moment, one stage S that only grows, such that every act is
 // permitted by S or S+1 and S is no lower than what was said to be in force: then no two agents acted on rules that
 // contradict each other. Slack is granted between an act and its arrival at a stand-in.
-func (a *Acts) Judge() (j Judged) {
+func (a *AttemptLog) Check() (j Verdict) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	slices.SortStableFunc(a.acts, func(x, y act) int { return x.at.Compare(y.at) })
@@ -171,11 +171,11 @@
 	var recent []needs // acts that are younger than the slack, and the least S that each needs
 	forced := uint64(0)
 	for _, x := range a.acts {
-		j.Acts++
+		j.Attempts++
 		before := tries[x.op]
 		tries[x.op] = append(before, x)
 		if len(before) > 0 {
-			j.Repeats++
+			j.Retries++
 		}
 		for len(recent) > 0 && recent[0].at.Add(a.Slack).Before(x.at) {
 			if recent[0].stage > forced {
@@ -213,7 +213,7 @@
 			}
 			continue
 		}
-		b := Breach{At: x.at, Op: x.op, Text: fmt.Sprintf("%s at %s, try %d: %s; in force were stages %d to %d, acted on from %d on (%s at %s %v before)", x.op, x.server, len(before)+1,
+		b := Violation{At: x.at, Op: x.op, Text: fmt.Sprintf("%s at %s, try %d: %s; in force were stages %d to %d, acted on from %d on (%s at %s %v before)", x.op, x.server, len(before)+1,
 			a.permits(a.terms(max(low, forced)), before, x), low, high, forced, by.op, by.server, x.at.Sub(by.at).Round(time.Millisecond))}
 		for _, s := range slices.Backward(a.stages) {
 			if s < low && a.permits(a.terms(s), before, x) == "" {
@@ -226,20 +226,20 @@
 				break
 			}
 		}
-		j.Breaches = append(j.Breaches, b)
+		j.Violations = append(j.Violations, b)
 	}
 	for _, d := range last {
-		j.Old = append(j.Old, d)
+		j.Staleness = append(j.Staleness, d)
 	}
-	slices.Sort(j.Old)
+	slices.Sort(j.Staleness)
 	return j
 }
 
 // incomplete tells whether a stage needs a version that was not published.
-func (a *Acts) incomplete(stage uint64) bool { return a.book((stage+1)/2) == nil }
+func (a *AttemptLog) incomplete(stage uint64) bool { return a.book((stage+1)/2) == nil }
 
 // between are the lowest and the highest stage that may have been acted on at a time.
-func (a *Acts) between(t time.Time) (low, high uint64) {
+func (a *AttemptLog) between(t time.Time) (low, high uint64) {
 	for _, f := range a.force {
 		if f.at.Add(a.Slack).Before(t) {
 			low = f.stage
@@ -253,7 +253,7 @@
 	return low, max(low, high)
 }
 
-func (a *Acts) book(n uint64) *sharedconfig.Config {
+func (a *AttemptLog) book(n uint64) *sharedconfig.Config {
 	for i := range a.versions {
 		if a.versions[i].number == n {
 			return a.versions[i].book
@@ -262,7 +262,7 @@
 	return nil
 }
 
-func (a *Acts) terms(stage uint64) *sharedconfig.Config {
+func (a *AttemptLog) terms(stage uint64) *sharedconfig.Config {
 	if stage%2 == 0 {
 		return a.book(stage / 2)
 	}
@@ -270,7 +270,7 @@
 }
 
 // permits says by itself why a book forbids an act; "": it does not.
-func (a *Acts) permits(b *sharedconfig.Config, before []act, x act) string {
+func (a *AttemptLog) permits(b *sharedconfig.Config, before []act, x act) string {
 	if b == nil {
 		b = &sharedconfig.Config{}
 	}
@@ -283,11 +283,11 @@
 	if len(before) == 0 {
 		return ""
 	}
-	if b.MaxAttempts > 0 && len(before)+1 > b.MaxAttempts || len(before)+1 > a.Own.Limits.MaxAttempts {
+	if b.MaxAttempts > 0 && len(before)+1 > b.MaxAttempts || len(before)+1 > a.AgentSettings.Limits.MaxAttempts {
 		return "too many attempts"
 	}
 	var own policy.Class
-	for _, c := range a.Own.Classes {
+	for _, c := range a.AgentSettings.Classes {
 		if c.Name == Class(x.op) {
 			own = c
 		}
--- a/internal/lab/cluster/agents_test.go
+++ b/internal/lab/cluster/agents_test.go
@@ -37,7 +37,7 @@
 			t.Fatal(err)
 		}
 	}
-	tr.Clients(ctx, c.Agents, 5*time.Millisecond, 1)
+	tr.StartClients(ctx, c.Agents, 5*time.Millisecond, 1)
 	return c, tr, ctx
 }
 
@@ -50,7 +50,7 @@
 		if s == nil || s.Epoch < stage || len(s.BlockedBy) > 0 {
 			return false
 		}
-		tr.Acts.InForce(s.Epoch, at)
+		tr.Attempts.InForce(s.Epoch, at)
 		return true
 	}); err != nil {
 		t.Fatal(err)
@@ -66,11 +66,11 @@
 	zone := &sharedconfig.Config{Classes: map[string]sharedconfig.Class{"send": {Effect: policy.IdempotentByKey, DedupScope: policy.ScopeZone, IdempotencyWindowMs: 500}}, MaxAttempts: 2}
 	for i, b := range []*sharedconfig.Config{{}, single, zone, {Cordoned: []string{"s-00"}}, single, {}} {
 		if i == 4 {
-			c.Cut("a1", c.Keepers, Stall, Pass) // it does not hear of it, and its lease has to end first
+			c.SetLinks("a1", c.Replicas, Stall, Pass) // it does not hear of it, and its lease has to end first
 		}
 		sent := time.Now()
 		n := c.publish(t, ctx, uint64(i), b)
-		tr.Acts.Published(n, b, sent)
+		tr.Attempts.Published(n, b, sent)
 		c.forced(t, ctx, tr, sharedconfig.EpochOf(n))
 		time.Sleep(400 * time.Millisecond) // traffic under it
 	}
@@ -78,15 +78,15 @@
 	if err := c.Call(ctx, c.leads(t, ctx), client.PathHistory, nil, &h); err != nil {
 		t.Fatal(err)
 	}
-	tr.Acts.History(h.Versions)
-	j := tr.Acts.Judge()
-	took, not := tr.Acts.Took()
-	t.Logf("%d acts, %d repeats, in force after %v, %d not; served %d, refused %d, failed %d, unanswered %d", j.Acts, j.Repeats, took, not,
-		tr.Served.Load(), tr.Refused.Load(), tr.Failed.Load(), tr.Unanswered.Load())
-	for _, b := range j.Breaches {
+	tr.Attempts.SetHistory(h.Versions)
+	j := tr.Attempts.Check()
+	took, not := tr.Attempts.PublishLatencies()
+	t.Logf("%d acts, %d repeats, in force after %v, %d not; served %d, refused %d, failed %d, unanswered %d", j.Attempts, j.Retries, took, not,
+		tr.Served.Load(), tr.Rejected.Load(), tr.Failed.Load(), tr.Unanswered.Load())
+	for _, b := range j.Violations {
 		t.Error(b.Text, b.Late)
 	}
-	if j.Acts < 500 || j.Repeats < 20 || not > 0 || tr.Refused.Load() == 0 {
+	if j.Attempts < 500 || j.Retries < 20 || not > 0 || tr.Rejected.Load() == 0 {
 		t.Error("too little happened")
 	}
 }
@@ -97,7 +97,7 @@
 	c, tr, ctx := fleet(t, 3, 0)
 	door := func(a *Process, word string, want int) {
 		t.Helper()
-		req, _ := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+a.Door+"/admin/"+word+"?name=s-02", nil)
+		req, _ := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+a.AdminAddr+"/admin/"+word+"?name=s-02", nil)
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
@@ -111,13 +111,13 @@
 	goes := func(what string, on bool, of ...*Process) {
 		t.Helper()
 		time.Sleep(250 * time.Millisecond) // what was on its way
-		from := tr.Acts.Len()
+		from := tr.Attempts.Len()
 		if err := Until(ctx, what, 10*time.Second, func() bool {
 			if !on {
 				time.Sleep(400 * time.Millisecond)
 				return true
 			}
-			by := tr.Acts.By("s-02", from)
+			by := tr.Attempts.CountByAgent("s-02", from)
 			for _, a := range of {
 				if by[a.Name] == 0 {
 					return false
@@ -127,7 +127,7 @@
 		}); err != nil {
 			t.Error(err)
 		}
-		if by := tr.Acts.By("s-02", from); !on {
+		if by := tr.Attempts.CountByAgent("s-02", from); !on {
 			for _, a := range of {
 				if by[a.Name] > 0 {
 					t.Errorf("%s: %v", what, by)
@@ -142,12 +142,12 @@
 	door(c.Agents[1], "uncordon", http.StatusOK)
 	c.forced(t, ctx, tr, sharedconfig.EpochOf(2))
 	goes("the ban ended at another", true, c.Agents...)
-	for _, k := range c.Keepers {
+	for _, k := range c.Replicas {
 		k.Kill()
 	}
 	door(c.Agents[0], "cordon", http.StatusInternalServerError)
 	goes("banned without keepers", false, c.Agents[0])
-	for _, k := range c.Keepers {
+	for _, k := range c.Replicas {
 		if err := k.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -163,7 +163,7 @@
 func TestAnAskGoesThroughAPeer(t *testing.T) {
 	c, tr, ctx := fleet(t, 3, 2)
 	figure := func(a *Process, name string) int {
-		resp, err := http.Get("http://" + a.Door + "/admin/stats")
+		resp, err := http.Get("http://" + a.AdminAddr + "/admin/stats")
 		if err != nil {
 			return -1
 		}
@@ -175,23 +175,23 @@
 		return n
 	}
 	a := c.Agents[0]
-	c.Cut(a.Name, c.Keepers, Stall, Stall)
+	c.SetLinks(a.Name, c.Replicas, Stall, Stall)
 	if err := Until(ctx, "it holds a lease by a peer", 10*time.Second, func() bool {
 		return figure(c.Agents[1], "agreed.asks_relayed")+figure(c.Agents[2], "agreed.asks_relayed") > 2 && figure(a, "agreed.lease_ms") > 0
 	}); err != nil {
 		t.Fatal(err)
 	}
-	c.Cut(a.Name, c.Agents, Stall, Stall)
+	c.SetLinks(a.Name, c.Agents, Stall, Stall)
 	if err := Until(ctx, "it refuses, cut off from all", 10*time.Second, func() bool {
 		return figure(a, "agreed.strict") == 1 && figure(a, "agreed.shut") == 1
 	}); err != nil {
 		t.Fatal(err)
 	}
-	refused := tr.Refused.Load()
-	if err := Until(ctx, "its clients are told", 5*time.Second, func() bool { return tr.Refused.Load() > refused }); err != nil {
+	refused := tr.Rejected.Load()
+	if err := Until(ctx, "its clients are told", 5*time.Second, func() bool { return tr.Rejected.Load() > refused }); err != nil {
 		t.Error(err)
 	}
-	c.Cut(a.Name, c.Keepers, Pass, Pass)
+	c.SetLinks(a.Name, c.Replicas, Pass, Pass)
 	if err := Until(ctx, "it is itself again", 10*time.Second, func() bool { return figure(a, "agreed.strict") == 0 && figure(a, "agreed.shut") == 0 }); err != nil {
 		t.Error(err)
 	}
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -38,7 +38,7 @@
 	gates map[[2]string]*gate
 	lab   *client.Caller // the lab's own calls, past all faults
 
-	Keepers, Agents []*Process
+	Replicas, Agents []*Process
 
 	replacing sync.Mutex // one keeper at a time
 }
@@ -153,8 +153,8 @@
 	return w
 }
 
-// Via is the address under which one process reaches another that listens at addr.
-func (c *Cluster) Via(from, to, addr string) (string, error) {
+// ProxyAddr is the address under which one process reaches another that listens at addr.
+func (c *Cluster) ProxyAddr(from, to, addr string) (string, error) {
 	out, back := c.way(from, to), c.way(to, from)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,22 +169,22 @@
 	return g.addr, nil
 }
 
-// Link has a directed way do this from now on.
-func (c *Cluster) Link(from, to string, m Mode) { c.way(from, to).set(m) }
+// SetLink has a directed way do this from now on.
+func (c *Cluster) SetLink(from, to string, m Mode) { c.way(from, to).set(m) }
 
-// Bytes is how many bytes were sent on a directed way, without those of TCP and IP.
-func (c *Cluster) Bytes(from, to string) int64 { return c.way(from, to).bytes.Load() }
+// BytesSent is how many bytes were sent on a directed way, without those of TCP and IP.
+func (c *Cluster) BytesSent(from, to string) int64 { return c.way(from, to).bytes.Load() }
 
-// Watch has f called with what is sent on a directed way, in pieces as they come, from several goroutines. f is not to
+// Observe has f called with what is sent on a directed way, in pieces as they come, from several goroutines. f is not to
 // keep them.
-func (c *Cluster) Watch(from, to string, f func([]byte)) { c.way(from, to).saw.Store(&f) }
+func (c *Cluster) Observe(from, to string, f func([]byte)) { c.way(from, to).saw.Store(&f) }
 
-// Cut cuts, or joins again, a process from and to others, in one direction or both.
-func (c *Cluster) Cut(name string, others []*Process, out, in Mode) {
+// SetLinks cuts, or joins again, a process from and to others, in one direction or both.
+func (c *Cluster) SetLinks(name string, others []*Process, out, in Mode) {
 	for _, o := range others {
 		if o.Name != name {
-			c.Link(name, o.Name, out)
-			c.Link(o.Name, name, in)
+			c.SetLink(name, o.Name, out)
+			c.SetLink(o.Name, name, in)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 	var errs []error
 	for _, p := range all {
 		if p.Data != "" {
-			errs = append(errs, p.Disk(""))
+			errs = append(errs, p.SetDiskFault(""))
 		}
 		p.Thaw()
 		errs = append(errs, p.Start())
@@ -235,8 +235,8 @@
 	c.lab.Client.CloseIdleConnections()
 }
 
-// AddKeepers makes n keepers that reach one another through the lab.
-func (c *Cluster) AddKeepers(n int) error {
+// AddReplicas makes n keepers that reach one another through the lab.
+func (c *Cluster) AddReplicas(n int) error {
 	addrs, err := c.Addrs(n)
 	if err != nil {
 		return err
@@ -247,7 +247,7 @@
 		for j := range n {
 			other := fmt.Sprintf("k%d", j+1)
 			if members[other] = addrs[j]; i != j {
-				if members[other], err = c.Via(name, other, addrs[j]); err != nil {
+				if members[other], err = c.ProxyAddr(name, other, addrs[j]); err != nil {
 					return err
 				}
 			}
@@ -266,8 +266,8 @@
 		return nil, err
 	}
 	members := map[string]string{name: addrs[0]}
-	for _, o := range c.Keepers {
-		if members[o.Name], err = c.Via(name, o.Name, o.Addr); err != nil {
+	for _, o := range c.Replicas {
+		if members[o.Name], err = c.ProxyAddr(name, o.Name, o.Addr); err != nil {
 			return nil, err
 		}
 	}
@@ -291,19 +291,19 @@
 	if err := os.WriteFile(filepath.Join(p.Dir, "keeper.toml"), []byte(text.String()), 0o600); err != nil {
 		return nil, err
 	}
-	c.Keepers = append(c.Keepers, p)
+	c.Replicas = append(c.Replicas, p)
 	return p, nil
 }
 
 // AgentConfig is what an agent is made with beside the rig's own.
 type AgentConfig struct {
-	Settings  json.RawMessage
-	Own       func(i int) json.RawMessage // settings of the i-th; nil: Settings
-	Discovery string
-	Known     any
-	Peers     int // how many other agents may carry its asks
-	OnLapse   string
-	Env       []string
+	Settings         json.RawMessage
+	SettingsOf       func(i int) json.RawMessage // settings of the i-th; nil: Settings
+	Discovery        string
+	InitialEndpoints any
+	Peers            int // how many other agents may carry its asks
+	OnExpiry         string
+	Env              []string
 }
 
 // AddAgents makes n agents that reach the keepers, and some of each other, through the lab.
@@ -324,8 +324,8 @@
 			fmt.Fprintf(&agreed, "%s = %s\n", key, text)
 		}
 		keepers, peers := []string{}, []string{}
-		for _, k := range c.Keepers {
-			a, err := c.Via(name, k.Name, k.Addr)
+		for _, k := range c.Replicas {
+			a, err := c.ProxyAddr(name, k.Name, k.Addr)
 			if err != nil {
 				return err
 			}
@@ -333,7 +333,7 @@
 		}
 		for j := range min(cfg.Peers, n-1) {
 			other := (i + j + 1) % n
-			a, err := c.Via(name, fmt.Sprintf("a%d", other+1), addrs[2*n+other])
+			a, err := c.ProxyAddr(name, fmt.Sprintf("a%d", other+1), addrs[2*n+other])
 			if err != nil {
 				return err
 			}
@@ -341,13 +341,13 @@
 		}
 		list("keepers", keepers)
 		list("peers", peers)
-		fmt.Fprintf(&agreed, "listen = %q\non_lapse = %q\n", addrs[2*n+i], cfg.OnLapse)
+		fmt.Fprintf(&agreed, "listen = %q\non_lapse = %q\n", addrs[2*n+i], cfg.OnExpiry)
 		settings := cfg.Settings
-		if cfg.Own != nil {
-			settings = cfg.Own(i)
+		if cfg.SettingsOf != nil {
+			settings = cfg.SettingsOf(i)
 		}
 		text, err := json.Marshal(map[string]any{"name": name, "listen": addrs[i], "discovery": cfg.Discovery, "seed": "7", "admin_addr": addrs[n+i],
-			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "known": cfg.Known, "settings": settings})
+			"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "known": cfg.InitialEndpoints, "settings": settings})
 		if err != nil {
 			return err
 		}
@@ -357,7 +357,7 @@
 			return err
 		}
 		p.Env = append([]string{"PROXY_CONFIG=config.json", "PROXY_AGREED=agreed.toml", "TMPDIR=" + p.Dir}, cfg.Env...)
-		p.Door = addrs[n+i]
+		p.AdminAddr = addrs[n+i]
 		c.Agents = append(c.Agents, p)
 	}
 	return nil
@@ -372,7 +372,7 @@
 func (c *Cluster) Leader(ctx context.Context) (*Process, *client.Status) {
 	var best *client.Status
 	var leader *Process
-	for _, k := range c.Keepers {
+	for _, k := range c.Replicas {
 		s := &client.Status{}
 		try, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 		if c.Call(try, k, client.PathStatus, nil, s) == nil && s.Leader == s.Name && (best == nil || s.Term > best.Term) {
--- a/internal/lab/cluster/hard_test.go
+++ b/internal/lab/cluster/hard_test.go
@@ -11,13 +11,13 @@
 // whose disk lied neither: a publish that was acknowledged is there when the others are lost as well; each comes back as a
 // new member.
 func TestLostFoldersAreReplaced(t *testing.T) {
-	for _, kind := range []string{Wiped, Back, Lied} {
+	for _, kind := range []string{FaultWipe, FaultStaleData, FaultLyingDisk} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			c, ctx := keepers(t, 3)
 			lead := c.leads(t, ctx)
 			if err := Until(ctx, "all have started", 10*time.Second, func() bool {
-				for _, k := range c.Keepers {
+				for _, k := range c.Replicas {
 					if !strings.Contains(k.Log(), "msg=raft") {
 						return false
 					}
@@ -27,7 +27,7 @@
 				t.Fatal(err)
 			}
 			var victim, other *Process
-			for _, k := range c.Keepers {
+			for _, k := range c.Replicas {
 				if k != lead && victim == nil {
 					victim = k
 				} else if k != lead {
@@ -35,40 +35,40 @@
 				}
 			}
 			week := filepath.Join(c.Dir, "week")
-			if err := victim.Copy(week); err != nil {
+			if err := victim.Backup(week); err != nil {
 				t.Fatal(err)
 			}
 			// What is acknowledged now only the leader and the victim have.
-			c.Cut(other.Name, c.Keepers, Stall, Stall)
-			if kind == Lied {
-				victim.Disk("lie")
+			c.SetLinks(other.Name, c.Replicas, Stall, Stall)
+			if kind == FaultLyingDisk {
+				victim.SetDiskFault("lie")
 			}
 			for n := range 3 {
 				c.publish(t, ctx, uint64(n), bans("s-1"))
 			}
-			c.Cut(other.Name, c.Keepers, Pass, Stall) // hears nothing, and may call others
+			c.SetLinks(other.Name, c.Replicas, Pass, Stall) // hears nothing, and may call others
 			switch kind {
-			case Wiped:
+			case FaultWipe:
 				victim.Kill()
 				if err := victim.Wipe(); err != nil {
 					t.Fatal(err)
 				}
-			case Back:
+			case FaultStaleData:
 				victim.Kill()
 				if err := victim.Restore(week); err != nil {
 					t.Fatal(err)
 				}
-			case Lied:
+			case FaultLyingDisk:
 				if err := victim.PowerCut(nil); err != nil {
 					t.Fatal(err)
 				}
-				victim.Disk("")
+				victim.SetDiskFault("")
 			}
 			if err := victim.Start(); err != nil {
 				t.Fatal(err)
 			}
-			c.Cut(other.Name, c.Keepers, Pass, Pass)
-			if kind == Wiped {
+			c.SetLinks(other.Name, c.Replicas, Pass, Pass)
+			if kind == FaultWipe {
 				// Nobody who is left has what was acknowledged, so nobody may lead until the old leader is back.
 				lead.Kill()
 				if Until(ctx, "one leads", 1500*time.Millisecond, func() bool { p, _ := c.Leader(ctx); return p != nil }) == nil {
@@ -99,12 +99,12 @@
 		t.Run(defect, func(t *testing.T) {
 			// When things come is the machine's; each is to be found within three seeds.
 			for seed := range uint64(3) {
-				out, err := Script(t.Context(), t.TempDir(), defect, seed)
+				out, err := RunScript(t.Context(), t.TempDir(), defect, seed)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if len(out.Breaches) > 0 {
-					t.Log(out.Breaches[0].Text)
+				if len(out.Violations) > 0 {
+					t.Log(out.Violations[0].Text)
 					return
 				}
 				t.Logf("seed %d: not found; %v", seed, out.Errors)
--- a/internal/lab/cluster/keepers_test.go
+++ b/internal/lab/cluster/keepers_test.go
@@ -34,10 +34,10 @@
 			}
 		}
 	})
-	if err := c.AddKeepers(n); err != nil {
+	if err := c.AddReplicas(n); err != nil {
 		t.Fatal(err)
 	}
-	for _, k := range c.Keepers {
+	for _, k := range c.Replicas {
 		if d := os.Getenv("RINGTRACK_TEST_DEFECT"); d != "" { // to see that a test finds it
 			k.Env = append(k.Env, "RINGTRACK_LAB_DEFECT="+d)
 		}
@@ -65,7 +65,7 @@
 	var n uint64
 	id := fmt.Sprintf("p-%d-%s", parent, b.Digest())
 	if err := Until(ctx, "a publish is taken", 20*time.Second, func() bool {
-		for _, k := range c.Keepers {
+		for _, k := range c.Replicas {
 			try, cancel := context.WithTimeout(ctx, 2*time.Second)
 			out, err := c.Publish(try, k, id, parent, b)
 			if cancel(); err == nil {
@@ -102,10 +102,10 @@
 	if got := c.publish(t, ctx, 5, bans("s-9")); got != 6 {
 		t.Fatalf("the same once more: %d", got)
 	}
-	for _, k := range c.Keepers {
+	for _, k := range c.Replicas {
 		k.Kill()
 	}
-	for _, k := range c.Keepers {
+	for _, k := range c.Replicas {
 		if err := k.Start(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/cluster/link.go
+++ b/internal/lab/cluster/link.go
@@ -16,13 +16,13 @@
 const (
 	Pass    Mode = iota
 	Stall        // nothing passes; the connection stays open, and its sender feels back-pressure
-	Lose         // what is sent is taken and never arrives
+	Drop         // what is sent is taken and never arrives
 	Delay        // what is sent arrives later, in order
 	Trickle      // a byte a millisecond
 	Reset        // connections are reset, open ones and new ones
 )
 
-var modeNames = map[Mode]string{Pass: "pass", Stall: "stall", Lose: "lose", Delay: "delay", Trickle: "trickle", Reset: "reset"}
+var modeNames = map[Mode]string{Pass: "pass", Stall: "stall", Drop: "lose", Delay: "delay", Trickle: "trickle", Reset: "reset"}
 
 func (m Mode) String() string { return modeNames[m] }
 
@@ -103,7 +103,7 @@
 				}
 			}
 			switch m {
-			case Lose:
+			case Drop:
 				continue
 			case Reset:
 				return
--- a/internal/lab/cluster/process.go
+++ b/internal/lab/cluster/process.go
@@ -18,13 +18,13 @@
 
 // Process is one process of the product, with a folder of its own that outlives each start of it.
 type Process struct {
-	Name string
-	Dir  string   // the rig's, for configuration and log
-	Data string   // the process's own; "": it has none
-	Args []string // program and arguments
-	Env  []string
-	Addr string // where it answers
-	Door string // where operators call; "": nowhere
+	Name      string
+	Dir       string   // the rig's, for configuration and log
+	Data      string   // the process's own; "": it has none
+	Args      []string // program and arguments
+	Env       []string
+	Addr      string // where it answers
+	AdminAddr string // where operators call; "": nowhere
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
@@ -138,8 +138,8 @@
 // Kill ends it by SIGKILL and waits.
 func (p *Process) Kill() { <-p.signal(syscall.SIGKILL) }
 
-// Term ends it by SIGTERM, by force where that takes longer than within, and returns how it ended.
-func (p *Process) Term(within time.Duration) error {
+// Terminate ends it by SIGTERM, by force where that takes longer than within, and returns how it ended.
+func (p *Process) Terminate(within time.Duration) error {
 	p.Thaw()
 	ended := p.signal(syscall.SIGTERM)
 	select {
@@ -195,8 +195,8 @@
 	return os.MkdirAll(p.Data, 0o700)
 }
 
-// Copy keeps its folder as it is now; Restore puts that back. It must not run for Restore.
-func (p *Process) Copy(to string) error {
+// Backup keeps its folder as it is now; Restore puts that back. It must not run for Restore.
+func (p *Process) Backup(to string) error {
 	if err := os.RemoveAll(to); err != nil {
 		return err
 	}
@@ -211,8 +211,8 @@
 	return os.CopyFS(p.Data, os.DirFS(from))
 }
 
-// Flip flips one bit of a file of its folder, at a drawn place. It must not run.
-func (p *Process) Flip(name string, rng *rand.Rand) error {
+// FlipBit flips one bit of a file of its folder, at a drawn place. It must not run.
+func (p *Process) FlipBit(name string, rng *rand.Rand) error {
 	path := filepath.Join(p.Data, name)
 	text, err := os.ReadFile(path)
 	if err != nil || len(text) == 0 {
@@ -222,8 +222,8 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// Disk has its disk do this from now on, words of the seam's lab build; "" is a disk without fault.
-func (p *Process) Disk(words string) error {
+// SetDiskFault has its disk do this from now on, words of the seam's lab build; "" is a disk without fault.
+func (p *Process) SetDiskFault(words string) error {
 	path := filepath.Join(p.Data, "faults")
 	if words == "" {
 		if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -22,21 +22,23 @@
 
 // Outcome is what came of a run.
 type Outcome struct {
-	Judged
-	Stopped                                   int      // breaches of an agent that was stopped between its last look and the write
-	Lost                                      []string // what was acknowledged and is not there, or is other than it was
-	Versions                                  int
-	Took                                      []time.Duration // from a publish to in force, sorted
-	NotTaken                                  int
-	Unknown                                   int // publishes whose first try had no answer
-	Served, Refused, Failed, Unanswered, Late int64
-	Replaced                                  int
-	Errors                                    []string // of the rig, or of processes that ended where none should
-	Logs                                      map[string]string
+	Verdict
+	PausedSenders                              int      // breaches of an agent that was stopped between its last look and the write
+	Lost                                       []string // what was acknowledged and is not there, or is other than it was
+	Versions                                   int
+	PublishLatencies                           []time.Duration // from a publish to in force, sorted
+	NotInForce                                 int
+	RetriedPublishes                           int // publishes whose first try had no answer
+	Served, Rejected, Failed, Unanswered, Late int64
+	Replaced                                   int
+	Errors                                     []string // of the rig, or of processes that ended where none should
+	Logs                                       map[string]string
 }
 
-// Bad tells whether the run broke what has to hold.
-func (o *Outcome) Bad() bool { return len(o.Breaches) > 0 || len(o.Lost) > 0 || len(o.Errors) > 0 }
+// Failing tells whether the run broke what has to hold.
+func (o *Outcome) Failing() bool {
+	return len(o.Violations) > 0 || len(o.Lost) > 0 || len(o.Errors) > 0
+}
 
 // runner is one run.
 type runner struct {
@@ -69,12 +71,12 @@
 		return r.o, err
 	}
 	c, t := r.c, r.t
-	for _, k := range c.Keepers {
-		if err := k.Copy(filepath.Join(c.Dir, "start-"+k.Name)); err != nil {
+	for _, k := range c.Replicas {
+		if err := k.Backup(filepath.Join(c.Dir, "start-"+k.Name)); err != nil {
 			return nil, err
 		}
 	}
-	t.Clients(ctx, c.Agents, time.Duration(p.PauseMs)*time.Millisecond, p.Seed)
+	t.StartClients(ctx, c.Agents, time.Duration(p.PauseMs)*time.Millisecond, p.Seed)
 	run, cancel := context.WithTimeout(ctx, time.Duration(p.RunMs)*time.Millisecond)
 	defer cancel()
 	r.giveUp = cancel
@@ -86,7 +88,7 @@
 	var faults sync.WaitGroup
 	for _, f := range p.Faults {
 		select {
-		case <-time.After(time.Until(begun.Add(time.Duration(f.At) * time.Millisecond))):
+		case <-time.After(time.Until(begun.Add(time.Duration(f.AtMs) * time.Millisecond))):
 			faults.Go(func() { r.fault(ctx, f) })
 		case <-run.Done():
 		}
@@ -119,7 +121,7 @@
 	for ctx.Err() == nil {
 		at := time.Now()
 		if _, s := r.c.Leader(ctx); s != nil && len(s.BlockedBy) == 0 {
-			r.t.Acts.InForce(s.Epoch, at)
+			r.t.Attempts.InForce(s.Epoch, at)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -177,9 +179,9 @@
 		k := known{id: fmt.Sprintf("v%d-%d", r.p.Seed, n), book: r.book(rng), sent: time.Now()}
 		k.book.Check()
 		parent := uint64(n)
-		r.t.Acts.Published(parent+1, k.book, k.sent)
+		r.t.Attempts.Published(parent+1, k.book, k.sent)
 		for try := 0; run.Err() == nil; try++ {
-			at := r.c.Keepers[rng.IntN(len(r.c.Keepers))]
+			at := r.c.Replicas[rng.IntN(len(r.c.Replicas))]
 			call, cancel := context.WithTimeout(run, 600*time.Millisecond)
 			out, err := r.c.Publish(call, at, k.id, parent, k.book)
 			cancel()
@@ -194,7 +196,7 @@
 				return all
 			}
 			if try == 0 {
-				r.o.Unknown++
+				r.o.RetriedPublishes++
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -210,7 +212,7 @@
 }
 
 func (r *runner) inForce(stage uint64) bool {
-	a := r.t.Acts
+	a := r.t.Attempts
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.force) > 0 && a.force[len(a.force)-1].stage >= stage
@@ -228,7 +230,7 @@
 		if k == nil || s.Epoch < sharedconfig.EpochOf(s.Last) || len(s.BlockedBy) > 0 {
 			return false
 		}
-		r.t.Acts.InForce(s.Epoch, at)
+		r.t.Attempts.InForce(s.Epoch, at)
 		try, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		h = client.HistoryResponse{}
@@ -239,7 +241,7 @@
 		r.err("%v: %v, %+v", err, lastErr, last)
 		return
 	}
-	r.t.Acts.History(h.Versions)
+	r.t.Attempts.SetHistory(h.Versions)
 	r.o.Versions = int(h.Dropped) + len(h.Versions)
 	ids := map[string]int{}
 	for _, v := range h.Versions {
@@ -262,125 +264,125 @@
 // judge sums up.
 func (r *runner) judge() {
 	o, t := r.o, r.t
-	o.Judged = t.Acts.Judge()
-	o.Took, o.NotTaken = t.Acts.Took()
+	o.Verdict = t.Attempts.Check()
+	o.PublishLatencies, o.NotInForce = t.Attempts.PublishLatencies()
 	// An agent that is stopped between its last look and the write sends when it wakes; no clock of its own can help.
 	by := map[string]*Process{}
 	for _, a := range r.c.Agents {
 		by[a.Name] = a
 	}
-	o.Breaches = slices.DeleteFunc(o.Breaches, func(b Breach) bool {
+	o.Violations = slices.DeleteFunc(o.Violations, func(b Violation) bool {
 		name, _, _ := strings.Cut(b.Op, "-")
 		woke := by[name].wokeBefore(b.At)
 		if woke >= 0 && woke < 50*time.Millisecond {
-			o.Stopped++
+			o.PausedSenders++
 			return true
 		}
 		return false
 	})
-	o.Served, o.Refused, o.Failed, o.Unanswered, o.Late = t.Served.Load(), t.Refused.Load(), t.Failed.Load(), t.Unanswered.Load(), t.Late.Load()
-	if o.Bad() {
+	o.Served, o.Rejected, o.Failed, o.Unanswered, o.Late = t.Served.Load(), t.Rejected.Load(), t.Failed.Load(), t.Unanswered.Load(), t.Late.Load()
+	if o.Failing() {
 		o.Logs = r.logs()
 	}
 }
 
 // fault does one fault and undoes it.
 func (r *runner) fault(ctx context.Context, f Fault) {
-	last := time.Duration(f.For) * time.Millisecond
+	last := time.Duration(f.DurationMs) * time.Millisecond
 	wait := func() {
 		select {
 		case <-time.After(last):
 		case <-ctx.Done():
 		}
 	}
-	if f.Kind == Serve {
+	if f.Kind == FaultServer {
 		for _, s := range r.t.Servers {
-			if s.ID == f.Who {
-				s.Set(map[string]lab.Mode{"failing": lab.Failing, "breaking": lab.Breaking, "silent": lab.Silent}[f.With])
+			if s.ID == f.Target {
+				s.Set(map[string]lab.Mode{"failing": lab.Failing, "breaking": lab.Breaking, "silent": lab.Silent}[f.Detail])
 				wait()
 				s.Set(lab.Serving)
 			}
 		}
 		return
 	}
-	if f.Kind == All {
-		for _, k := range r.c.Keepers {
+	if f.Kind == FaultKillAll {
+		for _, k := range r.c.Replicas {
 			k.Kill()
 		}
 		wait()
-		for _, k := range r.c.Keepers {
+		for _, k := range r.c.Replicas {
 			k.Start()
 		}
 		return
 	}
-	p := r.c.all[f.Who]
+	p := r.c.all[f.Target]
 	if p == nil {
 		return
 	}
-	others := r.c.Keepers
+	others := r.c.Replicas
 	if p.Data != "" {
 		others = append(slices.Clone(others), r.c.Agents...)
 	}
 	switch f.Kind {
-	case Kill:
+	case FaultKill:
 		p.Kill()
 		wait()
 		p.Start()
-	case Term:
+	case FaultTerminate:
 		// Another fault may kill it meanwhile, or its disk fail.
-		if err := p.Term(8 * time.Second); err != nil && p.Data != "" && !reportedError(p.Log()) && !strings.Contains(err.Error(), "signal: killed") {
+		if err := p.Terminate(8 * time.Second); err != nil && p.Data != "" && !reportedError(p.Log()) && !strings.Contains(err.Error(), "signal: killed") {
 			r.err("%s: ended with %v", p.Name, err)
 		}
 		wait()
 		p.Start()
-	case Freeze:
+	case FaultFreeze:
 		p.Freeze()
 		wait()
 		p.Thaw()
-	case OneWay:
-		dir, word, _ := strings.Cut(f.With, " ")
+	case FaultOneWay:
+		dir, word, _ := strings.Cut(f.Detail, " ")
 		out, in := modes[word], Pass
 		if dir == "in" {
 			out, in = in, out
 		}
-		r.c.Cut(p.Name, others, out, in)
+		r.c.SetLinks(p.Name, others, out, in)
 		wait()
-		r.c.Cut(p.Name, others, Pass, Pass)
-	case BothWay:
-		r.c.Cut(p.Name, others, Stall, Stall)
+		r.c.SetLinks(p.Name, others, Pass, Pass)
+	case FaultBothWays:
+		r.c.SetLinks(p.Name, others, Stall, Stall)
 		wait()
-		r.c.Cut(p.Name, others, Pass, Pass)
-	case Tardy:
-		r.c.Cut(p.Name, others, Pass, Stall)
+		r.c.SetLinks(p.Name, others, Pass, Pass)
+	case FaultLateAnswer:
+		r.c.SetLinks(p.Name, others, Pass, Stall)
 		time.Sleep(time.Duration(r.p.LeaseMs*0.6) * time.Millisecond)
-		r.c.Cut(p.Name, others, Pass, Pass)
+		r.c.SetLinks(p.Name, others, Pass, Pass)
 		time.Sleep(10 * time.Millisecond)
-		r.c.Cut(p.Name, others, Stall, Stall)
+		r.c.SetLinks(p.Name, others, Stall, Stall)
 		last = max(last, time.Duration(2*r.p.LeaseMs)*time.Millisecond)
 		wait()
-		r.c.Cut(p.Name, others, Pass, Pass)
-	case Slow:
-		p.Disk("sync-ms 200")
+		r.c.SetLinks(p.Name, others, Pass, Pass)
+	case FaultSlowDisk:
+		p.SetDiskFault("sync-ms 200")
 		wait()
-		p.Disk("")
-	case Sick, FullUp:
-		p.Disk(map[string]string{Sick: "sync-error", FullUp: "full"}[f.Kind])
+		p.SetDiskFault("")
+	case FaultDiskError, FaultDiskFull:
+		p.SetDiskFault(map[string]string{FaultDiskError: "sync-error", FaultDiskFull: "full"}[f.Kind])
 		wait()
-		p.Disk("")
+		p.SetDiskFault("")
 		p.Start() // it has ended, if it wrote meanwhile
-	case Power:
+	case FaultPowerCut:
 		if err := p.PowerCut(nil); err != nil {
 			r.err("%s: power cut: %v", p.Name, err)
 		}
 		wait()
 		p.Start()
-	case Loop:
+	case FaultRestartLoop:
 		for until := time.Now().Add(last); time.Now().Before(until); {
 			p.Kill()
 			p.Start()
 			time.Sleep(100 * time.Millisecond)
 		}
-	case Wiped, Back, Lied, Bitten:
+	case FaultWipe, FaultStaleData, FaultLyingDisk, FaultBitFlip:
 		r.replace(ctx, f, p)
 	}
 }
@@ -392,19 +394,19 @@
 	defer r.c.replacing.Unlock()
 	var err error
 	switch f.Kind {
-	case Wiped:
+	case FaultWipe:
 		err = r.wipe(ctx, p)
-	case Back:
+	case FaultStaleData:
 		p.Kill()
 		err = p.Restore(filepath.Join(r.c.Dir, "start-"+p.Name))
-	case Lied:
-		p.Disk("lie")
+	case FaultLyingDisk:
+		p.SetDiskFault("lie")
 		time.Sleep(500 * time.Millisecond)
 		err = p.PowerCut(nil)
-		p.Disk("")
-	case Bitten:
+		p.SetDiskFault("")
+	case FaultBitFlip:
 		p.Kill()
-		if err = p.Flip(f.With, r.rng); errors.Is(err, os.ErrNotExist) {
+		if err = p.FlipBit(f.Detail, r.rng); errors.Is(err, os.ErrNotExist) {
 			err = nil
 		}
 	}
@@ -414,7 +416,7 @@
 	}
 	p.Start()
 	select {
-	case <-time.After(time.Duration(f.For) * time.Millisecond):
+	case <-time.After(time.Duration(f.DurationMs) * time.Millisecond):
 	case <-ctx.Done():
 		return
 	}
@@ -437,17 +439,17 @@
 		return p.Wipe()
 	}
 	knows, rest := []*Process{lead}, []*Process{}
-	for _, k := range r.c.Keepers {
+	for _, k := range r.c.Replicas {
 		switch {
 		case k == p || k == lead:
-		case len(knows)+1 < len(r.c.Keepers)/2+1:
+		case len(knows)+1 < len(r.c.Replicas)/2+1:
 			knows = append(knows, k)
 		default:
 			rest = append(rest, k)
 		}
 	}
 	for _, k := range rest {
-		r.c.Cut(k.Name, r.c.Keepers, Stall, Stall)
+		r.c.SetLinks(k.Name, r.c.Replicas, Stall, Stall)
 	}
 	time.Sleep(500 * time.Millisecond)
 	for _, k := range knows {
@@ -456,7 +458,7 @@
 	p.Kill()
 	err := p.Wipe()
 	for _, k := range rest {
-		r.c.Cut(k.Name, r.c.Keepers, Pass, Pass)
+		r.c.SetLinks(k.Name, r.c.Replicas, Pass, Pass)
 	}
 	p.Start()
 	time.Sleep(1500 * time.Millisecond)
@@ -471,7 +473,7 @@
 	members := func(what string, call *configstore.MembersRequest) error {
 		var last error
 		if err := Until(ctx, what, 8*time.Second, func() bool {
-			for _, k := range c.Keepers {
+			for _, k := range c.Replicas {
 				if k == p {
 					continue
 				}
--- a/internal/lab/cluster/script.go
+++ b/internal/lab/cluster/script.go
@@ -10,25 +10,25 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// Script runs the smallest form: three keepers, six agents, and at each step the one fault that a wrong lease, a missing
+// RunScript runs the smallest form: three keepers, six agents, and at each step the one fault that a wrong lease, a missing
 // step between versions or a start by old rules would show at.
-func Script(ctx context.Context, dir, defect string, seed uint64) (*Outcome, error) {
+func RunScript(ctx context.Context, dir, defect string, seed uint64) (*Outcome, error) {
 	ctx, over := context.WithTimeout(ctx, time.Minute)
 	defer over()
-	p := &Plan{Seed: seed, Keepers: 3, Agents: 6, Servers: 6, LeaseMs: 600, PauseMs: 10, Defect: defect}
+	p := &Plan{Seed: seed, Replicas: 3, Agents: 6, Servers: 6, LeaseMs: 600, PauseMs: 10, Defect: defect}
 	r, end, err := start(ctx, dir, p)
 	defer end()
 	if err != nil {
 		return r.o, err
 	}
 	c, t := r.c, r.t
-	t.Clients(ctx, c.Agents, time.Duration(p.PauseMs)*time.Millisecond, seed)
+	t.StartClients(ctx, c.Agents, time.Duration(p.PauseMs)*time.Millisecond, seed)
 	var all []known
 	publish := func(bans ...string) error {
 		k := known{id: fmt.Sprintf("step-%d", len(all)), book: &sharedconfig.Config{Cordoned: bans}, sent: time.Now()}
-		t.Acts.Published(uint64(len(all)+1), k.book, k.sent)
+		t.Attempts.Published(uint64(len(all)+1), k.book, k.sent)
 		if err := Until(ctx, "a publish is taken", 10*time.Second, func() bool {
-			for _, at := range c.Keepers {
+			for _, at := range c.Replicas {
 				try, cancel := context.WithTimeout(ctx, time.Second)
 				out, err := c.Publish(try, at, k.id, uint64(len(all)), k.book)
 				if cancel(); err == nil {
@@ -47,7 +47,7 @@
 			if s == nil || s.Epoch < sharedconfig.EpochOf(k.number) || len(s.BlockedBy) > 0 {
 				return false
 			}
-			t.Acts.InForce(s.Epoch, at)
+			t.Attempts.InForce(s.Epoch, at)
 			return true
 		}); err != nil {
 			return err
@@ -55,27 +55,27 @@
 		time.Sleep(700 * time.Millisecond) // traffic under it
 		return nil
 	}
-	a, k := c.Agents, c.Keepers
+	a, k := c.Agents, c.Replicas
 	steps := []func() error{
 		func() error { return publish("s-00") },
 		func() error { // one does not hear of it: until its lease is over nobody may do what its rules forbid
-			c.Cut(a[0].Name, k, Stall, Stall)
-			defer c.Cut(a[0].Name, k, Pass, Pass)
+			c.SetLinks(a[0].Name, k, Stall, Stall)
+			defer c.SetLinks(a[0].Name, k, Pass, Pass)
 			return publish("s-01")
 		},
 		func() error { // its answer comes late, and nothing behind it: its lease is as old as its ask
-			c.Cut(a[1].Name, k, Pass, Stall)
+			c.SetLinks(a[1].Name, k, Pass, Stall)
 			time.Sleep(650 * time.Millisecond)
-			c.Cut(a[1].Name, k, Pass, Pass)
+			c.SetLinks(a[1].Name, k, Pass, Pass)
 			time.Sleep(10 * time.Millisecond)
-			c.Cut(a[1].Name, k, Stall, Stall)
-			defer c.Cut(a[1].Name, k, Pass, Pass)
+			c.SetLinks(a[1].Name, k, Stall, Stall)
+			defer c.SetLinks(a[1].Name, k, Pass, Pass)
 			return publish("s-02")
 		},
 		func() error { return publish("s-03") },
 		func() error { // started again, it knows nothing that is to be believed
-			c.Cut(a[2].Name, k, Stall, Stall)
-			defer c.Cut(a[2].Name, k, Pass, Pass)
+			c.SetLinks(a[2].Name, k, Stall, Stall)
+			defer c.SetLinks(a[2].Name, k, Pass, Pass)
 			a[2].Kill()
 			if err := a[2].Start(); err != nil {
 				return err
@@ -121,13 +121,13 @@
 	}
 	r.c, r.t = c, t
 	end = func() { t.Close(); c.Close() }
-	if err := c.AddKeepers(p.Keepers); err != nil {
+	if err := c.AddReplicas(p.Replicas); err != nil {
 		return r, end, err
 	}
 	if err := t.AddAgents(c, p.Agents, 2, client.OnExpiryReject); err != nil {
 		return r, end, err
 	}
-	for i, a := range append(append([]*Process(nil), c.Keepers...), c.Agents...) {
+	for i, a := range append(append([]*Process(nil), c.Replicas...), c.Agents...) {
 		if p.Defect != "" {
 			a.Env = append(a.Env, "RINGTRACK_LAB_DEFECT="+p.Defect)
 		}
--- a/internal/lab/cluster/traffic.go
+++ b/internal/lab/cluster/traffic.go
@@ -33,11 +33,11 @@
 
 // Traffic is servers, a roster and a client beside each agent.
 type Traffic struct {
-	Servers []*lab.OrderServer
-	Roster  *lab.Roster
-	Acts    *Acts
+	Servers   []*lab.OrderServer
+	Discovery *lab.Roster
+	Attempts  *AttemptLog
 
-	Served, Refused, Failed, Unanswered, Late atomic.Int64
+	Served, Rejected, Failed, Unanswered, Late atomic.Int64
 
 	wg     sync.WaitGroup
 	cancel context.CancelFunc
@@ -46,9 +46,9 @@
 
 // NewTraffic starts n servers and their roster. Clients come with Clients.
 func NewTraffic(n int) (*Traffic, error) {
-	t := &Traffic{Acts: &Acts{Slack: 250 * time.Millisecond, Zone: map[string]string{}}}
+	t := &Traffic{Attempts: &AttemptLog{Slack: 250 * time.Millisecond, Zone: map[string]string{}}}
 	var err error
-	if t.Acts.Own, err = wire.ParseSettings([]byte(Settings)); err != nil {
+	if t.Attempts.AgentSettings, err = wire.ParseSettings([]byte(Settings)); err != nil {
 		return nil, err
 	}
 	var entries []membership.Entry
@@ -58,17 +58,17 @@
 		if err != nil {
 			return nil, err
 		}
-		s.Saw(func(op string, at time.Time) { t.Acts.Saw(id, op, at) })
-		t.Acts.Zone[id] = zone
+		s.Saw(func(op string, at time.Time) { t.Attempts.Record(id, op, at) })
+		t.Attempts.Zone[id] = zone
 		t.Servers = append(t.Servers, s)
 		entries = append(entries, s.Entry)
 	}
-	t.Roster, err = lab.NewRoster(entries...)
+	t.Discovery, err = lab.NewRoster(entries...)
 	return t, err
 }
 
-// Clients begins a client for each agent, a request every pause or so, until Close.
-func (t *Traffic) Clients(ctx context.Context, agents []*Process, pause time.Duration, seed uint64) {
+// StartClients begins a client for each agent, a request every pause or so, until Close.
+func (t *Traffic) StartClients(ctx context.Context, agents []*Process, pause time.Duration, seed uint64) {
 	ctx, t.cancel = context.WithCancel(ctx)
 	for i, a := range agents {
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
@@ -86,7 +86,7 @@
 		for _, s := range t.Servers {
 			s.Close()
 		}
-		t.Roster.Close()
+		t.Discovery.Close()
 	})
 }
 
@@ -126,7 +126,7 @@
 		case resp.StatusCode == http.StatusOK:
 			t.Served.Add(1)
 		case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-			t.Refused.Add(1)
+			t.Rejected.Add(1)
 		default:
 			t.Failed.Add(1)
 		}
@@ -139,7 +139,7 @@
 
 // AddAgents makes agents for the traffic's servers.
 func (t *Traffic) AddAgents(c *Cluster, n, peers int, onLapse string) error {
-	return c.AddAgents(n, &AgentConfig{Settings: json.RawMessage(Settings), Discovery: t.Roster.Addr, Known: t.Roster.List(), Peers: peers, OnLapse: onLapse})
+	return c.AddAgents(n, &AgentConfig{Settings: json.RawMessage(Settings), Discovery: t.Discovery.Addr, InitialEndpoints: t.Discovery.List(), Peers: peers, OnExpiry: onLapse})
 }
 
 // Ready waits until an agent says that it is.
--- a/internal/lab/scale/admin.go
+++ b/internal/lab/scale/admin.go
@@ -99,7 +99,7 @@
 	if err := ready(ctx, p); err != nil {
 		return err
 	}
-	caller := &adminCaller{addr: p.Door}
+	caller := &adminCaller{addr: p.AdminAddr}
 	if err := caller.expect(n, 0); err != nil {
 		return err
 	}
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -185,7 +185,7 @@
 		return nil, ctx.Err()
 	}
 	b, before := r.usage(), r.term(ctx)
-	took, err := r.changes(ctx, changes, r.Keepers, r.names(nil))
+	took, err := r.changes(ctx, changes, r.Replicas, r.names(nil))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/controlphases.go
+++ b/internal/lab/scale/controlphases.go
@@ -88,7 +88,7 @@
 		p.Kill()
 	}
 	r.roster.Tell(out...)
-	took, err := r.changes(ctx, 2, r.Keepers, rest)
+	took, err := r.changes(ctx, 2, r.Replicas, rest)
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 		for _, p := range dead {
 			p.Kill()
 		}
-		f, err := r.changes(ctx, 1, r.Keepers, rest)
+		f, err := r.changes(ctx, 1, r.Replicas, rest)
 		if err != nil {
 			return err
 		}
@@ -169,19 +169,19 @@
 		}
 		ps = append(ps, r.realsIn(func(zone int) bool { return regionOf(zone) == region })...)
 		if region == 0 {
-			return append(ps, r.Keepers[:3]...)
+			return append(ps, r.Replicas[:3]...)
 		}
-		return append(ps, r.Keepers[3:]...)
+		return append(ps, r.Replicas[3:]...)
 	}
 	cut := func(m cluster.Mode) {
 		for _, p := range side(0) {
-			r.Cut(p.Name, side(1), m, m)
+			r.SetLinks(p.Name, side(1), m, m)
 		}
 	}
 	a, b := r.names(func(zone int) bool { return regionOf(zone) == 0 }), r.names(func(zone int) bool { return regionOf(zone) == 1 })
 	lead, _ := r.Leader(ctx)
 	leads := 1.0
-	if lead != nil && slices.Contains(r.Keepers[:3], lead) {
+	if lead != nil && slices.Contains(r.Replicas[:3], lead) {
 		leads = 0
 	}
 	began := r.usage()
@@ -189,16 +189,16 @@
 	if r.times.syncMs > 0 {
 		// The cut lasts for longer then, and each ask that is given up on a connection that stalls keeps the lab's
 		// descriptors: 20,000 were gone after 30 s of 470 agents.
-		mode = cluster.Lose
+		mode = cluster.Drop
 	}
 	cut(mode)
 	// The first change waits for the leases on the other side; of the others one is published behind the other.
-	first, err := r.changes(ctx, 1, r.Keepers[:3], a)
+	first, err := r.changes(ctx, 1, r.Replicas[:3], a)
 	if err != nil {
 		cut(cluster.Pass)
 		return err
 	}
-	rest, err := r.changes(ctx, r.o.scaled(aimChanges/48, 2), r.Keepers[:3], a)
+	rest, err := r.changes(ctx, r.o.scaled(aimChanges/48, 2), r.Replicas[:3], a)
 	if err != nil {
 		cut(cluster.Pass)
 		return err
@@ -281,7 +281,7 @@
 		}
 		lost := []*cluster.Process{lead}
 		var rest []*cluster.Process
-		for _, k := range r.Keepers {
+		for _, k := range r.Replicas {
 			switch {
 			case k == lead:
 			case len(lost) < n:
--- a/internal/lab/scale/controlrig.go
+++ b/internal/lab/scale/controlrig.go
@@ -231,10 +231,10 @@
 	if r.roster, err = lab.NewRoster(); err != nil {
 		return nil, err
 	}
-	if err := r.AddKeepers(5); err != nil {
+	if err := r.AddReplicas(5); err != nil {
 		return nil, err
 	}
-	for _, k := range r.Keepers {
+	for _, k := range r.Replicas {
 		if defect == loopWaits {
 			k.Env = append(k.Env, "RINGTRACK_LAB_DEFECT="+defect)
 		}
@@ -256,16 +256,16 @@
 			return nil, err
 		}
 		z.p.Args = []string{self}
-		if z.spec.Discovery, err = r.Via(z.p.Name, "discovery", r.roster.Addr); err != nil {
+		if z.spec.Discovery, err = r.ProxyAddr(z.p.Name, "discovery", r.roster.Addr); err != nil {
 			return nil, err
 		}
-		for _, k := range r.Keepers {
-			addr, err := r.Via(z.p.Name, k.Name, k.Addr)
+		for _, k := range r.Replicas {
+			addr, err := r.ProxyAddr(z.p.Name, k.Name, k.Addr)
 			if err != nil {
 				return nil, err
 			}
 			z.spec.Keepers = append(z.spec.Keepers, addr)
-			r.Watch(z.p.Name, k.Name, r.asks.saw)
+			r.Observe(z.p.Name, k.Name, r.asks.saw)
 		}
 		if err := r.write(z); err != nil {
 			return nil, err
@@ -288,7 +288,7 @@
 		z.bare = z.p.RSS()
 	}
 	// The first version is there before any agent: whoever holds a lease says a stage above 0.
-	if _, err := r.publish(ctx, r.Keepers); err != nil {
+	if _, err := r.publish(ctx, r.Replicas); err != nil {
 		return nil, err
 	}
 	return r, nil
@@ -356,18 +356,18 @@
 	known := r.roster.List()
 	from := time.Now()
 	if len(r.reals) == 0 {
-		discovery, err := r.Via("reals", "discovery", r.roster.Addr)
+		discovery, err := r.ProxyAddr("reals", "discovery", r.roster.Addr)
 		if err != nil {
 			return err
 		}
-		if err := r.AddAgents(reals, &cluster.AgentConfig{Own: func(i int) json.RawMessage { return agentSettings(r.turn(i), r.times.of, r.times.askWithinMs) }, Discovery: discovery,
-			Known: known, OnLapse: "refuse"}); err != nil {
+		if err := r.AddAgents(reals, &cluster.AgentConfig{SettingsOf: func(i int) json.RawMessage { return agentSettings(r.turn(i), r.times.of, r.times.askWithinMs) }, Discovery: discovery,
+			InitialEndpoints: known, OnExpiry: "refuse"}); err != nil {
 			return err
 		}
 		for _, a := range r.Agents {
 			r.reals = append(r.reals, a.Name)
-			for _, k := range r.Keepers {
-				r.Watch(a.Name, k.Name, r.asks.saw)
+			for _, k := range r.Replicas {
+				r.Observe(a.Name, k.Name, r.asks.saw)
 			}
 			if err := a.Start(); err != nil {
 				return err
@@ -453,7 +453,7 @@
 	var last atomic.Uint64
 	err := cluster.Until(ctx, "a keeper tells its term", 30*time.Second, func() bool {
 		var asked sync.WaitGroup
-		for _, k := range r.Keepers {
+		for _, k := range r.Replicas {
 			asked.Go(func() {
 				try, cancel := context.WithTimeout(ctx, 3*time.Second)
 				defer cancel()
@@ -475,7 +475,7 @@
 // how many keepers began one, or led no more. It is their own word, for a reader who looks for a cause; what is judged is
 // counted elsewhere.
 func (r *controlRig) elections(ctx context.Context, when string) (n int) {
-	for _, k := range r.Keepers {
+	for _, k := range r.Replicas {
 		fresh := ""
 		for line := range strings.Lines(k.Log()) {
 			if at, _, ok := strings.Cut(line, " level="); ok && strings.Contains(line, `msg="election: `) && at > r.told[k.Name] {
@@ -611,13 +611,13 @@
 func (r *controlRig) usage() (u counted) {
 	u = counted{at: time.Now(), discoveryCalls: r.roster.Calls()}
 	u.asks, u.again = r.asks.count()
-	both := func(a, b string) int64 { return r.Bytes(a, b) + r.Bytes(b, a) }
+	both := func(a, b string) int64 { return r.BytesSent(a, b) + r.BytesSent(b, a) }
 	u.realBytes = both("reals", "discovery")
 	u.discoveryBytes = u.realBytes
 	for _, a := range r.Agents {
 		u.realCPU += a.CPU()
 		u.realRSS += a.RSS()
-		for _, k := range r.Keepers {
+		for _, k := range r.Replicas {
 			u.realBytes += both(a.Name, k.Name)
 		}
 	}
@@ -626,17 +626,17 @@
 		u.hollowRSS += z.p.RSS() - z.bare
 		u.hollowBytes += both(z.p.Name, "discovery")
 		u.discoveryBytes += both(z.p.Name, "discovery")
-		for _, k := range r.Keepers {
+		for _, k := range r.Replicas {
 			u.hollowBytes += both(z.p.Name, k.Name)
 		}
 	}
-	for i, k := range r.Keepers {
+	for i, k := range r.Replicas {
 		cpu := k.CPU()
 		u.perKeeper = append(u.perKeeper, cpu)
 		u.keeperCPU += cpu
 		u.keepersMost = max(u.keepersMost, k.RSS())
 		u.keeperState = max(u.keeperState, folder(k.Data))
-		for _, other := range r.Keepers[i+1:] {
+		for _, other := range r.Replicas[i+1:] {
 			u.keeperBytes += both(k.Name, other.Name)
 		}
 	}
--- a/internal/lab/scale/controlslow.go
+++ b/internal/lab/scale/controlslow.go
@@ -120,7 +120,7 @@
 
 // healthy has some changes come in force while nothing is gone.
 func (r *controlRig) healthy(ctx context.Context, rep *Report, _ *sizeCost) error {
-	took, err := r.changes(ctx, r.o.scaled(10, 1), r.Keepers, r.names(nil))
+	took, err := r.changes(ctx, r.o.scaled(10, 1), r.Replicas, r.names(nil))
 	if len(took) > 0 {
 		r.report(rep, "healthy", took)
 	}
@@ -134,8 +134,8 @@
 		words = fmt.Sprintf("sync-ms %d", r.times.syncMs)
 	}
 	var errs []error
-	for _, k := range r.Keepers {
-		errs = append(errs, k.Disk(words))
+	for _, k := range r.Replicas {
+		errs = append(errs, k.SetDiskFault(words))
 	}
 	return errors.Join(errs...)
 }
@@ -146,7 +146,7 @@
 	if err := r.Heal(); err != nil {
 		return err
 	}
-	if err := cluster.Until(ctx, "the keepers are back", 30*time.Second, func() bool { return r.up(ctx, r.Keepers, sharedconfig.EpochOf(r.version)) }); err != nil {
+	if err := cluster.Until(ctx, "the keepers are back", 30*time.Second, func() bool { return r.up(ctx, r.Replicas, sharedconfig.EpochOf(r.version)) }); err != nil {
 		return err
 	}
 	if _, err := r.held(ctx, r.names(nil), sharedconfig.EpochOf(r.version), time.Now(), 60*time.Second); err != nil {
--- a/internal/lab/scale/controltools.go
+++ b/internal/lab/scale/controltools.go
@@ -26,16 +26,16 @@
 // else the machine did is in all of them.
 func (r *controlRig) tools(ctx context.Context) (map[string]toolCost, error) {
 	var addrs []string
-	for _, k := range r.Keepers {
-		addr, err := r.Via("tools", k.Name, k.Addr)
+	for _, k := range r.Replicas {
+		addr, err := r.ProxyAddr("tools", k.Name, k.Addr)
 		if err != nil {
 			return nil, err
 		}
 		addrs = append(addrs, addr)
 	}
 	bytes := func() (sum int64) {
-		for _, k := range r.Keepers {
-			sum += r.Bytes("tools", k.Name) + r.Bytes(k.Name, "tools")
+		for _, k := range r.Replicas {
+			sum += r.BytesSent("tools", k.Name) + r.BytesSent(k.Name, "tools")
 		}
 		return sum
 	}
--- a/internal/lab/scale/datapath.go
+++ b/internal/lab/scale/datapath.go
@@ -360,7 +360,7 @@
 	if err := os.WriteFile(filepath.Join(p.Dir, "config.json"), text, 0o600); err != nil {
 		return nil, err
 	}
-	p.Door, p.Env = door, []string{"PROXY_CONFIG=config.json", "TMPDIR=" + p.Dir}
+	p.AdminAddr, p.Env = door, []string{"PROXY_CONFIG=config.json", "TMPDIR=" + p.Dir}
 	return p, p.Start()
 }
 
