--- a/internal/lab/cluster/plan.go
+++ b/internal/lab/cluster/plan.go
@@ -8,16 +8,40 @@
 	"slices"
 )
 
-// Fault is one thing that goes wrong, from At until At+For. Times are ms from the start of the schedule.
+// FaultKind names a kind of fault in a plan.
+type FaultKind string
+
+// The kinds of faults. Those by which a replica loses what it acknowledged end with its replacement.
+const (
+	FaultKill        FaultKind = "kill"    // SIGKILL, then a restart
+	FaultTerminate   FaultKind = "term"    // SIGTERM, then a restart
+	FaultFreeze      FaultKind = "freeze"  // SIGSTOP, then SIGCONT
+	FaultOneWay      FaultKind = "one-way" // Detail: out or in, and a mode
+	FaultBothWays    FaultKind = "both-ways"
+	FaultLateAnswer  FaultKind = "tardy" // answers are delayed, then both ways stall right after them
+	FaultSlowDisk    FaultKind = "slow-disk"
+	FaultDiskError   FaultKind = "disk-error"
+	FaultDiskFull    FaultKind = "disk-full"
+	FaultPowerCut    FaultKind = "power-cut" // unsynced writes are lost
+	FaultLyingDisk   FaultKind = "lie"       // syncs do nothing, then a power cut; replaced
+	FaultWipe        FaultKind = "wipe"      // an empty data directory; replaced
+	FaultStaleData   FaultKind = "back"      // the data directory as at the start of the schedule; replaced
+	FaultBitFlip     FaultKind = "bit"       // Detail: the file; replaced
+	FaultRestartLoop FaultKind = "loop"      // a restart every restartLoopInterval
+	FaultKillAll     FaultKind = "all"       // every replica is killed at once
+	FaultServer      FaultKind = "server"    // Detail: the mode of a test server
+)
+
+// Fault is one fault. Times are ms from the start of the schedule.
 type Fault struct {
-	AtMs       int    `json:"at"`
-	DurationMs int    `json:"for"`
-	Kind       string `json:"kind"`
-	Target     string `json:"who"`
-	Detail     string `json:"with,omitempty"`
+	AtMs       int       `json:"at"`
+	DurationMs int       `json:"for"`
+	Kind       FaultKind `json:"kind"`
+	Target     string    `json:"who"`
+	Detail     string    `json:"with,omitempty"`
 }
 
-// Plan is one run, whole: the same plan makes the same faults at the same times.
+// Plan describes one run completely: the same plan injects the same faults at the same times.
 type Plan struct {
 	Seed     uint64  `json:"seed"`
 	Replicas int     `json:"keepers"`
@@ -25,87 +49,120 @@
 	Servers  int     `json:"servers"`
 	LeaseMs  float64 `json:"lease_ms"`
 	RunMs    int     `json:"run_ms"`
-	Versions int     `json:"versions"` // at the most
-	PauseMs  int     `json:"pause_ms"` // between the requests of a client, about
+	Versions int     `json:"versions"` // upper bound
+	PauseMs  int     `json:"pause_ms"` // between the requests of a client, on average
 	Defect   string  `json:"defect,omitempty"`
 	Faults   []Fault `json:"faults"`
 }
 
-// The kinds of faults. Those of keepers that lose what they had acknowledged end with the keeper's replacement.
 const (
-	FaultKill        = "kill"    // SIGKILL, started again
-	FaultTerminate   = "term"    // SIGTERM, started again
-	FaultFreeze      = "freeze"  // SIGSTOP, SIGCONT
-	FaultOneWay      = "one-way" // With: out or in, and a mode
-	FaultBothWays    = "both-ways"
-	FaultLateAnswer  = "tardy" // answers are held up, then both ways are cut just behind them
-	FaultSlowDisk    = "slow-disk"
-	FaultDiskError   = "disk-error"
-	FaultDiskFull    = "disk-full"
-	FaultPowerCut    = "power-cut" // what was not synced is gone
-	FaultLyingDisk   = "lie"       // syncs lie, then a power cut; replaced
-	FaultWipe        = "wipe"      // replaced
-	FaultStaleData   = "back"      // the folder of the schedule's start; replaced
-	FaultBitFlip     = "bit"       // With: the file; replaced, if it notices
-	FaultRestartLoop = "loop"      // restarted ten times a second
-	FaultKillAll     = "all"       // every keeper is killed at once
-	FaultServer      = "server"    // With: a stand-in's mode
+	// planSeedStream is the second word of the generator's seed, so that other generators of a run differ.
+	planSeedStream = 0xa9ee
+	// quietEndMs is the time before the end in which no fault begins.
+	quietEndMs = 600
+	// minDataLossRunMs is the shortest run with faults that lose data: replacements take their time.
+	minDataLossRunMs = 16_000
 )
 
 var (
-	oneWays = []string{"out stall", "in stall", "out lose", "in lose", "out delay", "in delay", "in trickle", "out reset", "in reset"}
-	modes   = map[string]Mode{"stall": Stall, "lose": Drop, "delay": Delay, "trickle": Trickle, "reset": Reset}
+	oneWayDetails = []string{
+		"out stall", "in stall", "out lose", "in lose", "out delay", "in delay", "in trickle", "out reset", "in reset",
+	}
+	modesByName = map[string]Mode{
+		"stall":   Stall,
+		"lose":    Drop,
+		"delay":   Delay,
+		"trickle": Trickle,
+		"reset":   Reset,
+	}
+	replicaDiskFaults = []FaultKind{FaultSlowDisk, FaultDiskError, FaultDiskFull, FaultPowerCut, FaultTerminate}
+	agentRestarts     = []FaultKind{FaultKill, FaultKill, FaultTerminate, FaultRestartLoop}
+	agentPartitions   = []FaultKind{FaultBothWays, FaultLateAnswer}
+	dataLossFaults    = []FaultKind{FaultWipe, FaultStaleData, FaultLyingDisk, FaultBitFlip, FaultKillAll}
+	dataFiles         = []string{"log", "snapshot", "identity"}
+	serverFaults      = []string{"failing", "breaking", "silent"}
 )
 
-// DrawFaults draws a plan's faults from its seed. At the same time never more than a minority of the keepers loses what it
-// had acknowledged, or has not been replaced yet; as many as there are may be away.
+// DrawFaults draws the faults of a plan from its seed. Never more than a minority of the replicas has lost what it
+// acknowledged and is not replaced yet; any number may be unreachable at the same time.
 func (p *Plan) DrawFaults() {
-	rng := rand.New(rand.NewPCG(p.Seed, 0xa9ee))
+	d := &faultDrawer{Plan: p, rng: rand.New(rand.NewPCG(p.Seed, planSeedStream))}
 	p.Faults = nil
-	add := func(f Fault) { p.Faults = append(p.Faults, f) }
-	keeper := func() string { return fmt.Sprintf("k%d", 1+rng.IntN(p.Replicas)) }
-	agent := func() string { return fmt.Sprintf("a%d", 1+rng.IntN(p.Agents)) }
-	// One keeper after the other, so that most of the time a majority is there; agents all the time.
-	for at := 400 + rng.IntN(600); at < p.RunMs-600; at += 1200 + rng.IntN(1200) {
-		long := 200 + rng.IntN(1000)
+	d.replicaFaults()
+	d.agentFaults()
+	if p.RunMs >= minDataLossRunMs {
+		d.dataLoss()
+	}
+	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return a.AtMs - b.AtMs })
+}
+
+// faultDrawer adds random faults to a plan. A plan depends on the order of the draws.
+type faultDrawer struct {
+	*Plan
+	rng *rand.Rand
+}
+
+func (d *faultDrawer) add(f Fault) { d.Faults = append(d.Faults, f) }
+
+func (d *faultDrawer) replica() string { return replicaName(d.rng.IntN(d.Replicas)) }
+
+func (d *faultDrawer) agent() string { return agentName(d.rng.IntN(d.Agents)) }
+
+func (d *faultDrawer) server() string { return serverName(d.rng.IntN(d.Servers)) }
+
+// pick returns a random element of a list.
+func pick[T any](rng *rand.Rand, list []T) T { return list[rng.IntN(len(list))] }
+
+// replicaFaults adds faults of one replica after another, so that there is a majority most of the time.
+func (d *faultDrawer) replicaFaults() {
+	rng := d.rng
+	for at := 400 + rng.IntN(600); at < d.RunMs-quietEndMs; at += 1200 + rng.IntN(1200) {
+		duration := 200 + rng.IntN(1000)
 		switch rng.IntN(6) {
 		case 0:
-			add(Fault{at, long / 2, FaultKill, keeper(), ""})
+			d.add(Fault{at, duration / 2, FaultKill, d.replica(), ""})
 		case 1:
-			add(Fault{at, long, FaultFreeze, keeper(), ""})
+			d.add(Fault{at, duration, FaultFreeze, d.replica(), ""})
 		case 2, 3:
-			add(Fault{at, long, FaultOneWay, keeper(), oneWays[rng.IntN(len(oneWays))]})
+			d.add(Fault{at, duration, FaultOneWay, d.replica(), pick(rng, oneWayDetails)})
 		case 4:
-			add(Fault{at, long, FaultBothWays, keeper(), ""})
+			d.add(Fault{at, duration, FaultBothWays, d.replica(), ""})
 		case 5:
-			add(Fault{at, long, []string{FaultSlowDisk, FaultDiskError, FaultDiskFull, FaultPowerCut, FaultTerminate}[rng.IntN(5)], keeper(), ""})
+			d.add(Fault{at, duration, pick(rng, replicaDiskFaults), d.replica(), ""})
 		}
 	}
-	for at := 300 + rng.IntN(400); at < p.RunMs-600; at += 200 + rng.IntN(400) {
-		long := 200 + rng.IntN(1500)
+}
+
+// agentFaults adds faults of agents and servers, several at a time.
+func (d *faultDrawer) agentFaults() {
+	rng := d.rng
+	for at := 300 + rng.IntN(400); at < d.RunMs-quietEndMs; at += 200 + rng.IntN(400) {
+		duration := 200 + rng.IntN(1500)
 		switch rng.IntN(8) {
 		case 0, 1:
-			add(Fault{at, 100 + rng.IntN(2900), FaultFreeze, agent(), ""})
+			d.add(Fault{at, 100 + rng.IntN(2900), FaultFreeze, d.agent(), ""})
 		case 2, 3:
-			add(Fault{at, long, FaultOneWay, agent(), oneWays[rng.IntN(len(oneWays))]})
+			d.add(Fault{at, duration, FaultOneWay, d.agent(), pick(rng, oneWayDetails)})
 		case 4:
-			add(Fault{at, long / 4, []string{FaultKill, FaultKill, FaultTerminate, FaultRestartLoop}[rng.IntN(4)], agent(), ""})
+			d.add(Fault{at, duration / 4, pick(rng, agentRestarts), d.agent(), ""})
 		case 5, 6:
-			add(Fault{at, long, []string{FaultBothWays, FaultLateAnswer}[rng.IntN(2)], agent(), ""})
+			d.add(Fault{at, duration, pick(rng, agentPartitions), d.agent(), ""})
 		case 7:
-			add(Fault{at, 500 + rng.IntN(1500), FaultServer, fmt.Sprintf("s-%02d", rng.IntN(p.Servers)), []string{"failing", "breaking", "silent"}[rng.IntN(3)]})
+			d.add(Fault{at, 500 + rng.IntN(1500), FaultServer, d.server(), pick(rng, serverFaults)})
 		}
 	}
-	if p.RunMs >= 16_000 {
-		// The hardest, one after the other, each with the time that the replacement takes.
-		for i, kind := range []string{FaultWipe, FaultStaleData, FaultLyingDisk, FaultBitFlip, FaultKillAll} {
-			add(Fault{p.RunMs * (i + 1) / 6, 300, kind, keeper(), []string{"log", "snapshot", "identity"}[rng.IntN(3)]})
-		}
+}
+
+// dataLoss adds each fault that loses data once, with the time between them that a replacement takes.
+func (d *faultDrawer) dataLoss() {
+	const faultDurationMs = 300
+	for i, kind := range dataLossFaults {
+		at := d.RunMs * (i + 1) / (len(dataLossFaults) + 1)
+		d.add(Fault{at, faultDurationMs, kind, d.replica(), pick(d.rng, dataFiles)})
 	}
-	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return a.AtMs - b.AtMs })
 }
 
-// LoadPlan reads a plan that was written to be replayed.
+// LoadPlan reads a plan that Save wrote.
 func LoadPlan(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -118,7 +175,7 @@
 	return p, nil
 }
 
-// Save writes it.
+// Save writes a plan to a file.
 func (p *Plan) Save(path string) error {
 	text, err := json.MarshalIndent(p, "", " ")
 	if err != nil {
@@ -127,20 +184,20 @@
 	return os.WriteFile(path, append(text, '\n'), 0o600)
 }
 
-// Shrink takes faults out of a plan for as long as what is left still fails, tries runs at the most, and returns the
-// smallest that did. Processes are not run in lockstep, so that a run may miss what another found.
-func Shrink(p *Plan, tries int, fails func(*Plan) bool) *Plan {
-	best := p
-	for size := len(best.Faults) / 2; size > 0 && tries > 0; size /= 2 {
-		for at := 0; at+size <= len(best.Faults) && tries > 0; tries-- {
-			less := *best
-			less.Faults = slices.Delete(slices.Clone(best.Faults), at, at+size)
-			if fails(&less) {
-				best = &less
+// Shrink removes faults from a plan while the rest still fails, in at most maxRuns runs, and returns the smallest plan
+// that failed. Processes do not run in lockstep: a run may miss what another found.
+func Shrink(p *Plan, maxRuns int, fails func(*Plan) bool) *Plan {
+	smallest := p
+	for size := len(smallest.Faults) / 2; size > 0 && maxRuns > 0; size /= 2 {
+		for at := 0; at+size <= len(smallest.Faults) && maxRuns > 0; maxRuns-- {
+			candidate := *smallest
+			candidate.Faults = slices.Delete(slices.Clone(smallest.Faults), at, at+size)
+			if fails(&candidate) {
+				smallest = &candidate
 			} else {
 				at += size
 			}
 		}
 	}
-	return best
+	return smallest
 }
--- /dev/null
+++ b/internal/lab/cluster/proxy_test.go
@@ -0,0 +1,22 @@
+package cluster
+
+import (
+	"net"
+	"syscall"
+	"testing"
+)
+
+// A proxy that could not accept a connection accepts the next, until its listener is closed.
+func TestProxyContinuesAfterFailedAccept(t *testing.T) {
+	p := &proxy{}
+	calls := 0
+	p.accept(func() (*net.TCPConn, error) {
+		if calls++; calls < 3 {
+			return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
+		}
+		return nil, &net.OpError{Op: "accept", Err: net.ErrClosed}
+	})
+	if calls != 3 {
+		t.Errorf("accept was called %d times, not 3", calls)
+	}
+}
--- a/internal/lab/cluster/traffic.go
+++ b/internal/lab/cluster/traffic.go
@@ -18,7 +18,7 @@
 	"ringtrack.example/ringtrack/internal/wire"
 )
 
-// Settings are what the agents of the rig are made with: three attempts, keys for 1.2 s in all zones.
+// Settings are the agents' settings: three attempts, idempotency keys for 1.2 s in all zones.
 const Settings = `{"classes":[{"name":"read","aimMs":200,"giveUpMs":600,"effect":"free","credit":1},` +
 	`{"name":"send","aimMs":200,"giveUpMs":600,"effect":"guarded","group":"all","keyTtlMs":1200,"credit":2},` +
 	`{"name":"order","aimMs":200,"giveUpMs":600,"effect":"single_shot","credit":5}],` +
@@ -28,10 +28,33 @@
 
 var zones = []string{"east", "west", "south"}
 
-// within is the time that each request has.
-const within = 600 * time.Millisecond
+const (
+	// requestTimeout is the deadline that each request carries.
+	requestTimeout = 600 * time.Millisecond
+	// lateAfter is the time beyond the deadline at which a response counts as late.
+	lateAfter = 250 * time.Millisecond
+	// clientSlack is the time beyond the deadline at which a client gives up.
+	clientSlack       = 400 * time.Millisecond
+	clientDialTimeout = 100 * time.Millisecond
+	clientIdleConns   = 4
+	serverLatency     = 2 * time.Millisecond
+	// trafficSlack is the slack of the attempt log.
+	trafficSlack = 250 * time.Millisecond
+	// requestKeys is the number of different request paths.
+	requestKeys = 211
+)
+
+// The request classes in Settings.
+const (
+	classRead  = "read"
+	classSend  = "send"
+	classOrder = "order"
+)
 
-// Traffic is servers, a roster and a client beside each agent.
+// clientClasses is the sequence of classes that each client repeats.
+var clientClasses = []string{classSend, classOrder, classSend, classRead}
+
+// Traffic is a set of test servers, their discovery and a client for each agent.
 type Traffic struct {
 	Servers   []*lab.OrderServer
 	Discovery *lab.Roster
@@ -44,17 +67,20 @@
 	closed sync.Once
 }
 
-// NewTraffic starts n servers and their roster. Clients come with Clients.
+func serverName(i int) string { return fmt.Sprintf("s-%02d", i) }
+
+// NewTraffic starts n servers and their discovery. StartClients starts the clients.
 func NewTraffic(n int) (*Traffic, error) {
-	t := &Traffic{Attempts: &AttemptLog{Slack: 250 * time.Millisecond, Zone: map[string]string{}}}
+	t := &Traffic{Attempts: &AttemptLog{Slack: trafficSlack, Zone: map[string]string{}}}
 	var err error
 	if t.Attempts.AgentSettings, err = wire.ParseSettings([]byte(Settings)); err != nil {
 		return nil, err
 	}
 	var entries []membership.Entry
 	for i := range n {
-		id, zone := fmt.Sprintf("s-%02d", i), zones[i%len(zones)]
-		s, err := lab.NewOrderServer(id, zone, 2*time.Millisecond, nil)
+		id := serverName(i)
+		zone := zones[i%len(zones)]
+		s, err := lab.NewOrderServer(id, zone, serverLatency, nil)
 		if err != nil {
 			return nil, err
 		}
@@ -67,16 +93,16 @@
 	return t, err
 }
 
-// StartClients begins a client for each agent, a request every pause or so, until Close.
+// StartClients starts a client for each agent, with a request about every pause, until Close.
 func (t *Traffic) StartClients(ctx context.Context, agents []*Process, pause time.Duration, seed uint64) {
 	ctx, t.cancel = context.WithCancel(ctx)
 	for i, a := range agents {
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
-		t.wg.Go(func() { t.client(ctx, a, pause, rng) })
+		t.wg.Go(func() { t.runClient(ctx, a, pause, rng) })
 	}
 }
 
-// Close ends clients, servers and roster.
+// Close stops the clients, the servers and discovery. Further calls do nothing.
 func (t *Traffic) Close() {
 	t.closed.Do(func() {
 		if t.cancel != nil {
@@ -90,46 +116,17 @@
 	})
 }
 
-func (t *Traffic) client(ctx context.Context, a *Process, pause time.Duration, rng *rand.Rand) {
-	client := &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: 100 * time.Millisecond}).DialContext,
-		MaxIdleConnsPerHost: 4, DisableCompression: true}, Timeout: within + 400*time.Millisecond}
+func (t *Traffic) runClient(ctx context.Context, agent *Process, pause time.Duration, rng *rand.Rand) {
+	dialer := &net.Dialer{Timeout: clientDialTimeout}
+	transport := &http.Transport{
+		DialContext:         dialer.DialContext,
+		MaxIdleConnsPerHost: clientIdleConns,
+		DisableCompression:  true,
+	}
+	client := &http.Client{Transport: transport, Timeout: requestTimeout + clientSlack}
 	defer client.CloseIdleConnections()
-	classes := []string{"send", "order", "send", "read"}
 	for n := 0; ctx.Err() == nil; n++ {
-		class := classes[n%len(classes)]
-		op := fmt.Sprintf("%s-%s-%d", a.Name, class, n)
-		from := time.Now()
-		var req *http.Request
-		if class == "read" {
-			req, _ = http.NewRequest(http.MethodGet, "http://"+a.Addr+fmt.Sprintf("/api/a%d?op=%s", n%211, op), nil)
-		} else {
-			req, _ = http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/api/%d", a.Addr, n%211), strings.NewReader(op+" "))
-		}
-		if class == "send" {
-			req.Header.Set("Idempotency-Key", op)
-			// The client's own library would send it once more on a broken connection; each is to be one request.
-			req.GetBody = nil
-		}
-		req.Header.Set("Request-Id", op)
-		req.Header.Set("Request-Class", class)
-		req.Header.Set("Request-Timeout-Ms", fmt.Sprint(within.Milliseconds()))
-		resp, err := client.Do(req)
-		if err == nil {
-			_, err = io.Copy(io.Discard, resp.Body)
-			resp.Body.Close()
-		}
-		switch took := time.Since(from); {
-		case err != nil:
-			t.Unanswered.Add(1)
-		case took > within+250*time.Millisecond:
-			t.Late.Add(1)
-		case resp.StatusCode == http.StatusOK:
-			t.Served.Add(1)
-		case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
-			t.Rejected.Add(1)
-		default:
-			t.Failed.Add(1)
-		}
+		t.request(client, agent, n)
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause/2 + time.Duration(rng.Int64N(int64(pause)+1))):
@@ -137,19 +134,56 @@
 	}
 }
 
-// AddAgents makes agents for the traffic's servers.
-func (t *Traffic) AddAgents(c *Cluster, n, peers int, onLapse string) error {
-	return c.AddAgents(n, &AgentConfig{Settings: json.RawMessage(Settings), Discovery: t.Discovery.Addr, InitialEndpoints: t.Discovery.List(), Peers: peers, OnExpiry: onLapse})
+// request makes the n-th request of a client and counts its result.
+func (t *Traffic) request(client *http.Client, agent *Process, n int) {
+	start := time.Now()
+	resp, err := client.Do(newRequest(agent, n))
+	if err == nil {
+		_, err = io.Copy(io.Discard, resp.Body)
+		resp.Body.Close()
+	}
+	switch elapsed := time.Since(start); {
+	case err != nil:
+		t.Unanswered.Add(1)
+	case elapsed > requestTimeout+lateAfter:
+		t.Late.Add(1)
+	case resp.StatusCode == http.StatusOK:
+		t.Served.Add(1)
+	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests:
+		t.Rejected.Add(1)
+	default:
+		t.Failed.Add(1)
+	}
 }
 
-// Ready waits until an agent says that it is.
-func Ready(ctx context.Context, a *Process, within time.Duration) error {
-	return Until(ctx, a.Name+" is ready", within, func() bool {
-		resp, err := http.Get("http://" + a.Addr + "/-/ready")
-		if err != nil {
-			return false
-		}
-		resp.Body.Close()
-		return resp.StatusCode == http.StatusOK
+// newRequest returns the n-th request to an agent. Its operation is named AGENT-CLASS-N.
+func newRequest(agent *Process, n int) *http.Request {
+	class := clientClasses[n%len(clientClasses)]
+	op := fmt.Sprintf("%s-%s-%d", agent.Name, class, n)
+	key := n % requestKeys
+	var req *http.Request
+	if class == classRead {
+		req, _ = http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/api/a%d?op=%s", agent.Addr, key, op), nil)
+	} else {
+		req, _ = http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/api/%d", agent.Addr, key), strings.NewReader(op+" "))
+	}
+	if class == classSend {
+		req.Header.Set("Idempotency-Key", op)
+		req.GetBody = nil // or net/http would retry it on a broken connection
+	}
+	req.Header.Set("Request-Id", op)
+	req.Header.Set("Request-Class", class)
+	req.Header.Set("Request-Timeout-Ms", fmt.Sprint(requestTimeout.Milliseconds()))
+	return req
+}
+
+// AddAgents adds agents of the traffic's servers to a cluster.
+func (t *Traffic) AddAgents(c *Cluster, n, peers int, onExpiry string) error {
+	return c.AddAgents(n, &AgentConfig{
+		Settings:         json.RawMessage(Settings),
+		Discovery:        t.Discovery.Addr,
+		InitialEndpoints: t.Discovery.List(),
+		Peers:            peers,
+		OnExpiry:         onExpiry,
 	})
 }
