--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"math"
-)
+import "math"
 
 const (
 	// shedMemoryRequests is the number of ended requests over which the part served in time is averaged.
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 // The class with the least priority weight must not be starved where the worst class counts.
 func TestWorstClassHasAHigherPriority(t *testing.T) {
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"math"
-)
+import "math"
 
 const (
 	// initialLimit is the concurrency limit of a server of which nothing is known.
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 // Each of a thousand agents would keep connections to many servers, which have a price; opening one has
 // another.
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"fmt"
-)
+import "fmt"
 
 func ExampleBalancer() {
 	settings := Settings{
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 // harness drives one Balancer event by event.
 type harness struct {
--- a/policy/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 func TestHealthChecksValidatePendingServers(t *testing.T) {
 	set := testSettings()
--- a/policy/keyhash_test.go
+++ b/policy/keyhash_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 // A key that draws much of the traffic must not go to one server, though no agent has more than one of its
 // requests in flight. Other keys stay on few servers.
--- a/policy/locality_test.go
+++ b/policy/locality_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 // Crossing zones costs time and has a price: more keys stay in the own zone than its servers' part, and
 // still most other servers are used.
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 func TestStateTransitions(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"testing"
-)
+import "testing"
 
 func TestNonIdempotentRequestIsRetriedOnlyIfItNeverRan(t *testing.T) {
 	for _, st := range []Status{Error, Timeout, Reset, Cancelled} {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -1,8 +1,6 @@
 package policy
 
-import (
-	"math"
-)
+import "math"
 
 const (
 	// slowStartBurst bounds the slow-start tokens that a server saves up, in mean requests. An agent with
--- a/policy/types.go
+++ b/policy/types.go
@@ -47,6 +47,7 @@
 	ScopeCell DedupScope = "cell"
 )
 
+// known reports whether the scope is one of those above.
 func (d DedupScope) known() bool { return d == ScopeAll || d == ScopeZone || d == ScopeCell }
 
 // Class is one class of requests.
@@ -66,21 +67,21 @@
 // Tenant is a customer with a quota of what the servers can do.
 type Tenant struct {
 	Name        string  `json:"name"`
-	QuotaPerS   float64 `json:"quotaPerS"`
-	QuotaWeight float64 `json:"portion"`
+	QuotaPerS   float64 `json:"quotaPerS"` // requests per second of all agents
+	QuotaWeight float64 `json:"portion"`   // its part of what is served
 }
 
 // Limits is what a deployment permits an agent to do.
 type Limits struct {
-	Cancelling       bool    `json:"cancelling"`
-	ConnectTimeoutMs float64 `json:"connectTimeoutMs"`
-	KeepaliveMs      float64 `json:"keepaliveMs"`
-	MaxAttempts      int     `json:"maxAttempts"`
-	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`
-	HedgedRequests   bool    `json:"parallelTries"`
-	HealthChecks     bool    `json:"probing"`
-	RetryAfter       bool    `json:"retryAfter"`
-	MaxOpenRequests  int     `json:"openCap"`
+	Cancelling       bool    `json:"cancelling"`       // ActionCancel is permitted
+	ConnectTimeoutMs float64 `json:"connectTimeoutMs"` // a connect that takes longer has failed
+	KeepaliveMs      float64 `json:"keepaliveMs"`      // idle connections are closed after it
+	MaxAttempts      int     `json:"maxAttempts"`      // of one request
+	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`  // longest Retry-After that clients follow
+	HedgedRequests   bool    `json:"parallelTries"`    // two attempts of a request may be open
+	HealthChecks     bool    `json:"probing"`          // ActionHealthCheck is permitted
+	RetryAfter       bool    `json:"retryAfter"`       // clients get the Retry-After
+	MaxOpenRequests  int     `json:"openCap"`          // others are rejected before they reach the agent
 }
 
 // Contract holds the guarantees between servers, discovery and agents.
@@ -96,27 +97,27 @@
 
 // Prices are deductions from the objective, each for a share or a rate.
 type Prices struct {
-	CrossZone    float64 `json:"crossZone"`
-	Handshake    float64 `json:"handshake"`
-	Connection   float64 `json:"connection"`
-	LateFailure  float64 `json:"lateFail"`
-	HealthCheck  float64 `json:"probe"`
-	Waste        float64 `json:"waste"`
-	EndpointList float64 `json:"membershipMode"`
+	CrossZone    float64 `json:"crossZone"`      // of attempts that cross zones, by requests
+	Handshake    float64 `json:"handshake"`      // of new connections, by requests
+	Connection   float64 `json:"connection"`     // of mean open connections, by 100 servers
+	LateFailure  float64 `json:"lateFail"`       // of value that was lost after its objective
+	HealthCheck  float64 `json:"probe"`          // of health checks, by requests
+	Waste        float64 `json:"waste"`          // of work that served nothing, by all work
+	EndpointList float64 `json:"membershipMode"` // of list entries sent, by 100 requests
 }
 
 // Objective holds the weights of the parts of the objective that the agents serve.
 type Objective struct {
-	Total       float64 `json:"whole"`
-	WorstWindow float64 `json:"worstWindow"`
+	Total       float64 `json:"whole"`       // all requests
+	WorstWindow float64 `json:"worstWindow"` // the 10 seconds served worst
 	WorstClass  float64 `json:"worstClass"`
-	WorstTenant float64 `json:"worstTenant"`
+	WorstTenant float64 `json:"worstTenant"` // within its quota
 }
 
 // ReportFormat says how servers deliver their load reports, and names the values.
 type ReportFormat struct {
-	Delivery string   `json:"how"`
-	Names    []string `json:"names"`
+	Delivery string   `json:"how"`   // "inline", "on_probe" or "off"
+	Names    []string `json:"names"` // of the values, at most four
 }
 
 // Settings is the configuration of an agent. The keys are those of the wire.
@@ -135,12 +136,12 @@
 	FamilyInfo struct {
 		WarmKeys bool `json:"warmKeys"`
 	} `json:"familyInfo"`
-	ReplicaIndex    int     `json:"index"`
-	Replicas        int     `json:"replicasOfMe"`
-	OverQuotaWeight float64 `json:"overShareWorth"`
-	BatchIntervalMs float64 `json:"roundMs"`
-	Weights         string  `json:"weights"` // "off", "nominal", "rough" or "live"
-	PriorityUnit    string  `json:"worthBy"` // "request" or "work"
+	ReplicaIndex    int     `json:"index"`          // of the agent among the replicas, from 0
+	Replicas        int     `json:"replicasOfMe"`   // agents that send to the same servers
+	OverQuotaWeight float64 `json:"overShareWorth"` // factor of priority over the tenant's quota
+	BatchIntervalMs float64 `json:"roundMs"`        // shortest time between two deliveries of events
+	Weights         string  `json:"weights"`        // "off", "nominal", "rough" or "live"
+	PriorityUnit    string  `json:"worthBy"`        // "request" or "work"
 	Zone            int     `json:"zone"`
 
 	// LastPoll is how the last poll of discovery by the agent's former process ended.
