--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -218,5 +218,5 @@
 	case <-req.Context().Done():
 	case <-s.publisher.done:
 	}
-	http.Error(w, "no endpoint list yet", http.StatusServiceUnavailable)
+	http.Error(w, "no list of servers yet", http.StatusServiceUnavailable)
 }
