--- /dev/null
+++ b/internal/downstream/thrift/call.go
@@ -0,0 +1,120 @@
+package thrift
+
+import (
+	"strconv"
+	"time"
+
+	"ringtrack.example/ringtrack/internal/core"
+	"ringtrack.example/ringtrack/internal/membership"
+	"ringtrack.example/ringtrack/internal/socket"
+	"ringtrack.example/ringtrack/internal/thriftwire"
+	upstream "ringtrack.example/ringtrack/internal/upstream/thrift"
+)
+
+const (
+	// maxQueuedCalls is how many calls of a connection are read before an earlier one is answered.
+	maxQueuedCalls = 16
+	// disconnectPollInterval is how often the socket of a client that has sent more than that is checked.
+	disconnectPollInterval = 25 * time.Millisecond
+)
+
+// handle takes one call through the core, and queues what the client sends meanwhile. It returns false if the
+// connection is to be closed.
+func (s *Server) handle(c *clientConn, m *message, messages <-chan message, overloaded bool) bool {
+	oneWay := m.head.Kind == thriftwire.Oneway
+	if m.head.Kind != thriftwire.Call && !oneWay {
+		s.writeException(c, &m.head, CodeInvalidMessageType, "a message that is no call")
+		return false
+	}
+	method := s.Table.find(m.head.Name)
+	if method == nil {
+		return oneWay || s.writeException(c, &m.head, CodeUnknownMethod, "the method is not listed here")
+	}
+	oneWay = oneWay || method.oneWay
+	call := s.newCall(c, m, method, oneWay)
+	call.NoConnections = overloaded
+	submitted := make(chan *core.Request, 1)
+	s.EventLoop.Post(func() { submitted <- s.EventLoop.Submit(call) })
+	answer, ok := s.await(c, call, oneWay, messages)
+	if !ok {
+		s.EventLoop.Post(func() { s.EventLoop.ClientDisconnected(<-submitted) })
+		return false
+	}
+	return s.answer(c, m, answer, oneWay)
+}
+
+// newCall turns a message into a call of the core.
+func (s *Server) newCall(c *clientConn, m *message, method *method, oneWay bool) *core.Call {
+	timeoutMs := method.timeoutMs(&m.head)
+	call := &core.Call{
+		ID:       "thrift-" + strconv.FormatUint(s.lastID.Add(1), 36),
+		Unique:   true,
+		Class:    method.class,
+		Upstream: s.Upstream,
+		Deadline: m.receivedAt.Add(time.Duration(timeoutMs * float64(time.Millisecond))),
+		Answer:   make(chan core.Answer, 1),
+		Payload: &upstream.Call{
+			Message:   m.bytes,
+			Head:      m.head,
+			Transport: c.transport,
+			OneWay:    oneWay,
+			NeverRan:  method.neverRan,
+		},
+	}
+	if method.key != noPath {
+		call.Key = affinityKey(m.bytes, &m.head.Fields[method.key])
+	}
+	if !oneWay {
+		call.Disconnected = func() bool { return socket.HungUp(c.Conn) }
+	}
+	return call
+}
+
+// await waits for the answer; false: the client has disconnected, or sends what can't be read, so that nobody waits
+// for it.
+func (s *Server) await(c *clientConn, call *core.Call, oneWay bool, messages <-chan message) (core.Answer, bool) {
+	var poll <-chan time.Time
+	for {
+		if c.queueFull() {
+			messages = nil // the rest stays unread
+		}
+		if messages == nil && poll == nil && !oneWay {
+			ticker := time.NewTicker(disconnectPollInterval)
+			defer ticker.Stop()
+			poll = ticker.C
+		}
+		select {
+		case answer := <-call.Answer:
+			return answer, true
+		case <-poll:
+			if call.Disconnected() {
+				return core.Answer{}, false
+			}
+		case next := <-messages:
+			if next.err != nil && !oneWay {
+				s.Budget.Release(next.reserved)
+				return core.Answer{}, false
+			}
+			c.queued = append(c.queued, next)
+		}
+	}
+}
+
+// queueFull says whether no more messages are read while a call is open: there are enough, or reading has ended.
+func (c *clientConn) queueFull() bool {
+	n := len(c.queued)
+	return n >= maxQueuedCalls || n > 0 && c.queued[n-1].err != nil
+}
+
+// affinityKey returns the key that the value of a field names: the same for the same text over all downstreams.
+func affinityKey(msg []byte, field *thriftwire.Field) uint64 {
+	switch {
+	case !field.Found || field.Type == thriftwire.String && field.Start == field.End:
+		return 0
+	case field.Type == thriftwire.String:
+		return membership.Hash(string(msg[field.Start:field.End]))
+	case field.Type == thriftwire.Bool:
+		return membership.Hash(strconv.FormatBool(field.Bool))
+	}
+	return membership.Hash(strconv.FormatInt(int64(field.Int), 10))
+}
--- a/internal/downstream/thrift/config_test.go
+++ b/internal/downstream/thrift/config_test.go
@@ -12,13 +12,13 @@
 
 const good = "listen = \"127.0.0.1:9090\"\nclass = \"order\"\n"
 
-// Bad configuration names its key.
 var testClasses = []policy.Class{
 	{Name: "read", LatencyObjectiveMs: 1000, ClientTimeoutMs: 2000, Effect: policy.Idempotent, PriorityWeight: 1},
 	{Name: "send", LatencyObjectiveMs: 1000, ClientTimeoutMs: 2000, Effect: policy.IdempotentByKey, DedupScope: policy.ScopeAll, IdempotencyWindowMs: 8000, PriorityWeight: 2},
 	{Name: "order", LatencyObjectiveMs: 1000, ClientTimeoutMs: 2000, Effect: policy.NonIdempotent, PriorityWeight: 5}}
 
-func TestConfigNamesTheKey(t *testing.T) {
+// The error of an invalid configuration names its key.
+func TestConfigErrorsNameTheKey(t *testing.T) {
 	load := func(text string) error {
 		file := filepath.Join(t.TempDir(), "thrift.toml")
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-// The file that is shipped is sound, and names find their lines.
+// The shipped file is valid, and names find their lines.
 func TestShippedConfig(t *testing.T) {
 	c, err := Load("../../../deploy/thrift.toml")
 	if err != nil {
@@ -76,19 +76,19 @@
 	}
 	c.Method = append(c.Method, MethodConfig{Name: "Other:*", Class: "read"})
 	if table, err = c.Table(testClasses); err != nil || table.find([]byte("Other:thing")).class != 0 {
-		t.Errorf("a whole service: %v", err)
+		t.Errorf("a complete service: %v", err)
 	}
 }
 
-// One key is the same however it is written, and over all fronts.
-func TestKeys(t *testing.T) {
+// One key is the same wherever it is in the message; different keys differ.
+func TestAffinityKey(t *testing.T) {
 	msg := []byte("xxkeyxx")
 	field := thriftwire.Field{Found: true, Start: 2, End: 5, Type: thriftwire.String}
 	number := thriftwire.Field{Found: true, Type: thriftwire.I64, Int: ^uint64(0)}
 	if affinityKey(msg, &field) == 0 || affinityKey(msg, &field) != affinityKey([]byte("yykey"), &field) || affinityKey(msg, &number) == affinityKey(msg, &field) {
-		t.Error("keys differ, or are one")
+		t.Error("the same keys differ, or different ones are the same")
 	}
 	if affinityKey(msg, &thriftwire.Field{}) != 0 || affinityKey(msg, &thriftwire.Field{Found: true, Type: thriftwire.String}) != 0 {
-		t.Error("no key is one")
+		t.Error("a key without a value")
 	}
 }
--- /dev/null
+++ b/internal/downstream/thrift/conn.go
@@ -0,0 +1,185 @@
+package thrift
+
+import (
+	"bufio"
+	"errors"
+	"net"
+	"sync"
+	"time"
+
+	"ringtrack.example/ringtrack/internal/socket"
+	"ringtrack.example/ringtrack/internal/thriftwire"
+	upstream "ringtrack.example/ringtrack/internal/upstream/thrift"
+)
+
+const (
+	// readTimeout bounds how long a message may take to arrive, from its first byte on.
+	readTimeout = 2500 * time.Millisecond
+	// idleTimeout is how long a connection may be idle between calls.
+	idleTimeout = 10 * time.Second
+)
+
+// errOverBudget says that there is no memory for a message.
+var errOverBudget = errors.New("thrift: no memory for a message")
+
+// clientConn is one connection of a client.
+type clientConn struct {
+	net.Conn
+	reader    *bufio.Reader
+	transport thriftwire.Transport // 0: not detected yet
+	// queued are calls that arrived before an earlier one was answered, at most maxQueuedCalls. They are read
+	// early so that a client that disconnects after them is noticed.
+	queued []message
+
+	// Under the server's lock:
+	busy        bool // a call is open
+	readingCall bool // a call has begun to arrive and is not handled yet
+	noCallYet   bool // none has begun to arrive
+}
+
+// message is a message as it was read, or how reading ended.
+type message struct {
+	bytes      []byte
+	head       thriftwire.Message
+	receivedAt time.Time
+	reserved   int64 // from the budget
+	err        error
+}
+
+// serve answers the calls of a connection one at a time, in the order of their arrival.
+func (s *Server) serve(c *clientConn) {
+	messages := make(chan message)
+	stop := make(chan struct{})
+	var reader sync.WaitGroup
+	reader.Go(func() { s.readMessages(c, messages, stop) })
+	defer func() {
+		close(stop)
+		socket.LingeringClose(c.Conn, len(c.queued) > 0)
+		reader.Wait()
+		for i := range c.queued {
+			s.Budget.Release(c.queued[i].reserved)
+		}
+		s.mu.Lock()
+		delete(s.conns, c)
+		s.mu.Unlock()
+	}()
+	idle := time.NewTimer(idleTimeout)
+	defer idle.Stop()
+	for {
+		m := c.nextMessage(messages, idle)
+		if m == nil {
+			return
+		}
+		if m.err != nil {
+			s.rejectUnreadable(c, m)
+			return
+		}
+		overloaded := s.beginCall(c)
+		ok := s.handle(c, m, messages, overloaded)
+		s.Budget.Release(m.reserved)
+		if draining := s.endCall(c); !ok || draining {
+			return
+		}
+	}
+}
+
+// nextMessage returns the first queued message, or waits for the next; nil: the connection was idle for too long.
+func (c *clientConn) nextMessage(messages <-chan message, idle *time.Timer) *message {
+	if len(c.queued) > 0 {
+		m := &c.queued[0]
+		c.queued = c.queued[1:]
+		return m
+	}
+	idle.Reset(idleTimeout)
+	select {
+	case m := <-messages:
+		return &m
+	case <-idle.C:
+		return nil
+	}
+}
+
+// beginCall notes that the connection has an open call, and returns whether too many have.
+func (s *Server) beginCall(c *clientConn) (overloaded bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c.busy = true
+	c.readingCall = false
+	s.busy++
+	return float64(s.busy) > maxBusyFraction*float64(s.MaxConns)
+}
+
+// endCall notes that the call has been answered, and returns whether the server is draining.
+func (s *Server) endCall(c *clientConn) (draining bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c.busy = false
+	s.busy--
+	return s.draining
+}
+
+// readMessages reads messages until an error or stop.
+func (s *Server) readMessages(c *clientConn, messages chan<- message, stop <-chan struct{}) {
+	for {
+		m := s.readMessage(c)
+		select {
+		case messages <- m:
+		case <-stop:
+			s.Budget.Release(m.reserved)
+			return
+		}
+		if m.err != nil {
+			return
+		}
+	}
+}
+
+// readMessage reads the next message.
+func (s *Server) readMessage(c *clientConn) message {
+	c.SetReadDeadline(time.Time{}) // serve closes idle connections
+	if c.transport == 0 {
+		if err := c.detectTransport(); err != nil {
+			return message{err: err}
+		}
+	}
+	if _, err := c.reader.Peek(1); err != nil {
+		return message{err: err}
+	}
+	s.mu.Lock()
+	c.readingCall = true
+	c.noCallYet = false
+	s.mu.Unlock()
+	c.SetReadDeadline(time.Now().Add(readTimeout))
+	var m message
+	m.bytes, m.head, m.err = upstream.Read(c.reader, c.transport, s.Limits, s.Table.paths, func(n int64) error {
+		if !s.Budget.TryAcquire(n) {
+			return errOverBudget
+		}
+		m.reserved += n
+		return nil
+	})
+	m.receivedAt = time.Now()
+	return m
+}
+
+// detectTransport detects the transport by the first bytes of a connection.
+func (c *clientConn) detectTransport() error {
+	for n := 1; ; n++ {
+		if _, err := c.reader.Peek(n); err != nil {
+			return err
+		}
+		if n == 1 {
+			c.SetReadDeadline(time.Now().Add(readTimeout))
+		}
+		b, _ := c.reader.Peek(c.reader.Buffered())
+		transport, _, detected, err := thriftwire.Detect(b)
+		if err != nil {
+			return err
+		}
+		if detected {
+			c.transport = transport
+			return nil
+		}
+		n = len(b)
+	}
+}
--- a/internal/downstream/thrift/witness_test.go
+++ b/internal/downstream/thrift/interop_test.go
@@ -18,20 +18,17 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// patience bounds every wait of the tests.
-const patience = 20 * time.Second
+// waitTimeout bounds each wait of the tests.
+const waitTimeout = 20 * time.Second
 
-// The witness: clients and servers of the apache library talk through the front, in every transport and
-// protocol that it has of ours, plain and multiplexed, with all kinds of values.
-
-// thing is a struct of random fields, the same for the same seed; what is read is kept in a form that can
-// be compared.
-type thing struct {
+// randomStruct is a struct of random fields, the same for the same seed; what is read is stored in a form that can be
+// compared.
+type randomStruct struct {
 	seed uint64
 	got  []byte
 }
 
-// dump writes what write does into the plainest of protocols.
+// dump encodes what write writes in the binary protocol.
 func dump(write func(thrift.TProtocol)) []byte {
 	buf := thrift.NewTMemoryBuffer()
 	p := thrift.NewTBinaryProtocolConf(buf, nil)
@@ -40,17 +37,17 @@
 	return bytes.Clone(buf.Bytes())
 }
 
-func (t *thing) want() []byte {
+func (t *randomStruct) want() []byte {
 	return dump(func(p thrift.TProtocol) { t.Write(context.Background(), p) })
 }
 
-func (t *thing) Write(ctx context.Context, p thrift.TProtocol) error {
+func (t *randomStruct) Write(ctx context.Context, p thrift.TProtocol) error {
 	writeStruct(ctx, p, rand.New(rand.NewPCG(t.seed, 9)), 0)
 	return nil
 }
 
-func (t *thing) Read(ctx context.Context, p thrift.TProtocol) (err error) {
-	t.got = dump(func(out thrift.TProtocol) { err = copyOf(ctx, p, out, thrift.STRUCT) })
+func (t *randomStruct) Read(ctx context.Context, p thrift.TProtocol) (err error) {
+	t.got = dump(func(out thrift.TProtocol) { err = copyValue(ctx, p, out, thrift.STRUCT) })
 	return err
 }
 
@@ -112,8 +109,8 @@
 	}
 }
 
-// copyOf reads a value by one protocol and writes it by another.
-func copyOf(ctx context.Context, in, out thrift.TProtocol, t thrift.TType) error {
+// copyValue reads a value in one protocol and writes it in another.
+func copyValue(ctx context.Context, in, out thrift.TProtocol, t thrift.TType) error {
 	switch t {
 	case thrift.BOOL:
 		v, err := in.ReadBool(ctx)
@@ -156,7 +153,7 @@
 				return in.ReadStructEnd(ctx)
 			}
 			out.WriteFieldBegin(ctx, "", ft, id)
-			if err := copyOf(ctx, in, out, ft); err != nil {
+			if err := copyValue(ctx, in, out, ft); err != nil {
 				return err
 			}
 			in.ReadFieldEnd(ctx)
@@ -165,22 +162,22 @@
 		e, n, err := in.ReadListBegin(ctx)
 		out.WriteListBegin(ctx, e, n)
 		for i := 0; i < n && err == nil; i++ {
-			err = copyOf(ctx, in, out, e)
+			err = copyValue(ctx, in, out, e)
 		}
 		return err
 	case thrift.SET:
 		e, n, err := in.ReadSetBegin(ctx)
 		out.WriteSetBegin(ctx, e, n)
 		for i := 0; i < n && err == nil; i++ {
-			err = copyOf(ctx, in, out, e)
+			err = copyValue(ctx, in, out, e)
 		}
 		return err
 	case thrift.MAP:
 		k, v, n, err := in.ReadMapBegin(ctx)
 		out.WriteMapBegin(ctx, k, v, n)
 		for i := 0; i < n && err == nil; i++ {
-			if err = copyOf(ctx, in, out, k); err == nil {
-				err = copyOf(ctx, in, out, v)
+			if err = copyValue(ctx, in, out, k); err == nil {
+				err = copyValue(ctx, in, out, v)
 			}
 		}
 		return err
@@ -188,19 +185,19 @@
 	return fmt.Errorf("no copy of %v", t)
 }
 
-// echo is a service: its arguments are a thing, its result is another.
-type echo struct {
+// echoService is a service whose arguments and results are random structs.
+type echoService struct {
 	mu   sync.Mutex
 	got  [][]byte
 	seed uint64 // of the results
 }
 
-func (e *echo) Process(ctx context.Context, in, out thrift.TProtocol) (bool, thrift.TException) {
+func (e *echoService) Process(ctx context.Context, in, out thrift.TProtocol) (bool, thrift.TException) {
 	name, kind, seq, err := in.ReadMessageBegin(ctx)
 	if err != nil {
 		return false, thrift.WrapTException(err)
 	}
-	var args thing
+	var args randomStruct
 	if err := args.Read(ctx, in); err != nil {
 		return false, thrift.WrapTException(err)
 	}
@@ -208,7 +205,7 @@
 	e.mu.Lock()
 	e.got = append(e.got, args.got)
 	e.seed++
-	result := thing{seed: e.seed}
+	result := randomStruct{seed: e.seed}
 	e.mu.Unlock()
 	if kind == thrift.ONEWAY {
 		return true, nil
@@ -224,10 +221,12 @@
 	return true, thrift.WrapTException(out.Flush(ctx))
 }
 
-func (e *echo) ProcessorMap() map[string]thrift.TProcessorFunction  { return nil }
-func (e *echo) AddToProcessorMap(string, thrift.TProcessorFunction) {}
+func (e *echoService) ProcessorMap() map[string]thrift.TProcessorFunction  { return nil }
+func (e *echoService) AddToProcessorMap(string, thrift.TProcessorFunction) {}
 
-func TestWitness(t *testing.T) {
+// Clients and servers of the Apache library communicate through the server, in each transport and protocol, plain and
+// multiplexed, with all types of values.
+func TestApacheLibraryInterop(t *testing.T) {
 	for _, enc := range thriftlab.Encodings() {
 		for _, service := range []string{"", "Echo"} {
 			t.Run(enc.Name+"/"+service, func(t *testing.T) {
@@ -240,7 +239,7 @@
 				if err := sock.Listen(); err != nil {
 					t.Fatal(err)
 				}
-				e := &echo{}
+				e := &echoService{}
 				var processor thrift.TProcessor = e
 				if service != "" {
 					m := thrift.NewTMultiplexedProcessor()
@@ -265,7 +264,7 @@
 				}
 				t.Cleanup(func() { w.Close() })
 
-				socket := thrift.NewTSocketConf(w.Addr, &thrift.TConfiguration{ConnectTimeout: patience, SocketTimeout: patience})
+				socket := thrift.NewTSocketConf(w.Addr, &thrift.TConfiguration{ConnectTimeout: waitTimeout, SocketTimeout: waitTimeout})
 				if err := socket.Open(); err != nil {
 					t.Fatal(err)
 				}
@@ -281,8 +280,8 @@
 				}
 				client := thrift.NewTStandardClient(in, out)
 				for i := range uint64(60) {
-					args, result := thing{seed: 1000 + i}, thing{}
-					if i%5 == 4 { // a oneway call, as the specification has it
+					args, result := randomStruct{seed: 1000 + i}, randomStruct{}
+					if i%5 == 4 { // a one-way call, as specified
 						out.WriteMessageBegin(ctx, "place", thrift.ONEWAY, int32(i))
 						args.Write(ctx, out)
 						out.WriteMessageEnd(ctx)
@@ -293,7 +292,7 @@
 						t.Fatalf("call %d: %v", i, err)
 					}
 					var at []byte
-					for end := time.Now().Add(patience); at == nil && time.Now().Before(end); time.Sleep(50 * time.Microsecond) {
+					for end := time.Now().Add(waitTimeout); at == nil && time.Now().Before(end); time.Sleep(50 * time.Microsecond) {
 						e.mu.Lock()
 						if len(e.got) > int(i) {
 							at = e.got[i]
@@ -301,15 +300,15 @@
 						e.mu.Unlock()
 					}
 					if !bytes.Equal(at, args.want()) {
-						t.Fatalf("call %d: the server got other arguments", i)
+						t.Fatalf("call %d: the backend received other arguments", i)
 					}
-					if i%5 != 4 && !bytes.Equal(result.got, (&thing{seed: i + 1}).want()) {
-						t.Fatalf("call %d: the client got another result", i)
+					if i%5 != 4 && !bytes.Equal(result.got, (&randomStruct{seed: i + 1}).want()) {
+						t.Fatalf("call %d: the client received another result", i)
 					}
 				}
 				var x thrift.TApplicationException
-				if _, err := client.Call(ctx, "fail", &thing{seed: 1}, &thing{}); !errors.As(err, &x) || x.TypeId() != thrift.UNKNOWN_METHOD || x.Error() != "fail is unknown" {
-					t.Errorf("the server's own exception came as %v", err)
+				if _, err := client.Call(ctx, "fail", &randomStruct{seed: 1}, &randomStruct{}); !errors.As(err, &x) || x.TypeId() != thrift.UNKNOWN_METHOD || x.Error() != "fail is unknown" {
+					t.Errorf("the backend's own exception arrived as %v", err)
 				}
 			})
 		}
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -213,7 +213,7 @@
 		m.NeverRan.Exceptions = []int16{2}
 		c.Method = append(c.Method, m)
 	}
-	c.Method = append(c.Method, thriftfront.MethodConfig{Name: "stamp", Class: "order"}, thriftfront.MethodConfig{Name: "tell", Class: "order", Oneway: true})
+	c.Method = append(c.Method, thriftfront.MethodConfig{Name: "stamp", Class: "order"}, thriftfront.MethodConfig{Name: "tell", Class: "order", OneWay: true})
 	return c.Table(settings.Classes)
 }
 
