--- /dev/null
+++ b/internal/downstream/clientrules_test.go
@@ -0,0 +1,94 @@
+package downstream_test
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"ringtrack.example/ringtrack/internal/lab"
+	"ringtrack.example/ringtrack/internal/lab/world"
+)
+
+// clientRules are about pipelining, disconnecting clients and graceful shutdown.
+var clientRules = []rule{
+	{name: "pipelined calls are answered in order", run: func(t *testing.T, w *world.World) {
+		for i, s := range w.Servers {
+			s.SetWork(time.Duration(1+5*i) * time.Millisecond)
+		}
+		c := dial(t, w)
+		var sent []*world.Request
+		var all []byte
+		for range 20 {
+			r := w.Request("order", waitTimeout)
+			w.Ledger.Asked(r.Op, r.Effect, r.Op, time.Now().Add(r.Within))
+			sent, all = append(sent, r), append(all, w.Protocol.Encode(r)...)
+		}
+		go c.Write(all)
+		for _, r := range sent {
+			if a, err := w.Answered(c, r); err != nil || a.Verdict != lab.Served {
+				t.Fatalf("%+v, %v", a, err)
+			}
+		}
+	}},
+	{name: "a client that disconnects", run: func(t *testing.T, w *world.World) {
+		w.Set(lab.Silent)
+		c := dial(t, w)
+		r := w.Request("order", long)
+		if err := w.Send(c, r); err != nil {
+			t.Fatal(err)
+		}
+		waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
+		c.Close()
+		w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // it disconnected by itself
+		waitFor(t, "the disconnect is not detected", func() bool { return w.Figures().Disconnected == 1 })
+	}},
+	{name: "a client that disconnects after pipelined calls", run: func(t *testing.T, w *world.World) {
+		w.Set(lab.Silent)
+		c := dial(t, w)
+		r := w.Request("order", long)
+		if err := w.Send(c, r); err != nil {
+			t.Fatal(err)
+		}
+		waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
+		for range 2 { // complete calls, which are never handled
+			c.Write(w.Protocol.Encode(w.Request("order", long)))
+		}
+		from := time.Now()
+		c.Close()
+		w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // it disconnected by itself
+		waitFor(t, "the disconnect is not detected", func() bool { f := w.Figures(); return f.Disconnected+f.Failed == 1 })
+		if f := w.Figures(); f.Disconnected != 1 || f.Accepted != 1 {
+			t.Errorf("detected only at its deadline, %v later: %+v", time.Since(from), f)
+		}
+		if n := w.Begun(); n != 1 {
+			t.Errorf("%d calls were forwarded", n)
+		}
+	}},
+	{name: "a truncated call is never forwarded", run: func(t *testing.T, w *world.World) {
+		message := w.Protocol.Encode(w.Request("order", long))
+		for _, n := range []int{1, 3, 5, len(message) / 2, len(message) - 1} {
+			c := dial(t, w)
+			c.Write(message[:n])
+			c.Conn.(*net.TCPConn).CloseWrite()
+			b, err := io.ReadAll(c.Conn)
+			if err != nil || strings.HasPrefix(string(b), "HTTP/1.1 2") || w.Protocol.Thrift() && len(b) > 0 {
+				t.Errorf("truncated at %d: answered %x, %v", n, b, err)
+			}
+		}
+		if n := w.Begun(); n != 0 {
+			t.Errorf("%d calls were forwarded", n)
+		}
+	}},
+	{name: "a graceful shutdown waits for open calls", run: func(t *testing.T, w *world.World) {
+		for _, s := range w.Servers {
+			s.SetWork(300 * time.Millisecond)
+		}
+		done := make(chan struct{})
+		go func() { defer close(done); call(t, w, "order", long, lab.Served) }()
+		waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
+		w.Stop()
+		<-done
+	}},
+}
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -1,4 +1,4 @@
-package front_test
+package downstream_test
 
 import (
 	"io"
@@ -9,13 +9,13 @@
 	"ringtrack.example/ringtrack/internal/lab/world"
 )
 
-// The last answer of a connection is not reset over what its client has sent behind the request: the client reads it
-// whole, and then the connection's end. What stands behind is not sent on.
-func TestTheLastAnswerIsNotReset(t *testing.T) {
+// The last answer on a connection is not lost in a reset because its client has sent more after the request: the client
+// reads it completely, and then the end of the connection. What it sent after the request is not forwarded.
+func TestLastAnswerIsNotReset(t *testing.T) {
 	for _, p := range world.Protocols() {
-		for name, behind := range map[string]func(*world.World) string{
+		for name, extra := range map[string]func(*world.World) string{
 			"a request": func(w *world.World) string { return string(p.Encode(w.Request("read", long))) },
-			"more than is read": func(w *world.World) string {
+			"more than is read ahead": func(w *world.World) string {
 				return strings.Repeat(string(p.Encode(w.Request("read", long))), 40) + strings.Repeat("x", 40<<10)
 			},
 		} {
@@ -25,16 +25,16 @@
 					t.Fatal(err)
 				}
 				defer w.Close()
-				w.Set(lab.Silent) // until the front has been told to end
+				w.Set(lab.Silent) // until the shutdown has begun
 				c := dial(t, w)
 				c.Write(p.Encode(w.Request("order", long)))
-				until(t, "no call came", func() bool { return w.Begun() > 0 })
-				if _, err := io.WriteString(c, behind(w)); err != nil {
+				waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
+				if _, err := io.WriteString(c, extra(w)); err != nil {
 					t.Fatal(err)
 				}
 				ended := make(chan error, 1)
 				go func() { ended <- w.Stop() }()
-				untilDeaf(t, w)
+				waitForClosedListener(t, w)
 				for _, s := range w.Servers {
 					s.Cut() // the request fails, which is its answer
 				}
@@ -46,16 +46,16 @@
 					t.Error(err)
 				}
 				if n := w.Begun(); n != 1 {
-					t.Errorf("%d were sent on", n)
+					t.Errorf("%d were forwarded", n)
 				}
 			})
 		}
 	}
 }
 
-// A call that has begun to come when the front is told to end, and whose rest comes once nobody new is accepted, is
-// answered. An open call keeps the front there.
-func TestACallThatComesAsServiceEndsIsAnswered(t *testing.T) {
+// A call that has begun to arrive when a shutdown begins, and whose rest arrives once nothing more is accepted, is answered. An open
+// call keeps the downstream up.
+func TestCallThatArrivesDuringShutdownIsAnswered(t *testing.T) {
 	for _, p := range world.Protocols() {
 		t.Run(p.Name, func(t *testing.T) {
 			w, err := world.New(p, world.Options{})
@@ -64,24 +64,24 @@
 			}
 			defer w.Close()
 			w.Set(lab.Silent)
-			held, late := dial(t, w), dial(t, w)
-			held.Write(p.Encode(w.Request("order", long)))
-			until(t, "no call came", func() bool { return w.Begun() == 1 })
+			open, late := dial(t, w), dial(t, w)
+			open.Write(p.Encode(w.Request("order", long)))
+			waitFor(t, "no call arrived", func() bool { return w.Begun() == 1 })
 			r := w.Request("order", long)
-			whole := p.Encode(r)
-			late.Write(whole[:len(whole)/2])
+			message := p.Encode(r)
+			late.Write(message[:len(message)/2])
 			ended := make(chan error, 1)
 			go func() { ended <- w.Stop() }()
-			untilDeaf(t, w)
+			waitForClosedListener(t, w)
 			w.Set(lab.Serving)
-			late.Write(whole[len(whole)/2:])
+			late.Write(message[len(message)/2:])
 			if a, err := w.Answered(late, r); err != nil || a.Verdict != lab.Served {
 				t.Errorf("%+v, %v", a, err)
 			}
 			for _, s := range w.Servers {
 				s.Cut()
 			}
-			if _, err := held.Read(); err != nil {
+			if _, err := open.Read(); err != nil {
 				t.Errorf("the open call: %v", err)
 			}
 			if err := <-ended; err != nil {
@@ -91,9 +91,9 @@
 	}
 }
 
-// A client that has connected just before the front ends, and whose first call comes once nobody new is accepted, is
-// answered. Thrift's front closed such a connection at once, so that the call on its way to it was reset.
-func TestACallOnANewConnectionIsAnsweredAtTheEnd(t *testing.T) {
+// A client that connected just before a shutdown, and whose first call arrives once nothing more is accepted, is
+// answered: closing such a connection at once would reset the call on its way.
+func TestCallOnANewConnectionIsAnsweredDuringShutdown(t *testing.T) {
 	for _, p := range world.Protocols() {
 		t.Run(p.Name, func(t *testing.T) {
 			w, err := world.New(p, world.Options{})
@@ -104,7 +104,7 @@
 			c := dial(t, w)
 			ended := make(chan error, 1)
 			go func() { ended <- w.Stop() }()
-			untilDeaf(t, w)
+			waitForClosedListener(t, w)
 			r := w.Request("order", long)
 			c.Write(p.Encode(r))
 			if a, err := w.Answered(c, r); err != nil || a.Verdict != lab.Served {
@@ -117,13 +117,13 @@
 	}
 }
 
-// untilDeaf waits until nobody takes a client's connection any more.
-func untilDeaf(t *testing.T, w *world.World) {
+// waitForClosedListener waits until no connection is accepted any longer.
+func waitForClosedListener(t *testing.T, w *world.World) {
 	t.Helper()
-	until(t, "it still listens", func() bool {
-		probe, err := w.Dial()
+	waitFor(t, "the listener is still open", func() bool {
+		c, err := w.Dial()
 		if err == nil {
-			probe.Close()
+			c.Close()
 		}
 		return err != nil
 	})
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -1,4 +1,4 @@
-package front_test
+package downstream_test
 
 import (
 	"io"
@@ -14,20 +14,20 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// breaker is a server of no protocol: it holds what comes first on each connection until the gate opens, and resets it.
-type breaker struct {
+// resettingServer waits after the first byte of each connection until the gate opens, and resets the connection.
+type resettingServer struct {
 	net.Listener
-	began atomic.Int64 // connections on which a first byte has come
-	came  chan struct{}
-	gate  chan struct{}
+	began   atomic.Int64 // connections on which a first byte arrived
+	arrived chan struct{}
+	gate    chan struct{}
 }
 
-func newBreaker(t *testing.T) *breaker {
+func newResettingServer(t *testing.T) *resettingServer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &breaker{Listener: ln, came: make(chan struct{}, 64), gate: make(chan struct{})}
+	b := &resettingServer{Listener: ln, arrived: make(chan struct{}, 64), gate: make(chan struct{})}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -41,7 +41,7 @@
 					return
 				}
 				b.began.Add(1)
-				b.came <- struct{}{}
+				b.arrived <- struct{}{}
 				<-b.gate
 				c.(*net.TCPConn).SetLinger(0)
 			}()
@@ -50,8 +50,8 @@
 	return b
 }
 
-// hangUp ends a client's sending, and returns once the other side's kernel has taken that.
-func hangUp(t *testing.T, c net.Conn) {
+// closeWrite ends a client's sending, and returns once the peer's kernel has acknowledged that.
+func closeWrite(t *testing.T, c net.Conn) {
 	t.Helper()
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
@@ -61,25 +61,25 @@
 		t.Fatal(err)
 	}
 	const finWait1 = 4 // sent, and not acknowledged yet
-	until(t, "the end was not taken", func() (taken bool) {
+	waitFor(t, "the end was not acknowledged", func() (acknowledged bool) {
 		raw.Control(func(fd uintptr) {
 			info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-			taken = err == nil && info.State != finWait1
+			acknowledged = err == nil && info.State != finWait1
 		})
-		return taken
+		return acknowledged
 	})
 }
 
-// waysToLeave are the ways in which a client leaves that its front doesn't see at once.
-var waysToLeave = []string{"at once", "behind what it sent ahead", "behind more than is read", "reset behind more than is read"}
+// disconnectWays are the ways to disconnect that the downstream does not notice at once.
+var disconnectWays = []string{"at once", "after pipelined calls", "after more than is read ahead", "reset after more than is read ahead"}
 
-// leave has a client leave, and returns once the agent's kernel knows.
-func leave(t *testing.T, w *world.World, c *world.Client, way string) {
+// disconnect disconnects a client, and returns once the agent's kernel knows.
+func disconnect(t *testing.T, w *world.World, c *world.Client, way string) {
 	t.Helper()
 	switch p := w.Protocol; way {
-	case "behind what it sent ahead":
+	case "after pipelined calls":
 		c.Write(p.Encode(w.Request("read", long)))
-	case "behind more than is read", "reset behind more than is read":
+	case "after more than is read ahead", "reset after more than is read ahead":
 		if p.Thrift() {
 			for range 40 { // of which 16 are read ahead
 				c.Write(p.Encode(w.Request("read", long)))
@@ -92,16 +92,16 @@
 		c.Close()
 		return
 	}
-	hangUp(t, c.Conn)
+	closeWrite(t, c.Conn)
 }
 
-// A further attempt never begins once its client has gone, however little time there was to notice: here the first one
-// breaks in the very moment in which the client has left, in each way that its front doesn't see at once.
-func TestNoFurtherAttemptForAClientThatHasJustGone(t *testing.T) {
+// No retry begins once the client has disconnected, however little time there was to notice: here the first attempt is
+// reset in the moment in which the client disconnects.
+func TestNoRetryForAClientThatHasJustDisconnected(t *testing.T) {
 	for _, p := range world.Protocols() {
-		for _, way := range waysToLeave {
+		for _, way := range disconnectWays {
 			t.Run(p.Name+"/"+way, func(t *testing.T) {
-				b := newBreaker(t)
+				b := newResettingServer(t)
 				var entries []membership.Entry
 				for _, id := range []string{"s-0", "s-1", "s-2"} {
 					entries = append(entries, membership.Entry{ID: id, Addr: b.Addr().String(), Zone: "east", Kind: "fast", State: membership.Up, Weight: 1})
@@ -115,16 +115,16 @@
 				if _, err := c.Write(p.Encode(w.Request("read", long))); err != nil {
 					t.Fatal(err)
 				}
-				<-b.came
-				leave(t, w, c, way)
-				left := time.Now()
+				<-b.arrived
+				disconnect(t, w, c, way)
+				disconnectedAt := time.Now()
 				close(b.gate)
-				until(t, "the request stays open", func() bool { return w.Loop.Counters().Open.Load() == 0 })
-				noticed := time.Since(left)
+				waitFor(t, "the request stays open", func() bool { return w.Loop.Counters().Open.Load() == 0 })
+				noticed := time.Since(disconnectedAt)
 				f := w.Figures()
-				w.Stop() // nothing is out any more
+				w.Stop() // nothing is in flight any longer
 				if n := b.began.Load(); n != 1 {
-					t.Errorf("%d attempts began, want the first one alone (%v until noticed)", n, noticed)
+					t.Errorf("%d attempts began, want the first one only (%v until detected)", n, noticed)
 				}
 				if f.Disconnected != 1 || f.Accepted != 1 || f.GuardViolations != 0 {
 					t.Errorf("figures %+v", f)
@@ -134,14 +134,14 @@
 	}
 }
 
-// Nor does it where the client leaves in the midst of the pause before it: the first attempt has broken, no server is
-// listed that may have the next one, the client leaves, and a server is listed in that moment.
-func TestNoFurtherAttemptForAClientThatLeftInThePauseBeforeIt(t *testing.T) {
+// Nor does one if the client disconnects during the backoff before it: the first attempt was reset, no server is listed
+// for the next one, the client disconnects, and a server is listed in that moment.
+func TestNoRetryForAClientThatDisconnectedDuringBackoff(t *testing.T) {
 	for _, p := range world.Protocols() {
-		for _, way := range waysToLeave {
+		for _, way := range disconnectWays {
 			t.Run(p.Name+"/"+way, func(t *testing.T) {
-				first, next := newBreaker(t), newBreaker(t)
-				entry := func(id string, b *breaker) membership.Entry {
+				first, next := newResettingServer(t), newResettingServer(t)
+				entry := func(id string, b *resettingServer) membership.Entry {
 					return membership.Entry{ID: id, Addr: b.Addr().String(), Zone: "east", Kind: "fast", State: membership.Up, Weight: 1}
 				}
 				w, err := world.New(p, world.Options{Entries: []membership.Entry{entry("s-0", first)}})
@@ -156,31 +156,31 @@
 				if _, err := c.Write(p.Encode(w.Request("read", long))); err != nil {
 					t.Fatal(err)
 				}
-				<-first.came
+				<-first.arrived
 				inLoop := func(what string, is func() bool) {
-					until(t, what, func() bool {
+					waitFor(t, what, func() bool {
 						answer := make(chan bool, 1)
 						w.Loop.Post(func() { answer <- is() })
 						return <-answer
 					})
 				}
-				w.Roster.Remove("s-0") // what is out there goes on, and nothing further may begin
-				inLoop("the end of s-0 is not known", func() bool {
+				w.Roster.Remove("s-0") // the attempt in flight goes on, and no other may begin
+				inLoop("the removal of s-0 is not known", func() bool {
 					list, _ := w.Loop.Endpoints()
 					return len(list.Entries) == 0
 				})
 				close(first.gate)
 				inLoop("the first attempt does not end", func() bool { return !w.Loop.IsListed("s-0") })
 				if n := w.Loop.Counters().Open.Load(); n != 1 {
-					t.Fatalf("%d requests are open in the pause, want 1", n)
+					t.Fatalf("%d requests are open during the backoff, want 1", n)
 				}
-				leave(t, w, c, way)
+				disconnect(t, w, c, way)
 				w.Roster.Set(entry("s-1", next))
-				until(t, "the request stays open", func() bool { return w.Loop.Counters().Open.Load() == 0 })
+				waitFor(t, "the request stays open", func() bool { return w.Loop.Counters().Open.Load() == 0 })
 				f := w.Figures()
-				w.Stop() // nothing is out any more
+				w.Stop() // nothing is in flight any longer
 				if n := next.began.Load(); n != 0 {
-					t.Errorf("%d further attempts began", n)
+					t.Errorf("%d retries began", n)
 				}
 				if f.Disconnected != 1 || f.Accepted != 1 || f.GuardViolations != 0 {
 					t.Errorf("figures %+v", f)
--- /dev/null
+++ b/internal/downstream/membershiprules_test.go
@@ -0,0 +1,106 @@
+package downstream_test
+
+import (
+	"sync"
+	"testing"
+	"time"
+
+	"ringtrack.example/ringtrack/internal/lab"
+	"ringtrack.example/ringtrack/internal/lab/world"
+	"ringtrack.example/ringtrack/internal/membership"
+)
+
+// membershipRules are about draining, removed and warming servers.
+var membershipRules = []rule{
+	{name: "3 nothing new to a draining server", run: func(t *testing.T, w *world.World) {
+		testNothingNewAfter(t, w, func(s *world.Server) {
+			e := s.Entry
+			e.State = membership.Draining
+			w.Roster.Set(e)
+		})
+	}},
+	{name: "3 nothing new to a removed server", run: func(t *testing.T, w *world.World) {
+		testNothingNewAfter(t, w, func(s *world.Server) { w.Roster.Remove(s.Entry.ID) })
+	}},
+	{name: "3 a draining server completes the call in flight", run: func(t *testing.T, w *world.World) {
+		if err := w.Followed(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+		for _, s := range w.Servers {
+			s.SetWork(400 * time.Millisecond)
+		}
+		done := make(chan struct{})
+		go func() { defer close(done); call(t, w, "order", long, lab.Served) }()
+		waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
+		for _, s := range w.Servers {
+			e := s.Entry
+			e.State = membership.Draining
+			w.Ledger.Told(e.ID, time.Now())
+			w.Roster.Set(e)
+		}
+		<-done
+	}},
+	{name: "4 a warming server is not overloaded", run: func(t *testing.T, w *world.World) {
+		if err := w.Followed(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+		// Four clients send as fast as they are answered; an even load would be several times what the ledger permits.
+		const capacity = 60
+		from := time.Now()
+		e := w.Servers[0].Entry
+		e.StartedMs = float64(from.UnixMilli())
+		w.Ledger.Started(e.ID, from, capacity)
+		w.Roster.Set(e)
+		for _, s := range w.Servers {
+			s.SetWork(5 * time.Millisecond)
+		}
+		time.Sleep(50 * time.Millisecond) // until the agent is notified
+		var clients sync.WaitGroup
+		for range 4 {
+			clients.Go(func() {
+				c, err := w.Dial()
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				defer c.Close()
+				for time.Since(from) < time.Second {
+					r := w.Request("order", long)
+					r.Key = r.Op
+					if a, err := w.CallOn(c, r); err != nil || a.Verdict == lab.Failed {
+						t.Errorf("%+v, %v", a, err)
+						return
+					}
+				}
+			})
+		}
+		clients.Wait()
+		if w.Servers[1].Begun() < 2*capacity {
+			t.Skipf("this host is too slow to overload a server: %d", w.Servers[1].Begun())
+		}
+		t.Logf("the warming server got %d, another %d", w.Servers[0].Begun(), w.Servers[1].Begun())
+	}},
+}
+
+// testNothingNewAfter drains or removes two servers and checks that nothing new is sent there 250 ms later.
+func testNothingNewAfter(t *testing.T, w *world.World, drain func(*world.Server)) {
+	if err := w.Followed(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	for range 10 {
+		call(t, w, "order", long, lab.Served)
+	}
+	draining := w.Servers[:2]
+	for _, s := range draining {
+		w.Ledger.Told(s.Entry.ID, time.Now())
+		drain(s)
+	}
+	time.Sleep(250 * time.Millisecond)
+	n := draining[0].Begun() + draining[1].Begun()
+	for range 20 {
+		call(t, w, "order", long, lab.Served)
+	}
+	if got := draining[0].Begun() + draining[1].Begun() - n; got != 0 {
+		t.Errorf("%d calls to servers that drain or are removed", got)
+	}
+}
--- /dev/null
+++ b/internal/downstream/otherclients_test.go
@@ -0,0 +1,56 @@
+package downstream_test
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"ringtrack.example/ringtrack/internal/core"
+	"ringtrack.example/ringtrack/internal/lab"
+	"ringtrack.example/ringtrack/internal/lab/world"
+)
+
+// A client of another protocol gets an error or is disconnected at once, and no other client is affected.
+func TestClientsOfOtherProtocols(t *testing.T) {
+	for _, test := range []struct {
+		p       world.Protocol
+		text    string
+		want    string
+		instant bool // needs no end of the client's bytes
+	}{
+		{world.Protocols()[1], "GET / HTTP/1.1\r\n\r\n", "HTTP/1.1 400", true},
+		{world.Protocols()[1], "\x00\x00\x00\x20\x0f\xff\x00\x00", "", true}, // THeader
+		{world.Protocols()[1], "\x00\x00\x00\x00", "", true},
+		{world.Protocols()[1], "\x00\x00\x00\x00\x80\x01\x00\x01", "", true},
+		{world.Protocols()[1], "\x7f\xff\xff\xff\x80\x01\x00\x01", "", true},
+		{world.Protocols()[1], "\xff\xff\xff\xff\x80\x01", "", true},
+		{world.Protocols()[1], "HELO there", "", true},
+		{world.HTTP, "\x00\x00\x00\x20\x80\x01\x00\x01\r\n\r\n", "HTTP/1.1 400", true},
+		{world.HTTP, "\x80\x01\x00\x01\x00\x00\x00\x05order\x00\x00\x00\x01\x00", "", false},
+	} {
+		t.Run(fmt.Sprintf("%s %q", test.p.Name, test.text), func(t *testing.T) {
+			t.Parallel()
+			w, err := world.New(test.p, world.Options{Servers: 1})
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer w.Close()
+			c := dial(t, w)
+			from := time.Now()
+			io.WriteString(c, test.text)
+			b, err := io.ReadAll(c.Conn)
+			if !strings.HasPrefix(string(b), test.want) || test.want == "" && len(b) > 0 && !strings.HasPrefix(string(b), "HTTP/1.1 4") {
+				t.Errorf("answered %q, %v", b, err)
+			}
+			if took := time.Since(from); test.instant && took > time.Second {
+				t.Errorf("disconnected after %v", took)
+			}
+			call(t, w, "order", long, lab.Served)
+			if f := w.Figures(); f != (core.Stats{Accepted: 1, Served: 1}) {
+				t.Errorf("figures %+v", f)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/downstream/thriftrules_test.go
@@ -0,0 +1,143 @@
+package downstream_test
+
+import (
+	"encoding/binary"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"ringtrack.example/ringtrack/internal/downstream/thrift"
+	"ringtrack.example/ringtrack/internal/lab"
+	"ringtrack.example/ringtrack/internal/lab/thriftlab"
+	"ringtrack.example/ringtrack/internal/lab/world"
+)
+
+// thriftRules are about what only Thrift has.
+var thriftRules = []rule{
+	{name: "equal sequence ids of two clients", thrift: true, run: func(t *testing.T, w *world.World) {
+		for _, s := range w.Servers {
+			s.SetWork(20 * time.Millisecond)
+		}
+		var clients sync.WaitGroup
+		for range 4 {
+			clients.Go(func() {
+				c, err := w.Dial()
+				if err != nil {
+					t.Error(err)
+					return
+				}
+				defer c.Close()
+				for i := range int32(5) {
+					r := w.Request("order", long)
+					r.Seq = i
+					if a, err := w.CallOn(c, r); err != nil || a.Verdict != lab.Served {
+						t.Errorf("%+v, %v", a, err)
+					}
+				}
+			})
+		}
+		clients.Wait()
+	}},
+	{name: "a declared exception is an answer", thrift: true, run: func(t *testing.T, w *world.World) {
+		w.Set(lab.Declaring)
+		if a := call(t, w, "stamp", long, lab.Served); a.Declared != 2 || a.Text != "full" {
+			t.Errorf("answered %+v", a)
+		}
+	}},
+	{name: "one-way: forwarded once and never answered", thrift: true, run: testOneWay(thriftlab.Oneway, "order")},
+	{name: "one-way that is sent as a call, as by the Go library", thrift: true, run: testOneWay(thriftlab.OnewayAsCall, "tell")},
+	{name: "one-way: retry where the last byte was not sent", thrift: true, run: func(t *testing.T, w *world.World) {
+		for _, s := range w.Servers[1:] {
+			s.Close()
+		}
+		c := dial(t, w)
+		for i := range int64(6) {
+			r := w.Request("order", long)
+			r.Kind = thriftlab.Oneway
+			if err := w.Send(c, r); err != nil {
+				t.Fatal(err)
+			}
+			waitFor(t, "a one-way call is lost", func() bool { return w.Begun() == i+1 })
+			w.Ledger.Answered(r.Op, lab.Failed, time.Now())
+		}
+	}},
+	{name: "a message of type REPLY", thrift: true, run: func(t *testing.T, w *world.World) {
+		c, r := dial(t, w), w.Request("order", long)
+		r.Kind = thriftlab.Reply
+		c.Write(w.Protocol.Encode(r))
+		if a, err := c.Read(); err != nil || a.Code != thrift.CodeInvalidMessageType || a.Seq != r.Seq || w.Begun() != 0 {
+			t.Errorf("answered %+v, %v; %d calls were forwarded", a, err, w.Begun())
+		}
+	}},
+	{name: "the error of a malformed call speaks of a call", thrift: true, run: func(t *testing.T, w *world.World) {
+		c, r := dial(t, w), w.Request("order", long)
+		r.Key = "spoil" // the type of a field becomes invalid
+		b := w.Protocol.Encode(r)
+		i := strings.LastIndex(string(b), "spoil")
+		// The type of the field after the key.
+		b[i+len("spoil")] = 0x7f
+		c.Write(b)
+		a, err := c.Read()
+		if err != nil || a.Code != thrift.CodeMalformed || a.Seq != r.Seq || strings.Contains(a.Text, "reply") || !strings.Contains(a.Text, "call") {
+			t.Errorf("answered %+v, %v", a, err)
+		}
+		if w.Begun() != 0 {
+			t.Errorf("%d calls were forwarded", w.Begun())
+		}
+	}},
+	{name: "a frame longer or shorter than its message", thrift: true, run: func(t *testing.T, w *world.World) {
+		if !w.Protocol.Encoding.Framed {
+			t.Skip("there are no frames")
+		}
+		for _, more := range []int{1, -1, -4} {
+			c, r := dial(t, w), w.Request("order", long)
+			b := append(w.Protocol.Encode(r), 0, 0)
+			binary.BigEndian.PutUint32(b, uint32(len(b)-2-4+more))
+			c.Write(b)
+			if a, err := c.Read(); err != nil || a.Code != thrift.CodeMalformed || a.Seq != r.Seq {
+				t.Errorf("%+d bytes: answered %+v, %v", more, a, err)
+			}
+			if _, err := c.Read(); err == nil {
+				t.Errorf("%+d bytes: the connection stays open", more)
+			}
+		}
+		if n := w.Begun(); n != 0 {
+			t.Errorf("%d calls were forwarded", n)
+		}
+	}},
+	{name: "an unlisted method is not idempotent", thrift: true, run: func(t *testing.T, w *world.World) {
+		w.Set(lab.Breaking)
+		if call(t, w, "nobody", long, lab.Failed); w.Begun() != 1 {
+			t.Errorf("%d attempts", w.Begun())
+		}
+	}},
+	{name: "an unlisted method that is rejected", thrift: true, opts: world.Options{Refuse: true}, run: func(t *testing.T, w *world.World) {
+		if a := call(t, w, "nobody", long, lab.Failed); a.Code != thrift.CodeUnknownMethod || w.Begun() != 0 {
+			t.Errorf("answered %+v, %d attempts", a, w.Begun())
+		}
+	}},
+}
+
+// testOneWay sends calls without an answer, each followed by one with an answer on the same connection.
+func testOneWay(kind thriftlab.Kind, method string) func(*testing.T, *world.World) {
+	return func(t *testing.T, w *world.World) {
+		c := dial(t, w)
+		for i := range int64(10) {
+			r := w.Request(method, long)
+			r.Kind = kind
+			if err := w.Send(c, r); err != nil {
+				t.Fatal(err)
+			}
+			// The next answer is that of the next call.
+			if a, err := w.CallOn(c, w.Request("order", long)); err != nil || a.Verdict != lab.Served {
+				t.Errorf("call %d: %+v, %v", i, a, err)
+			}
+			waitFor(t, "a one-way call is lost", func() bool { return w.Begun() >= 2*(i+1) })
+			w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // there is no answer, which promises nothing
+		}
+		if n := w.Begun(); n != 20 {
+			t.Errorf("%d calls arrived, want 20", n)
+		}
+	}
+}
