--- a/internal/membership/decision.go
+++ b/internal/membership/decision.go
@@ -8,7 +8,7 @@
 		e = *s.endpoint
 	case node != nil && node.Entry.Addr != "" && !s.delisted:
 		e = node.Entry
-	case s.listed && s.nodelessMs > 0 && s.expiryHeldMs > now && !s.delisted:
+	case s.listed && s.nodelessMs > 0 && s.expiryHoldUntilMs > now && !s.delisted:
 		return s.reported, true // part of a mass expiry: as before
 	default:
 		return e, false
@@ -46,7 +46,7 @@
 	if len(s.nodes) > 0 {
 		return s.flap.holdUntilMs <= now
 	}
-	if s.expiryHeldMs > now {
+	if s.expiryHoldUntilMs > now {
 		return true
 	}
 	// Without a registry nobody knows whether the process runs: discovery decides, if it was heard since.
--- a/internal/membership/ephemeral/follow/event.go
+++ b/internal/membership/ephemeral/follow/event.go
@@ -59,7 +59,7 @@
 // waitForRoot waits until the root, which does not exist, is created.
 func (f *Follower) waitForRoot() {
 	f.rootMissing = true
-	f.problem("%s is not there", f.cfg.Root)
+	f.problem("%s does not exist", f.cfg.Root)
 	if root := f.dirs[f.cfg.Root]; root != nil && !root.inFlight {
 		delete(f.dirs, f.cfg.Root)
 	}
--- a/internal/membership/ephemeral/follow/read.go
+++ b/internal/membership/ephemeral/follow/read.go
@@ -61,7 +61,7 @@
 	if t == nil {
 		if f.cfg.MaxNodes > 0 && len(f.nodes) >= f.cfg.MaxNodes && f.depth(path) == f.cfg.Depth {
 			f.overLimit++
-			f.problem("%d nodes more than the most of %d are left out", f.overLimit, f.cfg.MaxNodes)
+			f.problem("%d nodes over the limit of %d are left out", f.overLimit, f.cfg.MaxNodes)
 			return
 		}
 		t = &tracked{}
--- a/internal/membership/ephemeral/registration.go
+++ b/internal/membership/ephemeral/registration.go
@@ -190,7 +190,7 @@
 		case existing.Instance == g.registrar.instance:
 			g.replace(data, version, stat.Version)
 		default:
-			g.report(fmt.Sprintf("%s: is another process's, session %#x: left alone", g.registrar.path, stat.EphemeralOwner))
+			g.report(fmt.Sprintf("%s: registered by another process, session %#x: left unchanged", g.registrar.path, stat.EphemeralOwner))
 		}
 	})
 }
--- a/internal/membership/ephemeral/source_test.go
+++ b/internal/membership/ephemeral/source_test.go
@@ -14,7 +14,7 @@
 		e := newEnsemble(t, zk.Options{Servers: 3, Old: old})
 		v := startSource(t, testConfig(e, func(c *Config) { c.Watch, c.Chroot, c.Path = watch, "/realm", "/fleet" }))
 		v.waitFor("not synced", func() bool { return v.synced == 1 })
-		v.waitForText("/realm/fleet is not there") // it is created later
+		v.waitForText("/realm/fleet does not exist") // it is created later
 		e.Put("/realm/fleet/s-1", []byte(`{"addr":"h:1"}`), 0)
 		e.Put("/realm/other", nil, 0)
 		v.waitForNodes("s-1")
@@ -90,7 +90,7 @@
 	v.stop()
 	v = startSource(t, testConfig(e, func(c *Config) { c.SessionMs, c.MaxNodes = 30_000, 100 }))
 	v.waitForText("left out")
-	v.waitFor("not the most", func() bool { return len(v.nodes) == 100 })
+	v.waitFor("not as many as the limit", func() bool { return len(v.nodes) == 100 })
 	v.stop()
 	v = startSource(t, testConfig(e, func(c *Config) { c.FrameLimit = 4096 }))
 	v.waitForText("at most 4096")
--- a/internal/membership/freshness.go
+++ b/internal/membership/freshness.go
@@ -4,7 +4,7 @@
 const (
 	reasonNeverHeard = "nothing heard yet"
 	reasonSilent     = "silent"
-	reasonEmptyList  = "it lists nothing, which is not believed"
+	reasonEmptyList  = "the complete list is empty, which is ignored"
 )
 
 // Status describes the freshness of a source.
--- a/internal/membership/massexpiry.go
+++ b/internal/membership/massexpiry.go
@@ -33,7 +33,7 @@
 		return registered
 	}
 	if m.cfg.isMass(len(expired), registeredBefore) {
-		s.expiryHeldMs = now + m.cfg.MassExpiryHoldMs
+		s.expiryHoldUntilMs = now + m.cfg.MassExpiryHoldMs
 		m.timed[s.id] = s
 	}
 }
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -2,6 +2,12 @@
 
 import "math"
 
+// Names of the sources in a Status, as on the control service's admin page.
+const (
+	discoveryStatusName = "roster"
+	registryStatusName  = "nodes"
+)
+
 // Merge combines discovery, which says what a server is and whether it drains, with the ephemeral nodes of a
 // registry, which say whether its process runs. The most restrictive state counts, at once.
 //
@@ -35,10 +41,10 @@
 	// created afterwards counts again.
 	delisted bool
 
-	nodes        map[string]*RegistryNode // by name
-	everHadNode  bool
-	nodelessMs   float64 // since when it has had no node; 0: it has one, or never had
-	expiryHeldMs float64 // until when its expiry is ignored as part of a mass expiry; 0: not
+	nodes             map[string]*RegistryNode // by name
+	everHadNode       bool
+	nodelessMs        float64 // since when it has had no node; 0: it has one, or never had
+	expiryHoldUntilMs float64 // until when its expiry is ignored as part of a mass expiry; 0: not
 
 	flap    flapping
 	process processStart
@@ -93,7 +99,7 @@
 func (m *Merge) NextDeadlineMs() float64 {
 	next := math.Inf(1)
 	for _, s := range m.timed {
-		for _, deadline := range []float64{s.flap.holdUntilMs, s.expiryHeldMs} {
+		for _, deadline := range []float64{s.flap.holdUntilMs, s.expiryHoldUntilMs} {
 			if deadline > 0 {
 				next = min(next, deadline)
 			}
@@ -119,8 +125,8 @@
 
 // Status returns the freshness of discovery and of the registry, in this order.
 func (m *Merge) Status(now float64) []Status {
-	discovery := Status{Source: "roster", Problems: m.problems}
-	registry := Status{Source: "nodes"}
+	discovery := Status{Source: discoveryStatusName, Problems: m.problems}
+	registry := Status{Source: registryStatusName}
 	for _, s := range m.servers {
 		if s.endpoint != nil {
 			discovery.Entries++
@@ -158,11 +164,11 @@
 			s.flap.holdUntilMs = 0
 			m.markChanged(s)
 		}
-		if s.expiryHeldMs > 0 && s.expiryHeldMs <= now {
-			s.expiryHeldMs = 0
+		if s.expiryHoldUntilMs > 0 && s.expiryHoldUntilMs <= now {
+			s.expiryHoldUntilMs = 0
 			m.markChanged(s)
 		}
-		if s.flap.holdUntilMs == 0 && s.expiryHeldMs == 0 {
+		if s.flap.holdUntilMs == 0 && s.expiryHoldUntilMs == 0 {
 			delete(m.timed, id)
 		}
 	}
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"strings"
 	"testing"
 )
 
@@ -109,11 +108,11 @@
 	m.createNode("a", 1, 0)
 	m.createNode("b", 2, 0)
 	m.expireNode("b")
-	m.RegistryLost(m.now, errors.New("gone"))
+	m.RegistryLost(m.now, errors.New("connection lost"))
 	m.advance(59_000)
 	m.wantState("a", Up)
 	m.wantState("b", Draining)
-	if s := m.Status(m.now)[1]; !s.Stale || s.Reason != "gone" {
+	if s := m.Status(m.now)[1]; !s.Stale || s.Reason != "connection lost" {
 		t.Errorf("status %+v", s)
 	}
 	m.advance(2000)
@@ -125,7 +124,7 @@
 	m.wantState("b", Draining)
 	m.updateDiscovery(true) // an empty complete list
 	m.wantState("a", Up)
-	if s := m.Status(m.now)[0]; !strings.Contains(s.Reason, "not believed") {
+	if s := m.Status(m.now)[0]; s.Reason != reasonEmptyList {
 		t.Errorf("status %+v", s)
 	}
 }
--- a/internal/membership/mergeregistry.go
+++ b/internal/membership/mergeregistry.go
@@ -6,7 +6,7 @@
 	// Entry is what the node's data says. Where its ID is empty, the node belongs to the server that discovery
 	// lists at its address.
 	Entry   Entry
-	Czxid   int64   // the transaction that created the node; it tells two nodes of one name apart
+	Czxid   int64   // the transaction that created the node; it distinguishes two nodes of one name
 	CtimeMs float64 // when the node was created by the registry's clock, Unix ms
 	Owner   int64   // the session that owns the node
 }
@@ -36,12 +36,12 @@
 
 // firstNodeCreated notes that a server that had no node has one.
 func (m *Merge) firstNodeCreated(now float64, s *server) {
-	if s.everHadNode && s.nodelessMs > 0 && s.expiryHeldMs == 0 {
+	if s.everHadNode && s.nodelessMs > 0 && s.expiryHoldUntilMs == 0 {
 		m.nodeReturned(now, s)
 	}
 	s.everHadNode = true
 	s.nodelessMs = 0
-	s.expiryHeldMs = 0
+	s.expiryHoldUntilMs = 0
 }
 
 // NodeExpired takes the end of a node.
--- a/internal/membership/set_test.go
+++ b/internal/membership/set_test.go
@@ -63,7 +63,7 @@
 	s.Update("discovery", 1, completeList(5, upEntry("a"), withState(upEntry("b"), Draining)))
 	s.Update("discovery", 100, completeList(6))
 	wantEntries(t, s, "a:up b:draining")
-	if st := s.Status(200)[0]; st.Stale || !strings.Contains(st.Reason, "not believed") {
+	if st := s.Status(200)[0]; st.Stale || st.Reason != reasonEmptyList {
 		t.Errorf("at once: %+v", st)
 	}
 	s.Update("discovery", 900, completeList(7)) // the time of the first empty list counts
@@ -85,9 +85,9 @@
 		t.Errorf("never heard: %+v", st)
 	}
 	s.Update("discovery", 1, completeList(5, upEntry("a")))
-	s.Lost("discovery", errors.New("refused"))
+	s.Lost("discovery", errors.New("connection refused"))
 	wantEntries(t, s, "a:up")
-	if st := s.Status(500)[0]; st.Stale || st.Reason != "refused" {
+	if st := s.Status(500)[0]; st.Stale || st.Reason != "connection refused" {
 		t.Errorf("lost: %+v", st)
 	}
 	if st := s.Status(1001)[0]; !st.Stale {
--- a/internal/upstream/http/request.go
+++ b/internal/upstream/http/request.go
@@ -33,7 +33,7 @@
 	Length    int64 // of the complete body; -1: unknown. Used with Remaining only.
 }
 
-// Head encodes the head of the request to a backend, which is told the timeout. The target is the client's:
+// Head encodes the head of the request to a backend, with the timeout. The target is the client's:
 // http.Request would normalise it.
 func (c *Call) Head(timeout time.Duration) []byte {
 	h := EndToEnd(c.Header)
--- a/internal/upstream/http/response.go
+++ b/internal/upstream/http/response.go
@@ -24,10 +24,13 @@
 // reserveFunc reserves memory for n bytes of a body.
 type reserveFunc func(n int64) error
 
+// deadlineFunc sets the deadline of reads; the zero time means the attempt's.
+type deadlineFunc func(time.Time)
+
 // readResponse reads one final response and its complete body, or the beginning of a long one. Only a response
 // whose head and framing leave no doubt is returned; then nothing of what follows on the connection has been taken
-// for part of it. setReadDeadline, if not nil, sets the deadline of reads; the zero time means the attempt's.
-func readResponse(br *bufio.Reader, reserve reserveFunc, setReadDeadline func(time.Time)) (*http.Response, *responseBody, error) {
+// for part of it. setDeadline may be nil.
+func readResponse(br *bufio.Reader, reserve reserveFunc, setDeadline deadlineFunc) (*http.Response, *responseBody, error) {
 	for range maxInterimResponses + 1 {
 		resp, closes, err := readHead(br)
 		if err != nil {
@@ -41,7 +44,7 @@
 		case resp.StatusCode < 200:
 			continue
 		}
-		body, err := readBody(br, resp, closes, reserve, setReadDeadline)
+		body, err := readBody(br, resp, closes, reserve, setDeadline)
 		if err != nil {
 			return nil, nil, err
 		}
--- a/internal/upstream/http/responsebody.go
+++ b/internal/upstream/http/responsebody.go
@@ -28,7 +28,9 @@
 }
 
 // readBody reads the body of a response, or the beginning of a long one.
-func readBody(br *bufio.Reader, resp *http.Response, closes bool, reserve reserveFunc, setReadDeadline func(time.Time)) (*responseBody, error) {
+func readBody(
+	br *bufio.Reader, resp *http.Response, closes bool, reserve reserveFunc, setDeadline deadlineFunc,
+) (*responseBody, error) {
 	streamable := resp.StatusCode == http.StatusOK
 	size := resp.ContentLength
 	switch {
@@ -37,7 +39,7 @@
 	case resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified:
 		return &responseBody{size: size}, nil
 	case len(resp.TransferEncoding) > 0:
-		return readUnknownLength(&chunkedReader{br: br}, streamable, reserve, setReadDeadline)
+		return readUnknownLength(&chunkedReader{br: br}, streamable, reserve, setDeadline)
 	case size >= 0 && size <= maxBufferedBody:
 		return readBuffered(br, size, reserve)
 	case size >= 0 && !streamable:
@@ -46,9 +48,9 @@
 		return &responseBody{size: size, readMore: exactLength(io.LimitReader(br, size).Read, size)}, nil
 	case closes:
 		// It ends where the connection does (RFC 9112, section 6.3).
-		return readUnknownLength(br, streamable, reserve, setReadDeadline)
+		return readUnknownLength(br, streamable, reserve, setDeadline)
 	}
-	// A complete response could not be told from a truncated one.
+	// A complete response could not be distinguished from a truncated one.
 	return nil, conns.MalformedResponse("a response without length")
 }
 
@@ -76,11 +78,13 @@
 
 // readUnknownLength reads a body of unknown length and reserves memory as it grows. It reads it completely or, if
 // it is streamable, up to maxBufferedBody bytes and for bufferTimeout.
-func readUnknownLength(from io.Reader, streamable bool, reserve reserveFunc, setReadDeadline func(time.Time)) (*responseBody, error) {
+func readUnknownLength(
+	from io.Reader, streamable bool, reserve reserveFunc, setDeadline deadlineFunc,
+) (*responseBody, error) {
 	b := &responseBody{size: -1}
-	timed := streamable && setReadDeadline != nil
+	timed := streamable && setDeadline != nil
 	if timed {
-		setReadDeadline(time.Now().Add(bufferTimeout))
+		setDeadline(time.Now().Add(bufferTimeout))
 	}
 	for {
 		if len(b.bytes) == cap(b.bytes) {
@@ -104,7 +108,7 @@
 		case err == io.EOF:
 			return b, nil
 		case timed && isTimeout(err):
-			setReadDeadline(time.Time{})
+			setDeadline(time.Time{})
 			b.readMore = from.Read
 			return b, nil
 		default:
