--- a/internal/downstream/thrift/interop_test.go
+++ b/internal/downstream/thrift/interop_test.go
@@ -224,6 +224,75 @@
 func (e *echoService) ProcessorMap() map[string]thrift.TProcessorFunction  { return nil }
 func (e *echoService) AddToProcessorMap(string, thrift.TProcessorFunction) {}
 
+// transportFactory is the Apache library's transport of an encoding.
+func transportFactory(enc *thriftlab.Encoding) thrift.TTransportFactory {
+	if enc.Framed {
+		return thrift.NewTFramedTransportFactoryConf(thrift.NewTTransportFactory(), &thrift.TConfiguration{})
+	}
+	return thrift.NewTBufferedTransportFactory(4096)
+}
+
+// startEchoServer starts a server of the Apache library, multiplexed if service is not "".
+func startEchoServer(t *testing.T, enc *thriftlab.Encoding, service string) (e *echoService, addr string) {
+	t.Helper()
+	sock, err := thrift.NewTServerSocket("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := sock.Listen(); err != nil {
+		t.Fatal(err)
+	}
+	e = &echoService{}
+	var processor thrift.TProcessor = e
+	if service != "" {
+		m := thrift.NewTMultiplexedProcessor()
+		m.RegisterProcessor(service, e)
+		processor = m
+	}
+	server := thrift.NewTSimpleServer4(processor, sock, transportFactory(enc), enc.Protocol)
+	served := make(chan error, 1)
+	go func() { served <- server.AcceptLoop() }()
+	t.Cleanup(func() {
+		sock.Interrupt()
+		<-served
+	})
+	return e, sock.Addr().String()
+}
+
+// connectClient connects a client of the Apache library, multiplexed if service is not "". It returns the client and
+// the protocol on which it writes.
+func connectClient(t *testing.T, enc *thriftlab.Encoding, addr, service string) (*thrift.TStandardClient, thrift.TProtocol) {
+	t.Helper()
+	socket := thrift.NewTSocketConf(addr, &thrift.TConfiguration{ConnectTimeout: waitTimeout, SocketTimeout: waitTimeout})
+	if err := socket.Open(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { socket.Close() })
+	transport, err := transportFactory(enc).GetTransport(socket)
+	if err != nil {
+		t.Fatal(err)
+	}
+	in := enc.Protocol.GetProtocol(transport)
+	out := in
+	if service != "" {
+		out = thrift.NewTMultiplexedProtocol(in, service)
+	}
+	return thrift.NewTStandardClient(in, out), out
+}
+
+// arguments waits for the arguments of call i; nil: they did not arrive.
+func (e *echoService) arguments(i int) []byte {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(50 * time.Microsecond) {
+		e.mu.Lock()
+		if len(e.got) > i {
+			defer e.mu.Unlock()
+			return e.got[i]
+		}
+		e.mu.Unlock()
+	}
+	return nil
+}
+
 // Clients and servers of the Apache library communicate through the server, in each transport and protocol, plain and
 // multiplexed, with all types of values.
 func TestApacheLibraryInterop(t *testing.T) {
@@ -232,56 +301,18 @@
 			t.Run(enc.Name+"/"+service, func(t *testing.T) {
 				t.Parallel()
 				ctx := context.Background()
-				sock, err := thrift.NewTServerSocket("127.0.0.1:0")
-				if err != nil {
-					t.Fatal(err)
-				}
-				if err := sock.Listen(); err != nil {
-					t.Fatal(err)
-				}
-				e := &echoService{}
-				var processor thrift.TProcessor = e
-				if service != "" {
-					m := thrift.NewTMultiplexedProcessor()
-					m.RegisterProcessor(service, e)
-					processor = m
-				}
-				var transports thrift.TTransportFactory = thrift.NewTBufferedTransportFactory(4096)
-				if enc.Framed {
-					transports = thrift.NewTFramedTransportFactoryConf(thrift.NewTTransportFactory(), &thrift.TConfiguration{})
-				}
-				server := thrift.NewTSimpleServer4(processor, sock, transports, enc.Protocol)
-				served := make(chan error, 1)
-				go func() { served <- server.AcceptLoop() }()
-				t.Cleanup(func() {
-					sock.Interrupt()
-					<-served
-				})
+				e, addr := startEchoServer(t, &enc, service)
 				w, err := world.New(world.Protocol{Name: enc.Name, Encoding: &enc}, world.Options{Seed: 7,
-					Entries: []membership.Entry{{ID: "s-1", Addr: sock.Addr().String(), Zone: "east", State: membership.Up, Weight: 1}}})
+					Entries: []membership.Entry{{ID: "s-1", Addr: addr, Zone: "east", State: membership.Up, Weight: 1}}})
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Cleanup(func() { w.Close() })
-
-				socket := thrift.NewTSocketConf(w.Addr, &thrift.TConfiguration{ConnectTimeout: waitTimeout, SocketTimeout: waitTimeout})
-				if err := socket.Open(); err != nil {
-					t.Fatal(err)
-				}
-				defer socket.Close()
-				transport, err := transports.GetTransport(socket)
-				if err != nil {
-					t.Fatal(err)
-				}
-				in := enc.Protocol.GetProtocol(transport)
-				out := in
-				if service != "" {
-					out = thrift.NewTMultiplexedProtocol(in, service)
-				}
-				client := thrift.NewTStandardClient(in, out)
+				client, out := connectClient(t, &enc, w.Addr, service)
 				for i := range uint64(60) {
 					args, result := randomStruct{seed: 1000 + i}, randomStruct{}
-					if i%5 == 4 { // a one-way call, as specified
+					oneWay := i%5 == 4
+					if oneWay { // as specified
 						out.WriteMessageBegin(ctx, "place", thrift.ONEWAY, int32(i))
 						args.Write(ctx, out)
 						out.WriteMessageEnd(ctx)
@@ -291,23 +322,16 @@
 					} else if _, err := client.Call(ctx, "place", &args, &result); err != nil {
 						t.Fatalf("call %d: %v", i, err)
 					}
-					var at []byte
-					for end := time.Now().Add(waitTimeout); at == nil && time.Now().Before(end); time.Sleep(50 * time.Microsecond) {
-						e.mu.Lock()
-						if len(e.got) > int(i) {
-							at = e.got[i]
-						}
-						e.mu.Unlock()
-					}
-					if !bytes.Equal(at, args.want()) {
+					if !bytes.Equal(e.arguments(int(i)), args.want()) {
 						t.Fatalf("call %d: the backend received other arguments", i)
 					}
-					if i%5 != 4 && !bytes.Equal(result.got, (&randomStruct{seed: i + 1}).want()) {
+					if !oneWay && !bytes.Equal(result.got, (&randomStruct{seed: i + 1}).want()) {
 						t.Fatalf("call %d: the client received another result", i)
 					}
 				}
 				var x thrift.TApplicationException
-				if _, err := client.Call(ctx, "fail", &randomStruct{seed: 1}, &randomStruct{}); !errors.As(err, &x) || x.TypeId() != thrift.UNKNOWN_METHOD || x.Error() != "fail is unknown" {
+				_, err = client.Call(ctx, "fail", &randomStruct{seed: 1}, &randomStruct{})
+				if !errors.As(err, &x) || x.TypeId() != thrift.UNKNOWN_METHOD || x.Error() != "fail is unknown" {
 					t.Errorf("the backend's own exception arrived as %v", err)
 				}
 			})
