--- a/internal/membership/discovery/watch_test.go
+++ b/internal/membership/discovery/watch_test.go
@@ -1,6 +1,7 @@
 package discovery
 
 import (
+	"errors"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
@@ -42,7 +43,7 @@
 			d.minWait, d.maxWait, d.grace = 50*time.Millisecond, 60*time.Millisecond, time.Second
 			silences := 0
 			d.OnSilent = func(err error) {
-				if silences++; !strings.Contains(err.Error(), "silent") {
+				if silences++; !errors.Is(err, errSilent) {
 					t.Errorf("%v", err)
 				}
 			}
--- a/internal/upstream/http/response.go
+++ b/internal/upstream/http/response.go
@@ -30,7 +30,9 @@
 // readResponse reads one final response and its complete body, or the beginning of a long one. Only a response
 // whose head and framing leave no doubt is returned; then nothing of what follows on the connection has been taken
 // for part of it. setDeadline may be nil.
-func readResponse(br *bufio.Reader, reserve reserveFunc, setDeadline deadlineFunc) (*http.Response, *responseBody, error) {
+func readResponse(
+	br *bufio.Reader, reserve reserveFunc, setDeadline deadlineFunc,
+) (*http.Response, *responseBody, error) {
 	for range maxInterimResponses + 1 {
 		resp, closes, err := readHead(br)
 		if err != nil {
--- a/internal/upstream/thrift/read.go
+++ b/internal/upstream/thrift/read.go
@@ -35,7 +35,9 @@
 
 // Read reads one message and looks for the fields of paths. It calls reserve for memory over unreservedBytes, as
 // the message grows, and returns its error.
-func Read(br *bufio.Reader, t thriftwire.Transport, limits thriftwire.Limits, paths []thriftwire.Path, reserve func(n int64) error) ([]byte, thriftwire.Message, error) {
+func Read(
+	br *bufio.Reader, t thriftwire.Transport, limits thriftwire.Limits, paths []thriftwire.Path, reserve func(n int64) error,
+) ([]byte, thriftwire.Message, error) {
 	r := thriftwire.NewReader(limits, paths...)
 	read := readUnframed
 	if t == thriftwire.Framed {
--- a/internal/upstream/thrift/upstream.go
+++ b/internal/upstream/thrift/upstream.go
@@ -61,7 +61,9 @@
 func (u *Upstream) CloseExpired() { u.Pool.CloseExpired() }
 
 // Do makes one attempt. The payload of the call is a *Call.
-func (u *Upstream) Do(ctx context.Context, b *core.Backend, addr string, cc *core.Call, sent, deadline time.Time) core.Result {
+func (u *Upstream) Do(
+	ctx context.Context, b *core.Backend, addr string, cc *core.Call, sent, deadline time.Time,
+) core.Result {
 	c := cc.Payload.(*Call)
 	seq := u.lastSeq.Add(1)
 	x := conns.Exchange{
