--- a/internal/downstream/thrift/witness_test.go
+++ b/internal/downstream/thrift/interop_test.go
@@ -18,20 +18,17 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// patience bounds every wait of the tests.
-const patience = 20 * time.Second
+// waitTimeout bounds each wait of the tests.
+const waitTimeout = 20 * time.Second
 
-// The witness: clients and servers of the apache library talk through the front, in every transport and
-// protocol that it has of ours, plain and multiplexed, with all kinds of values.
-
-// thing is a struct of random fields, the same for the same seed; what is read is kept in a form that can
-// be compared.
-type thing struct {
+// randomStruct is a struct of random fields, the same for the same seed; what is read is stored in a form that can be
+// compared.
+type randomStruct struct {
 	seed uint64
 	got  []byte
 }
 
-// dump writes what write does into the plainest of protocols.
+// dump encodes what write writes in the binary protocol.
 func dump(write func(thrift.TProtocol)) []byte {
 	buf := thrift.NewTMemoryBuffer()
 	p := thrift.NewTBinaryProtocolConf(buf, nil)
@@ -40,17 +37,17 @@
 	return bytes.Clone(buf.Bytes())
 }
 
-func (t *thing) want() []byte {
+func (t *randomStruct) want() []byte {
 	return dump(func(p thrift.TProtocol) { t.Write(context.Background(), p) })
 }
 
-func (t *thing) Write(ctx context.Context, p thrift.TProtocol) error {
+func (t *randomStruct) Write(ctx context.Context, p thrift.TProtocol) error {
 	writeStruct(ctx, p, rand.New(rand.NewPCG(t.seed, 9)), 0)
 	return nil
 }
 
-func (t *thing) Read(ctx context.Context, p thrift.TProtocol) (err error) {
-	t.got = dump(func(out thrift.TProtocol) { err = copyOf(ctx, p, out, thrift.STRUCT) })
+func (t *randomStruct) Read(ctx context.Context, p thrift.TProtocol) (err error) {
+	t.got = dump(func(out thrift.TProtocol) { err = copyValue(ctx, p, out, thrift.STRUCT) })
 	return err
 }
 
@@ -112,8 +109,8 @@
 	}
 }
 
-// copyOf reads a value by one protocol and writes it by another.
-func copyOf(ctx context.Context, in, out thrift.TProtocol, t thrift.TType) error {
+// copyValue reads a value in one protocol and writes it in another.
+func copyValue(ctx context.Context, in, out thrift.TProtocol, t thrift.TType) error {
 	switch t {
 	case thrift.BOOL:
 		v, err := in.ReadBool(ctx)
@@ -156,7 +153,7 @@
 				return in.ReadStructEnd(ctx)
 			}
 			out.WriteFieldBegin(ctx, "", ft, id)
-			if err := copyOf(ctx, in, out, ft); err != nil {
+			if err := copyValue(ctx, in, out, ft); err != nil {
 				return err
 			}
 			in.ReadFieldEnd(ctx)
@@ -165,22 +162,22 @@
 		e, n, err := in.ReadListBegin(ctx)
 		out.WriteListBegin(ctx, e, n)
 		for i := 0; i < n && err == nil; i++ {
-			err = copyOf(ctx, in, out, e)
+			err = copyValue(ctx, in, out, e)
 		}
 		return err
 	case thrift.SET:
 		e, n, err := in.ReadSetBegin(ctx)
 		out.WriteSetBegin(ctx, e, n)
 		for i := 0; i < n && err == nil; i++ {
-			err = copyOf(ctx, in, out, e)
+			err = copyValue(ctx, in, out, e)
 		}
 		return err
 	case thrift.MAP:
 		k, v, n, err := in.ReadMapBegin(ctx)
 		out.WriteMapBegin(ctx, k, v, n)
 		for i := 0; i < n && err == nil; i++ {
-			if err = copyOf(ctx, in, out, k); err == nil {
-				err = copyOf(ctx, in, out, v)
+			if err = copyValue(ctx, in, out, k); err == nil {
+				err = copyValue(ctx, in, out, v)
 			}
 		}
 		return err
@@ -188,19 +185,19 @@
 	return fmt.Errorf("no copy of %v", t)
 }
 
-// echo is a service: its arguments are a thing, its result is another.
-type echo struct {
+// echoService is a service whose arguments and results are random structs.
+type echoService struct {
 	mu   sync.Mutex
 	got  [][]byte
 	seed uint64 // of the results
 }
 
-func (e *echo) Process(ctx context.Context, in, out thrift.TProtocol) (bool, thrift.TException) {
+func (e *echoService) Process(ctx context.Context, in, out thrift.TProtocol) (bool, thrift.TException) {
 	name, kind, seq, err := in.ReadMessageBegin(ctx)
 	if err != nil {
 		return false, thrift.WrapTException(err)
 	}
-	var args thing
+	var args randomStruct
 	if err := args.Read(ctx, in); err != nil {
 		return false, thrift.WrapTException(err)
 	}
@@ -208,7 +205,7 @@
 	e.mu.Lock()
 	e.got = append(e.got, args.got)
 	e.seed++
-	result := thing{seed: e.seed}
+	result := randomStruct{seed: e.seed}
 	e.mu.Unlock()
 	if kind == thrift.ONEWAY {
 		return true, nil
@@ -224,65 +221,98 @@
 	return true, thrift.WrapTException(out.Flush(ctx))
 }
 
-func (e *echo) ProcessorMap() map[string]thrift.TProcessorFunction  { return nil }
-func (e *echo) AddToProcessorMap(string, thrift.TProcessorFunction) {}
+func (e *echoService) ProcessorMap() map[string]thrift.TProcessorFunction  { return nil }
+func (e *echoService) AddToProcessorMap(string, thrift.TProcessorFunction) {}
+
+// transportFactory is the Apache library's transport of an encoding.
+func transportFactory(enc *thriftlab.Encoding) thrift.TTransportFactory {
+	if enc.Framed {
+		return thrift.NewTFramedTransportFactoryConf(thrift.NewTTransportFactory(), &thrift.TConfiguration{})
+	}
+	return thrift.NewTBufferedTransportFactory(4096)
+}
+
+// startEchoServer starts a server of the Apache library, multiplexed if service is not "".
+func startEchoServer(t *testing.T, enc *thriftlab.Encoding, service string) (e *echoService, addr string) {
+	t.Helper()
+	sock, err := thrift.NewTServerSocket("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := sock.Listen(); err != nil {
+		t.Fatal(err)
+	}
+	e = &echoService{}
+	var processor thrift.TProcessor = e
+	if service != "" {
+		m := thrift.NewTMultiplexedProcessor()
+		m.RegisterProcessor(service, e)
+		processor = m
+	}
+	server := thrift.NewTSimpleServer4(processor, sock, transportFactory(enc), enc.Protocol)
+	served := make(chan error, 1)
+	go func() { served <- server.AcceptLoop() }()
+	t.Cleanup(func() {
+		sock.Interrupt()
+		<-served
+	})
+	return e, sock.Addr().String()
+}
 
-func TestWitness(t *testing.T) {
+// connectClient connects a client of the Apache library, multiplexed if service is not "". It returns the client and
+// the protocol on which it writes.
+func connectClient(t *testing.T, enc *thriftlab.Encoding, addr, service string) (*thrift.TStandardClient, thrift.TProtocol) {
+	t.Helper()
+	socket := thrift.NewTSocketConf(addr, &thrift.TConfiguration{ConnectTimeout: waitTimeout, SocketTimeout: waitTimeout})
+	if err := socket.Open(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { socket.Close() })
+	transport, err := transportFactory(enc).GetTransport(socket)
+	if err != nil {
+		t.Fatal(err)
+	}
+	in := enc.Protocol.GetProtocol(transport)
+	out := in
+	if service != "" {
+		out = thrift.NewTMultiplexedProtocol(in, service)
+	}
+	return thrift.NewTStandardClient(in, out), out
+}
+
+// arguments waits for the arguments of call i; nil: they did not arrive.
+func (e *echoService) arguments(i int) []byte {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(50 * time.Microsecond) {
+		e.mu.Lock()
+		if len(e.got) > i {
+			defer e.mu.Unlock()
+			return e.got[i]
+		}
+		e.mu.Unlock()
+	}
+	return nil
+}
+
+// Clients and servers of the Apache library communicate through the server, in each transport and protocol, plain and
+// multiplexed, with all types of values.
+func TestApacheLibraryInterop(t *testing.T) {
 	for _, enc := range thriftlab.Encodings() {
 		for _, service := range []string{"", "Echo"} {
 			t.Run(enc.Name+"/"+service, func(t *testing.T) {
 				t.Parallel()
 				ctx := context.Background()
-				sock, err := thrift.NewTServerSocket("127.0.0.1:0")
-				if err != nil {
-					t.Fatal(err)
-				}
-				if err := sock.Listen(); err != nil {
-					t.Fatal(err)
-				}
-				e := &echo{}
-				var processor thrift.TProcessor = e
-				if service != "" {
-					m := thrift.NewTMultiplexedProcessor()
-					m.RegisterProcessor(service, e)
-					processor = m
-				}
-				var transports thrift.TTransportFactory = thrift.NewTBufferedTransportFactory(4096)
-				if enc.Framed {
-					transports = thrift.NewTFramedTransportFactoryConf(thrift.NewTTransportFactory(), &thrift.TConfiguration{})
-				}
-				server := thrift.NewTSimpleServer4(processor, sock, transports, enc.Protocol)
-				served := make(chan error, 1)
-				go func() { served <- server.AcceptLoop() }()
-				t.Cleanup(func() {
-					sock.Interrupt()
-					<-served
-				})
+				e, addr := startEchoServer(t, &enc, service)
 				w, err := world.New(world.Protocol{Name: enc.Name, Encoding: &enc}, world.Options{Seed: 7,
-					Entries: []membership.Entry{{ID: "s-1", Addr: sock.Addr().String(), Zone: "east", State: membership.Up, Weight: 1}}})
+					Entries: []membership.Entry{{ID: "s-1", Addr: addr, Zone: "east", State: membership.Up, Weight: 1}}})
 				if err != nil {
 					t.Fatal(err)
 				}
 				t.Cleanup(func() { w.Close() })
-
-				socket := thrift.NewTSocketConf(w.Addr, &thrift.TConfiguration{ConnectTimeout: patience, SocketTimeout: patience})
-				if err := socket.Open(); err != nil {
-					t.Fatal(err)
-				}
-				defer socket.Close()
-				transport, err := transports.GetTransport(socket)
-				if err != nil {
-					t.Fatal(err)
-				}
-				in := enc.Protocol.GetProtocol(transport)
-				out := in
-				if service != "" {
-					out = thrift.NewTMultiplexedProtocol(in, service)
-				}
-				client := thrift.NewTStandardClient(in, out)
+				client, out := connectClient(t, &enc, w.Addr, service)
 				for i := range uint64(60) {
-					args, result := thing{seed: 1000 + i}, thing{}
-					if i%5 == 4 { // a oneway call, as the specification has it
+					args, result := randomStruct{seed: 1000 + i}, randomStruct{}
+					oneWay := i%5 == 4
+					if oneWay { // as specified
 						out.WriteMessageBegin(ctx, "place", thrift.ONEWAY, int32(i))
 						args.Write(ctx, out)
 						out.WriteMessageEnd(ctx)
@@ -292,24 +322,17 @@
 					} else if _, err := client.Call(ctx, "place", &args, &result); err != nil {
 						t.Fatalf("call %d: %v", i, err)
 					}
-					var at []byte
-					for end := time.Now().Add(patience); at == nil && time.Now().Before(end); time.Sleep(50 * time.Microsecond) {
-						e.mu.Lock()
-						if len(e.got) > int(i) {
-							at = e.got[i]
-						}
-						e.mu.Unlock()
-					}
-					if !bytes.Equal(at, args.want()) {
-						t.Fatalf("call %d: the server got other arguments", i)
+					if !bytes.Equal(e.arguments(int(i)), args.want()) {
+						t.Fatalf("call %d: the backend received other arguments", i)
 					}
-					if i%5 != 4 && !bytes.Equal(result.got, (&thing{seed: i + 1}).want()) {
-						t.Fatalf("call %d: the client got another result", i)
+					if !oneWay && !bytes.Equal(result.got, (&randomStruct{seed: i + 1}).want()) {
+						t.Fatalf("call %d: the client received another result", i)
 					}
 				}
 				var x thrift.TApplicationException
-				if _, err := client.Call(ctx, "fail", &thing{seed: 1}, &thing{}); !errors.As(err, &x) || x.TypeId() != thrift.UNKNOWN_METHOD || x.Error() != "fail is unknown" {
-					t.Errorf("the server's own exception came as %v", err)
+				_, err = client.Call(ctx, "fail", &randomStruct{seed: 1}, &randomStruct{})
+				if !errors.As(err, &x) || x.TypeId() != thrift.UNKNOWN_METHOD || x.Error() != "fail is unknown" {
+					t.Errorf("the backend's own exception arrived as %v", err)
 				}
 			})
 		}
