--- a/cmd/ringtrack-lab/main.go
+++ b/cmd/ringtrack-lab/main.go
@@ -126,7 +126,7 @@
 			return err
 		}
 		for _, s := range e.Scenario {
-			fmt.Printf("%-24s %s\n", s.Name, s.About)
+			fmt.Printf("%-24s %s\n", s.Name, s.Description)
 		}
 		fmt.Print("policies:")
 		for _, p := range experiment.Policies() {
--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -17,64 +17,64 @@
 
 // agent is core.Loop in virtual time: the same events in the same order, the same guard, the same margins.
 type agent struct {
-	w     *World
+	world *World
 	index int
-	agentPlan
-	atStart  []policy.Endpoint // the list of the run's start
-	b        Balancer
-	nextID   policy.RequestID
-	requests map[policy.RequestID]*request
-	open     int
-	pending  []policy.Event
-	actions  []policy.Action
-	closed   []bool // by server: told to drain or gone
-	listed   []bool
-	idle     []int32 // kept connections, by server
-	life     []uint32
-	watching bool // a call for changes is out, or stands
-	follows  bool // and was taken
-	fetching bool
-	toldAt   Time // when the last change that is under way comes
-	guarded  int
-	backstop int
+	agentPlacement
+	initialEndpoints   []policy.Endpoint // the list of the run's start
+	balancer           Balancer
+	nextID             policy.RequestID
+	requests           map[policy.RequestID]*request
+	openRequests       int
+	pending            []policy.Event
+	actions            []policy.Action
+	unavailable        []bool // by server: told to drain or gone
+	listed             []bool
+	idleConns          []int32 // kept connections, by server
+	connIncarnation    []uint32
+	watching           bool // a call for changes is out, or stands
+	subscribed         bool // and was taken
+	fetching           bool
+	lastNotificationAt Time // when the last change that is under way comes
+	guardViolations    int
+	backstopTimeouts   int
 }
 
 // request is a try in an agent.
 type request struct {
-	agent    *agent
-	op       *op
-	id       policy.RequestID
-	deadline Time
-	answered bool
-	attempts []*attempt
-	out      int
-	mayRun   int
-	ran      Time            // when the first of them was sent
-	ranOn    policy.Endpoint // and where to
+	agent         *agent
+	operation     *operation
+	id            policy.RequestID
+	deadline      Time
+	answered      bool
+	attempts      []*attempt
+	inFlight      int
+	mayHaveRun    int
+	firstSentAt   Time            // when the first of them was sent
+	firstEndpoint policy.Endpoint // and where to
 }
 
 // attempt is one send.
 type attempt struct {
-	r         *request
-	s         *server
-	index     int
-	sent      Time
-	until     Time
-	life      uint32 // of the process that it was connected to
-	connected bool
-	done      bool
-	status    policy.Status
-	report    [3]float32
-	silent    bool // the answer holds no report
-	work      Time // of the server's
+	request     *request
+	server      *server
+	index       int
+	sentAt      Time
+	deadline    Time
+	incarnation uint32 // of the process that it was connected to
+	connected   bool
+	ended       bool
+	status      policy.Status
+	report      [3]float32
+	noReport    bool // the answer holds no report
+	work        Time // of the server's
 }
 
 // What happens to attempts.
 const (
 	attemptConnected uint8 = iota
-	attemptRefused
+	attemptConnectFailed
 	attemptArrived
-	attemptDone
+	attemptServiceEnded
 	attemptAnswered
 	attemptTimeout
 	attemptCancelled
@@ -84,24 +84,24 @@
 func (a *attempt) fire(kind uint8) {
 	switch kind {
 	case attemptConnected:
-		if !a.done {
-			a.connected, a.life = true, a.s.life
+		if !a.ended {
+			a.connected, a.incarnation = true, a.server.incarnation
 			a.write()
 		}
-	case attemptRefused:
+	case attemptConnectFailed:
 		a.end(policy.ConnectFailed)
 	case attemptArrived:
-		a.s.arrive(a)
-	case attemptDone:
-		a.s.finish(a)
+		a.server.arrive(a)
+	case attemptServiceEnded:
+		a.server.serviceEnded(a)
 	case attemptAnswered:
 		a.end(a.status)
 	case attemptTimeout:
 		switch {
-		case a.done:
+		case a.ended:
 		case a.connected:
 			a.end(policy.Timeout)
-		case a.until-a.sent < connectTimeoutMs*Millisecond:
+		case a.deadline-a.sentAt < connectTimeoutMs*Millisecond:
 			a.end(policy.NotStarted) // it had no time to come up
 		default:
 			a.end(policy.ConnectFailed)
@@ -119,41 +119,41 @@
 
 // write sends the request, unless its server was told away meanwhile.
 func (a *attempt) write() {
-	g := a.r.agent
-	if g.closed[a.s.index] {
+	g := a.request.agent
+	if g.unavailable[a.server.index] {
 		a.end(policy.NotStarted)
 		return
 	}
-	if d, ok := g.w.delay(g.zone, a.s.zone, false); ok {
-		g.w.after(d, a, attemptArrived)
+	if d, ok := g.world.delay(g.zone, a.server.zone, false); ok {
+		g.world.after(d, a, attemptArrived)
 	}
 }
 
 // end hands the ending to the agent, once.
 func (a *attempt) end(status policy.Status) {
-	if a.done {
+	if a.ended {
 		return
 	}
-	a.done = true
-	if (status == policy.OK || status == policy.Rejected || status == policy.Error) && a.life == a.s.life {
-		a.r.agent.idle[a.s.index]++
+	a.ended = true
+	if (status == policy.OK || status == policy.Rejected || status == policy.Error) && a.incarnation == a.server.incarnation {
+		a.request.agent.idleConns[a.server.index]++
 	}
-	a.r.agent.ended(a, status)
+	a.request.agent.attemptEnded(a, status)
 }
 
-func (g *agent) now() float64 { return g.w.unixMs() }
+func (g *agent) now() float64 { return g.world.unixMs() }
 
 func (g *agent) handle(ev *policy.Event) {
-	g.carryOut(g.b.Handle(g.now(), ev, g.actions[:0]))
+	g.execute(g.balancer.Handle(g.now(), ev, g.actions[:0]))
 }
 
-// event is handle from outside, with all that follows from it.
-func (g *agent) event(ev *policy.Event) {
+// deliver is handle from outside, with all that follows from it.
+func (g *agent) deliver(ev *policy.Event) {
 	g.handle(ev)
-	g.drain()
+	g.deliverPending()
 }
 
-func (g *agent) drain() {
+func (g *agent) deliverPending() {
 	for len(g.pending) > 0 {
 		ev := g.pending[0]
 		g.pending = g.pending[1:]
@@ -164,73 +164,73 @@
 
 // What happens to agents; timers have events of their own.
 type timer struct {
-	g     *agent
-	b     Balancer // that asked for it: a killed agent's timers end with it
-	token uint32
+	agent    *agent
+	balancer Balancer // that asked for it: a killed agent's timers end with it
+	token    uint32
 }
 
 func (t *timer) fire(uint8) {
-	if t.b != t.g.b {
+	if t.balancer != t.agent.balancer {
 		return
 	}
-	t.g.event(&policy.Event{Kind: policy.EventTimer, Token: t.token})
+	t.agent.deliver(&policy.Event{Kind: policy.EventTimer, Token: t.token})
 }
 
-func (g *agent) carryOut(actions []policy.Action) {
+func (g *agent) execute(actions []policy.Action) {
 	g.actions = actions
 	for i := range actions {
 		a := &actions[i]
 		switch a.Kind {
 		case policy.ActionForward:
-			g.send(a)
+			g.forward(a)
 		case policy.ActionCancel:
 			if r := g.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-				if t := r.attempts[a.Attempt]; !t.done {
-					g.w.after(20*Microsecond, t, attemptCancelled)
+				if t := r.attempts[a.Attempt]; !t.ended {
+					g.world.after(20*Microsecond, t, attemptCancelled)
 				}
 			}
 		case policy.ActionReject:
 			if r := g.requests[a.Request]; r != nil {
-				g.refuse(r, a.DurationMs)
+				g.reject(r, a.DurationMs)
 			}
 		case policy.ActionFail:
 			if r := g.requests[a.Request]; r != nil {
-				g.finish(r, invariant.Failed, 0)
+				g.complete(r, invariant.Failed, 0)
 			}
 		case policy.ActionTimer:
-			g.w.after(ns(a.DurationMs), &timer{g, g.b, a.Token}, 0)
+			g.world.after(fromMs(a.DurationMs), &timer{g, g.balancer, a.Token}, 0)
 		case policy.ActionWatchEndpoints:
 			if !g.watching {
 				g.watching = true
-				g.w.asked(g, false)
+				g.world.callDiscovery(g, false)
 			}
 		case policy.ActionFetchEndpoints:
 			if !g.fetching {
 				g.fetching = true
-				g.w.asked(g, true)
+				g.world.callDiscovery(g, true)
 			}
 		case policy.ActionCloseIdle:
-			if s := g.w.byAddr[a.Server]; s != nil {
-				g.idle[s.index] = 0
+			if s := g.world.byAddr[a.Server]; s != nil {
+				g.idleConns[s.index] = 0
 			}
 		}
 	}
 }
 
-// take gives a client's try to the module.
-func (g *agent) take(o *op, left Time) {
+// submit gives a client's try to the module.
+func (g *agent) submit(o *operation, left Time) {
 	g.nextID++
-	r := &request{agent: g, op: o, id: g.nextID, deadline: g.w.now + left}
-	g.open++
-	if most := g.w.settings.Limits.MaxOpenRequests; left <= 0 || most > 0 && g.open > most {
-		g.refuse(r, g.w.settings.Limits.MaxRetryAfterMs)
+	r := &request{agent: g, operation: o, id: g.nextID, deadline: g.world.now + left}
+	g.openRequests++
+	if most := g.world.settings.Limits.MaxOpenRequests; left <= 0 || most > 0 && g.openRequests > most {
+		g.reject(r, g.world.settings.Limits.MaxRetryAfterMs)
 		return
 	}
 	g.requests[r.id] = r
 	module, backstop := core.RequestTimeouts(time.Duration(left))
-	g.w.after(Time(backstop), r, 0)
-	g.event(&policy.Event{Kind: policy.EventRequest, Request: r.id, Class: o.class, Tenant: o.tenant, Key: o.key,
-		RemainingMs: float64(module.Microseconds()) / 1000, Retry: o.tries > 1})
+	g.world.after(Time(backstop), r, 0)
+	g.deliver(&policy.Event{Kind: policy.EventRequest, Request: r.id, Class: o.class, Tenant: o.tenant, Key: o.key,
+		RemainingMs: float64(module.Microseconds()) / 1000, Retry: o.clientAttempts > 1})
 }
 
 // fire is the backstop.
@@ -238,128 +238,128 @@
 	if r.answered {
 		return
 	}
-	r.agent.backstop++
-	r.agent.finish(r, invariant.Failed, 0)
+	r.agent.backstopTimeouts++
+	r.agent.complete(r, invariant.Failed, 0)
 	for _, t := range r.attempts {
-		if !t.done {
-			r.agent.w.after(20*Microsecond, t, attemptCancelled)
+		if !t.ended {
+			r.agent.world.after(20*Microsecond, t, attemptCancelled)
 		}
 	}
-	r.agent.event(&policy.Event{Kind: policy.EventClientDisconnected, Request: r.id})
+	r.agent.deliver(&policy.Event{Kind: policy.EventClientDisconnected, Request: r.id})
 }
 
-func (g *agent) refuse(r *request, afterMs float64) {
-	if !core.MayReject(&g.w.settings.Classes[r.op.class], r.mayRun) {
-		g.guarded++
-		g.finish(r, invariant.Failed, 0)
+func (g *agent) reject(r *request, afterMs float64) {
+	if !core.MayReject(&g.world.settings.Classes[r.operation.class], r.mayHaveRun) {
+		g.guardViolations++
+		g.complete(r, invariant.Failed, 0)
 		return
 	}
-	g.finish(r, invariant.Rejected, afterMs)
+	g.complete(r, invariant.Rejected, afterMs)
 }
 
-func (g *agent) finish(r *request, v invariant.Outcome, afterMs float64) {
+func (g *agent) complete(r *request, v invariant.Outcome, afterMs float64) {
 	if r.answered {
 		return
 	}
 	r.answered = true
-	g.open--
-	g.forget(r)
-	r.op.answered(v, afterMs)
+	g.openRequests--
+	g.release(r)
+	r.operation.answered(v, afterMs)
 }
 
-func (g *agent) forget(r *request) {
-	if r.answered && r.out == 0 {
+func (g *agent) release(r *request) {
+	if r.answered && r.inFlight == 0 {
 		delete(g.requests, r.id)
 	}
 }
 
-func (g *agent) send(a *policy.Action) {
+func (g *agent) forward(a *policy.Action) {
 	r := g.requests[a.Request]
 	if r == nil {
-		g.guarded++
+		g.guardViolations++
 		return
 	}
-	s := g.w.byAddr[a.Server]
-	t := &attempt{r: r, s: s, index: len(r.attempts), sent: g.w.now}
+	s := g.world.byAddr[a.Server]
+	t := &attempt{request: r, server: s, index: len(r.attempts), sentAt: g.world.now}
 	r.attempts = append(r.attempts, t)
-	_, backstop := core.RequestTimeouts(time.Duration(r.deadline - g.w.now))
-	t.until = g.w.now + Time(backstop)
+	_, backstop := core.RequestTimeouts(time.Duration(r.deadline - g.world.now))
+	t.deadline = g.world.now + Time(backstop)
 	if a.DurationMs != 0 {
-		t.until = min(t.until, g.w.now+ns(a.DurationMs))
+		t.deadline = min(t.deadline, g.world.now+fromMs(a.DurationMs))
 	}
-	class := &g.w.settings.Classes[r.op.class]
-	guard := core.Guard{Completed: r.answered, Listed: s != nil && g.listed[s.index], HasTime: t.until > g.w.now, InFlight: r.out, MayHaveRun: r.mayRun,
-		Attempts: len(r.attempts), MaxAttempts: g.w.settings.Limits.MaxAttempts, Effect: class.Effect}
+	class := &g.world.settings.Classes[r.operation.class]
+	guard := core.Guard{Completed: r.answered, Listed: s != nil && g.listed[s.index], HasTime: t.deadline > g.world.now, InFlight: r.inFlight, MayHaveRun: r.mayHaveRun,
+		Attempts: len(r.attempts), MaxAttempts: g.world.settings.Limits.MaxAttempts, Effect: class.Effect}
 	if guard.Listed {
-		guard.Unavailable = g.closed[s.index]
-		if r.mayRun > 0 {
-			to := s.entry()
-			guard.OutsideScope = !core.InDedupScope(class.DedupScope, &r.ranOn, &to)
-			guard.WindowExpired = g.w.now > r.ran+Time(core.RetryWindow(class))
+		guard.Unavailable = g.unavailable[s.index]
+		if r.mayHaveRun > 0 {
+			to := s.endpoint()
+			guard.OutsideScope = !core.InDedupScope(class.DedupScope, &r.firstEndpoint, &to)
+			guard.WindowExpired = g.world.now > r.firstSentAt+Time(core.RetryWindow(class))
 		}
 	}
-	if g.w.freely {
+	if g.world.unguarded {
 		guard = core.Guard{Completed: r.answered, Listed: s != nil, HasTime: guard.HasTime, Attempts: len(r.attempts), MaxAttempts: guard.MaxAttempts}
 	}
 	if v := guard.Violation(); v != core.NoViolation {
-		g.guarded++
-		g.w.guards[string(v)]++
-		t.done = true
+		g.guardViolations++
+		g.world.violationsByReason[string(v)]++
+		t.ended = true
 		if len(r.attempts) > core.MaxForwardActions(guard.MaxAttempts) {
-			g.finish(r, invariant.Failed, 0)
+			g.complete(r, invariant.Failed, 0)
 			return
 		}
 		g.pending = append(g.pending, policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: t.index, Server: a.Server,
 			Status: policy.NotStarted, Final: r.answered})
 		return
 	}
-	if r.mayRun == 0 {
-		r.ran, r.ranOn = g.w.now, s.entry()
+	if r.mayHaveRun == 0 {
+		r.firstSentAt, r.firstEndpoint = g.world.now, s.endpoint()
 	}
-	r.out++
-	r.mayRun++
-	r.op.attempts++
-	g.w.graph.sent(r.op)
-	g.w.after(t.until-g.w.now, t, attemptTimeout)
-	if g.idle[s.index] > 0 && g.life[s.index] == s.life {
-		g.idle[s.index]--
-		t.connected, t.life = true, s.life
+	r.inFlight++
+	r.mayHaveRun++
+	r.operation.serverAttempts++
+	g.world.graph.recordAttempt(r.operation)
+	g.world.after(t.deadline-g.world.now, t, attemptTimeout)
+	if g.idleConns[s.index] > 0 && g.connIncarnation[s.index] == s.incarnation {
+		g.idleConns[s.index]--
+		t.connected, t.incarnation = true, s.incarnation
 		// Not from within the module's own action.
-		if d, ok := g.w.delay(g.zone, s.zone, false); ok {
-			g.w.after(d, t, attemptArrived)
+		if d, ok := g.world.delay(g.zone, s.zone, false); ok {
+			g.world.after(d, t, attemptArrived)
 		}
 		return
 	}
-	g.idle[s.index], g.life[s.index] = 0, s.life
-	if r.op.counts {
-		g.w.res.Handshakes++
+	g.idleConns[s.index], g.connIncarnation[s.index] = 0, s.incarnation
+	if r.operation.measured {
+		g.world.totals.Handshakes++
 	}
-	there, ok := g.w.delay(g.zone, s.zone, false)
-	back, ok2 := g.w.delay(s.zone, g.zone, false)
+	there, ok := g.world.delay(g.zone, s.zone, false)
+	back, ok2 := g.world.delay(s.zone, g.zone, false)
 	switch {
-	case !ok || !ok2 || s.dark:
-		g.w.after(connectTimeoutMs*Millisecond, t, attemptRefused)
+	case !ok || !ok2 || s.unresponsive:
+		g.world.after(connectTimeoutMs*Millisecond, t, attemptConnectFailed)
 	case s.stopped:
-		g.w.after(there+back, t, attemptRefused)
+		g.world.after(there+back, t, attemptConnectFailed)
 	default:
-		g.w.after(there+back, t, attemptConnected)
+		g.world.after(there+back, t, attemptConnected)
 	}
 }
 
-func (g *agent) ended(a *attempt, status policy.Status) {
-	r := a.r
-	r.out--
+func (g *agent) attemptEnded(a *attempt, status policy.Status) {
+	r := a.request
+	r.inFlight--
 	if status.NeverRan() {
-		r.mayRun--
+		r.mayHaveRun--
 	}
 	if !r.answered && status == policy.OK {
-		g.finish(r, invariant.Served, 0)
+		g.complete(r, invariant.Served, 0)
 	}
 	report := a.report[:]
-	if a.silent || status != policy.OK && status != policy.Rejected && status != policy.Error {
+	if a.noReport || status != policy.OK && status != policy.Rejected && status != policy.Error {
 		report = nil
 	}
-	g.event(&policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: a.index, Server: a.s.addr, Status: status,
-		LatencyMs: float64(g.w.now-a.sent) / float64(Millisecond), Final: r.answered, Report: report})
-	g.forget(r)
+	g.deliver(&policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: a.index, Server: a.server.addr, Status: status,
+		LatencyMs: float64(g.world.now-a.sentAt) / float64(Millisecond), Final: r.answered, Report: report})
+	g.release(r)
 }
--- a/internal/emulator/emu_test.go
+++ b/internal/emulator/emu_test.go
@@ -48,16 +48,16 @@
 }
 
 func choices(d int) *Policy {
-	return &Policy{Name: "direct", Freely: true, New: func(_ policy.Settings, seed uint64) (Balancer, error) {
+	return &Policy{Name: "direct", Unguarded: true, New: func(_ policy.Settings, seed uint64) (Balancer, error) {
 		return &direct{rng: rand.New(rand.NewPCG(seed, 1)), active: map[policy.Addr]int{}, d: d}, nil
 	}}
 }
 
 // queue is a scenario of one station and no network.
-func queue(servers, workers int, service Dist, perS, seconds float64) *Scenario {
-	return &Scenario{Seconds: seconds, WarmSeconds: seconds / 20, Zones: 1, Agents: 1, Net: Net{LocalMs: 1e-9},
-		Servers: []ServerGroup{{Count: servers, Workers: workers, Queue: 1_000_000, Service: service, Weight: 1, ColdFrom: 1}},
-		Classes: []ClassLoad{{Name: "read", Effect: "safe", Share: 1, AimMs: 60_000, GiveUpMs: 60_000, Work: 1}}, Load: Load{PerS: perS}}
+func queue(servers, workers int, service Distribution, perS, seconds float64) *Scenario {
+	return &Scenario{Seconds: seconds, WarmUpSeconds: seconds / 20, Zones: 1, Agents: 1, Network: Network{LocalMs: 1e-9},
+		Servers: []ServerGroup{{Count: servers, Workers: workers, Queue: 1_000_000, Service: service, Weight: 1, SlowStartMinCapacity: 1}},
+		Classes: []ClassLoad{{Name: "read", Effect: "safe", Share: 1, LatencyObjectiveMs: 60_000, ClientTimeoutMs: 60_000, Work: 1}}, Load: Load{PerS: perS}}
 }
 
 // erlangC is the probability of waiting in M/M/k with a offered Erlangs.
@@ -77,17 +77,17 @@
 	const mean = 1.0 // ms
 	for name, test := range map[string]struct {
 		k       int
-		service Dist
+		service Distribution
 		rho     float64
 		want    float64 // ms in the system
 	}{
-		"M/M/1 at 0.5":  {1, Dist{Kind: "exponential", MeanMs: mean}, 0.5, mean / (1 - 0.5)},
-		"M/M/1 at 0.7":  {1, Dist{Kind: "exponential", MeanMs: mean}, 0.7, mean / (1 - 0.7)},
-		"M/M/4 at 0.75": {4, Dist{Kind: "exponential", MeanMs: mean}, 0.75, mean + erlangC(4, 3)*mean/(4*(1-0.75))},
-		"M/D/1 at 0.7":  {1, Dist{Kind: "fixed", MeanMs: mean}, 0.7, mean + 0.7*mean/(2*(1-0.7))},
+		"M/M/1 at 0.5":  {1, Distribution{Kind: "exponential", MeanMs: mean}, 0.5, mean / (1 - 0.5)},
+		"M/M/1 at 0.7":  {1, Distribution{Kind: "exponential", MeanMs: mean}, 0.7, mean / (1 - 0.7)},
+		"M/M/4 at 0.75": {4, Distribution{Kind: "exponential", MeanMs: mean}, 0.75, mean + erlangC(4, 3)*mean/(4*(1-0.75))},
+		"M/D/1 at 0.7":  {1, Distribution{Kind: "fixed", MeanMs: mean}, 0.7, mean + 0.7*mean/(2*(1-0.7))},
 		// Of a lognormal the squared coefficient of variation is exp(sigma^2)-1.
-		"M/G/1 lognormal at 0.6": {1, Dist{Kind: "lognormal", MeanMs: mean, Shape: 0.8}, 0.6, mean + 0.6*mean*math.Exp(0.64)/(2*(1-0.6))},
-		"M/G/1 bimodal at 0.6":   {1, Dist{Kind: "bimodal", MeanMs: mean, Shape: 0.1, Times: 10}, 0.6, mean + 0.6*(0.9+0.1*100)/math.Pow(0.9+0.1*10, 2)*mean/(2*(1-0.6))},
+		"M/G/1 lognormal at 0.6": {1, Distribution{Kind: "lognormal", MeanMs: mean, Shape: 0.8}, 0.6, mean + 0.6*mean*math.Exp(0.64)/(2*(1-0.6))},
+		"M/G/1 bimodal at 0.6":   {1, Distribution{Kind: "bimodal", MeanMs: mean, Shape: 0.1, SlowFactor: 10}, 0.6, mean + 0.6*(0.9+0.1*100)/math.Pow(0.9+0.1*10, 2)*mean/(2*(1-0.6))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -116,12 +116,12 @@
 func TestTwoChoices(t *testing.T) {
 	const n = 1 << 13
 	most := func(d int, seed uint64) (worst int) {
-		sc := queue(n, 1000, Dist{Kind: "fixed", MeanMs: 86_400_000}, 1e5, 60)
+		sc := queue(n, 1000, Distribution{Kind: "fixed", MeanMs: 86_400_000}, 1e5, 60)
 		w, err := newWorld(sc, choices(d), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for w.nextOp < n {
+		for w.operations < n {
 			w.run(w.now + Millisecond)
 		}
 		for _, s := range w.servers {
@@ -138,8 +138,8 @@
 
 func TestDist(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	for _, d := range []Dist{{Kind: "exponential", MeanMs: 3}, {Kind: "lognormal", MeanMs: 3, Shape: 1}, {Kind: "pareto", MeanMs: 3, Shape: 3},
-		{Kind: "bimodal", MeanMs: 3, Shape: 0.05, Times: 20}, {Kind: "fixed", MeanMs: 3}, {MeanMs: 3}} {
+	for _, d := range []Distribution{{Kind: "exponential", MeanMs: 3}, {Kind: "lognormal", MeanMs: 3, Shape: 1}, {Kind: "pareto", MeanMs: 3, Shape: 3},
+		{Kind: "bimodal", MeanMs: 3, Shape: 0.05, SlowFactor: 20}, {Kind: "fixed", MeanMs: 3}, {MeanMs: 3}} {
 		if err := d.Check("service"); err != nil {
 			t.Error(err)
 		}
@@ -162,14 +162,14 @@
 
 // typhoon is a scenario with something of all.
 func typhoon() *Scenario {
-	return &Scenario{Name: "typhoon", Seconds: 20, WarmSeconds: 2, Zones: 3, Agents: 6,
-		Servers: []ServerGroup{{Count: 9, Workers: 2, Queue: 8, Service: Dist{Kind: "lognormal", MeanMs: 20, Shape: 0.5}, FallMultiple: 2.5},
-			{Count: 3, Workers: 2, Queue: 8, Service: Dist{Kind: "exponential", MeanMs: 40}}},
-		Load: Load{PerS: 500, Burst: 3, BurstMs: 200, Swing: 0.3, Keys: 500, Zipf: 0.9, Rude: 0.1}, Net: Net{LocalMs: 0.2, CrossMs: 1, JitterMs: 0.1, Resets: 0.002},
-		Roster: Roster{LagMs: 50}, Faults: []Fault{{Kind: "drain", AtS: 4, ForS: 4, Count: 2}, {Kind: "dark", AtS: 6, ForS: 3, Count: 1},
-			{Kind: "stop", AtS: 8, ForS: 2, Count: 2}, {Kind: "restart", AtS: 10, Count: 4, EveryS: 1}, {Kind: "slow", AtS: 12, ForS: 3, Count: 2, Times: 8},
-			{Kind: "errors", AtS: 13, ForS: 2, Count: 3, Part: 0.3, Class: "order"}, {Kind: "partition", AtS: 15, ForS: 1, Zone: 1},
-			{Kind: "roster_down", AtS: 3, ForS: 2}, {Kind: "turn_away", AtS: 16, ForS: 2, Count: 4, Part: 0.5}, {Kind: "one_way", AtS: 17, ForS: 2, Zone: 2, Ms: 100}}}
+	return &Scenario{Name: "typhoon", Seconds: 20, WarmUpSeconds: 2, Zones: 3, Agents: 6,
+		Servers: []ServerGroup{{Count: 9, Workers: 2, Queue: 8, Service: Distribution{Kind: "lognormal", MeanMs: 20, Shape: 0.5}, OverloadFactor: 2.5},
+			{Count: 3, Workers: 2, Queue: 8, Service: Distribution{Kind: "exponential", MeanMs: 40}}},
+		Load: Load{PerS: 500, Burst: 3, BurstMs: 200, Swing: 0.3, Keys: 500, Zipf: 0.9, ImmediateRetry: 0.1}, Network: Network{LocalMs: 0.2, CrossMs: 1, JitterMs: 0.1, Resets: 0.002},
+		Discovery: Discovery{LagMs: 50}, Faults: []Fault{{Kind: "drain", StartS: 4, DurationS: 4, Count: 2}, {Kind: "dark", StartS: 6, DurationS: 3, Count: 1},
+			{Kind: "stop", StartS: 8, DurationS: 2, Count: 2}, {Kind: "restart", StartS: 10, Count: 4, StaggerS: 1}, {Kind: "slow", StartS: 12, DurationS: 3, Count: 2, Factor: 8},
+			{Kind: "errors", StartS: 13, DurationS: 2, Count: 3, Fraction: 0.3, Class: "order"}, {Kind: "partition", StartS: 15, DurationS: 1, Zone: 1},
+			{Kind: "roster_down", StartS: 3, DurationS: 2}, {Kind: "turn_away", StartS: 16, DurationS: 2, Count: 4, Fraction: 0.5}, {Kind: "one_way", StartS: 17, DurationS: 2, Zone: 2, DelayMs: 100}}}
 }
 
 func played(t *testing.T, sc *Scenario, p *Policy, seed uint64) *Result {
@@ -199,9 +199,9 @@
 			t.Error("two seeds give one result")
 		}
 		last = string(a)
-		t.Logf("seed %d: goodput %.4f, p99 %.1f ms, %d ops, %d events, breaches %v, guarded %v, falls %d", seed, r.Goodput, r.P99Ms, r.Ops, r.Events, r.Breaches, r.Guards, r.Falls)
-		if len(r.Breaches) > 0 || r.Guarded > 0 || r.Backstop > 0 || r.Falls > 0 {
-			t.Errorf("seed %d: breaches %v %v, guarded %d, backstop %d, falls %d", seed, r.Breaches, r.Words, r.Guarded, r.Backstop, r.Falls)
+		t.Logf("seed %d: goodput %.4f, p99 %.1f ms, %d ops, %d events, breaches %v, guarded %v, falls %d", seed, r.Goodput, r.P99Ms, r.Ops, r.Events, r.Violations, r.GuardViolationsByReason, r.Overloads)
+		if len(r.Violations) > 0 || r.GuardViolations > 0 || r.BackstopTimeouts > 0 || r.Overloads > 0 {
+			t.Errorf("seed %d: breaches %v %v, guarded %d, backstop %d, falls %d", seed, r.Violations, r.ViolationTexts, r.GuardViolations, r.BackstopTimeouts, r.Overloads)
 		}
 	}
 }
@@ -242,7 +242,7 @@
 // service times of 0 and of a day, an hour with one request, 50 times the capacity.
 func TestOddWorlds(t *testing.T) {
 	small := func(change func(*Scenario)) *Scenario {
-		sc := &Scenario{Name: "odd", Seconds: 5, Servers: []ServerGroup{{Count: 2, Workers: 2, Queue: 4, Service: Dist{Kind: "exponential", MeanMs: 5}}}, Load: Load{PerS: 100}}
+		sc := &Scenario{Name: "odd", Seconds: 5, Servers: []ServerGroup{{Count: 2, Workers: 2, Queue: 4, Service: Distribution{Kind: "exponential", MeanMs: 5}}}, Load: Load{PerS: 100}}
 		change(sc)
 		return sc
 	}
@@ -259,26 +259,29 @@
 		}), nil
 	}}
 	r := played(t, small(func(*Scenario) {}), &mute, 1)
-	if r.Served != 0 || r.Backstop == 0 || r.Failed == 0 || len(r.Breaches) > 0 {
+	if r.Served != 0 || r.BackstopTimeouts == 0 || r.Failed == 0 || len(r.Violations) > 0 {
 		t.Errorf("mute: %+v", r)
 	}
 	r = played(t, small(func(sc *Scenario) { sc.Seconds = 1 }), &stray, 1)
-	if r.Served != 0 || r.Guarded == 0 || len(r.Breaches) > 0 {
+	if r.Served != 0 || r.GuardViolations == 0 || len(r.Violations) > 0 {
 		t.Errorf("stray: %+v", r)
 	}
 	for name, change := range map[string]func(*Scenario){
-		"all draining":  func(sc *Scenario) { sc.Faults = []Fault{{Kind: "drain", Share: 1}} },
-		"all stopped":   func(sc *Scenario) { sc.Faults = []Fault{{Kind: "stop", Share: 1}} },
-		"all cold":      func(sc *Scenario) { sc.Faults = []Fault{{Kind: "restart", Share: 1}}; sc.Servers[0].FallMultiple = 2.5 },
-		"no time":       func(sc *Scenario) { sc.Servers[0].Service = Dist{} },
-		"a day":         func(sc *Scenario) { sc.Servers[0].Service = Dist{MeanMs: 86_400_000} },
+		"all draining": func(sc *Scenario) { sc.Faults = []Fault{{Kind: "drain", ServerFraction: 1}} },
+		"all stopped":  func(sc *Scenario) { sc.Faults = []Fault{{Kind: "stop", ServerFraction: 1}} },
+		"all cold": func(sc *Scenario) {
+			sc.Faults = []Fault{{Kind: "restart", ServerFraction: 1}}
+			sc.Servers[0].OverloadFactor = 2.5
+		},
+		"no time":       func(sc *Scenario) { sc.Servers[0].Service = Distribution{} },
+		"a day":         func(sc *Scenario) { sc.Servers[0].Service = Distribution{MeanMs: 86_400_000} },
 		"one an hour":   func(sc *Scenario) { sc.Load.PerS, sc.Seconds = 1.0/3600, 3600*3 },
 		"50 times":      func(sc *Scenario) { sc.Load.PerS, sc.Seconds = 50*sc.Capacity(), 0.25 },
 		"nothing comes": func(sc *Scenario) { sc.Load.PerS = 0 },
 	} {
 		r := played(t, small(change), &Product, 1)
-		if len(r.Breaches) > 0 || r.Guarded > 0 || r.Falls > 0 {
-			t.Errorf("%s: breaches %v %v, guarded %d, falls %d", name, r.Breaches, r.Words, r.Guarded, r.Falls)
+		if len(r.Violations) > 0 || r.GuardViolations > 0 || r.Overloads > 0 {
+			t.Errorf("%s: breaches %v %v, guarded %d, falls %d", name, r.Violations, r.ViolationTexts, r.GuardViolations, r.Overloads)
 		}
 		switch name {
 		case "no time", "one an hour":
@@ -325,13 +328,13 @@
 		"seconds": func(s *Scenario) { s.Seconds = 0 }, "load.per_s": func(s *Scenario) { s.Load.PerS = -1 }, "load.zipf": func(s *Scenario) { s.Load.Zipf = math.NaN() },
 		"servers: none": func(s *Scenario) { s.Servers = nil }, "servers[0].workers": func(s *Scenario) { s.Servers[0].Workers = 0 },
 		"servers[0].service.kind": func(s *Scenario) { s.Servers[0].Service.Kind = "odd" }, "servers[0].service.mean_ms": func(s *Scenario) { s.Servers[0].Service.MeanMs = -1 },
-		"servers[0].service.shape": func(s *Scenario) { s.Servers[0].Service = Dist{Kind: "pareto", MeanMs: 1, Shape: 1} }, "fault[0].kind": func(s *Scenario) { s.Faults[0].Kind = "typhoon" },
-		"fault[0].part": func(s *Scenario) { s.Faults[0].Part = 2 }, "fault[5].class": func(s *Scenario) { s.Faults[5].Class = "none" }, "fault[0].zone": func(s *Scenario) { s.Faults[0].Zone = 9 },
+		"servers[0].service.shape": func(s *Scenario) { s.Servers[0].Service = Distribution{Kind: "pareto", MeanMs: 1, Shape: 1} }, "fault[0].kind": func(s *Scenario) { s.Faults[0].Kind = "typhoon" },
+		"fault[0].part": func(s *Scenario) { s.Faults[0].Fraction = 2 }, "fault[5].class": func(s *Scenario) { s.Faults[5].Class = "none" }, "fault[0].zone": func(s *Scenario) { s.Faults[0].Zone = 9 },
 		"class: the shares": func(s *Scenario) {
-			s.Classes = []ClassLoad{{Name: "a", Effect: "safe", Share: 0.5, AimMs: 1, GiveUpMs: 1}}
+			s.Classes = []ClassLoad{{Name: "a", Effect: "safe", Share: 0.5, LatencyObjectiveMs: 1, ClientTimeoutMs: 1}}
 		},
 		"class[0].effect": func(s *Scenario) {
-			s.Classes = []ClassLoad{{Name: "a", Effect: "odd", Share: 1, AimMs: 1, GiveUpMs: 1}}
+			s.Classes = []ClassLoad{{Name: "a", Effect: "odd", Share: 1, LatencyObjectiveMs: 1, ClientTimeoutMs: 1}}
 		}, "agents": func(s *Scenario) { s.Agents = -1 },
 	} {
 		sc := typhoon()
@@ -343,7 +346,7 @@
 }
 
 func BenchmarkRun(b *testing.B) {
-	sc := &Scenario{Name: "calm", Seconds: 10, Zones: 3, Agents: 4, Servers: []ServerGroup{{Count: 12, Workers: 8, Queue: 32, Service: Dist{Kind: "exponential", MeanMs: 10}}},
+	sc := &Scenario{Name: "calm", Seconds: 10, Zones: 3, Agents: 4, Servers: []ServerGroup{{Count: 12, Workers: 8, Queue: 32, Service: Distribution{Kind: "exponential", MeanMs: 10}}},
 		Load: Load{PerS: 5000, Keys: 1000, Zipf: 0.9}}
 	if err := sc.Check(); err != nil {
 		b.Fatal(err)
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// strike is a fault's beginning or end at some servers, or in the network.
-type strike struct {
-	w  *World
-	f  *Fault
-	on []*server
+// faultEvent is a fault's beginning or end at some servers, or in the network.
+type faultEvent struct {
+	world   *World
+	fault   *Fault
+	servers []*server
 }
 
 const (
@@ -17,71 +17,71 @@
 	faultEnds
 )
 
-// plan schedules a fault.
-func (w *World) plan(f *Fault) {
+// scheduleFault schedules a fault.
+func (w *World) scheduleFault(f *Fault) {
 	from := w.servers
 	if w.graph != nil {
-		from = w.graph.mixed // not one service after the other
+		from = w.graph.shuffled // not one service after the other
 	}
-	if f.OfZone > 0 || f.OfService > 0 || f.OfRack > 0 {
+	if f.TargetZone > 0 || f.TargetService > 0 || f.TargetRack > 0 {
 		all := from
 		from = nil
 		for _, s := range all {
-			if (f.OfZone == 0 || s.zone == f.OfZone-1) && (f.OfService == 0 || s.service == f.OfService-1) && (f.OfRack == 0 || s.rack == f.OfRack-1) {
+			if (f.TargetZone == 0 || s.zone == f.TargetZone-1) && (f.TargetService == 0 || s.service == f.TargetService-1) && (f.TargetRack == 0 || s.rack == f.TargetRack-1) {
 				from = append(from, s)
 			}
 		}
 	}
-	hit := from[:f.many(len(from))]
+	hit := from[:f.targetCount(len(from))]
 	at := func(s float64) Time { return Time(s * float64(Second)) }
 	each := [][]*server{hit}
-	if f.EveryS > 0 {
+	if f.StaggerS > 0 {
 		each = nil
 		for i := range hit {
 			each = append(each, hit[i:i+1])
 		}
 	}
 	for i, on := range each {
-		x := &strike{w, f, on}
-		from := f.AtS + float64(i)*f.EveryS
+		x := &faultEvent{w, f, on}
+		from := f.StartS + float64(i)*f.StaggerS
 		w.at(at(from), x, faultBegins)
-		if f.ForS > 0 {
-			w.at(at(from+f.ForS), x, faultEnds)
+		if f.DurationS > 0 {
+			w.at(at(from+f.DurationS), x, faultEnds)
 		}
 	}
 }
 
-// many is how many of so many it hits.
-func (f *Fault) many(all int) int {
+// targetCount is how many of so many it hits.
+func (f *Fault) targetCount(all int) int {
 	n := f.Count
 	if n == 0 {
-		n = int(math.Ceil(f.Share * float64(all)))
+		n = int(math.Ceil(f.ServerFraction * float64(all)))
 	}
 	return min(n, all)
 }
 
-func (x *strike) fire(kind uint8) {
-	w, f, begins := x.w, x.f, kind == faultBegins
+func (x *faultEvent) fire(kind uint8) {
+	w, f, begins := x.world, x.fault, kind == faultBegins
 	switch f.Kind {
 	case "partition":
-		w.cut[f.Zone] = begins
+		w.partitioned[f.Zone] = begins
 	case "one_way":
-		if w.late[f.Zone] = 0; begins {
-			w.late[f.Zone] = ns(f.Ms)
+		if w.answerDelay[f.Zone] = 0; begins {
+			w.answerDelay[f.Zone] = fromMs(f.DelayMs)
 		}
 	case "kill_agents":
 		if begins {
-			for _, g := range w.agents[:f.many(len(w.agents))] {
+			for _, g := range w.agents[:f.targetCount(len(w.agents))] {
 				g.kill()
 			}
 		}
 	case "surge":
-		if w.surge = 1; begins {
-			w.surge = f.Times
+		if w.loadFactor = 1; begins {
+			w.loadFactor = f.Factor
 		}
 	case "roster_down":
 		if begins {
-			w.rosterDown = w.now + Time(f.ForS*float64(Second))
+			w.discoveryDownUntil = w.now + Time(f.DurationS*float64(Second))
 		}
 	}
 	amount := func(v float64) float64 {
@@ -90,20 +90,20 @@
 		}
 		return 0
 	}
-	for _, s := range x.on {
+	for _, s := range x.servers {
 		switch f.Kind {
 		case "drain":
 			if s.draining = begins; begins {
 				// Told is when the last agent has heard: the 250 ms count from there.
-				s.acct.NotifiedDraining(w.time().Add(time.Duration(max(w.rosterDown-w.now, 0) + ns(2*w.sc.Roster.LagMs))))
+				s.record.NotifiedDraining(w.time().Add(time.Duration(max(w.discoveryDownUntil-w.now, 0) + fromMs(2*w.scenario.Discovery.LagMs))))
 			} else {
-				s.acct.InService()
+				s.record.InService()
 			}
-			w.tell(s)
+			w.notify(s)
 		case "stop", "dark":
 			if begins {
-				s.begin()
-				s.stopped, s.dark = f.Kind == "stop", f.Kind == "dark"
+				s.startProcess()
+				s.stopped, s.unresponsive = f.Kind == "stop", f.Kind == "dark"
 			} else {
 				s.restart()
 			}
@@ -112,20 +112,20 @@
 				s.restart()
 			}
 		case "slow":
-			s.slow = amount(f.Times)
+			s.slowFactor = amount(f.Factor)
 		case "slow_some":
-			s.slowPart, s.slowTime = amount(f.Part), f.Times
+			s.slowFraction, s.slowFractionFactor = amount(f.Fraction), f.Factor
 		case "errors":
-			s.errPart, s.errClass = amount(f.Part), -1
+			s.errorFraction, s.errorClass = amount(f.Fraction), -1
 			if f.Class != "" {
-				s.errClass = w.sc.class(f.Class)
+				s.errorClass = w.scenario.classIndex(f.Class)
 			}
 		case "stalls":
 			if s.stalls = (stalls{}); begins {
-				s.stalls = stalls{ns(f.PauseS * 1000), ns(f.Ms), Time(s.rng.Float64() * f.PauseS * float64(Second))}
+				s.stalls = stalls{fromMs(f.IntervalS * 1000), fromMs(f.DelayMs), Time(s.rng.Float64() * f.IntervalS * float64(Second))}
 			}
 		case "turn_away":
-			s.turnPart = amount(f.Part)
+			s.rejectFraction = amount(f.Fraction)
 		}
 	}
 }
--- a/internal/emulator/graph_test.go
+++ b/internal/emulator/graph_test.go
@@ -17,7 +17,7 @@
 	if err := spec.Check(zones); err != nil {
 		t.Fatal(err)
 	}
-	return DrawGraph(spec, zones, &Net{LocalMs: 0.25, CrossMs: 1})
+	return DrawGraph(spec, zones, &Network{LocalMs: 0.25, CrossMs: 1})
 }
 
 // longest is the longest path from a service, found anew; it ends the test where it goes in a circle.
@@ -28,8 +28,8 @@
 	on[i] = true
 	most := 0
 	for _, c := range g.Services[i].Calls {
-		if !(c.Part > 0 && c.Part <= 1) {
-			t.Errorf("service %d calls %d for %v of its calls", i, c.To, c.Part)
+		if !(c.Probability > 0 && c.Probability <= 1) {
+			t.Errorf("service %d calls %d for %v of its calls", i, c.To, c.Probability)
 		}
 		most = max(most, longest(t, g, c.To, on))
 	}
@@ -44,7 +44,7 @@
 	for seed := range uint64(200) {
 		spec := aimed()
 		if spec.Seed = seed; seed%2 == 1 {
-			spec.Services, spec.Servers, spec.Depth, spec.Least, spec.Most = 10+int(seed)/4, 0, 1+int(seed)%6, 1, 7
+			spec.Services, spec.Servers, spec.Depth, spec.MinServers, spec.MaxServers = 10+int(seed)/4, 0, 1+int(seed)%6, 1, 7
 		}
 		g := drawn(t, spec, 6)
 		if !reflect.DeepEqual(g, drawn(t, spec, 6)) {
@@ -66,7 +66,7 @@
 		}
 		zones, hops := map[int]int{}, g.Hops()
 		for i, s := range g.Services {
-			if n := len(s.Places); n < spec.Least || n > spec.Most || s.Workers < 2 || s.WorkMs < spec.WorkMs/2 || s.WorkMs > spec.WorkMs*1.5 {
+			if n := len(s.Placements); n < spec.MinServers || n > spec.MaxServers || s.Workers < 2 || s.WorkMs < spec.WorkMs/2 || s.WorkMs > spec.WorkMs*1.5 {
 				t.Errorf("seed %d: service %d: %d servers of %d workers, %v ms", seed, i, n, s.Workers, s.WorkMs)
 			}
 			if s.Rate <= 0 {
@@ -76,7 +76,7 @@
 				t.Errorf("seed %d: service %d is said to have a path of %d", seed, i, s.Height)
 			}
 			own := map[int]int{}
-			for _, p := range s.Places {
+			for _, p := range s.Placements {
 				zones[p.Zone]++
 				own[p.Zone]++
 				if p.Rack/spec.Racks != p.Zone {
@@ -84,8 +84,8 @@
 				}
 			}
 			for z, n := range own {
-				if n > (len(s.Places)+5)/6 {
-					t.Errorf("seed %d: service %d has %d of %d servers in zone %d", seed, i, n, len(s.Places), z)
+				if n > (len(s.Placements)+5)/6 {
+					t.Errorf("seed %d: service %d has %d of %d servers in zone %d", seed, i, n, len(s.Placements), z)
 				}
 			}
 		}
@@ -93,8 +93,8 @@
 		for _, h := range hops {
 			sum += h
 		}
-		if hops[1] < 0.999 || hops[1] > 1.001 || hops[spec.Depth] <= 0 || math.Abs(sum-g.PerTop()) > 1e-9 {
-			t.Errorf("seed %d: hops %v, %v calls for one at the top", seed, hops, g.PerTop())
+		if hops[1] < 0.999 || hops[1] > 1.001 || hops[spec.Depth] <= 0 || math.Abs(sum-g.CallsPerEntryCall()) > 1e-9 {
+			t.Errorf("seed %d: hops %v, %v calls for one at the top", seed, hops, g.CallsPerEntryCall())
 		}
 		if seed%2 == 0 && len(zones) != 6 {
 			t.Errorf("seed %d: %d zones", seed, len(zones))
@@ -105,7 +105,7 @@
 func TestGraphSpecCheck(t *testing.T) {
 	for key, spec := range map[string]GraphSpec{"graph.depth": {Services: 3, CallsPerS: 1}, "graph.services": {Depth: 4, Services: 3, CallsPerS: 1},
 		"graph.servers": {Depth: 1, Services: 2, Servers: 25, CallsPerS: 1}, "graph.regions": {Depth: 1, Services: 1, Regions: 4, CallsPerS: 1},
-		"graph.calls_per_s": {Depth: 1, Services: 1, CallsPerS: math.NaN()}, "graph.most": {Depth: 1, Services: 1, Least: 5, Most: 4, CallsPerS: 1}} {
+		"graph.calls_per_s": {Depth: 1, Services: 1, CallsPerS: math.NaN()}, "graph.most": {Depth: 1, Services: 1, MinServers: 5, MaxServers: 4, CallsPerS: 1}} {
 		if err := spec.Check(6); err == nil || len(err.Error()) < len(key) || err.Error()[:len(key)] != key {
 			t.Errorf("%s: %v", key, err)
 		}
@@ -126,9 +126,9 @@
 
 // chain is services one below the other, each of so many servers, with one client machine; perS is at the top.
 func chain(depth, servers int, perS float64) *Scenario {
-	return &Scenario{Name: "chain", Seconds: 6, WarmSeconds: 1, Zones: 1,
-		Graph:   &GraphSpec{Seed: 1, Services: depth, Depth: depth, Least: servers, Most: servers, Further: -1, Edges: 1, CallsPerS: perS * float64(depth)},
-		Classes: []ClassLoad{{Name: "read", Effect: "safe", Share: 1, AimMs: 200, GiveUpMs: 800}}}
+	return &Scenario{Name: "chain", Seconds: 6, WarmUpSeconds: 1, Zones: 1,
+		Graph:   &GraphSpec{Seed: 1, Services: depth, Depth: depth, MinServers: servers, MaxServers: servers, ExtraCalls: -1, ClientHosts: 1, CallsPerS: perS * float64(depth)},
+		Classes: []ClassLoad{{Name: "read", Effect: "safe", Share: 1, LatencyObjectiveMs: 200, ClientTimeoutMs: 800}}}
 }
 
 func runGraph(t *testing.T, sc *Scenario, p *Policy, seed uint64) *Result {
@@ -147,16 +147,16 @@
 func TestCallsGoDownTheChain(t *testing.T) {
 	for depth := 1; depth <= 6; depth++ {
 		r := runGraph(t, chain(depth, 3, 100), choices(2), 3)
-		if r.Goodput < 0.999 || len(r.Path.Hops) != depth || len(r.Breaches) > 0 || r.Backstop > 0 || r.Guarded > 0 {
+		if r.Goodput < 0.999 || len(r.Path.Hops) != depth || len(r.Violations) > 0 || r.BackstopTimeouts > 0 || r.GuardViolations > 0 {
 			t.Errorf("depth %d: %+v", depth, r)
 		}
 		for i, h := range r.Path.Hops {
-			if h.Asked < r.Ops || h.Served < h.Asked-10 || h.Attempts < h.Asked {
+			if h.Requested < r.Ops || h.Served < h.Requested-10 || h.Attempts < h.Requested {
 				t.Errorf("depth %d: hop %d: %+v of %d at the top", depth, i+1, h, r.Ops)
 			}
 		}
-		g := DrawGraph(chain(depth, 3, 100).graphSpec(t), 1, &Net{LocalMs: 0.25})
-		if want := g.Services[0].HoldMs + 0.5; r.MeanMs < 0.9*want || r.MeanMs > 2*want {
+		g := DrawGraph(chain(depth, 3, 100).graphSpec(t), 1, &Network{LocalMs: 0.25})
+		if want := g.Services[0].ResponseMs + 0.5; r.MeanMs < 0.9*want || r.MeanMs > 2*want {
 			t.Errorf("depth %d: %v ms in the mean, without queues %v", depth, r.MeanMs, want)
 		}
 	}
@@ -173,14 +173,14 @@
 // come up as errors, and are not asked again on the way.
 func TestFailedCallsFailTheirCaller(t *testing.T) {
 	sc := chain(4, 3, 200)
-	sc.Faults = []Fault{{Kind: "errors", Share: 1, OfService: 4, Part: 0.3}}
+	sc.Faults = []Fault{{Kind: "errors", ServerFraction: 1, TargetService: 4, Fraction: 0.3}}
 	sc.Classes[0].Effect = "unsafe" // the client doesn't come back after a failure
 	r := runGraph(t, sc, choices(1), 5)
-	if math.Abs(r.Goodput-0.7) > 0.05 || len(r.Breaches) > 0 {
-		t.Errorf("served %v of %d, breaches %v", r.Goodput, r.Ops, r.Words)
+	if math.Abs(r.Goodput-0.7) > 0.05 || len(r.Violations) > 0 {
+		t.Errorf("served %v of %d, breaches %v", r.Goodput, r.Ops, r.ViolationTexts)
 	}
 	for i, h := range r.Path.Hops {
-		if h.Attempts != h.Asked || math.Abs(float64(h.Served)/float64(h.Asked)-0.7) > 0.05 {
+		if h.Attempts != h.Requested || math.Abs(float64(h.Served)/float64(h.Requested)-0.7) > 0.05 {
 			t.Errorf("hop %d: %+v", i+1, h)
 		}
 	}
@@ -192,13 +192,13 @@
 	last := 0.0
 	for depth := 1; depth <= 3; depth++ {
 		sc := chain(depth, 6, 5)
-		sc.Graph.Tries, sc.Graph.Busy = 3, 0.02
-		sc.Faults = []Fault{{Kind: "errors", Share: 1, OfService: depth, Part: 1}}
+		sc.Graph.CallAttempts, sc.Graph.Utilization = 3, 0.02
+		sc.Faults = []Fault{{Kind: "errors", ServerFraction: 1, TargetService: depth, Fraction: 1}}
 		r := runGraph(t, sc, choices(1), 5)
-		if r.Served != 0 || r.Path.Deepest > math.Pow(3, float64(depth)) || r.Path.Deepest < 2*max(last, 1) {
-			t.Errorf("depth %d: %d served, %v attempts at the deepest, %v one hop less", depth, r.Served, r.Path.Deepest, last)
+		if r.Served != 0 || r.Path.DeepestAttempts > math.Pow(3, float64(depth)) || r.Path.DeepestAttempts < 2*max(last, 1) {
+			t.Errorf("depth %d: %d served, %v attempts at the deepest, %v one hop less", depth, r.Served, r.Path.DeepestAttempts, last)
 		}
-		last = r.Path.Deepest
+		last = r.Path.DeepestAttempts
 	}
 }
 
@@ -206,7 +206,7 @@
 // is answered late, and no server is left with a call that waits.
 func TestDeadlinesGoDown(t *testing.T) {
 	sc := chain(5, 3, 50)
-	sc.Faults = []Fault{{Kind: "slow", AtS: 2, ForS: 2, Share: 1, OfService: 5, Times: 1e5}}
+	sc.Faults = []Fault{{Kind: "slow", StartS: 2, DurationS: 2, ServerFraction: 1, TargetService: 5, Factor: 1e5}}
 	if err := sc.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -221,9 +221,9 @@
 			if r.answered {
 				continue
 			}
-			most = max(most, r.op.top.until-w.now)
-			if r.op.until > r.op.top.until {
-				t.Errorf("hop %d has %v, the top %v", r.op.hop, r.op.until-w.now, r.op.top.until-w.now)
+			most = max(most, r.operation.entry.deadline-w.now)
+			if r.operation.deadline > r.operation.entry.deadline {
+				t.Errorf("hop %d has %v, the top %v", r.operation.hop, r.operation.deadline-w.now, r.operation.entry.deadline-w.now)
 			}
 		}
 	}
@@ -231,15 +231,15 @@
 		t.Error("nothing waits half a second into the fault")
 	}
 	w.run(6 * Second)
-	w.sc.Load.PerS = 1e-9 // and no more come
+	w.scenario.Load.PerS = 1e-9 // and no more come
 	w.run(60 * Second)
-	r := w.result()
-	if len(r.Breaches) > 0 || r.Served == r.Ops || r.Served == 0 {
-		t.Errorf("served %d of %d, %v", r.Served, r.Ops, r.Words)
+	r := w.summarize()
+	if len(r.Violations) > 0 || r.Served == r.Ops || r.Served == 0 {
+		t.Errorf("served %d of %d, %v", r.Served, r.Ops, r.ViolationTexts)
 	}
 	for _, g := range w.agents {
-		if g.open > 1 { // the arrival that is under way at the change of the rate may still be open
-			t.Errorf("%d calls of service %d are open at the end", g.open, g.service)
+		if g.openRequests > 1 { // the arrival that is under way at the change of the rate may still be open
+			t.Errorf("%d calls of service %d are open at the end", g.openRequests, g.service)
 		}
 	}
 }
@@ -248,13 +248,13 @@
 func TestCallsHoldTheirWorker(t *testing.T) {
 	sc := chain(2, 1, 200)
 	sc.Classes[0].Effect = "unsafe"
-	sc.Graph.Busy = 10 // two workers each
+	sc.Graph.Utilization = 10 // two workers each
 	sc.Graph.Seed = 2
 	if err := sc.Check(); err != nil {
 		t.Fatal(err)
 	}
-	sc.Servers[0].Workers, sc.Servers[0].Service = 2, Dist{MeanMs: 0.001}
-	sc.Servers[1].Workers, sc.Servers[1].Service = 1000, Dist{MeanMs: 100}
+	sc.Servers[0].Workers, sc.Servers[0].Service = 2, Distribution{MeanMs: 0.001}
+	sc.Servers[1].Workers, sc.Servers[1].Service = 1000, Distribution{MeanMs: 100}
 	r, err := Run(sc, choices(1), 4)
 	if err != nil {
 		t.Fatal(err)
@@ -268,10 +268,10 @@
 func TestGraphIsSeeded(t *testing.T) {
 	run := func(seed uint64) string {
 		sc := &Scenario{Name: "small", Seconds: 3, Zones: 6, Graph: &GraphSpec{Seed: 3, Services: 12, Depth: 4, Regions: 2, CallsPerS: 1500},
-			Faults: []Fault{{Kind: "restart", AtS: 1, Count: 10, EveryS: 0.1}, {Kind: "dark", AtS: 1, ForS: 1, Share: 1, OfRack: 3}}}
+			Faults: []Fault{{Kind: "restart", StartS: 1, Count: 10, StaggerS: 0.1}, {Kind: "dark", StartS: 1, DurationS: 1, ServerFraction: 1, TargetRack: 3}}}
 		r := runGraph(t, sc, &Product, seed)
-		if len(r.Breaches) > 0 || r.Ops < 100 {
-			t.Errorf("seed %d: %d at the top, %v", seed, r.Ops, r.Words)
+		if len(r.Violations) > 0 || r.Ops < 100 {
+			t.Errorf("seed %d: %d at the top, %v", seed, r.Ops, r.ViolationTexts)
 		}
 		text, err := json.Marshal(r)
 		if err != nil {
@@ -301,17 +301,17 @@
 		}
 		w.run(Second / 2)
 		for _, s := range w.servers {
-			if s.dark {
+			if s.unresponsive {
 				out = append(out, s)
 			}
 		}
 		return out
 	}
-	for name, f := range map[string]Fault{"zone": {Kind: "dark", Share: 1, OfZone: 2}, "rack": {Kind: "dark", Share: 1, OfRack: 6},
-		"service": {Kind: "dark", Share: 1, OfService: 82}, "both": {Kind: "dark", Share: 1, OfZone: 2, OfService: 2}} {
+	for name, f := range map[string]Fault{"zone": {Kind: "dark", ServerFraction: 1, TargetZone: 2}, "rack": {Kind: "dark", ServerFraction: 1, TargetRack: 6},
+		"service": {Kind: "dark", ServerFraction: 1, TargetService: 82}, "both": {Kind: "dark", ServerFraction: 1, TargetZone: 2, TargetService: 2}} {
 		list := hit(f)
 		for _, s := range list {
-			if f.OfZone > 0 && s.zone != 1 || f.OfRack > 0 && s.rack != 5 || f.OfService > 0 && s.service != f.OfService-1 {
+			if f.TargetZone > 0 && s.zone != 1 || f.TargetRack > 0 && s.rack != 5 || f.TargetService > 0 && s.service != f.TargetService-1 {
 				t.Errorf("%s: hits server %d of service %d in zone %d, rack %d", name, s.index, s.service, s.zone, s.rack)
 			}
 		}
--- a/internal/emulator/hold.go
+++ b/internal/emulator/hold.go
@@ -2,55 +2,55 @@
 
 import "ringtrack.example/ringtrack/internal/invariant"
 
-// hold is a call whose server waits for the calls that it makes in turn, one after the other. It keeps its worker. Its
+// nestedCalls is a call whose server waits for the calls that it makes in turn, one after the other. It keeps its worker. Its
 // calls have what is left of its attempt's time; one that fails, is refused or times out for good makes the answer an
 // error. A process that ends leaves its calls to themselves.
 //
 // What it leaves out: a call made again for a repeat of a keyed request is an operation of its own to the book, so that
 // rule 2 holds for each hop and not over the whole path; and a server does not hear that its caller is gone.
-type hold struct {
-	s   *server
-	a   *attempt
-	at  int // the next of the service's calls
-	out *op
+type nestedCalls struct {
+	server   *server
+	attempt  *attempt
+	nextCall int // the next of the service's calls
+	current  *operation
 }
 
 // next makes the next call, or answers where there is none left.
-func (h *hold) next() {
-	s, o := h.s, h.a.r.op
-	calls := s.w.graph.Services[s.service].Calls
-	for ; h.at < len(calls); h.at++ {
-		if p := calls[h.at].Part; p < 1 && s.rng.Float64() >= p {
+func (h *nestedCalls) next() {
+	s, o := h.server, h.attempt.request.operation
+	calls := s.world.graph.Services[s.service].Calls
+	for ; h.nextCall < len(calls); h.nextCall++ {
+		if p := calls[h.nextCall].Probability; p < 1 && s.rng.Float64() >= p {
 			continue
 		}
-		left := h.a.until - s.w.now
+		left := h.attempt.deadline - s.world.now
 		if left <= 0 {
-			s.answer(h.a, true)
+			s.complete(h.attempt, true)
 			return
 		}
-		g := s.calls[h.at]
-		h.at++
-		h.out = &op{Operation: invariant.Operation{Effect: o.effect}, w: s.w, agent: g, class: o.class, tenant: o.tenant, effect: o.effect,
-			key: o.key ^ uint64(g.service+1)*0x9e3779b97f4a7c15, began: s.w.now, until: s.w.now + left, top: o.top, hop: o.hop + 1, hold: h}
-		s.w.graph.asked(h.out)
-		h.out.try()
+		g := s.downstream[h.nextCall]
+		h.nextCall++
+		h.current = &operation{Operation: invariant.Operation{Effect: o.effect}, world: s.world, agent: g, class: o.class, tenant: o.tenant, effect: o.effect,
+			key: o.key ^ uint64(g.service+1)*0x9e3779b97f4a7c15, startedAt: s.world.now, deadline: s.world.now + left, entry: o.entry, hop: o.hop + 1, caller: h}
+		s.world.graph.recordRequest(h.current)
+		h.current.send()
 		return
 	}
-	s.answer(h.a, false)
+	s.complete(h.attempt, false)
 }
 
 // fire goes on after a call was answered; not from within its agent.
-func (h *hold) fire(kind uint8) {
+func (h *nestedCalls) fire(kind uint8) {
 	switch {
-	case h.a.life != h.s.life: // the process that waited is gone
-	case kind == holdBroken:
-		h.s.answer(h.a, true)
+	case h.attempt.incarnation != h.server.incarnation: // the process that waited is gone
+	case kind == nestedCallFailed:
+		h.server.complete(h.attempt, true)
 	default:
 		h.next()
 	}
 }
 
 const (
-	holdServed uint8 = iota
-	holdBroken
+	nestedCallServed uint8 = iota
+	nestedCallFailed
 )
--- a/internal/emulator/overload_test.go
+++ b/internal/emulator/overload_test.go
@@ -7,11 +7,11 @@
 )
 
 func overloadScenario() *Scenario {
-	s := &Scenario{Name: "o", Seconds: 10, WarmSeconds: 2, Zones: 1, Agents: 2,
-		Servers: []ServerGroup{{Count: 4, Workers: 2, Queue: 4, Service: Dist{Kind: "exponential", MeanMs: 20}}},
-		Load:    Load{PerS: 600, Keys: 200, Zipf: 0.8, Rude: 1},
-		Classes: []ClassLoad{{Name: "r", Effect: "safe", Share: 1, AimMs: 500, GiveUpMs: 1500}},
-		Tenants: []Tenant{{Name: "a", Portion: 0.5}, {Name: "b", Portion: 0.5, Asks: 1.5}}}
+	s := &Scenario{Name: "o", Seconds: 10, WarmUpSeconds: 2, Zones: 1, Agents: 2,
+		Servers: []ServerGroup{{Count: 4, Workers: 2, Queue: 4, Service: Distribution{Kind: "exponential", MeanMs: 20}}},
+		Load:    Load{PerS: 600, Keys: 200, Zipf: 0.8, ImmediateRetry: 1},
+		Classes: []ClassLoad{{Name: "r", Effect: "safe", Share: 1, LatencyObjectiveMs: 500, ClientTimeoutMs: 1500}},
+		Tenants: []Tenant{{Name: "a", Quota: 0.5}, {Name: "b", Quota: 0.5, LoadWeight: 1.5}}}
 	return s
 }
 
@@ -29,11 +29,11 @@
 
 // A meter lets through its rate, and no more than a second's worth at once.
 func TestMeter(t *testing.T) {
-	m := meter{perS: 100, tokens: 100}
+	m := tokenBucket{perS: 100, tokens: 100}
 	for _, gap := range []Time{Millisecond, 5 * Millisecond, 50 * Millisecond} {
-		now, n, all := m.at, 0, int(10*Second/gap)
+		now, n, all := m.refilledAt, 0, int(10*Second/gap)
 		for range all {
-			if now += gap; m.within(now) {
+			if now += gap; m.allow(now) {
 				n++
 			}
 		}
@@ -49,34 +49,34 @@
 	if len(r.Tenants) != 2 || r.Tenants[0] < 0.95 || r.Tenants[1] < 0.8 {
 		t.Errorf("a asks for its portion, b for three times its own: served %v of them", r.Tenants)
 	}
-	if r.Worth < r.Goodput+0.1 {
-		t.Errorf("worth %.3f beside a goodput of %.3f: what is beyond portions counts in full", r.Worth, r.Goodput)
+	if r.WeightedGoodput < r.Goodput+0.1 {
+		t.Errorf("worth %.3f beside a goodput of %.3f: what is beyond portions counts in full", r.WeightedGoodput, r.Goodput)
 	}
 }
 
 // Warm keys save work; a memory of none saves nothing, and of one for each worker hardly any.
 func TestWarmKeysSaveWork(t *testing.T) {
-	goodput := func(w Warm) float64 {
+	goodput := func(w KeyCache) float64 {
 		s := overloadScenario()
-		s.Tenants, s.Servers[0].Warm = nil, w
+		s.Tenants, s.Servers[0].KeyCache = nil, w
 		return play(t, s).Goodput
 	}
-	none, few, many := goodput(Warm{}), goodput(Warm{Gain: 0.6, ForMs: 3000, Keys: 1}), goodput(Warm{Gain: 0.6, ForMs: 3000, Keys: 100})
+	none, few, many := goodput(KeyCache{}), goodput(KeyCache{SavedFraction: 0.6, TTLMs: 3000, KeysPerWorker: 1}), goodput(KeyCache{SavedFraction: 0.6, TTLMs: 3000, KeysPerWorker: 100})
 	if many < none+0.1 || few > (none+many)/2 {
 		t.Errorf("goodput %.3f without, %.3f with a memory of a key for each worker, %.3f with one of all", none, few, many)
 	}
-	m := memory{}
-	w := &Warm{Gain: 0.5, ForMs: 100, Keys: 2}
+	m := recentKeys{}
+	w := &KeyCache{SavedFraction: 0.5, TTLMs: 100, KeysPerWorker: 2}
 	for i, c := range []struct {
 		at   Time
 		key  uint64
 		left float64
 	}{{0, 1, 1}, {50, 1, 0.5}, {149, 1, 0.5}, {249, 1, 1}, {250, 2, 1}, {251, 3, 1}, {252, 1, 1}, {253, 0, 1}} {
-		if got := m.met(w, 1, c.at*Millisecond, c.key); got != c.left {
+		if got := m.observe(w, 1, c.at*Millisecond, c.key); got != c.left {
 			t.Errorf("step %d: %v of the work is left, want %v", i, got, c.left)
 		}
-		if len(m.at) > 2 {
-			t.Fatalf("step %d: %d keys remembered, at most 2", i, len(m.at))
+		if len(m.lastSeen) > 2 {
+			t.Fatalf("step %d: %d keys remembered, at most 2", i, len(m.lastSeen))
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	}
 	calm, stalled := overloadScenario(), overloadScenario()
 	calm.Load.PerS, stalled.Load.PerS = 300, 300
-	stalled.Faults = []Fault{{Kind: "stalls", AtS: 1, ForS: 8, Share: 1, Ms: 300, PauseS: 1}}
+	stalled.Faults = []Fault{{Kind: "stalls", StartS: 1, DurationS: 8, ServerFraction: 1, DelayMs: 300, IntervalS: 1}}
 	if a, b := play(t, calm).P99Ms, play(t, stalled).P99Ms; b < a+100 {
 		t.Errorf("p99 %.0f ms with stalls of 300 ms, %.0f without", b, a)
 	}
@@ -103,15 +103,15 @@
 func TestSurge(t *testing.T) {
 	s := overloadScenario()
 	s.Tenants, s.Load.PerS, s.Seconds = nil, 300, 16
-	s.Faults = []Fault{{Kind: "surge", AtS: 5, ForS: 3, Times: 4}}
+	s.Faults = []Fault{{Kind: "surge", StartS: 5, DurationS: 3, Factor: 4}}
 	r := play(t, s)
-	if r.Timeline[6] > 0.9 || r.BackS < 0 || r.BackS > 3 {
-		t.Errorf("goodput by second %.2f; back after %d s", r.Timeline, r.BackS)
+	if r.Timeline[6] > 0.9 || r.RecoveryS < 0 || r.RecoveryS > 3 {
+		t.Errorf("goodput by second %.2f; back after %d s", r.Timeline, r.RecoveryS)
 	}
-	if got := s.back([]float64{1, 1, 1, 1, 1, 0.5, 0.5, 0.5, 0.5, 0.96, 0.5, 0.96, 1}); got != 3 {
+	if got := s.recoveryS([]float64{1, 1, 1, 1, 1, 0.5, 0.5, 0.5, 0.5, 0.96, 0.5, 0.96, 1}); got != 3 {
 		t.Errorf("back after %d s, want 3", got)
 	}
-	if got := s.back([]float64{1, 1, 1, 1, 1, 0.5, 0.5, 0.5, 0.5, 0.96}); got != -1 {
+	if got := s.recoveryS([]float64{1, 1, 1, 1, 1, 0.5, 0.5, 0.5, 0.5, 0.96}); got != -1 {
 		t.Errorf("never back: %d", got)
 	}
 }
@@ -119,14 +119,14 @@
 // Bad keys are named.
 func TestOverloadKeysAreChecked(t *testing.T) {
 	for key, spoil := range map[string]func(*Scenario){
-		"tenant[0].portion":    func(s *Scenario) { s.Tenants[0].Portion = 0 },
-		"tenant[1].asks":       func(s *Scenario) { s.Tenants[1].Asks = -1 },
+		"tenant[0].portion":    func(s *Scenario) { s.Tenants[0].Quota = 0 },
+		"tenant[1].asks":       func(s *Scenario) { s.Tenants[1].LoadWeight = -1 },
 		"servers[0].report":    func(s *Scenario) { s.Servers[0].Report = "true" },
-		"servers[0].warm.gain": func(s *Scenario) { s.Servers[0].Warm.Gain = 1 },
+		"servers[0].warm.gain": func(s *Scenario) { s.Servers[0].KeyCache.SavedFraction = 1 },
 		"load.hot_key":         func(s *Scenario) { s.Load.HotKey = 1.5 },
-		"one_agent":            func(s *Scenario) { s.OneAgent = math.NaN() },
-		"class[0].worth":       func(s *Scenario) { s.Classes[0].Worth = -1 },
-		"fault[0].pause_s":     func(s *Scenario) { s.Faults = []Fault{{Kind: "stalls", PauseS: -1}} },
+		"one_agent":            func(s *Scenario) { s.FirstAgentFraction = math.NaN() },
+		"class[0].worth":       func(s *Scenario) { s.Classes[0].PriorityWeight = -1 },
+		"fault[0].pause_s":     func(s *Scenario) { s.Faults = []Fault{{Kind: "stalls", IntervalS: -1}} },
 	} {
 		s := overloadScenario()
 		spoil(s)
@@ -141,8 +141,8 @@
 	for kind := range reportKinds {
 		s := overloadScenario()
 		s.Servers[0].Report = kind
-		if r := play(t, s); r.Tenants[0] < 0.9 || len(r.Breaches) > 0 {
-			t.Errorf("reports %q: tenants %v, breaches %v", kind, r.Tenants, r.Breaches)
+		if r := play(t, s); r.Tenants[0] < 0.9 || len(r.Violations) > 0 {
+			t.Errorf("reports %q: tenants %v, breaches %v", kind, r.Tenants, r.Violations)
 		}
 	}
 }
--- a/internal/emulator/peers/peers.go
+++ b/internal/emulator/peers/peers.go
@@ -488,11 +488,11 @@
 
 // All are the peers, by name. None is held to the contract: the book says what each breaks.
 var All = []emulator.Policy{
-	{Name: "random", Freely: true, New: Random},
-	{Name: "round_robin", Freely: true, New: RoundRobin},
-	{Name: "least_request", Freely: true, New: LeastRequest},
-	{Name: "ring_hash", Freely: true, New: RingHash},
-	{Name: "weighted_rr", Freely: true, New: WeightedRoundRobin},
-	{Name: "peak_ewma", Freely: true, New: PeakEWMA},
-	{Name: "gradient", Freely: true, New: Gradient},
+	{Name: "random", Unguarded: true, New: Random},
+	{Name: "round_robin", Unguarded: true, New: RoundRobin},
+	{Name: "least_request", Unguarded: true, New: LeastRequest},
+	{Name: "ring_hash", Unguarded: true, New: RingHash},
+	{Name: "weighted_rr", Unguarded: true, New: WeightedRoundRobin},
+	{Name: "peak_ewma", Unguarded: true, New: PeakEWMA},
+	{Name: "gradient", Unguarded: true, New: Gradient},
 }
--- a/internal/emulator/roster_test.go
+++ b/internal/emulator/roster_test.go
@@ -5,11 +5,11 @@
 // herdScenario is the catalogue's herd in small: 40 agents, 70 % of them killed at 6 s.
 func herdScenario(t *testing.T) *Scenario {
 	t.Helper()
-	sc := &Scenario{Name: "herd", Seconds: 14, WarmSeconds: 1, Zones: 3, Agents: 40,
-		Servers: []ServerGroup{{Count: 30, Workers: 3, Queue: 40, Service: Dist{Kind: "exponential", MeanMs: 50}, FallMultiple: 2.5}},
-		Load:    Load{PerS: 1000, Keys: 1000, Zipf: 0.9},
-		Roster:  Roster{LagMs: 50, Line: RosterLine{CallsPerS: 12, PatienceMs: 2000, LineMs: 4700}},
-		Faults:  []Fault{{Kind: "kill_agents", AtS: 6, Share: 0.7}}}
+	sc := &Scenario{Name: "herd", Seconds: 14, WarmUpSeconds: 1, Zones: 3, Agents: 40,
+		Servers:   []ServerGroup{{Count: 30, Workers: 3, Queue: 40, Service: Distribution{Kind: "exponential", MeanMs: 50}, OverloadFactor: 2.5}},
+		Load:      Load{PerS: 1000, Keys: 1000, Zipf: 0.9},
+		Discovery: Discovery{LagMs: 50, Queue: DiscoveryQueue{CallsPerS: 12, PatienceMs: 2000, MaxBacklogMs: 4700}},
+		Faults:    []Fault{{Kind: "kill_agents", StartS: 6, ServerFraction: 0.7}}}
 	if err := sc.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -27,12 +27,12 @@
 			t.Fatal(err)
 		}
 		t.Logf("%d calls, %d failed, at most %d a second, the last followed at %.1f s, %d tries lost with their agents, goodput %.4f",
-			r.RosterCalls, r.RosterFailed, r.RosterPeak, r.LastFollowS, r.Killed, r.Goodput)
-		if r.RosterFailed > 0 || r.RosterPeak > 24 || r.RosterCalls > 40+28 || r.LastFollowS > 6+6 {
-			t.Errorf("%d calls, %d failed, peak %d, the last followed at %.1f s", r.RosterCalls, r.RosterFailed, r.RosterPeak, r.LastFollowS)
+			r.DiscoveryCalls, r.DiscoveryFailures, r.DiscoveryPeakPerS, r.LastSubscribedS, r.LostWithAgent, r.Goodput)
+		if r.DiscoveryFailures > 0 || r.DiscoveryPeakPerS > 24 || r.DiscoveryCalls > 40+28 || r.LastSubscribedS > 6+6 {
+			t.Errorf("%d calls, %d failed, peak %d, the last followed at %.1f s", r.DiscoveryCalls, r.DiscoveryFailures, r.DiscoveryPeakPerS, r.LastSubscribedS)
 		}
-		if r.Killed == 0 || r.Breaches[1]+r.Breaches[2]+r.Breaches[3] > 0 {
-			t.Errorf("%d tries lost with their agents, breaches %v %v", r.Killed, r.Breaches, r.Words)
+		if r.LostWithAgent == 0 || r.Violations[1]+r.Violations[2]+r.Violations[3] > 0 {
+			t.Errorf("%d tries lost with their agents, breaches %v %v", r.LostWithAgent, r.Violations, r.ViolationTexts)
 		}
 		if first == nil {
 			first = r
@@ -45,9 +45,9 @@
 // Who leaves the line has his work done all the same: that is what makes a roster collapse, and come back
 // only once there are fewer calls than it can take.
 func TestLineWorksForThoseWhoLeft(t *testing.T) {
-	l, res := line{RosterLine: RosterLine{CallsPerS: 10, PatienceMs: 1000, LineMs: 3000}}, &Result{}
+	l, res := discoveryQueue{DiscoveryQueue: DiscoveryQueue{CallsPerS: 10, PatienceMs: 1000, MaxBacklogMs: 3000}}, &Result{}
 	ended := func(at Time) bool {
-		_, ok := l.take(at, false, res)
+		_, ok := l.admit(at, false, res)
 		return ok
 	}
 	for i := range 35 {
@@ -55,8 +55,8 @@
 			t.Errorf("call %d of one moment: answered %v", i, ok)
 		}
 	}
-	if res.RosterFailed != 25 || res.RosterPeak != 35 {
-		t.Errorf("%d failed, peak %d", res.RosterFailed, res.RosterPeak)
+	if res.DiscoveryFailures != 25 || res.DiscoveryPeakPerS != 35 {
+		t.Errorf("%d failed, peak %d", res.DiscoveryFailures, res.DiscoveryPeakPerS)
 	}
 	if ended(2 * Second) {
 		t.Error("answered with 1.1 s of work ahead, for callers that have left")
@@ -69,9 +69,9 @@
 // What makes no sense is said by its key.
 func TestRosterLineThatMakesNoSense(t *testing.T) {
 	for key, spoil := range map[string]func(*Scenario){
-		"roster.line.calls_per_s": func(s *Scenario) { s.Roster.Line.CallsPerS = -1 },
-		"fault[0].every_s":        func(s *Scenario) { s.Faults[0].EveryS = 1 },
-		"fault[0].of_zone":        func(s *Scenario) { s.Faults[0].OfZone = 4 },
+		"roster.line.calls_per_s": func(s *Scenario) { s.Discovery.Queue.CallsPerS = -1 },
+		"fault[0].every_s":        func(s *Scenario) { s.Faults[0].StaggerS = 1 },
+		"fault[0].of_zone":        func(s *Scenario) { s.Faults[0].TargetZone = 4 },
 	} {
 		sc := herdScenario(t)
 		spoil(sc)
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -12,57 +12,57 @@
 // G/G/k queue with turning away, after Kleinrock, "Queueing Systems" I; the ramp and the fall are those of
 // the protocol page.
 type server struct {
-	w     *World
+	world *World
 	index int
 	addr  policy.Addr
 	zone  int
 	// Of a graph: its service, its rack, and the modules of its agent, one a service that it calls.
 	service, rack int
-	calls         []*agent
+	downstream    []*agent
 	group         *ServerGroup
 	rng           *rand.Rand
-	acct          invariant.Server
+	record        invariant.Server
 
-	stopped, dark, draining bool
-	life                    uint32 // counts its processes: what an older one held is lost
-	started                 Time   // of this process
-	cold                    bool   // it started during the run
-	busy                    int
-	queue                   []*attempt
-	head                    int
-	arrivals                [10]int // of the last second, by tenths
-	tenth                   int64
+	stopped, unresponsive, draining bool
+	incarnation                     uint32 // counts its processes: what an older one held is lost
+	started                         Time   // of this process
+	slowStarting                    bool   // it started during the run
+	busy                            int
+	queue                           []*attempt
+	head                            int
+	arrivals                        [10]int // of the last second, by tenths
+	arrivalSlot                     int64
 
-	slow     float64 // times slower; 0: not
-	slowPart float64 // of requests, slowTimes slower
-	slowTime float64
-	errPart  float64
-	errClass int // -1: all
-	turnPart float64
-	memory   memory
-	stalls   stalls
-	work     Time // done for all, and for nobody
-	lost     Time
+	slowFactor         float64 // times slower; 0: not
+	slowFraction       float64 // of requests, slowTimes slower
+	slowFractionFactor float64
+	errorFraction      float64
+	errorClass         int // -1: all
+	rejectFraction     float64
+	recentKeys         recentKeys
+	stalls             stalls
+	work               Time // done for all, and for nobody
+	wastedWork         Time
 
-	report        [3]float32
-	reportAt      Time
-	done, failed  int
-	busyArea      float64 // of workers and ns, since reportAt
-	areaAt        Time
-	served, falls int
+	report                                 [3]float32
+	reportAt                               Time
+	answeredSinceReport, failedSinceReport int
+	busyIntegral                           float64 // of workers and ns, since reportAt
+	busyIntegralAt                         Time
+	served, overloads                      int
 }
 
-// ramp is the part of its speed that the process has now.
-func (s *server) ramp() float64 {
-	if !s.cold || s.group.ColdMs <= 0 {
+// speed is the part of its speed that the process has now.
+func (s *server) speed() float64 {
+	if !s.slowStarting || s.group.SlowStartMs <= 0 {
 		return 1
 	}
-	age := float64(s.w.now-s.started) / float64(Millisecond)
-	if age >= s.group.ColdMs {
-		s.cold = false
+	age := float64(s.world.now-s.started) / float64(Millisecond)
+	if age >= s.group.SlowStartMs {
+		s.slowStarting = false
 		return 1
 	}
-	return s.group.ColdFrom + (1-s.group.ColdFrom)*age/s.group.ColdMs
+	return s.group.SlowStartMinCapacity + (1-s.group.SlowStartMinCapacity)*age/s.group.SlowStartMs
 }
 
 // capacity is what it can do when warm, requests a second.
@@ -70,23 +70,23 @@
 	if s.group.Service.MeanMs <= 0 {
 		return 0
 	}
-	return float64(s.group.Workers) * 1000 / (s.group.Service.MeanMs + s.group.holdMs)
+	return float64(s.group.Workers) * 1000 / (s.group.Service.MeanMs + s.group.nestedCallsMs)
 }
 
 // arrive takes an attempt's last byte.
 func (s *server) arrive(a *attempt) {
-	if s.dark {
+	if s.unresponsive {
 		return
 	}
-	if s.stopped || a.life != s.life {
+	if s.stopped || a.incarnation != s.incarnation {
 		s.reply(a, policy.Reset)
 		return
 	}
-	s.w.book.RequestReceived(&s.acct, s.w.time())
-	if s.pushedOver() {
+	s.world.checker.RequestReceived(&s.record, s.world.time())
+	if s.overloadedBy() {
 		return
 	}
-	if s.turnPart > 0 && s.rng.Float64() < s.turnPart {
+	if s.rejectFraction > 0 && s.rng.Float64() < s.rejectFraction {
 		s.reply(a, policy.Rejected)
 		return
 	}
@@ -100,102 +100,102 @@
 	}
 }
 
-// pushedOver notes an arrival, and tells whether it was one too many for a cold process.
-func (s *server) pushedOver() bool {
-	tenth := s.w.now / (Second / 10)
-	for ; s.tenth < tenth; s.tenth++ {
-		if tenth-s.tenth > int64(len(s.arrivals)) {
-			s.tenth = tenth - int64(len(s.arrivals))
+// overloadedBy notes an arrival, and tells whether it was one too many for a cold process.
+func (s *server) overloadedBy() bool {
+	tenth := s.world.now / (Second / 10)
+	for ; s.arrivalSlot < tenth; s.arrivalSlot++ {
+		if tenth-s.arrivalSlot > int64(len(s.arrivals)) {
+			s.arrivalSlot = tenth - int64(len(s.arrivals))
 		}
-		s.arrivals[(s.tenth+1)%int64(len(s.arrivals))] = 0
+		s.arrivals[(s.arrivalSlot+1)%int64(len(s.arrivals))] = 0
 	}
 	s.arrivals[tenth%int64(len(s.arrivals))]++
-	k := s.ramp()
-	if s.group.FallMultiple <= 0 || k >= 1 {
+	k := s.speed()
+	if s.group.OverloadFactor <= 0 || k >= 1 {
 		return false
 	}
 	n := 0
 	for _, x := range s.arrivals {
 		n += x
 	}
-	if float64(n) <= 4+s.group.FallMultiple*k*s.capacity() {
+	if float64(n) <= 4+s.group.OverloadFactor*k*s.capacity() {
 		return false
 	}
-	s.falls++
+	s.overloads++
 	s.restart()
 	return true
 }
 
-// begin is the start of a process; what the last one held is lost.
-func (s *server) begin() {
-	s.life++
+// startProcess is the start of a process; what the last one held is lost.
+func (s *server) startProcess() {
+	s.incarnation++
 	s.busy, s.queue, s.head = 0, nil, 0
 	s.arrivals = [10]int{}
 }
 
 // restart starts the process anew at once, cold, and has the roster tell it.
 func (s *server) restart() {
-	s.begin()
-	s.stopped, s.dark, s.cold, s.started = false, false, true, s.w.now
-	s.w.book.Started(&s.acct, s.w.time(), s.capacity())
-	s.w.tell(s)
+	s.startProcess()
+	s.stopped, s.unresponsive, s.slowStarting, s.started = false, false, true, s.world.now
+	s.world.checker.Started(&s.record, s.world.time(), s.capacity())
+	s.world.notify(s)
 }
 
 // start runs an attempt.
 func (s *server) start(a *attempt) {
-	s.area()
+	s.integrateBusy()
 	s.busy++
-	t := s.group.Service.draw(s.rng) * s.w.sc.Classes[a.r.op.class].Work / s.ramp()
-	if a.r.op.runs && a.r.op.effect == invariant.IdempotentByKey {
+	t := s.group.Service.draw(s.rng) * s.world.scenario.Classes[a.request.operation.class].Work / s.speed()
+	if a.request.operation.executed && a.request.operation.effect == invariant.IdempotentByKey {
 		t /= 10 // a repeat is found among the keys, and answered as it was
 	}
-	if s.slow > 0 {
-		t *= s.slow
+	if s.slowFactor > 0 {
+		t *= s.slowFactor
 	}
-	if s.slowPart > 0 && s.rng.Float64() < s.slowPart {
-		t *= s.slowTime
+	if s.slowFraction > 0 && s.rng.Float64() < s.slowFraction {
+		t *= s.slowFractionFactor
 	}
-	t *= s.memory.met(&s.group.Warm, s.group.Workers, s.w.now, a.r.op.key)
-	a.work = ns(t)
-	s.w.after(s.stalls.after(s.w.now, a.work), a, attemptDone)
+	t *= s.recentKeys.observe(&s.group.KeyCache, s.group.Workers, s.world.now, a.request.operation.key)
+	a.work = fromMs(t)
+	s.world.after(s.stalls.after(s.world.now, a.work), a, attemptServiceEnded)
 }
 
-// finish ends a server's own work on an attempt; what it has to ask of other services keeps the worker.
-func (s *server) finish(a *attempt) {
-	if a.life != s.life {
+// serviceEnded ends a server's own work on an attempt; what it has to ask of other services keeps the worker.
+func (s *server) serviceEnded(a *attempt) {
+	if a.incarnation != s.incarnation {
 		return
 	}
-	if len(s.calls) > 0 && !(a.r.op.whole && a.r.op.effect == invariant.IdempotentByKey) {
-		(&hold{s: s, a: a}).next()
+	if len(s.downstream) > 0 && !(a.request.operation.completed && a.request.operation.effect == invariant.IdempotentByKey) {
+		(&nestedCalls{server: s, attempt: a}).next()
 		return
 	}
-	s.answer(a, false)
+	s.complete(a, false)
 }
 
-// answer ends an attempt that ran, and begins the next. broken: a call that it needed has failed.
-func (s *server) answer(a *attempt, broken bool) {
-	s.area()
+// complete ends an attempt that ran, and begins the next. broken: a call that it needed has failed.
+func (s *server) complete(a *attempt, broken bool) {
+	s.integrateBusy()
 	s.busy--
-	s.done++
+	s.answeredSinceReport++
 	s.served++
-	if s.work += a.work; a.r.answered || s.w.now > a.r.op.began+ns(s.w.sc.Classes[a.r.op.class].AimMs) {
-		s.lost += a.work
+	if s.work += a.work; a.request.answered || s.world.now > a.request.operation.startedAt+fromMs(s.world.scenario.Classes[a.request.operation.class].LatencyObjectiveMs) {
+		s.wastedWork += a.work
 	}
-	a.r.op.runs = true
-	a.r.op.whole = a.r.op.whole || !broken
-	s.w.book.Executed(&s.acct, &a.r.op.Operation, s.w.time())
+	a.request.operation.executed = true
+	a.request.operation.completed = a.request.operation.completed || !broken
+	s.world.checker.Executed(&s.record, &a.request.operation.Operation, s.world.time())
 	status := policy.OK
 	switch {
 	case broken:
 		status = policy.Error
-		s.failed++
-	case s.errPart > 0 && (s.errClass < 0 || s.errClass == a.r.op.class) && s.rng.Float64() < s.errPart:
+		s.failedSinceReport++
+	case s.errorFraction > 0 && (s.errorClass < 0 || s.errorClass == a.request.operation.class) && s.rng.Float64() < s.errorFraction:
 		status = policy.Error
-		s.failed++
-	case s.w.sc.Net.Resets > 0 && s.rng.Float64() < s.w.sc.Net.Resets:
+		s.failedSinceReport++
+	case s.world.scenario.Network.Resets > 0 && s.rng.Float64() < s.world.scenario.Network.Resets:
 		status = policy.Reset
 	}
-	if !s.dark {
+	if !s.unresponsive {
 		s.reply(a, status)
 	}
 	if waiting := len(s.queue) - s.head; waiting > 0 && s.busy < s.group.Workers {
@@ -215,25 +215,25 @@
 	}
 }
 
-func (s *server) area() {
-	s.busyArea += float64(s.busy) * float64(s.w.now-s.areaAt)
-	s.areaAt = s.w.now
+func (s *server) integrateBusy() {
+	s.busyIntegral += float64(s.busy) * float64(s.world.now-s.busyIntegralAt)
+	s.busyIntegralAt = s.world.now
 }
 
 // reply sends an answer back; what it reports of load is up to a tenth of a second old.
 func (s *server) reply(a *attempt, status policy.Status) {
-	if since := s.w.now - s.reportAt; since >= s.reportEvery() {
-		s.area()
+	if since := s.world.now - s.reportAt; since >= s.reportInterval() {
+		s.integrateBusy()
 		sec := float64(since) / float64(Second)
-		s.report = [3]float32{float32(float64(s.done) / sec), float32(s.busyArea / float64(since) / float64(s.group.Workers)), float32(float64(s.failed) / sec)}
-		s.reportAt, s.done, s.failed, s.busyArea = s.w.now, 0, 0, 0
+		s.report = [3]float32{float32(float64(s.answeredSinceReport) / sec), float32(s.busyIntegral / float64(since) / float64(s.group.Workers)), float32(float64(s.failedSinceReport) / sec)}
+		s.reportAt, s.answeredSinceReport, s.failedSinceReport, s.busyIntegral = s.world.now, 0, 0, 0
 	}
 	a.status, a.report = status, s.report
 	switch s.group.Report {
 	case "none":
-		a.silent = true
+		a.noReport = true
 	case "some":
-		a.silent = s.index%2 == 0
+		a.noReport = s.index%2 == 0
 	case "idle":
 		a.report[1] = 0
 	case "busy":
@@ -241,17 +241,17 @@
 	case "nan":
 		a.report[1] = float32(math.NaN())
 	}
-	if d, ok := s.w.delay(s.zone, a.r.agent.zone, true); ok {
-		s.w.after(d, a, attemptAnswered)
+	if d, ok := s.world.delay(s.zone, a.request.agent.zone, true); ok {
+		s.world.after(d, a, attemptAnswered)
 	}
 }
 
-// reportEvery is the time between two reports.
-func (s *server) reportEvery() Time {
+// reportInterval is the time between two reports.
+func (s *server) reportInterval() Time {
 	switch {
 	case s.group.Report == "late":
 		return 1400 * Millisecond
-	case s.group.Report == "frozen" && s.w.now > Second:
+	case s.group.Report == "frozen" && s.world.now > Second:
 		return math.MaxInt64
 	}
 	return Second / 10
--- a/internal/emulator/warm.go
+++ b/internal/emulator/warm.go
@@ -1,37 +1,37 @@
 package emulator
 
-// Warm is what servers save on keys that they met of late.
-type Warm struct {
-	Gain  float64 `toml:"gain"`   // part of the work that is saved
-	ForMs float64 `toml:"for_ms"` // since it was last met
-	Keys  int     `toml:"keys"`   // most that are remembered for each worker
+// KeyCache is what servers save on keys that they met of late.
+type KeyCache struct {
+	SavedFraction float64 `toml:"gain"`   // part of the work that is saved
+	TTLMs         float64 `toml:"for_ms"` // since it was last met
+	KeysPerWorker int     `toml:"keys"`   // most that are remembered for each worker
 }
 
-// memory is a server's of keys, the oldest given up first.
-type memory struct {
-	at map[uint64]Time
+// recentKeys is a server's of keys, the oldest given up first.
+type recentKeys struct {
+	lastSeen map[uint64]Time
 }
 
-// met notes a key and tells the part of its work that is left.
-func (m *memory) met(w *Warm, workers int, now Time, key uint64) float64 {
-	if w.Gain <= 0 || key == 0 {
+// observe notes a key and tells the part of its work that is left.
+func (m *recentKeys) observe(w *KeyCache, workers int, now Time, key uint64) float64 {
+	if w.SavedFraction <= 0 || key == 0 {
 		return 1
 	}
-	if m.at == nil {
-		m.at = map[uint64]Time{}
+	if m.lastSeen == nil {
+		m.lastSeen = map[uint64]Time{}
 	}
-	last, ok := m.at[key]
-	if m.at[key] = now; len(m.at) > max(w.Keys*workers, 1) {
+	last, ok := m.lastSeen[key]
+	if m.lastSeen[key] = now; len(m.lastSeen) > max(w.KeysPerWorker*workers, 1) {
 		oldest, first := key, true
-		for k, t := range m.at {
-			if k != key && (first || t < m.at[oldest] || t == m.at[oldest] && k < oldest) {
+		for k, t := range m.lastSeen {
+			if k != key && (first || t < m.lastSeen[oldest] || t == m.lastSeen[oldest] && k < oldest) {
 				oldest, first = k, false
 			}
 		}
-		delete(m.at, oldest)
+		delete(m.lastSeen, oldest)
 	}
-	if ok && now-last < ns(w.ForMs) {
-		return 1 - w.Gain
+	if ok && now-last < fromMs(w.TTLMs) {
+		return 1 - w.SavedFraction
 	}
 	return 1
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -311,22 +311,22 @@
 			diff := make([]float64, len(list))
 			by := func(r *emulator.Result) float64 {
 				if e.By == "worth" {
-					return r.Worth
+					return r.WeightedGoodput
 				}
 				return r.Goodput
 			}
 			for k, r := range list {
 				row.Goodput += r.Goodput / float64(len(list))
 				row.P99Ms += r.P99Ms / float64(len(list))
-				row.Falls += r.Falls
+				row.Falls += r.Overloads
 				n := float64(len(list))
-				row.InAim += float64(r.InAim) / float64(max(r.Ops, 1)) / n
+				row.InAim += float64(r.WithinObjective) / float64(max(r.Ops, 1)) / n
 				row.Attempts += float64(r.Attempts) / float64(max(r.Ops, 1)) / n
 				if r.Path != nil {
-					row.Deepest, row.Times = row.Deepest+r.Path.Deepest/n, row.Times+r.Path.Times/n
+					row.Deepest, row.Times = row.Deepest+r.Path.DeepestAttempts/n, row.Times+r.Path.Amplification/n
 				}
-				row.Worth, row.Lost = row.Worth+r.Worth/n, row.Lost+r.Lost/n
-				back := float64(r.BackS)
+				row.Worth, row.Lost = row.Worth+r.WeightedGoodput/n, row.Lost+r.WastedWork/n
+				back := float64(r.RecoveryS)
 				if back < 0 {
 					back = e.Scenario[i].Seconds
 				}
@@ -336,7 +336,7 @@
 					worst = min(worst, x)
 				}
 				row.Tenant += worst / n
-				for _, n := range r.Breaches {
+				for _, n := range r.Violations {
 					row.Breaches += n
 				}
 				diff[k] = by(first[k]) - by(r)
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -118,7 +118,7 @@
 	var results []*emulator.Result
 	for i := range 10 {
 		results = append(results, &emulator.Result{Scenario: "s", Policy: "x", Goodput: 0.9 + float64(i)/1000},
-			&emulator.Result{Scenario: "s", Policy: "y", Goodput: 0.8 + float64(i)/1000, Breaches: map[int]int{2: 1, 4: 1}, Falls: 1})
+			&emulator.Result{Scenario: "s", Policy: "y", Goodput: 0.8 + float64(i)/1000, Violations: map[int]int{2: 1, 4: 1}, Overloads: 1})
 	}
 	rows := e.Table(results)
 	if len(rows) != 2 || math.Abs(rows[0].Goodput-0.9045) > 1e-9 || rows[1].Breaches != 20 || rows[1].Falls != 10 {
--- a/internal/lab/scale/paths.go
+++ b/internal/lab/scale/paths.go
@@ -49,13 +49,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", sc.Name, err)
 	}
-	if len(res.Breaches) > 0 {
-		r.Short = append(r.Short, fmt.Sprintf("%s: rules broken: %v", sc.Name, res.Words))
+	if len(res.Violations) > 0 {
+		r.Short = append(r.Short, fmt.Sprintf("%s: rules broken: %v", sc.Name, res.ViolationTexts))
 	}
 	if res.Ops == 0 {
 		return nil, fmt.Errorf("%s: nothing was asked for", sc.Name)
 	}
-	o.logf("%s: %d at the top, %.4f served, p99 %.0f ms, %.3f attempts at the deepest", sc.Name, res.Ops, res.Goodput, res.P99Ms, res.Path.Deepest)
+	o.logf("%s: %d at the top, %.4f served, p99 %.0f ms, %.3f attempts at the deepest", sc.Name, res.Ops, res.Goodput, res.P99Ms, res.Path.DeepestAttempts)
 	return res, nil
 }
 
@@ -65,12 +65,12 @@
 	for depth := 1; depth <= aimedDepth; depth++ {
 		at := func(list []Point, v float64) []Point { return append(list, Point{float64(depth), v}) }
 		for _, part := range []float64{0, 0.5} {
-			sc := &emulator.Scenario{Name: fmt.Sprintf("chain of %d, errors %v", depth, part), Seconds: o.warmUp() + o.seconds(), WarmSeconds: o.warmUp(), Zones: 3,
-				Classes: []emulator.ClassLoad{{Name: "read", Effect: "safe", Share: 1, AimMs: 200, GiveUpMs: 800}},
-				Graph: &emulator.GraphSpec{Seed: o.Seed, Services: depth, Depth: depth, Least: 6, Most: 6, Further: -1, Edges: 60, Busy: 0.5,
+			sc := &emulator.Scenario{Name: fmt.Sprintf("chain of %d, errors %v", depth, part), Seconds: o.warmUp() + o.seconds(), WarmUpSeconds: o.warmUp(), Zones: 3,
+				Classes: []emulator.ClassLoad{{Name: "read", Effect: "safe", Share: 1, LatencyObjectiveMs: 200, ClientTimeoutMs: 800}},
+				Graph: &emulator.GraphSpec{Seed: o.Seed, Services: depth, Depth: depth, MinServers: 6, MaxServers: 6, ExtraCalls: -1, ClientHosts: 60, Utilization: 0.5,
 					CallsPerS: float64(depth) * 500 * min(1, max(o.Scale*4, 0.4))}}
 			if part > 0 {
-				sc.Faults = []emulator.Fault{{Kind: "errors", Share: 1, Part: part}}
+				sc.Faults = []emulator.Fault{{Kind: "errors", ServerFraction: 1, Fraction: part}}
 			}
 			res, err := o.emulate(ctx, r, sc)
 			if err != nil {
@@ -86,10 +86,10 @@
 			// Half an operation where there is none, for the logarithm.
 			ops := float64(res.Ops)
 			served = at(served, -math.Log(max(float64(res.Served), 0.5)/ops))
-			inAim = at(inAim, -math.Log(max(float64(res.InAim), 0.5)/ops))
-			attempts = at(attempts, res.Path.Deepest)
+			inAim = at(inAim, -math.Log(max(float64(res.WithinObjective), 0.5)/ops))
+			attempts = at(attempts, res.Path.DeepestAttempts)
 			r.add(fmt.Sprintf("half errors at each of %d hops: served", depth), res.Goodput, "of calls at the top")
-			r.add(fmt.Sprintf("half errors at each of %d hops: attempts at the last", depth), res.Path.Deepest, "for a call at the top")
+			r.add(fmt.Sprintf("half errors at each of %d hops: attempts at the last", depth), res.Path.DeepestAttempts, "for a call at the top")
 		}
 	}
 	for _, l := range []struct {
@@ -116,7 +116,7 @@
 		at := func(list []Point, v float64) []Point { return append(list, Point{float64(n), v}) }
 		servers := aimedServers * n / aimedServices
 		rate := aimedCallsPerS * float64(n) / aimedServices * min(1, max(o.Scale*4, 0.05))
-		sc := &emulator.Scenario{Name: fmt.Sprintf("graph of %d services, %d servers", n, servers), Seconds: o.warmUp() + o.seconds(), WarmSeconds: o.warmUp(), Zones: 6,
+		sc := &emulator.Scenario{Name: fmt.Sprintf("graph of %d services, %d servers", n, servers), Seconds: o.warmUp() + o.seconds(), WarmUpSeconds: o.warmUp(), Zones: 6,
 			Graph: &emulator.GraphSpec{Seed: o.Seed, Services: n, Depth: aimedDepth, Servers: servers, Regions: 2, CallsPerS: rate}}
 		res, err := o.emulate(ctx, r, sc)
 		if err != nil {
@@ -128,12 +128,12 @@
 		missed = at(missed, 1000*(1-res.Goodput))
 		p99 = at(p99, res.P99Ms)
 		events = at(events, float64(res.Events)/sc.Seconds)
-		times = at(times, res.Path.Times)
+		times = at(times, res.Path.Amplification)
 		if n == aimedServices {
 			r.add("calls at the top, aimed size", sc.Load.PerS, "/s")
 			r.add("calls of all services, aimed size", rate, "/s")
-			r.add("served in aim, aimed size", float64(res.InAim)/float64(res.Ops), "of calls at the top")
-			r.add("attempts at the last hop, aimed size", res.Path.Deepest, "for a call at the top")
+			r.add("served in aim, aimed size", float64(res.WithinObjective)/float64(res.Ops), "of calls at the top")
+			r.add("attempts at the last hop, aimed size", res.Path.DeepestAttempts, "for a call at the top")
 		}
 	}
 	for _, l := range []struct {
