--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -8,38 +8,44 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Balancer is what decides for an agent: the product's module, or a peer. It is handed events and answers
-// with actions, as internal/core does it.
+// cancelDelay is the time from a cancellation to the end of the attempt.
+const cancelDelay = 20 * Microsecond
+
+// Balancer decides for an agent: it is handed events and answers with actions, as internal/core does it.
 type Balancer interface {
 	Start(now float64, out []policy.Action) []policy.Action
 	Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action
 }
 
-// agent is core.Loop in virtual time: the same events in the same order, the same guard, the same margins.
+// agent is core.EventLoop in virtual time: the same events in the same order, the same guard, the same margins.
 type agent struct {
-	world *World
-	index int
 	agentPlacement
-	initialEndpoints   []policy.Endpoint // the list of the run's start
-	balancer           Balancer
-	nextID             policy.RequestID
-	requests           map[policy.RequestID]*request
-	openRequests       int
-	pending            []policy.Event
-	actions            []policy.Action
-	unavailable        []bool // by server: told to drain or gone
-	listed             []bool
-	idleConns          []int32 // kept connections, by server
-	connIncarnation    []uint32
-	watching           bool // a call for changes is out, or stands
-	subscribed         bool // and was taken
-	fetching           bool
-	lastNotificationAt Time // when the last change that is under way comes
-	guardViolations    int
-	backstopTimeouts   int
+	world            *World
+	index            int
+	balancer         Balancer
+	initialEndpoints []policy.Endpoint // the endpoint list at the start of the run
+	nextID           policy.RequestID
+	requests         map[policy.RequestID]*request
+	openRequests     int
+	pending          []policy.Event  // to be handled after the present one
+	actions          []policy.Action // reused from event to event
+
+	// By server.
+	listed          []bool
+	unavailable     []bool   // known to be draining or removed
+	idleConns       []int32  // open connections without a request
+	connIncarnation []uint32 // of the server's process that they lead to
+
+	watching           bool // a watch of the endpoint list is open or requested
+	subscribed         bool // and was accepted
+	fetching           bool // a fetch of the endpoint list is open
+	lastNotificationAt Time // when the last change that is under way arrives
+
+	guardViolations  int
+	backstopTimeouts int
 }
 
-// request is a try in an agent.
+// request is an attempt of a client, as its agent sees it.
 type request struct {
 	agent         *agent
 	operation     *operation
@@ -49,96 +55,74 @@
 	attempts      []*attempt
 	inFlight      int
 	mayHaveRun    int
-	firstSentAt   Time            // when the first of them was sent
-	firstEndpoint policy.Endpoint // and where to
+	firstSentAt   Time            // of the attempts that may have run
+	firstEndpoint policy.Endpoint // where that one was sent
 }
 
-// attempt is one send.
-type attempt struct {
-	request     *request
-	server      *server
-	index       int
-	sentAt      Time
-	deadline    Time
-	incarnation uint32 // of the process that it was connected to
-	connected   bool
-	ended       bool
-	status      policy.Status
-	report      [3]float32
-	noReport    bool // the answer holds no report
-	work        Time // of the server's
+// timer is a timer of a balancer.
+type timer struct {
+	agent    *agent
+	balancer Balancer // that set it: a killed agent's timers end with it
+	token    uint32
 }
 
-// What happens to attempts.
-const (
-	attemptConnected uint8 = iota
-	attemptConnectFailed
-	attemptArrived
-	attemptServiceEnded
-	attemptAnswered
-	attemptTimeout
-	attemptCancelled
-	attemptMoot
-)
-
-func (a *attempt) fire(kind uint8) {
-	switch kind {
-	case attemptConnected:
-		if !a.ended {
-			a.connected, a.incarnation = true, a.server.incarnation
-			a.write()
-		}
-	case attemptConnectFailed:
-		a.end(policy.ConnectFailed)
-	case attemptArrived:
-		a.server.arrive(a)
-	case attemptServiceEnded:
-		a.server.serviceEnded(a)
-	case attemptAnswered:
-		a.end(a.status)
-	case attemptTimeout:
-		switch {
-		case a.ended:
-		case a.connected:
-			a.end(policy.Timeout)
-		case a.deadline-a.sentAt < connectTimeoutMs*Millisecond:
-			a.end(policy.NotStarted) // it had no time to come up
-		default:
-			a.end(policy.ConnectFailed)
-		}
-	case attemptCancelled:
-		if a.connected {
-			a.end(policy.Cancelled)
-		} else {
-			a.end(policy.NotStarted)
-		}
-	case attemptMoot:
-		a.end(policy.NotStarted)
+func (t *timer) fire(uint8) {
+	if t.balancer != t.agent.balancer {
+		return
 	}
+	t.agent.deliver(&policy.Event{Kind: policy.EventTimer, Token: t.token})
 }
 
-// write sends the request, unless its server was told away meanwhile.
-func (a *attempt) write() {
-	g := a.request.agent
-	if g.unavailable[a.server.index] {
-		a.end(policy.NotStarted)
-		return
+// start starts the balancer with the endpoint list of the run's start.
+func (g *agent) start() {
+	g.execute(g.balancer.Start(g.now(), nil))
+	g.deliver(&policy.Event{
+		Kind:      policy.EventEndpointUpdate,
+		Update:    policy.UpdateCached,
+		Endpoints: g.initialEndpoints,
+	})
+}
+
+// restart kills the agent's process and starts it again with the endpoint list of the run's start. Its clients get
+// no answer to their open requests and retry by themselves.
+func (g *agent) restart() {
+	w := g.world
+	lost := make([]*request, 0, len(g.requests))
+	for id := policy.RequestID(1); id <= g.nextID; id++ { // not in the order of the map, which differs by run
+		if r := g.requests[id]; r != nil {
+			lost = append(lost, r)
+		}
+	}
+	balancer, err := w.policy.New(g.settings(), w.seed^uint64(g.index+1)*hashMultiplier^uint64(w.now))
+	if err != nil {
+		return // cannot be: the same settings were accepted before
 	}
-	if d, ok := g.world.delay(g.zone, a.server.zone, false); ok {
-		g.world.after(d, a, attemptArrived)
+	g.balancer = balancer
+	g.watching = false
+	g.fetching = false
+	g.subscribed = false
+	g.requests = map[policy.RequestID]*request{}
+	g.openRequests = 0
+	g.pending = nil
+	clear(g.idleConns)
+	clear(g.unavailable)
+	for _, r := range lost {
+		g.abandon(r)
 	}
+	g.start()
 }
 
-// end hands the ending to the agent, once.
-func (a *attempt) end(status policy.Status) {
-	if a.ended {
-		return
+// abandon ends a request that is lost with the agent's process.
+func (g *agent) abandon(r *request) {
+	for _, a := range r.attempts {
+		a.ended = true
 	}
-	a.ended = true
-	if (status == policy.OK || status == policy.Rejected || status == policy.Error) && a.incarnation == a.server.incarnation {
-		a.request.agent.idleConns[a.server.index]++
+	if r.answered {
+		return
 	}
-	a.request.agent.attemptEnded(a, status)
+	r.answered = true
+	g.world.totals.LostWithAgent++
+	r.operation.answered(invariant.Failed, 0)
 }
 
 func (g *agent) now() float64 { return g.world.unixMs() }
@@ -147,219 +131,143 @@
 	g.execute(g.balancer.Handle(g.now(), ev, g.actions[:0]))
 }
 
-// deliver is handle from outside, with all that follows from it.
+// deliver hands the balancer an event from outside, and those that follow from it.
 func (g *agent) deliver(ev *policy.Event) {
 	g.handle(ev)
-	g.deliverPending()
-}
-
-func (g *agent) deliverPending() {
 	for len(g.pending) > 0 {
-		ev := g.pending[0]
+		next := g.pending[0]
 		g.pending = g.pending[1:]
-		g.handle(&ev)
+		g.handle(&next)
 	}
 	g.pending = g.pending[:0]
 }
 
-// What happens to agents; timers have events of their own.
-type timer struct {
-	agent    *agent
-	balancer Balancer // that asked for it: a killed agent's timers end with it
-	token    uint32
-}
-
-func (t *timer) fire(uint8) {
-	if t.balancer != t.agent.balancer {
-		return
-	}
-	t.agent.deliver(&policy.Event{Kind: policy.EventTimer, Token: t.token})
-}
-
 func (g *agent) execute(actions []policy.Action) {
 	g.actions = actions
 	for i := range actions {
-		a := &actions[i]
-		switch a.Kind {
-		case policy.ActionForward:
-			g.forward(a)
-		case policy.ActionCancel:
-			if r := g.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-				if t := r.attempts[a.Attempt]; !t.ended {
-					g.world.after(20*Microsecond, t, attemptCancelled)
-				}
-			}
-		case policy.ActionReject:
-			if r := g.requests[a.Request]; r != nil {
-				g.reject(r, a.DurationMs)
-			}
-		case policy.ActionFail:
-			if r := g.requests[a.Request]; r != nil {
-				g.complete(r, invariant.Failed, 0)
-			}
-		case policy.ActionTimer:
-			g.world.after(fromMs(a.DurationMs), &timer{g, g.balancer, a.Token}, 0)
-		case policy.ActionWatchEndpoints:
-			if !g.watching {
-				g.watching = true
-				g.world.callDiscovery(g, false)
-			}
-		case policy.ActionFetchEndpoints:
-			if !g.fetching {
-				g.fetching = true
-				g.world.callDiscovery(g, true)
-			}
-		case policy.ActionCloseIdle:
-			if s := g.world.byAddr[a.Server]; s != nil {
-				g.idleConns[s.index] = 0
-			}
+		g.executeOne(&actions[i])
+	}
+}
+
+func (g *agent) executeOne(a *policy.Action) {
+	r := g.requests[a.Request]
+	switch a.Kind {
+	case policy.ActionForward:
+		g.forward(a)
+	case policy.ActionCancel:
+		if r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
+			g.cancel(r.attempts[a.Attempt])
+		}
+	case policy.ActionReject:
+		if r != nil {
+			g.reject(r, a.DurationMs)
+		}
+	case policy.ActionFail:
+		if r != nil {
+			g.complete(r, invariant.Failed, 0)
+		}
+	case policy.ActionTimer:
+		g.world.after(fromMs(a.DurationMs), &timer{g, g.balancer, a.Token}, 0)
+	case policy.ActionWatchEndpoints:
+		if !g.watching {
+			g.watching = true
+			g.world.callDiscovery(g, false)
+		}
+	case policy.ActionFetchEndpoints:
+		if !g.fetching {
+			g.fetching = true
+			g.world.callDiscovery(g, true)
+		}
+	case policy.ActionCloseIdle:
+		if s := g.world.byAddr[a.Server]; s != nil {
+			g.idleConns[s.index] = 0
 		}
 	}
 }
 
-// submit gives a client's try to the module.
-func (g *agent) submit(o *operation, left Time) {
+// submit takes a client's attempt.
+func (g *agent) submit(o *operation, remaining Time) {
+	limits := &g.world.settings.Limits
 	g.nextID++
-	r := &request{agent: g, operation: o, id: g.nextID, deadline: g.world.now + left}
+	r := &request{agent: g, operation: o, id: g.nextID, deadline: g.world.now + remaining}
 	g.openRequests++
-	if most := g.world.settings.Limits.MaxOpenRequests; left <= 0 || most > 0 && g.openRequests > most {
-		g.reject(r, g.world.settings.Limits.MaxRetryAfterMs)
+	full := limits.MaxOpenRequests > 0 && g.openRequests > limits.MaxOpenRequests
+	if remaining <= 0 || full {
+		g.reject(r, limits.MaxRetryAfterMs)
 		return
 	}
 	g.requests[r.id] = r
-	module, backstop := core.RequestTimeouts(time.Duration(left))
+	timeout, backstop := core.RequestTimeouts(time.Duration(remaining))
 	g.world.after(Time(backstop), r, 0)
-	g.deliver(&policy.Event{Kind: policy.EventRequest, Request: r.id, Class: o.class, Tenant: o.tenant, Key: o.key,
-		RemainingMs: float64(module.Microseconds()) / 1000, Retry: o.clientAttempts > 1})
+	g.deliver(&policy.Event{
+		Kind:        policy.EventRequest,
+		Request:     r.id,
+		Class:       o.class,
+		Tenant:      o.tenant,
+		Key:         o.key,
+		RemainingMs: float64(timeout.Microseconds()) / 1000,
+		Retry:       o.clientAttempts > 1,
+	})
 }
 
-// fire is the backstop.
+// fire is the backstop timeout of a request that the balancer has not answered.
 func (r *request) fire(uint8) {
 	if r.answered {
 		return
 	}
-	r.agent.backstopTimeouts++
-	r.agent.complete(r, invariant.Failed, 0)
-	for _, t := range r.attempts {
-		if !t.ended {
-			r.agent.world.after(20*Microsecond, t, attemptCancelled)
-		}
+	g := r.agent
+	g.backstopTimeouts++
+	g.complete(r, invariant.Failed, 0)
+	for _, a := range r.attempts {
+		g.cancel(a)
+	}
+	g.deliver(&policy.Event{Kind: policy.EventClientDisconnected, Request: r.id})
+}
+
+func (g *agent) cancel(a *attempt) {
+	if !a.ended {
+		g.world.after(cancelDelay, a, attemptCancelled)
 	}
-	r.agent.deliver(&policy.Event{Kind: policy.EventClientDisconnected, Request: r.id})
 }
 
-func (g *agent) reject(r *request, afterMs float64) {
+// reject answers a request with Retry-After, unless one of its attempts may have run.
+func (g *agent) reject(r *request, retryAfterMs float64) {
 	if !core.MayReject(&g.world.settings.Classes[r.operation.class], r.mayHaveRun) {
 		g.guardViolations++
 		g.complete(r, invariant.Failed, 0)
 		return
 	}
-	g.complete(r, invariant.Rejected, afterMs)
+	g.complete(r, invariant.Rejected, retryAfterMs)
 }
 
-func (g *agent) complete(r *request, v invariant.Outcome, afterMs float64) {
+// complete answers a request, once.
+func (g *agent) complete(r *request, outcome invariant.Outcome, retryAfterMs float64) {
 	if r.answered {
 		return
 	}
 	r.answered = true
 	g.openRequests--
 	g.release(r)
-	r.operation.answered(v, afterMs)
+	r.operation.answered(outcome, retryAfterMs)
 }
 
+// release forgets a request that is answered and has no attempt in flight.
 func (g *agent) release(r *request) {
 	if r.answered && r.inFlight == 0 {
 		delete(g.requests, r.id)
 	}
 }
 
-func (g *agent) forward(a *policy.Action) {
-	r := g.requests[a.Request]
-	if r == nil {
-		g.guardViolations++
-		return
-	}
-	s := g.world.byAddr[a.Server]
-	t := &attempt{request: r, server: s, index: len(r.attempts), sentAt: g.world.now}
-	r.attempts = append(r.attempts, t)
-	_, backstop := core.RequestTimeouts(time.Duration(r.deadline - g.world.now))
-	t.deadline = g.world.now + Time(backstop)
-	if a.DurationMs != 0 {
-		t.deadline = min(t.deadline, g.world.now+fromMs(a.DurationMs))
-	}
-	class := &g.world.settings.Classes[r.operation.class]
-	guard := core.Guard{Completed: r.answered, Listed: s != nil && g.listed[s.index], HasTime: t.deadline > g.world.now, InFlight: r.inFlight, MayHaveRun: r.mayHaveRun,
-		Attempts: len(r.attempts), MaxAttempts: g.world.settings.Limits.MaxAttempts, Effect: class.Effect}
-	if guard.Listed {
-		guard.Unavailable = g.unavailable[s.index]
-		if r.mayHaveRun > 0 {
-			to := s.endpoint()
-			guard.OutsideScope = !core.InDedupScope(class.DedupScope, &r.firstEndpoint, &to)
-			guard.WindowExpired = g.world.now > r.firstSentAt+Time(core.RetryWindow(class))
-		}
-	}
-	if g.world.unguarded {
-		guard = core.Guard{Completed: r.answered, Listed: s != nil, HasTime: guard.HasTime, Attempts: len(r.attempts), MaxAttempts: guard.MaxAttempts}
-	}
-	if v := guard.Violation(); v != core.NoViolation {
-		g.guardViolations++
-		g.world.violationsByReason[string(v)]++
-		t.ended = true
-		if len(r.attempts) > core.MaxForwardActions(guard.MaxAttempts) {
-			g.complete(r, invariant.Failed, 0)
-			return
+// settings returns the settings of the agent's balancer. The latency objective of a call to a service is the part of
+// the class's that the longest path from that service has in the longest of the graph.
+func (g *agent) settings() policy.Settings {
+	out := g.world.scenario.settings(g.replicaIndex, g.zone)
+	out.Replicas = g.replicas
+	if graph := g.world.graph; graph != nil {
+		fraction := float64(graph.Services[g.service].Height) / float64(graph.Spec.Depth)
+		for i := range out.Classes {
+			out.Classes[i].LatencyObjectiveMs *= fraction
 		}
-		g.pending = append(g.pending, policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: t.index, Server: a.Server,
-			Status: policy.NotStarted, Final: r.answered})
-		return
-	}
-	if r.mayHaveRun == 0 {
-		r.firstSentAt, r.firstEndpoint = g.world.now, s.endpoint()
 	}
-	r.inFlight++
-	r.mayHaveRun++
-	r.operation.serverAttempts++
-	g.world.graph.recordAttempt(r.operation)
-	g.world.after(t.deadline-g.world.now, t, attemptTimeout)
-	if g.idleConns[s.index] > 0 && g.connIncarnation[s.index] == s.incarnation {
-		g.idleConns[s.index]--
-		t.connected, t.incarnation = true, s.incarnation
-		// Not from within the module's own action.
-		if d, ok := g.world.delay(g.zone, s.zone, false); ok {
-			g.world.after(d, t, attemptArrived)
-		}
-		return
-	}
-	g.idleConns[s.index], g.connIncarnation[s.index] = 0, s.incarnation
-	if r.operation.measured {
-		g.world.totals.Handshakes++
-	}
-	there, ok := g.world.delay(g.zone, s.zone, false)
-	back, ok2 := g.world.delay(s.zone, g.zone, false)
-	switch {
-	case !ok || !ok2 || s.unresponsive:
-		g.world.after(connectTimeoutMs*Millisecond, t, attemptConnectFailed)
-	case s.stopped:
-		g.world.after(there+back, t, attemptConnectFailed)
-	default:
-		g.world.after(there+back, t, attemptConnected)
-	}
-}
-
-func (g *agent) attemptEnded(a *attempt, status policy.Status) {
-	r := a.request
-	r.inFlight--
-	if status.NeverRan() {
-		r.mayHaveRun--
-	}
-	if !r.answered && status == policy.OK {
-		g.complete(r, invariant.Served, 0)
-	}
-	report := a.report[:]
-	if a.noReport || status != policy.OK && status != policy.Rejected && status != policy.Error {
-		report = nil
-	}
-	g.deliver(&policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: a.index, Server: a.server.addr, Status: status,
-		LatencyMs: float64(g.world.now-a.sentAt) / float64(Millisecond), Final: r.answered, Report: report})
-	g.release(r)
+	return out
 }
--- a/internal/emulator/dist.go
+++ b/internal/emulator/distribution.go
@@ -4,22 +4,26 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"sort"
 )
 
+// maxTimeMs is the longest time that is drawn, a day.
+const maxTimeMs = 86_400_000
+
 // Distribution is a distribution of times, by its mean and a shape.
 type Distribution struct {
 	// Kind is "fixed", "exponential", "lognormal" (Shape: sigma of the logarithm), "pareto" (Shape: the
-	// tail's index, above 1) or "bimodal" (Shape: the part that is slow; Times: how much slower).
+	// tail index, above 1) or "bimodal" (Shape: the part that is slow; SlowFactor: how much slower).
 	Kind       string  `toml:"kind"`
 	MeanMs     float64 `toml:"mean_ms"`
 	Shape      float64 `toml:"shape"`
 	SlowFactor float64 `toml:"times"`
 }
 
-// Check says what makes a distribution unusable; the error names the key.
+// Check returns an error that names the first unusable key; at is the key of the distribution.
 func (d *Distribution) Check(at string) error {
-	if !(d.MeanMs >= 0 && d.MeanMs <= 86_400_000) {
-		return fmt.Errorf("%s.mean_ms: must be 0 to 86400000, is %v", at, d.MeanMs)
+	if !(d.MeanMs >= 0 && d.MeanMs <= maxTimeMs) {
+		return fmt.Errorf("%s.mean_ms: must be 0 to %d, is %v", at, maxTimeMs, d.MeanMs)
 	}
 	ok := false
 	switch d.Kind {
@@ -40,7 +44,7 @@
 	return nil
 }
 
-// draw is a time in ms.
+// draw returns a time in ms.
 func (d *Distribution) draw(rng *rand.Rand) float64 {
 	switch d.Kind {
 	case "exponential":
@@ -50,42 +54,40 @@
 	case "pareto":
 		return d.MeanMs * (d.Shape - 1) / d.Shape * math.Pow(1-rng.Float64(), -1/d.Shape)
 	case "bimodal":
-		// Of mean one: the quick part takes q, the slow part q times Times.
-		q := d.MeanMs / (1 - d.Shape + d.Shape*d.SlowFactor)
+		fast := d.MeanMs / (1 - d.Shape + d.Shape*d.SlowFactor)
 		if rng.Float64() < d.Shape {
-			return q * d.SlowFactor
+			return fast * d.SlowFactor
 		}
-		return q
+		return fast
 	}
 	return d.MeanMs
 }
 
-// fromMs is a time in ms as virtual time; a day at the most.
-func fromMs(ms float64) Time { return Time(min(ms, 86_400_000) * float64(Millisecond)) }
+// fromMs converts ms to virtual time, up to a day.
+func fromMs(ms float64) Time { return Time(min(ms, maxTimeMs) * float64(Millisecond)) }
+
+// fromSeconds converts seconds to virtual time.
+func fromSeconds(s float64) Time { return Time(s * float64(Second)) }
 
-// zipf draws ranks from 0 to n-1 with a probability that falls as rank^-s; s 0 is even. It inverts the
-// cumulated weights, which go with any s, where math/rand's needs s above 1.
-type zipf struct{ sum []float64 }
+// zipf draws ranks from 0 to n-1 with a probability that falls as rank^-s; with s = 0 all are equally likely. Unlike
+// the one of math/rand it also takes s <= 1.
+type zipf struct {
+	cumulative []float64 // weights
+}
 
 func newZipf(n int, s float64) *zipf {
-	z := &zipf{sum: make([]float64, n)}
+	z := &zipf{cumulative: make([]float64, n)}
 	total := 0.0
 	for i := range n {
 		total += math.Pow(float64(i+1), -s)
-		z.sum[i] = total
+		z.cumulative[i] = total
 	}
 	return z
 }
 
+// draw returns a rank: the first whose cumulative weight is above a random one.
 func (z *zipf) draw(rng *rand.Rand) int {
-	u := rng.Float64() * z.sum[len(z.sum)-1]
-	lo, hi := 0, len(z.sum)-1
-	for lo < hi {
-		if mid := (lo + hi) / 2; z.sum[mid] > u {
-			hi = mid
-		} else {
-			lo = mid + 1
-		}
-	}
-	return lo
+	last := len(z.cumulative) - 1
+	x := rng.Float64() * z.cumulative[last]
+	return sort.Search(last, func(i int) bool { return z.cumulative[i] > x })
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -1,8 +1,8 @@
-// Package emulator is a discrete-event emulator of what the product serves: order servers, the network, the
-// roster, clients and agents, in virtual time. It has no sockets, reads no clock and starts no goroutine; the
-// same seed gives the same results, to the byte. The decisions under test are the product's own module, or a
-// peer written against the same events; the contract's guard is core's; the four rules are counted by the
-// book that the lab's ledger uses on sockets.
+// Package emulator is a discrete-event emulator of agents and what they work with: servers, the network, the
+// discovery service and clients, in virtual time. It has no sockets, reads no clock and starts no goroutine; the same
+// seed gives the same results, to the byte. The decisions are made by the product's balancer or by another one with
+// the same events and actions. Attempts pass the guard of internal/core, and the rules of the contract are checked by
+// internal/invariant.
 package emulator
 
 // Time is virtual time in ns from the start of a run.
@@ -15,12 +15,12 @@
 	Second      Time = 1e9
 )
 
-// event is something that happens; kind tells a thing's several happenings apart.
+// event is something that happens at a time; kind tells several events of one object apart.
 type event interface{ fire(kind uint8) }
 
 type scheduled struct {
 	at   Time
-	seq  uint64 // of two at one instant the earlier scheduled comes first
+	seq  uint64 // of two at the same time the one that was scheduled first fires first
 	ev   event
 	kind uint8
 }
@@ -29,7 +29,10 @@
 	return s.at < t.at || s.at == t.at && s.seq < t.seq
 }
 
-// engine keeps what is to happen, in a heap of four children a node.
+// heapArity is the number of children of a node of the heap.
+const heapArity = 4
+
+// engine holds the scheduled events in a 4-ary heap.
 type engine struct {
 	now   Time
 	seq   uint64
@@ -37,47 +40,62 @@
 	fired uint64
 }
 
-// after schedules an event d from now; what is past is now.
+// after schedules an event at a delay from now; a negative one counts as 0.
 func (e *engine) after(d Time, ev event, kind uint8) { e.at(e.now+max(d, 0), ev, kind) }
 
+// at schedules an event at a time; one in the past counts as now.
 func (e *engine) at(t Time, ev event, kind uint8) {
 	e.seq++
 	e.heap = append(e.heap, scheduled{max(t, e.now), e.seq, ev, kind})
-	i := len(e.heap) - 1
+	e.siftUp(len(e.heap) - 1)
+}
+
+// run fires events up to a time, or until there is none left.
+func (e *engine) run(until Time) {
+	for len(e.heap) > 0 && e.heap[0].at <= until {
+		next := e.pop()
+		e.now = next.at
+		e.fired++
+		next.ev.fire(next.kind)
+	}
+	e.now = max(e.now, until)
+}
+
+// pop removes the first event.
+func (e *engine) pop() scheduled {
+	first := e.heap[0]
+	last := len(e.heap) - 1
+	e.heap[0] = e.heap[last]
+	e.heap[last] = scheduled{} // release the event
+	e.heap = e.heap[:last]
+	e.siftDown(0)
+	return first
+}
+
+func (e *engine) siftUp(i int) {
 	for i > 0 {
-		p := (i - 1) / 4
-		if !e.heap[i].before(&e.heap[p]) {
-			break
+		parent := (i - 1) / heapArity
+		if !e.heap[i].before(&e.heap[parent]) {
+			return
 		}
-		e.heap[i], e.heap[p] = e.heap[p], e.heap[i]
-		i = p
+		e.heap[i], e.heap[parent] = e.heap[parent], e.heap[i]
+		i = parent
 	}
 }
 
-// run lets things happen until a time, or until there is nothing more.
-func (e *engine) run(until Time) {
-	for len(e.heap) > 0 && e.heap[0].at <= until {
-		x := e.heap[0]
-		last := len(e.heap) - 1
-		e.heap[0] = e.heap[last]
-		e.heap[last] = scheduled{}
-		e.heap = e.heap[:last]
-		for i := 0; ; {
-			least := i
-			for c := 4*i + 1; c <= 4*i+4 && c < last; c++ {
-				if e.heap[c].before(&e.heap[least]) {
-					least = c
-				}
+func (e *engine) siftDown(i int) {
+	for {
+		first := i
+		children := heapArity*i + 1
+		for child := children; child < min(children+heapArity, len(e.heap)); child++ {
+			if e.heap[child].before(&e.heap[first]) {
+				first = child
 			}
-			if least == i {
-				break
-			}
-			e.heap[i], e.heap[least] = e.heap[least], e.heap[i]
-			i = least
 		}
-		e.now = x.at
-		e.fired++
-		x.ev.fire(x.kind)
+		if first == i {
+			return
+		}
+		e.heap[i], e.heap[first] = e.heap[first], e.heap[i]
+		i = first
 	}
-	e.now = max(e.now, until)
 }
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -5,127 +5,206 @@
 	"time"
 )
 
-// faultEvent is a fault's beginning or end at some servers, or in the network.
+// Kinds of faults.
+const (
+	faultDrain         = "drain"
+	faultStop          = "stop"
+	faultUnresponsive  = "dark"
+	faultRestart       = "restart"
+	faultSlow          = "slow"
+	faultSlowSome      = "slow_some"
+	faultErrors        = "errors"
+	faultReject        = "turn_away"
+	faultPartition     = "partition"
+	faultOneWayDelay   = "one_way"
+	faultDiscoveryDown = "roster_down"
+	faultSurge         = "surge"
+	faultStalls        = "stalls"
+	faultKillAgents    = "kill_agents"
+)
+
+var faultKinds = map[string]bool{
+	faultDrain:         true,
+	faultStop:          true,
+	faultUnresponsive:  true,
+	faultRestart:       true,
+	faultSlow:          true,
+	faultSlowSome:      true,
+	faultErrors:        true,
+	faultReject:        true,
+	faultPartition:     true,
+	faultOneWayDelay:   true,
+	faultDiscoveryDown: true,
+	faultSurge:         true,
+	faultStalls:        true,
+	faultKillAgents:    true,
+}
+
+// faultEvent is the beginning or end of a fault at some servers, or in the network.
 type faultEvent struct {
 	world   *World
 	fault   *Fault
 	servers []*server
 }
 
+// The events of a fault.
 const (
 	faultBegins uint8 = iota
 	faultEnds
 )
 
-// scheduleFault schedules a fault.
+// scheduleFault schedules a fault, for all servers at once or for one after the other.
 func (w *World) scheduleFault(f *Fault) {
-	from := w.servers
-	if w.graph != nil {
-		from = w.graph.shuffled // not one service after the other
+	candidates := w.faultCandidates(f)
+	targets := candidates[:f.targetCount(len(candidates))]
+	if f.StaggerS <= 0 {
+		w.scheduleFaultEvents(&faultEvent{w, f, targets}, f.StartS)
+		return
 	}
-	if f.TargetZone > 0 || f.TargetService > 0 || f.TargetRack > 0 {
-		all := from
-		from = nil
-		for _, s := range all {
-			if (f.TargetZone == 0 || s.zone == f.TargetZone-1) && (f.TargetService == 0 || s.service == f.TargetService-1) && (f.TargetRack == 0 || s.rack == f.TargetRack-1) {
-				from = append(from, s)
-			}
-		}
+	for i := range targets {
+		w.scheduleFaultEvents(&faultEvent{w, f, targets[i : i+1]}, f.StartS+float64(i)*f.StaggerS)
 	}
-	hit := from[:f.targetCount(len(from))]
-	at := func(s float64) Time { return Time(s * float64(Second)) }
-	each := [][]*server{hit}
-	if f.StaggerS > 0 {
-		each = nil
-		for i := range hit {
-			each = append(each, hit[i:i+1])
-		}
+}
+
+func (w *World) scheduleFaultEvents(e *faultEvent, startS float64) {
+	w.at(fromSeconds(startS), e, faultBegins)
+	if e.fault.DurationS > 0 {
+		w.at(fromSeconds(startS+e.fault.DurationS), e, faultEnds)
 	}
-	for i, on := range each {
-		x := &faultEvent{w, f, on}
-		from := f.StartS + float64(i)*f.StaggerS
-		w.at(at(from), x, faultBegins)
-		if f.DurationS > 0 {
-			w.at(at(from+f.DurationS), x, faultEnds)
+}
+
+// faultCandidates returns the servers that a fault may hit, in the order in which it takes them.
+func (w *World) faultCandidates(f *Fault) []*server {
+	all := w.servers
+	if w.graph != nil {
+		all = w.graph.shuffled // so that a fault hits several services
+	}
+	if f.TargetZone <= 0 && f.TargetService <= 0 && f.TargetRack <= 0 {
+		return all
+	}
+	var out []*server
+	for _, s := range all {
+		if f.matches(s) {
+			out = append(out, s)
 		}
 	}
+	return out
 }
 
-// targetCount is how many of so many it hits.
-func (f *Fault) targetCount(all int) int {
+func (f *Fault) matches(s *server) bool {
+	zone := f.TargetZone == 0 || s.zone == f.TargetZone-1
+	service := f.TargetService == 0 || s.service == f.TargetService-1
+	rack := f.TargetRack == 0 || s.rack == f.TargetRack-1
+	return zone && service && rack
+}
+
+// targetCount is how many of a number of candidates a fault hits.
+func (f *Fault) targetCount(candidates int) int {
 	n := f.Count
 	if n == 0 {
-		n = int(math.Ceil(f.ServerFraction * float64(all)))
+		n = int(math.Ceil(f.ServerFraction * float64(candidates)))
 	}
-	return min(n, all)
+	return min(n, candidates)
 }
 
-func (x *faultEvent) fire(kind uint8) {
-	w, f, begins := x.world, x.fault, kind == faultBegins
+func (e *faultEvent) fire(kind uint8) {
+	begins := kind == faultBegins
+	e.world.applyFault(e.fault, begins)
+	for _, s := range e.servers {
+		s.applyFault(e.fault, begins)
+	}
+}
+
+// applyFault begins or ends a fault of the network, the discovery service, the clients or the agents.
+func (w *World) applyFault(f *Fault, begins bool) {
 	switch f.Kind {
-	case "partition":
+	case faultPartition:
 		w.partitioned[f.Zone] = begins
-	case "one_way":
-		if w.answerDelay[f.Zone] = 0; begins {
+	case faultOneWayDelay:
+		w.answerDelay[f.Zone] = 0
+		if begins {
 			w.answerDelay[f.Zone] = fromMs(f.DelayMs)
 		}
-	case "kill_agents":
+	case faultKillAgents:
 		if begins {
 			for _, g := range w.agents[:f.targetCount(len(w.agents))] {
-				g.kill()
+				g.restart()
 			}
 		}
-	case "surge":
-		if w.loadFactor = 1; begins {
+	case faultSurge:
+		w.loadFactor = 1
+		if begins {
 			w.loadFactor = f.Factor
 		}
-	case "roster_down":
+	case faultDiscoveryDown:
 		if begins {
-			w.discoveryDownUntil = w.now + Time(f.DurationS*float64(Second))
+			w.discoveryDownUntil = w.now + fromSeconds(f.DurationS)
 		}
 	}
-	amount := func(v float64) float64 {
+}
+
+// applyFault begins or ends a fault of a server.
+func (s *server) applyFault(f *Fault, begins bool) {
+	factor := 0.0
+	fraction := 0.0
+	if begins {
+		factor = f.Factor
+		fraction = f.Fraction
+	}
+	switch f.Kind {
+	case faultDrain:
+		s.setDraining(begins)
+	case faultStop, faultUnresponsive:
 		if begins {
-			return v
+			s.resetProcess()
+			s.stopped = f.Kind == faultStop
+			s.unresponsive = f.Kind == faultUnresponsive
+		} else {
+			s.restart()
 		}
-		return 0
-	}
-	for _, s := range x.servers {
-		switch f.Kind {
-		case "drain":
-			if s.draining = begins; begins {
-				// Told is when the last agent has heard: the 250 ms count from there.
-				s.record.NotifiedDraining(w.time().Add(time.Duration(max(w.discoveryDownUntil-w.now, 0) + fromMs(2*w.scenario.Discovery.LagMs))))
-			} else {
-				s.record.InService()
-			}
-			w.notify(s)
-		case "stop", "dark":
-			if begins {
-				s.startProcess()
-				s.stopped, s.unresponsive = f.Kind == "stop", f.Kind == "dark"
-			} else {
-				s.restart()
-			}
-		case "restart":
-			if begins {
-				s.restart()
-			}
-		case "slow":
-			s.slowFactor = amount(f.Factor)
-		case "slow_some":
-			s.slowFraction, s.slowFractionFactor = amount(f.Fraction), f.Factor
-		case "errors":
-			s.errorFraction, s.errorClass = amount(f.Fraction), -1
-			if f.Class != "" {
-				s.errorClass = w.scenario.classIndex(f.Class)
-			}
-		case "stalls":
-			if s.stalls = (stalls{}); begins {
-				s.stalls = stalls{fromMs(f.IntervalS * 1000), fromMs(f.DelayMs), Time(s.rng.Float64() * f.IntervalS * float64(Second))}
-			}
-		case "turn_away":
-			s.rejectFraction = amount(f.Fraction)
+	case faultRestart:
+		if begins {
+			s.restart()
+		}
+	case faultSlow:
+		s.slowFactor = factor
+	case faultSlowSome:
+		s.slowFraction = fraction
+		s.slowFractionFactor = f.Factor
+	case faultErrors:
+		s.errorFraction = fraction
+		s.errorClass = allClasses
+		if f.Class != "" {
+			s.errorClass = s.world.scenario.classIndex(f.Class)
 		}
+	case faultStalls:
+		s.stalls = stalls{}
+		if begins {
+			s.stalls = s.drawStalls(f)
+		}
+	case faultReject:
+		s.rejectFraction = fraction
+	}
+}
+
+// setDraining begins or ends a graceful shutdown. Its grace period counts from when the last agent is notified.
+func (s *server) setDraining(draining bool) {
+	w := s.world
+	s.draining = draining
+	if draining {
+		notified := max(w.discoveryDownUntil-w.now, 0) + fromMs(2*w.scenario.Discovery.LagMs)
+		s.record.NotifiedDraining(w.time().Add(time.Duration(notified)))
+	} else {
+		s.record.InService()
+	}
+	w.notify(s)
+}
+
+// drawStalls returns the stalls of a fault, with a phase of the server's own.
+func (s *server) drawStalls(f *Fault) stalls {
+	return stalls{
+		every:  fromMs(f.IntervalS * 1000),
+		length: fromMs(f.DelayMs),
+		phase:  Time(s.rng.Float64() * f.IntervalS * float64(Second)),
 	}
 }
--- /dev/null
+++ b/internal/emulator/network.go
@@ -0,0 +1,24 @@
+package emulator
+
+// delay returns how long a message takes from one zone to another, or false if the network loses it.
+func (w *World) delay(from, to int, answer bool) (Time, bool) {
+	network := &w.scenario.Network
+	ms := network.LocalMs
+	if from != to {
+		if w.partitioned[from] || w.partitioned[to] {
+			return 0, false
+		}
+		ms = network.CrossMs
+		if w.graph != nil {
+			ms = w.graph.oneWayMs(from, to)
+		}
+	}
+	if network.JitterMs > 0 {
+		ms += network.JitterMs * w.netRng.ExpFloat64()
+	}
+	delay := fromMs(ms)
+	if answer {
+		delay += w.answerDelay[from]
+	}
+	return delay, true
+}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -8,64 +8,106 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// server is one order server: workers, a bounded queue before them, and a process that starts cold. It is a
-// G/G/k queue with turning away, after Kleinrock, "Queueing Systems" I; the ramp and the fall are those of
-// the protocol page.
+const (
+	// arrivalSlots are the slots of the second over which arrivals are counted for an overload.
+	arrivalSlots = 10
+	arrivalSlot  = Second / arrivalSlots
+	// overloadAllowance is the number of arrivals in a second that never overload a server.
+	overloadAllowance = 4
+	// deduplicatedSpeedup is how much faster an answer is that the server knows by its idempotency key.
+	deduplicatedSpeedup = 10
+	// allClasses is the class of a server's errors that hit all classes.
+	allClasses = -1
+	// minQueueCompaction is the number of served entries at the head of a queue from which on it is compacted.
+	minQueueCompaction = 64
+
+	reportEvery     = Second / 10
+	lateReportEvery = 1400 * Millisecond
+)
+
+// Positions in a load report, as in reportNames.
+const (
+	reportQPS = iota
+	reportUtilization
+	reportErrorsPerS
+)
+
+// server is a server with workers and a bounded queue before them, and a process that starts slowly. It is a G/G/k
+// queue with rejection (Kleinrock, "Queueing Systems" I); slow start and overload are those of the contract.
 type server struct {
-	world *World
-	index int
-	addr  policy.Addr
-	zone  int
-	// Of a graph: its service, its rack, and the modules of its agent, one a service that it calls.
-	service, rack int
-	downstream    []*agent
-	group         *ServerGroup
-	rng           *rand.Rand
-	record        invariant.Server
+	world  *World
+	index  int
+	addr   policy.Addr
+	zone   int
+	group  *ServerGroup
+	rng    *rand.Rand
+	record invariant.Server
 
-	stopped, unresponsive, draining bool
-	incarnation                     uint32 // counts its processes: what an older one held is lost
-	started                         Time   // of this process
-	slowStarting                    bool   // it started during the run
-	busy                            int
-	queue                           []*attempt
-	head                            int
-	arrivals                        [10]int // of the last second, by tenths
-	arrivalSlot                     int64
+	// Of a graph.
+	service    int
+	rack       int
+	downstream []*agent // on the server's host, one for each call of the service
 
-	slowFactor         float64 // times slower; 0: not
-	slowFraction       float64 // of requests, slowTimes slower
+	stopped      bool // it refuses connections
+	unresponsive bool
+	draining     bool
+	incarnation  uint32 // counts its processes; requests of an earlier one are lost
+	startedAt    Time   // of the present process
+	slowStarting bool   // the process started during the run
+	busy         int    // workers
+	queue        []*attempt
+	queueHead    int               // index of the first entry that waits
+	arrivals     [arrivalSlots]int // of the last second
+	arrivalSlot  int64             // the last one, counted from the start of the run
+
+	slowFactor         float64 // on the service time of all requests; 0: none
+	slowFraction       float64 // of requests that take slowFractionFactor times longer
 	slowFractionFactor float64
-	errorFraction      float64
-	errorClass         int // -1: all
+	errorFraction      float64 // of requests of errorClass
+	errorClass         int     // or allClasses
 	rejectFraction     float64
 	recentKeys         recentKeys
 	stalls             stalls
-	work               Time // done for all, and for nobody
-	wastedWork         Time
 
-	report                                 [3]float32
-	reportAt                               Time
-	answeredSinceReport, failedSinceReport int
-	busyIntegral                           float64 // of workers and ns, since reportAt
-	busyIntegralAt                         Time
-	served, overloads                      int
+	work       Time // in all
+	wastedWork Time // for requests that were answered already, or beyond their objective
+	served     int
+	overloads  int
+
+	report              [len(reportNames)]float32
+	reportAt            Time
+	answeredSinceReport int
+	failedSinceReport   int
+	busyIntegral        float64 // of busy workers over ns, since reportAt
+	busyIntegralAt      Time
+}
+
+// endpoint is the server as the discovery service lists it.
+func (s *server) endpoint() policy.Endpoint {
+	e := policy.Endpoint{Server: s.addr, Zone: s.zone, Weight: s.group.Weight, Health: policy.Ready}
+	if s.incarnation > 0 {
+		e.StartedMs = epochMs + float64(s.startedAt)/float64(Millisecond)
+	}
+	if s.draining {
+		e.Health = policy.Draining
+	}
+	return e
 }
 
-// speed is the part of its speed that the process has now.
+// speed is the present speed of the process as a part of its speed when warm.
 func (s *server) speed() float64 {
 	if !s.slowStarting || s.group.SlowStartMs <= 0 {
 		return 1
 	}
-	age := float64(s.world.now-s.started) / float64(Millisecond)
-	if age >= s.group.SlowStartMs {
+	ageMs := float64(s.world.now-s.startedAt) / float64(Millisecond)
+	if ageMs >= s.group.SlowStartMs {
 		s.slowStarting = false
 		return 1
 	}
-	return s.group.SlowStartMinCapacity + (1-s.group.SlowStartMinCapacity)*age/s.group.SlowStartMs
+	return s.group.SlowStartMinCapacity + (1-s.group.SlowStartMinCapacity)*ageMs/s.group.SlowStartMs
 }
 
-// capacity is what it can do when warm, requests a second.
+// capacity is the requests per second that the server can handle when warm.
 func (s *server) capacity() float64 {
 	if s.group.Service.MeanMs <= 0 {
 		return 0
@@ -73,7 +115,9 @@
 	return float64(s.group.Workers) * 1000 / (s.group.Service.MeanMs + s.group.nestedCallsMs)
 }
 
-// arrive takes an attempt's last byte.
+func (s *server) queueLength() int { return len(s.queue) - s.queueHead }
+
+// arrive takes the last byte of an attempt.
 func (s *server) arrive(a *attempt) {
 	if s.unresponsive {
 		return
@@ -83,7 +127,10 @@
 		return
 	}
 	s.world.checker.RequestReceived(&s.record, s.world.time())
-	if s.overloadedBy() {
+	s.countArrival()
+	if s.overloaded() {
+		s.overloads++
+		s.restart()
 		return
 	}
 	if s.rejectFraction > 0 && s.rng.Float64() < s.rejectFraction {
@@ -93,166 +140,206 @@
 	switch {
 	case s.busy < s.group.Workers:
 		s.start(a)
-	case len(s.queue)-s.head < s.group.Queue:
+	case s.queueLength() < s.group.Queue:
 		s.queue = append(s.queue, a)
 	default:
 		s.reply(a, policy.Rejected)
 	}
 }
 
-// overloadedBy notes an arrival, and tells whether it was one too many for a cold process.
-func (s *server) overloadedBy() bool {
-	tenth := s.world.now / (Second / 10)
-	for ; s.arrivalSlot < tenth; s.arrivalSlot++ {
-		if tenth-s.arrivalSlot > int64(len(s.arrivals)) {
-			s.arrivalSlot = tenth - int64(len(s.arrivals))
-		}
-		s.arrivals[(s.arrivalSlot+1)%int64(len(s.arrivals))] = 0
+func (s *server) countArrival() {
+	now := s.world.now / arrivalSlot
+	for ; s.arrivalSlot < now; s.arrivalSlot++ {
+		s.arrivalSlot = max(s.arrivalSlot, now-arrivalSlots)
+		s.arrivals[(s.arrivalSlot+1)%arrivalSlots] = 0
 	}
-	s.arrivals[tenth%int64(len(s.arrivals))]++
-	k := s.speed()
-	if s.group.OverloadFactor <= 0 || k >= 1 {
+	s.arrivals[now%arrivalSlots]++
+}
+
+// overloaded tells whether the arrivals of the last second are too many for a process in slow start.
+func (s *server) overloaded() bool {
+	speed := s.speed()
+	if s.group.OverloadFactor <= 0 || speed >= 1 {
 		return false
 	}
-	n := 0
-	for _, x := range s.arrivals {
-		n += x
+	arrivals := 0
+	for _, n := range s.arrivals {
+		arrivals += n
 	}
-	if float64(n) <= 4+s.group.OverloadFactor*k*s.capacity() {
-		return false
-	}
-	s.overloads++
-	s.restart()
-	return true
+	return float64(arrivals) > overloadAllowance+s.group.OverloadFactor*speed*s.capacity()
 }
 
-// startProcess is the start of a process; what the last one held is lost.
-func (s *server) startProcess() {
+// resetProcess begins a new process; the requests of the last one are lost.
+func (s *server) resetProcess() {
 	s.incarnation++
-	s.busy, s.queue, s.head = 0, nil, 0
-	s.arrivals = [10]int{}
+	s.busy = 0
+	s.queue = nil
+	s.queueHead = 0
+	s.arrivals = [arrivalSlots]int{}
 }
 
-// restart starts the process anew at once, cold, and has the roster tell it.
+// restart starts a new process at once, with slow start, and notifies the agents.
 func (s *server) restart() {
-	s.startProcess()
-	s.stopped, s.unresponsive, s.slowStarting, s.started = false, false, true, s.world.now
+	s.resetProcess()
+	s.stopped = false
+	s.unresponsive = false
+	s.slowStarting = true
+	s.startedAt = s.world.now
 	s.world.checker.Started(&s.record, s.world.time(), s.capacity())
 	s.world.notify(s)
 }
 
-// start runs an attempt.
+// start runs an attempt on a worker.
 func (s *server) start(a *attempt) {
 	s.integrateBusy()
 	s.busy++
-	t := s.group.Service.draw(s.rng) * s.world.scenario.Classes[a.request.operation.class].Work / s.speed()
-	if a.request.operation.executed && a.request.operation.effect == invariant.IdempotentByKey {
-		t /= 10 // a repeat is found among the keys, and answered as it was
+	o := a.request.operation
+	ms := s.group.Service.draw(s.rng) * s.world.scenario.Classes[o.class].Work / s.speed()
+	if o.executed && o.effect == invariant.IdempotentByKey {
+		ms /= deduplicatedSpeedup
 	}
 	if s.slowFactor > 0 {
-		t *= s.slowFactor
+		ms *= s.slowFactor
 	}
 	if s.slowFraction > 0 && s.rng.Float64() < s.slowFraction {
-		t *= s.slowFractionFactor
+		ms *= s.slowFractionFactor
 	}
-	t *= s.recentKeys.observe(&s.group.KeyCache, s.group.Workers, s.world.now, a.request.operation.key)
-	a.work = fromMs(t)
+	ms *= s.recentKeys.observe(&s.group.KeyCache, s.group.Workers, s.world.now, o.key)
+	a.work = fromMs(ms)
 	s.world.after(s.stalls.after(s.world.now, a.work), a, attemptServiceEnded)
 }
 
-// serviceEnded ends a server's own work on an attempt; what it has to ask of other services keeps the worker.
+// serviceEnded ends the server's own work on an attempt. Nested calls go on occupying the worker.
 func (s *server) serviceEnded(a *attempt) {
 	if a.incarnation != s.incarnation {
 		return
 	}
-	if len(s.downstream) > 0 && !(a.request.operation.completed && a.request.operation.effect == invariant.IdempotentByKey) {
-		(&nestedCalls{server: s, attempt: a}).next()
+	o := a.request.operation
+	deduplicated := o.completed && o.effect == invariant.IdempotentByKey
+	if len(s.downstream) > 0 && !deduplicated {
+		calls := &nestedCalls{server: s, attempt: a}
+		calls.next()
 		return
 	}
 	s.complete(a, false)
 }
 
-// complete ends an attempt that ran, and begins the next. broken: a call that it needed has failed.
-func (s *server) complete(a *attempt, broken bool) {
+// complete answers an attempt that ran, and starts the next. nestedFailed: a call that it needed has failed.
+func (s *server) complete(a *attempt, nestedFailed bool) {
 	s.integrateBusy()
 	s.busy--
 	s.answeredSinceReport++
 	s.served++
-	if s.work += a.work; a.request.answered || s.world.now > a.request.operation.startedAt+fromMs(s.world.scenario.Classes[a.request.operation.class].LatencyObjectiveMs) {
-		s.wastedWork += a.work
-	}
-	a.request.operation.executed = true
-	a.request.operation.completed = a.request.operation.completed || !broken
-	s.world.checker.Executed(&s.record, &a.request.operation.Operation, s.world.time())
-	status := policy.OK
-	switch {
-	case broken:
-		status = policy.Error
-		s.failedSinceReport++
-	case s.errorFraction > 0 && (s.errorClass < 0 || s.errorClass == a.request.operation.class) && s.rng.Float64() < s.errorFraction:
-		status = policy.Error
+	s.recordWork(a)
+	o := a.request.operation
+	o.executed = true
+	o.completed = o.completed || !nestedFailed
+	s.world.checker.Executed(&s.record, &o.Operation, s.world.time())
+	status := s.drawStatus(o.class, nestedFailed)
+	if status == policy.Error {
 		s.failedSinceReport++
-	case s.world.scenario.Network.Resets > 0 && s.rng.Float64() < s.world.scenario.Network.Resets:
-		status = policy.Reset
 	}
 	if !s.unresponsive {
 		s.reply(a, status)
 	}
-	if waiting := len(s.queue) - s.head; waiting > 0 && s.busy < s.group.Workers {
-		var next *attempt
-		if s.group.LIFO && waiting > s.group.Queue/2 {
-			last := len(s.queue) - 1
-			next, s.queue = s.queue[last], s.queue[:last]
-		} else {
-			next = s.queue[s.head]
-			s.queue[s.head] = nil
-			if s.head++; s.head > 64 && s.head > len(s.queue)/2 {
-				s.queue = append(s.queue[:0], s.queue[s.head:]...)
-				s.head = 0
-			}
-		}
-		s.start(next)
+	if s.queueLength() > 0 && s.busy < s.group.Workers {
+		s.start(s.dequeue())
+	}
+}
+
+func (s *server) recordWork(a *attempt) {
+	o := a.request.operation
+	objective := fromMs(s.world.scenario.Classes[o.class].LatencyObjectiveMs)
+	s.work += a.work
+	if a.request.answered || s.world.now > o.startedAt+objective {
+		s.wastedWork += a.work
+	}
+}
+
+// drawStatus draws the status of an attempt that ran.
+func (s *server) drawStatus(class int, nestedFailed bool) policy.Status {
+	if nestedFailed {
+		return policy.Error
+	}
+	affected := s.errorClass == allClasses || s.errorClass == class
+	if s.errorFraction > 0 && affected && s.rng.Float64() < s.errorFraction {
+		return policy.Error
+	}
+	if resets := s.world.scenario.Network.Resets; resets > 0 && s.rng.Float64() < resets {
+		return policy.Reset
 	}
+	return policy.OK
 }
 
+// dequeue returns the attempt that runs next.
+func (s *server) dequeue() *attempt {
+	if s.group.LIFO && s.queueLength() > s.group.Queue/2 {
+		last := len(s.queue) - 1
+		next := s.queue[last]
+		s.queue = s.queue[:last]
+		return next
+	}
+	next := s.queue[s.queueHead]
+	s.queue[s.queueHead] = nil
+	s.queueHead++
+	if s.queueHead > minQueueCompaction && s.queueHead > len(s.queue)/2 {
+		s.queue = append(s.queue[:0], s.queue[s.queueHead:]...)
+		s.queueHead = 0
+	}
+	return next
+}
+
+// integrateBusy brings the integral of busy workers up to now; it is called before busy changes.
 func (s *server) integrateBusy() {
 	s.busyIntegral += float64(s.busy) * float64(s.world.now-s.busyIntegralAt)
 	s.busyIntegralAt = s.world.now
 }
 
-// reply sends an answer back; what it reports of load is up to a tenth of a second old.
+// reply sends an answer with the present load report.
 func (s *server) reply(a *attempt, status policy.Status) {
-	if since := s.world.now - s.reportAt; since >= s.reportInterval() {
-		s.integrateBusy()
-		sec := float64(since) / float64(Second)
-		s.report = [3]float32{float32(float64(s.answeredSinceReport) / sec), float32(s.busyIntegral / float64(since) / float64(s.group.Workers)), float32(float64(s.failedSinceReport) / sec)}
-		s.reportAt, s.answeredSinceReport, s.failedSinceReport, s.busyIntegral = s.world.now, 0, 0, 0
+	if s.world.now-s.reportAt >= s.reportInterval() {
+		s.updateReport()
 	}
-	a.status, a.report = status, s.report
+	a.status = status
+	a.report = s.report
 	switch s.group.Report {
-	case "none":
+	case reportNone:
 		a.noReport = true
-	case "some":
+	case reportSome:
 		a.noReport = s.index%2 == 0
-	case "idle":
-		a.report[1] = 0
-	case "busy":
-		a.report[1] = 1
-	case "nan":
-		a.report[1] = float32(math.NaN())
+	case reportIdle:
+		a.report[reportUtilization] = 0
+	case reportBusy:
+		a.report[reportUtilization] = 1
+	case reportNaN:
+		a.report[reportUtilization] = float32(math.NaN())
 	}
-	if d, ok := s.world.delay(s.zone, a.request.agent.zone, true); ok {
-		s.world.after(d, a, attemptAnswered)
+	if delay, ok := s.world.delay(s.zone, a.request.agent.zone, true); ok {
+		s.world.after(delay, a, attemptAnswered)
 	}
 }
 
-// reportInterval is the time between two reports.
+// updateReport replaces the load report by that of the time since the last one.
+func (s *server) updateReport() {
+	s.integrateBusy()
+	elapsed := s.world.now - s.reportAt
+	seconds := float64(elapsed) / float64(Second)
+	s.report[reportQPS] = float32(float64(s.answeredSinceReport) / seconds)
+	s.report[reportUtilization] = float32(s.busyIntegral / float64(elapsed) / float64(s.group.Workers))
+	s.report[reportErrorsPerS] = float32(float64(s.failedSinceReport) / seconds)
+	s.reportAt = s.world.now
+	s.answeredSinceReport = 0
+	s.failedSinceReport = 0
+	s.busyIntegral = 0
+}
+
+// reportInterval is the minimum time between two load reports.
 func (s *server) reportInterval() Time {
 	switch {
-	case s.group.Report == "late":
-		return 1400 * Millisecond
-	case s.group.Report == "frozen" && s.world.now > Second:
+	case s.group.Report == reportLate:
+		return lateReportEvery
+	case s.group.Report == reportFrozen && s.world.now > Second:
 		return math.MaxInt64
 	}
-	return Second / 10
+	return reportEvery
 }
--- a/internal/emulator/tenant.go
+++ b/internal/emulator/tenant.go
@@ -2,59 +2,79 @@
 
 import "fmt"
 
-// Tenant is a customer with a portion of the service.
+const (
+	maxTenants    = 1000
+	maxLoadWeight = 1000
+	// overQuotaWeight is the factor on the priority weight of requests beyond their tenant's quota.
+	overQuotaWeight = 0.1
+	// quotaFractionOfCapacity is all quotas together as a part of the servers' capacity.
+	quotaFractionOfCapacity = 0.85
+)
+
+// Tenant is a customer with a quota of the service.
 type Tenant struct {
 	Name string `toml:"name"`
-	// Quota is its part of the service, Asks its part of the load; both are relative.
+	// Quota is relative to that of the other tenants, LoadWeight is its part of the load relative to theirs.
 	Quota      float64 `toml:"portion"`
-	LoadWeight float64 `toml:"asks"`
+	LoadWeight float64 `toml:"asks"` // 0: as Quota
 }
 
-// The parts of a request's worth, where tenants have portions: what goes beyond a portion is worth overWorth of
-// the usual, and all portions together are portionOfCapacity of what the servers can do.
-const overQuotaWeight, quotaFractionOfCapacity = 0.1, 0.85
-
-// tokenBucket counts what of a flow is within a rate: a bucket of one second.
+// tokenBucket tells which events of a flow are within a rate, with a burst of one second. A bucket without a rate
+// allows all.
 type tokenBucket struct {
 	perS       float64
 	tokens     float64
 	refilledAt Time
 }
 
-// allow takes one and tells whether it is within the rate.
-func (m *tokenBucket) allow(now Time) bool {
-	m.tokens = min(m.tokens+float64(now-m.refilledAt)/float64(Second)*m.perS, m.perS)
-	m.refilledAt = now
-	if m.tokens < 1 {
+func newTokenBucket(perS float64) tokenBucket {
+	return tokenBucket{perS: perS, tokens: perS}
+}
+
+// allow takes a token and tells whether there was one.
+func (b *tokenBucket) allow(now Time) bool {
+	b.tokens = min(b.tokens+float64(now-b.refilledAt)/float64(Second)*b.perS, b.perS)
+	b.refilledAt = now
+	if b.tokens < 1 {
 		return false
 	}
-	m.tokens--
+	b.tokens--
 	return true
 }
 
-// quotaAccount is what a tenant asked for and was given, in worth: each by a meter of its own, so that it does not matter
-// which of its requests are served within its portion.
+// weigh returns a priority weight, reduced if the request is beyond the rate.
+func (b *tokenBucket) weigh(now Time, weight float64) float64 {
+	if b.perS == 0 || b.allow(now) {
+		return weight
+	}
+	return weight * overQuotaWeight
+}
+
+// quotaAccount sums the priority weight of a tenant's requests. Offered and served requests have a bucket each, so
+// that it does not matter which of them are served.
 type quotaAccount struct {
-	offered, granted            tokenBucket
-	offeredWeight, servedWeight float64
+	offered       tokenBucket
+	granted       tokenBucket
+	offeredWeight float64
+	servedWeight  float64
 }
 
-func (p *quotaAccount) servedFraction() float64 {
-	if p.offeredWeight == 0 {
-		return 1
-	}
-	return min(p.servedWeight/p.offeredWeight, 1)
+func (a *quotaAccount) offer(now Time, weight float64) {
+	a.offeredWeight += a.offered.weigh(now, weight)
+}
+
+func (a *quotaAccount) serve(now Time, weight float64) {
+	a.servedWeight += a.granted.weigh(now, weight)
 }
 
-// weightUnderQuota is what a request earns by the meter.
-func weightUnderQuota(m *tokenBucket, now Time, credit float64) float64 {
-	if m.perS == 0 || m.allow(now) {
-		return credit
+func (a *quotaAccount) servedFraction() float64 {
+	if a.offeredWeight == 0 {
+		return 1
 	}
-	return credit * overQuotaWeight
+	return min(a.servedWeight/a.offeredWeight, 1)
 }
 
-// checkTenants fills what has a default and says what makes tenants unusable.
+// checkTenants sets defaults and returns an error that names the first unusable key.
 func (s *Scenario) checkTenants() error {
 	for i := range s.Tenants {
 		t := &s.Tenants[i]
@@ -64,8 +84,8 @@
 		if !(t.Quota > 0 && t.Quota <= 1) {
 			return fmt.Errorf("tenant[%d].portion: must be above 0, to 1, is %v", i, t.Quota)
 		}
-		if !(t.LoadWeight >= 0 && t.LoadWeight <= 1000) {
-			return fmt.Errorf("tenant[%d].asks: must be 0 to 1000, is %v", i, t.LoadWeight)
+		if !(t.LoadWeight >= 0 && t.LoadWeight <= maxLoadWeight) {
+			return fmt.Errorf("tenant[%d].asks: must be 0 to %d, is %v", i, maxLoadWeight, t.LoadWeight)
 		}
 	}
 	if len(s.Tenants) > maxTenants {
@@ -74,9 +94,7 @@
 	return nil
 }
 
-const maxTenants = 1000
-
-// quotaAccounts are those of all tenants, and one for requests of none.
+// quotaAccounts returns an account for each tenant, or one without a quota if there are none.
 func (s *Scenario) quotaAccounts() []quotaAccount {
 	if len(s.Tenants) == 0 {
 		return make([]quotaAccount, 1)
@@ -88,12 +106,13 @@
 	out := make([]quotaAccount, len(s.Tenants))
 	for i, t := range s.Tenants {
 		perS := s.Capacity() * quotaFractionOfCapacity * t.Quota / total
-		out[i].offered, out[i].granted = tokenBucket{perS: perS, tokens: perS}, tokenBucket{perS: perS, tokens: perS}
+		out[i].offered = newTokenBucket(perS)
+		out[i].granted = newTokenBucket(perS)
 	}
 	return out
 }
 
-// drawTenant is who asks, by x from 0 to 1.
+// drawTenant returns the tenant of a request by a number from 0 to 1.
 func (s *Scenario) drawTenant(x float64) int {
 	total := 0.0
 	for _, t := range s.Tenants {
@@ -101,7 +120,8 @@
 	}
 	x *= total
 	for i, t := range s.Tenants {
-		if x -= t.LoadWeight; x < 0 {
+		x -= t.LoadWeight
+		if x < 0 {
 			return i
 		}
 	}
--- /dev/null
+++ b/internal/emulator/validate.go
@@ -0,0 +1,242 @@
+package emulator
+
+import (
+	"errors"
+	"fmt"
+	"math"
+)
+
+// The bounds of a scenario.
+const (
+	maxServers       = 20_000
+	maxAgents        = 20_000
+	maxZones         = 64
+	maxSeconds       = 86_400
+	maxHourMs        = 3.6e6
+	maxMinuteMs      = 60_000
+	maxRatePerS      = 1e7
+	maxCallsPerS     = 1e6
+	maxFactor        = 1e6
+	maxKeys          = 1e6
+	minWork          = 1e-3
+	classSharesError = 1e-6 // by which the shares of the classes may differ from 1 in sum
+)
+
+// Slow start of a server group that has no setting of its own.
+const (
+	defaultSlowStartMinCapacity = 0.31
+	defaultSlowStartMs          = 8600
+)
+
+// bound is a number of a scenario and its range.
+type bound struct {
+	key      string
+	value    float64
+	min, max float64
+}
+
+// check returns an error that names the key if the value is out of its range or NaN.
+func (b *bound) check() error {
+	if b.value >= b.min && b.value <= b.max {
+		return nil
+	}
+	return fmt.Errorf("%s: must be %v to %v, is %v", b.key, b.min, b.max, b.value)
+}
+
+func checkBounds(bounds []bound) error {
+	for i := range bounds {
+		if err := bounds[i].check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Check sets defaults and returns an error that names the first unusable key.
+func (s *Scenario) Check() error {
+	s.setDefaults()
+	if err := s.drawGraph(); err != nil {
+		return err
+	}
+	if len(s.Servers) == 0 {
+		return errors.New("servers: none")
+	}
+	bounds := s.bounds()
+	serverBounds, err := s.checkServers()
+	if err != nil {
+		return err
+	}
+	if err := s.checkTenants(); err != nil {
+		return err
+	}
+	classBounds, err := s.checkClasses()
+	if err != nil {
+		return err
+	}
+	faultBounds, err := s.checkFaults()
+	if err != nil {
+		return err
+	}
+	bounds = append(bounds, serverBounds...)
+	bounds = append(bounds, classBounds...)
+	bounds = append(bounds, faultBounds...)
+	return checkBounds(bounds)
+}
+
+func (s *Scenario) setDefaults() {
+	if s.Zones == 0 {
+		s.Zones = 1
+	}
+	if s.Agents == 0 {
+		s.Agents = 4
+	}
+	if len(s.Classes) == 0 {
+		s.Classes = DefaultClasses()
+	}
+	if s.Network == (Network{}) {
+		s.Network = Network{LocalMs: 0.25, CrossMs: 1, JitterMs: 0.05}
+	}
+}
+
+// bounds are those of all numbers outside of tables.
+func (s *Scenario) bounds() []bound {
+	load := &s.Load
+	queue := &s.Discovery.Queue
+	return []bound{
+		{"seconds", s.Seconds, 0.001, maxSeconds},
+		{"warm_seconds", s.WarmUpSeconds, 0, s.Seconds},
+		{"zones", float64(s.Zones), 1, maxZones},
+		{"agents", float64(s.Agents), 1, maxAgents},
+		{"net.local_ms", s.Network.LocalMs, 0, maxMinuteMs},
+		{"net.cross_ms", s.Network.CrossMs, 0, maxMinuteMs},
+		{"net.jitter_ms", s.Network.JitterMs, 0, maxMinuteMs},
+		{"net.resets", s.Network.Resets, 0, 1},
+		{"load.per_s", load.PerS, 0, maxRatePerS},
+		{"load.burst", load.Burst, 0, 1000},
+		{"load.burst_ms", load.BurstMs, 0, maxHourMs},
+		{"load.swing", load.Swing, 0, 1},
+		{"load.keys", float64(load.Keys), 0, maxKeys},
+		{"load.zipf", load.Zipf, 0, 10},
+		{"load.rude", load.ImmediateRetry, 0, 1},
+		{"load.hot_key", load.HotKey, 0, 1},
+		{"one_agent", s.FirstAgentFraction, 0, 1},
+		{"roster.lag_ms", s.Discovery.LagMs, 0, maxHourMs},
+		{"roster.line.calls_per_s", queue.CallsPerS, 0, maxCallsPerS},
+		{"roster.line.patience_ms", queue.PatienceMs, 0, maxHourMs},
+		{"roster.line.line_ms", queue.MaxBacklogMs, 0, maxHourMs},
+	}
+}
+
+// checkServers sets defaults of the server groups and returns the bounds of their numbers.
+func (s *Scenario) checkServers() ([]bound, error) {
+	var bounds []bound
+	servers := 0
+	for i := range s.Servers {
+		group := &s.Servers[i]
+		at := fmt.Sprintf("servers[%d].", i)
+		group.setDefaults()
+		if err := group.Service.Check(at + "service"); err != nil {
+			return nil, err
+		}
+		if !reportKinds[group.Report] {
+			return nil, fmt.Errorf("%sreport: %q is unknown", at, group.Report)
+		}
+		bounds = append(bounds, group.bounds(at)...)
+		servers += group.Count
+	}
+	if servers > maxServers {
+		return nil, fmt.Errorf("servers: %d, at most %d", servers, maxServers)
+	}
+	return bounds, nil
+}
+
+func (g *ServerGroup) setDefaults() {
+	if g.Weight == 0 {
+		g.Weight = 1
+	}
+	if g.SlowStartMinCapacity == 0 {
+		g.SlowStartMinCapacity = defaultSlowStartMinCapacity
+		g.SlowStartMs = defaultSlowStartMs
+	}
+}
+
+func (g *ServerGroup) bounds(at string) []bound {
+	return []bound{
+		{at + "count", float64(g.Count), 1, maxServers},
+		{at + "workers", float64(g.Workers), 1, 10_000},
+		{at + "queue", float64(g.Queue), 0, 1e6},
+		{at + "weight", g.Weight, 1e-3, 1e6},
+		{at + "cold_from", g.SlowStartMinCapacity, 0.01, 1},
+		{at + "warm.gain", g.KeyCache.SavedFraction, 0, 0.99},
+		{at + "warm.for_ms", g.KeyCache.TTLMs, 0, maxHourMs},
+		{at + "warm.keys", float64(g.KeyCache.KeysPerWorker), 0, 1000},
+		{at + "cold_ms", g.SlowStartMs, 0, maxHourMs},
+		{at + "fall_multiple", g.OverloadFactor, 0, 1000},
+	}
+}
+
+// checkClasses sets defaults of the classes and returns the bounds of their numbers.
+func (s *Scenario) checkClasses() ([]bound, error) {
+	var bounds []bound
+	sum := 0.0
+	for i := range s.Classes {
+		c := &s.Classes[i]
+		at := fmt.Sprintf("class[%d].", i)
+		if c.Work == 0 {
+			c.Work = 1
+		}
+		if c.Effect != effectSafe && c.Effect != effectKeyed && c.Effect != effectUnsafe {
+			return nil, fmt.Errorf("%seffect: %q is none of safe, keyed, unsafe", at, c.Effect)
+		}
+		bounds = append(bounds,
+			bound{at + "share", c.Share, 0, 1},
+			bound{at + "aim_ms", c.LatencyObjectiveMs, 1, maxMinuteMs},
+			bound{at + "give_up_ms", c.ClientTimeoutMs, c.LatencyObjectiveMs, maxMinuteMs},
+			bound{at + "work", c.Work, minWork, 1e3},
+			bound{at + "worth", c.PriorityWeight, 0, 1e6},
+		)
+		sum += c.Share
+	}
+	if !(math.Abs(sum-1) < classSharesError) {
+		return nil, fmt.Errorf("class: the shares add up to %v, not to 1", sum)
+	}
+	return bounds, nil
+}
+
+// checkFaults returns the bounds of the numbers of all faults.
+func (s *Scenario) checkFaults() ([]bound, error) {
+	var bounds []bound
+	for i := range s.Faults {
+		f := &s.Faults[i]
+		at := fmt.Sprintf("fault[%d].", i)
+		if !faultKinds[f.Kind] {
+			return nil, fmt.Errorf("%skind: %q is unknown", at, f.Kind)
+		}
+		if f.Kind == faultKillAgents && f.StaggerS > 0 {
+			return nil, fmt.Errorf("%severy_s: agents are killed all at once", at)
+		}
+		if f.Class != "" && s.classIndex(f.Class) < 0 {
+			return nil, fmt.Errorf("%sclass: there is no class %q", at, f.Class)
+		}
+		bounds = append(bounds, s.faultBounds(f, at)...)
+	}
+	return bounds, nil
+}
+
+func (s *Scenario) faultBounds(f *Fault, at string) []bound {
+	return []bound{
+		{at + "at_s", f.StartS, 0, maxSeconds},
+		{at + "for_s", f.DurationS, 0, maxSeconds},
+		{at + "share", f.ServerFraction, 0, 1},
+		{at + "count", float64(f.Count), 0, maxServers},
+		{at + "every_s", f.StaggerS, 0, maxSeconds},
+		{at + "times", f.Factor, 0, maxFactor},
+		{at + "part", f.Fraction, 0, 1},
+		{at + "zone", float64(f.Zone), 0, float64(s.Zones - 1)},
+		{at + "ms", f.DelayMs, 0, maxMinuteMs},
+		{at + "pause_s", f.IntervalS, 0, maxSeconds},
+		{at + "of_zone", float64(f.TargetZone), 0, float64(s.Zones)},
+		{at + "of_service", float64(f.TargetService), 0, float64(s.services())},
+		{at + "of_rack", float64(f.TargetRack), 0, float64(s.racks())},
+	}
+}
