--- a/internal/emulator/tenant.go
+++ b/internal/emulator/tenant.go
@@ -2,70 +2,90 @@
 
 import "fmt"
 
-// Tenant is a customer with a portion of the service.
+const (
+	maxTenants    = 1000
+	maxLoadWeight = 1000
+	// overQuotaWeight is the factor on the priority weight of requests beyond their tenant's quota.
+	overQuotaWeight = 0.1
+	// quotaFractionOfCapacity is all quotas together as a part of the servers' capacity.
+	quotaFractionOfCapacity = 0.85
+)
+
+// Tenant is a customer with a quota of the service.
 type Tenant struct {
 	Name string `toml:"name"`
-	// Portion is its part of the service, Asks its part of the load; both are relative.
-	Portion float64 `toml:"portion"`
-	Asks    float64 `toml:"asks"`
+	// Quota is relative to that of the other tenants, LoadWeight is its part of the load relative to theirs.
+	Quota      float64 `toml:"portion"`
+	LoadWeight float64 `toml:"asks"` // 0: as Quota
 }
 
-// The parts of a request's worth, where tenants have portions: what goes beyond a portion is worth overWorth of
-// the usual, and all portions together are portionOfCapacity of what the servers can do.
-const overWorth, portionOfCapacity = 0.1, 0.85
+// tokenBucket tells which events of a flow are within a rate, with a burst of one second. A bucket without a rate
+// allows all.
+type tokenBucket struct {
+	perS       float64
+	tokens     float64
+	refilledAt Time
+}
 
-// meter counts what of a flow is within a rate: a bucket of one second.
-type meter struct {
-	perS   float64
-	tokens float64
-	at     Time
+func newTokenBucket(perS float64) tokenBucket {
+	return tokenBucket{perS: perS, tokens: perS}
 }
 
-// within takes one and tells whether it is within the rate.
-func (m *meter) within(now Time) bool {
-	m.tokens = min(m.tokens+float64(now-m.at)/float64(Second)*m.perS, m.perS)
-	m.at = now
-	if m.tokens < 1 {
+// allow takes a token and tells whether there was one.
+func (b *tokenBucket) allow(now Time) bool {
+	b.tokens = min(b.tokens+float64(now-b.refilledAt)/float64(Second)*b.perS, b.perS)
+	b.refilledAt = now
+	if b.tokens < 1 {
 		return false
 	}
-	m.tokens--
+	b.tokens--
 	return true
 }
 
-// purse is what a tenant asked for and was given, in worth: each by a meter of its own, so that it does not matter
-// which of its requests are served within its portion.
-type purse struct {
-	asks, gets meter
-	asked, won float64
+// weigh returns a priority weight, reduced if the request is beyond the rate.
+func (b *tokenBucket) weigh(now Time, weight float64) float64 {
+	if b.perS == 0 || b.allow(now) {
+		return weight
+	}
+	return weight * overQuotaWeight
 }
 
-func (p *purse) part() float64 {
-	if p.asked == 0 {
-		return 1
-	}
-	return min(p.won/p.asked, 1)
+// quotaAccount sums the priority weight of a tenant's requests. Offered and served requests have a bucket each, so
+// that it does not matter which of them are served.
+type quotaAccount struct {
+	offered       tokenBucket
+	granted       tokenBucket
+	offeredWeight float64
+	servedWeight  float64
 }
 
-// worthOf is what a request earns by the meter.
-func worthOf(m *meter, now Time, credit float64) float64 {
-	if m.perS == 0 || m.within(now) {
-		return credit
+func (a *quotaAccount) offer(now Time, weight float64) {
+	a.offeredWeight += a.offered.weigh(now, weight)
+}
+
+func (a *quotaAccount) serve(now Time, weight float64) {
+	a.servedWeight += a.granted.weigh(now, weight)
+}
+
+func (a *quotaAccount) servedFraction() float64 {
+	if a.offeredWeight == 0 {
+		return 1
 	}
-	return credit * overWorth
+	return min(a.servedWeight/a.offeredWeight, 1)
 }
 
-// checkTenants fills what has a default and says what makes tenants unusable.
+// checkTenants sets defaults and returns an error that names the first unusable key.
 func (s *Scenario) checkTenants() error {
 	for i := range s.Tenants {
 		t := &s.Tenants[i]
-		if t.Asks == 0 {
-			t.Asks = t.Portion
+		if t.LoadWeight == 0 {
+			t.LoadWeight = t.Quota
 		}
-		if !(t.Portion > 0 && t.Portion <= 1) {
-			return fmt.Errorf("tenant[%d].portion: must be above 0, to 1, is %v", i, t.Portion)
+		if !(t.Quota > 0 && t.Quota <= 1) {
+			return fmt.Errorf("tenant[%d].portion: must be above 0, to 1, is %v", i, t.Quota)
 		}
-		if !(t.Asks >= 0 && t.Asks <= 1000) {
-			return fmt.Errorf("tenant[%d].asks: must be 0 to 1000, is %v", i, t.Asks)
+		if !(t.LoadWeight >= 0 && t.LoadWeight <= maxLoadWeight) {
+			return fmt.Errorf("tenant[%d].asks: must be 0 to %d, is %v", i, maxLoadWeight, t.LoadWeight)
 		}
 	}
 	if len(s.Tenants) > maxTenants {
@@ -74,34 +94,34 @@
 	return nil
 }
 
-const maxTenants = 1000
-
-// purses are those of all tenants, and one for requests of none.
-func (s *Scenario) purses() []purse {
+// quotaAccounts returns an account for each tenant, or one without a quota if there are none.
+func (s *Scenario) quotaAccounts() []quotaAccount {
 	if len(s.Tenants) == 0 {
-		return make([]purse, 1)
+		return make([]quotaAccount, 1)
 	}
 	total := 0.0
 	for _, t := range s.Tenants {
-		total += t.Portion
+		total += t.Quota
 	}
-	out := make([]purse, len(s.Tenants))
+	out := make([]quotaAccount, len(s.Tenants))
 	for i, t := range s.Tenants {
-		perS := s.Capacity() * portionOfCapacity * t.Portion / total
-		out[i].asks, out[i].gets = meter{perS: perS, tokens: perS}, meter{perS: perS, tokens: perS}
+		perS := s.Capacity() * quotaFractionOfCapacity * t.Quota / total
+		out[i].offered = newTokenBucket(perS)
+		out[i].granted = newTokenBucket(perS)
 	}
 	return out
 }
 
-// drawTenant is who asks, by x from 0 to 1.
+// drawTenant returns the tenant of a request by a number from 0 to 1.
 func (s *Scenario) drawTenant(x float64) int {
 	total := 0.0
 	for _, t := range s.Tenants {
-		total += t.Asks
+		total += t.LoadWeight
 	}
 	x *= total
 	for i, t := range s.Tenants {
-		if x -= t.Asks; x < 0 {
+		x -= t.LoadWeight
+		if x < 0 {
 			return i
 		}
 	}
