--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -8,358 +8,266 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Balancer is what decides for an agent: the product's module, or a peer. It is handed events and answers
-// with actions, as internal/core does it.
+// cancelDelay is the time from a cancellation to the end of the attempt.
+const cancelDelay = 20 * Microsecond
+
+// Balancer decides for an agent: it is handed events and answers with actions, as internal/core does it.
 type Balancer interface {
 	Start(now float64, out []policy.Action) []policy.Action
 	Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action
 }
 
-// agent is core.Loop in virtual time: the same events in the same order, the same guard, the same margins.
+// agent is core.EventLoop in virtual time: the same events in the same order, the same guard, the same margins.
 type agent struct {
-	w     *World
-	index int
-	agentPlan
-	atStart  []policy.Endpoint // the list of the run's start
-	b        Balancer
-	nextID   policy.RequestID
-	requests map[policy.RequestID]*request
-	open     int
-	pending  []policy.Event
-	actions  []policy.Action
-	closed   []bool // by server: told to drain or gone
-	listed   []bool
-	idle     []int32 // kept connections, by server
-	life     []uint32
-	watching bool // a call for changes is out, or stands
-	follows  bool // and was taken
-	fetching bool
-	toldAt   Time // when the last change that is under way comes
-	guarded  int
-	backstop int
+	agentPlacement
+	world            *World
+	index            int
+	balancer         Balancer
+	initialEndpoints []policy.Endpoint // the endpoint list at the start of the run
+	nextID           policy.RequestID
+	requests         map[policy.RequestID]*request
+	openRequests     int
+	pending          []policy.Event  // to be handled after the present one
+	actions          []policy.Action // reused from event to event
+
+	// By server.
+	listed          []bool
+	unavailable     []bool   // known to be draining or removed
+	idleConns       []int32  // open connections without a request
+	connIncarnation []uint32 // of the server's process that they lead to
+
+	watching           bool // a watch of the endpoint list is open or requested
+	subscribed         bool // and was accepted
+	fetching           bool // a fetch of the endpoint list is open
+	lastNotificationAt Time // when the last change that is under way arrives
+
+	guardViolations  int
+	backstopTimeouts int
 }
 
-// request is a try in an agent.
+// request is an attempt of a client, as its agent sees it.
 type request struct {
+	agent         *agent
+	operation     *operation
+	id            policy.RequestID
+	deadline      Time
+	answered      bool
+	attempts      []*attempt
+	inFlight      int
+	mayHaveRun    int
+	firstSentAt   Time            // of the attempts that may have run
+	firstEndpoint policy.Endpoint // where that one was sent
+}
+
+// timer is a timer of a balancer.
+type timer struct {
 	agent    *agent
-	op       *op
-	id       policy.RequestID
-	deadline Time
-	answered bool
-	attempts []*attempt
-	out      int
-	mayRun   int
-	ran      Time            // when the first of them was sent
-	ranOn    policy.Endpoint // and where to
+	balancer Balancer // that set it: a killed agent's timers end with it
+	token    uint32
 }
 
-// attempt is one send.
-type attempt struct {
-	r         *request
-	s         *server
-	index     int
-	sent      Time
-	until     Time
-	life      uint32 // of the process that it was connected to
-	connected bool
-	done      bool
-	status    policy.Status
-	report    [3]float32
-	silent    bool // the answer holds no report
-	work      Time // of the server's
+func (t *timer) fire(uint8) {
+	if t.balancer != t.agent.balancer {
+		return
+	}
+	t.agent.deliver(&policy.Event{Kind: policy.EventTimer, Token: t.token})
 }
 
-// What happens to attempts.
-const (
-	attemptConnected uint8 = iota
-	attemptRefused
-	attemptArrived
-	attemptDone
-	attemptAnswered
-	attemptTimeout
-	attemptCancelled
-	attemptMoot
-)
+// start starts the balancer with the endpoint list of the run's start.
+func (g *agent) start() {
+	g.execute(g.balancer.Start(g.now(), nil))
+	g.deliver(&policy.Event{
+		Kind:      policy.EventEndpointUpdate,
+		Update:    policy.UpdateCached,
+		Endpoints: g.initialEndpoints,
+	})
+}
 
-func (a *attempt) fire(kind uint8) {
-	switch kind {
-	case attemptConnected:
-		if !a.done {
-			a.connected, a.life = true, a.s.life
-			a.write()
+// restart kills the agent's process and starts it again with the endpoint list of the run's start. Its clients get
+// no answer to their open requests and retry by themselves.
+func (g *agent) restart() {
+	w := g.world
+	lost := make([]*request, 0, len(g.requests))
+	for id := policy.RequestID(1); id <= g.nextID; id++ { // not in the order of the map, which differs by run
+		if r := g.requests[id]; r != nil {
+			lost = append(lost, r)
 		}
-	case attemptRefused:
-		a.end(policy.ConnectFailed)
-	case attemptArrived:
-		a.s.arrive(a)
-	case attemptDone:
-		a.s.finish(a)
-	case attemptAnswered:
-		a.end(a.status)
-	case attemptTimeout:
-		switch {
-		case a.done:
-		case a.connected:
-			a.end(policy.Timeout)
-		case a.until-a.sent < connectTimeoutMs*Millisecond:
-			a.end(policy.NotStarted) // it had no time to come up
-		default:
-			a.end(policy.ConnectFailed)
-		}
-	case attemptCancelled:
-		if a.connected {
-			a.end(policy.Cancelled)
-		} else {
-			a.end(policy.NotStarted)
-		}
-	case attemptMoot:
-		a.end(policy.NotStarted)
 	}
-}
-
-// write sends the request, unless its server was told away meanwhile.
-func (a *attempt) write() {
-	g := a.r.agent
-	if g.closed[a.s.index] {
-		a.end(policy.NotStarted)
-		return
+	balancer, err := w.policy.New(g.settings(), w.seed^uint64(g.index+1)*hashMultiplier^uint64(w.now))
+	if err != nil {
+		return // cannot be: the same settings were accepted before
 	}
-	if d, ok := g.w.delay(g.zone, a.s.zone, false); ok {
-		g.w.after(d, a, attemptArrived)
+	g.balancer = balancer
+	g.watching = false
+	g.fetching = false
+	g.subscribed = false
+	g.requests = map[policy.RequestID]*request{}
+	g.openRequests = 0
+	g.pending = nil
+	clear(g.idleConns)
+	clear(g.unavailable)
+	for _, r := range lost {
+		g.abandon(r)
 	}
+	g.start()
 }
 
-// end hands the ending to the agent, once.
-func (a *attempt) end(status policy.Status) {
-	if a.done {
-		return
+// abandon ends a request that is lost with the agent's process.
+func (g *agent) abandon(r *request) {
+	for _, a := range r.attempts {
+		a.ended = true
 	}
-	a.done = true
-	if (status == policy.OK || status == policy.Rejected || status == policy.Error) && a.life == a.s.life {
-		a.r.agent.idle[a.s.index]++
+	if r.answered {
+		return
 	}
-	a.r.agent.ended(a, status)
+	r.answered = true
+	g.world.totals.LostWithAgent++
+	r.operation.answered(invariant.Failed, 0)
 }
 
-func (g *agent) now() float64 { return g.w.unixMs() }
+func (g *agent) now() float64 { return g.world.unixMs() }
 
 func (g *agent) handle(ev *policy.Event) {
-	g.carryOut(g.b.Handle(g.now(), ev, g.actions[:0]))
+	g.execute(g.balancer.Handle(g.now(), ev, g.actions[:0]))
 }
 
-// event is handle from outside, with all that follows from it.
-func (g *agent) event(ev *policy.Event) {
+// deliver hands the balancer an event from outside, and those that follow from it.
+func (g *agent) deliver(ev *policy.Event) {
 	g.handle(ev)
-	g.drain()
-}
-
-func (g *agent) drain() {
 	for len(g.pending) > 0 {
-		ev := g.pending[0]
+		next := g.pending[0]
 		g.pending = g.pending[1:]
-		g.handle(&ev)
+		g.handle(&next)
 	}
 	g.pending = g.pending[:0]
 }
 
-// What happens to agents; timers have events of their own.
-type timer struct {
-	g     *agent
-	b     Balancer // that asked for it: a killed agent's timers end with it
-	token uint32
-}
-
-func (t *timer) fire(uint8) {
-	if t.b != t.g.b {
-		return
+func (g *agent) execute(actions []policy.Action) {
+	g.actions = actions
+	for i := range actions {
+		g.executeOne(&actions[i])
 	}
-	t.g.event(&policy.Event{Kind: policy.EventTimer, Token: t.token})
 }
 
-func (g *agent) carryOut(actions []policy.Action) {
-	g.actions = actions
-	for i := range actions {
-		a := &actions[i]
-		switch a.Kind {
-		case policy.ActionForward:
-			g.send(a)
-		case policy.ActionCancel:
-			if r := g.requests[a.Request]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
-				if t := r.attempts[a.Attempt]; !t.done {
-					g.w.after(20*Microsecond, t, attemptCancelled)
-				}
-			}
-		case policy.ActionReject:
-			if r := g.requests[a.Request]; r != nil {
-				g.refuse(r, a.DurationMs)
-			}
-		case policy.ActionFail:
-			if r := g.requests[a.Request]; r != nil {
-				g.finish(r, invariant.Failed, 0)
-			}
-		case policy.ActionTimer:
-			g.w.after(ns(a.DurationMs), &timer{g, g.b, a.Token}, 0)
-		case policy.ActionWatchEndpoints:
-			if !g.watching {
-				g.watching = true
-				g.w.asked(g, false)
-			}
-		case policy.ActionFetchEndpoints:
-			if !g.fetching {
-				g.fetching = true
-				g.w.asked(g, true)
-			}
-		case policy.ActionCloseIdle:
-			if s := g.w.byAddr[a.Server]; s != nil {
-				g.idle[s.index] = 0
-			}
+func (g *agent) executeOne(a *policy.Action) {
+	r := g.requests[a.Request]
+	switch a.Kind {
+	case policy.ActionForward:
+		g.forward(a)
+	case policy.ActionCancel:
+		if r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) {
+			g.cancel(r.attempts[a.Attempt])
+		}
+	case policy.ActionReject:
+		if r != nil {
+			g.reject(r, a.DurationMs)
+		}
+	case policy.ActionFail:
+		if r != nil {
+			g.complete(r, invariant.Failed, 0)
+		}
+	case policy.ActionTimer:
+		g.world.after(fromMs(a.DurationMs), &timer{g, g.balancer, a.Token}, 0)
+	case policy.ActionWatchEndpoints:
+		if !g.watching {
+			g.watching = true
+			g.world.callDiscovery(g, false)
+		}
+	case policy.ActionFetchEndpoints:
+		if !g.fetching {
+			g.fetching = true
+			g.world.callDiscovery(g, true)
+		}
+	case policy.ActionCloseIdle:
+		if s := g.world.byAddr[a.Server]; s != nil {
+			g.idleConns[s.index] = 0
 		}
 	}
 }
 
-// take gives a client's try to the module.
-func (g *agent) take(o *op, left Time) {
+// submit takes a client's attempt.
+func (g *agent) submit(o *operation, remaining Time) {
+	limits := &g.world.settings.Limits
 	g.nextID++
-	r := &request{agent: g, op: o, id: g.nextID, deadline: g.w.now + left}
-	g.open++
-	if most := g.w.settings.Limits.MaxOpenRequests; left <= 0 || most > 0 && g.open > most {
-		g.refuse(r, g.w.settings.Limits.MaxRetryAfterMs)
+	r := &request{agent: g, operation: o, id: g.nextID, deadline: g.world.now + remaining}
+	g.openRequests++
+	full := limits.MaxOpenRequests > 0 && g.openRequests > limits.MaxOpenRequests
+	if remaining <= 0 || full {
+		g.reject(r, limits.MaxRetryAfterMs)
 		return
 	}
 	g.requests[r.id] = r
-	module, backstop := core.RequestTimeouts(time.Duration(left))
-	g.w.after(Time(backstop), r, 0)
-	g.event(&policy.Event{Kind: policy.EventRequest, Request: r.id, Class: o.class, Tenant: o.tenant, Key: o.key,
-		RemainingMs: float64(module.Microseconds()) / 1000, Retry: o.tries > 1})
+	timeout, backstop := core.RequestTimeouts(time.Duration(remaining))
+	g.world.after(Time(backstop), r, 0)
+	g.deliver(&policy.Event{
+		Kind:        policy.EventRequest,
+		Request:     r.id,
+		Class:       o.class,
+		Tenant:      o.tenant,
+		Key:         o.key,
+		RemainingMs: float64(timeout.Microseconds()) / 1000,
+		Retry:       o.clientAttempts > 1,
+	})
 }
 
-// fire is the backstop.
+// fire is the backstop timeout of a request that the balancer has not answered.
 func (r *request) fire(uint8) {
 	if r.answered {
 		return
 	}
-	r.agent.backstop++
-	r.agent.finish(r, invariant.Failed, 0)
-	for _, t := range r.attempts {
-		if !t.done {
-			r.agent.w.after(20*Microsecond, t, attemptCancelled)
-		}
+	g := r.agent
+	g.backstopTimeouts++
+	g.complete(r, invariant.Failed, 0)
+	for _, a := range r.attempts {
+		g.cancel(a)
 	}
-	r.agent.event(&policy.Event{Kind: policy.EventClientDisconnected, Request: r.id})
+	g.deliver(&policy.Event{Kind: policy.EventClientDisconnected, Request: r.id})
 }
 
-func (g *agent) refuse(r *request, afterMs float64) {
-	if !core.MayReject(&g.w.settings.Classes[r.op.class], r.mayRun) {
-		g.guarded++
-		g.finish(r, invariant.Failed, 0)
+func (g *agent) cancel(a *attempt) {
+	if !a.ended {
+		g.world.after(cancelDelay, a, attemptCancelled)
+	}
+}
+
+// reject answers a request with Retry-After, unless one of its attempts may have run.
+func (g *agent) reject(r *request, retryAfterMs float64) {
+	if !core.MayReject(&g.world.settings.Classes[r.operation.class], r.mayHaveRun) {
+		g.guardViolations++
+		g.complete(r, invariant.Failed, 0)
 		return
 	}
-	g.finish(r, invariant.Rejected, afterMs)
+	g.complete(r, invariant.Rejected, retryAfterMs)
 }
 
-func (g *agent) finish(r *request, v invariant.Outcome, afterMs float64) {
+// complete answers a request, once.
+func (g *agent) complete(r *request, outcome invariant.Outcome, retryAfterMs float64) {
 	if r.answered {
 		return
 	}
 	r.answered = true
-	g.open--
-	g.forget(r)
-	r.op.answered(v, afterMs)
+	g.openRequests--
+	g.release(r)
+	r.operation.answered(outcome, retryAfterMs)
 }
 
-func (g *agent) forget(r *request) {
-	if r.answered && r.out == 0 {
+// release forgets a request that is answered and has no attempt in flight.
+func (g *agent) release(r *request) {
+	if r.answered && r.inFlight == 0 {
 		delete(g.requests, r.id)
 	}
 }
 
-func (g *agent) send(a *policy.Action) {
-	r := g.requests[a.Request]
-	if r == nil {
-		g.guarded++
-		return
-	}
-	s := g.w.byAddr[a.Server]
-	t := &attempt{r: r, s: s, index: len(r.attempts), sent: g.w.now}
-	r.attempts = append(r.attempts, t)
-	_, backstop := core.RequestTimeouts(time.Duration(r.deadline - g.w.now))
-	t.until = g.w.now + Time(backstop)
-	if a.DurationMs != 0 {
-		t.until = min(t.until, g.w.now+ns(a.DurationMs))
-	}
-	class := &g.w.settings.Classes[r.op.class]
-	guard := core.Guard{Completed: r.answered, Listed: s != nil && g.listed[s.index], HasTime: t.until > g.w.now, InFlight: r.out, MayHaveRun: r.mayRun,
-		Attempts: len(r.attempts), MaxAttempts: g.w.settings.Limits.MaxAttempts, Effect: class.Effect}
-	if guard.Listed {
-		guard.Unavailable = g.closed[s.index]
-		if r.mayRun > 0 {
-			to := s.entry()
-			guard.OutsideScope = !core.InDedupScope(class.DedupScope, &r.ranOn, &to)
-			guard.WindowExpired = g.w.now > r.ran+Time(core.RetryWindow(class))
+// settings returns the settings of the agent's balancer. The latency objective of a call to a service is the part of
+// the class's that the longest path from that service has in the longest of the graph.
+func (g *agent) settings() policy.Settings {
+	out := g.world.scenario.settings(g.replicaIndex, g.zone)
+	out.Replicas = g.replicas
+	if graph := g.world.graph; graph != nil {
+		fraction := float64(graph.Services[g.service].Height) / float64(graph.Spec.Depth)
+		for i := range out.Classes {
+			out.Classes[i].LatencyObjectiveMs *= fraction
 		}
 	}
-	if g.w.freely {
-		guard = core.Guard{Completed: r.answered, Listed: s != nil, HasTime: guard.HasTime, Attempts: len(r.attempts), MaxAttempts: guard.MaxAttempts}
-	}
-	if v := guard.Violation(); v != core.NoViolation {
-		g.guarded++
-		g.w.guards[string(v)]++
-		t.done = true
-		if len(r.attempts) > core.MaxForwardActions(guard.MaxAttempts) {
-			g.finish(r, invariant.Failed, 0)
-			return
-		}
-		g.pending = append(g.pending, policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: t.index, Server: a.Server,
-			Status: policy.NotStarted, Final: r.answered})
-		return
-	}
-	if r.mayRun == 0 {
-		r.ran, r.ranOn = g.w.now, s.entry()
-	}
-	r.out++
-	r.mayRun++
-	r.op.attempts++
-	g.w.graph.sent(r.op)
-	g.w.after(t.until-g.w.now, t, attemptTimeout)
-	if g.idle[s.index] > 0 && g.life[s.index] == s.life {
-		g.idle[s.index]--
-		t.connected, t.life = true, s.life
-		// Not from within the module's own action.
-		if d, ok := g.w.delay(g.zone, s.zone, false); ok {
-			g.w.after(d, t, attemptArrived)
-		}
-		return
-	}
-	g.idle[s.index], g.life[s.index] = 0, s.life
-	if r.op.counts {
-		g.w.res.Handshakes++
-	}
-	there, ok := g.w.delay(g.zone, s.zone, false)
-	back, ok2 := g.w.delay(s.zone, g.zone, false)
-	switch {
-	case !ok || !ok2 || s.dark:
-		g.w.after(connectTimeoutMs*Millisecond, t, attemptRefused)
-	case s.stopped:
-		g.w.after(there+back, t, attemptRefused)
-	default:
-		g.w.after(there+back, t, attemptConnected)
-	}
-}
-
-func (g *agent) ended(a *attempt, status policy.Status) {
-	r := a.r
-	r.out--
-	if status.NeverRan() {
-		r.mayRun--
-	}
-	if !r.answered && status == policy.OK {
-		g.finish(r, invariant.Served, 0)
-	}
-	report := a.report[:]
-	if a.silent || status != policy.OK && status != policy.Rejected && status != policy.Error {
-		report = nil
-	}
-	g.event(&policy.Event{Kind: policy.EventAttemptEnded, Request: r.id, Attempt: a.index, Server: a.s.addr, Status: status,
-		LatencyMs: float64(g.w.now-a.sent) / float64(Millisecond), Final: r.answered, Report: report})
-	g.forget(r)
+	return out
 }
