--- a/internal/emulator/emu_test.go
+++ b/internal/emulator/emulator_test.go
@@ -12,8 +12,8 @@
 
 var long = flag.Bool("long", false, "known results within 1 %, which takes a minute of CPU")
 
-// direct sends each request to a server at once, without a time-out of its own: to the only one, to a random
-// one, or to the one of d random ones that has least of its requests.
+// direct forwards each request at once, without a timeout of its own, to the one of d random servers that has the
+// fewest of its requests.
 type direct struct {
 	rng    *rand.Rand
 	all    []policy.Addr
@@ -53,7 +53,7 @@
 	}}
 }
 
-// queue is a scenario of one station and no network.
+// queue is a scenario without network delay and faults.
 func queue(servers, workers int, service Distribution, perS, seconds float64) *Scenario {
 	return &Scenario{Seconds: seconds, WarmUpSeconds: seconds / 20, Zones: 1, Agents: 1, Network: Network{LocalMs: 1e-9},
 		Servers: []ServerGroup{{Count: servers, Workers: workers, Queue: 1_000_000, Service: service, Weight: 1, SlowStartMinCapacity: 1}},
@@ -71,9 +71,9 @@
 	return last / (sum + last)
 }
 
-// Mean times in the system as queueing theory has them: M/M/1 and M/M/k (Kleinrock, "Queueing Systems" I,
+// Mean response times are those of queueing theory: M/M/1 and M/M/k (Kleinrock, "Queueing Systems" I,
 // 3.2 and 3.5: Erlang C), M/G/1 (5.6: Pollaczek and Khinchine).
-func TestQueueingTheory(t *testing.T) {
+func TestMeanResponseTimeAgreesWithQueueingTheory(t *testing.T) {
 	const mean = 1.0 // ms
 	for name, test := range map[string]struct {
 		k       int
@@ -113,9 +113,9 @@
 // n balls into n bins that never empty: with one choice the fullest has about ln n / ln ln n, with two
 // ln ln n / ln 2 and a constant (Azar, Broder, Karlin and Upfal, "Balanced Allocations"; Mitzenmacher's
 // thesis has 4 for two choices at n = 2^13 in nearly all of 100 runs, and 7 or 8, seldom 6 or 9, for one).
-func TestTwoChoices(t *testing.T) {
+func TestMaxLoadOfOneAndTwoChoices(t *testing.T) {
 	const n = 1 << 13
-	most := func(d int, seed uint64) (worst int) {
+	maxBusy := func(d int, seed uint64) (worst int) {
 		sc := queue(n, 1000, Distribution{Kind: "fixed", MeanMs: 86_400_000}, 1e5, 60)
 		w, err := newWorld(sc, choices(d), seed)
 		if err != nil {
@@ -130,13 +130,13 @@
 		return worst
 	}
 	for seed := range uint64(5) {
-		if one, two := most(1, seed), most(2, seed); one < 6 || one > 10 || two < 3 || two > 4 {
+		if one, two := maxBusy(1, seed), maxBusy(2, seed); one < 6 || one > 10 || two < 3 || two > 4 {
 			t.Errorf("seed %d: the fullest has %d with one choice, %d with two", seed, one, two)
 		}
 	}
 }
 
-func TestDist(t *testing.T) {
+func TestDistributionMeanAndZipfRatio(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, d := range []Distribution{{Kind: "exponential", MeanMs: 3}, {Kind: "lognormal", MeanMs: 3, Shape: 1}, {Kind: "pareto", MeanMs: 3, Shape: 3},
 		{Kind: "bimodal", MeanMs: 3, Shape: 0.05, SlowFactor: 20}, {Kind: "fixed", MeanMs: 3}, {MeanMs: 3}} {
@@ -160,9 +160,9 @@
 	}
 }
 
-// typhoon is a scenario with something of all.
-func typhoon() *Scenario {
-	return &Scenario{Name: "typhoon", Seconds: 20, WarmUpSeconds: 2, Zones: 3, Agents: 6,
+// allFaults is a scenario with many kinds of faults.
+func allFaults() *Scenario {
+	return &Scenario{Name: "all faults", Seconds: 20, WarmUpSeconds: 2, Zones: 3, Agents: 6,
 		Servers: []ServerGroup{{Count: 9, Workers: 2, Queue: 8, Service: Distribution{Kind: "lognormal", MeanMs: 20, Shape: 0.5}, OverloadFactor: 2.5},
 			{Count: 3, Workers: 2, Queue: 8, Service: Distribution{Kind: "exponential", MeanMs: 40}}},
 		Load: Load{PerS: 500, Burst: 3, BurstMs: 200, Swing: 0.3, Keys: 500, Zipf: 0.9, ImmediateRetry: 0.1}, Network: Network{LocalMs: 0.2, CrossMs: 1, JitterMs: 0.1, Resets: 0.002},
@@ -172,7 +172,7 @@
 			{Kind: "roster_down", StartS: 3, DurationS: 2}, {Kind: "turn_away", StartS: 16, DurationS: 2, Count: 4, Fraction: 0.5}, {Kind: "one_way", StartS: 17, DurationS: 2, Zone: 2, DelayMs: 100}}}
 }
 
-func played(t *testing.T, sc *Scenario, p *Policy, seed uint64) *Result {
+func run(t *testing.T, sc *Scenario, p *Policy, seed uint64) *Result {
 	t.Helper()
 	if err := sc.Check(); err != nil {
 		t.Fatal(err)
@@ -184,14 +184,14 @@
 	return r
 }
 
-// The same seed gives the same bytes, another one others; the product keeps the four rules through all
-// faults, no guard had to act, and no backstop ended a request.
-func TestSameSeedSameBytes(t *testing.T) {
+// The same seed gives the same bytes, another one others; the product violates no rule through all faults, the guard
+// blocks no attempt, and no request runs into the backstop timeout.
+func TestRunIsReproducibleWithoutViolations(t *testing.T) {
 	var last string
 	for seed := range uint64(3) {
-		r := played(t, typhoon(), &Product, seed)
+		r := run(t, allFaults(), &Product, seed)
 		a, _ := json.Marshal(r)
-		b, _ := json.Marshal(played(t, typhoon(), &Product, seed))
+		b, _ := json.Marshal(run(t, allFaults(), &Product, seed))
 		if string(a) != string(b) {
 			t.Errorf("seed %d: two runs differ", seed)
 		}
@@ -199,14 +199,14 @@
 			t.Error("two seeds give one result")
 		}
 		last = string(a)
-		t.Logf("seed %d: goodput %.4f, p99 %.1f ms, %d ops, %d events, breaches %v, guarded %v, falls %d", seed, r.Goodput, r.P99Ms, r.Ops, r.Events, r.Violations, r.GuardViolationsByReason, r.Overloads)
+		t.Logf("seed %d: goodput %.4f, p99 %.1f ms, %d ops, %d events, violations %v, guard violations %v, overloads %d", seed, r.Goodput, r.P99Ms, r.Ops, r.Events, r.Violations, r.GuardViolationsByReason, r.Overloads)
 		if len(r.Violations) > 0 || r.GuardViolations > 0 || r.BackstopTimeouts > 0 || r.Overloads > 0 {
-			t.Errorf("seed %d: breaches %v %v, guarded %d, backstop %d, falls %d", seed, r.Violations, r.ViolationTexts, r.GuardViolations, r.BackstopTimeouts, r.Overloads)
+			t.Errorf("seed %d: violations %v %v, guard violations %d, backstop timeouts %d, overloads %d", seed, r.Violations, r.ViolationTexts, r.GuardViolations, r.BackstopTimeouts, r.Overloads)
 		}
 	}
 }
 
-// Two events at one instant happen in the order in which they were scheduled.
+// note is an event that records its number.
 type note struct {
 	to *[]int
 	n  int
@@ -214,7 +214,8 @@
 
 func (x *note) fire(uint8) { *x.to = append(*x.to, x.n) }
 
-func TestOrder(t *testing.T) {
+// Two events at the same time fire in the order in which they were scheduled.
+func TestEventsFireInOrder(t *testing.T) {
 	var e engine
 	var got []int
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -238,16 +239,16 @@
 	}
 }
 
-// What is odd: policies that answer nothing or name what is not there, no server, all cold, all draining,
-// service times of 0 and of a day, an hour with one request, 50 times the capacity.
-func TestOddWorlds(t *testing.T) {
+// Extreme scenarios: balancers that do nothing or name unknown servers, all servers stopped, restarted or draining,
+// service times of 0 and of a day, one request an hour, 50 times the capacity.
+func TestExtremeScenarios(t *testing.T) {
 	small := func(change func(*Scenario)) *Scenario {
-		sc := &Scenario{Name: "odd", Seconds: 5, Servers: []ServerGroup{{Count: 2, Workers: 2, Queue: 4, Service: Distribution{Kind: "exponential", MeanMs: 5}}}, Load: Load{PerS: 100}}
+		sc := &Scenario{Name: "extreme", Seconds: 5, Servers: []ServerGroup{{Count: 2, Workers: 2, Queue: 4, Service: Distribution{Kind: "exponential", MeanMs: 5}}}, Load: Load{PerS: 100}}
 		change(sc)
 		return sc
 	}
-	mute := Policy{Name: "mute", New: func(policy.Settings, uint64) (Balancer, error) { return balancerFunc(nil), nil }}
-	stray := Policy{Name: "stray", New: func(policy.Settings, uint64) (Balancer, error) {
+	silent := Policy{Name: "silent", New: func(policy.Settings, uint64) (Balancer, error) { return balancerFunc(nil), nil }}
+	unknownServer := Policy{Name: "unknown server", New: func(policy.Settings, uint64) (Balancer, error) {
 		return balancerFunc(func(ev *policy.Event) []policy.Action {
 			switch ev.Kind {
 			case policy.EventRequest:
@@ -258,33 +259,33 @@
 			return nil
 		}), nil
 	}}
-	r := played(t, small(func(*Scenario) {}), &mute, 1)
+	r := run(t, small(func(*Scenario) {}), &silent, 1)
 	if r.Served != 0 || r.BackstopTimeouts == 0 || r.Failed == 0 || len(r.Violations) > 0 {
-		t.Errorf("mute: %+v", r)
+		t.Errorf("silent: %+v", r)
 	}
-	r = played(t, small(func(sc *Scenario) { sc.Seconds = 1 }), &stray, 1)
+	r = run(t, small(func(sc *Scenario) { sc.Seconds = 1 }), &unknownServer, 1)
 	if r.Served != 0 || r.GuardViolations == 0 || len(r.Violations) > 0 {
-		t.Errorf("stray: %+v", r)
+		t.Errorf("unknown server: %+v", r)
 	}
 	for name, change := range map[string]func(*Scenario){
 		"all draining": func(sc *Scenario) { sc.Faults = []Fault{{Kind: "drain", ServerFraction: 1}} },
 		"all stopped":  func(sc *Scenario) { sc.Faults = []Fault{{Kind: "stop", ServerFraction: 1}} },
-		"all cold": func(sc *Scenario) {
+		"all restarted": func(sc *Scenario) {
 			sc.Faults = []Fault{{Kind: "restart", ServerFraction: 1}}
 			sc.Servers[0].OverloadFactor = 2.5
 		},
-		"no time":       func(sc *Scenario) { sc.Servers[0].Service = Distribution{} },
-		"a day":         func(sc *Scenario) { sc.Servers[0].Service = Distribution{MeanMs: 86_400_000} },
-		"one an hour":   func(sc *Scenario) { sc.Load.PerS, sc.Seconds = 1.0/3600, 3600*3 },
-		"50 times":      func(sc *Scenario) { sc.Load.PerS, sc.Seconds = 50*sc.Capacity(), 0.25 },
-		"nothing comes": func(sc *Scenario) { sc.Load.PerS = 0 },
+		"no service time": func(sc *Scenario) { sc.Servers[0].Service = Distribution{} },
+		"a day":           func(sc *Scenario) { sc.Servers[0].Service = Distribution{MeanMs: 86_400_000} },
+		"one an hour":     func(sc *Scenario) { sc.Load.PerS, sc.Seconds = 1.0/3600, 3600*3 },
+		"50 times":        func(sc *Scenario) { sc.Load.PerS, sc.Seconds = 50*sc.Capacity(), 0.25 },
+		"no load":         func(sc *Scenario) { sc.Load.PerS = 0 },
 	} {
-		r := played(t, small(change), &Product, 1)
+		r := run(t, small(change), &Product, 1)
 		if len(r.Violations) > 0 || r.GuardViolations > 0 || r.Overloads > 0 {
-			t.Errorf("%s: breaches %v %v, guarded %d, falls %d", name, r.Violations, r.ViolationTexts, r.GuardViolations, r.Overloads)
+			t.Errorf("%s: violations %v %v, guard violations %d, overloads %d", name, r.Violations, r.ViolationTexts, r.GuardViolations, r.Overloads)
 		}
 		switch name {
-		case "no time", "one an hour":
+		case "no service time", "one an hour":
 			if r.Goodput < 1 {
 				t.Errorf("%s: goodput %v", name, r.Goodput)
 			}
@@ -302,14 +303,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	most := 0
+	maxPending := 0
 	for w.now < 4*Second/10 {
 		w.run(w.now + 10*Millisecond)
-		most = max(most, len(w.heap))
+		maxPending = max(maxPending, len(w.heap))
 	}
-	// What is open at once: what came within the longest deadline, and a few events each.
-	if bound := int(6 * 1.2 * sc.Load.PerS); most > bound {
-		t.Errorf("%d events wait at once, bound %d", most, bound)
+	// Open at a time are the requests that arrived within the longest deadline, with a few events each.
+	if bound := int(6 * 1.2 * sc.Load.PerS); maxPending > bound {
+		t.Errorf("%d events pending at a time, bound %d", maxPending, bound)
 	}
 }
 
@@ -323,7 +324,8 @@
 	return append(out, f(ev)...)
 }
 
-func TestScenarioNamesTheKey(t *testing.T) {
+// An error of Check names the key.
+func TestScenarioCheckNamesTheKey(t *testing.T) {
 	for key, change := range map[string]func(*Scenario){
 		"seconds": func(s *Scenario) { s.Seconds = 0 }, "load.per_s": func(s *Scenario) { s.Load.PerS = -1 }, "load.zipf": func(s *Scenario) { s.Load.Zipf = math.NaN() },
 		"servers: none": func(s *Scenario) { s.Servers = nil }, "servers[0].workers": func(s *Scenario) { s.Servers[0].Workers = 0 },
@@ -337,7 +339,7 @@
 			s.Classes = []ClassLoad{{Name: "a", Effect: "odd", Share: 1, LatencyObjectiveMs: 1, ClientTimeoutMs: 1}}
 		}, "agents": func(s *Scenario) { s.Agents = -1 },
 	} {
-		sc := typhoon()
+		sc := allFaults()
 		change(sc)
 		if err := sc.Check(); err == nil || len(err.Error()) < len(key) || err.Error()[:len(key)] != key {
 			t.Errorf("%s: %v", key, err)
--- a/internal/emulator/graph_test.go
+++ b/internal/emulator/graph_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// aimed is the spec of the aimed size.
-func aimed() *GraphSpec {
+// targetSize is the spec of the size that the product is designed for.
+func targetSize() *GraphSpec {
 	return &GraphSpec{Seed: 7, Services: 82, Depth: 6, Servers: 470, Regions: 2, CallsPerS: 56_000}
 }
 
@@ -20,29 +20,29 @@
 	return DrawGraph(spec, zones, &Network{LocalMs: 0.25, CrossMs: 1})
 }
 
-// longest is the longest path from a service, found anew; it ends the test where it goes in a circle.
-func longest(t *testing.T, g *Graph, i int, on map[int]bool) int {
+// longestPath returns the number of services on the longest path from one; it ends the test if there is a cycle.
+func longestPath(t *testing.T, g *Graph, i int, on map[int]bool) int {
 	if on[i] {
 		t.Fatalf("service %d calls itself by others", i)
 	}
 	on[i] = true
-	most := 0
+	callees := 0
 	for _, c := range g.Services[i].Calls {
 		if !(c.Probability > 0 && c.Probability <= 1) {
 			t.Errorf("service %d calls %d for %v of its calls", i, c.To, c.Probability)
 		}
-		most = max(most, longest(t, g, c.To, on))
+		callees = max(callees, longestPath(t, g, c.To, on))
 	}
 	delete(on, i)
-	return most + 1
+	return callees + 1
 }
 
-// A drawn graph has no circle, is as deep as was said and no deeper, each service is called, and its servers are as many
-// as was said, over the zones; the same seed draws the same, another another.
-func TestDrawGraph(t *testing.T) {
+// A drawn graph has no cycle and the depth of its spec, each service is called, and it has the servers of its spec,
+// spread over the zones; the same seed draws the same graph, another seed another.
+func TestDrawnGraphFollowsItsSpec(t *testing.T) {
 	var last *Graph
 	for seed := range uint64(200) {
-		spec := aimed()
+		spec := targetSize()
 		if spec.Seed = seed; seed%2 == 1 {
 			spec.Services, spec.Servers, spec.Depth, spec.MinServers, spec.MaxServers = 10+int(seed)/4, 0, 1+int(seed)%6, 1, 7
 		}
@@ -59,7 +59,7 @@
 		}
 		deepest := 0
 		for _, e := range g.Entries {
-			deepest = max(deepest, longest(t, g, e, map[int]bool{}))
+			deepest = max(deepest, longestPath(t, g, e, map[int]bool{}))
 		}
 		if deepest != spec.Depth {
 			t.Errorf("seed %d: %d deep, not %d", seed, deepest, spec.Depth)
@@ -72,7 +72,7 @@
 			if s.Rate <= 0 {
 				t.Errorf("seed %d: nobody calls service %d", seed, i)
 			}
-			if s.Height != longest(t, g, i, map[int]bool{}) {
+			if s.Height != longestPath(t, g, i, map[int]bool{}) {
 				t.Errorf("seed %d: service %d is said to have a path of %d", seed, i, s.Height)
 			}
 			own := map[int]int{}
@@ -102,7 +102,8 @@
 	}
 }
 
-func TestGraphSpecCheck(t *testing.T) {
+// An error of Check names the key.
+func TestGraphSpecCheckNamesTheKey(t *testing.T) {
 	for key, spec := range map[string]GraphSpec{"graph.depth": {Services: 3, CallsPerS: 1}, "graph.services": {Depth: 4, Services: 3, CallsPerS: 1},
 		"graph.servers": {Depth: 1, Services: 2, Servers: 25, CallsPerS: 1}, "graph.regions": {Depth: 1, Services: 1, Regions: 4, CallsPerS: 1},
 		"graph.calls_per_s": {Depth: 1, Services: 1, CallsPerS: math.NaN()}, "graph.most": {Depth: 1, Services: 1, MinServers: 5, MaxServers: 4, CallsPerS: 1}} {
@@ -124,29 +125,17 @@
 	}
 }
 
-// chain is services one below the other, each of so many servers, with one client machine; perS is at the top.
+// chain is a scenario of services that each call the next, with one client host; perS is the rate of its calls.
 func chain(depth, servers int, perS float64) *Scenario {
 	return &Scenario{Name: "chain", Seconds: 6, WarmUpSeconds: 1, Zones: 1,
 		Graph:   &GraphSpec{Seed: 1, Services: depth, Depth: depth, MinServers: servers, MaxServers: servers, ExtraCalls: -1, ClientHosts: 1, CallsPerS: perS * float64(depth)},
 		Classes: []ClassLoad{{Name: "read", Effect: "safe", Share: 1, LatencyObjectiveMs: 200, ClientTimeoutMs: 800}}}
 }
 
-func runGraph(t *testing.T, sc *Scenario, p *Policy, seed uint64) *Result {
-	t.Helper()
-	if err := sc.Check(); err != nil {
-		t.Fatal(err)
-	}
-	r, err := Run(sc, p, seed)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return r
-}
-
-// Each call goes down the whole chain once, and takes what its hops take together.
-func TestCallsGoDownTheChain(t *testing.T) {
+// Each call reaches each service of a chain once, and takes the sum of their times.
+func TestCallPassesEachServiceOfAChain(t *testing.T) {
 	for depth := 1; depth <= 6; depth++ {
-		r := runGraph(t, chain(depth, 3, 100), choices(2), 3)
+		r := run(t, chain(depth, 3, 100), choices(2), 3)
 		if r.Goodput < 0.999 || len(r.Path.Hops) != depth || len(r.Violations) > 0 || r.BackstopTimeouts > 0 || r.GuardViolations > 0 {
 			t.Errorf("depth %d: %+v", depth, r)
 		}
@@ -169,13 +158,13 @@
 	return s.Graph
 }
 
-// With one attempt a call, a call at the top is served only if none of its calls fails: errors at the deepest service
-// come up as errors, and are not asked again on the way.
-func TestFailedCallsFailTheirCaller(t *testing.T) {
+// With one attempt a call, a client's call is served only if none of its nested calls fails: errors of the deepest
+// service become errors of its callers, without a retry on the way.
+func TestFailedCallFailsItsCaller(t *testing.T) {
 	sc := chain(4, 3, 200)
 	sc.Faults = []Fault{{Kind: "errors", ServerFraction: 1, TargetService: 4, Fraction: 0.3}}
 	sc.Classes[0].Effect = "unsafe" // the client doesn't come back after a failure
-	r := runGraph(t, sc, choices(1), 5)
+	r := run(t, sc, choices(1), 5)
 	if math.Abs(r.Goodput-0.7) > 0.05 || len(r.Violations) > 0 {
 		t.Errorf("served %v of %d, breaches %v", r.Goodput, r.Ops, r.ViolationTexts)
 	}
@@ -186,15 +175,15 @@
 	}
 }
 
-// A call that is asked for three times at each hop comes to the deepest service 3^hops times at the most, and the
-// more the more hops: here all answers of the deepest are errors.
-func TestAttemptsMultiply(t *testing.T) {
+// With three attempts at each hop the deepest service gets up to 3^hops attempts, and more with each hop: here all its
+// answers are errors.
+func TestRetriesMultiplyOverHops(t *testing.T) {
 	last := 0.0
 	for depth := 1; depth <= 3; depth++ {
 		sc := chain(depth, 6, 5)
 		sc.Graph.CallAttempts, sc.Graph.Utilization = 3, 0.02
 		sc.Faults = []Fault{{Kind: "errors", ServerFraction: 1, TargetService: depth, Fraction: 1}}
-		r := runGraph(t, sc, choices(1), 5)
+		r := run(t, sc, choices(1), 5)
 		if r.Served != 0 || r.Path.DeepestAttempts > math.Pow(3, float64(depth)) || r.Path.DeepestAttempts < 2*max(last, 1) {
 			t.Errorf("depth %d: %d served, %v attempts at the deepest, %v one hop less", depth, r.Served, r.Path.DeepestAttempts, last)
 		}
@@ -202,9 +191,9 @@
 	}
 }
 
-// A call has what is left of its caller's time: where the deepest service takes for ever each hop ends in time, nothing
-// is answered late, and no server is left with a call that waits.
-func TestDeadlinesGoDown(t *testing.T) {
+// A call has the remaining time of its caller: if the deepest service never answers, each hop still ends in time, no
+// answer is late, and no server is left with an open call.
+func TestNestedCallsInheritTheDeadline(t *testing.T) {
 	sc := chain(5, 3, 50)
 	sc.Faults = []Fault{{Kind: "slow", StartS: 2, DurationS: 2, ServerFraction: 1, TargetService: 5, Factor: 1e5}}
 	if err := sc.Check(); err != nil {
@@ -215,19 +204,19 @@
 		t.Fatal(err)
 	}
 	w.run(5 * Second / 2)
-	var most Time
+	var longestWait Time
 	for _, g := range w.agents {
 		for _, r := range g.requests {
 			if r.answered {
 				continue
 			}
-			most = max(most, r.operation.entry.deadline-w.now)
+			longestWait = max(longestWait, r.operation.entry.deadline-w.now)
 			if r.operation.deadline > r.operation.entry.deadline {
 				t.Errorf("hop %d has %v, the top %v", r.operation.hop, r.operation.deadline-w.now, r.operation.entry.deadline-w.now)
 			}
 		}
 	}
-	if most <= 0 {
+	if longestWait <= 0 {
 		t.Error("nothing waits half a second into the fault")
 	}
 	w.run(6 * Second)
@@ -244,8 +233,8 @@
 	}
 }
 
-// A caller keeps its worker while it waits: with two workers and calls that wait 100 ms a server makes 20 a second.
-func TestCallsHoldTheirWorker(t *testing.T) {
+// A nested call occupies the worker of its caller: with two workers and calls of 100 ms a server serves 20 a second.
+func TestNestedCallOccupiesItsWorker(t *testing.T) {
 	sc := chain(2, 1, 200)
 	sc.Classes[0].Effect = "unsafe"
 	sc.Graph.Utilization = 10 // two workers each
@@ -264,12 +253,12 @@
 	}
 }
 
-// The same seed gives the same run to the byte, also where servers end that hold calls.
-func TestGraphIsSeeded(t *testing.T) {
-	run := func(seed uint64) string {
+// The same seed gives the same run to the byte, also if servers restart during nested calls.
+func TestGraphRunIsReproducible(t *testing.T) {
+	runJSON := func(seed uint64) string {
 		sc := &Scenario{Name: "small", Seconds: 3, Zones: 6, Graph: &GraphSpec{Seed: 3, Services: 12, Depth: 4, Regions: 2, CallsPerS: 1500},
 			Faults: []Fault{{Kind: "restart", StartS: 1, Count: 10, StaggerS: 0.1}, {Kind: "dark", StartS: 1, DurationS: 1, ServerFraction: 1, TargetRack: 3}}}
-		r := runGraph(t, sc, &Product, seed)
+		r := run(t, sc, &Product, seed)
 		if len(r.Violations) > 0 || r.Ops < 100 {
 			t.Errorf("seed %d: %d at the top, %v", seed, r.Ops, r.ViolationTexts)
 		}
@@ -279,18 +268,18 @@
 		}
 		return string(text)
 	}
-	if a, b := run(1), run(1); a != b {
+	if a, b := runJSON(1), runJSON(1); a != b {
 		t.Errorf("one seed, two runs:\n%s\n%s", a, b)
 	}
-	if run(1) == run(2) {
+	if runJSON(1) == runJSON(2) {
 		t.Error("two seeds, one run")
 	}
 }
 
-// Faults take a zone, a rack, a service, and what two of them have in common; without that, servers of many services.
-func TestFaultsOfGraph(t *testing.T) {
+// Faults hit the servers of a zone, a rack, a service, or of two of these; without a target, servers of many services.
+func TestFaultTargetsInAGraph(t *testing.T) {
 	hit := func(f Fault) (out []*server) {
-		sc := &Scenario{Seconds: 1, Zones: 6, Graph: aimed(), Faults: []Fault{f}}
+		sc := &Scenario{Seconds: 1, Zones: 6, Graph: targetSize(), Faults: []Fault{f}}
 		sc.Graph.CallsPerS = 1
 		if err := sc.Check(); err != nil {
 			t.Fatal(err)
--- a/internal/emulator/overload_test.go
+++ b/internal/emulator/overload_test.go
@@ -27,8 +27,8 @@
 	return r
 }
 
-// A meter lets through its rate, and no more than a second's worth at once.
-func TestMeter(t *testing.T) {
+// A token bucket allows its rate, and a burst of one second at most.
+func TestTokenBucketAllowsItsRate(t *testing.T) {
 	m := tokenBucket{perS: 100, tokens: 100}
 	for _, gap := range []Time{Millisecond, 5 * Millisecond, 50 * Millisecond} {
 		now, n, all := m.refilledAt, 0, int(10*Second/gap)
@@ -43,19 +43,19 @@
 	}
 }
 
-// What a tenant gets is counted against its portion, not against all that it asks for.
-func TestTenantsArePlayed(t *testing.T) {
+// What a tenant is served counts against its quota, not against all that it requests.
+func TestTenantsAreMeasuredByTheirQuota(t *testing.T) {
 	r := play(t, overloadScenario())
 	if len(r.Tenants) != 2 || r.Tenants[0] < 0.95 || r.Tenants[1] < 0.8 {
-		t.Errorf("a asks for its portion, b for three times its own: served %v of them", r.Tenants)
+		t.Errorf("a requests its quota, b three times its own: served fractions %v", r.Tenants)
 	}
 	if r.WeightedGoodput < r.Goodput+0.1 {
-		t.Errorf("worth %.3f beside a goodput of %.3f: what is beyond portions counts in full", r.WeightedGoodput, r.Goodput)
+		t.Errorf("weighted goodput %.3f, goodput %.3f: requests beyond the quota count in full", r.WeightedGoodput, r.Goodput)
 	}
 }
 
-// Warm keys save work; a memory of none saves nothing, and of one for each worker hardly any.
-func TestWarmKeysSaveWork(t *testing.T) {
+// Cached keys save work; a cache of one key for each worker saves hardly any.
+func TestCachedKeysSaveWork(t *testing.T) {
 	goodput := func(w KeyCache) float64 {
 		s := overloadScenario()
 		s.Tenants, s.Servers[0].KeyCache = nil, w
@@ -76,12 +76,13 @@
 			t.Errorf("step %d: %v of the work is left, want %v", i, got, c.left)
 		}
 		if len(m.lastSeen) > 2 {
-			t.Fatalf("step %d: %d keys remembered, at most 2", i, len(m.lastSeen))
+			t.Fatalf("step %d: %d keys cached, at most 2", i, len(m.lastSeen))
 		}
 	}
 }
 
-func TestStalls(t *testing.T) {
+// Stalls delay the work that they interrupt, and raise the p99 of a run.
+func TestStallsDelayWork(t *testing.T) {
 	s := stalls{every: 1000, length: 300}
 	for _, c := range [][3]Time{{300, 100, 100}, {0, 100, 400}, {950, 100, 400}, {300, 1400, 1700}, {150, 10, 160}} {
 		if got := s.after(c[0], c[1]); got != c[2] {
@@ -99,26 +100,26 @@
 	}
 }
 
-// A surge is back to normal when it ends, and how long that takes is counted.
-func TestSurge(t *testing.T) {
+// Goodput recovers after a surge, and the time that takes is measured.
+func TestRecoveryAfterASurge(t *testing.T) {
 	s := overloadScenario()
 	s.Tenants, s.Load.PerS, s.Seconds = nil, 300, 16
 	s.Faults = []Fault{{Kind: "surge", StartS: 5, DurationS: 3, Factor: 4}}
 	r := play(t, s)
 	if r.Timeline[6] > 0.9 || r.RecoveryS < 0 || r.RecoveryS > 3 {
-		t.Errorf("goodput by second %.2f; back after %d s", r.Timeline, r.RecoveryS)
+		t.Errorf("goodput by second %.2f; recovered after %d s", r.Timeline, r.RecoveryS)
 	}
 	if got := s.recoveryS([]float64{1, 1, 1, 1, 1, 0.5, 0.5, 0.5, 0.5, 0.96, 0.5, 0.96, 1}); got != 3 {
-		t.Errorf("back after %d s, want 3", got)
+		t.Errorf("recovered after %d s, want 3", got)
 	}
 	if got := s.recoveryS([]float64{1, 1, 1, 1, 1, 0.5, 0.5, 0.5, 0.5, 0.96}); got != -1 {
-		t.Errorf("never back: %d", got)
+		t.Errorf("not recovered: %d", got)
 	}
 }
 
-// Bad keys are named.
-func TestOverloadKeysAreChecked(t *testing.T) {
-	for key, spoil := range map[string]func(*Scenario){
+// An error of Check names the key.
+func TestOverloadScenarioCheckNamesTheKey(t *testing.T) {
+	for key, invalidate := range map[string]func(*Scenario){
 		"tenant[0].portion":    func(s *Scenario) { s.Tenants[0].Quota = 0 },
 		"tenant[1].asks":       func(s *Scenario) { s.Tenants[1].LoadWeight = -1 },
 		"servers[0].report":    func(s *Scenario) { s.Servers[0].Report = "true" },
@@ -129,15 +130,15 @@
 		"fault[0].pause_s":     func(s *Scenario) { s.Faults = []Fault{{Kind: "stalls", IntervalS: -1}} },
 	} {
 		s := overloadScenario()
-		spoil(s)
+		invalidate(s)
 		if err := s.Check(); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: error %v", key, err)
 		}
 	}
 }
 
-// What servers say of themselves changes nothing but what agents believe.
-func TestReportsAsTold(t *testing.T) {
+// Wrong load reports do not change what servers can do.
+func TestWrongLoadReportsCauseNoViolations(t *testing.T) {
 	for kind := range reportKinds {
 		s := overloadScenario()
 		s.Servers[0].Report = kind
