--- /dev/null
+++ b/internal/emulator/peers/gradient.go
@@ -0,0 +1,85 @@
+package peers
+
+import (
+	"slices"
+
+	"ringtrack.example/ringtrack/internal/emulator"
+	"ringtrack.example/ringtrack/policy"
+)
+
+// The defaults of Gradient2Limit.
+const (
+	initialLimit       = 20
+	minLimit           = 1
+	maxLimit           = 200
+	limitSmoothing     = 0.2
+	latencyTolerance   = 1.5
+	limitQueueSize     = 4
+	longWindow         = 600  // answers
+	longLatencyDrift   = 0.95 // while the long-term latency is above twice the present one
+	minGradient        = 0.5
+	rejectionDecrease  = 0.9
+	minGradientLatency = 1e-3 // ms
+)
+
+// gradientState is what Gradient knows of a server.
+type gradientState struct {
+	limit         float64 // of active requests; 0: initialLimit
+	longLatencyMs float64 // moving average; 0: no answer yet
+}
+
+// Gradient is least request under a limit for each server by the gradient of its latency (Netflix,
+// "concurrency-limits", Gradient2Limit with its defaults). A request that finds no server under its limit is rejected.
+func Gradient(settings policy.Settings, seed uint64) (emulator.Balancer, error) {
+	b := newEnvoyBalancer(settings, seed)
+	b.observe = func(s *server, ev *policy.Event) {
+		switch ev.Status {
+		case policy.OK:
+			s.gradient.observe(ev.LatencyMs, s.active)
+		case policy.Rejected, policy.Timeout:
+			s.gradient.limit = max(s.gradient.currentLimit()*rejectionDecrease, minLimit)
+		}
+	}
+	b.pick = func(r *request) *server { return b.pickUnderLimit(b.usable(r.tried)) }
+	return b, nil
+}
+
+func (g *gradientState) currentLimit() float64 {
+	if g.limit == 0 {
+		g.limit = initialLimit
+	}
+	return g.limit
+}
+
+// observe updates the limit by the latency of an answer.
+func (g *gradientState) observe(latencyMs float64, active int) {
+	if g.longLatencyMs == 0 {
+		g.longLatencyMs = latencyMs
+	}
+	g.longLatencyMs += 2.0 / (longWindow + 1) * (latencyMs - g.longLatencyMs)
+	if g.longLatencyMs > 2*latencyMs {
+		g.longLatencyMs *= longLatencyDrift
+	}
+	if float64(active) < g.currentLimit()/2 {
+		return // the limit is not what limits
+	}
+	gradient := max(minGradient, min(1, latencyTolerance*g.longLatencyMs/max(latencyMs, minGradientLatency)))
+	target := g.limit*gradient + limitQueueSize
+	g.limit = max((1-limitSmoothing)*g.limit+limitSmoothing*target, minLimit)
+	g.limit = min(g.limit, maxLimit)
+}
+
+// pickUnderLimit returns the one with fewer active requests of two random servers that are under their limit.
+func (b *balancer) pickUnderLimit(servers []*server) *server {
+	atLimit := func(s *server) bool { return float64(s.active) >= s.gradient.currentLimit() }
+	candidates := slices.DeleteFunc(slices.Clone(servers), atLimit)
+	if len(candidates) == 0 {
+		return nil
+	}
+	first := candidates[b.rng.IntN(len(candidates))]
+	second := candidates[b.rng.IntN(len(candidates))]
+	if second.active < first.active {
+		return second
+	}
+	return first
+}
