--- a/cmd/ringtrack-lab/main.go
+++ b/cmd/ringtrack-lab/main.go
@@ -125,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		for _, s := range e.Scenario {
+		for _, s := range e.Scenarios {
 			fmt.Printf("%-24s %s\n", s.Name, s.Description)
 		}
 		fmt.Print("policies:")
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"math"
 	"os"
 	"path/filepath"
@@ -37,19 +38,19 @@
 	return Load(file)
 }
 
-// A run that was cut off at any byte goes on, runs each cell once, and has the results of one that ran
-// through.
-func TestResume(t *testing.T) {
+// An experiment whose results are cut off at any byte is resumed: each run has one line, and the results are those of
+// an experiment that was not stopped. Results of something else are left as they are.
+func TestResumedExperimentHasTheSameResults(t *testing.T) {
 	e, err := load(t, small)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	whole, err := e.Run(t.Context(), dir, nil)
+	complete, err := e.Run(t.Context(), dir, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, _ := json.Marshal(whole)
+	want, _ := json.Marshal(complete)
 	file := filepath.Join(dir, "results.jsonl")
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -59,19 +60,19 @@
 		if err := os.WriteFile(file, text[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		again, err := e.Run(t.Context(), dir, nil)
+		resumed, err := e.Run(t.Context(), dir, nil)
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
-		if got, _ := json.Marshal(again); string(got) != string(want) {
+		if got, _ := json.Marshal(resumed); string(got) != string(want) {
 			t.Errorf("cut at %d: other results", cut)
 		}
 		now, _ := os.ReadFile(file)
-		if n := strings.Count(string(now), "\n"); n != 1+len(e.cells()) {
+		if n := strings.Count(string(now), "\n"); n != 1+len(e.runKeys()) {
 			t.Errorf("cut at %d: %d lines", cut, n)
 		}
 	}
-	// Stopped by its context, it goes on later.
+	// An experiment that is stopped by its context is resumed, too.
 	os.Remove(file)
 	ctx, cancel := context.WithCancel(t.Context())
 	if _, err := e.Run(ctx, dir, func(done, _ int) {
@@ -79,27 +80,35 @@
 			cancel()
 		}
 	}); err == nil {
-		t.Error("a run that was stopped says that it is whole")
+		t.Error("a stopped experiment returns no error")
 	}
-	if again, err := e.Run(t.Context(), dir, nil); err != nil {
+	if resumed, err := e.Run(t.Context(), dir, nil); err != nil {
 		t.Error(err)
-	} else if got, _ := json.Marshal(again); string(got) != string(want) {
+	} else if got, _ := json.Marshal(resumed); string(got) != string(want) {
 		t.Error("other results after a stop")
 	}
-	for name, bad := range map[string]string{"another experiment": `{"version":1,"experiment":5}` + "\n", "version 9": `{"version":9}` + "\n", "no results": "hello\n"} {
-		if err := os.WriteFile(file, []byte(bad), 0o600); err != nil {
+	for name, test := range map[string]struct {
+		text    string
+		wantErr error
+	}{
+		"another experiment": {`{"version":1,"experiment":5}` + "\n", ErrOtherExperiment},
+		"version 9":          {`{"version":9}` + "\n", ErrResultsVersion},
+		"no results":         {"hello\n", ErrNoResults},
+	} {
+		if err := os.WriteFile(file, []byte(test.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := e.Run(t.Context(), dir, nil); err == nil || !strings.Contains(err.Error(), name) {
+		if _, err := e.Run(t.Context(), dir, nil); !errors.Is(err, test.wantErr) || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if now, _ := os.ReadFile(file); string(now) != bad {
-			t.Errorf("%s: what is there was changed", name)
+		if now, _ := os.ReadFile(file); string(now) != test.text {
+			t.Errorf("%s: the file was changed", name)
 		}
 	}
 }
 
-func TestFileNamesTheKey(t *testing.T) {
+// An error of Load names the key.
+func TestLoadErrorNamesTheKey(t *testing.T) {
 	for from, to := range map[string]string{"seeds = 3": "seeds = 0|seeds", `"random"`: `"rand"|policies[1]`, `"random"]`: `"ringtrack"]|policies[1]`,
 		`name = "b"`: `name = "a"|scenario[1].name`, "per_s = 300": "per_s = -1|scenario[0] (a).load.per_s", "per_s = 500": "per_s = nan|scenario[1] (b).load.per_s",
 		"count = 3": "counts = 3|count", "seconds = 1": "seconds = 0|seconds"} {
@@ -113,19 +122,20 @@
 	}
 }
 
-func TestTable(t *testing.T) {
-	e := &Experiment{Policies: []string{"x", "y"}, Scenario: []emulator.Scenario{{Name: "s"}}}
+// A table has the means of each policy and what the first is better by.
+func TestTableComparesWithTheFirstPolicy(t *testing.T) {
+	e := &Experiment{Policies: []string{"x", "y"}, Scenarios: []emulator.Scenario{{Name: "s"}}}
 	var results []*emulator.Result
 	for i := range 10 {
 		results = append(results, &emulator.Result{Scenario: "s", Policy: "x", Goodput: 0.9 + float64(i)/1000},
 			&emulator.Result{Scenario: "s", Policy: "y", Goodput: 0.8 + float64(i)/1000, Violations: map[int]int{2: 1, 4: 1}, Overloads: 1})
 	}
 	rows := e.Table(results)
-	if len(rows) != 2 || math.Abs(rows[0].Goodput-0.9045) > 1e-9 || rows[1].Breaches != 20 || rows[1].Falls != 10 {
+	if len(rows) != 2 || math.Abs(rows[0].Goodput-0.9045) > 1e-9 || rows[1].Violations != 20 || rows[1].Overloads != 10 {
 		t.Errorf("%+v", rows)
 	}
-	if r := rows[1]; math.Abs(r.Less-0.1) > 1e-9 || math.Abs(r.More-0.1) > 1e-9 {
-		t.Errorf("the lead of 0.1 in each pair is %v to %v", r.Less, r.More)
+	if r := rows[1]; math.Abs(r.LeadLow-0.1) > 1e-9 || math.Abs(r.LeadHigh-0.1) > 1e-9 {
+		t.Errorf("the lead is 0.1 in each pair, the interval %v to %v", r.LeadLow, r.LeadHigh)
 	}
 	var b strings.Builder
 	Print(&b, rows)
--- /dev/null
+++ b/internal/lab/experiment/results.go
@@ -0,0 +1,121 @@
+package experiment
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+
+	"ringtrack.example/ringtrack/internal/emulator"
+)
+
+const (
+	// resultsFile is the name of the file in the directory of the results.
+	resultsFile = "results.jsonl"
+	// resultsVersion is the version of its format.
+	resultsVersion = 1
+)
+
+// Errors of a results file that cannot be resumed.
+var (
+	ErrNoResults       = errors.New("holds no results")
+	ErrResultsVersion  = errors.New("holds results of another version")
+	ErrOtherExperiment = errors.New("holds the results of another experiment, or of an older file of this")
+)
+
+// header is the first line of the results.
+type header struct {
+	Version    int    `json:"version"`
+	Experiment uint32 `json:"experiment"` // checksum of its file
+}
+
+// check returns an error if the results are of another format or another experiment.
+func (h *header) check(checksum uint32) error {
+	if h.Version != resultsVersion {
+		return fmt.Errorf("%w: version %d, this is %d", ErrResultsVersion, h.Version, resultsVersion)
+	}
+	if h.Experiment != checksum {
+		return ErrOtherExperiment
+	}
+	return nil
+}
+
+// appendLine appends a result in one write. A line that is cut off by a crash is dropped when the file is opened.
+func appendLine(w io.Writer, v any) error {
+	line, err := json.Marshal(v)
+	if err != nil {
+		return err
+	}
+	_, err = w.Write(append(line, '\n'))
+	return err
+}
+
+// openResults opens or creates the results, drops an incomplete last line, and returns the results that are there.
+// The file is open for appending. A file that cannot be resumed is left as it is.
+func (e *Experiment) openResults(name string) (*os.File, []*emulator.Result, error) {
+	file, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, 0o644)
+	if err != nil {
+		return nil, nil, fmt.Errorf("experiment: %w", err)
+	}
+	results, size, err := e.readResults(file)
+	if err == nil {
+		err = e.prepareAppend(file, size)
+	}
+	if err != nil {
+		file.Close()
+		return nil, nil, fmt.Errorf("experiment: %s: %w", name, err)
+	}
+	return file, results, nil
+}
+
+// readResults returns the results and the length of all complete lines in bytes.
+func (e *Experiment) readResults(r io.Reader) ([]*emulator.Result, int64, error) {
+	var results []*emulator.Result
+	size := int64(0)
+	reader := bufio.NewReader(r)
+	for n := 1; ; n++ {
+		line, err := reader.ReadBytes('\n')
+		if err == io.EOF {
+			return results, size, nil // what is left is incomplete
+		}
+		if err != nil {
+			return nil, 0, err
+		}
+		if n == 1 {
+			if err := e.checkHeader(line); err != nil {
+				return nil, 0, err
+			}
+		} else {
+			result := &emulator.Result{}
+			if err := json.Unmarshal(line, result); err != nil {
+				return nil, 0, fmt.Errorf("line %d: %w", n, err)
+			}
+			results = append(results, result)
+		}
+		size += int64(len(line))
+	}
+}
+
+func (e *Experiment) checkHeader(line []byte) error {
+	var h header
+	if err := json.Unmarshal(line, &h); err != nil {
+		return fmt.Errorf("%w: %w", ErrNoResults, err)
+	}
+	return h.check(e.checksum)
+}
+
+// prepareAppend cuts the file to a size, and writes the header of an empty one.
+func (e *Experiment) prepareAppend(file *os.File, size int64) error {
+	if err := file.Truncate(size); err != nil {
+		return err
+	}
+	if _, err := file.Seek(size, io.SeekStart); err != nil {
+		return err
+	}
+	if size > 0 {
+		return nil
+	}
+	return appendLine(file, header{resultsVersion, e.checksum})
+}
