--- a/internal/membership/freshness.go
+++ b/internal/membership/freshness.go
@@ -4,7 +4,7 @@
 const (
 	reasonNeverHeard = "nothing heard yet"
 	reasonSilent     = "silent"
-	reasonEmptyList  = "it lists nothing, which is not believed"
+	reasonEmptyList  = "it lists nothing, which is not believed" // as on the operators' page
 )
 
 // Status describes the freshness of a source.
