--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -83,8 +83,8 @@
 	})
 }
 
-// restart kills the agent's process and starts it again with the endpoint list of the run's start. Its clients get
-// no answer to their open requests and retry by themselves.
+// restart kills the agent's process and starts it again with the endpoint list of the run's start. Its
+// clients get no answer to their open requests and retry by themselves.
 func (g *agent) restart() {
 	w := g.world
 	lost := make([]*request, 0, len(g.requests))
@@ -258,8 +258,8 @@
 	}
 }
 
-// settings returns the settings of the agent's balancer. The latency objective of a call to a service is the part of
-// the class's that the longest path from that service has in the longest of the graph.
+// settings returns the settings of the agent's balancer. The latency objective of a call to a service is the
+// part of the class's that the longest path from that service has in the longest of the graph.
 func (g *agent) settings() policy.Settings {
 	out := g.world.scenario.settings(g.replicaIndex, g.zone)
 	out.Replicas = g.replicas
--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -154,7 +154,8 @@
 	return a
 }
 
-// guard is the check of internal/core before an attempt. Unguarded balancers are only kept from what cannot be done.
+// guard is the check of internal/core before an attempt. Unguarded balancers are only kept from what cannot
+// be done.
 func (g *agent) guard(a *attempt) *core.Guard {
 	r := a.request
 	w := g.world
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -5,9 +5,9 @@
 // rejectedCallMs is how long a call of the discovery service takes that fails at once.
 const rejectedCallMs = 25
 
-// DiscoveryQueue is the capacity of a discovery service that handles calls one after the other; with a rate of 0
-// it answers at once. A caller that has waited for longer than PatienceMs gets a failure, but its call is still
-// worked off. A call that arrives behind more than MaxBacklogMs of work fails at once, at no cost.
+// DiscoveryQueue is the capacity of a discovery service that handles calls one after the other; with a rate
+// of 0 it answers at once. A caller that has waited for longer than PatienceMs gets a failure, but its call
+// is still worked off. A call that arrives behind more than MaxBacklogMs of work fails at once, at no cost.
 type DiscoveryQueue struct {
 	CallsPerS    float64 `toml:"calls_per_s"` // watches; a fetch of the complete endpoint list costs as much as two
 	PatienceMs   float64 `toml:"patience_ms"`
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// A call whose caller has given up is still worked off: this is how an overloaded discovery service collapses, until
-// there are fewer calls than it can handle.
+// A call whose caller has given up is still worked off: this is how an overloaded discovery service
+// collapses, until there are fewer calls than it can handle.
 func TestDiscoveryQueueWorksOffAbandonedCalls(t *testing.T) {
 	queue, totals := discoveryQueue{DiscoveryQueue: DiscoveryQueue{CallsPerS: 10, PatienceMs: 1000, MaxBacklogMs: 3000}}, &Result{}
 	ended := func(at Time) bool {
--- a/internal/emulator/distribution.go
+++ b/internal/emulator/distribution.go
@@ -69,8 +69,8 @@
 // fromSeconds converts seconds to virtual time.
 func fromSeconds(s float64) Time { return Time(s * float64(Second)) }
 
-// zipf draws ranks from 0 to n-1 with a probability that falls as rank^-s; with s = 0 all are equally likely. Unlike
-// the one of math/rand it also takes s <= 1.
+// zipf draws ranks from 0 to n-1 with a probability that falls as rank^-s; with s = 0 all are equally likely.
+// Unlike the one of math/rand it also takes s <= 1.
 type zipf struct {
 	cumulative []float64 // weights
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -12,8 +12,8 @@
 
 var long = flag.Bool("long", false, "known results within 1 %, which takes a minute of CPU")
 
-// direct forwards each request at once, without a timeout of its own, to the one of d random servers that has the
-// fewest of its requests.
+// direct forwards each request at once, without a timeout of its own, to the one of d random servers that has
+// the fewest of its requests.
 type direct struct {
 	rng    *rand.Rand
 	all    []policy.Addr
@@ -184,8 +184,8 @@
 	return r
 }
 
-// The same seed gives the same bytes, another one others; the product violates no rule through all faults, the guard
-// blocks no attempt, and no request runs into the backstop timeout.
+// The same seed gives the same bytes, another one others; the product violates no rule through all faults,
+// the guard blocks no attempt, and no request runs into the backstop timeout.
 func TestRunIsReproducibleWithoutViolations(t *testing.T) {
 	var last string
 	for seed := range uint64(3) {
@@ -239,8 +239,8 @@
 	}
 }
 
-// Extreme scenarios: balancers that do nothing or name unknown servers, all servers stopped, restarted or draining,
-// service times of 0 and of a day, one request an hour, 50 times the capacity.
+// Extreme scenarios: balancers that do nothing or name unknown servers, all servers stopped, restarted or
+// draining, service times of 0 and of a day, one request an hour, 50 times the capacity.
 func TestExtremeScenarios(t *testing.T) {
 	small := func(change func(*Scenario)) *Scenario {
 		sc := &Scenario{Name: "extreme", Seconds: 5, Servers: []ServerGroup{{Count: 2, Workers: 2, Queue: 4, Service: Distribution{Kind: "exponential", MeanMs: 5}}}, Load: Load{PerS: 100}}
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -1,8 +1,8 @@
 // Package emulator is a discrete-event emulator of agents and what they work with: servers, the network, the
-// discovery service and clients, in virtual time. It has no sockets, reads no clock and starts no goroutine; the same
-// seed gives the same results, to the byte. The decisions are made by the product's balancer or by another one with
-// the same events and actions. Attempts pass the guard of internal/core, and the rules of the contract are checked by
-// internal/invariant.
+// discovery service and clients, in virtual time. It has no sockets, reads no clock and starts no goroutine;
+// the same seed gives the same results, to the byte. The decisions are made by the product's balancer or by
+// another one with the same events and actions. Attempts pass the guard of internal/core, and the rules of
+// the contract are checked by internal/invariant.
 package emulator
 
 // Time is virtual time in ns from the start of a run.
--- a/internal/emulator/graph.go
+++ b/internal/emulator/graph.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// GraphSpec is what a graph of services is drawn from: the same spec gives the same graph. A scenario that has one
-// has no servers of its own. Zero values take the defaults that are given here.
+// GraphSpec is what a graph of services is drawn from: the same spec gives the same graph. A scenario that
+// has one has no servers of its own. Zero values take the defaults that are given here.
 type GraphSpec struct {
 	Seed        uint64 `toml:"seed"`
 	Services    int    `toml:"services"`
@@ -14,8 +14,8 @@
 	Regions     int    `toml:"regions"` // of equally many zones each; 1
 	Racks       int    `toml:"racks"`   // of a zone; 5
 	ClientHosts int    `toml:"edges"`   // with an agent for each service that clients call; 12
-	// ExtraCalls is the mean number of calls that a service makes beyond those of the tree, each with a probability;
-	// 0.5, and negative: none.
+	// ExtraCalls is the mean number of calls that a service makes beyond those of the tree, each with a
+	// probability; 0.5, and negative: none.
 	ExtraCalls float64 `toml:"further"`
 	// WorkMs is the mean of the services' own work for a call; each has 0.5 to 1.5 of it; 4.
 	WorkMs float64 `toml:"work_ms"`
@@ -125,8 +125,8 @@
 // EntryCallsPerS is the rate of calls of clients.
 func (g *Graph) EntryCallsPerS() float64 { return g.Spec.CallsPerS / g.CallsPerEntryCall() }
 
-// Hops returns the calls at each hop, from 1, for one call of a client, without retries. A service may be called at
-// several hops.
+// Hops returns the calls at each hop, from 1, for one call of a client, without retries. A service may be
+// called at several hops.
 func (g *Graph) Hops() []float64 {
 	out := make([]float64, g.Spec.Depth+1)
 	rates := make([]float64, len(g.Services)) // at the present hop, by service
--- a/internal/emulator/graph_run.go
+++ b/internal/emulator/graph_run.go
@@ -5,7 +5,8 @@
 // allServices is the service of an agent whose scenario has no graph.
 const allServices = -1
 
-// graphRun is a graph of services in a run. Its methods for operations may be called on nil, where there is none.
+// graphRun is a graph of services in a run. Its methods for operations may be called on nil, where there is
+// none.
 type graphRun struct {
 	*Graph
 	world          *World
@@ -17,8 +18,8 @@
 // Path is what a run measured of nested calls. Operations that began in the warm-up are left out.
 type Path struct {
 	Hops []Hop `json:"hops"` // the first is the client's call
-	// DeepestAttempts is the number of attempts at the last hop for one call of a client; Amplification is the same as
-	// a multiple of what it is without retries and failures.
+	// DeepestAttempts is the number of attempts at the last hop for one call of a client; Amplification is
+	// the same as a multiple of what it is without retries and failures.
 	DeepestAttempts float64 `json:"deepest"`
 	Amplification   float64 `json:"times"`
 }
@@ -109,8 +110,8 @@
 	w.graph.shuffled = shuffled
 }
 
-// agentPlacement is where an agent stands and what it calls. A host that calls several services has an agent for
-// each, as a balancer knows the servers of one service.
+// agentPlacement is where an agent stands and what it calls. A host that calls several services has an agent
+// for each, as a balancer knows the servers of one service.
 type agentPlacement struct {
 	zone         int
 	service      int     // or allServices
--- a/internal/emulator/graph_test.go
+++ b/internal/emulator/graph_test.go
@@ -20,7 +20,8 @@
 	return DrawGraph(spec, zones, &Network{LocalMs: 0.25, CrossMs: 1})
 }
 
-// longestPath returns the number of services on the longest path from one; it ends the test if there is a cycle.
+// longestPath returns the number of services on the longest path from one; it ends the test if there is a
+// cycle.
 func longestPath(t *testing.T, g *Graph, i int, on map[int]bool) int {
 	if on[i] {
 		t.Fatalf("service %d calls itself by others", i)
@@ -37,8 +38,8 @@
 	return callees + 1
 }
 
-// A drawn graph has no cycle and the depth of its spec, each service is called, and it has the servers of its spec,
-// spread over the zones; the same seed draws the same graph, another seed another.
+// A drawn graph has no cycle and the depth of its spec, each service is called, and it has the servers of its
+// spec, spread over the zones; the same seed draws the same graph, another seed another.
 func TestDrawnGraphFollowsItsSpec(t *testing.T) {
 	var last *Graph
 	for seed := range uint64(200) {
@@ -158,8 +159,8 @@
 	return s.Graph
 }
 
-// With one attempt a call, a client's call is served only if none of its nested calls fails: errors of the deepest
-// service become errors of its callers, without a retry on the way.
+// With one attempt a call, a client's call is served only if none of its nested calls fails: errors of the
+// deepest service become errors of its callers, without a retry on the way.
 func TestFailedCallFailsItsCaller(t *testing.T) {
 	sc := chain(4, 3, 200)
 	sc.Faults = []Fault{{Kind: "errors", ServerFraction: 1, TargetService: 4, Fraction: 0.3}}
@@ -175,8 +176,8 @@
 	}
 }
 
-// With three attempts at each hop the deepest service gets up to 3^hops attempts, and more with each hop: here all its
-// answers are errors.
+// With three attempts at each hop the deepest service gets up to 3^hops attempts, and more with each hop:
+// here all its answers are errors.
 func TestRetriesMultiplyOverHops(t *testing.T) {
 	last := 0.0
 	for depth := 1; depth <= 3; depth++ {
@@ -191,8 +192,8 @@
 	}
 }
 
-// A call has the remaining time of its caller: if the deepest service never answers, each hop still ends in time, no
-// answer is late, and no server is left with an open call.
+// A call has the remaining time of its caller: if the deepest service never answers, each hop still ends in
+// time, no answer is late, and no server is left with an open call.
 func TestNestedCallsInheritTheDeadline(t *testing.T) {
 	sc := chain(5, 3, 50)
 	sc.Faults = []Fault{{Kind: "slow", StartS: 2, DurationS: 2, ServerFraction: 1, TargetService: 5, Factor: 1e5}}
@@ -233,7 +234,8 @@
 	}
 }
 
-// A nested call occupies the worker of its caller: with two workers and calls of 100 ms a server serves 20 a second.
+// A nested call occupies the worker of its caller: with two workers and calls of 100 ms a server serves 20 a
+// second.
 func TestNestedCallOccupiesItsWorker(t *testing.T) {
 	sc := chain(2, 1, 200)
 	sc.Classes[0].Effect = "unsafe"
@@ -276,7 +278,8 @@
 	}
 }
 
-// Faults hit the servers of a zone, a rack, a service, or of two of these; without a target, servers of many services.
+// Faults hit the servers of a zone, a rack, a service, or of two of these; without a target, servers of many
+// services.
 func TestFaultTargetsInAGraph(t *testing.T) {
 	hit := func(f Fault) (out []*server) {
 		sc := &Scenario{Seconds: 1, Zones: 6, Graph: targetSize(), Faults: []Fault{f}}
--- a/internal/emulator/nested_calls.go
+++ b/internal/emulator/nested_calls.go
@@ -2,13 +2,13 @@
 
 import "ringtrack.example/ringtrack/internal/invariant"
 
-// nestedCalls is an attempt whose server makes calls of other services, one after the other. It occupies its worker
-// all the while. Its calls have the remaining time of the attempt; if one fails, is rejected or times out, the answer
-// is an error. Calls of a process that ended go on.
+// nestedCalls is an attempt whose server makes calls of other services, one after the other. It occupies its
+// worker all the while. Its calls have the remaining time of the attempt; if one fails, is rejected or times
+// out, the answer is an error. Calls of a process that ended go on.
 //
-// Left out: a call that is repeated for a retry of an idempotent request is an operation of its own to the invariant
-// checker, so that rule 2 is checked at each hop and not over the complete path; and a server does not notice that
-// its caller has disconnected.
+// Left out: a call that is repeated for a retry of an idempotent request is an operation of its own to the
+// invariant checker, so that rule 2 is checked at each hop and not over the complete path; and a server does
+// not notice that its caller has disconnected.
 type nestedCalls struct {
 	server   *server
 	attempt  *attempt
@@ -63,8 +63,8 @@
 	}
 }
 
-// fire goes on after the answer to a call. It is an event of its own because an agent must not be entered again while
-// it answers.
+// fire goes on after the answer to a call. It is an event of its own because an agent must not be entered
+// again while it answers.
 func (n *nestedCalls) fire(kind uint8) {
 	switch {
 	case n.attempt.incarnation != n.server.incarnation: // the process has ended
--- a/internal/emulator/peers/balancer.go
+++ b/internal/emulator/peers/balancer.go
@@ -45,16 +45,16 @@
 	tried      []*server
 }
 
-// retryPolicy says how often a request is sent again. Retries in flight are limited to a part of the requests in
-// flight, but not below a minimum.
+// retryPolicy says how often a request is sent again. Retries in flight are limited to a part of the requests
+// in flight, but not below a minimum.
 type retryPolicy struct {
 	max         int // of a request
 	budget      float64
 	minInFlight int
 }
 
-// balancer is what all have in common: it watches the endpoint list, picks a server, retries within a budget, and
-// fails or rejects what it does not retry. It has no queue. One goroutine calls it.
+// balancer is what all have in common: it watches the endpoint list, picks a server, retries within a budget,
+// and fails or rejects what it does not retry. It has no queue. One goroutine calls it.
 type balancer struct {
 	settings policy.Settings
 	rng      *rand.Rand
@@ -87,8 +87,8 @@
 	}
 }
 
-// newEnvoyBalancer returns a balancer with Envoy's outlier detection, panic threshold of 50 % and retry budget of
-// 20 %, at least 3.
+// newEnvoyBalancer returns a balancer with Envoy's outlier detection, panic threshold of 50 % and retry
+// budget of 20 %, at least 3.
 func newEnvoyBalancer(settings policy.Settings, seed uint64) *balancer {
 	b := newBalancer(settings, seed)
 	b.outlier = &outlierDetection{consecutiveFailures: 5, baseEjectionMs: 30_000, maxEjectionFraction: 0.1}
@@ -146,8 +146,8 @@
 	}
 }
 
-// usable returns the servers that may be picked: those that are ready and not ejected, or all that are ready if the
-// panic threshold says so. Servers of exclude are left out if there are others.
+// usable returns the servers that may be picked: those that are ready and not ejected, or all that are ready
+// if the panic threshold says so. Servers of exclude are left out if there are others.
 func (b *balancer) usable(exclude []*server) []*server {
 	var ready []*server
 	var usable []*server
@@ -248,8 +248,8 @@
 	b.detectOutlier(s, ev.Status)
 }
 
-// mayRetry tells whether a request is sent again. Proxies do not know the effects of requests: they retry connect
-// failures, resets and gateway errors on the routes that say so, as operators commonly configure them
+// mayRetry tells whether a request is sent again. Proxies do not know the effects of requests: they retry
+// connect failures, resets and gateway errors on the routes that say so, as operators commonly configure them
 // ("connect-failure,refused-stream,gateway-error").
 func (b *balancer) mayRetry(r *request, status policy.Status) bool {
 	if r.attempts > b.retry.max || r.deadline-b.now <= minRetryTimeMs {
--- a/internal/emulator/peers/gradient.go
+++ b/internal/emulator/peers/gradient.go
@@ -29,7 +29,8 @@
 }
 
 // Gradient is least request under a limit for each server by the gradient of its latency (Netflix,
-// "concurrency-limits", Gradient2Limit with its defaults). A request that finds no server under its limit is rejected.
+// "concurrency-limits", Gradient2Limit with its defaults). A request that finds no server under its limit is
+// rejected.
 func Gradient(settings policy.Settings, seed uint64) (emulator.Balancer, error) {
 	b := newEnvoyBalancer(settings, seed)
 	b.observe = func(s *server, ev *policy.Event) {
--- a/internal/emulator/peers/peak_ewma.go
+++ b/internal/emulator/peers/peak_ewma.go
@@ -26,10 +26,11 @@
 	backoffMs float64 // of failure accrual
 }
 
-// PeakEWMA is Finagle's power of two choices with peak EWMA: of two random servers the one with the lower cost, which
-// is the peak-sensitive moving average of the round trip times the active requests and one more. Failure accrual
-// ejects a server after 5 consecutive failures for 5 to 300 s with equal jitter; the retry budget is 20 %, at least
-// 10. Finagle's aperture is left out: agents here send so little that they would use a few servers only.
+// PeakEWMA is Finagle's power of two choices with peak EWMA: of two random servers the one with the lower
+// cost, which is the peak-sensitive moving average of the round trip times the active requests and one more.
+// Failure accrual ejects a server after 5 consecutive failures for 5 to 300 s with equal jitter; the retry
+// budget is 20 %, at least 10. Finagle's aperture is left out: agents here send so little that they would use
+// a few servers only.
 func PeakEWMA(settings policy.Settings, seed uint64) (emulator.Balancer, error) {
 	b := newBalancer(settings, seed)
 	b.retry = retryPolicy{max: 2, budget: 0.2, minInFlight: 10}
--- a/internal/emulator/peers/peers.go
+++ b/internal/emulator/peers/peers.go
@@ -1,6 +1,7 @@
-// Package peers has the balancers of other systems, each written from its public description with the documented
-// defaults, with the same events and actions as the product's balancer. They are for experiments only and no part of
-// the product. What a system does beyond that is named at its balancer; none does health checks here.
+// Package peers has the balancers of other systems, each written from its public description with the
+// documented defaults, with the same events and actions as the product's balancer. They are for experiments
+// only and no part of the product. What a system does beyond that is named at its balancer; none does health
+// checks here.
 package peers
 
 import "ringtrack.example/ringtrack/internal/emulator"
--- a/internal/emulator/peers/ring_hash.go
+++ b/internal/emulator/peers/ring_hash.go
@@ -26,9 +26,9 @@
 	server *server
 }
 
-// RingHash is Envoy's RING_HASH with bounded loads: the server of the key's point on a ring, or the next one if the
-// server has more than 1.5 times the mean of active requests (Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing
-// with Bounded Loads").
+// RingHash is Envoy's RING_HASH with bounded loads: the server of the key's point on a ring, or the next one
+// if the server has more than 1.5 times the mean of active requests (Mirrokni, Thorup and Zadimoghaddam,
+// "Consistent Hashing with Bounded Loads").
 func RingHash(settings policy.Settings, seed uint64) (emulator.Balancer, error) {
 	b := newEnvoyBalancer(settings, seed)
 	var ring []ringPoint
--- a/internal/emulator/peers/weighted_round_robin.go
+++ b/internal/emulator/peers/weighted_round_robin.go
@@ -29,9 +29,10 @@
 	current       float64 // of the smooth weighted round robin
 }
 
-// WeightedRoundRobin is gRPC's client-side weighted round robin (gRFC A58): the weight is qps by utilization, to which
-// errors by qps are added with the penalty 1.0. A weight counts after a blackout period of 10 s; a server without one
-// gets the mean. gRPC updates weights once a second, this with each load report; outliers are detected as Envoy does.
+// WeightedRoundRobin is gRPC's client-side weighted round robin (gRFC A58): the weight is qps by utilization,
+// to which errors by qps are added with the penalty 1.0. A weight counts after a blackout period of 10 s; a
+// server without one gets the mean. gRPC updates weights once a second, this with each load report; outliers
+// are detected as Envoy does.
 func WeightedRoundRobin(settings policy.Settings, seed uint64) (emulator.Balancer, error) {
 	b := newEnvoyBalancer(settings, seed)
 	b.observe = func(s *server, ev *policy.Event) { s.wrr.observe(b.now, ev.Report) }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -31,7 +31,8 @@
 	WeightedGoodput float64 `json:"worth"`
 	// Tenants is WeightedGoodput by tenant.
 	Tenants []float64 `json:"tenants,omitempty"`
-	// WastedWork is the part of the servers' work on requests that were answered already, or beyond their objective.
+	// WastedWork is the part of the servers' work on requests that were answered already, or beyond their
+	// objective.
 	WastedWork float64 `json:"lost"`
 	// RecoveryS is the number of seconds from the end of the last fault until goodput was at 0.95 again; -1 if
 	// that was not before the end of the run.
@@ -59,8 +60,8 @@
 	LastSubscribedS float64 `json:"last_follow_s,omitempty"`
 	LostWithAgent   int     `json:"killed,omitempty"` // client attempts that were open in an agent that was killed
 	Handshakes      int     `json:"handshakes"`       // connections that were opened after the warm-up
-	// MeanConnections and MaxConnections are the connections of a server, idle or in use, over all agents: the mean
-	// over servers and seconds, and the maximum of any server.
+	// MeanConnections and MaxConnections are the connections of a server, idle or in use, over all agents:
+	// the mean over servers and seconds, and the maximum of any server.
 	MeanConnections float64 `json:"open_mean"`
 	MaxConnections  int     `json:"open_most"`
 	Path            *Path   `json:"path,omitempty"` // of a graph of services
@@ -168,7 +169,8 @@
 	return out
 }
 
-// recoveryS is the number of seconds from the end of the last fault until goodput has recovered for two seconds.
+// recoveryS is the number of seconds from the end of the last fault until goodput has recovered for two
+// seconds.
 func (s *Scenario) recoveryS(timeline []float64) int {
 	end := 0.0
 	for _, f := range s.Faults {
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -32,16 +32,17 @@
 	// LIFO serves the newest request first while the queue is more than half full (adaptive LIFO).
 	LIFO   bool    `toml:"lifo"`
 	Weight float64 `toml:"weight"`
-	// SlowStartMinCapacity is the part of its speed at which a process starts, SlowStartMs how long it takes to be
-	// warm.
+	// SlowStartMinCapacity is the part of its speed at which a process starts, SlowStartMs how long it takes
+	// to be warm.
 	SlowStartMinCapacity float64 `toml:"cold_from"`
 	SlowStartMs          float64 `toml:"cold_ms"`
-	// OverloadFactor: a server in slow start that gets more than that many times its capacity over a second restarts;
-	// 0: never.
+	// OverloadFactor: a server in slow start that gets more than that many times its capacity over a second
+	// restarts; 0: never.
 	OverloadFactor float64  `toml:"fall_multiple"`
 	KeyCache       KeyCache `toml:"warm"`
-	// Report is what servers report of their load: "" (correct, up to 0.1 s old), "late" (up to 1.4 s old), "none",
-	// "some" (every other server), "frozen" (as of the first second), "idle" (utilization 0), "busy" (1) or "nan".
+	// Report is what servers report of their load: "" (correct, up to 0.1 s old), "late" (up to 1.4 s old),
+	// "none", "some" (every other server), "frozen" (as of the first second), "idle" (utilization 0), "busy"
+	// (1) or "nan".
 	Report        string  `toml:"report"`
 	nestedCallsMs float64 // a request's calls of other services, which occupy its worker
 }
@@ -80,8 +81,8 @@
 // Load is what clients send, in an open loop.
 type Load struct {
 	PerS float64 `toml:"per_s"` // over all agents
-	// Burst is the factor on the rate while a burst is on (a Markov-modulated Poisson process); 0 or 1: none. A burst
-	// is on for BurstMs in the mean, and off for as long as keeps the mean rate.
+	// Burst is the factor on the rate while a burst is on (a Markov-modulated Poisson process); 0 or 1: none.
+	// A burst is on for BurstMs in the mean, and off for as long as keeps the mean rate.
 	Burst   float64 `toml:"burst"`
 	BurstMs float64 `toml:"burst_ms"`
 	// Swing is the amplitude, 0 to 1, of a day's curve of the rate over the length of the run.
@@ -140,7 +141,8 @@
 	DurationS      float64 `toml:"for_s"` // 0: to the end of the run
 	ServerFraction float64 `toml:"share"` // of the candidates, from the first on
 	Count          int     `toml:"count"` // in place of ServerFraction
-	// TargetZone, TargetService and TargetRack restrict the candidates; all count from 1, and 0 is no restriction.
+	// TargetZone, TargetService and TargetRack restrict the candidates; all count from 1, and 0 is no
+	// restriction.
 	TargetZone    int `toml:"of_zone"`
 	TargetService int `toml:"of_service"`
 	TargetRack    int `toml:"of_rack"`
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -32,8 +32,9 @@
 	reportErrorsPerS
 )
 
-// server is a server with workers and a bounded queue before them, and a process that starts slowly. It is a G/G/k
-// queue with rejection (Kleinrock, "Queueing Systems" I); slow start and overload are those of the contract.
+// server is a server with workers and a bounded queue before them, and a process that starts slowly. It is a
+// G/G/k queue with rejection (Kleinrock, "Queueing Systems" I); slow start and overload are those of the
+// contract.
 type server struct {
 	world  *World
 	index  int
--- a/internal/emulator/tenant.go
+++ b/internal/emulator/tenant.go
@@ -19,8 +19,8 @@
 	LoadWeight float64 `toml:"asks"` // 0: as Quota
 }
 
-// tokenBucket tells which events of a flow are within a rate, with a burst of one second. A bucket without a rate
-// allows all.
+// tokenBucket tells which events of a flow are within a rate, with a burst of one second. A bucket without a
+// rate allows all.
 type tokenBucket struct {
 	perS       float64
 	tokens     float64
@@ -50,8 +50,8 @@
 	return weight * overQuotaWeight
 }
 
-// quotaAccount sums the priority weight of a tenant's requests. Offered and served requests have a bucket each, so
-// that it does not matter which of them are served.
+// quotaAccount sums the priority weight of a tenant's requests. Offered and served requests have a bucket
+// each, so that it does not matter which of them are served.
 type quotaAccount struct {
 	offered       tokenBucket
 	granted       tokenBucket
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -76,8 +76,8 @@
 	sampledServers int                     // samples in totals.MeanConnections
 }
 
-// newRand returns a source of randomness for one part of a run, so that the draws of one part do not shift those
-// of another.
+// newRand returns a source of randomness for one part of a run, so that the draws of one part do not shift
+// those of another.
 func newRand(seed uint64, name string, index int) *rand.Rand {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, name, index)
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,5 +1,6 @@
-// Package experiment runs scenarios of the emulator under several policies and seeds, on all cores, and compares the
-// policies. Results are appended to a file run by run, so that an experiment that was stopped can be resumed.
+// Package experiment runs scenarios of the emulator under several policies and seeds, on all cores, and
+// compares the policies. Results are appended to a file run by run, so that an experiment that was stopped
+// can be resumed.
 package experiment
 
 import (
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -38,8 +38,8 @@
 	return Load(file)
 }
 
-// An experiment whose results are cut off at any byte is resumed: each run has one line, and the results are those of
-// an experiment that was not stopped. Results of something else are left as they are.
+// An experiment whose results are cut off at any byte is resumed: each run has one line, and the results are
+// those of an experiment that was not stopped. Results of something else are left as they are.
 func TestResumedExperimentHasTheSameResults(t *testing.T) {
 	e, err := load(t, small)
 	if err != nil {
--- a/internal/lab/experiment/results.go
+++ b/internal/lab/experiment/results.go
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// appendLine appends a result in one write. A line that is cut off by a crash is dropped when the file is opened.
+// appendLine appends a result in one write. A line that is cut off by a crash is dropped when the file is
+// opened.
 func appendLine(w io.Writer, v any) error {
 	line, err := json.Marshal(v)
 	if err != nil {
@@ -52,8 +53,8 @@
 	return err
 }
 
-// openResults opens or creates the results, drops an incomplete last line, and returns the results that are there.
-// The file is open for appending. A file that cannot be resumed is left as it is.
+// openResults opens or creates the results, drops an incomplete last line, and returns the results that are
+// there. The file is open for appending. A file that cannot be resumed is left as it is.
 func (e *Experiment) openResults(name string) (*os.File, []*emulator.Result, error) {
 	file, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -45,9 +45,9 @@
 	err     error // the first one
 }
 
-// Run executes the runs that the directory has no result of, and returns all results in the order of scenarios and
-// policies, seed by seed. progress is called after each run, by one goroutine at a time; it may be nil. A run that
-// was begun is completed when the context is done.
+// Run executes the runs that the directory has no result of, and returns all results in the order of
+// scenarios and policies, seed by seed. progress is called after each run, by one goroutine at a time; it may
+// be nil. A run that was begun is completed when the context is done.
 func (e *Experiment) Run(
 	ctx context.Context, dir string, progress func(done, total int),
 ) ([]*emulator.Result, error) {
@@ -97,7 +97,8 @@
 	return out
 }
 
-// runMissing executes the runs without a result on all cores until the context is done, and waits for their ends.
+// runMissing executes the runs without a result on all cores until the context is done, and waits for their
+// ends.
 func (r *runner) runMissing(ctx context.Context, keys []runKey) {
 	var missing []runKey
 	for _, key := range keys {
@@ -130,8 +131,8 @@
 	}
 }
 
-// run executes a run and appends its result to the file; it is called by several goroutines. The first error ends the
-// experiment.
+// run executes a run and appends its result to the file; it is called by several goroutines. The first error
+// ends the experiment.
 func (r *runner) run(key runKey) {
 	scenario := &r.experiment.Scenarios[key.scenario]
 	result, err := emulator.Run(scenario, policyByName(key.policy), key.seed)
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -23,8 +23,8 @@
 	Scenario string
 	Policy   string
 	Goodput  float64
-	// LeadLow and LeadHigh are the 95 % interval of what the first policy is better by, in Experiment.By (paired
-	// bootstrap over seeds).
+	// LeadLow and LeadHigh are the 95 % interval of what the first policy is better by, in Experiment.By
+	// (paired bootstrap over seeds).
 	LeadLow         float64
 	LeadHigh        float64
 	P99Ms           float64
@@ -44,7 +44,8 @@
 // rowKey identifies a row.
 type rowKey struct{ scenario, policy string }
 
-// Table compares each policy with the first of the experiment. It needs the results of all runs, as Run returns them.
+// Table compares each policy with the first of the experiment. It needs the results of all runs, as Run
+// returns them.
 func (e *Experiment) Table(results []*emulator.Result) []Row {
 	byRow := map[rowKey][]*emulator.Result{}
 	for _, r := range results {
