--- a/internal/emulator/graph_test.go
+++ b/internal/emulator/graph_test.go
@@ -167,7 +167,7 @@
 	sc.Classes[0].Effect = "unsafe" // the client doesn't come back after a failure
 	r := run(t, sc, choices(1), 5)
 	if math.Abs(r.Goodput-0.7) > 0.05 || len(r.Violations) > 0 {
-		t.Errorf("served %v of %d, breaches %v", r.Goodput, r.Ops, r.ViolationTexts)
+		t.Errorf("served %v of %d, violations %v", r.Goodput, r.Ops, r.ViolationTexts)
 	}
 	for i, h := range r.Path.Hops {
 		if h.Attempts != h.Requested || math.Abs(float64(h.Served)/float64(h.Requested)-0.7) > 0.05 {
