--- a/internal/admin/stats.go
+++ b/internal/admin/stats.go
@@ -31,7 +31,7 @@
 	Renewals    int64  // calls to the configuration store
 	Failed      int64  // those of them that failed
 	Relayed     int64  // calls of peers that it relayed
-	Unapplied   int64  // configurations that it could not apply
+	NotAdopted  int64  // configurations that it could not apply
 	Adopted     int64  // configurations that it has applied
 }
 
@@ -62,7 +62,7 @@
 	writeMetric(out, "agreed.asks", c.Renewals)
 	writeMetric(out, "agreed.asks_failed", c.Failed)
 	writeMetric(out, "agreed.asks_relayed", c.Relayed)
-	writeMetric(out, "agreed.unable", c.Unapplied)
+	writeMetric(out, "agreed.unable", c.NotAdopted)
 	writeMetric(out, "agreed.taken_up", c.Adopted)
 }
 
--- a/internal/agent/admin.go
+++ b/internal/agent/admin.go
@@ -70,7 +70,7 @@
 	s.cordonLock.Lock()
 	defer s.cordonLock.Unlock()
 	known := make(chan bool, 1)
-	if !s.loop.Call(loopTimeout/2, func() { known <- s.loop.Known(id) }) {
+	if !s.loop.Do(loopTimeout/2, func() { known <- s.loop.Known(id) }) {
 		return errBusy
 	}
 	if !<-known {
@@ -89,7 +89,7 @@
 			return err
 		}
 	}
-	if !s.loop.Call(loopTimeout/2, func() { s.loop.Cordon(id, cordoned) }) && cordoned {
+	if !s.loop.Do(loopTimeout/2, func() { s.loop.Cordon(id, cordoned) }) && cordoned {
 		return errCordonLate
 	}
 	return nil
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -277,7 +277,7 @@
 		PublishRotation: c.AdminAddr != "",
 	}
 	if c.SharedConfig != nil {
-		loop.SharedConfig = &core.SharedConfig{RejectWhenStale: c.SharedConfig.OnExpiry == client.OnExpiryReject}
+		loop.SharedConfig = &core.SharedConfig{RejectOnExpiry: c.SharedConfig.OnExpiry == client.OnExpiryReject}
 	}
 	if c.Registry != nil {
 		loop.Merge = c.Registry.Merge()
--- a/internal/agent/sharedconfig.go
+++ b/internal/agent/sharedconfig.go
@@ -108,7 +108,7 @@
 		stats, _ := s.loop.SharedConfigStats()
 		got <- stats
 	}
-	if s.loop.Call(loopTimeout/2, read) {
+	if s.loop.Do(loopTimeout/2, read) {
 		loopStats = <-got
 	}
 	calls := s.renewer.Stats()
@@ -121,7 +121,7 @@
 		Renewals:    calls.Renewals.Load(),
 		Failed:      calls.Failed.Load(),
 		Relayed:     calls.Relayed.Load(),
-		Unapplied:   calls.Rejected.Load(),
+		NotAdopted:  calls.NotAdopted.Load(),
 		Adopted:     calls.Adopted.Load(),
 	}
 }
--- a/internal/agent/sharedstate.go
+++ b/internal/agent/sharedstate.go
@@ -67,7 +67,7 @@
 	if loop.WatchNodes != nil {
 		return s, nil // the saved list lacks the registry, which each process reads itself
 	}
-	loop.EndpointsChanged = func() { notify(s.endpointsChanged) }
+	loop.OnEndpointUpdate = func() { notify(s.endpointsChanged) }
 	if s.dir.First() {
 		return s, nil // a saved list is of a process that was killed
 	}
--- a/internal/configstore/api_read.go
+++ b/internal/configstore/api_read.go
@@ -115,7 +115,7 @@
 	if r.lessor != nil {
 		now := r.now()
 		s.Holders = maps.Clone(r.lessor.Holders(now))
-		s.BlockedBy = r.lessor.Adopted(now, r.state.History.Epoch, r.state.History.EndpointsChanged).Holders
+		s.BlockedBy = r.lessor.Adopted(now, r.state.History.Epoch, r.state.History.ServerRulesDiffer).Holders
 	}
 }
 
--- a/internal/configstore/api_renew.go
+++ b/internal/configstore/api_renew.go
@@ -66,5 +66,5 @@
 
 // newRenewResponse is the response that carries a grant without the configuration.
 func newRenewResponse(grant lease.Grant) *client.RenewResponse {
-	return &client.RenewResponse{Epoch: grant.Epoch, LeaseMs: grant.LeaseMs, EndpointsMs: grant.EndpointsMs}
+	return &client.RenewResponse{Epoch: grant.Epoch, LeaseMs: grant.LeaseMs, ServerRulesMs: grant.ServerRulesMs}
 }
--- a/internal/configstore/client/config.go
+++ b/internal/configstore/client/config.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Values of Config.OnExpiry: what an agent does once its lease and its endpoints have expired.
+// Values of Config.OnExpiry: what an agent does once its lease and its server rules have expired.
 const (
 	OnExpiryReject = "refuse"
 	OnExpiryServe  = "serve"
--- a/internal/configstore/client/messages.go
+++ b/internal/configstore/client/messages.go
@@ -40,10 +40,10 @@
 
 // RenewResponse is a granted lease. Config is set if the epoch is another than that of the request.
 type RenewResponse struct {
-	Epoch       uint64          `json:"stage"`
-	LeaseMs     float64         `json:"lease_ms"`
-	EndpointsMs float64         `json:"list_ms"` // beyond LeaseMs, for which the epoch's endpoints may be used
-	Config      json.RawMessage `json:"book,omitempty"`
+	Epoch         uint64          `json:"stage"`
+	LeaseMs       float64         `json:"lease_ms"`
+	ServerRulesMs float64         `json:"list_ms"` // beyond LeaseMs, for which the epoch's server rules may be used
+	Config        json.RawMessage `json:"book,omitempty"`
 }
 
 // CordonRequest cordons a server, or ends that.
--- a/internal/configstore/client/renewer.go
+++ b/internal/configstore/client/renewer.go
@@ -28,18 +28,18 @@
 type Applier interface {
 	// Adopt has it act on an epoch and its configuration; nil: on its own file alone. After an error, which says why it
 	// can't, it goes on as before.
-	Adopt(ctx context.Context, epoch uint64, config *sharedconfig.Config, until, endpointsUntil time.Time) error
+	Adopt(ctx context.Context, epoch uint64, config *sharedconfig.Config, until, serverRulesUntil time.Time) error
 	// Renew extends the lease on the adopted epoch.
-	Renew(ctx context.Context, until, endpointsUntil time.Time)
+	Renew(ctx context.Context, until, serverRulesUntil time.Time)
 }
 
 // Stats are counts for operators.
 type Stats struct {
-	Renewals atomic.Int64 // calls to replicas and peers
-	Failed   atomic.Int64 // of these
-	Relayed  atomic.Int64 // calls of peers
-	Adopted  atomic.Int64 // epochs
-	Rejected atomic.Int64 // leases that could not be acted on
+	Renewals   atomic.Int64 // calls to replicas and peers
+	Failed     atomic.Int64 // of these
+	Relayed    atomic.Int64 // calls of peers
+	Adopted    atomic.Int64 // epochs
+	NotAdopted atomic.Int64 // leases that could not be acted on
 }
 
 // Renewer keeps one holder's lease. Methods may be called from any goroutine, Run once.
@@ -198,7 +198,7 @@
 		r.problem = text
 		slog.Error("epoch not adopted", "epoch", epoch, "err", err)
 	}
-	r.stats.Rejected.Add(1)
+	r.stats.NotAdopted.Add(1)
 }
 
 func (r *Renewer) succeeded(addr string, isPeer bool) {
@@ -214,17 +214,17 @@
 // accept counts a granted lease and has it acted on.
 func (r *Renewer) accept(ctx context.Context, requestedAt float64, response *RenewResponse) error {
 	next := r.lease
-	grant := lease.Grant{Epoch: response.Epoch, LeaseMs: response.LeaseMs, EndpointsMs: response.EndpointsMs}
+	grant := lease.Grant{Epoch: response.Epoch, LeaseMs: response.LeaseMs, ServerRulesMs: response.ServerRulesMs}
 	if !next.Accept(leaseStart(requestedAt), clock.Steady(), grant) {
 		return fmt.Errorf("a lease on epoch %d, %.0f ms after it was requested, with epoch %d adopted",
 			response.Epoch, clock.Steady()-requestedAt, r.lease.Epoch)
 	}
 	until := clock.At(next.Until)
-	endpointsUntil := clock.At(next.EndpointsUntil)
+	serverRulesUntil := clock.At(next.ServerRulesUntil)
 	if response.Epoch == r.lease.Epoch && r.stats.Adopted.Load() > 0 {
-		r.applier.Renew(ctx, until, endpointsUntil)
+		r.applier.Renew(ctx, until, serverRulesUntil)
 	} else {
-		if err := r.adopt(ctx, response, until, endpointsUntil); err != nil {
+		if err := r.adopt(ctx, response, until, serverRulesUntil); err != nil {
 			return err
 		}
 		slog.Info("epoch adopted", "epoch", response.Epoch, "left_ms", int(next.Until-clock.Steady()))
@@ -234,7 +234,7 @@
 	return nil
 }
 
-func (r *Renewer) adopt(ctx context.Context, response *RenewResponse, until, endpointsUntil time.Time) error {
+func (r *Renewer) adopt(ctx context.Context, response *RenewResponse, until, serverRulesUntil time.Time) error {
 	var config *sharedconfig.Config
 	if response.Epoch > 0 {
 		var err error
@@ -242,7 +242,7 @@
 			return err
 		}
 	}
-	if err := r.applier.Adopt(ctx, response.Epoch, config, until, endpointsUntil); err != nil {
+	if err := r.applier.Adopt(ctx, response.Epoch, config, until, serverRulesUntil); err != nil {
 		return err
 	}
 	r.stats.Adopted.Add(1)
--- a/internal/configstore/compatibility_test.go
+++ b/internal/configstore/compatibility_test.go
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	config := &Config{Name: "k1", Listen: "127.0.0.1:0", Data: data, Members: map[string]string{"k1": "127.0.0.1:0"},
-		LeaseMs: 2000, EndpointsMs: 3000, TickMs: 5}
+		LeaseMs: 2000, ServerRulesMs: 3000, TickMs: 5}
 	ctx, cancel := context.WithCancel(t.Context())
 	listening := make(chan net.Addr, 1)
 	ended := make(chan error, 1)
--- a/internal/configstore/config.go
+++ b/internal/configstore/config.go
@@ -10,36 +10,36 @@
 
 // Defaults of the configuration file.
 const (
-	defaultLeaseMs     = 2000
-	defaultEndpointsMs = 3000
-	defaultTickMs      = 25
+	defaultLeaseMs       = 2000
+	defaultServerRulesMs = 3000
+	defaultTickMs        = 25
 )
 
 // Bounds of the configuration file.
 const (
-	maxNameBytes   = 64
-	minLeaseMs     = 200
-	maxLeaseMs     = 60_000
-	maxEndpointsMs = 3_600_000
-	minTickMs      = 5
-	maxTickMs      = 1000
+	maxNameBytes     = 64
+	minLeaseMs       = 200
+	maxLeaseMs       = 60_000
+	maxServerRulesMs = 3_600_000
+	minTickMs        = 5
+	maxTickMs        = 1000
 )
 
 // Config is the configuration file of a replica, deploy/keeper.toml. The operators' page describes the keys.
 type Config struct {
-	Name        string            `toml:"name"`
-	Listen      string            `toml:"listen"`
-	Data        string            `toml:"data"`    // directory
-	Members     map[string]string `toml:"members"` // addresses of the first members by name, this replica among them
-	Join        bool              `toml:"join"`    // wait to be added to a cluster that exists
-	LeaseMs     float64           `toml:"lease_ms"`
-	EndpointsMs float64           `toml:"list_ms"` // beyond a lease, for which its endpoints may be used
-	TickMs      float64           `toml:"tick_ms"`
+	Name          string            `toml:"name"`
+	Listen        string            `toml:"listen"`
+	Data          string            `toml:"data"`    // directory
+	Members       map[string]string `toml:"members"` // addresses of the first members by name, this replica among them
+	Join          bool              `toml:"join"`    // wait to be added to a cluster that exists
+	LeaseMs       float64           `toml:"lease_ms"`
+	ServerRulesMs float64           `toml:"list_ms"` // beyond a lease, for which its server rules may be used
+	TickMs        float64           `toml:"tick_ms"`
 }
 
 // Load reads and checks a configuration file.
 func Load(path string) (*Config, error) {
-	c := &Config{LeaseMs: defaultLeaseMs, EndpointsMs: defaultEndpointsMs, TickMs: defaultTickMs}
+	c := &Config{LeaseMs: defaultLeaseMs, ServerRulesMs: defaultServerRulesMs, TickMs: defaultTickMs}
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("keeper: %w", err)
@@ -72,7 +72,7 @@
 	if err := checkMs("lease_ms", c.LeaseMs, minLeaseMs, maxLeaseMs); err != nil {
 		return err
 	}
-	if err := checkMs("list_ms", c.EndpointsMs, 0, maxEndpointsMs); err != nil {
+	if err := checkMs("list_ms", c.ServerRulesMs, 0, maxServerRulesMs); err != nil {
 		return err
 	}
 	return checkMs("tick_ms", c.TickMs, minTickMs, maxTickMs)
--- a/internal/configstore/durability.go
+++ b/internal/configstore/durability.go
@@ -8,8 +8,8 @@
 )
 
 // diskStallTicks is for how many ticks a replica whose disk does not answer behaves like any other; after that it sends
-// nothing, so that a leader is replaced. As deployed a change is then still in force within 8 s (1.5 s for the stall,
-// 0.8 s for the election, 5.1 s for the leases of the previous leader); a shorter stall costs less than an election.
+// nothing, so that a leader is replaced. A shorter stall costs less than an election. See "Timers of a configuration
+// change" in docs/ARCHITECTURE.md.
 const diskStallTicks = 60
 
 // submitJob gives the writer a job. Lab builds can replace it by one that waits for the job.
--- a/internal/configstore/proposals.go
+++ b/internal/configstore/proposals.go
@@ -72,7 +72,7 @@
 	if log.Epoch == r.advancing.epoch && now-r.advancing.at < r.electionTimeoutMs() {
 		return // the proposal is under way
 	}
-	if !r.lessor.MayAdvance(now, log.Epoch, log.EndpointsChanged) {
+	if !r.lessor.MayAdvance(now, log.Epoch, log.ServerRulesDiffer) {
 		return
 	}
 	epoch := log.Epoch
--- a/internal/configstore/raft.go
+++ b/internal/configstore/raft.go
@@ -187,7 +187,7 @@
 		return
 	}
 	if r.lessor == nil || r.lessorTerm != term {
-		r.lessor = lease.NewLessor(r.now(), r.cfg.LeaseMs, r.cfg.EndpointsMs)
+		r.lessor = lease.NewLessor(r.now(), r.cfg.LeaseMs, r.cfg.ServerRulesMs)
 		r.lessorTerm = term
 	}
 }
--- a/internal/configstore/raft_test.go
+++ b/internal/configstore/raft_test.go
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { dir.Close() })
-		replica := newReplica(t.Context(), &Config{Name: name, Members: members, LeaseMs: 2000, EndpointsMs: 3000, TickMs: 25}, dir,
+		replica := newReplica(t.Context(), &Config{Name: name, Members: members, LeaseMs: 2000, ServerRulesMs: 3000, TickMs: 25}, dir,
 			&Identity{Name: name, ID: uint64(i + 1), Cluster: 1, Formed: formed})
 		replica.runPeer = func(*peer, context.Context) {}
 		if err := replica.watermarks.load(dir); err != nil {
--- a/internal/configstore/transition_cache_test.go
+++ b/internal/configstore/transition_cache_test.go
@@ -66,7 +66,7 @@
 			if steps++; got != nil && got == before {
 				cached++
 			}
-			g := lease.Grant{Epoch: log.Epoch, LeaseMs: []float64{600, 2000}[rng.IntN(2)], EndpointsMs: 0.5}
+			g := lease.Grant{Epoch: log.Epoch, LeaseMs: []float64{600, 2000}[rng.IntN(2)], ServerRulesMs: 0.5}
 			text, err := c.encodedResponse(log, g)
 			if err != nil || (text == nil) != (want == nil) {
 				t.Fatalf("seed %d, step %d: at epoch %d: %q, %v", seed, i, log.Epoch, text, err)
@@ -76,7 +76,7 @@
 			}
 			var plain bytes.Buffer
 			config := json.RawMessage(encodeJSON(t, want.Config))
-			response := &client.RenewResponse{Epoch: g.Epoch, LeaseMs: g.LeaseMs, EndpointsMs: g.EndpointsMs, Config: config}
+			response := &client.RenewResponse{Epoch: g.Epoch, LeaseMs: g.LeaseMs, ServerRulesMs: g.ServerRulesMs, Config: config}
 			json.NewEncoder(&plain).Encode(response)
 			if !bytes.Equal(text, plain.Bytes()) {
 				t.Fatalf("seed %d, step %d: the answer is %s, the encoder's %s", seed, i, text, plain.Bytes())
@@ -91,9 +91,9 @@
 // newLeader returns a leader with n holders on the epoch before the one in force, which is a transition between versions
 // of so many classes.
 func newLeader(t *testing.T, n, classes int) (replica *Replica, now float64) {
-	replica = &Replica{cfg: &Config{TickMs: 50, LeaseMs: 2000, EndpointsMs: 3000}, advancing: epochProposal{at: longAgo}}
+	replica = &Replica{cfg: &Config{TickMs: 50, LeaseMs: 2000, ServerRulesMs: 3000}, advancing: epochProposal{at: longAgo}}
 	now = 1e6
-	replica.lessor = lease.NewLessor(0, replica.cfg.LeaseMs, replica.cfg.EndpointsMs)
+	replica.lessor = lease.NewLessor(0, replica.cfg.LeaseMs, replica.cfg.ServerRulesMs)
 	for v := range uint64(2) {
 		config := &sharedconfig.Config{MaxAttempts: int(v) + 1, Classes: map[string]sharedconfig.Class{}}
 		for c := range classes {
--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -129,8 +129,8 @@
 			State:               stateNames[view.State],
 			SinceMs:             view.StateSinceMs,
 			Usable:              view.Usable,
-			Capacity:            view.Capacity,
-			ConsecutiveFailures: view.ConsecutiveFailures,
+			Capacity:            view.WarmUpFraction,
+			ConsecutiveFailures: view.Ejections,
 		})
 	}
 	slices.SortFunc(reports, func(x, y ServerReport) int { return cmp.Compare(x.ID, y.ID) })
--- a/internal/control/assign/assignment.go
+++ b/internal/control/assign/assignment.go
@@ -135,7 +135,7 @@
 // baseEndpoint maps the balancer's view of a usable server to its tier and weight.
 func (a *Assigner) baseEndpoint(view *policy.View, entry *membership.Entry) baseEndpoint {
 	e := baseEndpoint{
-		Endpoint:   Endpoint{ID: entry.ID, Addr: entry.Addr, Zone: entry.Zone, SlowStart: view.Capacity < 1},
+		Endpoint:   Endpoint{ID: entry.ID, Addr: entry.Addr, Zone: entry.Zone, SlowStart: view.WarmUpFraction < 1},
 		fullWeight: max(view.Weight*fullWeight, 1),
 		loadShare:  view.LoadShare,
 	}
@@ -145,7 +145,7 @@
 	case view.State == policy.Unhealthy:
 		e.Tier = LastResort
 		a.unhealthySince[entry.ID] = view.StateSinceMs
-	case view.State == policy.Unknown && view.ConsecutiveFailures > 0:
+	case view.State == policy.Unknown && view.Ejections > 0:
 		e.fullWeight = max(e.fullWeight*unprovenWeight, 1)
 	}
 	return e
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -40,7 +40,7 @@
 	index := len(r.attempts)
 	backend := l.endpoints.byAddr[action.Server]
 	r.attempts = append(r.attempts, &attempt{backend: backend})
-	until := r.call.Deadline.Add(-backstopMargin)
+	until := r.call.Deadline.Add(-deadlineTimerMargin)
 	now := time.Now()
 	if action.DurationMs != 0 && r.call.TimeAfterBody == 0 {
 		until = earliest(until, now.Add(durationFromMs(action.DurationMs)))
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -13,7 +13,7 @@
 	Rejected         int
 	Failed           int
 	Disconnected     int // their client disconnected before the answer
-	DeadlineExceeded int // completed by the backstop instead of the balancer
+	DeadlineExceeded int // completed by the deadline timer instead of the balancer
 	GuardViolations  int // decisions of the balancer that the guard did not allow
 }
 
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -201,8 +201,8 @@
 		l.endpoints.forget(b)
 	}
 	l.publishRotation()
-	if l.cfg.EndpointsChanged != nil {
-		l.cfg.EndpointsChanged()
+	if l.cfg.OnEndpointUpdate != nil {
+		l.cfg.OnEndpointUpdate()
 	}
 }
 
--- a/internal/core/eventloop.go
+++ b/internal/core/eventloop.go
@@ -119,9 +119,9 @@
 	}
 }
 
-// Call runs a function in the loop and waits for it, for at most timeout. It reports whether the function has
+// Do runs a function in the loop and waits for it, for at most timeout. It reports whether the function has
 // returned by then; one that has not may still run.
-func (l *EventLoop) Call(timeout time.Duration, f func()) bool {
+func (l *EventLoop) Do(timeout time.Duration, f func()) bool {
 	expired := time.NewTimer(timeout)
 	defer expired.Stop()
 	done := make(chan struct{})
--- a/internal/core/eventloop_test.go
+++ b/internal/core/eventloop_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// The backstop answers before the deadline if the balancer does not.
+// The deadline timer answers before the deadline if the balancer does not.
 func TestDeadlineExceededAnswersOnce(t *testing.T) {
 	l := newTestLoop(t, stub{})
 	// A request that the balancer does not know stands for one that it forgot.
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -10,17 +10,18 @@
 	// policyMargin is taken off the time that the balancer is given for a request, for the way of the answer to the
 	// client.
 	policyMargin = 8 * time.Millisecond
-	// backstopMargin is how long before the client's deadline the backstop answers, after the balancer should have.
-	backstopMargin = 4 * time.Millisecond
+	// deadlineTimerMargin is how long before the client's deadline the event loop answers by itself, after the balancer
+	// should have.
+	deadlineTimerMargin = 4 * time.Millisecond
 	// dedupWindowMargin is taken off the time in which servers drop repeats of a request, for the way to the server.
 	// The balancer stops earlier, by two of its batch intervals.
 	dedupWindowMargin = 5 * time.Millisecond
 )
 
 // RequestTimeouts returns, of the time that a request has left, what the balancer is given and after how long the
-// backstop answers. Of a short time each margin is a fraction.
-func RequestTimeouts(left time.Duration) (balancer, backstop time.Duration) {
-	return left - min(policyMargin, left/8), left - min(backstopMargin, left/16)
+// deadline timer answers. Of a short time each margin is a fraction.
+func RequestTimeouts(left time.Duration) (balancer, deadlineTimer time.Duration) {
+	return left - min(policyMargin, left/8), left - min(deadlineTimerMargin, left/16)
 }
 
 // Guard checks an attempt against the contract, whatever the balancer decides. The event loop and the emulator use the
@@ -42,7 +43,7 @@
 	Attempts     int  // attempts so far, with this one
 	MaxAttempts  int
 	Effect       policy.Effect
-	BodyConsumed bool // a part of a streamed body was sent, and is not buffered
+	BodyConsumed bool // a part of a streamed body was sent and is not buffered
 	// WindowExpired and OutsideScope are of a request with an idempotency key that may have run: the dedup window is
 	// over; the backend is in another dedup scope than the one that the first such attempt was sent to.
 	WindowExpired bool
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -14,7 +14,7 @@
 	answered          bool
 	streaming         bool          // the rest of its reply is still being sent to the client
 	narrowestClass    *policy.Class // strictest rules that applied since it was submitted; nil: never changed
-	backstop          *time.Timer   // calls deadlineExceeded
+	deadlineTimer     *time.Timer   // calls deadlineExceeded
 	deadlineShortened bool          // by the shutdown of the process
 	idClaimed         bool          // in Config.SharedIDs
 
@@ -34,8 +34,9 @@
 	return &l.cfg.Settings.Classes[r.call.Class]
 }
 
-// Submit gives a call to the balancer. A call with the id of another request fails. One that has no time left, or
-// that exceeds Limits.MaxOpenRequests, is rejected. It is called in the loop.
+// Submit gives a call to the balancer. A call with the id of another request fails. A call is rejected if it has no time
+// left, if its downstream is at its connection limit, if it exceeds Limits.MaxOpenRequests, or if the server rules of the
+// shared configuration have expired. It is called in the loop.
 func (l *EventLoop) Submit(c *Call) *Request {
 	l.stats.Accepted++
 	l.nextID++
@@ -58,12 +59,12 @@
 	}
 	l.requests[r.id] = r
 	l.requestsByClientID[c.ID] = r
-	left, backstop := RequestTimeouts(left)
+	left, untilDeadlineTimer := RequestTimeouts(left)
 	if c.TimeAfterBody > 0 {
-		backstop = time.Until(c.Deadline)
+		untilDeadlineTimer = time.Until(c.Deadline)
 		c.onBodyWritten = func(at time.Time) { l.Post(func() { l.bodyWritten(r, at) }) }
 	}
-	r.backstop = time.AfterFunc(backstop, func() {
+	r.deadlineTimer = time.AfterFunc(untilDeadlineTimer, func() {
 		l.Post(func() { l.deadlineExceeded(r) })
 	})
 	l.handle(&policy.Event{
@@ -92,8 +93,8 @@
 		return
 	}
 	r.call.Deadline = l.limitToShutdown(at.Add(r.call.TimeAfterBody))
-	left, backstop := RequestTimeouts(time.Until(r.call.Deadline))
-	r.backstop.Reset(max(backstop, 0))
+	left, untilDeadlineTimer := RequestTimeouts(time.Until(r.call.Deadline))
+	r.deadlineTimer.Reset(max(untilDeadlineTimer, 0))
 	l.handle(&policy.Event{
 		Kind:        policy.EventBodyWritten,
 		Request:     r.id,
@@ -102,7 +103,7 @@
 	})
 }
 
-// deadlineExceeded is the backstop: the balancer should have completed the request before. That it has not is a bug
+// deadlineExceeded is called by the deadline timer: the balancer should have completed the request before. That it has not is a bug
 // or a stall, which is logged and counted, unless a shutdown shortened the deadline under an attempt in flight.
 func (l *EventLoop) deadlineExceeded(r *Request) {
 	if r.answered {
@@ -111,7 +112,7 @@
 	if !r.deadlineShortened {
 		l.stats.DeadlineExceeded++
 		l.log(slog.LevelWarn, "request deadline exceeded", "attempts", len(r.attempts), "in_flight", r.inFlight,
-			"late_ms", msFromDuration(time.Since(r.call.Deadline.Add(-backstopMargin))))
+			"late_ms", msFromDuration(time.Since(r.call.Deadline.Add(-deadlineTimerMargin))))
 	}
 	l.complete(r, Answer{Outcome: Failed, Reason: DeadlineExceeded})
 	l.abandon(r)
@@ -189,8 +190,8 @@
 			l.counters.Open.Add(-1)
 		}
 	}
-	if r.backstop != nil {
-		r.backstop.Stop()
+	if r.deadlineTimer != nil {
+		r.deadlineTimer.Stop()
 	}
 	l.forget(r)
 }
--- a/internal/core/sharedconfig.go
+++ b/internal/core/sharedconfig.go
@@ -11,24 +11,24 @@
 
 // SharedConfig has the loop act by the configuration that all agents share, for as long as it holds a lease on it.
 type SharedConfig struct {
-	// RejectWhenStale: requests are rejected once the endpoint list has expired, too. Else they are forwarded by the
+	// RejectOnExpiry: requests are rejected once the endpoint list has expired, too. Else they are forwarded by the
 	// last known list.
-	RejectWhenStale bool
+	RejectOnExpiry bool
 }
 
 // sharedConfigState is the loop's state of the shared configuration. A nil state means that there is none.
 type sharedConfigState struct {
 	SharedConfig
-	own             policy.Settings // of the agent's file
-	narrowed        policy.Settings // of the agent's file, narrowed by the shared configuration
-	epoch           uint64
-	serving         bool      // requests may be served: there was a lease, or none is needed
-	strict          bool      // the settings in use are the strictest
-	leaseExpiry     time.Time // zero: there was no lease
-	endpointsExpiry time.Time // until when backends are selected by the last known list
-	expiryTimer     *time.Timer
-	expirations     int
-	cordonReleases  map[string]uint64 // by id: the epoch at which a cordon of this agent ends; see ReleaseCordon
+	own               policy.Settings // of the agent's file
+	narrowed          policy.Settings // of the agent's file, narrowed by the shared configuration
+	epoch             uint64
+	serving           bool      // requests may be served: there was a lease, or none is needed
+	strict            bool      // the settings in use are the strictest
+	leaseExpiry       time.Time // zero: there was no lease
+	serverRulesExpiry time.Time // until when the configuration's server rules may be used
+	expiryTimer       *time.Timer
+	expirations       int
+	cordonReleases    map[string]uint64 // by id: the epoch at which a cordon of this agent ends; see ReleaseCordon
 }
 
 // beforeAnyTime is a deadline that has always passed.
@@ -47,17 +47,17 @@
 	}
 	l.shared.expiryTimer = time.AfterFunc(idleTimer, func() { l.Post(l.leaseExpired) })
 	l.shared.expiryTimer.Stop()
-	l.shared.serving = !l.shared.RejectWhenStale
+	l.shared.serving = !l.shared.RejectOnExpiry
 	l.useSettings(sharedconfig.Strict(l.cfg.Settings), true)
 }
 
 // rejecting reports whether requests are rejected, since the endpoint list has expired.
 func (s *sharedConfigState) rejecting(now time.Time) bool {
-	return s != nil && s.RejectWhenStale && !now.Before(s.endpointsExpiry)
+	return s != nil && s.RejectOnExpiry && !now.Before(s.serverRulesExpiry)
 }
 
-// startDeadline returns until when an attempt may begin: a retry within the lease, and any attempt before the endpoint
-// list expires where RejectWhenStale is set. The earlier of that and retryUntil counts; zero is no bound.
+// startDeadline returns until when an attempt may begin: a retry within the lease, and any attempt before the server
+// rules expire where RejectOnExpiry is set. The earlier of that and retryUntil counts; zero is no bound.
 func (s *sharedConfigState) startDeadline(index int, retryUntil time.Time) time.Time {
 	var deadline time.Time
 	switch {
@@ -65,8 +65,8 @@
 		return retryUntil
 	case index > 0:
 		deadline = s.leaseExpiry
-	case s.RejectWhenStale:
-		deadline = s.endpointsExpiry
+	case s.RejectOnExpiry:
+		deadline = s.serverRulesExpiry
 	default:
 		return retryUntil
 	}
@@ -80,8 +80,8 @@
 }
 
 // AdoptConfig has the loop act by the configuration of an epoch until leaseExpiry, and select backends by it until
-// endpointsExpiry. With a nil config the agent's own file holds. It is called in the loop.
-func (l *EventLoop) AdoptConfig(epoch uint64, config *sharedconfig.Config, leaseExpiry, endpointsExpiry time.Time) {
+// serverRulesExpiry. With a nil config the agent's own file holds. It is called in the loop.
+func (l *EventLoop) AdoptConfig(epoch uint64, config *sharedconfig.Config, leaseExpiry, serverRulesExpiry time.Time) {
 	s := l.shared
 	settings := s.own
 	if config != nil {
@@ -89,16 +89,16 @@
 	}
 	s.epoch = epoch
 	s.narrowed = settings
-	l.RenewLease(leaseExpiry, endpointsExpiry)
+	l.RenewLease(leaseExpiry, serverRulesExpiry)
 	l.useSettings(settings, false)
 	l.applyServerRules(config)
 }
 
 // RenewLease extends the lease and the use of the endpoint list. It is called in the loop.
-func (l *EventLoop) RenewLease(leaseExpiry, endpointsExpiry time.Time) {
+func (l *EventLoop) RenewLease(leaseExpiry, serverRulesExpiry time.Time) {
 	s := l.shared
 	s.leaseExpiry = leaseExpiry
-	s.endpointsExpiry = endpointsExpiry
+	s.serverRulesExpiry = serverRulesExpiry
 	s.expiryTimer.Reset(time.Until(leaseExpiry))
 	if s.strict {
 		l.useSettings(s.narrowed, false)
--- a/internal/core/sharedconfig_test.go
+++ b/internal/core/sharedconfig_test.go
@@ -21,7 +21,7 @@
 		return Result{Status: policy.Cancelled}
 	}}
 	l := newTestLoop(t, u)
-	l.cfg.SharedConfig = &SharedConfig{RejectWhenStale: rejectWhenStale}
+	l.cfg.SharedConfig = &SharedConfig{RejectOnExpiry: rejectWhenStale}
 	l.initSharedConfig()
 	l.updateEndpoints(&membership.List{Revision: 1, Full: true, Entries: []membership.Entry{listedBackend("s-1"), listedBackend("s-2")}}, policy.UpdateDelta, true)
 	return l, sent
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -10,14 +10,14 @@
 // answered by then whatever their clients allow. It is called in the loop.
 func (l *EventLoop) ShutDownBy(deadline time.Time) {
 	l.shutdownDeadline = deadline
-	left, backstop := RequestTimeouts(time.Until(deadline))
+	left, untilDeadlineTimer := RequestTimeouts(time.Until(deadline))
 	for _, r := range l.requests {
 		if r.answered || !r.call.Deadline.After(deadline) {
 			continue
 		}
 		r.call.Deadline = deadline
 		r.deadlineShortened = true
-		r.backstop.Reset(max(backstop, 0))
+		r.deadlineTimer.Reset(max(untilDeadlineTimer, 0))
 		l.handle(&policy.Event{
 			Kind:        policy.EventDeadlineShortened,
 			Request:     r.id,
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -48,7 +48,7 @@
 // of that attempt. An attempt's upstream calls it, at most once.
 func (c *Call) BodyWritten(at time.Time) (until time.Time) {
 	c.onBodyWritten(at)
-	return at.Add(c.TimeAfterBody - backstopMargin)
+	return at.Add(c.TimeAfterBody - deadlineTimerMargin)
 }
 
 // Outcome is how a call ends.
@@ -68,7 +68,7 @@
 const (
 	NoReason          FailureReason = iota
 	Duplicate                       // its id is that of a call that is open, or that may have run and must not run again
-	DeadlineExceeded                // the backstop ended it
+	DeadlineExceeded                // the deadline timer ended it
 	BadRequest                      // the backend found the request faulty
 	IncompleteRequest               // the client did not send the complete body
 )
@@ -162,9 +162,9 @@
 	Cordoned []string // ids of backends that an operator has cordoned
 	SeenIDs  []string // ids that an earlier process of this agent has seen listed
 
-	// EndpointsChanged, where it is set, is called in the loop after each change of the endpoint list. It must not
+	// OnEndpointUpdate, where it is set, is called in the loop after each change of the endpoint list. It must not
 	// block.
-	EndpointsChanged func()
+	OnEndpointUpdate func()
 	// PublishRotation has Rotation computed every rotationInterval, which wakes an idle process. Else it is computed
 	// when the endpoint list or a cordon changes.
 	PublishRotation bool
--- a/internal/lab/leasemodel/check.go
+++ b/internal/lab/leasemodel/check.go
@@ -24,7 +24,7 @@
 	for i := range w.holders {
 		h := &w.holders[i]
 		epoch := h.lease.Epoch
-		if h.lease.HoldsEndpoints(w.clock(i)) {
+		if h.lease.HoldsServerRules(w.clock(i)) {
 			minEndpoints = min(minEndpoints, log.endpointsOf(epoch))
 			maxEndpoints = max(maxEndpoints, log.endpointsOf(epoch))
 		}
--- a/internal/lab/leasemodel/events.go
+++ b/internal/lab/leasemodel/events.go
@@ -61,7 +61,7 @@
 	h.requests = 0
 	if w.defect == ResumeOnRestart {
 		until := w.clock(i) + leaseMs
-		h.lease = lease.Lease{Epoch: before.Epoch - before.Epoch%2, Until: until, EndpointsUntil: until, Granted: true}
+		h.lease = lease.Lease{Epoch: before.Epoch - before.Epoch%2, Until: until, ServerRulesUntil: until, Granted: true}
 	}
 }
 
--- a/internal/lab/leasemodel/log.go
+++ b/internal/lab/leasemodel/log.go
@@ -72,7 +72,7 @@
 	epoch := l.history.Epoch
 	l.history.Apply(&history.Command{Advance: &epoch})
 	endpoints := l.endpoints[len(l.endpoints)-1]
-	if previous == nil || !previous.SameEndpoints(l.history.Transition().Config) {
+	if previous == nil || !previous.SameServerRules(l.history.Transition().Config) {
 		endpoints++
 	}
 	l.epochs = append(l.epochs, l.history.Epoch)
@@ -80,6 +80,6 @@
 }
 
 // endpointsChanged reports to a lessor whether endpoints change.
-func (l *replicatedLog) endpointsChanged(d Defect) lease.EndpointsChanged {
-	return func(from, to uint64) bool { return d != IgnoreEndpoints && l.history.EndpointsChanged(from, to) }
+func (l *replicatedLog) endpointsChanged(d Defect) lease.ServerRulesDiffer {
+	return func(from, to uint64) bool { return d != IgnoreEndpoints && l.history.ServerRulesDiffer(from, to) }
 }
--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -160,7 +160,7 @@
 		h := &w.holders[i]
 		clock := w.clock(i)
 		fmt.Fprintf(&b, "H%d,%d,%.3f,%.3f,%d,%d|", h.incarnation, h.lease.Epoch,
-			max(h.lease.Until-clock, 0), max(h.lease.EndpointsUntil-clock, 0), h.highest, h.requests)
+			max(h.lease.Until-clock, 0), max(h.lease.ServerRulesUntil-clock, 0), h.highest, h.requests)
 	}
 	messages := make([]string, len(w.messages))
 	for i, m := range w.messages {
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -184,7 +184,7 @@
 		return err
 	}
 	cfg := core.Config{Discovery: spec.Discovery, CachedEndpoints: spec.Known, Settings: settings, Seed: uint64(of.Index), Zones: zoneNames, MachineTypes: kindNames,
-		SharedConfig: &core.SharedConfig{RejectWhenStale: true}}
+		SharedConfig: &core.SharedConfig{RejectOnExpiry: true}}
 	a := &hollow{h: h}
 	if a.loop, err = core.New(h.ctx, cfg, semaphore.NewWeighted(1<<20), nil, func() {}); err != nil {
 		return err
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -39,22 +39,23 @@
 
 // Grant is a lease on an epoch. Both durations are counted by the holder's clock from before it sent the request.
 type Grant struct {
-	Epoch       uint64
-	LeaseMs     float64
-	EndpointsMs float64 // beyond LeaseMs, for which the epoch's endpoints may still be used, by the strictest settings
+	Epoch         uint64
+	LeaseMs       float64
+	ServerRulesMs float64 // beyond LeaseMs, for which the epoch's server rules may still be used, by the strictest settings
 }
 
-// EndpointsChanged reports whether the endpoints of the configuration change anywhere between two epochs, from <= to.
+// ServerRulesDiffer reports whether the server rules of the shared configuration, that is the servers in service, their
+// weights and the cordons, change anywhere between two epochs, from <= to.
 // It may return true where that is not known.
-type EndpointsChanged func(from, to uint64) bool
+type ServerRulesDiffer func(from, to uint64) bool
 
 // Lease is a holder's own count of its lease. The zero Lease is not held. Times are milliseconds of the holder's own
 // monotonic clock.
 type Lease struct {
-	Epoch          uint64  // the last adopted one
-	Until          float64 // when the lease expires
-	EndpointsUntil float64 // when its endpoints may no longer be used
-	Granted        bool    // false before the first grant
+	Epoch            uint64  // the last adopted one
+	Until            float64 // when the lease expires
+	ServerRulesUntil float64 // when its server rules may no longer be used
+	Granted          bool    // false before the first grant
 }
 
 // Accept counts a grant whose request was sent at requestedMs or later. It reports whether the grant may be acted on:
@@ -62,17 +63,17 @@
 func (l *Lease) Accept(requestedMs, now float64, g Grant) bool {
 	// Invariant 4: by a fast clock the lease still ends before the lessor, by a slow one, counts it as expired.
 	until := requestedMs + g.LeaseMs*(1-MaxClockDrift)
-	endpointsUntil := requestedMs + (g.LeaseMs+g.EndpointsMs)*(1-MaxClockDrift)
+	serverRulesUntil := requestedMs + (g.LeaseMs+g.ServerRulesMs)*(1-MaxClockDrift)
 	if g.Epoch < l.Epoch || until <= now {
 		return false
 	}
 	if g.Epoch > l.Epoch || !l.Granted {
 		l.Until = until // the previous lease was on another epoch
-		l.EndpointsUntil = endpointsUntil
+		l.ServerRulesUntil = serverRulesUntil
 	}
 	l.Epoch = g.Epoch
 	l.Until = max(l.Until, until)
-	l.EndpointsUntil = max(l.EndpointsUntil, endpointsUntil)
+	l.ServerRulesUntil = max(l.ServerRulesUntil, serverRulesUntil)
 	l.Granted = true
 	return true
 }
@@ -80,5 +81,5 @@
 // Holds reports whether the lease is held.
 func (l *Lease) Holds(now float64) bool { return l.Granted && now < l.Until }
 
-// HoldsEndpoints reports whether the endpoints of the lease's epoch may be used.
-func (l *Lease) HoldsEndpoints(now float64) bool { return l.Granted && now < l.EndpointsUntil }
+// HoldsServerRules reports whether the server rules of the lease's epoch may be used.
+func (l *Lease) HoldsServerRules(now float64) bool { return l.Granted && now < l.ServerRulesUntil }
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -8,13 +8,13 @@
 // Lessor grants leases. The leading replica has one, made anew for each term that it leads: leases that it does not know
 // of it waits for. Times are milliseconds of the replica's own monotonic clock. It belongs to one goroutine.
 type Lessor struct {
-	leaseMs     float64
-	endpointsMs float64
-	// Until when leases granted by previous leaders may be held, and their endpoints used.
-	inheritedUntil          float64
-	inheritedEndpointsUntil float64
-	holders                 map[Holder]*holderState
-	blockers                blockerIndex
+	leaseMs       float64
+	serverRulesMs float64
+	// Until when leases granted by previous leaders may be held, and their server rules used.
+	inheritedUntil            float64
+	inheritedServerRulesUntil float64
+	holders                   map[Holder]*holderState
+	blockers                  blockerIndex
 }
 
 // holderState is what a Lessor knows of one holder.
@@ -27,19 +27,19 @@
 	indexed      bool // it is in blockers.candidates
 }
 
-// expiry is until when a lease may be held, and until when its endpoints may be used.
+// expiry is until when a lease may be held, and until when its server rules may be used.
 type expiry struct {
-	lease     float64
-	endpoints float64
+	lease       float64
+	serverRules float64
 }
 
 func (e expiry) latest(other expiry) expiry {
-	return expiry{lease: max(e.lease, other.lease), endpoints: max(e.endpoints, other.endpoints)}
+	return expiry{lease: max(e.lease, other.lease), serverRules: max(e.serverRules, other.serverRules)}
 }
 
 // remaining is for how long each still holds, as text.
 func (e expiry) remaining(now float64) string {
-	return fmt.Sprintf("%.3f,%.3f", max(e.lease-now, 0), max(e.endpoints-now, 0))
+	return fmt.Sprintf("%.3f,%.3f", max(e.lease-now, 0), max(e.serverRules-now, 0))
 }
 
 // expiryBelow is until when the holder may act on an epoch below this one.
@@ -52,13 +52,13 @@
 
 // NewLessor returns the lessor of a replica that becomes the leader at now. Previous leaders granted leases of at most
 // these durations, and none after now.
-func NewLessor(now, leaseMs, endpointsMs float64) *Lessor {
+func NewLessor(now, leaseMs, serverRulesMs float64) *Lessor {
 	return &Lessor{
-		leaseMs:                 leaseMs,
-		endpointsMs:             endpointsMs,
-		inheritedUntil:          now + withDrift(leaseMs),
-		inheritedEndpointsUntil: now + withDrift(leaseMs+endpointsMs),
-		holders:                 map[Holder]*holderState{},
+		leaseMs:                   leaseMs,
+		serverRulesMs:             serverRulesMs,
+		inheritedUntil:            now + withDrift(leaseMs),
+		inheritedServerRulesUntil: now + withDrift(leaseMs+serverRulesMs),
+		holders:                   map[Holder]*holderState{},
 	}
 }
 
@@ -108,9 +108,9 @@
 		h.previous = h.previous.latest(h.current)
 		h.grantedEpoch = epoch
 	}
-	h.current = h.current.latest(expiry{lease: now + withDrift(l.leaseMs), endpoints: now + withDrift(l.leaseMs+l.endpointsMs)})
+	h.current = h.current.latest(expiry{lease: now + withDrift(l.leaseMs), serverRules: now + withDrift(l.leaseMs+l.serverRulesMs)})
 	l.blockers.add(now, h)
-	return Grant{Epoch: epoch, LeaseMs: l.leaseMs, EndpointsMs: l.endpointsMs}, true
+	return Grant{Epoch: epoch, LeaseMs: l.leaseMs, ServerRulesMs: l.serverRulesMs}, true
 }
 
 // removeExpired forgets the holders whose leases have expired, once there are MaxHolders.
@@ -119,7 +119,7 @@
 		return
 	}
 	for holder, h := range l.holders {
-		if h.current.endpoints <= now && h.previous.endpoints <= now {
+		if h.current.serverRules <= now && h.previous.serverRules <= now {
 			delete(l.holders, holder)
 			l.blockers = blockerIndex{} // it must not refer to a removed holder; it is rebuilt when needed next
 		}
@@ -136,28 +136,28 @@
 func (b Blockers) None() bool { return len(b.Holders) == 0 }
 
 // Next returns what blocks the epoch after this one (invariant 1): whoever may act on an epoch before this one, by its
-// settings, or by its endpoints where those of the next epoch differ.
-func (l *Lessor) Next(now float64, epoch uint64, changed EndpointsChanged) Blockers {
+// settings, or by its server rules where those of the next epoch differ.
+func (l *Lessor) Next(now float64, epoch uint64, changed ServerRulesDiffer) Blockers {
 	return l.findBlockers(now, epoch, epoch+1, changed)
 }
 
 // Adopted returns who may still act on an epoch before this one. Nobody: the epoch is adopted everywhere.
-func (l *Lessor) Adopted(now float64, epoch uint64, changed EndpointsChanged) Blockers {
+func (l *Lessor) Adopted(now float64, epoch uint64, changed ServerRulesDiffer) Blockers {
 	return l.findBlockers(now, epoch, epoch, changed)
 }
 
-// findBlockers returns who may act on an epoch before this one, or use other endpoints than those of the target epoch.
-func (l *Lessor) findBlockers(now float64, epoch, target uint64, changed EndpointsChanged) Blockers {
+// findBlockers returns who may act on an epoch before this one, or use other server rules than those of the target epoch.
+func (l *Lessor) findBlockers(now float64, epoch, target uint64, changed ServerRulesDiffer) Blockers {
 	blocksUntil := func(e expiry, from uint64) float64 {
-		if e.endpoints > now && changed(from, target) {
-			return e.endpoints
+		if e.serverRules > now && changed(from, target) {
+			return e.serverRules
 		}
 		return e.lease
 	}
 	var blockers Blockers
 	if epoch > 0 {
-		// A holder that only a previous leader knows acts on the epoch before this one or later, or on the same endpoints.
-		inherited := expiry{lease: l.inheritedUntil, endpoints: l.inheritedEndpointsUntil}
+		// A holder that only a previous leader knows acts on the epoch before this one or later, or on the same server rules.
+		inherited := expiry{lease: l.inheritedUntil, serverRules: l.inheritedServerRulesUntil}
 		if until := blocksUntil(inherited, epoch-1); until > now {
 			blockers.Until = until
 			blockers.Holders = append(blockers.Holders, "leases granted by previous leaders")
@@ -204,11 +204,11 @@
 // Clone returns a copy that shares nothing, for model checks. The index that MayAdvance uses is rebuilt by the copy.
 func (l *Lessor) Clone() *Lessor {
 	c := &Lessor{
-		leaseMs:                 l.leaseMs,
-		endpointsMs:             l.endpointsMs,
-		inheritedUntil:          l.inheritedUntil,
-		inheritedEndpointsUntil: l.inheritedEndpointsUntil,
-		holders:                 make(map[Holder]*holderState, len(l.holders)),
+		leaseMs:                   l.leaseMs,
+		serverRulesMs:             l.serverRulesMs,
+		inheritedUntil:            l.inheritedUntil,
+		inheritedServerRulesUntil: l.inheritedServerRulesUntil,
+		holders:                   make(map[Holder]*holderState, len(l.holders)),
 	}
 	for holder, h := range l.holders {
 		copied := *h
@@ -221,12 +221,12 @@
 func (l *Lessor) Fingerprint(now float64) string {
 	var lines []string
 	for holder, h := range l.holders {
-		if h.current.endpoints <= now && h.previous.endpoints <= now {
+		if h.current.serverRules <= now && h.previous.serverRules <= now {
 			continue
 		}
 		lines = append(lines, fmt.Sprintf("%s/%s:%d,%d,%s,%s", holder.Name, holder.Incarnation, h.epoch, h.grantedEpoch,
 			h.current.remaining(now), h.previous.remaining(now)))
 	}
 	slices.Sort(lines)
-	return fmt.Sprintf("%.3f %.3f %v", max(l.inheritedUntil-now, 0), max(l.inheritedEndpointsUntil-now, 0), lines)
+	return fmt.Sprintf("%.3f %.3f %v", max(l.inheritedUntil-now, 0), max(l.inheritedServerRulesUntil-now, 0), lines)
 }
--- a/internal/membership/decision.go
+++ b/internal/membership/decision.go
@@ -18,7 +18,7 @@
 	if node != nil && node.Entry.State != Up && node.Entry.State != "" && e.State == Up {
 		e.State = Draining
 	}
-	if e.State == Up && m.nodesCount(s) && !m.running(now, s) {
+	if e.State == Up && m.absenceMeansDown(s) && !m.running(now, s) {
 		e.State = Draining
 	}
 	return e, true
@@ -36,8 +36,8 @@
 	return newest
 }
 
-// nodesCount says whether the absence of a node means that the server does not run.
-func (m *Merge) nodesCount(s *server) bool {
+// absenceMeansDown says whether the absence of a node means that the server does not run.
+func (m *Merge) absenceMeansDown(s *server) bool {
 	return s.everHadNode || m.cfg.AllRegistered && m.registrySynced
 }
 
--- a/internal/membership/flapping.go
+++ b/internal/membership/flapping.go
@@ -21,7 +21,7 @@
 	s.flap.returns++
 	if s.flap.returns > 1 {
 		s.flap.holdUntilMs = now + m.cfg.flapHold(s.flap.returns)
-		m.timed[s.id] = s
+		m.withHolds[s.id] = s
 	}
 	s.flap.lastReturnMs = now
 	m.endMassFlap(now)
@@ -36,7 +36,7 @@
 // flaps, and holding all servers back would be an outage of its own.
 func (m *Merge) endMassFlap(now float64) {
 	held := 0
-	for _, s := range m.timed {
+	for _, s := range m.withHolds {
 		if s.flap.holdUntilMs > now {
 			held++
 		}
@@ -44,7 +44,7 @@
 	if !m.cfg.isMass(held, m.registeredServers) {
 		return
 	}
-	for _, s := range m.timed {
+	for _, s := range m.withHolds {
 		if s.flap.holdUntilMs > 0 {
 			s.flap.holdUntilMs = 0
 			s.flap.returns = 0
--- a/internal/membership/massexpiry.go
+++ b/internal/membership/massexpiry.go
@@ -34,7 +34,7 @@
 	}
 	if m.cfg.isMass(len(expired), registeredBefore) {
 		s.expiryHoldUntilMs = now + m.cfg.MassExpiryHoldMs
-		m.timed[s.id] = s
+		m.withHolds[s.id] = s
 	}
 }
 
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -15,12 +15,12 @@
 // follows from it. Each rule has a file: decision.go for one server, massexpiry.go, flapping.go,
 // processstart.go, freshness.go. Times are Unix ms. A Merge belongs to one goroutine.
 type Merge struct {
-	cfg     MergeConfig
-	servers map[string]*server // by id
-	byAddr  map[string]*server // those that discovery lists, by address
-	byNode  map[string]*server // by name of node
-	changed map[string]*server // to be decided anew, by id
-	timed   map[string]*server // with a hold that ends, by id
+	cfg       MergeConfig
+	servers   map[string]*server // by id
+	byAddr    map[string]*server // those that discovery lists, by address
+	byNode    map[string]*server // by name of node
+	changed   map[string]*server // to be decided anew, by id
+	withHolds map[string]*server // with a hold that ends, by id
 
 	discovery      freshness
 	registry       freshness
@@ -62,7 +62,7 @@
 		byAddr:    map[string]*server{},
 		byNode:    map[string]*server{},
 		changed:   map[string]*server{},
-		timed:     map[string]*server{},
+		withHolds: map[string]*server{},
 		discovery: freshness{heardMs: -1},
 		registry:  freshness{heardMs: -1},
 	}
@@ -98,7 +98,7 @@
 // NextDeadlineMs is when Changes has to be called even if no source says anything; +Inf: never.
 func (m *Merge) NextDeadlineMs() float64 {
 	next := math.Inf(1)
-	for _, s := range m.timed {
+	for _, s := range m.withHolds {
 		for _, deadline := range []float64{s.flap.holdUntilMs, s.expiryHoldUntilMs} {
 			if deadline > 0 {
 				next = min(next, deadline)
@@ -159,7 +159,7 @@
 
 // endHolds ends the holds whose time is over.
 func (m *Merge) endHolds(now float64) {
-	for id, s := range m.timed {
+	for id, s := range m.withHolds {
 		if s.flap.holdUntilMs > 0 && s.flap.holdUntilMs <= now {
 			s.flap.holdUntilMs = 0
 			m.markChanged(s)
@@ -169,7 +169,7 @@
 			m.markChanged(s)
 		}
 		if s.flap.holdUntilMs == 0 && s.expiryHoldUntilMs == 0 {
-			delete(m.timed, id)
+			delete(m.withHolds, id)
 		}
 	}
 }
--- a/internal/membership/processstart.go
+++ b/internal/membership/processstart.go
@@ -56,7 +56,7 @@
 	for id, s := range m.servers {
 		if s.unlistedMs > 0 && now-s.unlistedMs > m.cfg.MemoryMs {
 			delete(m.servers, id)
-			delete(m.timed, id)
+			delete(m.withHolds, id)
 		}
 	}
 }
--- a/internal/sharedconfig/config.go
+++ b/internal/sharedconfig/config.go
@@ -104,8 +104,8 @@
 	return c.InService(id)
 }
 
-// SameEndpoints reports whether two configurations agree on servers.
-func (c *Config) SameEndpoints(other *Config) bool {
+// SameServerRules reports whether two configurations agree on servers.
+func (c *Config) SameServerRules(other *Config) bool {
 	return c.Listed == other.Listed && slices.Equal(c.Cordoned, other.Cordoned) && maps.Equal(c.Servers, other.Servers)
 }
 
--- a/internal/sharedconfig/history/epoch.go
+++ b/internal/sharedconfig/history/epoch.go
@@ -44,10 +44,10 @@
 	return source
 }
 
-// EndpointsChanged reports whether the endpoints change anywhere between two epochs, from <= to; it is a
-// lease.EndpointsChanged. It returns true if a version that it needs is no longer retained, and from epoch 0, in which
-// each agent uses its own endpoints.
-func (h *History) EndpointsChanged(from, to uint64) bool {
+// ServerRulesDiffer reports whether the server rules change anywhere between two epochs, from <= to; it is a
+// lease.ServerRulesDiffer. It returns true if a version that it needs is no longer retained, and from epoch 0, in which
+// each agent uses its own server rules.
+func (h *History) ServerRulesDiffer(from, to uint64) bool {
 	if from/2 < h.Dropped || from == 0 && to > 0 {
 		return true
 	}
@@ -57,7 +57,7 @@
 	}
 	for number := first; number < (to+1)/2; number++ {
 		this, next := h.config(number), h.config(number+1)
-		if this == nil || next == nil || !this.SameEndpoints(next) {
+		if this == nil || next == nil || !this.SameServerRules(next) {
 			return true
 		}
 	}
--- a/internal/sharedconfig/history/history_test.go
+++ b/internal/sharedconfig/history/history_test.go
@@ -58,7 +58,7 @@
 		from, to uint64
 		want     bool
 	}{{2, 6, true}, {5, 6, true}, {4, 6, true}, {6, 8, false}, {2, 2, false}} {
-		if got := h.EndpointsChanged(c.from, c.to); got != c.want {
+		if got := h.ServerRulesDiffer(c.from, c.to); got != c.want {
 			t.Errorf("endpoints change from epoch %d to %d: %v", c.from, c.to, got)
 		}
 	}
--- a/internal/sharedconfig/intersect/capacity.go
+++ b/internal/sharedconfig/intersect/capacity.go
@@ -6,23 +6,23 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// CapacityUnknown is the value of Capacity.During where a configuration does not list the servers.
-const CapacityUnknown = -1
+// ServersUnknown is the value of Capacity.During where a configuration does not list the servers.
+const ServersUnknown = -1
 
-// Capacity is the number of servers that may be used before, during and after a change.
-type Capacity struct {
+// ServerCount is the number of servers that may be used before, during and after a change.
+type ServerCount struct {
 	Before int
 	During int
 	After  int
 }
 
-// CapacityOf counts the servers that a, the intersection and b allow. During is CapacityUnknown if one of both is nil or
+// CountServers counts the servers that a, the intersection and b allow. During is CapacityUnknown if one of both is nil or
 // does not list the servers.
-func CapacityOf(a, b *sharedconfig.Config) Capacity {
+func CountServers(a, b *sharedconfig.Config) ServerCount {
 	if a == nil || b == nil || !a.Listed || !b.Listed {
-		return Capacity{During: CapacityUnknown}
+		return ServerCount{During: ServersUnknown}
 	}
-	return Capacity{
+	return ServerCount{
 		Before: countAllowed(a),
 		During: countAllowed(Intersect(a, b)),
 		After:  countAllowed(b),
@@ -42,8 +42,8 @@
 // change at least half of the servers of the smaller one must be allowed, and at least one; none may be allowed after
 // it only if none was before.
 func CheckTransition(a, b *sharedconfig.Config) error {
-	c := CapacityOf(a, b)
-	if c.During == CapacityUnknown || c.After == 0 && c.Before == 0 {
+	c := CountServers(a, b)
+	if c.During == ServersUnknown || c.After == 0 && c.Before == 0 {
 		return nil
 	}
 	if c.After == 0 {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -27,7 +27,10 @@
 	minLatencyFraction = 0.7
 )
 
-// goodput counts ended requests and what they earned, both as moving sums over the last shedMemoryRequests.
+// goodput counts ended requests and what they earned, both as moving sums over the last
+// shedMemoryRequests. It counts those that say something about overload: served, shed, disconnected after
+// their objective, and not retried after a rejection or a timeout. Requests that end in the queue, by an
+// error or by a lost connection are not counted.
 type goodput struct {
 	ended  float64
 	earned float64 // 1 for a request served in time, less for a late one
@@ -132,12 +135,12 @@
 	shed := b.shedder.Sheds(b.priority(r), b.goodput.shedFraction(), b.rng.Float64())
 	if shed && !b.fairShare.UnderQuota(r.flow) {
 		b.goodput.record(0)
-		b.finishUnserved(r)
+		b.rejectOrFail(r)
 		return
 	}
 	hinted := minLatencyFraction * b.hints.predict(r.workHintMs)
 	if r.workHintMs > 0 && class.LateCredit == 0 && hinted > r.objectiveAt-b.now {
-		b.finishUnserved(r)
+		b.rejectOrFail(r)
 	}
 }
 
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -42,7 +42,7 @@
 	}
 	s.recordSend(b.now)
 	b.fleet.recordSend(b.now)
-	if b.capacity(s) < 1 {
+	if b.warmUpFraction(s) < 1 {
 		s.slowStartTokens -= a.work
 	}
 	b.recentKeys.Add(b.now, r.key)
@@ -132,7 +132,7 @@
 func (b *Balancer) onTimeout(a *attempt, latencyMs float64) {
 	s := a.server
 	b.recordLocality(s, true)
-	b.backoff(s)
+	b.deprioritize(s)
 	if s.respondedAt > a.sentAt {
 		b.hints.record(a.request.workHintMs, latencyMs)
 		s.recordLatency(b.objectiveFraction(a.request, latencyMs))
@@ -149,7 +149,7 @@
 	s.limit.Rejected(b.now)
 	b.recordLocality(s, true)
 	if b.fleet.sendInterval*float64(len(b.servers)) > b.minObjectiveMs {
-		b.backoff(s)
+		b.deprioritize(s)
 	}
 }
 
@@ -171,7 +171,7 @@
 	b.adjustKeylessLimit(latency, rttMs)
 	if b.overloaded(s, ev.Report) || late {
 		b.recordLocality(s, true)
-		b.backoff(s)
+		b.deprioritize(s)
 	}
 	if s.state == Unhealthy && a.sentAt < s.stateSince && !s.silent {
 		return // sent before the failure: it says nothing about the time after
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -28,14 +28,14 @@
 	now     float64
 	actions []Action
 
-	servers   []*server              // in the order of addresses
-	byAddr    map[Addr]*server       // those listed, and those removed with attempts in flight
-	requests  map[RequestID]*request // those not answered, and those with an open attempt
-	queued    []*request             // those without an open attempt, at most maxQueued
-	unserved  []unservedRequest      // at most maxQueued
-	inflight  int                    // attempts in flight
-	tierEpoch uint64                 // counts changes of tiers and of the endpoint list
-	tick      tickTimer
+	servers        []*server              // in the order of addresses
+	byAddr         map[Addr]*server       // those listed, and those removed with attempts in flight
+	requests       map[RequestID]*request // those not answered, and those with an open attempt
+	queued         []*request             // those without an open attempt, at most maxQueued
+	unserved       []unservedRequest      // at most maxQueued
+	inflight       int                    // attempts in flight
+	tierGeneration uint64                 // counts changes of tiers and of the endpoint list
+	tick           tickTimer
 
 	// Statistics.
 	fleet       fleetStats
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -77,14 +77,14 @@
 // overloaded. One that rejects attempts bounds its queue itself.
 func (b *Balancer) latencyLimit(s *server) float64 {
 	if s.limit.RecentlyRejected(b.now) {
-		return maxLatencyFraction / b.capacity(s)
+		return maxLatencyFraction / b.warmUpFraction(s)
 	}
 	floor := 2 * maxLatencyFraction / (2 + float64(b.settings.Replicas))
 	factor := overloadLatencyFactor
 	if b.capacityScarce {
 		factor = scarceLatencyFactor
 	}
-	return min(maxLatencyFraction, max(factor*b.fleet.baselineLatency, floor)) / b.capacity(s)
+	return min(maxLatencyFraction, max(factor*b.fleet.baselineLatency, floor)) / b.warmUpFraction(s)
 }
 
 // adjustLimit moves the server's concurrency limit after an answer that took rttMs.
@@ -124,13 +124,13 @@
 	return inflight > overloadedReportFactor*b.fleet.reportedLoad+1
 }
 
-// backoff passes over an overloaded server for about as long as this agent takes to send a request to every
-// server. An agent that sends it two requests a minute cannot adjust a limit by its answers; but all agents
-// together send it less, by the part of them that saw the overload.
-func (b *Balancer) backoff(s *server) {
+// deprioritize puts an overloaded server last in its tier for about as long as this agent takes to send a
+// request to every server. An agent that sends it two requests a minute cannot adjust a limit by its
+// answers; but all agents together send it less, by the part of them that saw the overload.
+func (b *Balancer) deprioritize(s *server) {
 	round := b.fleet.sendInterval * float64(len(b.servers))
 	jitter := 0.5 + b.rng.Float64()
-	s.backoffUntil = b.now + min(round, b.settings.Contract.SlowStartMs)*jitter
+	s.deprioritizedUntil = b.now + min(round, b.settings.Contract.SlowStartMs)*jitter
 }
 
 // baselineRiseWeight returns the weight by which the baseline latency follows longer answer times. It is
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -154,7 +154,7 @@
 		case "all":
 			ev.LatencyMs = 400
 			for i := range 6 {
-				r.b.byAddr[addr(i)].backoffUntil = r.now + 5000
+				r.b.byAddr[addr(i)].deprioritizedUntil = r.now + 5000
 			}
 		}
 		r.now += ev.LatencyMs
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -13,7 +13,8 @@
 	// allows: all agents may start at once, and polls that come faster than they are served time out in the
 	// queue.
 	firstPollGapMs = 60.0
-	// minFirstPollSpread and askMost bound the time for all first polls, as parts of the poll interval.
+	// minFirstPollSpread and maxFirstPollSpread bound the time for all first polls, as parts of the poll
+	// interval.
 	minFirstPollSpread = 1.0 / 8
 	maxFirstPollSpread = 0.8
 	// pollBackoffFraction is the part of that time after which a first failed poll is repeated, before
@@ -100,7 +101,7 @@
 	if ev.Update != UpdateOtherSource {
 		b.discovery.failedPolls = 0
 	}
-	b.tierEpoch++
+	b.tierGeneration++
 	listed := map[Addr]bool{}
 	for i := range ev.Endpoints {
 		listed[ev.Endpoints[i].Server] = true
@@ -190,7 +191,7 @@
 	s.stateSince = b.now
 	s.silent = false
 	s.connectFailedSince = 0
-	s.consecutiveFailures = 0
+	s.ejections = 0
 	s.successes = 0
 	s.latency = 0
 	s.samples = 0
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -103,9 +103,9 @@
 	}
 	r.updateEndpoints(UpdateOtherSource, entry(false))
 	s := r.b.byAddr[addr(0)]
-	if s.state != Unknown || r.b.capacity(s) >= 1 || s.limit.Size() != 1 {
+	if s.state != Unknown || r.b.warmUpFraction(s) >= 1 || s.limit.Size() != 1 {
 		t.Errorf("after the cordon: state %v, capacity %v, limit %v: not in slow start",
-			s.state, r.b.capacity(s), s.limit.Size())
+			s.state, r.b.warmUpFraction(s), s.limit.Size())
 	}
 	if to := sent(400); to[0] == 0 || to[0] >= to[1]/2 {
 		t.Errorf("in the first 4 s after the cordon: %v", to)
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -6,7 +6,7 @@
 
 // Observe takes what other agents saw of servers, each named at most once, and moves the states by it. A
 // server is ejected on failure and returns by what was served, or with time: an Unhealthy server is
-// UnhealthyPending after minEjectionMs, doubled with each further consecutive failure, and one that is
+// UnhealthyPending after minEjectionMs, doubled with each further ejection, and one that is
 // pending without any evidence becomes Unknown after as long again. It is called instead of Handle, by a
 // caller that sends no requests of its own; its actions are dropped.
 func (b *Balancer) Observe(now, minEjectionMs float64, seen []Evidence) {
@@ -48,7 +48,7 @@
 	}
 	s.failureRate = movingRate(s.failureRate, failed, served, failureRateWeight)
 	switch {
-	case failed > 0 && (served == 0 || !b.baselineFailure(s)):
+	case failed > 0 && (served == 0 || !b.failureRateWithinBaseline(s)):
 		silent := e.Silent && !answered
 		if silent && s.connectFailedSince == 0 {
 			s.connectFailedSince = b.now
@@ -67,17 +67,17 @@
 	b.now = now
 	for _, s := range b.servers {
 		out = append(out, View{
-			Server:              s.addr,
-			State:               s.state,
-			StateSinceMs:        s.stateSince,
-			StartedMs:           s.startedAt,
-			Usable:              s.usable,
-			Zone:                s.zone,
-			Cell:                s.cell,
-			Weight:              s.weight,
-			Capacity:            b.capacity(s),
-			LoadShare:           b.loadShare(s),
-			ConsecutiveFailures: s.consecutiveFailures,
+			Server:         s.addr,
+			State:          s.state,
+			StateSinceMs:   s.stateSince,
+			StartedMs:      s.startedAt,
+			Usable:         s.usable,
+			Zone:           s.zone,
+			Cell:           s.cell,
+			Weight:         s.weight,
+			WarmUpFraction: b.warmUpFraction(s),
+			LoadShare:      b.loadShare(s),
+			Ejections:      s.ejections,
 		})
 	}
 	return out
--- a/policy/evidence_test.go
+++ b/policy/evidence_test.go
@@ -30,7 +30,7 @@
 		r.observe()
 	}
 	r.wantState(s, Unknown) // with time
-	if v := r.view(s); v.ConsecutiveFailures == 0 {
+	if v := r.view(s); v.Ejections == 0 {
 		t.Error("a consecutive failure was taken back though nothing was served")
 	}
 	r.wantState(addr(2), Unknown)
@@ -55,12 +55,12 @@
 	r.observe(Evidence{Server: addr(0), Failed: 5, Silent: true})
 	r.now += r.b.settings.Contract.OverloadWindowMs + 1
 	r.observe(Evidence{Server: addr(0), Served: 1})
-	if v := r.view(addr(0)); v.Capacity != r.b.settings.Contract.SlowStartMinCapacity {
-		t.Errorf("capacity %v, want %v", v.Capacity, r.b.settings.Contract.SlowStartMinCapacity)
+	if v := r.view(addr(0)); v.WarmUpFraction != r.b.settings.Contract.SlowStartMinCapacity {
+		t.Errorf("capacity %v, want %v", v.WarmUpFraction, r.b.settings.Contract.SlowStartMinCapacity)
 	}
 	r.now += r.b.settings.Contract.PollIntervalMs + 1 // the endpoint list has not confirmed it
-	if v := r.view(addr(0)); v.Capacity != 1 {
-		t.Errorf("capacity %v, want 1", v.Capacity)
+	if v := r.view(addr(0)); v.WarmUpFraction != 1 {
+		t.Errorf("capacity %v, want 1", v.WarmUpFraction)
 	}
 }
 
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// maxConsecutiveFailures bounds the doubling of the ejection time.
-	maxConsecutiveFailures = 5
+	// maxEjections bounds the doubling of the ejection time.
+	maxEjections = 5
 	// baselineFailureRate is the failure rate that any server may have, beyond that of all servers:
 	// connections break and answers arrive damaged without a fault of the server.
 	baselineFailureRate = 0.2
@@ -17,19 +17,20 @@
 	silentAnswerTimes = 8
 	// silentMaxAttempts bounds that divisor.
 	silentMaxAttempts = 3
-	// successesPerFailure is the number of served attempts, for each consecutive failure, that takes one
+	// successesPerEjection is the number of served attempts, for each counted ejection, that takes one
 	// back.
-	successesPerFailure = 16
+	successesPerEjection = 16
 )
 
-// eject makes a server Unhealthy. Failures of one moment count as one consecutive failure. silent says that
-// the server gave no answer at all, instead of a bad one.
+// eject makes a server Unhealthy and has the endpoint list fetched, as it may be out of date. A server that
+// is Unhealthy already is not counted again. silent says that the server gave no answer at all, instead of
+// a bad one.
 func (b *Balancer) eject(s *server, silent bool) {
 	if s.state != Unhealthy {
 		b.setState(s, Unhealthy)
 		s.silent = silent
-		if silent || !b.baselineFailure(s) {
-			s.consecutiveFailures = min(s.consecutiveFailures+1, maxConsecutiveFailures)
+		if silent || !b.failureRateWithinBaseline(s) {
+			s.ejections = min(s.ejections+1, maxEjections)
 			s.successes = 0
 			s.latency = 0
 			s.samples = 0
@@ -40,14 +41,14 @@
 }
 
 // ejectionTime returns for how many milliseconds a server stays Unhealthy before it is validated again: the
-// least latency objective, doubled with each further consecutive failure. There is none for a failure
-// within the baseline, nor while the other servers have no capacity: a server that fails some requests is
-// better than rejecting them all. One that answers nothing is not.
+// least latency objective, doubled with each further ejection, up to maxEjections. There is none for a
+// failure within the baseline, nor while the other servers have no capacity: a server that fails some
+// requests is better than rejecting them all. One that answers nothing is not.
 func (b *Balancer) ejectionTime(s *server) float64 {
-	if (b.capacityScarce || b.baselineFailure(s)) && !s.silent {
+	if (b.capacityScarce || b.failureRateWithinBaseline(s)) && !s.silent {
 		return b.minEjectionMs
 	}
-	return max(b.minObjectiveMs, b.minEjectionMs) * float64(int(1)<<max(s.consecutiveFailures-1, 0))
+	return max(b.minObjectiveMs, b.minEjectionMs) * float64(int(1)<<max(s.ejections-1, 0))
 }
 
 // recordFailure notes the end of an attempt in the failure rates of its server and of all servers: 1 for a
@@ -57,22 +58,22 @@
 	b.fleet.failureRate += fleetAverageWeight * (failure - b.fleet.failureRate)
 }
 
-// baselineFailure reports whether the server fails no more of its attempts than any server may.
-func (b *Balancer) baselineFailure(s *server) bool {
+// failureRateWithinBaseline reports whether the server fails no more of its attempts than any server may.
+func (b *Balancer) failureRateWithinBaseline(s *server) bool {
 	return s.failureRate < baselineFailureRate+baselineFailureFactor*b.fleet.failureRate
 }
 
-// recordSuccesses takes back consecutive failures for n served attempts, and one for silence that has
+// recordSuccesses takes back counted ejections for n served attempts, and one for silence that has
 // ended.
 func (s *server) recordSuccesses(n int) {
 	if s.silent {
 		s.silent = false
-		s.consecutiveFailures = max(s.consecutiveFailures-1, 0)
+		s.ejections = max(s.ejections-1, 0)
 	}
 	s.successes += n
-	if s.successes >= successesPerFailure*s.consecutiveFailures {
+	if s.successes >= successesPerEjection*s.ejections {
 		s.successes = 0
-		s.consecutiveFailures = max(s.consecutiveFailures-1, 0)
+		s.ejections = max(s.ejections-1, 0)
 	}
 }
 
@@ -106,11 +107,12 @@
 }
 
 // revalidateEjected makes servers whose ejection time is over UnhealthyPending and has them checked in the
-// background. Each arriving request calls it, and Observe.
+// background. No timer does so: each arriving request calls it, and Observe, so that an agent without
+// requests readmits no server.
 func (b *Balancer) revalidateEjected() {
 	for _, s := range b.servers {
 		// One attempt that hangs must not keep out a server that answers the others.
-		free := len(s.inflight) == 0 || !s.silent && b.baselineFailure(s)
+		free := len(s.inflight) == 0 || !s.silent && b.failureRateWithinBaseline(s)
 		if s.state == Unhealthy && s.usable && free && b.now-s.stateSince >= b.ejectionTime(s) {
 			b.setState(s, UnhealthyPending)
 			b.fetchEndpoints()
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -125,8 +125,8 @@
 		t.Errorf("%d of 600 rejected", rejected)
 	}
 	for _, s := range r.b.servers {
-		if s.consecutiveFailures > 2 || !r.b.baselineFailure(s) { // one may be ejected by chance
-			t.Errorf("a server that fails as all do has %d consecutive failures", s.consecutiveFailures)
+		if s.ejections > 2 || !r.b.failureRateWithinBaseline(s) { // one may be ejected by chance
+			t.Errorf("a server that fails as all do has %d consecutive failures", s.ejections)
 		}
 	}
 	bad := r.b.servers[0]
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -12,7 +12,7 @@
 	// are not tried.
 	maxDispatchFailures = 4
 	// maxUnsentWaitFraction is the part of its time after which a request that reached no server is
-	// rejected: from half of it on the client counts the wait as worse than a rejection.
+	// rejected. Clients treat a longer wait, from one half on, as worse than a rejection.
 	maxUnsentWaitFraction = 0.46
 )
 
@@ -40,7 +40,7 @@
 	}
 	b.queueTimeout.QueueLength(b.now, len(b.queued))
 	for len(b.queued) > maxQueued {
-		b.finishUnserved(b.queued[len(b.queued)-1])
+		b.rejectOrFail(b.queued[len(b.queued)-1])
 	}
 }
 
@@ -71,7 +71,7 @@
 			r.anyServer = true // any idle server may have it before it is rejected
 			i++
 		case timedOut || late:
-			b.finishUnserved(r)
+			b.rejectOrFail(r)
 		default:
 			i++
 		}
--- a/policy/request.go
+++ b/policy/request.go
@@ -27,13 +27,13 @@
 	reachedServer  bool
 
 	// Selection.
-	hashKey      uint64 // the key, or one of the parts that it is split into
-	nearest      [nearestServers]*server
-	nearestEpoch uint64  // tierEpoch of nearest
-	tierWeight   float64 // of the tier in which a server was last selected
-	priority     float64
-	recentKey    bool // its key was sent lately
-	anyServer    bool // has waited long enough for the servers nearest its key
+	hashKey           uint64 // the key, or one of the parts that it is split into
+	nearest           [nearestServers]*server
+	nearestGeneration uint64  // tierEpoch of nearest
+	tierWeight        float64 // of the tier in which a server was last selected
+	priority          float64
+	recentKey         bool // its key was sent lately
+	anyServer         bool // has waited long enough for the servers nearest its key
 
 	closed          bool // answered
 	streamedBody    bool // its body is forwarded as it arrives, so it can be sent once only
@@ -149,9 +149,9 @@
 	b.finish(r)
 }
 
-// finishUnserved answers a request that is not served: it is rejected where its class permits to say that a
+// rejectOrFail answers a request that is not served: it is rejected where its class permits to say that a
 // retry is harmless, and failed otherwise. After the idempotency window a repeat would run again.
-func (b *Balancer) finishUnserved(r *request) {
+func (b *Balancer) rejectOrFail(r *request) {
 	if r.closed || r.responseStarted {
 		return
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -56,7 +56,8 @@
 }
 
 // retry queues a request whose attempt ended unserved for another attempt, where its class, its time and
-// the retry budget permit, and finishes it otherwise. An attempt that never started costs no token.
+// the retry budget permit, and finishes it otherwise. An attempt that never started costs no token. The
+// idempotency window and scope are checked by maySend when a server is selected.
 func (b *Balancer) retry(r *request, status Status) {
 	class := &b.settings.Classes[r.class]
 	repeatable := r.mayHaveRun == 0 || class.Effect == Idempotent || class.Effect == IdempotentByKey
@@ -65,7 +66,7 @@
 		if status == Rejected || status == Timeout {
 			b.goodput.record(0) // errors and lost connections are no sign of overload
 		}
-		b.finishUnserved(r)
+		b.rejectOrFail(r)
 		return
 	}
 	if status != NotStarted {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -30,9 +30,9 @@
 
 // candidates are the servers of a tier that may get a request, as collectCandidates found them.
 type candidates struct {
-	servers       []*server
-	nearest       [nearestServers]*server // of servers, by score
-	backoffWeight float64                 // weight of those passed over for their backoff
+	servers             []*server
+	nearest             [nearestServers]*server // of servers, by score
+	deprioritizedWeight float64                 // weight of those passed over as deprioritized
 }
 
 // tier returns the server's tier for the request.
@@ -42,8 +42,8 @@
 		return tierUnhealthy
 	case UnhealthyPending:
 		// A request that must not run twice does not validate a server while others are healthy.
-		notForValidation := b.settings.Classes[r.class].Effect == NonIdempotent && !b.baselineFailure(s)
-		if notForValidation || b.settings.Limits.HealthChecks && b.now-s.stateSince < b.minObjectiveMs {
+		mayValidate := b.settings.Classes[r.class].Effect != NonIdempotent || b.failureRateWithinBaseline(s)
+		if !mayValidate || b.settings.Limits.HealthChecks && b.now-s.stateSince < b.minObjectiveMs {
 			return tierPending
 		}
 	}
@@ -52,18 +52,19 @@
 
 // selectServer returns the server for the request's next attempt, or nil if none has capacity: of the best
 // tier that is not empty the first one in the order of the key's hash that is under its bounded load.
-// Servers in backoff come last in their tier, unless most of it is in backoff: then all are overloaded.
+// Deprioritized servers come last in their tier, unless most of it is deprioritized: then all are
+// overloaded.
 func (b *Balancer) selectServer(r *request) *server {
 	if r.key == 0 && float64(b.inflight) >= b.keyless.max && b.now-b.fleet.sentAt < b.keylessTrickleMs() {
 		return nil
 	}
 	for tier := range healthTiers {
-		for _, skipBackoff := range []bool{true, false} {
-			found := b.collectCandidates(r, tier, skipBackoff)
+		for _, skipDeprioritized := range []bool{true, false} {
+			found := b.collectCandidates(r, tier, skipDeprioritized)
 			if r.tierWeight == 0 {
 				continue
 			}
-			if skipBackoff && (len(found.servers) == 0 || found.backoffWeight > r.tierWeight/2) {
+			if skipDeprioritized && (len(found.servers) == 0 || found.deprioritizedWeight > r.tierWeight/2) {
 				continue
 			}
 			return b.firstAccepting(r, &found)
@@ -76,7 +77,7 @@
 // request's tierWeight. Only servers with capacity are scored, and none are sorted: both take time by the
 // number of servers. A request that waits for the servers nearest its key has to know them even without
 // capacity.
-func (b *Balancer) collectCandidates(r *request, tier healthTier, skipBackoff bool) candidates {
+func (b *Balancer) collectCandidates(r *request, tier healthTier, skipDeprioritized bool) candidates {
 	waits := b.waitsForNearest(r)
 	found := candidates{servers: b.candidateBuffer[:0]}
 	r.tierWeight = 0
@@ -87,10 +88,10 @@
 		if r.anyServer && !s.loadReport.Idle(b.now, s.limit.RecentlyRejected(b.now)) {
 			continue
 		}
-		weight := s.weight * b.capacity(s)
+		weight := s.weight * b.warmUpFraction(s)
 		r.tierWeight += weight
-		if skipBackoff && b.now < s.backoffUntil {
-			found.backoffWeight += weight
+		if skipDeprioritized && b.now < s.deprioritizedUntil {
+			found.deprioritizedWeight += weight
 			continue
 		}
 		if !waits && !b.hasCapacity(s, r) {
@@ -119,7 +120,7 @@
 	servers := found.servers
 	if b.waitsForNearest(r) && len(servers) > nearestServers {
 		r.nearest = found.nearest
-		r.nearestEpoch = b.tierEpoch
+		r.nearestGeneration = b.tierGeneration
 		servers = r.nearest[:]
 	}
 	var best *server
@@ -141,7 +142,7 @@
 // nearestAreFull reports whether the request waits for the servers nearest its key, as they were found when
 // it was last tried to send it, and none of them accepts it.
 func (b *Balancer) nearestAreFull(r *request) bool {
-	if !b.waitsForNearest(r) || r.nearestEpoch != b.tierEpoch {
+	if !b.waitsForNearest(r) || r.nearestGeneration != b.tierGeneration {
 		return false
 	}
 	for _, s := range r.nearest {
@@ -156,7 +157,7 @@
 // request's last selection. While servers reject attempts the bound is lower: they have little capacity
 // beyond it, and a key must move on before its server is full.
 func (b *Balancer) accepts(s *server, r *request) bool {
-	share := s.weight * b.capacity(s) / r.tierWeight
+	share := s.weight * b.warmUpFraction(s) / r.tierWeight
 	factor := max(BoundedLoadFactor/(1+rejectionWeight*b.fleet.rejectionRate), minBoundedLoadFactor)
 	return float64(len(s.inflight)) < math.Ceil(factor*float64(b.inflight+1)*share) && b.hasCapacity(s, r)
 }
@@ -165,14 +166,14 @@
 // validated, then by its concurrency limit; in slow start also by its tokens, even to validate it, as all
 // agents do.
 func (b *Balancer) hasCapacity(s *server, r *request) bool {
-	unvalidated := s.state >= UnhealthyPending && (len(s.inflight) == 0 || !b.baselineFailure(s))
+	unvalidated := s.state >= UnhealthyPending && (len(s.inflight) == 0 || !b.failureRateWithinBaseline(s))
 	switch {
 	case unvalidated && len(s.inflight) > 0:
 		return false
 	case !unvalidated && !s.limit.Admits(len(s.inflight), b.now-s.sentAt, s.meanRTT):
 		return false
 	}
-	if b.capacity(s) == 1 || s.slowStartTokens >= b.workCost(r) {
+	if b.warmUpFraction(s) == 1 || s.slowStartTokens >= b.workCost(r) {
 		return true
 	}
 	return b.establishedWeight() == 0 && b.allowedWhileAllSlowStart(s, r)
--- a/policy/server.go
+++ b/policy/server.go
@@ -18,26 +18,26 @@
 	usable      bool // ready and not cordoned
 
 	// Health.
-	state               State
-	stateSince          float64
-	silent              bool    // ejected because it gave no answer at all
-	connectFailedSince  float64 // first failed connect since it last answered; 0: none
-	consecutiveFailures int
-	successes           int // served attempts since consecutiveFailures changed
-	checking            bool
-	failureRate         float64 // part of its attempts that fail
-	respondedAt         float64 // last answer of any kind
+	state              State
+	stateSince         float64
+	silent             bool    // ejected because it gave no answer at all
+	connectFailedSince float64 // first failed connect since it last answered; 0: none
+	ejections          int     // raised by each ejection, lowered by served attempts, at most maxEjections
+	successes          int     // served attempts since ejections changed
+	checking           bool
+	failureRate        float64 // part of its attempts that fail
+	respondedAt        float64 // last answer of any kind
 
 	// Load.
-	inflight     []*attempt // oldest first
-	latency      float64    // mean answer time as a fraction of the latency objective
-	samples      int        // answers in latency
-	meanRTT      float64    // mean answer time in ms
-	limit        concurrency.Limit
-	loadReport   concurrency.LoadReport
-	sentAt       float64 // last attempt
-	sendInterval float64 // mean time between attempts, in ms
-	backoffUntil float64 // last in its tier until then
+	inflight           []*attempt // oldest first
+	latency            float64    // mean answer time as a fraction of the latency objective
+	samples            int        // answers in latency
+	meanRTT            float64    // mean answer time in ms
+	limit              concurrency.Limit
+	loadReport         concurrency.LoadReport
+	sentAt             float64 // last attempt
+	sendInterval       float64 // mean time between attempts, in ms
+	deprioritizedUntil float64 // last in its tier until then
 
 	// Slow start.
 	startedAt       float64 // listedStart, or later where a restart is assumed
@@ -63,7 +63,7 @@
 // setState changes the state of a server.
 func (b *Balancer) setState(s *server, to State) {
 	if s.state > Unknown || to > Unknown {
-		b.tierEpoch++
+		b.tierGeneration++
 	}
 	s.state = to
 	s.stateSince = b.now
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -29,9 +29,9 @@
 
 	// The weight of all healthy servers that are not in slow start, counted once for all decisions of a
 	// time.
-	establishedWeight float64
-	establishedAt     float64
-	establishedEpoch  uint64
+	establishedWeight     float64
+	establishedAt         float64
+	establishedGeneration uint64
 }
 
 // recordServed notes work served by servers of the given total weight.
@@ -40,10 +40,10 @@
 	st.flowAt = now
 }
 
-// capacity returns the part of its capacity, 0 to 1, that a server has by the contract: it rises linearly
-// over the slow-start time. A start that was assumed and that the endpoint list does not confirm within a
-// poll interval does not count.
-func (b *Balancer) capacity(s *server) float64 {
+// warmUpFraction returns the part of its capacity, 0 to 1, that a server has by the contract: it rises
+// linearly over the slow-start time. A start that was assumed and that the endpoint list does not confirm
+// within a poll interval does not count.
+func (b *Balancer) warmUpFraction(s *server) float64 {
 	contract := &b.settings.Contract
 	age := b.now - s.startedAt
 	unconfirmed := s.startedAt != s.listedStart && age > contract.PollIntervalMs
@@ -57,14 +57,14 @@
 // counted once for all decisions of a time.
 func (b *Balancer) establishedWeight() float64 {
 	st := &b.slowStart
-	if st.establishedAt == b.now && st.establishedEpoch == b.tierEpoch {
+	if st.establishedAt == b.now && st.establishedGeneration == b.tierGeneration {
 		return st.establishedWeight
 	}
 	st.establishedWeight = 0
 	st.establishedAt = b.now
-	st.establishedEpoch = b.tierEpoch
+	st.establishedGeneration = b.tierGeneration
 	for _, s := range b.servers {
-		if s.usable && s.state <= Unknown && b.capacity(s) == 1 {
+		if s.usable && s.state <= Unknown && b.warmUpFraction(s) == 1 {
 			st.establishedWeight += s.weight
 		}
 	}
@@ -75,7 +75,7 @@
 // overload factor of the contract; the keys of the server move to it as it warms up, instead of waiting for
 // it.
 func (b *Balancer) loadShare(s *server) float64 {
-	if capacity := b.capacity(s); capacity < 1 {
+	if capacity := b.warmUpFraction(s); capacity < 1 {
 		margin := slowStartMargin - (slowStartMargin-sparseSlowStartMargin)*b.trafficSparsity(s)
 		return capacity * min(b.settings.Contract.OverloadFactor/margin, 1)
 	}
@@ -101,12 +101,12 @@
 // served.
 func (b *Balancer) earnSlowStartTokens(s *server, work float64) {
 	established := b.establishedWeight()
-	if b.capacity(s) < 1 || established == 0 {
+	if b.warmUpFraction(s) < 1 || established == 0 {
 		return
 	}
 	b.slowStart.recordServed(b.now, work, established, b.settings.Contract.SlowStartMs)
 	for _, starting := range b.servers {
-		if b.capacity(starting) < 1 {
+		if b.warmUpFraction(starting) < 1 {
 			sparsity := b.trafficSparsity(starting)
 			factor := 1 + (sparseEarnFactor-1)*sparsity
 			earned := factor * work * b.loadShare(starting) * starting.weight / established
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -72,8 +72,8 @@
 			t.Fatal("the silent server was never validated")
 		}
 	}
-	if srv := r.b.byAddr[s]; r.b.capacity(srv) >= 0.5 {
-		t.Errorf("a server back from silence is not in slow start: capacity %.2f", r.b.capacity(srv))
+	if srv := r.b.byAddr[s]; r.b.warmUpFraction(srv) >= 0.5 {
+		t.Errorf("a server back from silence is not in slow start: capacity %.2f", r.b.warmUpFraction(srv))
 	}
 }
 
--- a/policy/types.go
+++ b/policy/types.go
@@ -77,11 +77,11 @@
 	ConnectTimeoutMs float64 `json:"connectTimeoutMs"` // a connect that takes longer has failed
 	KeepaliveMs      float64 `json:"keepaliveMs"`      // idle connections are closed after it
 	MaxAttempts      int     `json:"maxAttempts"`      // of one request
-	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`  // longest Retry-After that clients follow
+	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`  // the Retry-After of each rejection
 	HedgedRequests   bool    `json:"parallelTries"`    // two attempts of a request may be open
 	HealthChecks     bool    `json:"probing"`          // ActionHealthCheck is permitted
 	RetryAfter       bool    `json:"retryAfter"`       // clients get the Retry-After
-	MaxOpenRequests  int     `json:"openCap"`          // others are rejected before they reach the agent
+	MaxOpenRequests  int     `json:"openCap"`          // others are rejected by the event loop; 0: no bound
 }
 
 // Contract holds the guarantees between servers, discovery and agents.
@@ -90,7 +90,7 @@
 	PollIntervalMs       float64 `json:"askWithinMs"`  // an agent polls discovery within it
 	SlowStartMinCapacity float64 `json:"coldFrom"`     // part of its capacity that a server starts with
 	SlowStartMs          float64 `json:"coldMs"`       // until a server has its full capacity
-	DrainGraceMs         float64 `json:"drainGraceMs"` // time to stop sending to a draining server
+	DrainGraceMs         float64 `json:"drainGraceMs"` // allowed for stopping; the agent stops at the update
 	OverloadFactor       float64 `json:"fallMultiple"` // load that breaks a server, by its present capacity
 	OverloadWindowMs     float64 `json:"tipAfterMs"`   // time of such a load after which it breaks
 }
@@ -290,15 +290,15 @@
 
 // View is the state of a listed server.
 type View struct {
-	Server              Addr
-	State               State
-	StateSinceMs        float64 // when it entered the state
-	StartedMs           float64 // start of its process, listed or assumed; 0: long past
-	Usable              bool    // listed as ready, and not cordoned
-	Zone                int
-	Cell                int
-	Weight              float64
-	Capacity            float64 // part of its capacity that it has by the contract; below 1 in slow start
-	LoadShare           float64 // part of an even share that it may be sent; below 1 in slow start
-	ConsecutiveFailures int
+	Server         Addr
+	State          State
+	StateSinceMs   float64 // when it entered the state
+	StartedMs      float64 // start of its process, listed or assumed; 0: long past
+	Usable         bool    // listed as ready, and not cordoned
+	Zone           int
+	Cell           int
+	Weight         float64
+	WarmUpFraction float64 // part of its capacity that it has by the contract; below 1 in slow start
+	LoadShare      float64 // part of an even share that it may be sent; below 1 in slow start
+	Ejections      int
 }
