--- a/internal/configstore/api_read.go
+++ b/internal/configstore/api_read.go
@@ -41,10 +41,10 @@
 func (r *Replica) history(req *http.Request, _ []byte) (any, error) {
 	out := &client.HistoryResponse{}
 	return r.confirmedRead(req, out, func() error {
-		log := &r.state.History
-		out.Epoch = log.Epoch
-		out.Dropped = log.Dropped
-		out.Versions = slices.Clone(log.Versions)
+		versions := &r.state.History
+		out.Epoch = versions.Epoch
+		out.Dropped = versions.Dropped
+		out.Versions = slices.Clone(versions.Versions)
 		for i := range out.Versions {
 			out.Versions[i].Config = nil
 		}
@@ -60,8 +60,8 @@
 	}
 	out := &sharedconfig.Version{}
 	return r.confirmedRead(req, out, func() error {
-		log := &r.state.History
-		last := log.Last()
+		versions := &r.state.History
+		last := versions.Last()
 		wanted := number
 		if wanted == 0 {
 			wanted = last
@@ -69,9 +69,9 @@
 		if wanted == 0 {
 			return nil // before the first
 		}
-		v := log.Version(wanted)
+		v := versions.Version(wanted)
 		if v == nil {
-			return invalidCallError{fmt.Errorf("version %d is not retained; there are %d to %d", number, log.Dropped+1, last)}
+			return invalidCallError{fmt.Errorf("version %d is not retained; there are %d to %d", number, versions.Dropped+1, last)}
 		}
 		*out = *v
 		return nil
--- a/internal/configstore/proposals.go
+++ b/internal/configstore/proposals.go
@@ -65,17 +65,17 @@
 
 // advance proposes the next epoch once nobody acts on an epoch before this one.
 func (r *Replica) advance(now float64) {
-	log := &r.state.History
-	if r.lessor == nil || !log.CanAdvance() {
+	versions := &r.state.History
+	if r.lessor == nil || !versions.CanAdvance() {
 		return
 	}
-	if log.Epoch == r.advancing.epoch && now-r.advancing.at < r.electionTimeoutMs() {
+	if versions.Epoch == r.advancing.epoch && now-r.advancing.at < r.electionTimeoutMs() {
 		return // the proposal is under way
 	}
-	if !r.lessor.MayAdvance(now, log.Epoch, log.ServerRulesDiffer) {
+	if !r.lessor.MayAdvance(now, versions.Epoch, versions.ServerRulesDiffer) {
 		return
 	}
-	epoch := log.Epoch
+	epoch := versions.Epoch
 	data, err := json.Marshal(&history.Command{Advance: &epoch})
 	if err == nil && r.node.Propose(data) == nil {
 		r.advancing = epochProposal{epoch: epoch, at: now}
--- a/internal/configstore/requests.go
+++ b/internal/configstore/requests.go
@@ -155,19 +155,19 @@
 		req.answer <- requestResult{}
 		return
 	}
-	log := &r.state.History
-	if t := r.transitions.get(log); t != nil && !t.Config.AllowsAgent(req.Name) {
+	versions := &r.state.History
+	if t := r.transitions.get(versions); t != nil && !t.Config.AllowsAgent(req.Name) {
 		req.answer <- requestResult{err: fmt.Errorf("agent %q is not in the list of agents", req.Name)}
 		return
 	}
-	grant, ok := r.lessor.Grant(now, req.Request, log.Epoch)
+	grant, ok := r.lessor.Grant(now, req.Request, versions.Epoch)
 	if !ok {
-		req.answer <- requestResult{err: fmt.Errorf("no lease: the agent has epoch %d, in force is %d", req.Epoch, log.Epoch)}
+		req.answer <- requestResult{err: fmt.Errorf("no lease: the agent has epoch %d, in force is %d", req.Epoch, versions.Epoch)}
 		return
 	}
 	result := requestResult{grant: grant}
 	if req.Epoch != grant.Epoch {
-		result.encoded, result.err = r.transitions.encodedResponse(log, grant)
+		result.encoded, result.err = r.transitions.encodedResponse(versions, grant)
 	}
 	req.answer <- result
 }
--- a/internal/configstore/transition_cache.go
+++ b/internal/configstore/transition_cache.go
@@ -20,18 +20,18 @@
 	response   []byte      // nil: not made yet
 }
 
-// get is log.Transition.
-func (c *transitionCache) get(log *history.History) *sharedconfig.Transition {
-	if source := log.Source(); !c.known || c.source != source {
-		*c = transitionCache{known: true, source: source, transition: log.Transition()}
+// get is versions.Transition, computed anew only if its source has changed.
+func (c *transitionCache) get(versions *history.History) *sharedconfig.Transition {
+	if source := versions.Source(); !c.known || c.source != source {
+		*c = transitionCache{known: true, source: source, transition: versions.Transition()}
 	}
 	return c.transition
 }
 
 // encodedResponse is the JSON text of the response to a holder that needs the configuration too; nil in epoch 0, which
 // has none.
-func (c *transitionCache) encodedResponse(log *history.History, grant lease.Grant) ([]byte, error) {
-	transition := c.get(log)
+func (c *transitionCache) encodedResponse(versions *history.History, grant lease.Grant) ([]byte, error) {
+	transition := c.get(versions)
 	if transition == nil {
 		return nil, nil
 	}
