--- a/internal/configstore/config.go
+++ b/internal/configstore/config.go
@@ -42,17 +42,17 @@
 	c := &Config{LeaseMs: defaultLeaseMs, ServerRulesMs: defaultServerRulesMs, TickMs: defaultTickMs}
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("keeper: %w", err)
+		return nil, fmt.Errorf("configstore: %w", err)
 	}
 	defer f.Close()
 	if err := toml.NewDecoder(f).DisallowUnknownFields().Decode(c); err != nil {
-		return nil, fmt.Errorf("keeper: %s: %w", path, err)
+		return nil, fmt.Errorf("configstore: %s: %w", path, err)
 	}
 	return c, c.check()
 }
 
 func invalidKey(key, format string, args ...any) error {
-	return fmt.Errorf("keeper: %s: "+format, append([]any{key}, args...)...)
+	return fmt.Errorf("configstore: %s: "+format, append([]any{key}, args...)...)
 }
 
 // check returns an error that names an invalid key.
--- a/internal/configstore/durability.go
+++ b/internal/configstore/durability.go
@@ -107,7 +107,7 @@
 	}
 	r.delays.record(kind, j.startedAt, j.finishedAt)
 	if j.err != nil {
-		return fmt.Errorf("keeper: it ends, for what its disk has now is not known: %w", j.err)
+		return fmt.Errorf("configstore: stopping, as the content of the disk is not known after a failed write: %w", j.err)
 	}
 	if r.disk.done == r.disk.voteJob {
 		unsent := r.disk.unsent
--- a/internal/configstore/files.go
+++ b/internal/configstore/files.go
@@ -27,7 +27,7 @@
 
 // ErrCorrupt is a file whose content was never written so. A replica with such a file must not go on; it has to be
 // replaced.
-var ErrCorrupt = errors.New("keeper: damaged")
+var ErrCorrupt = errors.New("configstore: corrupt data")
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
--- a/internal/configstore/identity.go
+++ b/internal/configstore/identity.go
@@ -26,7 +26,7 @@
 )
 
 // ErrReplaced says that the other replicas know another data directory under this replica's name.
-var ErrReplaced = errors.New("keeper: the others have formed with another folder of this name; add this one as a new member (join = true)")
+var ErrReplaced = errors.New("configstore: the cluster was formed with another data directory of this name; add this one as a new member (join = true)")
 
 // Identity makes a data directory that of a certain replica. ID is drawn with the directory: a replica whose directory
 // was wiped has another, which is no member's, and so neither votes nor counts, whatever its name.
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	if found && id.Name != name {
-		return nil, fmt.Errorf("keeper: data: the folder is that of keeper %q, not of %q", id.Name, name)
+		return nil, fmt.Errorf("configstore: data: the directory belongs to replica %q, not to %q", id.Name, name)
 	}
 	if found {
 		return id, nil
--- a/internal/configstore/membership.go
+++ b/internal/configstore/membership.go
@@ -65,7 +65,7 @@
 		}
 		return r.proposeMemberChange(pb.ConfChangeRemoveNode, id, nil)
 	}
-	return invalidCallError{fmt.Errorf("members: there is no keeper %q", name)}
+	return invalidCallError{fmt.Errorf("members: there is no replica %q", name)}
 }
 
 // proposeMemberChange proposes a change of one member.
--- a/internal/configstore/peer.go
+++ b/internal/configstore/peer.go
@@ -191,7 +191,7 @@
 	if rejection != p.rejection {
 		p.rejection = rejection
 		if rejection != "" {
-			slog.Error("a keeper does not hear this one", "keeper", r.state.Members[p.id].Name, "why", rejection)
+			slog.Error("another replica rejects this one", "replica", r.state.Members[p.id].Name, "why", rejection)
 		}
 	}
 	if err != nil {
--- a/internal/configstore/replica.go
+++ b/internal/configstore/replica.go
@@ -97,7 +97,7 @@
 func Run(stop context.Context, cfg *Config, ready func(net.Addr)) error {
 	dir, err := disk.Open(cfg.Data)
 	if err != nil {
-		return fmt.Errorf("keeper: data: %w", err)
+		return fmt.Errorf("configstore: data: %w", err)
 	}
 	defer dir.Close()
 	id, err := loadIdentity(dir, cfg.Name)
@@ -106,7 +106,7 @@
 	}
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
-		return fmt.Errorf("keeper: listen: %w", err)
+		return fmt.Errorf("configstore: listen: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r := newReplica(ctx, cfg, dir, id)
--- a/internal/configstore/watermarks.go
+++ b/internal/configstore/watermarks.go
@@ -20,7 +20,7 @@
 
 var errLateStart = errors.New("a later start of this replica is known: two processes have one identity, or this is late")
 
-const rollbackReason = "its folder went back: it has less than it had acknowledged; replace this keeper"
+const rollbackReason = "its data directory was rolled back: it has less than it had acknowledged; replace this replica"
 
 // rejectedError is why a replica's messages are rejected for good.
 type rejectedError string
--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -147,7 +147,7 @@
 // reportedError reports whether a replica's log says that the replica ended with an error of its own: as the program
 // prefixes it, or as the package does.
 func reportedError(log string) bool {
-	return strings.Contains(log, "ringtrack-configstore:") || strings.Contains(log, "keeper:")
+	return strings.Contains(log, "configstore:")
 }
 
 // linkFault breaks the links of a process: an agent's to the replicas, a replica's to all others.
--- a/internal/lab/cluster/replace.go
+++ b/internal/lab/cluster/replace.go
@@ -21,7 +21,7 @@
 	electionTime      = 1500 * time.Millisecond // in which a majority would elect a leader
 
 	// unknownReplicaText is in the response to the removal of a replica that is no member.
-	unknownReplicaText = "there is no keeper"
+	unknownReplicaText = "there is no replica"
 )
 
 // memberState is what the leader reports of a replica.
