--- a/internal/membership/ephemeral/config.go
+++ b/internal/membership/ephemeral/config.go
@@ -77,7 +77,7 @@
 
 // Default returns a configuration with all defaults. Ensemble has none.
 func Default() *Config {
-	merge := membership.DefaultMerge()
+	merge := membership.DefaultMergeConfig()
 	c := &Config{
 		Path:       "/",
 		Depth:      1,
--- a/internal/membership/mergeconfig.go
+++ b/internal/membership/mergeconfig.go
@@ -30,8 +30,8 @@
 	MemoryMs float64
 }
 
-// DefaultMerge returns the defaults of the registry's configuration file.
-func DefaultMerge() MergeConfig {
+// DefaultMergeConfig returns the defaults of the registry's configuration file.
+func DefaultMergeConfig() MergeConfig {
 	return MergeConfig{
 		StaleAfterMs:       15_000,
 		LostAfterMs:        60_000,
--- a/internal/membership/mergeharness_test.go
+++ b/internal/membership/mergeharness_test.go
@@ -13,7 +13,7 @@
 }
 
 func newMergeHarness(t *testing.T, change func(*MergeConfig)) *mergeHarness {
-	c := DefaultMerge()
+	c := DefaultMergeConfig()
 	if change != nil {
 		change(&c)
 	}
