--- a/internal/membership/discovery/client.go
+++ b/internal/membership/discovery/client.go
@@ -1,8 +1,8 @@
-// Package discovery is the membership source that polls the platform's endpoint list: JSON over HTTP/1.1,
-// fetched completely or watched for changes.
+// Package discovery is the membership source that polls the platform's endpoint list, which is JSON over
+// HTTP/1.1: it fetches the complete list or watches it for changes.
 //
-// Client makes the calls that its caller asks for and never decides when to call again after a failure.
-// Source follows the list by itself.
+// Client makes single calls and watches; its caller decides when to call again after a failure. Source
+// follows the list on its own.
 package discovery
 
 import (
@@ -25,7 +25,7 @@
 const (
 	// MaxListBytes bounds a response.
 	MaxListBytes = 8 << 20
-	// MaxConns is the number of connections that a client has at most.
+	// MaxConns bounds the connections of a client.
 	MaxConns = 4
 
 	endpointsPath   = "/api/targets"
@@ -33,28 +33,28 @@
 	idleConnTimeout = time.Minute
 	maxIdleConns    = 2
 
-	// callsPerSecond and callBurst bound the rate of calls, should discovery answer watches at once.
+	// callsPerSecond and callBurst bound the rate of calls in case discovery answers watches without delay.
 	callsPerSecond = 10
 	callBurst      = 10
-	// frequentCallsPerSecond is the same, burst included, after PollFrequently.
+	// frequentCallsPerSecond is both the rate and the burst after PollFrequently.
 	frequentCallsPerSecond = 50
 )
 
 // errSilent is wrapped by the error of a call that was not answered in time.
-var errSilent = errors.New("discovery: silent")
+var errSilent = errors.New("discovery: no response")
 
-// Client calls discovery and hands its responses to the callbacks. It leaves the backoff after a failed call
-// to its caller, except within Follow. The callbacks and the poll slot have to be set before the first call;
-// the callbacks run in the goroutine of the call.
+// Client calls discovery and passes the responses to its callbacks. Except in Follow, it leaves the backoff
+// after a failed call to its caller. The callbacks and the poll slot must be set before the first call; the
+// callbacks run in the goroutine of the call.
 type Client struct {
 	// Addr is the host:port of discovery.
 	Addr string
-	// OnUpdate is called with each endpoint list, or with a nil list and the error of a call. watch says that
-	// the call was part of a watch.
+	// OnUpdate is called with each endpoint list, or with a nil list and the error of a call. watch reports
+	// whether the call was part of a watch.
 	OnUpdate func(l *membership.List, watch bool, err error)
-	// OnAlive, if not nil, is called with each response of a watch, even one without changes.
+	// OnAlive, if not nil, is called for each response of a watch, even one without changes.
 	OnAlive func()
-	// OnSilent, if not nil, is called when a watch fell silent and is about to be reopened.
+	// OnSilent, if not nil, is called when a watch got no response in time and is about to be reopened.
 	OnSilent func(err error)
 
 	ctx        context.Context // ends with Close
@@ -63,14 +63,14 @@
 	httpClient *http.Client
 	limiter    *rate.Limiter
 
-	pollSlot  int // of this process among pollSlots
+	pollSlot  int // slot of this process, below pollSlots
 	pollSlots int
 	minWait   time.Duration // minWatchWait
 	maxWait   time.Duration // maxWatchWait
 	grace     time.Duration // watchGrace
 }
 
-// NewClient returns a client of the discovery at addr, a host:port. Its calls end with ctx or Close.
+// NewClient returns a client of discovery at addr, a host:port. Its calls end when ctx ends or with Close.
 func NewClient(ctx context.Context, addr string) *Client {
 	ctx, cancel := context.WithCancel(ctx)
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -95,15 +95,16 @@
 	}
 }
 
-// SetPollSlot says that this process is number index of so many that watch, so that their calls do not all
-// end at one moment. It has to be called before the first call.
+// SetPollSlot sets the index of this process among all processes that watch, so that their calls do not all
+// end at the same time. It must be called before the first call.
 func (c *Client) SetPollSlot(index, processes int) {
 	c.pollSlots = max(processes, 1)
 	c.pollSlot = max(index, 0) % c.pollSlots
 }
 
-// PollFrequently raises the bound on the rate of calls, for a discovery with few clients or on the local
-// host, so that a drain does not wait for the limiter. It has to be called before the first call.
+// PollFrequently raises the rate limit of calls so that the limiter does not delay the update with a drain.
+// It is for a discovery service with few clients or on the local host, and must be called before the first
+// call.
 func (c *Client) PollFrequently() {
 	c.limiter = rate.NewLimiter(frequentCallsPerSecond, frequentCallsPerSecond)
 }
@@ -132,11 +133,11 @@
 	status, body, err := c.fetchBody(ctx, c.url+query)
 	switch {
 	case err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return nil, fmt.Errorf("%w for %v: %s", errSilent, timeout, c.url+query)
+		return nil, fmt.Errorf("%w within %v: %s", errSilent, timeout, c.url+query)
 	case err != nil:
 		return nil, fmt.Errorf("discovery: %w", err)
 	case status != http.StatusOK:
-		return nil, fmt.Errorf("discovery: answered %d", status)
+		return nil, fmt.Errorf("discovery: unexpected status %d", status)
 	}
 	var l membership.List
 	if err := json.Unmarshal(body, &l); err != nil {
@@ -146,7 +147,7 @@
 	return &l, nil
 }
 
-// fetchBody returns status and body of a response, of which no more than MaxListBytes are read.
+// fetchBody returns the status and the body of a response, of which it reads at most MaxListBytes.
 func (c *Client) fetchBody(ctx context.Context, url string) (status int, body []byte, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -161,12 +162,12 @@
 	return resp.StatusCode, body, err
 }
 
-// backOff sleeps for a time drawn evenly from the upper half of maxBackoff.
+// backOff sleeps for a random time between half of maxBackoff and maxBackoff.
 func (c *Client) backOff(maxBackoff time.Duration) {
 	c.sleep(maxBackoff/2 + rand.N(maxBackoff/2+1))
 }
 
-// sleep sleeps for a time, or until the client is closed.
+// sleep sleeps for d or until the client is closed.
 func (c *Client) sleep(d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/membership/discovery/client_test.go
+++ b/internal/membership/discovery/client_test.go
@@ -14,17 +14,17 @@
 	"ringtrack.example/ringtrack/internal/panics"
 )
 
-// A discovery that answers every watch at once is not called in a tight loop.
+// The rate limit applies when discovery answers every watch without delay.
 func TestWatchCallsAreRateLimited(t *testing.T) {
 	var calls atomic.Int64
-	busy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	immediate := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		calls.Add(1)
 		fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
 	}))
-	defer busy.Close()
+	defer immediate.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 	defer cancel()
-	d := NewClient(ctx, busy.Listener.Addr().String())
+	d := NewClient(ctx, immediate.Listener.Addr().String())
 	d.OnUpdate = func(*membership.List, bool, error) {}
 	from := time.Now()
 	d.Watch(1, false)
@@ -34,9 +34,9 @@
 	}
 }
 
-// A discovery with many clients answers late: giving up earlier would cost it the same work for nothing, and the call
-// again.
-func TestFetchWaitsForASlowDiscovery(t *testing.T) {
+// Discovery with many clients answers late. A client that gives up earlier causes the same work there without
+// a result, and calls again.
+func TestFetchWaitsForSlowDiscovery(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(1500 * time.Millisecond):
@@ -62,8 +62,8 @@
 
 func (panickingTransport) RoundTrip(*http.Request) (*http.Response, error) { panic("defect") }
 
-// A panic in the code that reads an answer of discovery is a failed call.
-func TestPanicOfACallIsAFailedCall(t *testing.T) {
+// A panic in the code of a call is reported as the error of the call.
+func TestPanicIsReportedAsCallError(t *testing.T) {
 	d := NewClient(t.Context(), "127.0.0.1:1")
 	defer d.Close()
 	d.httpClient.Transport = panickingTransport{}
--- a/internal/membership/discovery/fetch.go
+++ b/internal/membership/discovery/fetch.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// MaxInitialFetches is how often the complete list of a new discovery is requested before the failure is
-	// reported.
+	// MaxInitialFetches bounds the requests for the complete list at the start of a watch, before the failure
+	// is reported.
 	MaxInitialFetches = 3
-	// initialFetchBackoff is the unit of the backoff between them, whose spread doubles each time: all
-	// processes may have been configured with the new discovery at once.
+	// initialFetchBackoff is the base of the randomized backoff between them, whose range doubles each time:
+	// all processes may have been configured with a new discovery service at the same time.
 	initialFetchBackoff = 200 * time.Millisecond
 
-	// fetchTimeout bounds a call for the complete list. A discovery with many clients queues them and drops
-	// those that waited too long; a client that gives up earlier costs it the same work for nothing.
+	// fetchTimeout bounds a call for the complete list. Discovery with many clients queues calls and drops
+	// those that waited too long; a client that gives up earlier causes the same work there without a result.
 	fetchTimeout = 3 * time.Second
-	// initialFetchTimeout is the same for a process that knows no server yet and can serve nobody until then.
+	// initialFetchTimeout is the timeout in a process that knows no server yet and can't serve requests.
 	initialFetchTimeout = 9500 * time.Millisecond
 )
 
-// errIncompleteList is returned where discovery answers with changes instead of the complete list.
-var errIncompleteList = errors.New("discovery: the endpoint list is not complete")
+// errIncompleteList is returned if discovery answers with changes instead of the complete list.
+var errIncompleteList = errors.New("discovery: response is not the complete endpoint list")
 
 // Fetch requests the complete list once and reports the list or the failure to OnUpdate.
 func (c *Client) Fetch() {
@@ -34,8 +34,8 @@
 	}
 }
 
-// FetchInitial is Fetch with a longer timeout, for a process that knows no server yet. It runs beside a watch,
-// whose calls end earlier and report failures: this one reports a list only.
+// FetchInitial is Fetch with a longer timeout, for a process that knows no server yet. It runs concurrently
+// with a watch, which has shorter timeouts and reports failures; FetchInitial reports only a list.
 func (c *Client) FetchInitial() {
 	if l, err := c.get("", initialFetchTimeout); err == nil && c.ctx.Err() == nil {
 		c.OnUpdate(l, false, nil)
--- a/internal/membership/discovery/source.go
+++ b/internal/membership/discovery/source.go
@@ -14,18 +14,17 @@
 	defaultMaxBackoff = 5 * time.Second
 )
 
-// Source follows an endpoint list by itself: the complete list, then a watch, and the same again after a
+// Source follows an endpoint list: it fetches the complete list, then watches it, and starts over after a
 // failure, with exponential backoff.
 type Source struct {
 	Addr string // host:port of discovery
-	// MinBackoff and MaxBackoff bound the backoff after a failed call, of which the upper half is drawn.
-	// 0: 250 ms and 5 s.
+	// MinBackoff and MaxBackoff bound the backoff after a failed call; see Follow. 0: 250 ms and 5 s.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 }
 
 // Run follows the list until ctx ends. onUpdate is called from one goroutine at a time: with a list, with the
-// error of a call, or with neither where discovery only showed that it is alive.
+// error of a call, or with neither after a response without changes.
 func (s *Source) Run(ctx context.Context, onUpdate func(l *membership.List, err error)) {
 	c := NewClient(ctx, s.Addr)
 	defer c.Close()
--- a/internal/membership/discovery/watch.go
+++ b/internal/membership/discovery/watch.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// minWatchWait and maxWatchWait bound how long discovery may delay its response to one call of a watch. A
-	// watch may fall silent at any time, for all processes at once; it is noticed when the wait and watchGrace
-	// are over. A change counts as notified 6 s after the silence began, or 2 s after the end of the wait if
-	// that is later, and discovery may need 8 s to answer one call of each process: so each process has a wait
-	// of its own (see SetPollSlot), spread over that time.
+	// minWatchWait and maxWatchWait bound how long discovery may delay its response to one call of a watch.
+	// The watches of all processes may fall silent at the same time; a process notices it when its wait and
+	// watchGrace are over. A change counts as notified 6 s after the silence began, or 2 s after the end of
+	// the wait if that is later, and discovery may need 8 s to answer one call of each process. So each
+	// process draws its waits from its own part of that time (see SetPollSlot).
 	minWatchWait = time.Second
 	maxWatchWait = 9 * time.Second
-	// watchGrace is how long the response may take beyond the wait before the watch counts as silent.
+	// watchGrace is how long after the wait the response may arrive before the watch counts as silent.
 	watchGrace = 500 * time.Millisecond
 
 	// maxReopenFailures is how many calls may fail while a silent watch is reopened before the failure is
@@ -33,13 +33,13 @@
 	err  error
 }
 
-// Watch follows the changes after a revision until a call fails or the client is closed. With fetchFirst, for
-// a discovery of which no list is known yet, it fetches the complete list first and ignores revision. It
-// returns whether any call was answered.
+// Watch follows the changes after a revision until a call fails or the client is closed. With fetchFirst,
+// which is for a process that has no list yet, it fetches the complete list first and ignores revision. It
+// reports whether any call was answered.
 //
 // The next call is sent before the callbacks see the last response: discovery drops a watch that has no call
-// pending for 200 ms, and a new watch is expensive. A watch that falls silent is reopened at once and not
-// reported as a failure, as only this client may have missed changes.
+// pending for 200 ms, and a new watch is expensive. A watch that gets no response is reopened at once and not
+// reported as a failure, as it may be only this client that has missed changes.
 func (c *Client) Watch(revision uint64, fetchFirst bool) (answered bool) {
 	if fetchFirst {
 		l, err := c.fetchComplete()
@@ -57,7 +57,7 @@
 	next := c.startCall(revision)
 	first := !fetchFirst
 	silent := false
-	failures := 0 // since it fell silent
+	failures := 0 // since the watch fell silent
 	for {
 		response := <-next
 		switch {
@@ -89,7 +89,7 @@
 	}
 }
 
-// startCall sends one call of a watch in a goroutine of its own. The protocol names the revision index.
+// startCall sends one call of a watch in a new goroutine. The query parameter of the revision is index.
 func (c *Client) startCall(revision uint64) <-chan watchResponse {
 	done := make(chan watchResponse, 1)
 	wait := c.drawWait()
@@ -101,14 +101,14 @@
 	return done
 }
 
-// drawWait returns how long discovery may delay its next response: a time drawn from this process's slot.
+// drawWait returns how long discovery may delay its next response: a random time in this process's poll slot.
 func (c *Client) drawWait() time.Duration {
 	fraction := (float64(c.pollSlot) + rand.Float64()) / float64(c.pollSlots)
 	return c.minWait + time.Duration(fraction*float64(c.maxWait-c.minWait))
 }
 
-// notify hands a response of a watch to the callbacks. One without changes is no update, unless it is the
-// first: that answers the call for a watch.
+// notify passes a response of a watch to the callbacks. A response without changes is not an update, unless
+// it is the first: that one confirms the watch.
 func (c *Client) notify(l *membership.List, first bool) {
 	if c.OnAlive != nil {
 		c.OnAlive()
@@ -118,9 +118,9 @@
 	}
 }
 
-// Follow watches until the client is closed: the complete list, then its changes, and the same again after a
-// failure. The backoff starts at minBackoff and doubles with each failure in a row up to maxBackoff; its upper
-// half is drawn.
+// Follow fetches the complete list and watches its changes until the client is closed, and starts over after
+// a failure. The backoff starts at minBackoff and doubles with each failure in a row up to maxBackoff; each
+// pause is a random time in the upper half of it.
 func (c *Client) Follow(minBackoff, maxBackoff time.Duration) {
 	for backoff := minBackoff; c.ctx.Err() == nil; backoff = min(2*backoff, maxBackoff) {
 		if c.Watch(0, true) {
--- a/internal/membership/discovery/watch_test.go
+++ b/internal/membership/discovery/watch_test.go
@@ -14,8 +14,9 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// A watch that falls silent is reopened from its revision, at once and by the same call of Watch, and the changes that
-// it missed are reported. No failure is reported, as the caller would back off; calls that fail meanwhile are retried.
+// A watch that gets no response is reopened from its revision, at once and within the same call of Watch, and
+// the changes that it missed are reported. No failure is reported, as the caller would back off; calls that
+// fail meanwhile are retried.
 func TestSilentWatchIsReopened(t *testing.T) {
 	for _, rejected := range []int{0, 1, maxReopenFailures, maxReopenFailures + 1} {
 		t.Run(fmt.Sprint(rejected), func(t *testing.T) {
@@ -34,7 +35,7 @@
 					w.WriteHeader(http.StatusServiceUnavailable)
 				case n == 2+rejected:
 					fmt.Fprint(w, `{"version":5,"full":false,"servers":[{"id":"a","state":"draining"}]}`)
-				default: // silent: never answered
+				default: // never answered
 					<-r.Context().Done()
 				}
 			}))
@@ -79,9 +80,9 @@
 	}
 }
 
-// A change that a silent watch misses counts as notified 6 s after the silence began, or 2 s after the end of the wait
-// if that is later: whatever its poll slot, a process has noticed by then and has had an answer to a new watch. The
-// waits of the processes end one after the other.
+// A change that a silent watch misses counts as notified 6 s after the silence began, or 2 s after the end of
+// the wait if that is later. A process in any poll slot must have noticed the silence by then and have an
+// answer to a new watch. The waits of the processes end one after the other.
 func TestWatchWaitsLeaveTimeToReopen(t *testing.T) {
 	const (
 		notified   = 6 * time.Second
--- a/internal/zkwire/codes.go
+++ b/internal/zkwire/codes.go
@@ -31,7 +31,7 @@
 	OpError         Op = -1
 )
 
-// Code is the code of an error, as in KeeperException.Code. Each Code but OK is used as an error.
+// Code is an error code, as in KeeperException.Code. Every Code except OK is used as an error.
 type Code int32
 
 // Error codes.
@@ -75,7 +75,7 @@
 	RolledBack:        "rolled back",
 }
 
-// Error returns the text of the code, or its number where it is unknown.
+// Error returns the text of the code, or its number if the code is unknown.
 func (c Code) Error() string {
 	if text := codeTexts[c]; text != "" {
 		return "zookeeper: " + text
@@ -83,7 +83,7 @@
 	return fmt.Sprintf("zookeeper: error %d", int32(c))
 }
 
-// Transaction ids of frames that reply to no numbered request.
+// Values of Xid in frames that do not reply to a numbered request.
 const (
 	XidEvent      = -1
 	XidPing       = -2
@@ -102,16 +102,16 @@
 	NodeChildrenChanged Event = 4
 )
 
-// SyncConnected is the connection state in the events of nodes.
+// SyncConnected is the connection state in events about nodes.
 const SyncConnected = 3
 
-// Flags of a create.
+// Flags of OpCreate.
 const (
 	FlagEphemeral  = 1
 	FlagSequential = 2
 )
 
-// Modes of AddWatch.
+// Modes of OpAddWatch.
 const (
 	WatchPersistent          = 0
 	WatchPersistentRecursive = 1
--- a/internal/zkwire/jute.go
+++ b/internal/zkwire/jute.go
@@ -1,8 +1,8 @@
-// Package zkwire reads and writes the records of ZooKeeper's client protocol: jute records in frames that begin
-// with their length. It does no I/O and has no state. No count or length in a record allocates more memory than
-// its frame has bytes.
+// Package zkwire encodes and decodes the records of ZooKeeper's client protocol: jute records in frames that
+// begin with their length. It does no I/O and has no state. No count or length in a record makes it allocate
+// more elements than its frame has bytes.
 //
-// The records are those of the ZooKeeper project's zookeeper.jute and "Programmer's Guide".
+// The records are defined in the ZooKeeper project's zookeeper.jute and "Programmer's Guide".
 package zkwire
 
 import (
@@ -14,33 +14,33 @@
 // ErrMalformed is wrapped by the error of a record that can't be read.
 var ErrMalformed = errors.New("zookeeper: malformed record")
 
-// DefaultMaxFrameBytes is the servers' own default, jute.maxbuffer, plus some bytes for the header.
+// DefaultMaxFrameBytes is the servers' default, jute.maxbuffer, plus some bytes for the header.
 const DefaultMaxFrameBytes = 0xfffff + 1024
 
 const (
-	// lengthBytes is the size of the length before a frame, a buffer or a string.
+	// lengthBytes is the size of the length prefix of a frame, a buffer or a string.
 	lengthBytes = 4
 	// minStringBytes is the size of an empty string.
 	minStringBytes = lengthBytes
-	// nullLength is the length of a buffer or vector that is null.
+	// nullLength is the length prefix of a null buffer or vector.
 	nullLength = -1
-	// initialFrameBytes fits most requests.
+	// initialFrameBytes is the initial capacity of a frame; most requests fit.
 	initialFrameBytes = 64
 )
 
-// Reader reads a record. After the first error it returns zero values; Err returns that error.
+// Reader decodes records. After the first error it returns zero values; Err returns that error.
 type Reader struct {
 	b   []byte
 	err error
 }
 
-// NewReader returns a reader of a frame without its length. What it returns may share memory with the frame.
+// NewReader returns a Reader of a frame without its length. Its results may share memory with the frame.
 func NewReader(b []byte) *Reader { return &Reader{b: b} }
 
 // Err returns the first error, if there was one.
 func (r *Reader) Err() error { return r.err }
 
-// Len is the number of unread bytes.
+// Len returns the number of unread bytes.
 func (r *Reader) Len() int { return len(r.b) }
 
 func (r *Reader) fail(what string) {
@@ -53,7 +53,7 @@
 // next returns the next n bytes.
 func (r *Reader) next(n int) []byte {
 	if n < 0 || n > len(r.b) {
-		r.fail(fmt.Sprintf("%d bytes wanted, %d left", n, len(r.b)))
+		r.fail(fmt.Sprintf("need %d bytes, %d left", n, len(r.b)))
 		return nil
 	}
 	b := r.b[:n]
@@ -83,7 +83,7 @@
 	return len(b) == 1 && b[0] != 0
 }
 
-// Buffer reads a buffer, nil where its length is nullLength. It shares memory with the frame.
+// Buffer reads a buffer, which is nil if its length is nullLength. The result shares memory with the frame.
 func (r *Reader) Buffer() []byte {
 	n := r.Int()
 	if n == nullLength {
@@ -108,14 +108,14 @@
 	return out
 }
 
-// vectorLen reads the length of a vector whose elements have minBytes bytes at least.
+// vectorLen reads the length of a vector whose elements have at least minBytes bytes.
 func (r *Reader) vectorLen(minBytes int) int {
 	n := int(r.Int())
 	if n == nullLength {
 		return 0
 	}
 	if n < 0 || n > len(r.b)/minBytes {
-		r.fail(fmt.Sprintf("a vector of %d in %d bytes", n, len(r.b)))
+		r.fail(fmt.Sprintf("vector of %d elements in %d bytes", n, len(r.b)))
 		return 0
 	}
 	return n
@@ -135,7 +135,7 @@
 	return append(b, 0)
 }
 
-// AppendBuffer appends a buffer; nil has the length nullLength.
+// AppendBuffer appends a buffer; nil is written with the length nullLength.
 func AppendBuffer(b, v []byte) []byte {
 	if v == nil {
 		return AppendInt(b, nullLength)
@@ -155,7 +155,7 @@
 	return b
 }
 
-// Frame returns a frame with the record that write appends.
+// Frame returns a frame that contains the record appended by write.
 func Frame(write func([]byte) []byte) []byte {
 	b := write(make([]byte, lengthBytes, initialFrameBytes))
 	binary.BigEndian.PutUint32(b, uint32(len(b)-lengthBytes))
--- a/internal/zkwire/records.go
+++ b/internal/zkwire/records.go
@@ -1,27 +1,27 @@
 package zkwire
 
-// Connect is the first record on a connection, and the response to it. Both have the same form, except that the
-// request begins with the last transaction id that the client saw.
+// Connect is the first record on a connection, and the response to it. Both have the same fields, except that
+// only the request has the last transaction id that the client saw.
 type Connect struct {
 	LastZxid    int64 // request only
 	TimeoutMs   int32 // of the session; 0 in a response: the session has expired
 	Session     int64
 	Password    []byte
 	ReadOnly    bool
-	HasReadOnly bool // the read-only byte is present: servers and clients before 3.4 have none
+	HasReadOnly bool // the read-only byte is present; servers and clients before 3.4 do not send it
 }
 
 // protocolVersion is the only version of the protocol.
 const protocolVersion = 0
 
-// AppendRequest appends the form of a request.
+// AppendRequest appends the request.
 func (c *Connect) AppendRequest(b []byte) []byte {
 	b = AppendInt(b, protocolVersion)
 	b = AppendLong(b, c.LastZxid)
 	return c.appendCommon(b)
 }
 
-// AppendResponse appends the form of a response.
+// AppendResponse appends the response.
 func (c *Connect) AppendResponse(b []byte) []byte {
 	b = AppendInt(b, protocolVersion)
 	return c.appendCommon(b)
@@ -62,8 +62,8 @@
 
 // ReplyHeader precedes each reply and event.
 type ReplyHeader struct {
-	Xid  int32 // of the request
-	Zxid int64 // the last transaction that the server had seen
+	Xid  int32 // of the request, or one of the Xid constants
+	Zxid int64 // id of the last transaction that the server had seen
 	Err  Code
 }
 
@@ -83,8 +83,8 @@
 type Stat struct {
 	Czxid          int64 // transaction that created the node
 	Mzxid          int64 // transaction that last modified it
-	Ctime          int64 // Unix ms, by the server's clock
-	Mtime          int64 // Unix ms, by the server's clock
+	Ctime          int64 // Unix ms by the server's clock
+	Mtime          int64 // Unix ms by the server's clock
 	Version        int32 // of the data
 	Cversion       int32 // of the children
 	Aversion       int32 // of the ACL
@@ -155,7 +155,7 @@
 // minACLBytes is the size of an ACL with empty strings.
 const minACLBytes = 12
 
-// OpenACL permits everything to everybody.
+// OpenACL grants all permissions to everyone.
 var OpenACL = []ACL{{PermAll, "world", "anyone"}}
 
 // AppendACLs appends an access control list.
@@ -179,7 +179,7 @@
 	return out
 }
 
-// SetWatches sets the watches of a session again. What changed since Zxid is notified at once.
+// SetWatches restores the watches of a session. The server sends events at once for what changed since Zxid.
 type SetWatches struct {
 	Zxid       int64
 	Data       []string
@@ -189,7 +189,7 @@
 	Recursive  []string // OpSetWatches2 only
 }
 
-// Append appends the record in the form of OpSetWatches, or of OpSetWatches2.
+// Append appends the record for OpSetWatches or, with setWatches2, for OpSetWatches2.
 func (s *SetWatches) Append(b []byte, setWatches2 bool) []byte {
 	b = AppendLong(b, s.Zxid)
 	b = AppendStrings(b, s.Data)
@@ -202,7 +202,7 @@
 	return b
 }
 
-// SetWatches reads a SetWatches in the form of OpSetWatches, or of OpSetWatches2.
+// SetWatches reads a SetWatches of OpSetWatches or, with setWatches2, of OpSetWatches2.
 func (r *Reader) SetWatches(setWatches2 bool) SetWatches {
 	s := SetWatches{
 		Zxid:  r.Long(),
@@ -217,10 +217,10 @@
 	return s
 }
 
-// MultiHeader precedes each operation of a multi and each part of its reply, and ends both.
+// MultiHeader precedes each operation of a multi request and each result in its reply; a last one ends both.
 type MultiHeader struct {
 	Type Op
-	Done bool // the end
+	Done bool // this is the last header
 	Err  Code
 }
 
--- a/internal/zkwire/zkwire_test.go
+++ b/internal/zkwire/zkwire_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The expected bytes are written out by hand from the definitions of the records.
+// The expected bytes are derived by hand from the definitions of the records.
 func TestRecordBytes(t *testing.T) {
 	for name, test := range map[string]struct {
 		got  []byte
@@ -39,7 +39,7 @@
 	}
 }
 
-// A record is read as it was written; a truncated one is malformed.
+// Decoding returns what was encoded; a truncated record is malformed.
 func TestRoundTrip(t *testing.T) {
 	stat := Stat{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}
 	b := (&Connect{LastZxid: 9, TimeoutMs: 1, Session: 2, Password: []byte("pw")}).AppendRequest(nil)
@@ -61,7 +61,7 @@
 	}
 }
 
-// No length or count allocates more memory than the frame has bytes.
+// An excessive length or count is an error and causes no large allocation.
 func TestLengthsAreBounded(t *testing.T) {
 	for name, text := range map[string]string{"buffer of 2 GB": "7fffffff", "buffer of -2": "fffffffe", "truncated": "0000"} {
 		b, _ := hex.DecodeString(text)
