--- a/internal/membership/ephemeral/follow/connect.go
+++ b/internal/membership/ephemeral/follow/connect.go
@@ -5,17 +5,17 @@
 const (
 	// maxSetWatchesBytes bounds the paths of one SetWatches, well below the frame limit of servers.
 	maxSetWatchesBytes = 128 << 10
-	// stringHeaderBytes is the length of a string's header on the wire.
+	// stringHeaderBytes is the size of a string's length prefix on the wire.
 	stringHeaderBytes = 4
 )
 
-// Connected starts a connection. renewed says that it continues the session of the last one: watches are set
-// again, and only what changed since zxid is read. Otherwise everything is read again. In either case the nodes
-// stay as they are until the registry says otherwise.
+// Connected starts a connection. renewed says that it continues the last session: watches are restored, and
+// only what changed since zxid is read. Otherwise everything is read again. In either case the nodes stay as
+// they are until the registry reports a change.
 func (f *Follower) Connected(renewed bool, zxid int64) {
 	resume := f.lag.connected(renewed)
-	// First the server catches up with its leader: another server may have reported events that this one has
-	// not seen, though the last known transaction id is in order.
+	// The sync makes the server catch up with its leader first: another server may have sent events that this
+	// one has not seen, even if this one has seen the last known transaction.
 	f.queue = []Request{{Op: zkwire.OpSync, Path: f.cfg.Root}}
 	f.inFlight = 0
 	f.synced = false
@@ -31,8 +31,8 @@
 	f.queue = append(f.queue, lostReads...)
 }
 
-// resetReads forgets the reads in flight on the last connection. If the session goes on it returns the pending
-// ones, which have to be sent again; else no watch is set any longer.
+// resetReads resets the reads of the last connection. With resume it returns the pending ones, which must be
+// sent again; without, it marks everything as unwatched.
 func (f *Follower) resetReads(resume bool) (pending []Request) {
 	for _, all := range []map[string]*tracked{f.dirs, f.nodes} {
 		for path, t := range all {
@@ -48,7 +48,7 @@
 	return pending
 }
 
-// setWatches queues requests that set all watches of the session again, from zxid on.
+// setWatches queues requests that restore all watches of the session, with the changes since zxid.
 func (f *Follower) setWatches(zxid int64) {
 	batches := newWatchBatches(zxid, f.oneShot)
 	if !f.oneShot {
@@ -89,7 +89,7 @@
 	return &watchBatches{op: op, zxid: zxid, current: &zkwire.SetWatches{Zxid: zxid}}
 }
 
-// forPath returns the batch that the path is to be added to.
+// forPath returns the batch to which the path must be added.
 func (b *watchBatches) forPath(path string) *zkwire.SetWatches {
 	size := len(path) + stringHeaderBytes
 	b.bytes += size
@@ -105,7 +105,7 @@
 	return append(b.full, Request{Op: b.op, Watches: b.current})
 }
 
-// readAll reads everything from the root on.
+// readAll queues reads of everything, starting with the root.
 func (f *Follower) readAll() {
 	f.rootMissing = false
 	if !f.oneShot {
@@ -114,7 +114,7 @@
 	f.queueRead(f.cfg.Root)
 }
 
-// restart reads everything again on the same connection.
+// restart starts reading everything again on the same connection.
 func (f *Follower) restart() {
 	f.queue = nil
 	f.existsPending = false
--- a/internal/membership/ephemeral/follow/event.go
+++ b/internal/membership/ephemeral/follow/event.go
@@ -6,7 +6,7 @@
 	"ringtrack.example/ringtrack/internal/zkwire"
 )
 
-// HandleEvent takes a watch event.
+// HandleEvent handles a watch event.
 func (f *Follower) HandleEvent(e zkwire.WatchEvent) {
 	f.lag.event()
 	depth := f.depth(e.Path)
@@ -21,7 +21,7 @@
 	}
 }
 
-// nodeExpired notes that a node does not exist.
+// nodeExpired records that a node does not exist.
 func (f *Follower) nodeExpired(path string) {
 	node := f.nodes[path]
 	if node == nil {
@@ -33,13 +33,13 @@
 		f.changes = append(f.changes, Change{Name: f.name(path), Expired: true})
 	}
 	if node.inFlight {
-		node.readAgain = true // the reply may show the next node of that name, or miss it
+		node.readAgain = true // the reply may or may not show a later node of that name
 	} else if !node.readPending {
 		delete(f.nodes, path)
 	}
 }
 
-// directoryRemoved notes that a directory does not exist: everything in it was removed before.
+// directoryRemoved records that a directory does not exist, which implies that nothing in it does.
 func (f *Follower) directoryRemoved(path string) {
 	for nodePath := range f.nodes {
 		if strings.HasPrefix(nodePath, path+"/") {
@@ -56,7 +56,7 @@
 	}
 }
 
-// waitForRoot waits until the root, which does not exist, is created.
+// waitForRoot records that the root does not exist and prepares to read it once it is created.
 func (f *Follower) waitForRoot() {
 	f.rootMissing = true
 	f.problem("%s does not exist", f.cfg.Root)
--- a/internal/membership/ephemeral/follow/follow.go
+++ b/internal/membership/ephemeral/follow/follow.go
@@ -1,10 +1,10 @@
-// Package follow decides how the view of a directory of ephemeral nodes in a ZooKeeper-style registry is kept
-// current: which reads and watches to request next, given the replies and events so far. It does no I/O,
-// reads no clock and starts no goroutine; the connection and its session are the caller's.
+// Package follow maintains a view of a directory of ephemeral nodes in a ZooKeeper-style registry: given the
+// replies and events so far, it decides which reads and watches to request next. It does no I/O, reads no
+// clock and starts no goroutine; the caller has the connection and its session.
 //
 // It relies on one guarantee of the protocol: on a connection, an event is delivered before any reply that
-// shows a later state ("Programmer's Guide", "What ZooKeeper Guarantees about Watches"). So whatever a reply
-// says is newer than everything received on its connection before.
+// shows a later state ("Programmer's Guide", "What ZooKeeper Guarantees about Watches"). So a reply is always
+// newer than everything received earlier on its connection.
 package follow
 
 import (
@@ -16,16 +16,16 @@
 const (
 	// MaxOutstanding is the number of requests that may be in flight.
 	MaxOutstanding = 64
-	// maxProblems bounds the problems that are remembered until Problems is called.
+	// maxProblems bounds the problems that are stored until Problems is called.
 	maxProblems = 16
 )
 
-// Config says what is followed.
+// Config describes the directory to follow.
 type Config struct {
 	Root string // the directory
 	// Depth is 1 if the children of the root are the nodes, 2 if the root holds directories of nodes.
 	Depth int
-	// OneShot uses one-shot watches even where the server has persistent recursive ones.
+	// OneShot uses one-shot watches even if the server supports persistent recursive ones.
 	OneShot bool
 	// MaxNodes bounds the nodes that are followed; the others are left out and reported as a problem.
 	// 0: no bound.
@@ -60,18 +60,18 @@
 // Follower follows one directory. It belongs to one goroutine.
 type Follower struct {
 	cfg     Config
-	oneShot bool // cfg.OneShot, or the server has no persistent recursive watches
+	oneShot bool // cfg.OneShot, or the server does not support persistent recursive watches
 
 	nodes map[string]*tracked // by path
-	dirs  map[string]*tracked // directories that are read, the root among them
+	dirs  map[string]*tracked // by path; directories that are read, including the root
 
 	rootMissing   bool
-	existsPending bool // whether the root exists is being requested
+	existsPending bool // an exists request for the root is queued or in flight
 	overLimit     int  // reads of nodes beyond MaxNodes
 
 	queue       []Request
 	inFlight    int
-	failedReads map[string]zkwire.Code // by path, to be retried
+	failedReads map[string]zkwire.Code // by path; to be retried
 	synced      bool
 	lag         lagDetector
 
@@ -81,16 +81,16 @@
 
 // tracked is a node or directory that is followed.
 type tracked struct {
-	known       bool  // read and not removed since
-	unwatched   bool  // not read since the session began: no watch is set on it
+	known       bool  // it has been read and not removed since
+	unwatched   bool  // not read since the session began, so it has no watch
 	czxid       int64 // of the last change reported
 	mzxid       int64
 	readPending bool // a read is queued or in flight
 	inFlight    bool // the read is in flight
-	readAgain   bool // an event arrived while it was: its reply may be too old
+	readAgain   bool // an event arrived while it was in flight, so its reply may be outdated
 }
 
-// New returns a follower that has seen nothing.
+// New returns a Follower of a directory that has not been read yet.
 func New(cfg Config) *Follower {
 	cfg.Depth = max(cfg.Depth, 1)
 	return &Follower{
@@ -119,15 +119,15 @@
 	return r, true
 }
 
-// ReplyReceived notes that a reply of any kind arrived, a ping's included: the server has seen everything that
-// its events said before. It is called before HandleReply.
+// ReplyReceived records the arrival of any reply, including that to a ping: it confirms the events before it.
+// It must be called before HandleReply.
 func (f *Follower) ReplyReceived() { f.lag.confirm() }
 
-// ServerBehind says whether a reply has shown that the server is behind what was seen before. The caller then
-// closes the connection.
+// ServerBehind reports whether a reply has shown that the server is behind what was seen before. The caller
+// must then close the connection.
 func (f *Follower) ServerBehind() bool { return f.lag.behind }
 
-// Retry requests again what failed. The caller decides when.
+// Retry repeats failed reads. The caller decides when.
 func (f *Follower) Retry() {
 	for path := range f.failedReads {
 		f.queueRead(path)
@@ -142,15 +142,15 @@
 	return out
 }
 
-// Synced says whether everything has been read on this connection.
+// Synced reports whether everything has been read on this connection.
 func (f *Follower) Synced() bool { return f.synced }
 
-// Consistent says whether the changes so far show the directory as it was at one moment: every read has its
-// reply, and no later event is waiting for one. While a read is in flight each node is as it was at some
-// moment, but not all at the same.
+// Consistent reports whether the changes so far show the directory as it was at one moment: everything has
+// been read, and no request is queued or in flight. While a read is, each node is as it was at some moment,
+// but not all nodes at the same moment.
 func (f *Follower) Consistent() bool { return f.synced && len(f.queue) == 0 && f.inFlight == 0 }
 
-// Size is the number of nodes that exist.
+// Size returns the number of existing nodes.
 func (f *Follower) Size() int {
 	size := 0
 	for _, node := range f.nodes {
@@ -174,7 +174,7 @@
 	}
 }
 
-// readFailed remembers a read that the server rejected, for Retry.
+// readFailed stores a read that the server rejected, for Retry.
 func (f *Follower) readFailed(r *Reply) {
 	f.failedReads[r.Request.Path] = r.Code
 	f.problem("%s: %v", r.Request.Path, r.Code)
--- a/internal/membership/ephemeral/follow/follow_test.go
+++ b/internal/membership/ephemeral/follow/follow_test.go
@@ -7,7 +7,7 @@
 	"ringtrack.example/ringtrack/internal/zkwire"
 )
 
-// takeRequests takes all requests that may be in flight.
+// takeRequests returns all requests that may be sent now.
 func takeRequests(f *Follower) (out []Request) {
 	for {
 		r, ok := f.NextRequest()
@@ -18,7 +18,7 @@
 	}
 }
 
-// reply replies as a server with these nodes would, until nothing more is requested.
+// reply answers requests like a server with these nodes until there are no more, and returns their number.
 func reply(f *Follower, nodes map[string]int64) (n int) {
 	for {
 		q := takeRequests(f)
@@ -43,8 +43,8 @@
 	}
 }
 
-// A connection begins with a sync and never has more than MaxOutstanding requests in flight.
-func TestConnectionBeginsWithSync(t *testing.T) {
+// A connection starts with a sync and never has more than MaxOutstanding requests in flight.
+func TestConnectionStartsWithSync(t *testing.T) {
 	f := New(Config{Root: "/fleet"})
 	nodes := map[string]int64{}
 	for i := range 1000 {
@@ -54,7 +54,7 @@
 		f.Connected(renewed, 7)
 		q := takeRequests(f)
 		if q[0].Op != zkwire.OpSync {
-			t.Errorf("begins with %+v", q[0])
+			t.Errorf("starts with %+v", q[0])
 		}
 		for _, r := range q {
 			f.HandleReply(Reply{Request: r, Children: map[bool][]string{true: names(nodes)}[r.Op == zkwire.OpGetChildren2]})
@@ -77,9 +77,9 @@
 	return out
 }
 
-// A renewed session sets its watches again, in batches within the bound, and reads nothing that has not changed; a
-// read that was in flight when the connection was lost is repeated.
-func TestRenewedSessionSetsWatches(t *testing.T) {
+// A renewed session restores its watches, in batches of limited size, and reads only what changed; a read
+// that was in flight when the connection was lost is repeated.
+func TestRenewedSessionRestoresWatches(t *testing.T) {
 	for _, oneShot := range []bool{false, true} {
 		f := New(Config{Root: "/fleet", OneShot: oneShot})
 		nodes := map[string]int64{}
@@ -128,8 +128,8 @@
 	}
 }
 
-// An event during a read causes another read, as the reply may be older; an expiry that is notified twice is reported
-// once.
+// An event during a read causes another read, as the reply may be older than the event. Two events for one
+// expiry are reported as one.
 func TestEventsDuringReads(t *testing.T) {
 	f := New(Config{Root: "/fleet", OneShot: true})
 	f.Connected(false, 0)
@@ -160,9 +160,9 @@
 	}
 }
 
-// A child that is deleted before its data is read is not reported; one that expires and returns between the event and
-// the read is reported as another node.
-func TestBetweenEventAndRead(t *testing.T) {
+// A child that is deleted before its data is read is not reported; one that expires and is created again
+// between the event and the read is reported as a new node.
+func TestNodeChangesBetweenEventAndRead(t *testing.T) {
 	f := New(Config{Root: "/fleet", OneShot: true})
 	f.Connected(false, 0)
 	q := takeRequests(f)
@@ -178,13 +178,13 @@
 	if c := f.Changes(); len(c) != 1 || c[0].Name != "a" || c[0].Expired || !f.Synced() {
 		t.Fatalf("changes %+v", c)
 	}
-	for _, named := range []bool{true, false} { // the parent's event comes too, or does not
+	for _, childrenEventOnly := range []bool{true, false} { // whether there is no event for the node itself
 		f.HandleEvent(zkwire.WatchEvent{Type: zkwire.NodeDeleted, Path: "/fleet/a"})
 		if c := f.Changes(); len(c) != 1 || !c[0].Expired {
 			t.Fatalf("the expiry is reported as %+v", c)
 		}
 		f.HandleEvent(zkwire.WatchEvent{Type: zkwire.NodeChildrenChanged, Path: "/fleet"})
-		if !named {
+		if !childrenEventOnly {
 			f.HandleEvent(zkwire.WatchEvent{Type: zkwire.NodeCreated, Path: "/fleet/a"})
 		}
 		for q := takeRequests(f); len(q) > 0; q = takeRequests(f) {
@@ -193,12 +193,12 @@
 			}
 		}
 		if c := f.Changes(); len(c) != 1 || c[0].Expired || c[0].Stat.Czxid != 7 {
-			t.Fatalf("the next node is reported as %+v", c)
+			t.Fatalf("the new node is reported as %+v", c)
 		}
 	}
 }
 
-// Whatever arrives in whatever order, the follower neither panics nor queues requests without bound.
+// For any replies and events in any order, the Follower neither panics nor queues requests without bound.
 func FuzzFollower(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11})
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -242,12 +242,12 @@
 	})
 }
 
-// An event has no transaction id. A node that it ended, on a connection that is lost before the next reply, does not
-// come back from a server that is behind; a node that was created since is accepted, and so is, in the end, a registry
-// that was restored to an earlier state.
-func TestServerBehindBringsNoNodeBack(t *testing.T) {
+// An event has no transaction id. If one reports the expiry of a node and the connection is lost before the
+// next reply, a server that is behind must not bring the node back. A node that was created since is
+// accepted, and so is, after maxRejectedConnections, a registry that was restored to an earlier state.
+func TestServerBehindRestoresNoExpiredNode(t *testing.T) {
 	before, recreated := map[string]int64{"/fleet/s-1": 5, "/fleet/s-2": 6}, map[string]int64{"/fleet/s-1": 9, "/fleet/s-2": 6}
-	ended := func(confirmed bool) *Follower {
+	afterExpiry := func(confirmed bool) *Follower {
 		f := New(Config{Root: "/fleet"})
 		f.Connected(false, 0)
 		reply(f, before)
@@ -261,7 +261,7 @@
 		f.Connected(true, 7)
 		return f
 	}
-	f := ended(false)
+	f := afterExpiry(false)
 	if reply(f, before); !f.ServerBehind() || len(f.Changes()) > 0 {
 		t.Error("a server that is behind brings back an expired node")
 	}
@@ -269,17 +269,17 @@
 	if reply(f, map[string]int64{"/fleet/s-2": 6}); f.ServerBehind() || !f.Synced() || !f.Consistent() || len(f.Changes()) > 0 {
 		t.Error("a server that has seen the expiry is not accepted")
 	}
-	f = ended(false)
+	f = afterExpiry(false)
 	if reply(f, recreated); f.ServerBehind() {
-		t.Error("the next node of that name is taken for the last")
+		t.Error("a new node of that name is treated as the expired one")
 	}
 	if c := f.Changes(); len(c) != 1 || c[0].Expired || c[0].Stat.Czxid != 9 {
-		t.Errorf("the next node of that name: %+v", c)
+		t.Errorf("a new node of that name: %+v", c)
 	}
-	f = ended(false)
+	f = afterExpiry(false)
 	for n := 0; ; n++ {
 		if reply(f, before); !f.ServerBehind() {
-			if c := f.Changes(); n != maxDoubtedConnections || len(c) != 1 || c[0].Expired {
+			if c := f.Changes(); n != maxRejectedConnections || len(c) != 1 || c[0].Expired {
 				t.Errorf("accepted after %d: %+v", n, c)
 			}
 			break
@@ -287,7 +287,7 @@
 		f.Connected(true, 7)
 	}
 	// Once a reply has confirmed the expiry nothing is read again.
-	f = ended(true)
+	f = afterExpiry(true)
 	for _, r := range takeRequests(f) {
 		if r.Op == zkwire.OpGetData || r.Op == zkwire.OpGetChildren2 {
 			t.Errorf("reads %+v", r)
--- a/internal/membership/ephemeral/follow/lag.go
+++ b/internal/membership/ephemeral/follow/lag.go
@@ -2,35 +2,35 @@
 
 import "maps"
 
-// maxDoubtedConnections bounds the connections in a row that are closed because their server shows nodes that
-// have expired: a registry that was restored to an earlier state is accepted in the end.
-const maxDoubtedConnections = 16
+// maxRejectedConnections bounds the connections in a row that are closed because their server shows expired
+// nodes: after that, the registry counts as restored to an earlier state, which is accepted.
+const maxRejectedConnections = 16
 
-// lagDetector recognises a server that is behind what was seen before. Replies carry the transaction id up to
-// which the server has seen, which the session checks. Events carry none: until the next reply, what an event
-// said may be newer than the last known id. A node that such an event ended, on a connection that was lost
-// before a reply, must not come back from a server that has not seen its end.
+// lagDetector detects a server whose state is older than what was seen before. Replies carry the id of the
+// last transaction that the server has seen, which the session checks. Events carry none: until the next
+// reply, an event may be newer than the last known id. If such an event reported the expiry of a node and the
+// connection was lost before a reply, a server that has not seen the expiry must not bring the node back.
 type lagDetector struct {
-	unconfirmed bool             // an event arrived, and no reply since
-	expired     map[string]int64 // czxid, by path, of the nodes that unconfirmed events ended
-	doubted     map[string]int64 // the same, of the connections before
-	connections int              // that were closed in a row
-	behind      bool             // the server of this connection is behind
+	unconfirmed     bool             // an event has arrived, and no reply since
+	expired         map[string]int64 // czxid, by path, of the nodes whose expiry is unconfirmed
+	earlierExpiries map[string]int64 // the same, from earlier connections of the session
+	rejected        int              // connections closed in a row
+	behind          bool             // the server of this connection is behind
 }
 
 func newLagDetector() lagDetector {
-	return lagDetector{expired: map[string]int64{}, doubted: map[string]int64{}}
+	return lagDetector{expired: map[string]int64{}, earlierExpiries: map[string]int64{}}
 }
 
-// connected starts a connection. renewed says that it continues the session of the last one. It returns whether
-// watches may be set from the last known transaction id on; if not, everything has to be read again.
+// connected starts a connection. renewed says that it continues the last session. It reports whether watches
+// may be restored from the last known transaction id; if not, everything must be read again.
 func (d *lagDetector) connected(renewed bool) (resume bool) {
 	if renewed {
-		maps.Copy(d.doubted, d.expired)
-		// What the server may not have seen yet it can't report again.
-		resume = !d.unconfirmed && len(d.doubted) == 0
+		maps.Copy(d.earlierExpiries, d.expired)
+		// The server can't report again what it may not have seen yet.
+		resume = !d.unconfirmed && len(d.earlierExpiries) == 0
 	} else {
-		clear(d.doubted)
+		clear(d.earlierExpiries)
 	}
 	d.unconfirmed = false
 	d.behind = false
@@ -38,35 +38,35 @@
 	return resume
 }
 
-// event notes that an event arrived.
+// event records the arrival of an event.
 func (d *lagDetector) event() { d.unconfirmed = true }
 
-// confirm notes that a reply arrived.
+// confirm records the arrival of a reply.
 func (d *lagDetector) confirm() {
 	d.unconfirmed = false
 	clear(d.expired)
 }
 
-// nodeExpired notes that a node with this czxid expired.
+// nodeExpired records that a node with this czxid expired.
 func (d *lagDetector) nodeExpired(path string, czxid int64) {
 	if d.unconfirmed {
 		d.expired[path] = czxid
 	}
 }
 
-// check returns whether a server that shows a node with this czxid is behind.
+// check reports whether the server, which shows a node with this czxid, is behind.
 func (d *lagDetector) check(path string, czxid int64) bool {
-	expired, doubted := d.doubted[path]
-	if !doubted || czxid > expired || d.connections >= maxDoubtedConnections {
+	expired, found := d.earlierExpiries[path]
+	if !found || czxid > expired || d.rejected >= maxRejectedConnections {
 		return false
 	}
-	d.connections++
+	d.rejected++
 	d.behind = true
 	return true
 }
 
-// synced notes that everything has been read from a server that is not behind.
+// synced records that everything has been read from a server that is not behind.
 func (d *lagDetector) synced() {
-	d.connections = 0
-	clear(d.doubted)
+	d.rejected = 0
+	clear(d.earlierExpiries)
 }
--- a/internal/membership/ephemeral/follow/read.go
+++ b/internal/membership/ephemeral/follow/read.go
@@ -9,7 +9,7 @@
 // notBelow is the depth of a path outside the root.
 const notBelow = -1
 
-// depth is how many levels below the root a path is, or notBelow.
+// depth returns how many levels below the root a path is, or notBelow.
 func (f *Follower) depth(path string) int {
 	if path == f.cfg.Root {
 		return 0
@@ -21,10 +21,10 @@
 	return 1 + strings.Count(rest, "/")
 }
 
-// isDir says whether a path at or below the root is that of a directory, not of a node.
+// isDir reports whether a path at or below the root is a directory and not a node.
 func (f *Follower) isDir(path string) bool { return f.depth(path) < f.cfg.Depth }
 
-// name is the path of a node below the root.
+// name returns the path of a node relative to the root.
 func (f *Follower) name(path string) string {
 	return path[len(strings.TrimSuffix(f.cfg.Root, "/"))+1:]
 }
@@ -36,7 +36,7 @@
 	return "/"
 }
 
-// trackedBy returns the map that has the path's entry, or is to have it.
+// trackedBy returns the map in which the entry of the path belongs.
 func (f *Follower) trackedBy(path string) map[string]*tracked {
 	if f.isDir(path) {
 		return f.dirs
@@ -53,8 +53,8 @@
 	return Request{Op: op, Path: path, Watch: f.oneShot}
 }
 
-// queueRead queues a read of a directory or a node, unless one is queued. Where one is in flight its reply may
-// be too old: another read follows it.
+// queueRead queues a read of a directory or a node, unless one is queued. If one is in flight, its reply may
+// be outdated, so another read follows it.
 func (f *Follower) queueRead(path string) {
 	all := f.trackedBy(path)
 	t := all[path]
@@ -76,7 +76,7 @@
 	}
 }
 
-// readEnded notes that the read in flight has its reply and returns whether another one has to follow.
+// readEnded records the reply to the read in flight and reports whether another read must follow.
 func (t *tracked) readEnded() (readAgain bool) {
 	readAgain = t.readAgain
 	t.readPending = false
--- a/internal/membership/ephemeral/follow/reply.go
+++ b/internal/membership/ephemeral/follow/reply.go
@@ -6,13 +6,13 @@
 	"ringtrack.example/ringtrack/internal/zkwire"
 )
 
-// HandleReply takes the reply to a request that NextRequest returned.
+// HandleReply handles the reply to a request that NextRequest returned.
 func (f *Follower) HandleReply(r Reply) {
 	f.inFlight--
 	switch r.Request.Op {
 	case zkwire.OpAddWatch, zkwire.OpSetWatches2:
 		if r.Code == zkwire.Unimplemented {
-			// The server is older than persistent watches.
+			// The server does not support persistent watches.
 			f.oneShot = true
 			f.restart()
 		}
@@ -29,20 +29,20 @@
 	}
 }
 
-// handleExists takes the answer to whether the root exists.
+// handleExists handles the reply to an exists request for the root.
 func (f *Follower) handleExists(r *Reply) {
 	f.existsPending = false
 	switch r.Code {
 	case zkwire.OK:
 		f.rootMissing = false
 		f.queueRead(f.cfg.Root)
-	case zkwire.NoNode: // its watch will notify
+	case zkwire.NoNode: // the watch reports its creation
 	default:
 		f.readFailed(r)
 	}
 }
 
-// handleChildren takes the children of a directory.
+// handleChildren handles the list of children of a directory.
 func (f *Follower) handleChildren(r *Reply) {
 	path := r.Request.Path
 	dir := f.dirs[path]
@@ -78,7 +78,7 @@
 	}
 }
 
-// removeMissing removes what a directory no longer has.
+// removeMissing removes the nodes and directories that are no longer children of a directory.
 func (f *Follower) removeMissing(dir string, children map[string]bool) {
 	for path := range f.nodes {
 		if !children[path] && parent(path) == dir {
@@ -92,7 +92,7 @@
 	}
 }
 
-// handleData takes the data of a node.
+// handleData handles the data of a node.
 func (f *Follower) handleData(r *Reply) {
 	path := r.Request.Path
 	node := f.nodes[path]
