--- a/internal/membership/discovery/fetch.go
+++ b/internal/membership/discovery/fetch.go
@@ -12,7 +12,7 @@
 	// MaxInitialFetches bounds the requests for the complete list at the start of a watch, before the failure
 	// is reported.
 	MaxInitialFetches = 3
-	// initialFetchBackoff is the base of the randomized backoff between them, whose range doubles each time:
+	// initialFetchBackoff is the base of the randomised backoff between them, whose range doubles each time:
 	// all processes may have been configured with a new discovery service at the same time.
 	initialFetchBackoff = 200 * time.Millisecond
 
--- a/internal/membership/ephemeral/config.go
+++ b/internal/membership/ephemeral/config.go
@@ -15,31 +15,31 @@
 	"ringtrack.example/ringtrack/internal/zkwire"
 )
 
-// Forms of the nodes' data.
+// Formats of the nodes' data.
 const (
 	FormAuto      = "auto"      // recognised by its fields
 	FormEndpoint  = "roster"    // an entry of the endpoint list
 	FormServerSet = "serverset" // a member of a ServerSet
 )
 
-// Ways of watching.
+// Watch modes.
 const (
-	WatchAuto    = "auto"    // persistent recursive watches where the server has them
+	WatchAuto    = "auto"    // persistent recursive watches if the server supports them
 	WatchOneShot = "oneshot" // one-shot watches only
 )
 
-// Which servers register a node.
+// Values of Config.Covers: which servers are expected to have a node.
 const (
-	coversSeen = "seen" // those that were seen to have one
-	coversAll  = "all"
+	coversSeen = "seen" // those that have had one before
+	coversAll  = "all"  // all servers
 )
 
-// Config is the registry's configuration file, deploy/ephemeral.toml. docs/operators/ephemeral.md has units,
-// defaults and limits of all keys.
+// Config is the registry's configuration file; see deploy/ephemeral.toml. docs/operators/ephemeral.md lists
+// the units, defaults and limits of all keys.
 type Config struct {
-	Ensemble   []string `toml:"ensemble"` // host:port of the servers
+	Ensemble   []string `toml:"ensemble"` // host:port of each server
 	Chroot     string   `toml:"chroot"`
-	Path       string   `toml:"path"` // the directory, below chroot
+	Path       string   `toml:"path"` // the directory that is followed, below chroot
 	Depth      int      `toml:"depth"`
 	Auth       string   `toml:"auth"` // "user:password"
 	AuthFile   string   `toml:"auth_file"`
@@ -70,12 +70,12 @@
 
 	Register RegisterConfig `toml:"register"`
 
-	// For tests; 0: the session's defaults.
+	// Set only by tests; 0: the session's defaults.
 	resetAfter time.Duration
 	maxBackoff time.Duration
 }
 
-// Default returns a configuration with all defaults. Ensemble has none.
+// Default returns a configuration with the defaults of all keys except ensemble, which has none.
 func Default() *Config {
 	merge := membership.DefaultMergeConfig()
 	c := &Config{
@@ -102,7 +102,7 @@
 	return c
 }
 
-// Merge returns the configuration of the merge.
+// Merge returns the configuration of a membership.Merge.
 func (c *Config) Merge() membership.MergeConfig {
 	return membership.MergeConfig{
 		AllRegistered:      c.Covers == coversAll,
@@ -119,8 +119,8 @@
 	}
 }
 
-// Load reads and checks a configuration file. File names in it are relative to its directory. An error names
-// the file and the key.
+// Load reads and checks a configuration file. File names in it are relative to its directory. Errors name the
+// file and, if there is one, the key.
 func Load(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -139,12 +139,12 @@
 	return c, nil
 }
 
-// decode reads TOML over the defaults.
+// decode decodes TOML into c, which holds the defaults.
 func (c *Config) decode(text []byte) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(c)
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
-		return fmt.Errorf("%s: unknown", strings.Join(unknown.Errors[0].Key(), "."))
+		return fmt.Errorf("%s: unknown key", strings.Join(unknown.Errors[0].Key(), "."))
 	}
 	return err
 }
@@ -155,7 +155,7 @@
 		return nil
 	}
 	if c.Auth != "" {
-		return fmt.Errorf("auth and auth_file: only one of them")
+		return fmt.Errorf("auth and auth_file: only one of them may be set")
 	}
 	file := c.AuthFile
 	if !filepath.IsAbs(file) {
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// root is the directory below the root of the registry.
+// root returns the absolute path of the directory in the registry.
 func (c *Config) root() string {
 	switch {
 	case c.Chroot == "" || c.Chroot == "/":
--- a/internal/membership/ephemeral/config_test.go
+++ b/internal/membership/ephemeral/config_test.go
@@ -20,19 +20,19 @@
 		_, err := Load(file)
 		return err
 	}
-	const good = "ensemble = [\"127.0.0.1:2181\"]\n"
-	if err := load(good); err != nil {
+	const valid = "ensemble = [\"127.0.0.1:2181\"]\n"
+	if err := load(valid); err != nil {
 		t.Fatal(err)
 	}
 	for text, key := range map[string]string{
-		"": "ensemble", `ensemble = ["h"]`: "ensemble[0]", good + `path = "orders"`: "path", good + `path = "/a//b"`: "path", good + `chroot = "/a/"`: "chroot",
-		good + "depth = 3": "depth", good + "session_ms = 0": "session_ms", good + "session_ms = -5": "session_ms", good + "session_ms = 3600000": "session_ms",
-		good + `form = "xml"`: "form", good + `watch = "all"`: "watch", good + `covers = "most"`: "covers", good + "most = 0": "most",
-		good + "frame_limit = 10": "frame_limit", good + `auth = "user"`: "auth", good + "speed = 1": "speed", good + "[vanish]\nshare = 0": "vanish.share",
-		good + "[vanish]\nshare = nan": "vanish.share", good + "[vanish]\nwait_ms = -1": "vanish.wait_ms", good + "[stale]\nlapse_ms = 1": "stale.lapse_ms",
-		good + "[flap]\nsettle_ms = 9000\nmost_ms = 10": "flap.most_ms", good + "memory_ms = 5": "memory_ms", good + `auth_file = "none"`: "auth_file",
-		good + "auth_file = \"x\"\nauth = \"a:b\"": "auth_file", good + "[register]\nid = \"a/b\"": "register.id", good + "[register]\nid = \"a\"": "register",
-		good + "depth = 2\n[register]\nid = \"a\"\naddr = \"h:1\"": "register.id", good + "[register]\nid = \"a\"\naddr = \"h:1\"\nweight = -1": "weight",
+		"": "ensemble", `ensemble = ["h"]`: "ensemble[0]", valid + `path = "orders"`: "path", valid + `path = "/a//b"`: "path", valid + `chroot = "/a/"`: "chroot",
+		valid + "depth = 3": "depth", valid + "session_ms = 0": "session_ms", valid + "session_ms = -5": "session_ms", valid + "session_ms = 3600000": "session_ms",
+		valid + `form = "xml"`: "form", valid + `watch = "all"`: "watch", valid + `covers = "most"`: "covers", valid + "most = 0": "most",
+		valid + "frame_limit = 10": "frame_limit", valid + `auth = "user"`: "auth", valid + "speed = 1": "speed", valid + "[vanish]\nshare = 0": "vanish.share",
+		valid + "[vanish]\nshare = nan": "vanish.share", valid + "[vanish]\nwait_ms = -1": "vanish.wait_ms", valid + "[stale]\nlapse_ms = 1": "stale.lapse_ms",
+		valid + "[flap]\nsettle_ms = 9000\nmost_ms = 10": "flap.most_ms", valid + "memory_ms = 5": "memory_ms", valid + `auth_file = "none"`: "auth_file",
+		valid + "auth_file = \"x\"\nauth = \"a:b\"": "auth_file", valid + "[register]\nid = \"a/b\"": "register.id", valid + "[register]\nid = \"a\"": "register",
+		valid + "depth = 2\n[register]\nid = \"a\"\naddr = \"h:1\"": "register.id", valid + "[register]\nid = \"a\"\naddr = \"h:1\"\nweight = -1": "weight",
 		"ensemble = [": "toml",
 	} {
 		if err := load(text); err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
@@ -46,7 +46,7 @@
 
 func TestParseNode(t *testing.T) {
 	for _, test := range []struct{ form, data, want string }{
-		{FormAuto, ``, "s-1   0"}, // presence alone
+		{FormAuto, ``, "s-1   0"}, // the node exists, without data
 		{FormAuto, `{"id":"a","addr":"h:1","zone":"east","state":"up","weight":2,"started_ms":5}`, "a h:1 up 2"},
 		{FormAuto, `{"addr":"h:1"}`, "s-1 h:1 up 1"},
 		{FormAuto, `{"addr":"h:1","state":"draining"}`, "s-1 h:1 draining 1"},
--- a/internal/membership/ephemeral/configcheck.go
+++ b/internal/membership/ephemeral/configcheck.go
@@ -15,7 +15,7 @@
 	maxAuthBytes = 1024
 )
 
-// Check returns an error that names the key that makes the configuration unusable.
+// Check returns an error that names the first invalid key, if there is one.
 func (c *Config) Check() error {
 	checks := []func() error{
 		c.checkEnsemble,
@@ -40,7 +40,7 @@
 	}
 	for i, addr := range c.Ensemble {
 		if host, port, err := net.SplitHostPort(addr); err != nil || host == "" || port == "" {
-			return fmt.Errorf("ensemble[%d]: %q is no host:port", i, addr)
+			return fmt.Errorf("ensemble[%d]: must be host:port, is %q", i, addr)
 		}
 	}
 	return nil
@@ -48,15 +48,15 @@
 
 func (c *Config) checkPaths() error {
 	if c.Chroot != "" && !isPath(c.Chroot) {
-		return fmt.Errorf("chroot: %q is no path such as /orders", c.Chroot)
+		return fmt.Errorf("chroot: must be a path such as /orders, is %q", c.Chroot)
 	}
 	if !isPath(c.Path) {
-		return fmt.Errorf("path: %q is no path such as /orders", c.Path)
+		return fmt.Errorf("path: must be a path such as /orders, is %q", c.Path)
 	}
 	return nil
 }
 
-// isPath says whether a path is absolute, without empty names and without a slash at its end.
+// isPath reports whether a path is absolute, without empty names, control characters or a slash at its end.
 func isPath(path string) bool {
 	isControl := func(r rune) bool { return r < ' ' || r == 0x7f }
 	return strings.HasPrefix(path, "/") &&
@@ -67,7 +67,7 @@
 
 func (c *Config) checkAuth() error {
 	if c.Auth != "" && (strings.IndexByte(c.Auth, ':') < 1 || len(c.Auth) > maxAuthBytes) {
-		return fmt.Errorf("auth: is no user:password")
+		return fmt.Errorf("auth: must be user:password")
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 		{"covers", c.Covers, []string{coversSeen, coversAll}},
 	} {
 		if !slices.Contains(choice.allowed, choice.value) {
-			return fmt.Errorf("%s: %q is none of %s", choice.key, choice.value, strings.Join(choice.allowed, ", "))
+			return fmt.Errorf("%s: %q is not one of %s", choice.key, choice.value, strings.Join(choice.allowed, ", "))
 		}
 	}
 	return nil
@@ -121,10 +121,10 @@
 		return nil
 	}
 	if strings.ContainsAny(id, "/ ") || id == "." || id == ".." {
-		return fmt.Errorf("register.id: %q is no name of a node", id)
+		return fmt.Errorf("register.id: must be the name of a node, is %q", id)
 	}
 	if c.Depth != 1 {
-		return fmt.Errorf("register.id: a node can be registered only where depth is 1")
+		return fmt.Errorf("register.id: a node can be registered only if depth is 1")
 	}
 	entry := c.Register.entry()
 	if err := entry.Validate(); err != nil {
@@ -135,7 +135,7 @@
 
 func (c *Config) checkFlap() error {
 	if c.Flap.MaxHoldMs < c.Flap.HoldMs {
-		return fmt.Errorf("flap.most_ms: is less than flap.settle_ms")
+		return fmt.Errorf("flap.most_ms: must not be less than flap.settle_ms")
 	}
 	return nil
 }
--- a/internal/membership/ephemeral/connection.go
+++ b/internal/membership/ephemeral/connection.go
@@ -16,17 +16,17 @@
 const (
 	// pingsPerTimeout is how many pings are sent within the session's timeout.
 	pingsPerTimeout = 3
-	// retryInterval is how often the handler may repeat failed requests.
+	// retryInterval is how often handler.retry is called.
 	retryInterval = time.Second
-	// maxQueuedFrames bounds the frames that were read and not yet handled.
+	// maxQueuedFrames bounds the frames that have been read but not handled.
 	maxQueuedFrames = 4
-	// authScheme is the scheme of a "user:password".
+	// authScheme is the scheme of "user:password" credentials.
 	authScheme = "digest"
 )
 
-var errUnexpectedReply = errors.New("a reply to no request, or out of order")
+var errUnexpectedReply = errors.New("reply does not match the oldest pending request")
 
-// connection is the connection of a session after the handshake.
+// connection is a session's connection after the handshake.
 type connection struct {
 	session *session
 	conn    net.Conn
@@ -35,9 +35,9 @@
 	timeout time.Duration // of the session
 
 	xid           int32     // of the last request
-	pending       []request // in the order of their replies
-	answered      bool      // a reply has arrived
-	eventsInBatch bool
+	pending       []request // requests without a reply, oldest first
+	answered      bool      // a reply has arrived on this connection
+	eventsInBatch bool      // an event has arrived in the current batch
 }
 
 // frame is the result of reading one frame.
@@ -68,7 +68,7 @@
 	return c.answered, err
 }
 
-// loop is the event loop of serve.
+// loop is the event loop of the connection.
 func (c *connection) loop(ctx context.Context, frames <-chan frame) error {
 	ping := time.NewTicker(c.timeout / pingsPerTimeout)
 	defer ping.Stop()
@@ -94,8 +94,8 @@
 	}
 }
 
-// readFrames reads frames until an error or stop. A server that is silent for two thirds of the session's
-// timeout is given up while there is time to connect to another one.
+// readFrames reads frames until an error or stop. The connection ends if the server is silent for two thirds
+// of the session's timeout, which leaves time to connect to another server before the session expires.
 func (c *connection) readFrames(frames chan<- frame, stop <-chan struct{}) {
 	for {
 		c.conn.SetReadDeadline(time.Now().Add(c.timeout * 2 / 3))
@@ -111,7 +111,7 @@
 	}
 }
 
-// handleBatch handles a frame and those that are queued behind it.
+// handleBatch handles a frame and those queued after it.
 func (c *connection) handleBatch(first frame, frames <-chan frame) error {
 	err := c.handleFrames(first, frames)
 	c.session.handler.flush()
@@ -119,7 +119,7 @@
 		return err
 	}
 	if c.eventsInBatch && len(c.pending) == 0 {
-		c.ping() // events carry no transaction id, its reply does
+		c.ping() // the reply carries a transaction id, which events lack
 	}
 	c.eventsInBatch = false
 	return nil
@@ -155,7 +155,7 @@
 		c.session.forgetSession()
 		return zkwire.SessionExpired
 	}
-	// Going back in time would bring back servers that have expired.
+	// An older state of the registry could bring back servers that have expired.
 	if header.Zxid > 0 && header.Zxid < c.session.zxid {
 		c.session.noteServerBehind()
 		return errServerBehind
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// handleReply hands a reply to the request that has waited longest.
+// handleReply passes a reply to the oldest pending request.
 func (c *connection) handleReply(header zkwire.ReplyHeader, r *zkwire.Reader) error {
 	if len(c.pending) == 0 || c.pending[0].xid != header.Xid {
 		return malformed(errUnexpectedReply)
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// authenticate sends the credentials, if there are any.
+// authenticate sends the credentials, if any are configured.
 func (c *connection) authenticate() {
 	if c.session.auth == "" {
 		return
@@ -219,15 +219,15 @@
 
 func (c *connection) ping() { c.send(request{op: zkwire.OpPing, xid: zkwire.XidPing}) }
 
-// closeSession closes the session, so that its nodes are deleted at once and not when it times out.
+// closeSession closes the session, so that its nodes are deleted at once instead of when it times out.
 func (c *connection) closeSession() {
 	c.send(request{op: zkwire.OpCloseSession})
 	c.conn.SetWriteDeadline(time.Now().Add(closeTimeout))
-	_ = c.writer.Flush() // the session then times out
+	_ = c.writer.Flush() // on failure the session times out
 	c.session.forgetSession()
 }
 
-// sendRequests sends the handler's requests.
+// sendRequests sends the queued requests of the handler.
 func (c *connection) sendRequests() error {
 	for r, ok := c.session.handler.nextRequest(); ok; r, ok = c.session.handler.nextRequest() {
 		c.send(r)
@@ -239,7 +239,7 @@
 	return c.writer.Flush()
 }
 
-// send writes a request into the buffer. An error shows at the next flush.
+// send writes a request into the buffer. The next flush returns any error.
 func (c *connection) send(r request) {
 	if r.xid == 0 {
 		c.xid++
@@ -258,7 +258,7 @@
 	}
 }
 
-// readFrame reads one frame. The body of one that claims to be larger than maxBytes is not read.
+// readFrame reads one frame. A frame larger than maxBytes is an error, and its body is not read.
 func readFrame(reader *bufio.Reader, maxBytes int) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(reader, head[:]); err != nil {
@@ -266,7 +266,7 @@
 	}
 	size := binary.BigEndian.Uint32(head[:])
 	if size > uint32(maxBytes) {
-		return nil, fmt.Errorf("%w: a frame of %d bytes, at most %d", errMalformedFrame, size, maxBytes)
+		return nil, fmt.Errorf("%w: frame of %d bytes, at most %d allowed", errMalformedFrame, size, maxBytes)
 	}
 	b := make([]byte, size)
 	_, err := io.ReadFull(reader, b)
--- a/internal/membership/ephemeral/node.go
+++ b/internal/membership/ephemeral/node.go
@@ -19,8 +19,8 @@
 	statusAlive = "ALIVE"
 )
 
-// serverSetMember is the form of the ServerSets of Finagle and Aurora (com.twitter.thrift.ServiceInstance as
-// JSON). Additional endpoints are ignored.
+// serverSetMember is a node of a ServerSet as written by Finagle and Aurora
+// (com.twitter.thrift.ServiceInstance as JSON). Additional endpoints are ignored.
 type serverSetMember struct {
 	ServiceEndpoint *struct {
 		Host string `json:"host"`
@@ -30,8 +30,8 @@
 	Shard  *int   `json:"shard"`
 }
 
-// parseNode reads a node. One whose data can't be used still says that a process runs: with an error, the node
-// counts for the server of its name.
+// parseNode parses a node. A node with invalid data still shows that a process runs: with the error,
+// parseNode returns a node of the server that has the node's name as its id.
 func parseNode(form string, c *follow.Change) (membership.RegistryNode, error) {
 	id := c.Name[strings.LastIndexByte(c.Name, '/')+1:]
 	entry, err := parseEntry(form, id, c.Data)
@@ -48,10 +48,10 @@
 	}, err
 }
 
-// parseEntry reads the data of a node. id is the server's id where the data has none.
+// parseEntry parses the data of a node. id is the server's id if the data has none.
 func parseEntry(form, id string, data []byte) (membership.Entry, error) {
 	if len(data) > maxNodeBytes {
-		return membership.Entry{}, fmt.Errorf("data of %d bytes, at most %d", len(data), maxNodeBytes)
+		return membership.Entry{}, fmt.Errorf("data of %d bytes, at most %d allowed", len(data), maxNodeBytes)
 	}
 	if len(data) == 0 {
 		return membership.Entry{ID: id}, nil
@@ -69,11 +69,11 @@
 	return parseEndpoint(id, data)
 }
 
-// entry returns the entry of a ServerSet's member. It has no id: discovery knows the server by its address.
+// entry returns the entry of the member. It has no id: the server is matched with discovery by its address.
 func (m *serverSetMember) entry() (membership.Entry, error) {
 	host, port := m.ServiceEndpoint.Host, m.ServiceEndpoint.Port
 	if host == "" || port < 1 || port > maxPort {
-		return membership.Entry{}, fmt.Errorf("serviceEndpoint: %.64q port %d is none", host, port)
+		return membership.Entry{}, fmt.Errorf("serviceEndpoint: invalid host %.64q or port %d", host, port)
 	}
 	e := membership.Entry{
 		Addr:   net.JoinHostPort(host, strconv.Itoa(port)),
@@ -89,8 +89,8 @@
 	return e, nil
 }
 
-// parseEndpoint reads data in the form of an endpoint list's entry. Without an address it says only that the
-// process runs, and in which state.
+// parseEndpoint parses data in the format of an endpoint list's entry. Without an address, the entry only
+// shows that the process runs, and in which state.
 func parseEndpoint(id string, data []byte) (membership.Entry, error) {
 	e := membership.Entry{Weight: 1, State: membership.Up}
 	if err := json.Unmarshal(data, &e); err != nil {
--- a/internal/membership/ephemeral/registrar.go
+++ b/internal/membership/ephemeral/registrar.go
@@ -12,14 +12,14 @@
 
 // RegisterConfig describes the node that this process registers.
 type RegisterConfig struct {
-	ID     string  `toml:"id"` // name of the node; "": none is registered
+	ID     string  `toml:"id"` // name of the node; empty: no node is registered
 	Addr   string  `toml:"addr"`
 	Zone   string  `toml:"zone"`
 	Kind   string  `toml:"kind"`
 	Weight float64 `toml:"weight"`
 }
 
-// entry returns the entry that the node starts with.
+// entry returns the initial entry of the node.
 func (c *RegisterConfig) entry() membership.Entry {
 	return membership.Entry{
 		ID:     c.ID,
@@ -34,13 +34,13 @@
 // nodeData is the data of a registered node.
 type nodeData struct {
 	membership.Entry
-	Instance string `json:"instance"` // which process registered it
+	Instance string `json:"instance"` // identifies the process that registered it
 }
 
-// Registrar registers this process as one ephemeral node. The node exists while the process runs and its session
-// lives; it is created again when the session has expired, and deleted at once when Run ends. The name of the
-// node is fixed, so that there are never two of them: a node of that name that another process registered is
-// left unchanged and reported.
+// Registrar registers this process as one ephemeral node. The node exists while the process runs and its
+// session is alive; it is created again after the session has expired, and deleted at once when Run ends. The
+// name of the node is fixed, so two of them never exist. If another process has registered a node of
+// that name, that node is left unchanged and reported.
 type Registrar struct {
 	cfg      *Config
 	path     string
@@ -51,7 +51,7 @@
 	version uint64 // of entry
 }
 
-// NewRegistrar returns a registrar for cfg.Register; the configuration has been checked.
+// NewRegistrar returns a Registrar for cfg.Register. Check must have accepted cfg.
 func NewRegistrar(cfg *Config) *Registrar {
 	return &Registrar{
 		cfg:      cfg,
@@ -61,8 +61,8 @@
 	}
 }
 
-// Set changes the data of the node, such as its state. The id stays. It may be called from any goroutine; the
-// node is written with the next retry.
+// Set changes the data of the node, such as its state, except the id. It may be called from any goroutine;
+// the node is written at the next retry.
 func (r *Registrar) Set(change func(*membership.Entry)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,7 +79,7 @@
 	return b, r.version
 }
 
-// Run maintains the node until ctx ends, then closes the session, which deletes the node. onProblem is called
+// Run maintains the node until ctx ends, then closes the session, which deletes the node. It calls onProblem
 // with problems for the log.
 func (r *Registrar) Run(ctx context.Context, onProblem func(problem string)) {
 	g := &registration{registrar: r, onProblem: onProblem}
--- a/internal/membership/ephemeral/registrar_test.go
+++ b/internal/membership/ephemeral/registrar_test.go
@@ -38,11 +38,11 @@
 	return r, func() string { mu.Lock(); defer mu.Unlock(); return strings.Join(reported, "\n") }, stop
 }
 
-func waitFor(t *testing.T, what string, is func() bool) {
+func waitFor(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
@@ -67,32 +67,32 @@
 	exists := func() bool { _, ok := e.Children("/fleet")["me"]; return ok }
 	r, _, stop := startRegistrar(t, e, func(c *Config) { c.Auth = "user:secret" })
 	waitFor(t, "no node", exists)
-	// The connection is lost and the session lives: the node stays as it is.
+	// The connection is lost and the session stays alive: the node stays as it is.
 	e.Servers[0].Cut()
 	e.Servers[1].Cut()
 	r.Set(func(e *membership.Entry) { e.State = membership.Draining })
 	waitFor(t, "the change is not written", func() bool { return strings.Contains(e.Children("/fleet")["me"], `"draining"`) })
-	if m, g := counts(); m != 1 || g != 0 {
-		t.Errorf("created %d times, deleted %d", m, g)
+	if creations, deletions := counts(); creations != 1 || deletions != 0 {
+		t.Errorf("created %d times, deleted %d", creations, deletions)
 	}
 	// The session expires: the node is created again.
 	e.Expire(e.Sessions()[0], false)
-	waitFor(t, "not created again", func() bool { m, _ := counts(); return m == 2 && exists() })
-	// Somebody deletes the node.
+	waitFor(t, "not created again", func() bool { creations, _ := counts(); return creations == 2 && exists() })
+	// Another client deletes the node.
 	e.Remove("/fleet/me")
-	waitFor(t, "not created again after it was deleted", func() bool { m, _ := counts(); return m == 3 && exists() })
-	// The end of Run deletes it at once, not when the session would time out.
+	waitFor(t, "not created again after it was deleted", func() bool { creations, _ := counts(); return creations == 3 && exists() })
+	// The node is deleted at once when Run ends, not when the session would time out.
 	from := time.Now()
 	stop()
-	waitFor(t, "the node outlives its process", func() bool { return !exists() })
+	waitFor(t, "the node still exists after Run has ended", func() bool { return !exists() })
 	if took := time.Since(from); took > 300*time.Millisecond {
 		t.Errorf("deleted after %v", took)
 	}
 }
 
-// A node of an older session of this process is replaced in one transaction; one of another process is left unchanged,
-// and replaced once it is deleted.
-func TestRegistrarFindsAnExistingNode(t *testing.T) {
+// A node from an older session of this process is replaced in one transaction. A node of another process is
+// left unchanged; once it is deleted, this process creates its own.
+func TestRegistrarWithExistingNode(t *testing.T) {
 	e := newEnsemble(t, zk.Options{Least: time.Minute, Most: time.Minute})
 	e.Put("/fleet/me", []byte(`{"id":"me","instance":"another"}`), 77)
 	_, problems, _ := startRegistrar(t, e, nil)
@@ -107,12 +107,12 @@
 	c := testConfig(own, func(c *Config) { c.Register.ID, c.Register.Addr = "me", "h:1" })
 	r := NewRegistrar(c)
 	data, _ := r.data()
-	own.Put("/fleet/me", data, 77) // of a session of this process that has not expired yet
+	own.Put("/fleet/me", data, 77) // from an earlier session of this process that has not expired yet
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); r.Run(ctx, func(string) {}) }()
-	watch := startSource(t, c)
-	watch.waitFor("not replaced", func() bool { n := watch.nodes["me"]; return n.Owner != 0 && n.Owner != 77 })
+	v := startSource(t, c)
+	v.waitFor("not replaced", func() bool { n := v.nodes["me"]; return n.Owner != 0 && n.Owner != 77 })
 	cancel()
 	<-ended
 }
--- a/internal/membership/ephemeral/registration.go
+++ b/internal/membership/ephemeral/registration.go
@@ -17,7 +17,7 @@
 )
 
 // registration is the session handler that maintains the node of a Registrar. It creates the node and its
-// parents; if a node of that name exists, it finds out which process registered it.
+// parents; if a node of that name exists, it determines which process registered it.
 type registration struct {
 	registrar *Registrar
 	session   *session
@@ -25,9 +25,9 @@
 
 	queue          []request
 	inFlight       bool   // a request is queued or sent
-	exists         bool   // the node is one of this session
+	exists         bool   // the node exists and belongs to this session
 	writtenVersion uint64 // of the node's data
-	lastProblem    string // which is not reported again
+	lastProblem    string // reported last; the same one is not reported again
 }
 
 func (g *registration) connected(renewed bool, _ int64) {
@@ -36,7 +36,7 @@
 	if !renewed {
 		g.exists = false
 	}
-	g.step()
+	g.queueNext()
 }
 
 func (g *registration) nextRequest() (request, bool) {
@@ -51,16 +51,16 @@
 func (g *registration) handleEvent(e zkwire.WatchEvent) {
 	if e.Path == g.registrar.path && e.Type == zkwire.NodeDeleted {
 		g.exists = false
-		g.step()
+		g.queueNext()
 	}
 }
 
-func (g *registration) retry()                   { g.step() }
+func (g *registration) retry()                   { g.queueNext() }
 func (g *registration) flush()                   {}
 func (g *registration) replyReceived()           {}
 func (g *registration) connectionLost(err error) { g.report(err.Error()) }
 
-// report reports a problem, once in a row; "": it is over.
+// report reports a problem unless it equals the last one. An empty problem says that the last one is over.
 func (g *registration) report(problem string) {
 	if problem == g.lastProblem {
 		return
@@ -71,13 +71,13 @@
 	}
 }
 
-// reportCode reports an error of the registry.
+// reportCode reports an error code of the registry as a problem.
 func (g *registration) reportCode(path string, code zkwire.Code) {
 	g.report(fmt.Sprintf("%s: %v", path, code))
 }
 
-// step queues the next request, unless one is in flight.
-func (g *registration) step() {
+// queueNext queues the next request, unless one is in flight.
+func (g *registration) queueNext() {
 	if g.inFlight {
 		return
 	}
@@ -90,18 +90,18 @@
 	}
 }
 
-// enqueue queues a request. Its reply is handled before the next step.
-func (g *registration) enqueue(op zkwire.Op, body func([]byte) []byte, then func(zkwire.Code, *zkwire.Reader)) {
+// enqueue queues a request. queueNext does nothing until its reply has arrived, which is passed to onCode.
+func (g *registration) enqueue(op zkwire.Op, body func([]byte) []byte, onCode func(zkwire.Code, *zkwire.Reader)) {
 	g.inFlight = true
 	onReply := func(h zkwire.ReplyHeader, r *zkwire.Reader) error {
 		g.inFlight = false
-		then(h.Err, r)
+		onCode(h.Err, r)
 		return nil
 	}
 	g.queue = append(g.queue, request{op: op, body: body, onReply: onReply})
 }
 
-// write writes the data of the node, which exists.
+// write queues a request that writes the data of the existing node.
 func (g *registration) write(data []byte, version uint64) {
 	body := func(b []byte) []byte {
 		b = zkwire.AppendString(b, g.registrar.path)
@@ -114,14 +114,14 @@
 			g.writtenVersion = version
 		case zkwire.NoNode:
 			g.exists = false
-			g.step()
+			g.queueNext()
 		default:
 			g.reportCode(g.registrar.path, code)
 		}
 	})
 }
 
-// create creates the node.
+// create queues a request that creates the node.
 func (g *registration) create(data []byte, version uint64) {
 	body := g.createBody(g.registrar.path, data, zkwire.FlagEphemeral)
 	g.enqueue(zkwire.OpCreate, body, func(code zkwire.Code, _ *zkwire.Reader) {
@@ -138,7 +138,7 @@
 	})
 }
 
-// createBody returns what appends the body of a create.
+// createBody returns a function that appends the body of a create request.
 func (g *registration) createBody(path string, data []byte, flags int32) func([]byte) []byte {
 	return func(b []byte) []byte {
 		b = zkwire.AppendString(b, path)
@@ -148,7 +148,7 @@
 	}
 }
 
-// accessControl returns who may use the nodes that are created: with credentials, only their user may write.
+// accessControl returns the ACLs of created nodes: with credentials, only their user may write.
 func (g *registration) accessControl() []zkwire.ACL {
 	if g.registrar.cfg.Auth == "" {
 		return zkwire.OpenACL
@@ -159,7 +159,7 @@
 	}
 }
 
-// nodeOwned notes that the node is one of this session, and watches that it stays.
+// nodeOwned records that the node belongs to this session, and sets a watch on it.
 func (g *registration) nodeOwned(version uint64) {
 	g.exists = true
 	g.writtenVersion = version
@@ -168,35 +168,35 @@
 		if code == zkwire.NoNode {
 			g.exists = false
 		}
-		g.step()
+		g.queueNext()
 	})
 }
 
-// inspectExisting finds out which process registered the node that exists: this one in this session, if the reply
-// to its create was lost; this one in an older session; or another one.
+// inspectExisting determines which process registered the existing node: this one in this session, if the
+// reply to its create request was lost; this one in an older session; or another one.
 func (g *registration) inspectExisting(data []byte, version uint64) {
 	session := g.session.id
 	g.enqueue(zkwire.OpGetData, readBody(g.registrar.path, false), func(code zkwire.Code, r *zkwire.Reader) {
 		if code != zkwire.OK {
-			return // it was deleted meanwhile; the next retry creates the node
+			return // the node was deleted meanwhile; the next retry creates it
 		}
 		var existing nodeData
-		_ = json.Unmarshal(r.Buffer(), &existing) // data that is not ours has no instance
+		_ = json.Unmarshal(r.Buffer(), &existing) // data of another format has no instance
 		stat := r.Stat()
 		switch {
 		case r.Err() != nil:
 		case stat.EphemeralOwner == session:
-			g.nodeOwned(version - 1) // its data may be older
+			g.nodeOwned(version - 1) // its data may be outdated
 		case existing.Instance == g.registrar.instance:
 			g.replace(data, version, stat.Version)
 		default:
-			g.report(fmt.Sprintf("%s: registered by another process, session %#x: left unchanged", g.registrar.path, stat.EphemeralOwner))
+			g.report(fmt.Sprintf("%s: registered by another process in session %#x, left unchanged", g.registrar.path, stat.EphemeralOwner))
 		}
 	})
 }
 
-// replace replaces the node of an older session of this process. It does so in one transaction, so that no other
-// process can register the name meanwhile.
+// replace replaces the node of an older session of this process, in one transaction, so that no other process
+// can register the name in between.
 func (g *registration) replace(data []byte, version uint64, nodeVersion int32) {
 	body := func(b []byte) []byte {
 		b = zkwire.MultiHeader{Type: zkwire.OpDelete, Err: noError}.Append(b)
@@ -207,14 +207,14 @@
 		return zkwire.MultiHeader{Type: zkwire.OpError, Done: true, Err: noError}.Append(b)
 	}
 	g.enqueue(zkwire.OpMulti, body, func(code zkwire.Code, r *zkwire.Reader) {
-		// What follows the first header is not needed.
+		// The rest of the reply is not needed.
 		if h := r.MultiHeader(); code == zkwire.OK && r.Err() == nil && h.Type != zkwire.OpError {
 			g.nodeOwned(version)
 		}
 	})
 }
 
-// createParents creates the directories above the node, the topmost first, and then the node.
+// createParents creates the directories above the node, topmost first, and then the node.
 func (g *registration) createParents() {
 	dirs := parents(g.registrar.path)
 	for i, dir := range dirs {
@@ -225,7 +225,7 @@
 			case code != zkwire.OK && code != zkwire.NodeExists:
 				g.reportCode(dir, code)
 			case last:
-				g.step()
+				g.queueNext()
 			default:
 				g.inFlight = true
 			}
@@ -233,7 +233,7 @@
 	}
 }
 
-// parents returns the directories above a path, the topmost first, without the root.
+// parents returns the directories above a path, topmost first, without the root.
 func parents(path string) []string {
 	var dirs []string
 	for i := 1; i < len(path); i++ {
--- a/internal/membership/ephemeral/session.go
+++ b/internal/membership/ephemeral/session.go
@@ -21,33 +21,33 @@
 	closeTimeout = connectTimeout / 4
 	// bufferBytes is the size of a connection's read and write buffers.
 	bufferBytes = 16 << 10
-	// passwordBytes is the length of the password that begins a new session.
+	// passwordBytes is the length of the all-zero password in the request for a new session.
 	passwordBytes = 16
 
-	// minReconnectBackoff and maxReconnectBackoff bound the backoff after all servers failed in turn.
+	// minReconnectBackoff and maxReconnectBackoff bound the backoff after all servers have failed in turn.
 	minReconnectBackoff = 20 * time.Millisecond
 	maxReconnectBackoff = 2 * time.Second
-	// authFailureBackoff is the backoff after a server rejected the authentication.
+	// authFailureBackoff is the backoff after a server rejected the credentials.
 	authFailureBackoff = 5 * time.Second
-	// defaultResetAfter is how long all servers may be behind the session before the registry counts as one that
-	// was set up anew.
+	// defaultResetAfter is how long all servers may be behind the session before the registry counts as
+	// reinitialised.
 	defaultResetAfter = 30 * time.Second
-	// minSessionTimeout is a lower bound on the timeout that a server may set.
+	// minSessionTimeout is the least session timeout that is used, whatever the server sets.
 	minSessionTimeout = 30 * time.Millisecond
 )
 
-// Errors that end a connection. A zkwire.Code ends one too.
+// Errors that end a connection, besides zkwire.Code.
 var (
-	// errServerBehind says that the server has not seen the last transaction that another server showed.
+	// errServerBehind says that the server has not seen the last transaction that this session saw.
 	errServerBehind = errors.New("server is behind the last transaction seen")
-	// errHandshakeClosed says that the server closed the connection instead of answering the handshake, as it
-	// does if it is behind.
+	// errHandshakeClosed says that the server closed the connection instead of answering the handshake, as
+	// servers that are behind do.
 	errHandshakeClosed = errors.New("server closed the connection during the handshake")
-	// errMalformedFrame says that a frame can't be read.
+	// errMalformedFrame says that a frame can't be decoded.
 	errMalformedFrame = errors.New("malformed frame")
 )
 
-// request is a request with the callback that takes its reply, should the connection live long enough.
+// request is a request to the registry. onReply is called with its reply unless the connection ends before.
 type request struct {
 	op      zkwire.Op
 	xid     int32 // 0: the next number of the connection
@@ -57,19 +57,19 @@
 
 // handler is the user of a session. All methods are called from the session's goroutine.
 type handler interface {
-	// connected starts a connection. renewed says that it continues the last session; zxid is the last
-	// transaction seen.
+	// connected is called when a connection starts. renewed says that it continues the last session; zxid is
+	// the id of the last transaction seen.
 	connected(renewed bool, zxid int64)
 	// nextRequest returns the next request to send; false if there is none.
 	nextRequest() (request, bool)
 	handleEvent(zkwire.WatchEvent)
-	// replyReceived is called for each reply before its callback, pings included.
+	// replyReceived is called for each reply, including those to pings, before its callback.
 	replyReceived()
-	// flush ends a batch of events and replies.
+	// flush is called at the end of a batch of events and replies.
 	flush()
 	// retry is called every retryInterval: failed requests may be sent again.
 	retry()
-	// connectionLost is called when a connection ends or can't be made.
+	// connectionLost is called when a connection ends or can't be established.
 	connectionLost(error)
 }
 
@@ -77,8 +77,8 @@
 type session struct {
 	servers          []string // host:port
 	requestedTimeout time.Duration
-	auth             string // "user:password"; "": none
-	readOnly         bool   // accept servers that are cut off from their quorum
+	auth             string // "user:password"; empty: none
+	readOnly         bool   // accept servers that are cut off from the quorum
 	maxFrameBytes    int
 	handler          handler
 	resetAfter       time.Duration // 0: defaultResetAfter
@@ -86,8 +86,8 @@
 
 	id          int64 // 0: there is no session
 	password    []byte
-	zxid        int64     // the last transaction seen
-	behindSince time.Time // since when all servers are behind it; zero: they are not
+	zxid        int64     // id of the last transaction seen
+	behindSince time.Time // since when all servers have been behind zxid; zero: they are not
 }
 
 // run maintains the session until ctx ends, then closes it.
@@ -113,7 +113,7 @@
 	}
 }
 
-// reconnectBackoff computes the backoff between connections that failed in a row.
+// reconnectBackoff computes the backoff between consecutive failed connections.
 type reconnectBackoff struct {
 	servers  int
 	failures int
@@ -129,8 +129,8 @@
 	}
 }
 
-// next returns the backoff after a connection that failed with err: none until all servers have failed, then the
-// upper half of a time that doubles.
+// next returns the backoff after a connection failed with err: none until all servers have failed, then a
+// random time in the upper half of an interval that doubles.
 func (b *reconnectBackoff) next(err error) time.Duration {
 	b.failures++
 	switch {
@@ -146,8 +146,8 @@
 	return 0
 }
 
-// connect maintains the session over one connection. It returns why the connection ended and whether the server
-// answered any request on it.
+// connect opens a connection and maintains the session over it. It returns why the connection ended and
+// whether the server answered any request on it.
 func (s *session) connect(ctx context.Context, addr string) (served bool, err error) {
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
@@ -174,9 +174,9 @@
 	return c.serve(ctx, renewed)
 }
 
-// handshake begins or renews the session. It returns whether it was renewed, and the timeout of the session.
+// handshake starts or renews the session. It returns whether it was renewed, and the timeout of the session.
 func (s *session) handshake(conn net.Conn, reader *bufio.Reader) (renewed bool, timeout time.Duration, err error) {
-	hello := zkwire.Connect{
+	connectRequest := zkwire.Connect{
 		LastZxid:    s.zxid,
 		TimeoutMs:   int32(s.requestedTimeout.Milliseconds()),
 		Session:     s.id,
@@ -185,9 +185,9 @@
 		HasReadOnly: true,
 	}
 	if s.id == 0 {
-		hello.Password = make([]byte, passwordBytes)
+		connectRequest.Password = make([]byte, passwordBytes)
 	}
-	if _, err := conn.Write(zkwire.Frame(hello.AppendRequest)); err != nil {
+	if _, err := conn.Write(zkwire.Frame(connectRequest.AppendRequest)); err != nil {
 		return false, 0, err
 	}
 	frame, err := readFrame(reader, s.maxFrameBytes)
@@ -211,26 +211,27 @@
 	s.id = response.Session
 	s.password = response.Password
 	if response.ReadOnly {
-		s.forgetSession() // no other server knows it
+		s.forgetSession() // no other server knows the session
 	}
 	return renewed, s.timeout(response.TimeoutMs), nil
 }
 
-// timeout is the timeout of the session, given what the server set. One that is longer than requested is not
-// used here: a server that is silent has to be noticed.
+// timeout returns the timeout to use for the session, given the one that the server set. It is at most the
+// requested one, so that a silent server is detected in time.
 func (s *session) timeout(responseMs int32) time.Duration {
 	timeout := max(time.Duration(responseMs)*time.Millisecond, minSessionTimeout)
 	return min(timeout, max(s.requestedTimeout, minSessionTimeout))
 }
 
-// forgetSession makes the next connection begin a new session.
+// forgetSession makes the next connection start a new session.
 func (s *session) forgetSession() {
 	s.id = 0
 	s.password = nil
 }
 
-// noteServerBehind notes that a server is behind the session. Once all have been for resetAfter the registry
-// counts as another one, which is not compared with what was seen before.
+// noteServerBehind records that a server is behind the session. Once all servers have been behind for
+// resetAfter, the registry counts as reinitialised, and its transaction ids are no longer compared with the
+// earlier ones.
 func (s *session) noteServerBehind() {
 	if s.behindSince.IsZero() {
 		s.behindSince = time.Now()
@@ -241,5 +242,5 @@
 	}
 }
 
-// malformed wraps the error of a record that can't be read.
+// malformed wraps the error of a record that can't be decoded.
 func malformed(err error) error { return fmt.Errorf("%w: %w", errMalformedFrame, err) }
--- a/internal/membership/ephemeral/session_test.go
+++ b/internal/membership/ephemeral/session_test.go
@@ -11,8 +11,8 @@
 	"ringtrack.example/ringtrack/internal/lab/zk"
 )
 
-// Neither the end of the source's own session nor that of its connection expires a node. Changes meanwhile are found,
-// including a node that expired and returned.
+// No node is reported expired because the source's own session or connection ended. Changes in the meantime
+// are detected, including a node that expired and was created again.
 func TestOwnSessionExpiryExpiresNoNode(t *testing.T) {
 	forEachWatchMode(t, func(t *testing.T, old bool, watch string) {
 		e := newEnsemble(t, zk.Options{Servers: 2, Old: old})
@@ -22,15 +22,15 @@
 		v := startSource(t, testConfig(e, func(c *Config) { c.Watch = watch }))
 		v.waitFor("not synced", func() bool { return v.synced == 1 && len(v.nodes) == 20 })
 		reconnect := func(what string, end func()) {
-			n, steps := v.counts()
+			n, changesBefore := v.counts()
 			end()
 			v.waitFor(what+": not synced again", func() bool { return v.synced > n })
-			v.waitFor(what+": a node expired", func() bool { return v.expired == 0 && v.changes == steps })
+			v.waitFor(what+": a node expired", func() bool { return v.expired == 0 && v.changes == changesBefore })
 		}
 		reconnect("cut", func() { e.Servers[0].Cut(); e.Servers[1].Cut() })
 		reconnect("expired", func() { e.Expire(e.Sessions()[0], false) })
 		reconnect("expired with its connection up", func() { e.Expire(e.Sessions()[0], true) })
-		reconnect("a new epoch", func() { e.LoseLeader(); e.FindLeader() })
+		reconnect("a new leader epoch", func() { e.LoseLeader(); e.FindLeader() })
 		for what, end := range map[string]func(){"cut": func() {}, "expired": func() { e.Expire(e.Sessions()[0], false) }} {
 			n, _ := v.counts()
 			first := v.node("s-3").Czxid
@@ -48,9 +48,9 @@
 			}
 			v.waitFor(what+": not synced again", func() bool { return v.synced > n })
 			v.waitFor(what+": changes are missed", func() bool {
-				_, one := v.nodes["s-1"]
-				_, new := v.nodes["new"]
-				return !one && new && v.nodes["s-3"].Czxid > first && v.nodes["s-4"].Entry.Addr == "h:4"
+				_, deletedExists := v.nodes["s-1"]
+				_, createdExists := v.nodes["new"]
+				return !deletedExists && createdExists && v.nodes["s-3"].Czxid > first && v.nodes["s-4"].Entry.Addr == "h:4"
 			})
 			e.Put("/fleet/s-1", nil, 0)
 			e.Remove("/fleet/new")
@@ -62,7 +62,7 @@
 	})
 }
 
-// A server that is behind brings no expired node back, even if it accepts the session.
+// A server that is behind does not bring expired nodes back, even if it accepts the session.
 func TestServerBehindIsNotUsed(t *testing.T) {
 	e := newEnsemble(t, zk.Options{Servers: 2, Least: 300 * time.Millisecond})
 	e.Servers[1].SetTrusting(true)
@@ -74,7 +74,7 @@
 	e.Servers[1].SetLag(time.Hour)
 	e.Remove("/fleet/s-1")
 	v.waitForNodes("s-2")
-	e.Put("/fleet/s-2", []byte(`{"addr":"h:2"}`), 0) // its reply has the transaction id
+	e.Put("/fleet/s-2", []byte(`{"addr":"h:2"}`), 0) // the reply to its read carries the transaction id
 	v.waitFor("no change", func() bool { return v.nodes["s-2"].Entry.Addr != "" })
 	e.Servers[1].SetDown(false)
 	e.Servers[0].SetDown(true)
@@ -113,8 +113,8 @@
 	}
 }
 
-// A server that does not answer is left for another one while the session lives.
-func TestSilentServerIsLeftWithinSession(t *testing.T) {
+// The source leaves a server that does not answer for another one before the session expires.
+func TestSilentServerIsLeftBeforeSessionExpires(t *testing.T) {
 	e := newEnsemble(t, zk.Options{Servers: 2, Least: time.Second})
 	e.Put("/fleet/s-1", nil, 0)
 	e.Servers[1].SetDown(true)
@@ -131,8 +131,8 @@
 	e.Servers[0].SetHang(false)
 }
 
-// A malformed frame ends its connection and expires nothing.
-func TestCorruptFramesCostOnlyTheConnection(t *testing.T) {
+// A malformed frame ends the connection and causes no expiry.
+func TestCorruptFramesEndOnlyTheConnection(t *testing.T) {
 	e := newEnsemble(t, zk.Options{Servers: 2})
 	for i := range 50 {
 		e.Put(fmt.Sprint("/fleet/s-", i), []byte(`{"addr":"h:1"}`), 0)
@@ -165,9 +165,9 @@
 	startSource(t, testConfig(e, func(c *Config) { c.Auth = "user:secret" })).waitForNodes("s-1")
 }
 
-// A registry that is unreachable for long expires nothing; one that was set up anew, with fewer transactions, is
-// accepted in time.
-func TestRegistrySetUpAnew(t *testing.T) {
+// A registry that is unreachable for long causes no expiry; a reinitialised one, with lower transaction ids,
+// is accepted after resetAfter.
+func TestReinitialisedRegistry(t *testing.T) {
 	e := newEnsemble(t, zk.Options{Servers: 2})
 	e.Put("/fleet/s-1", nil, 0)
 	for i := range 10 {
@@ -182,7 +182,7 @@
 	}
 	v.waitFor("the loss is not reported", func() bool { return len(v.errs) > 4 })
 	if v.expired > 0 {
-		t.Error("nodes expired with the registry")
+		t.Error("nodes expired while the registry was unreachable")
 	}
 	for _, s := range e.Servers {
 		s.SetDown(false)
--- a/internal/membership/ephemeral/source.go
+++ b/internal/membership/ephemeral/source.go
@@ -1,9 +1,9 @@
-// Package ephemeral is the membership source that reads which processes run from the ephemeral nodes of a
-// registry that speaks ZooKeeper's protocol. Registrar is its other side: it registers this process.
+// Package ephemeral is the membership source that follows the ephemeral nodes of a registry that speaks
+// ZooKeeper's protocol: they show which processes run. Registrar registers this process in such a registry.
 //
-// Package follow decides what to read next, membership.Merge what it means. This package has the session with
-// the registry (session.go, connection.go), the handlers that use it (watcher.go, registration.go) and the form
-// of the nodes' data (node.go).
+// Package follow decides what to read next, and membership.Merge derives the states of the servers. This
+// package contains the session with the registry (session.go, connection.go), the handlers that use it
+// (watcher.go, registration.go) and the parser of the nodes' data (node.go).
 package ephemeral
 
 import (
@@ -21,10 +21,10 @@
 	Node    membership.RegistryNode // unless Expired
 }
 
-// Update is what a source reports at once.
+// Update is one report of a source.
 type Update struct {
 	Changes    []NodeChange
-	Synced     bool     // all nodes that exist have been reported
+	Synced     bool     // all existing nodes have been reported
 	Consistent bool     // after these changes the view is the directory as it was at one moment
 	Err        error    // the registry is unreachable; the nodes stay as they are
 	Problems   []string // for the log
@@ -53,10 +53,10 @@
 // Source follows the nodes of a registry.
 type Source struct{ cfg *Config }
 
-// NewSource returns a source for a configuration that has been checked.
+// NewSource returns a Source for a configuration that Check has accepted.
 func NewSource(cfg *Config) *Source { return &Source{cfg} }
 
-// Run follows the registry until ctx ends. onUpdate is called from one goroutine at a time.
+// Run follows the registry until ctx ends. It calls onUpdate from one goroutine at a time.
 func (s *Source) Run(ctx context.Context, onUpdate func(Update)) {
 	w := &directoryWatcher{
 		cfg:      s.cfg,
@@ -71,8 +71,8 @@
 	s.cfg.newSession(w).run(ctx)
 }
 
-// Feed returns Run in the form that the agent uses: it applies each update to a merge of the caller's. log, if
-// not nil, is called with errors and problems.
+// Feed returns a function that runs the source and applies each update to the caller's Merge, as the agent
+// needs it. log, if not nil, is called with errors and problems.
 func (s *Source) Feed(log func(problem string)) func(context.Context, func(func(*membership.Merge, float64))) {
 	return func(ctx context.Context, apply func(func(*membership.Merge, float64))) {
 		s.Run(ctx, func(u Update) {
--- a/internal/membership/ephemeral/source_test.go
+++ b/internal/membership/ephemeral/source_test.go
@@ -14,7 +14,7 @@
 		e := newEnsemble(t, zk.Options{Servers: 3, Old: old})
 		v := startSource(t, testConfig(e, func(c *Config) { c.Watch, c.Chroot, c.Path = watch, "/realm", "/fleet" }))
 		v.waitFor("not synced", func() bool { return v.synced == 1 })
-		v.waitForText("/realm/fleet does not exist") // it is created later
+		v.waitForText("/realm/fleet does not exist") // the directory is created later
 		e.Put("/realm/fleet/s-1", []byte(`{"addr":"h:1"}`), 0)
 		e.Put("/realm/other", nil, 0)
 		v.waitForNodes("s-1")
@@ -25,7 +25,7 @@
 		first := v.node("s-2").Czxid
 		e.Remove("/realm/fleet/s-2")
 		e.Put("/realm/fleet/s-2", []byte(`{"addr":"h:2"}`), 0) // within one tick
-		v.waitFor("the new node is taken for the old one", func() bool { return v.nodes["s-2"].Czxid > first })
+		v.waitFor("the new node is treated as the old one", func() bool { return v.nodes["s-2"].Czxid > first })
 		e.Remove("/realm/fleet/s-1")
 		v.waitForNodes("s-2")
 		e.Remove("/realm/fleet") // the directory too
@@ -52,16 +52,16 @@
 	})
 }
 
-// A node with unusable data hides no other.
-func TestUnusableNodeData(t *testing.T) {
+// A node with invalid data does not affect the others.
+func TestInvalidNodeData(t *testing.T) {
 	e := newEnsemble(t, zk.Options{})
-	for name, data := range map[string]string{"good": `{"addr":"h:1"}`, "noise": "\xff\x00", "large": strings.Repeat("x", maxNodeBytes+1),
+	for name, data := range map[string]string{"valid": `{"addr":"h:1"}`, "binary": "\xff\x00", "large": strings.Repeat("x", maxNodeBytes+1),
 		"port": `{"addr":"h:99999"}`, "set": `{"serviceEndpoint":{"host":"h","port":7},"status":"ALIVE"}`} {
 		e.Put("/fleet/"+name, []byte(data), 0)
 	}
 	v := startSource(t, testConfig(e, nil))
-	v.waitForNodes("good", "noise", "large", "port", "set")
-	v.waitForText("node noise")
+	v.waitForNodes("valid", "binary", "large", "port", "set")
+	v.waitForText("node binary")
 	v.waitForText("node large")
 	v.waitForText("node port")
 	if a := v.nodes["set"].Entry.Addr; a != "h:7" {
@@ -69,7 +69,8 @@
 	}
 }
 
-// longPath is a path whose name is so long that a list of 10,000 of them is just below the frame limit of servers.
+// longPath returns a path with a name so long that a list of 10,000 of them is just below the servers' frame
+// limit.
 func longPath(i int) string { return fmt.Sprintf("/fleet/%s_%010d", strings.Repeat("m", 85), i) }
 
 // 10,000 nodes are followed; nodes beyond MaxNodes and a reply beyond FrameLimit are reported.
--- a/internal/membership/ephemeral/view_test.go
+++ b/internal/membership/ephemeral/view_test.go
@@ -16,7 +16,7 @@
 // waitTimeout bounds each wait of the tests.
 const waitTimeout = 20 * time.Second
 
-// view is what a source has reported.
+// view is the state of the directory as a source has reported it.
 type view struct {
 	t *testing.T
 
@@ -28,7 +28,7 @@
 	errs         []error
 	problems     []string
 	onChange     func(NodeChange)
-	onConsistent func() // called where an update is consistent
+	onConsistent func() // called for each consistent update
 	updated      chan struct{}
 	stop         func()
 }
@@ -55,7 +55,7 @@
 	return c
 }
 
-// startSource starts a source.
+// startSource starts a source and returns the view of its reports.
 func startSource(t *testing.T, c *Config) *view {
 	t.Helper()
 	if err := c.Check(); err != nil {
@@ -102,31 +102,31 @@
 }
 
 // waitFor waits until a condition on the view holds.
-func (v *view) waitFor(what string, is func() bool) {
+func (v *view) waitFor(failure string, condition func() bool) {
 	v.t.Helper()
-	over := time.After(waitTimeout)
+	timeout := time.After(waitTimeout)
 	for {
 		v.mu.Lock()
-		ok := is()
+		ok := condition()
 		v.mu.Unlock()
 		if ok {
 			return
 		}
 		select {
 		case <-v.updated:
-		case <-time.After(50 * time.Millisecond): // the condition may depend on more than the view
-		case <-over:
+		case <-time.After(50 * time.Millisecond): // the condition may depend on other state, too
+		case <-timeout:
 			v.mu.Lock()
 			defer v.mu.Unlock()
-			v.t.Fatalf("%s; nodes %v, %d expired, synced %d, errors %q, problems %q", what, v.nodes, v.expired, v.synced, v.errs, v.problems)
+			v.t.Fatalf("%s; nodes %v, %d expired, synced %d, errors %q, problems %q", failure, v.nodes, v.expired, v.synced, v.errs, v.problems)
 		}
 	}
 }
 
-// waitForNodes waits until just these nodes exist.
+// waitForNodes waits until exactly these nodes exist.
 func (v *view) waitForNodes(want ...string) {
 	v.t.Helper()
-	v.waitFor(fmt.Sprintf("not just %v", want), func() bool {
+	v.waitFor(fmt.Sprintf("not exactly %v", want), func() bool {
 		for _, n := range want {
 			if _, ok := v.nodes[n]; !ok {
 				return false
@@ -136,7 +136,7 @@
 	})
 }
 
-func (v *view) counts() (synced, steps int) {
+func (v *view) counts() (synced, changeCount int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.synced, v.changes
@@ -161,12 +161,12 @@
 	v.waitFor(fmt.Sprintf("no error %q", want), func() bool { return errors.Is(errors.Join(v.errs...), want) })
 }
 
-// forEachWatchMode runs a test with each way of watching.
+// forEachWatchMode runs a test with each watch mode, and with servers without persistent watches.
 func forEachWatchMode(t *testing.T, run func(t *testing.T, old bool, watch string)) {
-	for _, way := range []struct {
+	for _, mode := range []struct {
 		name, watch string
 		old         bool
 	}{{"recursive", WatchAuto, false}, {"one-shot", WatchOneShot, false}, {"old servers", WatchAuto, true}} {
-		t.Run(way.name, func(t *testing.T) { t.Parallel(); run(t, way.old, way.watch) })
+		t.Run(mode.name, func(t *testing.T) { t.Parallel(); run(t, mode.old, mode.watch) })
 	}
 }
--- a/internal/membership/ephemeral/walk_test.go
+++ b/internal/membership/ephemeral/walk_test.go
@@ -16,16 +16,16 @@
 
 var randomWalkSteps = flag.Int("walk", 1500, "steps of the random walk over faults")
 
-// nodeState is a node as it is seen by a source.
+// nodeState is a node as a source reports it.
 type nodeState struct {
 	czxid int64
 	addr  string
 }
 
-// lifetime is a state of a node in the registry, and when it ended; 0: it has not.
+// lifetime is a state of a node in the registry; ended is the zxid that ended it, or 0.
 type lifetime struct{ czxid, mzxid, ended int64 }
 
-// walkChecker records the changes of a registry and compares the reports of a source with them.
+// walkChecker records the changes of a registry and checks the reports of a source against them.
 type walkChecker struct {
 	t    *testing.T
 	seed uint64
@@ -34,9 +34,9 @@
 	mu              sync.Mutex
 	history         map[string][]lifetime  // by node
 	trees           []map[string]nodeState // the complete tree after each change
-	lastTree        int                    // that the last consistent view was equal to
+	lastTree        int                    // index of the tree that the last consistent view was equal to
 	consistentViews int
-	lastCzxid       map[string]int64 // reported last, by node
+	lastCzxid       map[string]int64 // last reported, by node
 }
 
 // recordChange records a change of the registry.
@@ -68,7 +68,7 @@
 	w.trees = append(w.trees, next)
 }
 
-// checkConsistent checks that a consistent view is the tree as it was at one moment, no earlier than the last one.
+// checkConsistent checks that a consistent view equals one of the trees, no earlier than the last such tree.
 func (w *walkChecker) checkConsistent() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -83,10 +83,10 @@
 			return
 		}
 	}
-	w.t.Errorf("seed %d: the view is no tree of %d to %d, the nearest is %s", w.seed, w.lastTree, len(w.trees)-1, w.nearestTree(view))
+	w.t.Errorf("seed %d: the view equals no tree of %d to %d, the nearest is %s", w.seed, w.lastTree, len(w.trees)-1, w.nearestTree(view))
 }
 
-// nearestTree says how a view differs from the most similar tree.
+// nearestTree describes how a view differs from the most similar tree.
 func (w *walkChecker) nearestTree(view map[string]nodeState) string {
 	nearest, minDiff := "", 1<<30
 	for i := max(0, w.lastTree-50); i < len(w.trees); i++ {
@@ -105,13 +105,13 @@
 	return nearest
 }
 
-// checkChange checks that a reported change happened, and that the node does not go back in time.
+// checkChange checks that a reported change happened, and that no earlier state of the node is reported.
 func (w *walkChecker) checkChange(c NodeChange) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if c.Expired {
 		if n, ok := w.view.nodes[c.Name]; ok && !w.hasEnded(c.Name, n.Czxid) {
-			w.t.Errorf("seed %d: %s is reported expired and never was", w.seed, c.Name)
+			w.t.Errorf("seed %d: %s is reported expired but never expired", w.seed, c.Name)
 		}
 		return
 	}
@@ -125,7 +125,7 @@
 	w.lastCzxid[c.Name] = c.Node.Czxid
 }
 
-// hasEnded says whether the node of this czxid ended at some time after it was created.
+// hasEnded reports whether the node with this czxid was deleted at some time.
 func (w *walkChecker) hasEnded(name string, czxid int64) bool {
 	states := w.history[name]
 	for i, state := range states {
@@ -136,7 +136,7 @@
 	return false
 }
 
-// upToDate says whether the view has the same nodes as the registry.
+// upToDate reports whether the view has the same nodes as the registry.
 func (w *walkChecker) upToDate(want map[string]string) bool {
 	if len(w.view.nodes) != len(want) {
 		return false
@@ -153,8 +153,8 @@
 	return true
 }
 
-// heal ends all faults of an ensemble.
-func heal(e *zk.Ensemble) {
+// clearFaults ends all faults of an ensemble.
+func clearFaults(e *zk.Ensemble) {
 	for _, s := range e.Servers {
 		s.SetDown(false)
 		s.SetHang(false)
@@ -164,10 +164,10 @@
 	}
 }
 
-// randomFaults are the faults of the walk; some of them end all faults.
+// randomFaults returns the faults of the walk; some of the functions end all faults.
 func randomFaults(e *zk.Ensemble, rng *rand.Rand) []func() {
 	server := func() *zk.Server { return e.Servers[rng.IntN(3)] }
-	healAll := func() { heal(e) }
+	clearAll := func() { clearFaults(e) }
 	return []func(){
 		func() { server().Cut() },
 		func() { server().SetDown(rng.IntN(2) == 0) },
@@ -181,12 +181,12 @@
 				e.Expire(ids[rng.IntN(len(ids))], rng.IntN(2) == 0)
 			}
 		},
-		healAll, healAll, healAll, healAll,
+		clearAll, clearAll, clearAll, clearAll,
 		func() { e.LoseLeader(); time.Sleep(time.Duration(rng.IntN(5)) * time.Millisecond); e.FindLeader() },
 	}
 }
 
-// randomWalk changes nodes and causes faults.
+// randomWalk changes random nodes and causes random faults.
 func randomWalk(e *zk.Ensemble, rng *rand.Rand, steps int) {
 	faults := randomFaults(e, rng)
 	for i := range steps {
@@ -204,13 +204,13 @@
 		}
 		time.Sleep(time.Duration(rng.IntN(1000)) * time.Microsecond)
 	}
-	heal(e)
+	clearFaults(e)
 	e.Put("/fleet/last", nil, 0)
 }
 
-// Under random faults, what is reported of each node was so at some moment and never goes back; a consistent view is
-// the complete tree, nodes and data, as it was at one moment, no earlier than the last consistent view; and the view
-// is the tree as it is once the faults have ended.
+// Under random faults, each reported state of a node was its state at some moment, and no earlier state is
+// reported later. A consistent view is the complete tree, nodes and data, as it was at one moment, no earlier
+// than the last consistent view. Once the faults have ended, the view becomes the current tree.
 func TestRandomWalkOverFaults(t *testing.T) {
 	forEachWatchMode(t, func(t *testing.T, old bool, watch string) {
 		const seed = 11
--- a/internal/membership/ephemeral/watcher.go
+++ b/internal/membership/ephemeral/watcher.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// aliveInterval is how often it is reported that the registry is alive, without changes.
+	// aliveInterval is the interval between updates without changes, which show that the registry is alive.
 	aliveInterval = time.Second
 	// maxProblems bounds the problems of one update.
 	maxProblems = 16
@@ -20,8 +20,8 @@
 	follower *follow.Follower
 	onUpdate func(Update)
 
-	replied       bool // a reply arrived since the last update
-	syncReported  bool // on this connection
+	replied       bool // a reply has arrived since the last update
+	syncReported  bool // an update with Synced was reported on this connection
 	lastAliveTime time.Time
 }
 
@@ -55,7 +55,7 @@
 	r.onReply = func(h zkwire.ReplyHeader, in *zkwire.Reader) error {
 		reply, err := readReply(q, h, in)
 		if err != nil {
-			return err // nothing of it counts
+			return err // the reply is discarded
 		}
 		w.follower.HandleReply(reply)
 		if w.follower.ServerBehind() {
@@ -66,7 +66,7 @@
 	return r, true
 }
 
-// requestBody returns what appends the body of a request.
+// requestBody returns a function that appends the body of a request.
 func requestBody(q *follow.Request) func([]byte) []byte {
 	switch q.Op {
 	case zkwire.OpSetWatches, zkwire.OpSetWatches2:
@@ -81,12 +81,12 @@
 	return readBody(q.Path, q.Watch)
 }
 
-// readBody returns what appends the body of a read: exists, getData and getChildren have the same.
+// readBody returns a function that appends the body of a read, which exists, getData and getChildren2 share.
 func readBody(path string, watch bool) func([]byte) []byte {
 	return func(b []byte) []byte { return zkwire.AppendBool(zkwire.AppendString(b, path), watch) }
 }
 
-// readReply reads the reply to a request.
+// readReply decodes the reply to a request.
 func readReply(q follow.Request, h zkwire.ReplyHeader, in *zkwire.Reader) (follow.Reply, error) {
 	reply := follow.Reply{Request: q, Code: h.Err}
 	if h.Err != zkwire.OK {
@@ -103,8 +103,7 @@
 	return reply, in.Err()
 }
 
-// flush reports what has changed. That the registry is alive, without changes, is reported once in
-// aliveInterval.
+// flush reports changes. Without changes it reports at most once in aliveInterval, if a reply has arrived.
 func (w *directoryWatcher) flush() {
 	u := Update{Problems: w.follower.Problems()}
 	for _, c := range w.follower.Changes() {
@@ -130,8 +129,7 @@
 	w.onUpdate(u)
 }
 
-// nodeChange reads the data of a changed node. With an error the change is usable all the same: the node
-// exists.
+// nodeChange parses the data of a changed node. The change is valid even with an error, as the node exists.
 func (w *directoryWatcher) nodeChange(c *follow.Change) (NodeChange, error) {
 	if c.Expired {
 		return NodeChange{Name: c.Name, Expired: true}, nil
