--- a/internal/membership/decision.go
+++ b/internal/membership/decision.go
@@ -50,5 +50,5 @@
 		return true
 	}
 	// While the registry is unreachable, discovery decides, provided that it has responded since.
-	return m.lostLimitReached && m.discovery.heardMs > m.lostSinceMs
+	return m.lostLimitReached && m.discovery.lastContactMs > m.lostSinceMs
 }
--- a/internal/membership/flapping_test.go
+++ b/internal/membership/flapping_test.go
@@ -36,7 +36,7 @@
 	m.wantState("a", Up) // the first return is not delayed
 }
 
-// If all nodes of a registry flap, most of the fleet stays up.
+// If all nodes of a registry flap, at least half of the fleet stays up.
 func TestMergeFlappingRegistry(t *testing.T) {
 	m := newMergeHarness(t, nil)
 	var all []Entry
--- a/internal/membership/freshness.go
+++ b/internal/membership/freshness.go
@@ -2,9 +2,9 @@
 
 // Reasons in a Status other than the error of a call.
 const (
-	reasonNeverHeard = "nothing heard yet"
-	reasonSilent     = "silent"
-	reasonEmptyList  = "it lists nothing, which is not believed" // as on the operators' page
+	reasonNoContact = "nothing heard yet"
+	reasonSilent    = "silent"
+	reasonEmptyList = "it lists nothing, which is not believed" // as on the operators' page
 )
 
 // Status describes the freshness of a source.
@@ -12,23 +12,23 @@
 	Source   string   `json:"source"`
 	Revision uint64   `json:"revision"`
 	Entries  int      `json:"entries"`
-	AgeMs    float64  `json:"age_ms"` // since the source last responded; -1: never
+	AgeMs    float64  `json:"age_ms"` // since the last contact with the source; -1: there was none
 	Stale    bool     `json:"stale"`
 	Reason   string   `json:"why,omitempty"` // why it is stale, or the error of its last call
 	Problems []string `json:"problems,omitempty"`
 }
 
-// freshness records when a source last responded. Losing a source affects only its freshness: its entries
+// freshness records the last contact with a source. Losing a source affects only its freshness: its entries
 // stay as they are.
 type freshness struct {
-	heardMs      float64 // when the source last responded; -1: never
-	lastError    string  // of the last call; empty if it succeeded
-	emptySinceMs float64 // since when its complete list is empty and therefore ignored; 0: it is not
+	lastContactMs float64 // time of the last response or event of the source; -1: there was none
+	lastError     string  // of the last call; empty if it succeeded
+	emptySinceMs  float64 // since when its complete list is empty and therefore ignored; 0: it is not
 }
 
-// heard records a response of the source.
-func (f *freshness) heard(now float64) {
-	f.heardMs = now
+// recordContact records a response or an event of the source.
+func (f *freshness) recordContact(now float64) {
+	f.lastContactMs = now
 	f.lastError = ""
 }
 
@@ -44,15 +44,15 @@
 // silent, or its list empty, for staleAfterMs.
 func (f *freshness) fillStatus(status *Status, now, staleAfterMs float64) {
 	status.AgeMs = -1
-	if f.heardMs >= 0 {
-		status.AgeMs = now - f.heardMs
+	if f.lastContactMs >= 0 {
+		status.AgeMs = now - f.lastContactMs
 	}
 	status.Reason = f.lastError
 	reason := ""
 	switch {
-	case f.heardMs < 0:
+	case f.lastContactMs < 0:
 		status.Stale = true
-		reason = reasonNeverHeard
+		reason = reasonNoContact
 	case f.emptySinceMs > 0:
 		status.Stale = now-f.emptySinceMs >= staleAfterMs
 		status.Reason = reasonEmptyList
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -63,8 +63,8 @@
 		byNode:    map[string]*server{},
 		changed:   map[string]*server{},
 		withHolds: map[string]*server{},
-		discovery: freshness{heardMs: -1},
-		registry:  freshness{heardMs: -1},
+		discovery: freshness{lastContactMs: -1},
+		registry:  freshness{lastContactMs: -1},
 	}
 }
 
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -22,7 +22,8 @@
 	m.wantState("a", Draining)
 	m.createNode("a", 3, 0)
 	m.wantState("a", Up)
-	m.updateDiscovery(false, endpoint("a", Removed)) // discovery reports it first: the node exists until its session expires
+	// Discovery reports the removal first: the node exists until its session expires.
+	m.updateDiscovery(false, endpoint("a", Removed))
 	m.wantState("a", "")
 	m.expireNode("a")
 	m.createNode("a", 4, 0) // a node created after the removal counts
--- a/internal/membership/mergediscovery.go
+++ b/internal/membership/mergediscovery.go
@@ -3,7 +3,7 @@
 // UpdateDiscovery applies an update of the endpoint list. An empty complete list is ignored: a fault of
 // discovery is more likely than a fleet without servers.
 func (m *Merge) UpdateDiscovery(now float64, l *List) {
-	m.discovery.heard(now)
+	m.discovery.recordContact(now)
 	m.problems = nil
 	if l.Full && len(l.Entries) == 0 {
 		m.discovery.listedNothing(now)
@@ -34,7 +34,7 @@
 		if s == nil || s.endpoint == nil {
 			return false
 		}
-		// As in Set: the last valid entry stays, but no longer as up.
+		// As in Set: the last valid entry stays, but as draining unless the invalid one says that it is up.
 		if e.State != Up {
 			s.endpoint.State = Draining
 			m.markChanged(s)
@@ -96,4 +96,4 @@
 func (m *Merge) DiscoveryLost(err error) { m.discovery.lastError = err.Error() }
 
 // DiscoveryAlive records a response of discovery without an update.
-func (m *Merge) DiscoveryAlive(now float64) { m.discovery.heard(now) }
+func (m *Merge) DiscoveryAlive(now float64) { m.discovery.recordContact(now) }
--- a/internal/membership/mergeregistry.go
+++ b/internal/membership/mergeregistry.go
@@ -13,7 +13,7 @@
 
 // NodeUpdated records the current state of an existing node.
 func (m *Merge) NodeUpdated(now float64, n RegistryNode) {
-	m.registryHeard(now)
+	m.recordRegistryContact(now)
 	s := m.serverOf(&n)
 	if s == nil {
 		m.problems.add(errTooManyEntries("node " + n.Name))
@@ -46,7 +46,7 @@
 
 // NodeExpired records that a node no longer exists.
 func (m *Merge) NodeExpired(now float64, name string) {
-	m.registryHeard(now)
+	m.recordRegistryContact(now)
 	if s := m.byNode[name]; s != nil {
 		delete(m.byNode, name)
 		m.removeNode(now, s, name)
@@ -97,7 +97,7 @@
 
 // RegistrySynced records that all existing nodes have been passed to NodeUpdated.
 func (m *Merge) RegistrySynced(now float64) {
-	m.registryHeard(now)
+	m.recordRegistryContact(now)
 	if !m.registrySynced {
 		m.registrySynced = true
 		m.markAllChanged()
@@ -105,10 +105,10 @@
 }
 
 // RegistryAlive records a response of the registry without an update.
-func (m *Merge) RegistryAlive(now float64) { m.registryHeard(now) }
+func (m *Merge) RegistryAlive(now float64) { m.recordRegistryContact(now) }
 
-func (m *Merge) registryHeard(now float64) {
-	m.registry.heard(now)
+func (m *Merge) recordRegistryContact(now float64) {
+	m.registry.recordContact(now)
 	m.lostSinceMs = 0
 	if m.lostLimitReached {
 		m.lostLimitReached = false
--- a/internal/membership/processstart.go
+++ b/internal/membership/processstart.go
@@ -31,7 +31,7 @@
 func (p *processStart) estimate(now float64, n *RegistryNode, synced bool) {
 	switch {
 	case p.czxid != 0 && n.Owner != 0 && n.Owner == p.session:
-		// A session belongs to one process, so the process that ran before has created its node again.
+		// A session belongs to one process: the same process has created its node again.
 	case p.czxid == 0 && !synced:
 		// The node existed before the first sync: the registry's clock says when it was created.
 		p.startedMs = min(n.CtimeMs, now)
--- a/internal/membership/set.go
+++ b/internal/membership/set.go
@@ -31,7 +31,7 @@
 func NewSet(staleAfterMs float64, names ...string) *Set {
 	s := &Set{StaleAfterMs: staleAfterMs, sources: map[string]*source{}, order: names}
 	for _, name := range names {
-		s.sources[name] = &source{entries: map[string]Entry{}, freshness: freshness{heardMs: -1}}
+		s.sources[name] = &source{entries: map[string]Entry{}, freshness: freshness{lastContactMs: -1}}
 	}
 	return s
 }
@@ -46,7 +46,7 @@
 	if src == nil {
 		return false
 	}
-	src.heard(now)
+	src.recordContact(now)
 	if !l.Full && l.Revision < src.revision {
 		return false
 	}
@@ -119,7 +119,7 @@
 // Alive records a response of a source without an update.
 func (s *Set) Alive(name string, now float64) {
 	if src := s.sources[name]; src != nil {
-		src.heard(now)
+		src.recordContact(now)
 	}
 }
 
--- a/internal/membership/set_test.go
+++ b/internal/membership/set_test.go
@@ -82,7 +82,7 @@
 func TestSetLostSource(t *testing.T) {
 	s := NewSet(1000, "discovery", "other")
 	if st := s.Status(1)[0]; !st.Stale || st.AgeMs != -1 {
-		t.Errorf("never heard: %+v", st)
+		t.Errorf("no contact yet: %+v", st)
 	}
 	s.Update("discovery", 1, completeList(5, upEntry("a")))
 	s.Lost("discovery", errors.New("connection refused"))
@@ -116,13 +116,13 @@
 	invalidEntries := []Entry{{Addr: "127.0.0.1:80", State: Up}, {ID: strings.Repeat("x", 300), Addr: "127.0.0.1:80"}}
 	for i, f := range []func(*Entry){func(e *Entry) { e.Addr = "no port" }, func(e *Entry) { e.Addr = "h:99999" },
 		func(e *Entry) { e.Weight = math.NaN() }, func(e *Entry) { e.Weight = -1 }, func(e *Entry) { e.StartedMs = math.Inf(1) }} {
-		e := upEntry(fmt.Sprint("invalidEntries", i))
+		e := upEntry(fmt.Sprint("invalid", i))
 		f(&e)
 		invalidEntries = append(invalidEntries, e)
 	}
-	invalid := withState(upEntry("b"), Draining)
-	invalid.Addr = ""
-	s.Update("discovery", 2, completeList(2, append(invalidEntries, upEntry("a"), invalid)...))
+	invalidDraining := withState(upEntry("b"), Draining)
+	invalidDraining.Addr = ""
+	s.Update("discovery", 2, completeList(2, append(invalidEntries, upEntry("a"), invalidDraining)...))
 	wantEntries(t, s, "a:up b:draining") // b is listed with an invalid entry that is not up
 	if st := s.Status(2)[0]; len(st.Problems) != len(invalidEntries)+1 {
 		t.Errorf("%d problems, want %d: %q", len(st.Problems), len(invalidEntries)+1, st.Problems)
