--- a/internal/configstore/api.go
+++ b/internal/configstore/api.go
@@ -112,7 +112,7 @@
 		received := make(chan error, 1)
 		ctx, cancel := context.WithTimeout(req.Context(), peerCallTimeout)
 		defer cancel()
-		formed := id.get().Formed != nil || r.cfg.Join
+		formed := id.get().InitialMembers != nil || r.cfg.Join
 		if !formed || !r.post(ctx, func() { received <- r.receive(messages) }) {
 			http.Error(w, "not yet", http.StatusServiceUnavailable)
 			return
--- a/internal/configstore/identity.go
+++ b/internal/configstore/identity.go
@@ -33,10 +33,10 @@
 type Identity struct {
 	Name string `json:"name"`
 	ID   uint64 `json:"id"`
-	// Formed has the ids of the first members by name, once all of them were known; nil: not yet. Cluster is derived
+	// InitialMembers has the ids of the first members by name, once all of them were known; nil: not yet. Cluster is derived
 	// from them and the same at all members, also those that join later.
-	Formed  map[string]uint64 `json:"formed,omitempty"`
-	Cluster uint64            `json:"cluster,omitempty"`
+	InitialMembers map[string]uint64 `json:"formed,omitempty"`
+	Cluster        uint64            `json:"cluster,omitempty"`
 }
 
 // sharedIdentity is the identity for calls, from any goroutine.
@@ -104,7 +104,7 @@
 		return err
 	}
 	*r.identity = *formed
-	slog.Info("cluster formed", "name", formed.Name, "id", formed.ID, "members", len(formed.Formed))
+	slog.Info("cluster formed", "name", formed.Name, "id", formed.ID, "members", len(formed.InitialMembers))
 	return nil
 }
 
@@ -121,19 +121,19 @@
 			if err != nil || other.Name != name {
 				continue
 			}
-			if other.Formed == nil {
+			if other.InitialMembers == nil {
 				known[name] = other.ID
 				continue
 			}
-			if other.Formed[id.Name] != id.ID {
+			if other.InitialMembers[id.Name] != id.ID {
 				return ErrReplaced
 			}
-			id.Formed = other.Formed
+			id.InitialMembers = other.InitialMembers
 			id.Cluster = other.Cluster
 			return nil
 		}
 		if len(known) == len(members) {
-			id.Formed = known
+			id.InitialMembers = known
 			id.Cluster = clusterID(known)
 			return nil
 		}
--- a/internal/configstore/peer_test.go
+++ b/internal/configstore/peer_test.go
@@ -44,7 +44,7 @@
 	members := map[string]string{"k1": "127.0.0.1:1", "k2": strings.TrimPrefix(other.URL, "http://")}
 	ctx, cancel := context.WithCancel(t.Context())
 	replica := newReplica(ctx, &Config{Name: "k1", Members: members, LeaseMs: 2000, ServerRulesMs: 3000, TickMs: 25}, dir,
-		&Identity{Name: "k1", ID: 1, Cluster: 1, Formed: map[string]uint64{"k1": 1, "k2": 2}})
+		&Identity{Name: "k1", ID: 1, Cluster: 1, InitialMembers: map[string]uint64{"k1": 1, "k2": 2}})
 	replica.runPeer = (*peer).run
 	defer replica.goroutines.Wait()
 	defer cancel()
--- a/internal/configstore/raft_test.go
+++ b/internal/configstore/raft_test.go
@@ -45,7 +45,7 @@
 		}
 		t.Cleanup(func() { dir.Close() })
 		replica := newReplica(t.Context(), &Config{Name: name, Data: data, Members: members, LeaseMs: 2000, ServerRulesMs: 3000, TickMs: 25}, dir,
-			&Identity{Name: name, ID: uint64(i + 1), Cluster: 1, Formed: formed})
+			&Identity{Name: name, ID: uint64(i + 1), Cluster: 1, InitialMembers: formed})
 		replica.runPeer = func(*peer, context.Context) {}
 		if err := replica.watermarks.load(dir); err != nil {
 			t.Fatal(err)
--- a/internal/configstore/replica.go
+++ b/internal/configstore/replica.go
@@ -127,7 +127,7 @@
 	if ready != nil {
 		ready(ln.Addr())
 	}
-	if id.Formed == nil && !cfg.Join {
+	if id.InitialMembers == nil && !cfg.Join {
 		formed := *id
 		if err := formed.form(stop, cfg.Members, r.caller); err != nil {
 			if stop.Err() != nil {
--- a/internal/configstore/snapshot.go
+++ b/internal/configstore/snapshot.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	if raft.IsEmptySnap(snapshot) && r.identity.Formed != nil {
+	if raft.IsEmptySnap(snapshot) && r.identity.InitialMembers != nil {
 		if snapshot, err = r.writeFirstSnapshot(); err != nil {
 			return err
 		}
@@ -48,7 +48,7 @@
 // writeFirstSnapshot makes the first state, which is the same at all first members, durable.
 func (r *Replica) writeFirstSnapshot() (*pb.Snapshot, error) {
 	conf := &pb.ConfState{}
-	for name, id := range r.identity.Formed {
+	for name, id := range r.identity.InitialMembers {
 		r.state.Members[id] = member{Name: name, Addr: r.cfg.Members[name]}
 		conf.Voters = append(conf.Voters, id)
 	}
