--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -1,7 +1,8 @@
-// Package disk is the access to files that must survive a crash. A file that is replaced is written beside, synced and
-// renamed, and its directory synced. A file whose sync failed once is never written or synced again, as what the kernel
-// then holds of it is unknown ("Can applications recover from fsync failures?", 2020). With the build tag lab it also
-// simulates faults and records what would survive a power loss (lab.go).
+// Package disk reads and writes files that must survive a crash. To replace a file, the new content is written to a
+// temporary file, synced and renamed over the old one, and the directory is synced. After a failed write or sync a
+// file is never written or synced again, because the state of its pages in the kernel is unknown ("Can applications
+// recover from fsync failures?", 2020). With the build tag lab the package also simulates faults and records what
+// would survive a power loss (lab.go).
 package disk
 
 import (
@@ -14,29 +15,29 @@
 )
 
 var (
-	// ErrBroken says that an earlier write or sync of the file failed: nothing more is done to it.
+	// ErrBroken is returned for a file after one of its writes or syncs has failed.
 	ErrBroken = errors.New("disk: an earlier write or sync failed")
-	// ErrLocked says that another process has the directory.
+	// ErrLocked is returned if another process holds the lock of the directory.
 	ErrLocked = errors.New("disk: another process has this folder")
 )
 
 const (
 	lockFile = "lock"
-	// newSuffix is that of a file that is about to replace another.
+	// newSuffix is the suffix of a temporary file that will replace another file.
 	newSuffix = ".new"
 
 	dirMode  = 0o700
 	fileMode = 0o600
 )
 
-// Dir is a directory that belongs to one process. Its methods are for one goroutine.
+// Dir is a directory that one process has locked. Its methods must not be called concurrently.
 type Dir struct {
 	path string
 	lock *os.File
 }
 
-// Open makes the directory, if it is missing, and locks it; ErrLocked if another process has it. The kernel releases the
-// lock however the process ends.
+// Open creates the directory if it does not exist, and locks it. It returns ErrLocked if another process holds the
+// lock. The kernel releases the lock however the process ends.
 func Open(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, dirMode); err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
@@ -52,24 +53,25 @@
 	return &Dir{path: path, lock: lock}, nil
 }
 
-// Close releases the directory.
+// Close releases the lock.
 func (d *Dir) Close() error { return d.lock.Close() }
 
 func (d *Dir) join(name string) string { return filepath.Join(d.path, name) }
 
-// Read returns a file's content; an error if it has more than maxBytes. A missing file is fs.ErrNotExist.
+// Read returns the content of a file, or an error if it is longer than maxBytes. If the file does not exist the error
+// is fs.ErrNotExist.
 func (d *Dir) Read(name string, maxBytes int64) ([]byte, error) {
 	info, err := os.Stat(d.join(name))
 	if err != nil {
 		return nil, err
 	}
 	if info.Size() > maxBytes {
-		return nil, fmt.Errorf("disk: %s has %d bytes, %d at the most", name, info.Size(), maxBytes)
+		return nil, fmt.Errorf("disk: %s has %d bytes, the limit is %d", name, info.Size(), maxBytes)
 	}
 	return os.ReadFile(d.join(name))
 }
 
-// Names returns the sorted names of the files that match a pattern of filepath.Match.
+// Names returns the sorted names of the files that match pattern, in the syntax of filepath.Match.
 func (d *Dir) Names(pattern string) ([]string, error) {
 	names, err := filepath.Glob(d.join(pattern))
 	for i := range names {
@@ -78,8 +80,8 @@
 	return names, err
 }
 
-// Replace replaces a file's content: after a crash the file has either the old or the new content, complete. The new
-// one is durable when Replace returns nil.
+// Replace replaces the content of a file atomically: after a crash the file has either the complete old or the
+// complete new content. The new content is durable when Replace returns nil.
 func (d *Dir) Replace(name string, content []byte) error {
 	if err := d.writeNew(name+newSuffix, content); err != nil {
 		return fmt.Errorf("disk: %s: %w", name, err)
@@ -91,7 +93,7 @@
 	return d.sync()
 }
 
-// writeNew writes and syncs an empty file.
+// writeNew creates or truncates a file, writes content to it and syncs it.
 func (d *Dir) writeNew(name string, content []byte) error {
 	f, err := d.open(name, os.O_TRUNC)
 	if err != nil {
@@ -106,7 +108,7 @@
 	return err
 }
 
-// sync makes the names of the directory durable.
+// sync makes the directory entries durable.
 func (d *Dir) sync() error {
 	dir, err := os.Open(d.path)
 	if err != nil {
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// open opens a file for writing and creates it if it is missing.
+// open opens a file for writing and creates it if it does not exist.
 func (d *Dir) open(name string, flags int) (*File, error) {
 	f, err := os.OpenFile(d.join(name), os.O_CREATE|os.O_WRONLY|flags, fileMode)
 	if err != nil {
@@ -128,7 +130,7 @@
 	return &File{f: f}, nil
 }
 
-// Append opens a file, truncated to size bytes, for writing at its end.
+// Append truncates a file to size bytes and opens it for appending.
 func (d *Dir) Append(name string, size int64) (*File, error) {
 	f, err := d.open(name, 0)
 	if err != nil {
@@ -144,13 +146,13 @@
 	return f, nil
 }
 
-// File is a file that is written sequentially. Its methods are for one goroutine.
+// File is a file that is written sequentially. Its methods must not be called concurrently.
 type File struct {
 	f   *os.File
-	err error // of the first write or sync that failed
+	err error // the first error of a write or sync
 }
 
-// Write writes all of p, or fails; then the file is broken.
+// Write writes all of p. After an error all further calls of Write and Sync return ErrBroken.
 func (f *File) Write(p []byte) (int, error) {
 	if f.err != nil {
 		return 0, ErrBroken
@@ -160,7 +162,8 @@
 	return n, err
 }
 
-// Sync returns nil once all that was written is durable, or fails; then the file is broken.
+// Sync returns nil once everything written is durable. After an error all further calls of Write and Sync return
+// ErrBroken.
 func (f *File) Sync() error {
 	if f.err != nil {
 		return ErrBroken
@@ -169,5 +172,5 @@
 	return f.err
 }
 
-// Close closes the file without a sync.
+// Close closes the file without syncing it.
 func (f *File) Close() error { return f.f.Close() }
--- a/internal/disk/lab.go
+++ b/internal/disk/lab.go
@@ -12,27 +12,28 @@
 	"time"
 )
 
-// In lab builds a file "faults" in the directory says how its disk behaves from now on, one fault a line:
+// In lab builds a file "faults" in the directory selects the faults of the simulated disk, one per line. It is read
+// again for each write and sync:
 //
 //	full            writes fail, no space
 //	error           writes fail
 //	sync-error      syncs fail
-//	sync-ms N       each sync takes N ms more
-//	lie             syncs report success, and nothing of them is durable
+//	sync-ms N       each sync takes N ms longer
+//	lie             syncs report success but make nothing durable
 //
-// Beside each file, NAME.lasts holds how many bytes of it would survive a power loss.
+// The file NAME.lasts holds the number of bytes of the file NAME that would survive a power loss.
 const (
 	faultsFile    = "faults"
 	durableSuffix = ".lasts"
 
-	faultFull      = "full"
-	faultError     = "error"
-	faultSyncError = "sync-error"
-	faultSyncDelay = "sync-ms"
-	faultSyncLie   = "lie"
+	faultFull        = "full"
+	faultError       = "error"
+	faultSyncError   = "sync-error"
+	faultSyncDelay   = "sync-ms"
+	faultSyncIgnored = "lie"
 )
 
-// faults are the faults of a disk with their arguments, by name.
+// faults maps the names of the active faults to their arguments.
 type faults map[string]int
 
 func (f faults) has(name string) bool {
@@ -40,7 +41,7 @@
 	return ok
 }
 
-// faultsOf are those of a file's disk now.
+// faultsOf reads the faults that are active for a file.
 func faultsOf(f *os.File) faults {
 	text, err := os.ReadFile(filepath.Join(filepath.Dir(f.Name()), faultsFile))
 	if err != nil {
@@ -74,17 +75,18 @@
 	if faults.has(faultSyncError) {
 		return fmt.Errorf("sync %s: %w", f.Name(), syscall.EIO)
 	}
-	if faults.has(faultSyncLie) {
+	if faults.has(faultSyncIgnored) {
 		return nil
 	}
 	if os.Getenv("RINGTRACK_LAB_DEFECT") == "no-sync" {
-		return nil // a defect that the lab seeds: nothing is synced
+		return nil // a defect seeded by the lab: files are never synced
 	}
 	return recordDurable(f)
 }
 
-// recordDurable records the file's size as durable, in place of a sync: the lab simulates a power loss by that, and the
-// machine's own disk is not under test. The record is renamed into place, as the process may be killed meanwhile.
+// recordDurable records the current size of the file as durable. It replaces a real sync: the lab simulates a power
+// loss with these records, and the disk of the machine is not under test. The record is renamed into place because
+// the process may be killed at any time.
 func recordDurable(f *os.File) error {
 	info, err := f.Stat()
 	if err != nil {
@@ -97,9 +99,9 @@
 	return os.Rename(record+newSuffix, record)
 }
 
-// fileRenamed is called after a rename.
+// fileRenamed moves the record of durable bytes along with a renamed file.
 func fileRenamed(from, to string) {
 	if os.Rename(from+durableSuffix, to+durableSuffix) != nil {
-		os.WriteFile(to+durableSuffix, []byte("0"), fileMode) // the sync was a lie
+		os.WriteFile(to+durableSuffix, []byte("0"), fileMode) // the file was never synced
 	}
 }
