--- a/cmd/ringtrack-configstore/main.go
+++ b/cmd/ringtrack-configstore/main.go
@@ -1,5 +1,5 @@
-// Command ringtrack-configstore is a replica of the configuration store, and the operators' calls to the replicas. See
-// docs/operators/agreed.md.
+// Command ringtrack-configstore runs a replica of the configuration store, and is the operators' client for its
+// replicas. See docs/operators/agreed.md.
 package main
 
 import (
@@ -7,17 +7,17 @@
 )
 
 // description is the first paragraph of the help.
-const description = "Keepers of the agreed book of rules."
+const description = "Run, query and change the store of the shared configuration."
 
-// commands are the subcommands. Their names, and the flags, come from the names of the fields.
+// commands lists the subcommands. kong derives their names and flags from the field names.
 type commands struct {
-	Run     runCommand     `cmd:"" help:"Be a keeper."`
-	Publish publishCommand `cmd:"" help:"Publish a new version of the book of rules and wait until it is in force."`
+	Run     runCommand     `cmd:"" help:"Run a replica."`
+	Publish publishCommand `cmd:"" help:"Publish a new version of the shared configuration and wait until it is in force."`
 	Show    showCommand    `cmd:"" help:"Show a version."`
 	Diff    diffCommand    `cmd:"" help:"Compare two versions."`
 	History historyCommand `cmd:"" help:"List versions."`
-	Members membersCommand `cmd:"" help:"Show the keepers, add one or remove one."`
-	Holders holdersCommand `cmd:"" help:"List who holds a lease, and who holds up the next stage."`
+	Members membersCommand `cmd:"" help:"Show the status of the replicas, or add or remove one."`
+	Holders holdersCommand `cmd:"" help:"List the lease holders and those that block the next epoch."`
 }
 
 func main() {
--- a/cmd/ringtrack-configstore/members.go
+++ b/cmd/ringtrack-configstore/members.go
@@ -13,12 +13,12 @@
 // membersCommand prints the status of the replicas, or changes the members.
 type membersCommand struct {
 	replicas
-	Add    string `help:"Name of a keeper to add; it learns first."`
-	Addr   string `help:"Its address."`
-	Remove string `help:"Name of a keeper to remove."`
+	Add    string `help:"Name of a replica to add; it is a learner until it has caught up."`
+	Addr   string `help:"Address of the replica to add."`
+	Remove string `help:"Name of a replica to remove."`
 }
 
-// Run implements the command.
+// Run prints the status of all replicas, or adds or removes a member.
 func (c *membersCommand) Run() error {
 	if c.Add != "" || c.Remove != "" {
 		return c.call(client.PathMembers, &configstore.MembersRequest{Add: c.Add, Addr: c.Addr, Remove: c.Remove}, nil)
@@ -36,27 +36,27 @@
 }
 
 func printStatus(addr string, s *client.Status) {
-	fmt.Printf("%s %s: leader %q, term %d, applied %d, stage %d, last version %d, members %s\n",
+	fmt.Printf("%s %s: leader %q, term %d, applied %d, epoch %d, last version %d, members %s\n",
 		addr, s.Name, s.Leader, s.Term, s.Applied, s.Epoch, s.Last, strings.Join(s.Members, ", "))
 	for name, reason := range s.Unreachable {
-		fmt.Printf("  not heard: %s: %s\n", name, reason)
+		fmt.Printf("  messages rejected: %s: %s\n", name, reason)
 	}
 }
 
-// holdersCommand lists the lease holders and what blocks the next epoch.
+// holdersCommand lists the lease holders and those that block the next epoch.
 type holdersCommand struct{ replicas }
 
-// Run implements the command.
+// Run prints what the leader reports.
 func (c *holdersCommand) Run() error {
 	s, err := c.leader()
 	if err != nil {
 		return err
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Holders)) {
-		fmt.Printf("%s stage %d\n", name, s.Holders[name])
+		fmt.Printf("%s epoch %d\n", name, s.Holders[name])
 	}
 	for _, blocker := range s.BlockedBy {
-		fmt.Printf("waited for: %s\n", blocker)
+		fmt.Printf("blocked by: %s\n", blocker)
 	}
 	return nil
 }
--- a/cmd/ringtrack-configstore/publish.go
+++ b/cmd/ringtrack-configstore/publish.go
@@ -14,21 +14,21 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// publishPollInterval is how often a publish asks whether its version is in force.
+// publishPollInterval is the interval at which the status is polled until a version is in force.
 const publishPollInterval = 100 * time.Millisecond
 
 // publishCommand publishes a version and waits until it is in force.
 type publishCommand struct {
 	replicas
-	File   string        `arg:"" help:"TOML file of the book."`
-	Parent uint64        `required:"" help:"Number of the version that it follows; 0: it is the first."`
-	Author string        `required:"" help:"Who publishes."`
-	Reason string        `required:"" help:"Why."`
-	ID     string        `help:"The publish's own id; a second try bears the same. Drawn where it is not given."`
-	Wait   time.Duration `default:"30s" help:"How long to wait until it is in force."`
+	File   string        `arg:"" help:"TOML file with the shared configuration."`
+	Parent uint64        `required:"" help:"Number of the version that this one follows; 0 for the first version."`
+	Author string        `required:"" help:"Author of the version."`
+	Reason string        `required:"" help:"Reason for the change."`
+	ID     string        `help:"Id of the request; a retry has to use the same id. Random by default."`
+	Wait   time.Duration `default:"30s" help:"How long to wait until the version is in force."`
 }
 
-// Run implements the command.
+// Run publishes the version.
 func (c *publishCommand) Run() error {
 	config, err := readConfig(c.File)
 	if err != nil {
@@ -41,11 +41,11 @@
 	var published client.PublishResponse
 	if err := c.call(client.PathPublish, call, &published); err != nil {
 		if !client.IsDefinite(err) {
-			return fmt.Errorf("not known whether it is published; try again with --id %s: %w", c.ID, err)
+			return fmt.Errorf("it is unknown whether the version was published; retry with --id %s: %w", c.ID, err)
 		}
 		return err
 	}
-	fmt.Printf("version %d %s is published\n", published.Number, published.Digest)
+	fmt.Printf("published version %d %s\n", published.Number, published.Digest)
 	return c.waitUntilInForce(published.Number)
 }
 
@@ -65,7 +65,7 @@
 	return json.Marshal(&config)
 }
 
-// waitUntilInForce prints what blocks the version until it is in force at all holders.
+// waitUntilInForce waits until all lease holders use the version, and prints who blocks it meanwhile.
 func (c *publishCommand) waitUntilInForce(number uint64) error {
 	epoch := sharedconfig.EpochOf(number)
 	start := time.Now()
@@ -81,8 +81,8 @@
 		}
 		if now := strings.Join(s.BlockedBy, ", "); now != blockedBy {
 			blockedBy = now
-			fmt.Printf("stage %d of %d; waits for: %s\n", s.Epoch, epoch, blockedBy)
+			fmt.Printf("epoch %d of %d; blocked by: %s\n", s.Epoch, epoch, blockedBy)
 		}
 	}
-	return fmt.Errorf("version %d is published and not yet in force everywhere; waits for: %s", number, blockedBy)
+	return fmt.Errorf("version %d is published but not yet in force everywhere; blocked by: %s", number, blockedBy)
 }
--- a/cmd/ringtrack-configstore/replicas.go
+++ b/cmd/ringtrack-configstore/replicas.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// callTimeout bounds a call to one replica, statusTimeout one for its status.
+	// callTimeout bounds a call to one replica, statusTimeout a status call.
 	callTimeout   = 5 * time.Second
 	statusTimeout = time.Second
 )
 
 var (
 	errNoLeader         = errors.New("no replica leads")
-	errNothingPublished = errors.New("nothing is published yet")
+	errNothingPublished = errors.New("no version has been published yet")
 )
 
-// replicas are the addresses of the configuration store.
+// replicas holds the addresses of the replicas of the configuration store.
 type replicas struct {
-	Addresses []string `name:"keepers" required:"" env:"RINGTRACK_KEEPERS" help:"Addresses of keepers; the first that answers is asked." placeholder:"HOST:PORT"`
+	Addresses []string `name:"keepers" required:"" env:"RINGTRACK_KEEPERS" help:"Addresses of replicas; they are called in this order." placeholder:"HOST:PORT"`
 }
 
-// call calls one replica after the other until one gives a definite answer. A call that changes something has an id, so
-// that a retry has no further effect.
+// call calls the replicas in order until one gives a definite answer. A call that publishes has an id, so that the
+// store publishes it once even if a replica carried out the call without answering it.
 func (r *replicas) call(path string, in, out any) error {
 	caller := client.NewCaller()
 	var err error
@@ -46,7 +46,7 @@
 	return caller.Call(ctx, addr, path, nil, in, out)
 }
 
-// status is the status of one replica.
+// status returns the status of one replica.
 func status(caller *client.Caller, addr string) (*client.Status, error) {
 	s := &client.Status{}
 	if err := callReplica(caller, statusTimeout, addr, client.PathStatus, nil, s); err != nil {
@@ -55,7 +55,7 @@
 	return s, nil
 }
 
-// leader is the status of the leader.
+// leader returns the status of the leader.
 func (r *replicas) leader() (*client.Status, error) {
 	caller := client.NewCaller()
 	last := errNoLeader
@@ -70,7 +70,7 @@
 	return nil, last
 }
 
-// version returns a version by number; 0: the last.
+// version returns a version by its number; 0 is the last version.
 func (r *replicas) version(number uint64) (*sharedconfig.Version, error) {
 	v := &sharedconfig.Version{}
 	if err := r.call(fmt.Sprintf("%s?n=%d", client.PathVersion, number), nil, v); err != nil {
--- a/cmd/ringtrack-configstore/run.go
+++ b/cmd/ringtrack-configstore/run.go
@@ -13,11 +13,11 @@
 
 // runCommand runs a replica until SIGTERM or an interrupt.
 type runCommand struct {
-	Config string `default:"deploy/keeper.toml" help:"The configuration file."`
-	Check  bool   `help:"Check the configuration and end."`
+	Config string `default:"deploy/keeper.toml" help:"Configuration file of the replica."`
+	Check  bool   `help:"Check the configuration file and exit."`
 }
 
-// Run implements the command.
+// Run runs the replica, or checks its configuration file.
 func (c *runCommand) Run() error {
 	cfg, err := configstore.Load(c.Config)
 	if err != nil || c.Check {
--- a/cmd/ringtrack-configstore/versions.go
+++ b/cmd/ringtrack-configstore/versions.go
@@ -16,10 +16,10 @@
 // showCommand prints a version.
 type showCommand struct {
 	replicas
-	Number uint64 `arg:"" optional:"" help:"The version; the last where none is given."`
+	Number uint64 `arg:"" optional:"" help:"Number of the version; by default the last one."`
 }
 
-// Run implements the command.
+// Run prints the version as TOML.
 func (c *showCommand) Run() error {
 	v, err := c.version(c.Number)
 	if err != nil {
@@ -34,11 +34,11 @@
 // diffCommand prints the lines in which two versions differ.
 type diffCommand struct {
 	replicas
-	From uint64 `arg:"" help:"The older version."`
-	To   uint64 `arg:"" optional:"" help:"The newer one; the last where none is given."`
+	From uint64 `arg:"" help:"Number of the older version."`
+	To   uint64 `arg:"" optional:"" help:"Number of the newer version; by default the last one."`
 }
 
-// Run implements the command.
+// Run prints the differing lines.
 func (c *diffCommand) Run() error {
 	from, err := c.lines(c.From)
 	if err != nil {
@@ -48,13 +48,13 @@
 	if err != nil {
 		return err
 	}
-	// Keys and lists are encoded in one order, so a line that only one version has is a difference.
+	// The encoder writes keys and lists in a fixed order, so a line that only one version has is a difference.
 	printMissing("-", from, to)
 	printMissing("+", to, from)
 	return nil
 }
 
-// lines is a version as lines of TOML.
+// lines returns a version as lines of TOML.
 func (c *diffCommand) lines(number uint64) ([]string, error) {
 	v, err := c.version(number)
 	if err != nil {
@@ -79,7 +79,7 @@
 // historyCommand lists the versions and marks the one in force.
 type historyCommand struct{ replicas }
 
-// Run implements the command.
+// Run prints the versions.
 func (c *historyCommand) Run() error {
 	var h client.HistoryResponse
 	if err := c.call(client.PathHistory, nil, &h); err != nil {
@@ -90,7 +90,7 @@
 		printVersion(v, v.Number == inForce)
 	}
 	if h.Epoch%2 == 1 {
-		fmt.Printf("between %d and %d: what both permit is in force\n", inForce, inForce+1)
+		fmt.Printf("in transition from %d to %d: only what both versions permit is in force\n", inForce, inForce+1)
 	}
 	return nil
 }
