--- a/internal/configstore/client/caller.go
+++ b/internal/configstore/client/caller.go
@@ -32,21 +32,21 @@
 
 func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Text) }
 
-// IsDefinite reports whether an error is a response of a replica that rejected the call for good: nothing was done, and
-// another replica would answer the same.
+// IsDefinite reports whether an error is a definite rejection by a replica: the call had no effect, and
+// another replica would reject it too.
 func IsDefinite(err error) bool {
 	var status *StatusError
 	return errors.As(err, &status) && status.Status < http.StatusInternalServerError
 }
 
-// Caller makes calls. Its methods may be called from any goroutine.
+// Caller makes calls to replicas and agents. Its methods may be called from any goroutine.
 type Caller struct{ Client *http.Client }
 
-// NewCaller returns a Caller with few connections, as an agent needs.
+// NewCaller returns a Caller with the small number of connections that an agent needs.
 func NewCaller() *Caller { return NewCallerWithConns(MaxConns) }
 
-// NewCallerWithConns returns a Caller with up to maxConns connections to one address, as a replica needs that forwards
-// the calls of others.
+// NewCallerWithConns returns a Caller with up to maxConns connections to one address. A replica needs more of
+// them than an agent because it forwards calls to the leader.
 func NewCallerWithConns(maxConns int) *Caller {
 	return &Caller{&http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -57,8 +57,9 @@
 	}}}
 }
 
-// Call posts in as JSON, or gets if in is nil, and decodes the response into out unless that is nil. A *StatusError is a
-// response; any other error leaves open whether the call arrived.
+// Call sends in as JSON in a POST, or makes a GET if in is nil, and decodes the response into out unless that
+// is nil. A *StatusError means that a response with another status than 200 arrived; after any other error it
+// is unknown whether the call was carried out.
 func (c *Caller) Call(ctx context.Context, addr, path string, header http.Header, in, out any) error {
 	method := http.MethodGet
 	var body io.Reader
--- a/internal/configstore/client/config.go
+++ b/internal/configstore/client/config.go
@@ -8,7 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Values of Config.OnExpiry: what an agent does once its lease and its server rules have expired.
+// Values of Config.OnExpiry: whether an agent rejects or serves requests once its lease and its server rules
+// have expired.
 const (
 	OnExpiryReject = "refuse"
 	OnExpiryServe  = "serve"
@@ -22,7 +23,7 @@
 	maxCallMs = 10_000
 	maxWaitMs = 10_000
 
-	// maxAddresses bounds the replicas and the peers that are named.
+	// maxAddresses bounds the number of replicas, and of peers.
 	maxAddresses = 64
 )
 
@@ -30,9 +31,9 @@
 type Config struct {
 	Replicas []string `toml:"keepers"`  // addresses
 	Peers    []string `toml:"peers"`    // addresses of agents that may relay a renewal
-	Listen   string   `toml:"listen"`   // where renewals of peers are relayed; "": nowhere
-	CallMs   float64  `toml:"call_ms"`  // for a response, beyond what the replica may wait
-	WaitMs   float64  `toml:"wait_ms"`  // for how long a replica may wait for a new epoch
+	Listen   string   `toml:"listen"`   // address at which renewals of peers are relayed; "" disables relaying
+	CallMs   float64  `toml:"call_ms"`  // timeout of a call, in addition to the time that the replica may wait
+	WaitMs   float64  `toml:"wait_ms"`  // how long a replica may wait for a new epoch before it answers
 	OnExpiry string   `toml:"on_lapse"` // OnExpiryReject or OnExpiryServe
 }
 
@@ -56,7 +57,7 @@
 // check returns an error that names an invalid key.
 func (c *Config) check() error {
 	if len(c.Replicas) == 0 {
-		return fmt.Errorf("agreed: keepers: none named")
+		return fmt.Errorf("agreed: keepers: no address is given")
 	}
 	for key, addrs := range map[string][]string{"keepers": c.Replicas, "peers": c.Peers} {
 		if err := checkAddresses(key, addrs); err != nil {
@@ -77,11 +78,11 @@
 
 func checkAddresses(key string, addrs []string) error {
 	if len(addrs) > maxAddresses {
-		return fmt.Errorf("agreed: %s: %d, %d at the most", key, len(addrs), maxAddresses)
+		return fmt.Errorf("agreed: %s: %d addresses, the limit is %d", key, len(addrs), maxAddresses)
 	}
 	for _, addr := range addrs {
 		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-			return fmt.Errorf("agreed: %s: %q is no host:port", key, addr)
+			return fmt.Errorf("agreed: %s: %q is not host:port", key, addr)
 		}
 	}
 	return nil
--- a/internal/configstore/client/lab.go
+++ b/internal/configstore/client/lab.go
@@ -10,11 +10,12 @@
 	"ringtrack.example/ringtrack/internal/clock"
 )
 
-// cachedResponseFile is where the defect back-on-start keeps a response, in the working directory.
+// cachedResponseFile is the file in the working directory in which the defect back-on-start stores a
+// response.
 const cachedResponseFile = "kept-book.json"
 
-// Defects that the lab seeds in an agent: its lease counts from the response; or it caches the first configuration and,
-// started again, acts on that without a lease.
+// Defects that the lab seeds in an agent: its lease counts from the response; or it caches the first
+// configuration and, started again, acts on that without a lease.
 func init() {
 	switch os.Getenv("RINGTRACK_LAB_DEFECT") {
 	case "from-answer":
--- a/internal/configstore/client/messages.go
+++ b/internal/configstore/client/messages.go
@@ -1,6 +1,6 @@
-// Package client calls the replicas of the configuration store, as JSON over HTTP/1.1. Renewer keeps an agent's lease; it
-// owns the calls, their bounds and the agent's count of its lease. What a lease permits is decided in package lease, what
-// the agent does under it in package core.
+// Package client is the client of the configuration store: it calls the replicas with JSON over HTTP/1.1. A
+// Renewer renews the lease of an agent; it makes the calls, bounds them and measures how long the lease
+// lasts. Package lease decides what a lease permits, and package core what the agent does under it.
 package client
 
 import (
@@ -9,7 +9,7 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// The paths of the calls that a replica answers.
+// Paths of the calls that a replica answers.
 const (
 	PathRenew   = "/v1/renew"
 	PathPublish = "/v1/publish"
@@ -20,35 +20,36 @@
 	PathMembers = "/v1/members"
 )
 
-// Headers of calls that are not passed on a second time.
+// Headers that mark a call as relayed or forwarded, so that it is not passed on a second time.
 const (
 	RelayedHeader   = "Ringtrack-Relayed"   // a peer agent relays the call
 	ForwardedHeader = "Ringtrack-Forwarded" // a replica forwards the call to the leader
 )
 
-// MaxResponseBytes bounds the body of a response, and of a PublishRequest: a configuration and what goes with it.
+// MaxResponseBytes bounds the body of a response and of a PublishRequest: a configuration and the other
+// fields.
 const MaxResponseBytes = sharedconfig.MaxBytes + 1<<20
 
-// RenewRequest asks for a lease, or for its renewal.
+// RenewRequest requests a lease or its renewal.
 type RenewRequest struct {
-	Name        string  `json:"name"`
-	Incarnation string  `json:"inc"`
-	Epoch       uint64  `json:"has"`
-	Problem     string  `json:"unable,omitempty"`
-	WaitMs      float64 `json:"wait_ms"` // for how long the replica may wait for a new epoch
+	Name        string  `json:"name"`             // of the agent
+	Incarnation string  `json:"inc"`              // differs for each start of the agent
+	Epoch       uint64  `json:"has"`              // that the agent has adopted
+	Problem     string  `json:"unable,omitempty"` // why the last granted epoch could not be adopted
+	WaitMs      float64 `json:"wait_ms"`          // how long the replica may wait for a new epoch before it answers
 }
 
-// RenewResponse is a granted lease. Config is set if the epoch is another than that of the request.
+// RenewResponse is a granted lease. Config is set if its epoch differs from that of the request.
 type RenewResponse struct {
 	Epoch         uint64          `json:"stage"`
 	LeaseMs       float64         `json:"lease_ms"`
-	ServerRulesMs float64         `json:"list_ms"` // beyond LeaseMs, for which the epoch's server rules may be used
+	ServerRulesMs float64         `json:"list_ms"` // how long the epoch's server rules may be used after the lease
 	Config        json.RawMessage `json:"book,omitempty"`
 }
 
-// CordonRequest cordons a server, or ends that.
+// CordonRequest cordons a server or, without On, uncordons it.
 type CordonRequest struct {
-	ID     string `json:"id"` // drawn by the caller; a retry has the same
+	ID     string `json:"id"` // chosen by the caller; a retry has the same
 	Server string `json:"server"`
 	On     bool   `json:"on"`
 	Author string `json:"author"`
@@ -56,7 +57,7 @@
 
 // PublishRequest publishes a version after Parent.
 type PublishRequest struct {
-	ID     string          `json:"id"` // drawn by the caller; a retry has the same
+	ID     string          `json:"id"` // chosen by the caller; a retry has the same
 	Parent uint64          `json:"parent"`
 	Config json.RawMessage `json:"book"`
 	Author string          `json:"author"`
@@ -72,32 +73,32 @@
 // HistoryResponse lists versions without their configurations, and the epoch in force.
 type HistoryResponse struct {
 	Epoch    uint64                 `json:"stage"`
-	Dropped  uint64                 `json:"dropped"` // number of versions that are no longer retained
+	Dropped  uint64                 `json:"dropped"` // number of old versions that are no longer retained
 	Versions []sharedconfig.Version `json:"versions"`
 }
 
-// Status is what a replica knows of itself, the other replicas and, as the leader, of the lease holders.
+// Status is the state of a replica as it sees it, without calls to others. The leader adds the lease holders.
 type Status struct {
 	Name        string            `json:"name"`
 	ID          uint64            `json:"id"`
-	Leader      string            `json:"leader"` // by name; "": none is known
+	Leader      string            `json:"leader"` // name of the leader; "": unknown
 	Term        uint64            `json:"term"`
 	Applied     uint64            `json:"applied"` // index of the last applied log entry
 	Epoch       uint64            `json:"stage"`
 	Last        uint64            `json:"last"` // number of the newest version
 	Members     []string          `json:"members"`
-	Holders     map[string]uint64 `json:"holders,omitempty"` // epoch that each acts on; the leader's only
-	BlockedBy   []string          `json:"held_up,omitempty"` // who blocks the next epoch; the leader's only
+	Holders     map[string]uint64 `json:"holders,omitempty"` // epoch of each lease holder; set by the leader only
+	BlockedBy   []string          `json:"held_up,omitempty"` // who blocks the next epoch; set by the leader only
 	Unreachable map[string]string `json:"refused,omitempty"` // replicas whose messages are rejected, and why
 	Loop        EventLoopStatus   `json:"loop"`
-	Panics      int64             `json:"panics,omitempty"` // that the process has recovered from
+	Panics      int64             `json:"panics,omitempty"` // number of recovered panics
 }
 
-// EventLoopStatus is what delayed a replica's event loop since its start, and the elections that it had part in.
+// EventLoopStatus has the delays of a replica's event loop since its start, and its elections.
 type EventLoopStatus struct {
-	LongestMs   map[string]float64 `json:"longest_ms"`   // by kind, see docs/operators/agreed.md
-	LostTicks   int64              `json:"lost_ticks"`   // ticks that came too late to be made
-	Queue       int                `json:"queue"`        // the most calls that waited at once
-	Elections   int64              `json:"elections"`    // that it started, for want of a heartbeat
-	SteppedDown int64              `json:"stepped_down"` // times that it ceased to lead
+	LongestMs   map[string]float64 `json:"longest_ms"`   // longest delay by kind, see docs/operators/agreed.md
+	LostTicks   int64              `json:"lost_ticks"`   // ticks that were skipped because the loop was late
+	Queue       int                `json:"queue"`        // longest queue of functions that waited for the loop
+	Elections   int64              `json:"elections"`    // elections that it started because heartbeats were missing
+	SteppedDown int64              `json:"stepped_down"` // how often it stopped leading
 }
--- a/internal/configstore/client/relay.go
+++ b/internal/configstore/client/relay.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// maxRelayedRequests bounds the requests of peers that are relayed at once.
+	// maxRelayedRequests bounds the peers' requests that are relayed concurrently.
 	maxRelayedRequests = 16
 	// maxRelayedRequestBytes bounds a request of a peer.
 	maxRelayedRequestBytes = 4 << 10
@@ -26,8 +26,9 @@
 	relayMaxHeaderBytes = 8 << 10
 )
 
-// Serve relays the renewals of peers to the replicas until ctx ends: one hop, a bounded number at once, and only while
-// this agent's own lease is held.
+// Serve relays the renewals of peers to the replicas until ctx ends. A request is relayed over one hop only;
+// the number of concurrent requests is bounded, and requests are rejected while this agent holds no lease
+// itself.
 func (r *Renewer) Serve(ctx context.Context, ln net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathRenew, r.handleRelay)
@@ -77,7 +78,7 @@
 	json.NewEncoder(w).Encode(response)
 }
 
-// relay calls one replica after the other, from a random one, until one responds.
+// relay calls the replicas in order, beginning at a random one, until one responds.
 func (r *Renewer) relay(ctx context.Context, call *RenewRequest) (response *RenewResponse, ok bool) {
 	first := mrand.IntN(len(r.cfg.Replicas))
 	for i := range r.cfg.Replicas {
--- a/internal/configstore/client/renewer.go
+++ b/internal/configstore/client/renewer.go
@@ -17,57 +17,58 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// Bounds of the backoff after a failed call. It is drawn, so that the holders of a replica that died do not come to the
-// others in step, and doubles with each failure in a row.
+// Bounds of the backoff after a failed call. It doubles with each consecutive failure and has jitter, so that
+// the holders of a failed replica do not call the others all at the same time.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 640 * time.Millisecond
 )
 
-// Applier acts under the lease. Both methods return once the change is in effect.
+// Applier applies the shared configuration under a lease. Both methods return once the change is in effect.
 type Applier interface {
-	// Adopt has it act on an epoch and its configuration; nil: on its own file alone. After an error, which says why it
-	// can't, it goes on as before.
+	// Adopt applies the configuration of an epoch until the lease expires. A nil config means that there is
+	// no shared configuration and the agent uses its local file alone. If Adopt returns an error, which says
+	// why the configuration can't be applied, the previous one stays in use.
 	Adopt(ctx context.Context, epoch uint64, config *sharedconfig.Config, until, serverRulesUntil time.Time) error
 	// Renew extends the lease on the adopted epoch.
 	Renew(ctx context.Context, until, serverRulesUntil time.Time)
 }
 
-// Stats are counts for operators.
+// Stats are counters for operators.
 type Stats struct {
-	Renewals   atomic.Int64 // calls to replicas and peers
-	Failed     atomic.Int64 // of these
-	Relayed    atomic.Int64 // calls of peers
-	Adopted    atomic.Int64 // epochs
-	NotAdopted atomic.Int64 // leases that could not be acted on
+	Renewals   atomic.Int64 // renewal calls to replicas and peers
+	Failed     atomic.Int64 // renewal calls that failed
+	Relayed    atomic.Int64 // renewals of peers that were relayed
+	Adopted    atomic.Int64 // epochs that were adopted
+	NotAdopted atomic.Int64 // granted leases that could not be used
 }
 
-// Renewer keeps one holder's lease. Methods may be called from any goroutine, Run once.
+// Renewer renews the lease of one holder. Run may be called once, the other methods from any goroutine.
 type Renewer struct {
 	cfg     *Config
 	holder  lease.Holder
 	applier Applier
 	caller  *Caller
 
-	// Of Run's goroutine.
+	// Used by Run's goroutine only.
 	lease    lease.Lease
-	target   int    // the replica, or behind them the peer, to call next
-	failures int    // calls that failed in a row
-	problem  string // why the last lease could not be acted on; "": it could
+	target   int    // whom to call next: an index into the replicas followed by the peers
+	failures int    // consecutive failed calls
+	problem  string // why the last granted lease could not be used; "": it is in use
 
 	leaseUntilMicros atomic.Int64 // of the monotonic clock
 	stats            Stats
 	relaySlots       chan struct{}
 }
 
-// NewIncarnation draws an identifier of one start of a holder.
+// NewIncarnation returns a random identifier for one start of a holder.
 func NewIncarnation() string {
 	var random [8]byte
 	rand.Read(random[:])
 	return hex.EncodeToString(random[:])
 }
 
-// New returns a Renewer for an agent of this name.
+// New returns a Renewer for the agent with the given name.
 func New(cfg *Config, name string, applier Applier) *Renewer {
 	r := &Renewer{
 		cfg:        cfg,
@@ -81,24 +82,26 @@
 	return r
 }
 
-// Stats returns the counts.
+// Stats returns the counters.
 func (r *Renewer) Stats() *Stats { return &r.stats }
 
-// Remaining is for how long the lease is held, 0 if it is not.
+// Remaining returns how long the lease still lasts, or 0 if it has expired.
 func (r *Renewer) Remaining() time.Duration {
 	return max(time.Duration(r.leaseUntilMicros.Load()-int64(clock.Steady()*1000))*time.Microsecond, 0)
 }
 
-// leaseStart is the time from which a lease is counted: just before it was requested. Lab builds can replace it.
+// leaseStart returns the time at which a lease starts: just before it was requested. Lab builds can replace
+// it.
 var leaseStart = func(requestedAt float64) float64 { return requestedAt }
 
-// onStart is called as Run begins, onAdopted with each response that was adopted. Lab builds can replace them.
+// onStart is called when Run begins, onAdopted with each response whose epoch was adopted. Lab builds can
+// replace them.
 var (
 	onStart   = func(context.Context, *Renewer) {}
 	onAdopted = func(*Renewer, *RenewResponse) {}
 )
 
-// Run keeps the lease until ctx ends.
+// Run renews the lease until ctx ends.
 func (r *Renewer) Run(ctx context.Context) {
 	backoff := minBackoff
 	onStart(ctx, r)
@@ -114,7 +117,7 @@
 			if ctx.Err() != nil {
 				return
 			}
-			r.noteProblem(response.Epoch, err)
+			r.recordProblem(response.Epoch, err)
 		}
 		if err == nil {
 			r.succeeded(addr, isPeer)
@@ -129,7 +132,7 @@
 	}
 }
 
-// address is that of the i-th of the replicas and, behind them, the peers.
+// address returns the i-th address of the replicas followed by the peers.
 func (r *Renewer) address(i int) (addr string, isPeer bool) {
 	n := len(r.cfg.Replicas)
 	if i < n {
@@ -138,8 +141,8 @@
 	return r.cfg.Peers[i-n], true
 }
 
-// nextTarget is whom to call after a number of failures in a row: each replica once, then each peer, and so on. Without
-// peers it goes on round the replicas.
+// nextTarget returns whom to call after a number of consecutive failures: each replica once, then each peer
+// once, then the replicas again. Without peers it cycles through the replicas.
 func (r *Renewer) nextTarget(failures int) int {
 	replicas := len(r.cfg.Replicas)
 	all := replicas + len(r.cfg.Peers)
@@ -157,7 +160,7 @@
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// request makes one renewal call. The replica may wait for a new epoch unless something is wrong.
+// request makes one renewal call. After a failure or a problem the replica is not to wait for a new epoch.
 func (r *Renewer) request(ctx context.Context, addr string, isPeer bool) (*RenewResponse, error) {
 	call := &RenewRequest{
 		Name:        r.holder.Name,
@@ -189,8 +192,8 @@
 	r.target = r.nextTarget(r.failures)
 }
 
-// noteProblem records whether the granted lease could be acted on.
-func (r *Renewer) noteProblem(epoch uint64, err error) {
+// recordProblem records why the granted lease could not be used; a nil error clears the problem.
+func (r *Renewer) recordProblem(epoch uint64, err error) {
 	if err == nil {
 		r.problem = ""
 		return
@@ -208,16 +211,16 @@
 	}
 	r.failures = 0
 	if isPeer {
-		r.target = mrand.IntN(len(r.cfg.Replicas)) // a replica's own response is preferred
+		r.target = mrand.IntN(len(r.cfg.Replicas)) // replicas are preferred to peers
 	}
 }
 
-// accept counts a granted lease and has it acted on.
+// accept checks a granted lease and applies it.
 func (r *Renewer) accept(ctx context.Context, requestedAt float64, response *RenewResponse) error {
 	next := r.lease
 	grant := lease.Grant{Epoch: response.Epoch, LeaseMs: response.LeaseMs, ServerRulesMs: response.ServerRulesMs}
 	if !next.Accept(leaseStart(requestedAt), clock.Steady(), grant) {
-		return fmt.Errorf("a lease on epoch %d, %.0f ms after it was requested, with epoch %d adopted",
+		return fmt.Errorf("the lease on epoch %d, received %.0f ms after the request, is not usable with epoch %d adopted",
 			response.Epoch, clock.Steady()-requestedAt, r.lease.Epoch)
 	}
 	until := clock.At(next.Until)
@@ -251,10 +254,11 @@
 	return nil
 }
 
-// Cordon publishes that a server is cordoned, or is not any more. It returns the number of the version once a majority of
-// the replicas has it, so that it comes in force everywhere. An error for which IsDefinite is false leaves that open.
+// Cordon publishes a version in which a server is cordoned, or no longer cordoned. It returns the number of
+// the version once a majority of the replicas has stored it; it will then come into force everywhere. After
+// an error for which IsDefinite is false it is unknown whether the version was published.
 func (r *Renewer) Cordon(ctx context.Context, server string, on bool) (number uint64, err error) {
-	// The same id in each attempt: a retry publishes no second version.
+	// All attempts have the same id, so that a retry does not publish a second version.
 	call := &CordonRequest{ID: NewIncarnation(), Server: server, On: on, Author: r.holder.Name}
 	for _, addr := range r.cfg.Replicas {
 		var response PublishResponse
--- a/internal/configstore/client/renewer_test.go
+++ b/internal/configstore/client/renewer_test.go
@@ -14,7 +14,7 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// acceptAll adopts whatever it is granted.
+// acceptAll is an Applier that adopts every epoch.
 type acceptAll struct{}
 
 func (acceptAll) Adopt(context.Context, uint64, *sharedconfig.Config, time.Time, time.Time) error {
@@ -22,12 +22,12 @@
 }
 func (acceptAll) Renew(context.Context, time.Time, time.Time) {}
 
-// TestPeersAreCalledOnceEachReplicaHasFailed has no replica answer: each is called once and then each peer, from whichever
-// replica the Renewer begins; while nobody answers that order repeats.
+// While no replica answers, the Renewer calls each replica once and then each peer, whichever replica it
+// begins with. If no peer answers either, this order repeats.
 func TestPeersAreCalledOnceEachReplicaHasFailed(t *testing.T) {
 	for start := range 3 {
-		for answers := range 3 { // the peer that answers; 2: none of the two
-			t.Run(fmt.Sprintf("from replica %d, peer %d answers", start, answers), func(t *testing.T) {
+		for answering := range 3 { // index of the peer that answers; 2: neither of the two does
+			t.Run(fmt.Sprintf("from replica %d, peer %d answers", start, answering), func(t *testing.T) {
 				t.Parallel()
 				var mu sync.Mutex
 				var called []int
@@ -41,7 +41,7 @@
 						if len(called) == 10 {
 							cancel()
 						}
-						if i == 3+answers {
+						if i == 3+answering {
 							json.NewEncoder(w).Encode(&RenewResponse{LeaseMs: 60_000})
 							cancel()
 							return
@@ -56,10 +56,10 @@
 				r.Run(ctx)
 				cancel()
 				want := []int{start, (start + 1) % 3, (start + 2) % 3, 3, 4}
-				if answers == 2 {
+				if answering == 2 {
 					want = append(want, 0, 1, 2, 3, 4)
 				} else {
-					want = want[:4+answers]
+					want = want[:4+answering]
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -71,8 +71,8 @@
 	}
 }
 
-// Without peers each replica is called in turn: the one that has just failed used to be called again at once, from some
-// starts, which cost an agent a call's time of its lease.
+// Without peers the replicas are called in a cycle. With some first replicas the one that had just failed
+// used to be called again immediately, which cost the agent the time of one call of its lease.
 func TestReplicasAreCalledInTurnWithoutPeers(t *testing.T) {
 	for start := range 3 {
 		r := New(&Config{Replicas: []string{"a", "b", "c"}}, "agent", acceptAll{})
