--- a/cmd/ringtrack-configstore/main.go
+++ b/cmd/ringtrack-configstore/main.go
@@ -1,5 +1,5 @@
-// Command ringtrack-configstore runs a replica of the configuration store, and is the operators' client for its
-// replicas. See docs/operators/agreed.md.
+// Command ringtrack-configstore runs a replica of the configuration store, and is the operators' client for
+// its replicas. See docs/operators/agreed.md.
 package main
 
 import (
--- a/cmd/ringtrack-configstore/main_test.go
+++ b/cmd/ringtrack-configstore/main_test.go
@@ -8,8 +8,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// TestHelpIsUnchanged compares the help of every command with testdata/help.txt. kong derives the names of flags and
-// commands from field names, so renaming a field would change the command line.
+// TestHelpIsUnchanged compares the help of every command with testdata/help.txt. kong derives the names of
+// flags and commands from field names, so renaming a field would change the command line.
 func TestHelpIsUnchanged(t *testing.T) {
 	want, err := os.ReadFile("testdata/help.txt")
 	if err != nil {
@@ -29,8 +29,8 @@
 	}
 }
 
-// printHelp writes the help for the given arguments to out. kong exits the process after printing help; here it
-// panics instead, and the panic is recovered.
+// printHelp writes the help for the given arguments to out. kong exits the process after printing help; here
+// it panics instead, and the panic is recovered.
 func printHelp(t *testing.T, out *bytes.Buffer, args []string) {
 	t.Helper()
 	parser, err := kong.New(&commands{}, kong.Name("ringtrack-configstore"), kong.Description(description), kong.UsageOnError(),
--- a/cmd/ringtrack-configstore/replicas.go
+++ b/cmd/ringtrack-configstore/replicas.go
@@ -26,8 +26,8 @@
 	Addresses []string `name:"keepers" required:"" env:"RINGTRACK_KEEPERS" help:"Addresses of replicas; they are called in this order." placeholder:"HOST:PORT"`
 }
 
-// call calls the replicas in order until one gives a definite answer. A call that publishes has an id, so that the
-// store publishes it once even if a replica carried out the call without answering it.
+// call calls the replicas in order until one gives a definite answer. A call that publishes has an id, so
+// that the store publishes it once even if a replica carried out the call without answering it.
 func (r *replicas) call(path string, in, out any) error {
 	caller := client.NewCaller()
 	var err error
--- a/cmd/ringtrack-configstore/versions.go
+++ b/cmd/ringtrack-configstore/versions.go
@@ -48,7 +48,8 @@
 	if err != nil {
 		return err
 	}
-	// The encoder writes keys and lists in a fixed order, so a line that only one version has is a difference.
+	// The encoder writes keys and lists in a fixed order, so a line that only one version has is a
+	// difference.
 	printMissing("-", from, to)
 	printMissing("+", to, from)
 	return nil
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -1,8 +1,8 @@
-// Package disk reads and writes files that must survive a crash. To replace a file, the new content is written to a
-// temporary file, synced and renamed over the old one, and the directory is synced. After a failed write or sync a
-// file is never written or synced again, because the state of its pages in the kernel is unknown ("Can applications
-// recover from fsync failures?", 2020). With the build tag lab the package also simulates faults and records what
-// would survive a power loss (lab.go).
+// Package disk reads and writes files that must survive a crash. To replace a file, the new content is
+// written to a temporary file, synced and renamed over the old one, and the directory is synced. After a
+// failed write or sync a file is never written or synced again, because the state of its pages in the kernel
+// is unknown ("Can applications recover from fsync failures?", 2020). With the build tag lab the package also
+// simulates faults and records what would survive a power loss (lab.go).
 package disk
 
 import (
@@ -36,8 +36,8 @@
 	lock *os.File
 }
 
-// Open creates the directory if it does not exist, and locks it. It returns ErrLocked if another process holds the
-// lock. The kernel releases the lock however the process ends.
+// Open creates the directory if it does not exist, and locks it. It returns ErrLocked if another process
+// holds the lock. The kernel releases the lock however the process ends.
 func Open(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, dirMode); err != nil {
 		return nil, fmt.Errorf("disk: %w", err)
@@ -58,8 +58,8 @@
 
 func (d *Dir) join(name string) string { return filepath.Join(d.path, name) }
 
-// Read returns the content of a file, or an error if it is longer than maxBytes. If the file does not exist the error
-// is fs.ErrNotExist.
+// Read returns the content of a file, or an error if it is longer than maxBytes. If the file does not exist
+// the error is fs.ErrNotExist.
 func (d *Dir) Read(name string, maxBytes int64) ([]byte, error) {
 	info, err := os.Stat(d.join(name))
 	if err != nil {
@@ -80,8 +80,8 @@
 	return names, err
 }
 
-// Replace replaces the content of a file atomically: after a crash the file has either the complete old or the
-// complete new content. The new content is durable when Replace returns nil.
+// Replace replaces the content of a file atomically: after a crash the file has either the complete old or
+// the complete new content. The new content is durable when Replace returns nil.
 func (d *Dir) Replace(name string, content []byte) error {
 	if err := d.writeNew(name+newSuffix, content); err != nil {
 		return fmt.Errorf("disk: %s: %w", name, err)
@@ -162,8 +162,8 @@
 	return n, err
 }
 
-// Sync returns nil once everything written is durable. After an error all further calls of Write and Sync return
-// ErrBroken.
+// Sync returns nil once everything written is durable. After an error all further calls of Write and Sync
+// return ErrBroken.
 func (f *File) Sync() error {
 	if f.err != nil {
 		return ErrBroken
--- a/internal/disk/lab.go
+++ b/internal/disk/lab.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// In lab builds a file "faults" in the directory selects the faults of the simulated disk, one per line. It is read
-// again for each write and sync:
+// In lab builds a file "faults" in the directory selects the faults of the simulated disk, one per line. It
+// is read again for each write and sync:
 //
 //	full            writes fail, no space
 //	error           writes fail
@@ -84,9 +84,9 @@
 	return recordDurable(f)
 }
 
-// recordDurable records the current size of the file as durable. It replaces a real sync: the lab simulates a power
-// loss with these records, and the disk of the machine is not under test. The record is renamed into place because
-// the process may be killed at any time.
+// recordDurable records the current size of the file as durable. It replaces a real sync: the lab simulates a
+// power loss with these records, and the disk of the machine is not under test. The record is renamed into
+// place because the process may be killed at any time.
 func recordDurable(f *os.File) error {
 	info, err := f.Stat()
 	if err != nil {
