--- a/internal/configstore/api.go
+++ b/internal/configstore/api.go
@@ -13,24 +13,25 @@
 )
 
 const (
-	// forwardTimeout bounds a call that another replica answers, beyond the time that the call itself asks to wait.
+	// forwardTimeout bounds a call that another replica answers, in addition to the wait that the caller
+	// requests.
 	forwardTimeout = 2 * time.Second
-	// maxCalls bounds the calls that a replica handles at once.
+	// maxCalls bounds the calls that a replica handles concurrently.
 	maxCalls = 4096
-	// maxCallBytes bounds the body of a call without a configuration.
+	// maxCallBytes bounds the body of a call that carries no configuration.
 	maxCallBytes = 16 << 10
 )
 
-// invalidCallError is an error of the caller.
+// invalidCallError marks an error as the caller's: the call is invalid and had no effect.
 type invalidCallError struct{ error }
 
-// encodedJSON is a response that is JSON text already.
+// encodedJSON is a response that is already encoded as JSON.
 type encodedJSON []byte
 
-// callHandler answers a call with a value to encode as JSON.
+// callHandler handles a call and returns the response, which is then encoded as JSON.
 type callHandler func(req *http.Request, body []byte) (any, error)
 
-// handler answers all calls. Each that needs the loop waits for it, for a bounded time.
+// handler serves all calls. A call that needs the event loop waits for it for a bounded time.
 func (r *Replica) handler(id *sharedIdentity) http.Handler {
 	calls := make(chan struct{}, maxCalls)
 	mux := http.NewServeMux()
@@ -49,7 +50,7 @@
 	return mux
 }
 
-// limitCalls rejects a call if too many are handled.
+// limitCalls rejects a call if calls is full, that is, if too many calls are being handled.
 func limitCalls(calls chan struct{}, handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		select {
@@ -62,7 +63,8 @@
 	}
 }
 
-// serveJSON reads a body of at most maxBytes and encodes the handler's response.
+// serveJSON returns an HTTP handler that reads a body of at most maxBytes and encodes the response of
+// handler.
 func serveJSON(maxBytes int64, handler callHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxBytes))
@@ -84,7 +86,8 @@
 	}
 }
 
-// httpStatus is the HTTP status of an error. Below 500 nothing was done; else that is unknown.
+// httpStatus returns the HTTP status of an error. A status below 500 means that the call had no effect;
+// otherwise that is unknown.
 func httpStatus(err error) int {
 	var invalid invalidCallError
 	var forwarded *client.StatusError
@@ -101,7 +104,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// raftMessagesHandler takes the messages of another replica.
+// raftMessagesHandler receives raft messages from other replicas.
 func (r *Replica) raftMessagesHandler(id *sharedIdentity) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		messages, err := readRaftMessages(req.Body)
@@ -128,7 +131,7 @@
 	}
 }
 
-// forward has the leader answer a call. A call that was forwarded once is not forwarded again.
+// forward forwards a call to the leader, unless another replica has forwarded it already.
 func (r *Replica) forward(req *http.Request, in, out any, timeout time.Duration) error {
 	if req.Header.Get(client.ForwardedHeader) != "" {
 		return errNotLeading
--- a/internal/configstore/api_members.go
+++ b/internal/configstore/api_members.go
@@ -8,7 +8,7 @@
 	"net/http"
 )
 
-// members adds or removes a replica.
+// members handles a call to add or remove a replica.
 func (r *Replica) members(req *http.Request, body []byte) (any, error) {
 	var call MembersRequest
 	if err := json.Unmarshal(body, &call); err != nil {
@@ -42,7 +42,7 @@
 	}
 }
 
-// identifyAdded returns the identity of the replica to add.
+// identifyAdded calls the replica to add for its identity.
 func (r *Replica) identifyAdded(ctx context.Context, call *MembersRequest) (*Identity, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout/2)
 	defer cancel()
--- a/internal/configstore/api_publish.go
+++ b/internal/configstore/api_publish.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// publishTimeout bounds how long a call waits until its command is applied.
+	// publishTimeout bounds the wait of a call for its command to be applied.
 	publishTimeout = 3 * time.Second
-	// maxPublishIDBytes bounds the publisher's id.
+	// maxPublishIDBytes bounds the id that a publisher gives its request.
 	maxPublishIDBytes = 64
 )
 
 var errPublishUnknown = errors.New("whether it was published is not known: publish it again, under the same id")
 
-// publish publishes a version.
+// publish handles a call to publish a version.
 func (r *Replica) publish(req *http.Request, body []byte) (any, error) {
 	var call client.PublishRequest
 	if err := json.Unmarshal(body, &call); err != nil {
@@ -46,7 +46,7 @@
 	return r.proposeAndWait(req, call.ID, command, &call)
 }
 
-// cordon publishes a version in which a server is cordoned, or is not any more.
+// cordon handles a call to publish a version in which a server is cordoned, or no longer cordoned.
 func (r *Replica) cordon(req *http.Request, body []byte) (any, error) {
 	var call client.CordonRequest
 	if err := json.Unmarshal(body, &call); err != nil {
@@ -65,7 +65,7 @@
 	return r.proposeAndWait(req, call.ID, command, &call)
 }
 
-// checkPublisher checks what a publisher states beside the configuration.
+// checkPublisher checks the id of a request and the texts that a publisher supplies with it.
 func checkPublisher(id string, texts ...string) error {
 	if id == "" || len(id) > maxPublishIDBytes {
 		return invalidCallError{fmt.Errorf("publish: id: must have 1 to %d bytes", maxPublishIDBytes)}
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// proposeAndWait proposes a command and waits until it is applied. in is the call to forward if this replica does not
-// lead.
+// proposeAndWait proposes a command and waits until it is applied. If this replica does not lead, it forwards
+// in, the decoded call, to the leader.
 func (r *Replica) proposeAndWait(req *http.Request, id string, command *history.Command, in any) (any, error) {
 	answer := make(chan proposalResult, 1)
 	ctx, cancel := context.WithTimeout(req.Context(), publishTimeout)
@@ -103,7 +103,7 @@
 	switch err := result.err; {
 	case err == nil:
 		return &client.PublishResponse{Number: result.version.Number, Digest: result.version.Digest}, nil
-	case !result.applied: // it may still be
+	case !result.applied: // it may be applied later
 		return nil, err
 	case errors.Is(err, history.ErrParentMismatch), errors.Is(err, history.ErrTooManyPending):
 		return nil, err
--- a/internal/configstore/api_read.go
+++ b/internal/configstore/api_read.go
@@ -15,8 +15,8 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// confirmedRead has the loop call fill, which sets out, once a majority has confirmed that this replica leads. If it does
-// not lead it forwards the call.
+// confirmedRead makes a linearizable read: after a majority has confirmed that this replica leads, the event
+// loop calls fill, which sets out. If this replica does not lead, the call is forwarded to the leader.
 func (r *Replica) confirmedRead(req *http.Request, out any, fill func() error) (any, error) {
 	ctx, cancel := context.WithTimeout(req.Context(), forwardTimeout)
 	defer cancel()
@@ -39,7 +39,7 @@
 	}
 }
 
-// history lists the versions without their configurations.
+// history handles a call for the versions, without their configurations.
 func (r *Replica) history(req *http.Request, _ []byte) (any, error) {
 	out := &client.HistoryResponse{}
 	return r.confirmedRead(req, out, func() error {
@@ -54,7 +54,7 @@
 	})
 }
 
-// version returns the version with the number n, 0: the last.
+// version handles a call for the version with the number n; 0 is the last version.
 func (r *Replica) version(req *http.Request, _ []byte) (any, error) {
 	number, err := strconv.ParseUint(req.URL.Query().Get("n"), 10, 64)
 	if err != nil {
@@ -69,7 +69,7 @@
 			wanted = last
 		}
 		if wanted == 0 {
-			return nil // before the first
+			return nil // no version has been published
 		}
 		v := versions.Version(wanted)
 		if v == nil {
@@ -80,7 +80,7 @@
 	})
 }
 
-// status is what this replica knows, without asking another.
+// status handles a call for the state of this replica, which involves no other replica.
 func (r *Replica) status(req *http.Request, _ []byte) (any, error) {
 	out := &client.Status{}
 	done := make(chan struct{})
@@ -122,7 +122,8 @@
 	}
 }
 
-// blockers returns what blocks the next epoch, where there is to be one, or who has not adopted this one.
+// blockers returns what blocks the next epoch. If no further epoch is due, it returns the holders that have
+// not adopted the current one.
 func (r *Replica) blockers(now float64) lease.Blockers {
 	versions := &r.state.History
 	if versions.CanAdvance() {
@@ -144,7 +145,8 @@
 	return members
 }
 
-// unreachable is why replicas reject each other's messages, by name.
+// unreachable returns the reasons for which replicas reject each other's messages: "NAME" for a replica whose
+// messages this one rejects, "THIS by NAME" for a replica that rejects the messages of this one.
 func (r *Replica) unreachable() map[string]string {
 	reasons := map[string]string{}
 	for id, reason := range r.watermarks.Rejected {
--- a/internal/configstore/api_renew.go
+++ b/internal/configstore/api_renew.go
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// renew grants a lease. It waits for a new epoch for a third of a lease at most.
+// renew handles a call for a lease or its renewal. It waits for a new epoch for at most a third of the lease.
 func (r *Replica) renew(req *http.Request, body []byte) (any, error) {
 	var call client.RenewRequest
 	if err := json.Unmarshal(body, &call); err != nil {
@@ -64,7 +64,7 @@
 	return newRenewResponse(result.grant), nil
 }
 
-// newRenewResponse is the response that carries a grant without the configuration.
+// newRenewResponse returns the response for a grant, without the configuration.
 func newRenewResponse(grant lease.Grant) *client.RenewResponse {
 	return &client.RenewResponse{Epoch: grant.Epoch, LeaseMs: grant.LeaseMs, ServerRulesMs: grant.ServerRulesMs}
 }
--- a/internal/configstore/config.go
+++ b/internal/configstore/config.go
@@ -8,14 +8,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Defaults of the configuration file.
+// Default values in the configuration file.
 const (
 	defaultLeaseMs       = 2000
 	defaultServerRulesMs = 3000
 	defaultTickMs        = 25
 )
 
-// Bounds of the configuration file.
+// Bounds of values in the configuration file.
 const (
 	maxNameBytes     = 64
 	minLeaseMs       = 200
@@ -30,10 +30,10 @@
 	Name          string            `toml:"name"`
 	Listen        string            `toml:"listen"`
 	Data          string            `toml:"data"`    // directory
-	Members       map[string]string `toml:"members"` // addresses of the first members by name, this replica among them
-	Join          bool              `toml:"join"`    // wait to be added to a cluster that exists
+	Members       map[string]string `toml:"members"` // addresses of the initial members by name, with this replica
+	Join          bool              `toml:"join"`    // wait to be added to an existing cluster
 	LeaseMs       float64           `toml:"lease_ms"`
-	ServerRulesMs float64           `toml:"list_ms"` // beyond a lease, for which its server rules may be used
+	ServerRulesMs float64           `toml:"list_ms"` // how long server rules may be used after the lease has expired
 	TickMs        float64           `toml:"tick_ms"`
 }
 
@@ -61,13 +61,13 @@
 		return invalidKey("name", "must have 1 to %d bytes", maxNameBytes)
 	}
 	if c.Data == "" {
-		return invalidKey("data", "no folder is named")
+		return invalidKey("data", "no directory is given")
 	}
 	if err := c.checkAddresses(); err != nil {
 		return err
 	}
 	if n := len(c.Members); !c.Join && n != 1 && n != 3 && n != 5 && n != 7 {
-		return invalidKey("members", "must be 3, 5 or 7 (or 1, which survives nothing), are %d", n)
+		return invalidKey("members", "there must be 3, 5 or 7 (or 1, which tolerates no failure), not %d", n)
 	}
 	if err := checkMs("lease_ms", c.LeaseMs, minLeaseMs, maxLeaseMs); err != nil {
 		return err
@@ -87,7 +87,7 @@
 	for _, addresses := range []map[string]string{own, members} {
 		for key, addr := range addresses {
 			if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-				return invalidKey(key, "%q is no host:port", addr)
+				return invalidKey(key, "%q is not host:port", addr)
 			}
 		}
 	}
--- a/internal/configstore/delays.go
+++ b/internal/configstore/delays.go
@@ -9,23 +9,24 @@
 	"ringtrack.example/ringtrack/internal/configstore/client"
 )
 
-// The kinds of delays of the loop, as operators see them in status and in the log at an election.
+// Kinds of delays of the event loop. Operators see these names in the status and in the log entry of an
+// election.
 const (
-	delayIteration = "turn"      // one iteration of the loop
-	delayInbox     = "inbox"     // the posted functions that one iteration ran
-	delaySave      = "save"      // making entries, term and vote durable
-	delayReplace   = "kept"      // making snapshots and watermarks durable
-	delayTicks     = "ticks"     // between two ticks
-	delayHeartbeat = "heartbeat" // between two messages of the leader, as the loop handled them
+	delayIteration = "turn"      // duration of one iteration of the loop
+	delayInbox     = "inbox"     // duration of the posted functions that one iteration ran
+	delaySave      = "save"      // time to make entries, term and vote durable
+	delayReplace   = "kept"      // time to make snapshots and watermarks durable
+	delayTicks     = "ticks"     // time between two ticks
+	delayHeartbeat = "heartbeat" // time between handling two messages of the leader
 )
 
-// delays records the longest delays by kind, in ms, since the start and in the time before an election. It decides
-// nothing and belongs to the loop.
+// delays records the longest delays by kind, in ms, since the start and in the time before an election. It is
+// for diagnosis only: no decision depends on it. Only the event loop uses it.
 type delays struct {
 	longest       map[string]float64
 	recent        map[string]float64 // in the current window
-	previous      map[string]float64 // in the window before
-	windowStart   float64            // ms of the monotonic clock, like the following
+	previous      map[string]float64 // in the previous window
+	windowStart   float64            // ms of the monotonic clock, like the two fields below
 	lastTick      float64
 	lastHeartbeat float64
 	loop          client.EventLoopStatus
@@ -42,7 +43,7 @@
 	}
 }
 
-// record notes that something of a kind lasted from start to now.
+// record records a delay of the given kind that lasted from start to now.
 func (d *delays) record(kind string, start, now float64) {
 	if start == longAgo {
 		return
@@ -51,7 +52,7 @@
 	d.recent[kind] = max(d.recent[kind], now-start)
 }
 
-// tick notes a tick, of which there is one each tickMs, and begins a new window once this one is over.
+// tick records a tick, which is due every tickMs, and begins a new window when the current one is over.
 func (d *delays) tick(now, tickMs, windowMs float64) {
 	d.record(delayTicks, d.lastTick, now)
 	if d.lastTick != longAgo {
@@ -65,16 +66,16 @@
 	}
 }
 
-// heartbeat notes a message of the leader.
+// heartbeat records a message of the leader.
 func (d *delays) heartbeat(now float64) {
 	d.record(delayHeartbeat, d.lastHeartbeat, now)
 	d.lastHeartbeat = now
 }
 
-// queued notes how many functions waited for the loop.
+// queued records how many functions were waiting for the loop.
 func (d *delays) queued(n int) { d.loop.Queue = max(d.loop.Queue, n) }
 
-// recentLongest is the longest of each kind in the last one to two windows, in whole ms.
+// recentLongest returns the longest delay of each kind in the current and the previous window, in whole ms.
 func (d *delays) recentLongest() map[string]int {
 	out := map[string]int{}
 	for _, window := range []map[string]float64{d.previous, d.recent} {
@@ -85,17 +86,18 @@
 	return out
 }
 
-// status is what the replica's status says of its loop.
+// status returns the part of the replica's status about its event loop.
 func (d *delays) status() client.EventLoopStatus {
 	out := d.loop
 	out.LongestMs = maps.Clone(d.longest)
 	return out
 }
 
-// countElection counts and logs the beginning of an election, with the delays of this replica before it.
+// countElection counts and logs the start of an election by this replica, or that it stopped leading,
+// together with its recent delays.
 func (r *Replica) countElection(previous, next raft.SoftState) {
 	if next.RaftState == raft.StateLeader {
-		r.delays.lastHeartbeat = longAgo // a leader receives none
+		r.delays.lastHeartbeat = longAgo // a leader receives no heartbeats
 	}
 	switch {
 	case next.RaftState == raft.StatePreCandidate && previous.RaftState != raft.StatePreCandidate:
--- a/internal/configstore/identity.go
+++ b/internal/configstore/identity.go
@@ -20,26 +20,29 @@
 
 const (
 	pathIdentity = "/v1/identity"
-	// identityCallTimeout bounds a call for another's identity, formInterval is the pause between two rounds of them.
+	// identityCallTimeout bounds a call for another replica's identity; formInterval is the pause between two
+	// rounds of these calls.
 	identityCallTimeout = time.Second
 	formInterval        = 50 * time.Millisecond
 )
 
-// ErrReplaced says that the other replicas know another data directory under this replica's name.
+// ErrReplaced is returned if the cluster was formed with another data directory under this replica's name.
 var ErrReplaced = errors.New("configstore: the cluster was formed with another data directory of this name; add this one as a new member (join = true)")
 
-// Identity makes a data directory that of a certain replica. ID is drawn with the directory: a replica whose directory
-// was wiped has another, which is no member's, and so neither votes nor counts, whatever its name.
+// Identity ties a data directory to one replica. ID is chosen at random when the directory is created. A
+// replica whose directory was wiped gets a new ID, which is not a member's: it can't vote and counts for no
+// majority, whatever its name.
 type Identity struct {
 	Name string `json:"name"`
 	ID   uint64 `json:"id"`
-	// InitialMembers has the ids of the first members by name, once all of them were known; nil: not yet. Cluster is derived
-	// from them and the same at all members, also those that join later.
+	// InitialMembers has the ids of the initial members by name; nil until the cluster is formed. Cluster is
+	// derived from them and is the same for all members, including those that join later.
 	InitialMembers map[string]uint64 `json:"formed,omitempty"`
 	Cluster        uint64            `json:"cluster,omitempty"`
 }
 
-// sharedIdentity is the identity for calls, from any goroutine.
+// sharedIdentity is a copy of the identity for the handlers of calls, which run in other goroutines than the
+// loop.
 type sharedIdentity struct {
 	mu sync.Mutex
 	id Identity
@@ -57,7 +60,7 @@
 	return s.id
 }
 
-// loadIdentity reads the identity of a data directory, or draws one for an empty directory.
+// loadIdentity reads the identity of a data directory, or creates one for an empty directory.
 func loadIdentity(d *disk.Dir, name string) (*Identity, error) {
 	id := &Identity{}
 	found, err := readJSON(d, identityFile, id)
@@ -79,17 +82,17 @@
 	return id, writeJSON(d, identityFile, id)
 }
 
-// newReplicaID draws the id of a new data directory. Lab builds can replace it.
+// newReplicaID returns a random id for a new data directory. Lab builds can replace it.
 var newReplicaID = func(name string) uint64 {
 	var random [8]byte
 	rand.Read(random[:])
 	return nonZeroID(binary.BigEndian.Uint64(random[:]))
 }
 
-// nonZeroID makes a positive id of 63 bits of a number.
+// nonZeroID derives a positive id of 63 bits from a number.
 func nonZeroID(n uint64) uint64 { return n>>1 | 1 }
 
-// clusterID derives the cluster's id from the first members' ids.
+// clusterID derives the id of the cluster from the ids of the initial members.
 func clusterID(formed map[string]uint64) uint64 {
 	hash := fnv.New64a()
 	for _, name := range slices.Sorted(maps.Keys(formed)) {
@@ -98,7 +101,7 @@
 	return nonZeroID(hash.Sum64())
 }
 
-// saveFormed makes the identity of a member of the formed cluster durable.
+// saveFormed makes durable that this replica is a member of the formed cluster.
 func (r *Replica) saveFormed(formed *Identity) error {
 	if err := writeJSON(r.dir, identityFile, formed); err != nil {
 		return err
@@ -108,8 +111,9 @@
 	return nil
 }
 
-// form asks the other first members for their identities until all are known, or one has formed the cluster already. So
-// there is something to vote on only once all data directories are as they were at the very first.
+// form calls the other initial members for their identities until all are known, or until one of them has
+// already formed the cluster. So no vote takes place before the data directories of all initial members exist
+// and their ids are known.
 func (id *Identity) form(ctx context.Context, members map[string]string, caller *client.Caller) error {
 	known := map[string]uint64{id.Name: id.ID}
 	for {
--- a/internal/configstore/membership.go
+++ b/internal/configstore/membership.go
@@ -13,23 +13,25 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// learnerLagEntries is how many entries a learner may be behind the commit index to become a voter.
+// learnerLagEntries is the number of entries by which a learner may lag behind the commit index to be
+// promoted to voter.
 const learnerLagEntries = retainedEntries / 4
 
-// member is one replica as the log knows it.
+// member describes a replica in the replicated state.
 type member struct {
 	Name string `json:"name"`
 	Addr string `json:"addr"`
 }
 
-// MembersRequest adds a replica, first as a learner, or removes one.
+// MembersRequest is a request to add a replica, first as a learner, or to remove one.
 type MembersRequest struct {
 	Add    string `json:"add,omitempty"` // name
 	Addr   string `json:"addr,omitempty"`
 	Remove string `json:"remove,omitempty"` // name
 }
 
-// changeMembers proposes a change of members, unless one is going on. added is the identity of the replica to add.
+// changeMembers proposes a membership change unless another one is in progress. added is the identity of the
+// replica to add.
 func (r *Replica) changeMembers(change *MembersRequest, added *Identity) error {
 	if r.softState.RaftState != raft.StateLeader {
 		return errNotLeading
@@ -46,7 +48,7 @@
 func (r *Replica) addMember(change *MembersRequest, added *Identity) error {
 	for id, m := range r.state.Members {
 		if id == added.ID {
-			return nil // it is a member already
+			return nil // already a member
 		}
 		if m.Name == change.Add {
 			return invalidCallError{fmt.Errorf("members: there is a replica %q with another data directory: remove it first", change.Add)}
@@ -68,7 +70,7 @@
 	return invalidCallError{fmt.Errorf("members: there is no replica %q", name)}
 }
 
-// proposeMemberChange proposes a change of one member.
+// proposeMemberChange proposes a membership change of one replica.
 func (r *Replica) proposeMemberChange(kind pb.ConfChangeType, id uint64, m *member) error {
 	var details []byte
 	if m != nil {
@@ -82,7 +84,7 @@
 	return r.node.ProposeConfChange(&pb.ConfChangeV2{Context: details, Changes: []*pb.ConfChangeSingle{change}})
 }
 
-// applyMemberChange applies a committed change of members.
+// applyMemberChange applies a committed membership change.
 func (r *Replica) applyMemberChange(change *pb.ConfChangeV2) {
 	r.memberChangeUntil = longAgo
 	for _, c := range change.GetChanges() {
@@ -101,7 +103,7 @@
 	r.updatePeers()
 }
 
-// promoteLearners makes a learner that has caught up a voter.
+// promoteLearners proposes to promote learners that have caught up to voters.
 func (r *Replica) promoteLearners(now float64) {
 	if now < r.memberChangeUntil {
 		return
--- a/internal/configstore/proposals.go
+++ b/internal/configstore/proposals.go
@@ -10,25 +10,27 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 )
 
-// maxProposals bounds the publisher's ids whose commands are proposed and not applied yet.
+// maxProposals bounds the number of publishers' ids with proposed commands that have not been applied yet.
 const maxProposals = 1024
 
 var errTooManyProposals = errors.New("too many publishes wait")
 
-// proposalResult is the outcome of a Publish or Cordon. An error without applied leaves open whether it will be applied.
+// proposalResult is the outcome of a Publish or Cordon command. If err is set and applied is not, the command
+// may still be applied.
 type proposalResult struct {
 	version *sharedconfig.Version
 	err     error
 	applied bool
 }
 
-// epochProposal is the last proposal to end an epoch.
+// epochProposal is the last proposal to advance from an epoch to the next one.
 type epochProposal struct {
 	epoch uint64
 	at    float64 // ms of the monotonic clock
 }
 
-// propose proposes a command; the result comes when it is applied, if ever.
+// propose proposes a command. The result is sent to answer when the command is applied, which may never
+// happen.
 func (r *Replica) propose(id string, command *history.Command, answer chan proposalResult) {
 	if r.softState.RaftState != raft.StateLeader {
 		answer <- proposalResult{err: errNotLeading}
@@ -49,7 +51,7 @@
 	r.proposals[id] = append(r.proposals[id], answer)
 }
 
-// answerProposals answers those who wait for the command with this id.
+// answerProposals sends the result to all callers that wait for the command with this id.
 func (r *Replica) answerProposals(id string, result proposalResult) {
 	for _, answer := range r.proposals[id] {
 		answer <- result
@@ -63,14 +65,14 @@
 	}
 }
 
-// advance proposes the next epoch once nobody acts on an epoch before this one.
+// advance proposes the next epoch once no holder uses an epoch before the current one.
 func (r *Replica) advance(now float64) {
 	versions := &r.state.History
 	if r.lessor == nil || !versions.CanAdvance() {
 		return
 	}
 	if versions.Epoch == r.advancing.epoch && now-r.advancing.at < r.electionTimeoutMs() {
-		return // the proposal is under way
+		return // already proposed
 	}
 	if !r.lessor.MayAdvance(now, versions.Epoch, versions.ServerRulesDiffer) {
 		return
--- a/internal/configstore/replica.go
+++ b/internal/configstore/replica.go
@@ -1,7 +1,8 @@
-// Package configstore is a replica of the configuration store: one process of 1, 3, 5 or 7 that replicate the versions of
-// the shared configuration and grant leases on them. It is a thin shell round a consensus library (go.etcd.io/raft) and
-// the pure packages lease and history, which decide. It owns its data directory, the connections to the other replicas
-// and the calls of agents and operators. Every goroutine has ended when Run returns.
+// Package configstore implements a replica of the configuration store: 1, 3, 5 or 7 processes that replicate
+// the versions of the shared configuration and grant leases on them. It connects a consensus library
+// (go.etcd.io/raft) and the packages lease and history, which make the decisions without I/O, with the data
+// directory, the other replicas and the calls of agents and operators. All goroutines have ended when Run
+// returns.
 package configstore
 
 import (
@@ -29,17 +30,18 @@
 )
 
 const (
-	// transferTimeout bounds how long a graceful shutdown waits for another leader.
+	// transferTimeout bounds how long a graceful shutdown waits for another replica to lead.
 	transferTimeout = time.Second
-	// inboxLength bounds the functions that wait for the loop.
+	// inboxLength bounds the queue of functions that wait for the event loop.
 	inboxLength = 1024
-	// serverTimeout bounds reading a call and writing its answer, serverIdleTimeout an idle connection.
+	// serverTimeout bounds reading a call and writing its answer; serverIdleTimeout bounds the life of an
+	// idle connection.
 	serverTimeout     = 20 * time.Second
 	serverIdleTimeout = time.Minute
 	maxHeaderBytes    = 16 << 10
 )
 
-// longAgo is before any time of the monotonic clock, which may begin anywhere.
+// longAgo is earlier than any time of the monotonic clock, whose origin is arbitrary.
 var longAgo = math.Inf(-1)
 
 var (
@@ -51,21 +53,22 @@
 	errTooManyRequests = errors.New("too many requests wait")
 )
 
-// state is what the entries of the log change, and a snapshot holds.
+// state is the replicated state: log entries change it, and snapshots contain it.
 type state struct {
 	History history.History   `json:"book"`
 	Members map[uint64]member `json:"members"` // by replica id
 }
 
-// Replica is one process. Its fields belong to the loop, which is Run's goroutine, unless said otherwise.
+// Replica is a replica of the configuration store. Only the event loop, which is Run's goroutine, uses its
+// fields, except for those with another comment.
 type Replica struct {
 	cfg      *Config // read only
 	dir      *disk.Dir
 	identity *Identity
-	nonce    uint64          // drawn by each start
+	nonce    uint64          // random, differs for each start
 	caller   *client.Caller  // for any goroutine
-	ctx      context.Context // ends with the replica
-	inbox    chan func()     // functions that the loop is to run
+	ctx      context.Context // ends when Run returns
+	inbox    chan func()     // functions for the event loop to run
 
 	node        *raft.RawNode
 	softState   raft.SoftState
@@ -83,18 +86,18 @@
 	requests   requestQueues
 	proposals  map[string][]chan proposalResult // by the publisher's id
 
-	membersChanged    bool    // since the last snapshot: a replica that joins needs a snapshot that has it
-	memberChangeUntil float64 // until when a proposed change of members is waited for, ms
+	membersChanged    bool    // since the last snapshot: a joining replica needs a snapshot in which it is a member
+	memberChangeUntil float64 // when a proposed membership change that was not applied is given up, ms
 
 	peers      map[uint64]*peer
-	runPeer    func(*peer, context.Context) // the goroutine of a peer
+	runPeer    func(*peer, context.Context) // run in a goroutine for each peer; tests replace it
 	watermarks watermarks
 	delays     delays
 	goroutines sync.WaitGroup
 }
 
-// Run runs a replica until stop is done; then it transfers its leadership and returns. ready is called with the address
-// once calls are answered.
+// Run runs a replica until stop is done; then it transfers its leadership and returns. ready is called with
+// the listen address once the replica answers calls.
 func Run(stop context.Context, cfg *Config, ready func(net.Addr)) error {
 	dir, err := disk.Open(cfg.Data)
 	if err != nil {
@@ -118,7 +121,7 @@
 		ln.Close()
 		return err
 	}
-	// Other members need the identity to form the cluster, so calls are answered from now on.
+	// Other members need this replica's identity to form the cluster, so it answers calls from now on.
 	var shared sharedIdentity
 	shared.set(id)
 	server := r.newServer(&shared)
@@ -157,7 +160,7 @@
 	}
 }
 
-// newReplica returns a replica whose storage is not open yet.
+// newReplica returns a replica; openStorage has to be called before it can run.
 func newReplica(ctx context.Context, cfg *Config, dir *disk.Dir, id *Identity) *Replica {
 	r := &Replica{
 		cfg:               cfg,
@@ -180,7 +183,7 @@
 	return r
 }
 
-// loop owns the replica's state until stop is done or the disk fails.
+// loop is the event loop. It runs until stop is done or the disk fails.
 func (r *Replica) loop(stop context.Context) error {
 	ticker := time.NewTicker(time.Duration(r.cfg.TickMs * float64(time.Millisecond)))
 	defer ticker.Stop()
@@ -222,10 +225,10 @@
 	}
 }
 
-// now is the monotonic clock, ms.
+// now returns the time of the monotonic clock in ms.
 func (r *Replica) now() float64 { return clock.Steady() }
 
-// post has the loop run a function. It returns false if it won't.
+// post queues a function for the event loop. It returns false if ctx or the replica ends first.
 func (r *Replica) post(ctx context.Context, f func()) bool {
 	select {
 	case r.inbox <- f:
@@ -237,7 +240,7 @@
 	}
 }
 
-// runAgain has the loop run once more; a full inbox does so anyway.
+// runAgain triggers another iteration of the event loop. If the inbox is full there will be one anyway.
 func (r *Replica) runAgain() {
 	select {
 	case r.inbox <- func() {}:
@@ -245,8 +248,8 @@
 	}
 }
 
-// runPosted runs f, if any, and the functions that are in the inbox now. Those that come meanwhile are left to the next
-// iteration.
+// runPosted runs f, unless it is nil, and the functions that are in the inbox at the start. Functions that
+// are posted meanwhile are left to the next iteration.
 func (r *Replica) runPosted(f func()) {
 	start := r.now()
 	n := len(r.inbox)
@@ -260,7 +263,7 @@
 	r.delays.record(delayInbox, start, r.now())
 }
 
-// failAll ends all calls that wait.
+// failAll answers all waiting calls with an error.
 func (r *Replica) failAll(err error) {
 	r.failRequests(err)
 	r.failProposals(err)
--- a/internal/configstore/requests.go
+++ b/internal/configstore/requests.go
@@ -14,29 +14,30 @@
 // maxPendingRequests bounds the requests that wait in a replica.
 const maxPendingRequests = lease.MaxHolders
 
-// request waits for a lease, or for a confirmed read.
+// request is a request for a lease or for a confirmed read.
 type request struct {
 	lease.Request
 	read     bool
-	deadline float64            // until when a renewal waits for a new epoch, ms of the monotonic clock
-	answer   chan requestResult // of capacity one
+	deadline float64            // end of a renewal's wait for a new epoch, ms of the monotonic clock
+	answer   chan requestResult // has a capacity of one
 }
 
 type requestResult struct {
 	grant   lease.Grant
-	encoded []byte // the complete response, shared and read only, if the holder needs the configuration too; else nil
+	encoded []byte // the complete response if it includes the configuration, else nil; shared and read only
 	err     error
 }
 
-// requestQueues are the requests that a leader has. They are answered in batches: a majority confirms, after the batch
-// began, that this replica still leads (raft's ReadIndex). It belongs to the loop.
+// requestQueues queues the requests of a leader. They are answered in batches: after a batch has been
+// started, a majority has to confirm that this replica still leads (raft's ReadIndex). Only the event loop
+// uses it.
 type requestQueues struct {
-	waiting    []*request // hold the epoch in force and wait for the next one
-	pending    []*request // wait for the next batch
-	confirming []*request // the batch that waits for its confirmation
-	batch      uint64     // number of the confirming batch
-	startedAt  float64    // of the confirming batch, ms
-	readIndex  uint64     // must be applied before the batch is answered; 0: not confirmed yet
+	waiting    []*request // renewals of the epoch in force, which wait for the next epoch
+	pending    []*request // requests for the next batch
+	confirming []*request // the current batch, which waits for its confirmation
+	batch      uint64     // number of the current batch
+	startedAt  float64    // when the current batch was started, ms
+	readIndex  uint64     // index that must be applied before the batch is answered; 0: not confirmed yet
 }
 
 func (q *requestQueues) len() int { return len(q.waiting) + len(q.pending) + len(q.confirming) }
@@ -47,8 +48,8 @@
 	q.waiting = nil
 }
 
-// expire moves the requests that have waited long enough to the next batch, and fails a batch that is not confirmed
-// within the timeout.
+// expire moves the renewals whose deadline has passed to the next batch, and fails the current batch if it
+// was not confirmed within the timeout.
 func (q *requestQueues) expire(now, confirmTimeoutMs float64) {
 	q.waiting = slices.DeleteFunc(q.waiting, func(r *request) bool {
 		if now < r.deadline {
@@ -63,7 +64,7 @@
 	}
 }
 
-// confirmed takes raft's answer to ReadIndex.
+// confirmed handles raft's answer to ReadIndex. Answers for earlier batches are ignored.
 func (q *requestQueues) confirmed(state raft.ReadState) {
 	if string(state.RequestCtx) == strconv.FormatUint(q.batch, 10) {
 		q.readIndex = max(state.Index, 1)
@@ -76,7 +77,7 @@
 	}
 }
 
-// failRequests fails all requests.
+// failRequests answers all queued requests with an error.
 func (r *Replica) failRequests(err error) {
 	q := &r.requests
 	failRequests(q.waiting, err)
@@ -87,7 +88,7 @@
 	q.confirming = nil
 }
 
-// wait gives the loop a request and waits for its answer. It may be called from any goroutine.
+// wait passes a request to the event loop and waits for its answer. It may be called from any goroutine.
 func (r *Replica) wait(ctx context.Context, req *request) requestResult {
 	req.answer = make(chan requestResult, 1)
 	if !r.post(ctx, func() { r.enqueue(req) }) {
@@ -103,7 +104,7 @@
 	}
 }
 
-// enqueue takes a request. A renewal of the epoch in force waits for a new epoch, until its deadline.
+// enqueue queues a request. A renewal of the epoch in force waits for a new epoch until its deadline.
 func (r *Replica) enqueue(req *request) {
 	switch {
 	case r.softState.RaftState != raft.StateLeader:
@@ -124,7 +125,7 @@
 	r.requests.pending = append(r.requests.pending, req)
 }
 
-// serveRequests answers a batch that is confirmed and begins the next one.
+// serveRequests answers the current batch if it is confirmed, and starts the next one.
 func (r *Replica) serveRequests() {
 	now := r.now()
 	r.advance(now)
@@ -145,11 +146,11 @@
 		q.readIndex = 0
 		q.startedAt = now
 		r.node.ReadIndex([]byte(strconv.FormatUint(q.batch, 10)))
-		r.runAgain() // a single replica confirms at once, and HasReady has to be checked once more
+		r.runAgain() // a single replica confirms immediately, so HasReady has to be checked again
 	}
 }
 
-// answer answers a request of a confirmed batch.
+// answer answers one request of a confirmed batch.
 func (r *Replica) answer(now float64, req *request) {
 	if req.read {
 		req.answer <- requestResult{}
--- a/internal/configstore/transition_cache.go
+++ b/internal/configstore/transition_cache.go
@@ -8,19 +8,19 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 )
 
-// transitionCache caches the transition of the epoch in force and the response that carries it, so that both are made
-// once and not for each agent. A lookup compares all that they are made of (history.Source, the grant), so that no change
-// of the state, by an entry or a snapshot, needs to invalidate it. It belongs to the loop; what it returns is shared and
-// must not be changed.
+// transitionCache caches the transition of the epoch in force and the encoded response with it, so that both
+// are computed once and not for each agent. A lookup compares everything that they are derived from
+// (history.Source and the grant), so the cache needs no invalidation when an entry or a snapshot changes the
+// state. Only the event loop uses it; the values that it returns are shared and must not be changed.
 type transitionCache struct {
 	known      bool
 	source     history.Source
 	transition *sharedconfig.Transition
-	grant      lease.Grant // of response
-	response   []byte      // nil: not made yet
+	grant      lease.Grant // that response contains
+	response   []byte      // nil: not encoded yet
 }
 
-// get is versions.Transition, computed anew only if its source has changed.
+// get returns versions.Transition(), which it recomputes only if the source has changed.
 func (c *transitionCache) get(versions *history.History) *sharedconfig.Transition {
 	if source := versions.Source(); !c.known || c.source != source {
 		*c = transitionCache{known: true, source: source, transition: versions.Transition()}
@@ -28,8 +28,8 @@
 	return c.transition
 }
 
-// encodedResponse is the JSON text of the response to a holder that needs the configuration too; nil in epoch 0, which
-// has none.
+// encodedResponse returns the JSON text of a response with the grant and the configuration. It returns nil in
+// epoch 0, which has no configuration.
 func (c *transitionCache) encodedResponse(versions *history.History, grant lease.Grant) ([]byte, error) {
 	transition := c.get(versions)
 	if transition == nil {
