--- a/internal/configstore/durability.go
+++ b/internal/configstore/durability.go
@@ -7,28 +7,29 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// diskStallTicks is for how many ticks a replica whose disk does not answer behaves like any other; after that it sends
-// nothing, so that a leader is replaced. A shorter stall costs less than an election. See "Timers of a configuration
-// change" in docs/ARCHITECTURE.md.
+// diskStallTicks is the number of ticks without an answer of the disk after which a replica stops sending
+// messages, so that a leader with a stalled disk is replaced. A shorter stall costs less than an election.
+// See "Timers of a configuration change" in docs/ARCHITECTURE.md.
 const diskStallTicks = 60
 
-// submitJob gives the writer a job. Lab builds can replace it by one that waits for the job.
+// submitJob gives the writer a job. Lab builds can replace it with a function that waits for the job.
 var submitJob = (*Replica).enqueueJob
 
-// diskProgress counts the writer's jobs and holds the messages that wait for one. It belongs to the loop.
+// diskProgress counts the jobs of the writer and queues the messages that wait for one of them. Only the
+// event loop uses it.
 type diskProgress struct {
-	submitted   uint64        // jobs given to the writer
-	done        uint64        // jobs that it gave back
+	submitted   uint64        // number of jobs given to the writer
+	done        uint64        // number of jobs that the writer has finished
 	voteJob     uint64        // number of the last job with a term or vote
-	unsent      []*pb.Message // wait for voteJob
-	silentTicks int           // since a job came back, while some are pending
-	doneAtTick  uint64        // done at the last tick
+	unsent      []*pb.Message // messages to send once voteJob is done
+	silentTicks int           // ticks since a job was finished, while jobs are pending
+	doneAtTick  uint64        // value of done at the last tick
 }
 
-// full reports whether as many jobs are pending as may be.
+// full reports whether the maximum number of jobs is pending.
 func (d *diskProgress) full() bool { return d.submitted-d.done >= maxPendingJobs }
 
-// stalled reports whether the disk has not answered for so long that the replica has to be silent.
+// stalled reports whether the disk has been silent for so long that the replica has to stop sending.
 func (d *diskProgress) stalled() bool { return d.silentTicks >= diskStallTicks }
 
 // voteDurable reports whether the last term and vote are durable.
@@ -42,7 +43,8 @@
 	}
 }
 
-// submitReady has the writer make raft's new records durable; then raft and the other replicas get the responses.
+// submitReady gives the writer a job that makes raft's new records durable. Afterwards the responses are
+// delivered to raft and to the other replicas.
 func (r *Replica) submitReady(ready *raft.Ready, responses []*pb.Message) error {
 	j, hasVote, err := r.storage.save(ready)
 	if err != nil {
@@ -68,7 +70,7 @@
 	return submitJob(r, j)
 }
 
-// deliver gives raft's responses to the local node and to other replicas.
+// deliver passes raft's responses to the local node or sends them to other replicas.
 func (r *Replica) deliver(responses []*pb.Message) {
 	for _, m := range responses {
 		if m.GetTo() == r.identity.ID {
@@ -86,7 +88,7 @@
 	return nil
 }
 
-// runJob gives the writer a job and waits until it has come back.
+// runJob gives the writer a job and waits until it is finished.
 func (r *Replica) runJob(j *job) error {
 	r.disk.submitted++
 	r.writer.jobs <- j
@@ -98,7 +100,7 @@
 	}
 }
 
-// jobFinished takes a job back from the writer.
+// jobFinished handles a job that the writer has finished.
 func (r *Replica) jobFinished(j *job) error {
 	r.disk.done++
 	kind := delaySave
@@ -107,7 +109,7 @@
 	}
 	r.delays.record(kind, j.startedAt, j.finishedAt)
 	if j.err != nil {
-		return fmt.Errorf("configstore: stopping, as the content of the disk is not known after a failed write: %w", j.err)
+		return fmt.Errorf("configstore: stopping: the content of the disk is unknown after a failed write: %w", j.err)
 	}
 	if r.disk.done == r.disk.voteJob {
 		unsent := r.disk.unsent
@@ -120,8 +122,8 @@
 	return nil
 }
 
-// sendWhenDurable sends messages that do not depend on entries being durable. They do depend on the term and vote: a
-// replica that lost these could lead, or vote, twice in one term.
+// sendWhenDurable sends messages that do not depend on durable entries, but do depend on the durable term and
+// vote: a replica that lost these in a crash could lead or vote twice in one term.
 func (r *Replica) sendWhenDurable(messages []*pb.Message) {
 	for _, m := range messages {
 		switch {
--- a/internal/configstore/files.go
+++ b/internal/configstore/files.go
@@ -11,7 +11,8 @@
 	"ringtrack.example/ringtrack/internal/disk"
 )
 
-// The files of a data directory. Each record of the log has a checksum, and each other file as a whole.
+// The files of a data directory. Each record of the log has its own checksum; each other file has one
+// checksum for all of its content.
 const (
 	logFile        = "log"
 	snapshotFile   = "snapshot"
@@ -19,27 +20,27 @@
 	watermarksFile = "seen"
 )
 
-// Bounds of what is read.
+// Bounds of the files that are read.
 const (
 	maxLogBytes      = 256 << 20
 	maxSnapshotBytes = 64 << 20
 )
 
-// ErrCorrupt is a file whose content was never written so. A replica with such a file must not go on; it has to be
-// replaced.
+// ErrCorrupt is returned for a file that does not have the content that was written. A replica with such a
+// file must not run; it has to be replaced.
 var ErrCorrupt = errors.New("configstore: corrupt data")
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 const checksumBytes = 4
 
-// seal puts a checksum before a text.
+// seal prepends a checksum to a text.
 func seal(text []byte) []byte {
 	sealed := binary.BigEndian.AppendUint32(nil, crc32.Checksum(text, crcTable))
 	return append(sealed, text...)
 }
 
-// unseal checks and removes the checksum.
+// unseal checks and removes the checksum of a file's content.
 func unseal(name string, sealed []byte) ([]byte, error) {
 	if len(sealed) < checksumBytes {
 		return nil, fmt.Errorf("%w: %s: the checksum does not fit", ErrCorrupt, name)
@@ -51,7 +52,7 @@
 	return text, nil
 }
 
-// readSealed reads a sealed file. A missing one is fs.ErrNotExist.
+// readSealed reads a sealed file. If it does not exist the error is fs.ErrNotExist.
 func readSealed(d *disk.Dir, name string) ([]byte, error) {
 	sealed, err := d.Read(name, maxSnapshotBytes)
 	if err != nil {
@@ -60,7 +61,7 @@
 	return unseal(name, sealed)
 }
 
-// readJSON reads a sealed JSON file; found is false if there is none.
+// readJSON reads a sealed JSON file; found is false if it does not exist.
 func readJSON(d *disk.Dir, name string, into any) (found bool, err error) {
 	text, err := readSealed(d, name)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/configstore/lab.go
+++ b/internal/configstore/lab.go
@@ -7,8 +7,8 @@
 	"os"
 )
 
-// Defects that the lab seeds: the loop waits for its disk; or a replica's identity is its name, so that one whose data
-// directory was wiped votes as before, and nobody records how far it had come.
+// Defects seeded by the lab: the event loop waits for the disk; or the id of a replica is derived from its
+// name, so that a replica whose data directory was wiped votes as before, and rollbacks are not detected.
 func init() {
 	switch os.Getenv("RINGTRACK_LAB_DEFECT") {
 	case "loop-waits":
--- a/internal/configstore/log_record.go
+++ b/internal/configstore/log_record.go
@@ -8,27 +8,29 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The kinds of log records.
+// Kinds of log records.
 const (
 	recordEntry     byte = 1
 	recordHardState byte = 2
 )
 
-// A record of the log is the length of its body (4 bytes), a checksum of all else (4), its kind (1) and its body.
+// A log record consists of the length of its body (4 bytes), a checksum of all other bytes (4), its kind (1)
+// and its body.
 const (
 	recordChecksumAt  = 4
 	recordKindAt      = 8
 	recordHeaderBytes = 9
 )
 
-// logRecord is a decoded record. Its body is part of the log's text.
+// logRecord is a decoded record. Its body is a slice of the log.
 type logRecord struct {
 	kind byte
 	body []byte
-	end  int // where the next record begins
+	end  int // offset of the next record
 }
 
-// decodeRecord decodes the record that begins at a byte of the log; ok is false if there is no complete valid one.
+// decodeRecord decodes the record at an offset of the log; ok is false if there is no complete and valid
+// record.
 func decodeRecord(log []byte, at int) (r logRecord, ok bool) {
 	bodyAt := at + recordHeaderBytes
 	if bodyAt > len(log) {
@@ -48,7 +50,7 @@
 	return crc32.Update(length, crcTable, record[recordKindAt:])
 }
 
-// appendRecord appends a record to a log.
+// appendRecord encodes a record and appends it to a log.
 func appendRecord(log []byte, kind byte, m proto.Message) ([]byte, error) {
 	body, err := proto.Marshal(m)
 	if err != nil {
@@ -62,7 +64,7 @@
 	return log, nil
 }
 
-// appendReady appends the records of what is new in raft.
+// appendReady appends records for the new entries and hard state of raft.
 func appendReady(log []byte, ready *raft.Ready) (_ []byte, err error) {
 	for _, entry := range ready.Entries {
 		if log, err = appendRecord(log, recordEntry, entry); err != nil {
--- a/internal/configstore/peer.go
+++ b/internal/configstore/peer.go
@@ -17,29 +17,30 @@
 )
 
 const (
-	// peerQueueLength bounds messages on their way to one replica. Raft repeats what is dropped.
+	// peerQueueLength bounds the queue of messages to one replica. Raft repeats messages that were dropped.
 	peerQueueLength = 256
-	// heartbeatQueueLength bounds heartbeats and their responses, which wait for no other message.
+	// heartbeatQueueLength bounds the queue of heartbeats and their responses, which don't wait for other
+	// messages.
 	heartbeatQueueLength = 64
-	// maxMessagesPerCall bounds the messages of one call.
+	// maxMessagesPerCall bounds the messages that are sent in one call.
 	maxMessagesPerCall = 64
 	// peerCallTimeout bounds a call.
 	peerCallTimeout = time.Second
 )
 
-// peer sends messages to one other replica. Each of its queues has a goroutine that makes one call at a time, so that a
-// heartbeat does not wait until the other has taken entries or a snapshot.
+// peer sends messages to one other replica. Each of its two queues has a goroutine that makes one call at a
+// time, so that a heartbeat does not wait until the other replica has received entries or a snapshot.
 type peer struct {
 	replica    *Replica
 	id         uint64
 	addr       string
 	heartbeats chan *pb.Message
 	queue      chan *pb.Message
-	rejection  string // why the other rejects this replica; belongs to the loop
+	rejection  string // why the other replica rejects messages of this one; used by the event loop only
 	cancel     context.CancelFunc
 }
 
-// updatePeers makes the peers those of the current members.
+// updatePeers starts and stops peers so that there is one for each other member.
 func (r *Replica) updatePeers() {
 	for id := range r.state.Members {
 		if id == r.identity.ID {
@@ -77,7 +78,8 @@
 	r.goroutines.Go(func() { r.runPeer(p, ctx) })
 }
 
-// addr is where this replica reaches another: as its own file says, else as the member was added; "": unknown.
+// addr returns the address of another replica: that in this replica's configuration file, else the one with
+// which the member was added, or "" if it is unknown.
 func (r *Replica) addr(id uint64) string {
 	m := r.state.Members[id]
 	if configured := r.cfg.Members[m.Name]; configured != "" {
@@ -86,7 +88,7 @@
 	return m.Addr
 }
 
-// send queues a message for its receiver. It is dropped if the queue is full.
+// send queues a message for its receiver. If the queue is full the message is dropped.
 func (r *Replica) send(m *pb.Message) {
 	p := r.peers[m.GetTo()]
 	if p == nil {
@@ -113,7 +115,7 @@
 	heartbeats.Wait()
 }
 
-// sendQueue makes the calls of one queue.
+// sendQueue sends the messages of one queue until ctx ends.
 func (p *peer) sendQueue(ctx context.Context, queue chan *pb.Message) {
 	for {
 		batch := nextBatch(ctx, queue)
@@ -131,7 +133,8 @@
 	}
 }
 
-// nextBatch waits for a message and returns it with those that are queued behind it; nil once ctx has ended.
+// nextBatch waits for a message and returns it together with those queued after it, or nil once ctx has
+// ended.
 func nextBatch(ctx context.Context, queue chan *pb.Message) []*pb.Message {
 	var batch []*pb.Message
 	select {
@@ -164,7 +167,7 @@
 	return messages, hasSnapshot
 }
 
-// setSender has the loop fill in the sender. It returns false if it won't.
+// setSender has the event loop fill in the sender. It returns false if the loop has ended.
 func (p *peer) setSender(ctx context.Context, messages *raftMessages) bool {
 	done := make(chan struct{})
 	fillIn := func() {
@@ -182,7 +185,7 @@
 	}
 }
 
-// sent takes the outcome of a call.
+// sent handles the outcome of a call and reports it to raft.
 func (r *Replica) sent(p *peer, err error, hasSnapshot bool) {
 	rejection := ""
 	if status := (*client.StatusError)(nil); errors.As(err, &status) && status.Status == http.StatusForbidden {
--- a/internal/configstore/raft.go
+++ b/internal/configstore/raft.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// heartbeatTicks and electionTicks are raft's, in ticks of tick_ms: a leader that is not heard for 0.4 to 0.8 s, as
-	// deployed, is replaced.
+	// heartbeatTicks and electionTicks are raft's parameters, in ticks of tick_ms. With the deployed tick_ms
+	// a leader is replaced after 0.4 to 0.8 s without a message from it.
 	heartbeatTicks = 2
 	electionTicks  = 16
-	// Bounds of raft's own queues.
+	// Bounds of raft's queues.
 	maxEntriesPerMessageBytes = 1 << 20
 	maxInflightMessages       = 64
 	maxUncommittedBytes       = 64 << 20
@@ -43,8 +43,8 @@
 	}
 }
 
-// handleTick runs a tick. What has arrived by then is handled before it: a leader whose message has arrived is not
-// silent, nor is a disk that has answered.
+// handleTick runs a tick. Messages and finished jobs that have already arrived are handled first, so that a
+// leader or a disk does not count as silent while its answer is in a queue.
 func (r *Replica) handleTick() error {
 	r.runPosted(nil)
 	for range len(r.writer.done) {
@@ -71,8 +71,8 @@
 
 func (r *Replica) electionTimeoutMs() float64 { return r.cfg.TickMs * electionTicks }
 
-// processReady carries out what raft wants: the writer makes records durable, and messages that depend on them wait.
-// All else goes on, so that a slow disk delays neither ticks nor heartbeats.
+// processReady carries out the work that raft has ready. The writer makes records durable, and only messages
+// that depend on them wait for it, so that a slow disk delays neither ticks nor heartbeats.
 func (r *Replica) processReady() error {
 	for r.node.HasReady() && !r.disk.full() {
 		ready := r.node.Ready()
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// softStateChanged follows who leads.
+// softStateChanged handles a change of the leader or of this replica's role.
 func (r *Replica) softStateChanged(next raft.SoftState) {
 	if next.RaftState != r.softState.RaftState || next.Lead != r.softState.Lead {
 		slog.Info("raft", "state", next.RaftState.String(), "leader", r.state.Members[next.Lead].Name)
@@ -179,8 +179,8 @@
 	return v1.AsV2(), nil
 }
 
-// becomeLessor begins to grant leases once the leader has applied an entry of its own term: then it has applied all that
-// was committed before.
+// becomeLessor makes the leader grant leases once it has applied an entry of its own term: by then it has
+// applied all entries that were committed before.
 func (r *Replica) becomeLessor(entry *pb.Entry) {
 	term := r.node.BasicStatus().GetTerm()
 	if r.softState.RaftState != raft.StateLeader || entry.GetTerm() != term {
@@ -192,7 +192,7 @@
 	}
 }
 
-// transferLeadership hands the leadership to another voter, if this replica leads and there is one.
+// transferLeadership transfers the leadership to another voter, if this replica leads and there is one.
 func (r *Replica) transferLeadership() {
 	if to := r.transferTarget(); to != 0 {
 		slog.Info("transferring leadership", "to", r.state.Members[to].Name)
@@ -200,7 +200,8 @@
 	}
 }
 
-// transferTarget is the voter that is most up to date; 0: this replica does not lead, or there is none.
+// transferTarget returns the most up-to-date other voter, or 0 if there is none or this replica does not
+// lead.
 func (r *Replica) transferTarget() uint64 {
 	if r.softState.RaftState != raft.StateLeader {
 		return 0
@@ -215,8 +216,9 @@
 	return target
 }
 
-// raftLogger is raft's log. What raft finds impossible ends the process by a panic, as it must not go on with a state
-// that nobody knows. Messages of other replicas that would cause that are rejected before (checkRaftMessage).
+// raftLogger passes raft's log to slog. If raft detects a violated invariant the process panics, because it
+// must not continue in an unknown state. Messages of other replicas that would cause this are rejected first
+// (checkRaftMessage).
 type raftLogger struct{}
 
 func (raftLogger) Debug(...any)                {}
--- a/internal/configstore/raft_message_check.go
+++ b/internal/configstore/raft_message_check.go
@@ -10,7 +10,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Reasons to reject a single message. Raft would panic on the first such message, or once it acts on it.
+// Reasons to reject a single message. Raft would panic on such a message at once, or later when it acts on
+// it.
 var (
 	errMessageType     = errors.New("a message of a type that replicas do not send each other")
 	errMessageTerm     = errors.New("a message without a term")
@@ -22,8 +23,9 @@
 	errAckBeyondLog = errors.New("an acknowledgement of entries that were never sent")
 )
 
-// checkRaftMessage returns why a message of another replica must not reach raft. Raft takes messages for those of its
-// own code and panics on others; one replica must not be able to end another.
+// checkRaftMessage returns an error if a message of another replica must not be passed to raft. Raft assumes
+// that messages come from its own code and panics on others, and one replica must not be able to terminate
+// another.
 func (r *Replica) checkRaftMessage(m *pb.Message) error {
 	switch m.GetType() {
 	case pb.MsgReadIndex, pb.MsgReadIndexResp:
@@ -45,7 +47,8 @@
 	return fmt.Errorf("%w: %d", errMessageType, m.GetType())
 }
 
-// checkTerm checks that the message has a term: raft takes one without for a message of its own process.
+// checkTerm checks that the message has a term: raft takes a message without one for a message of its own
+// process.
 func checkTerm(m *pb.Message) error {
 	if m.GetTerm() == 0 {
 		return errMessageTerm
@@ -53,7 +56,7 @@
 	return nil
 }
 
-// checkEntries checks that the entries follow each other, and that none is of a later term than the message.
+// checkEntries checks that the entries are consecutive and that none has a later term than the message.
 func checkEntries(m *pb.Message) error {
 	index, term := m.GetIndex(), m.GetLogTerm()
 	for _, entry := range m.GetEntries() {
@@ -66,8 +69,8 @@
 	return nil
 }
 
-// checkSnapshot checks that a snapshot has members that raft can restore, and a state. Decoding the state twice would
-// hold the loop up.
+// checkSnapshot checks that a snapshot has a state and members that raft can restore. It only checks that the
+// state is valid JSON, because decoding it twice would delay the event loop.
 func checkSnapshot(snapshot *pb.Snapshot) error {
 	metadata := snapshot.GetMetadata()
 	members := metadata.GetConfState()
@@ -84,8 +87,9 @@
 	return nil
 }
 
-// checkHeartbeat checks that this replica has what a leader takes as acknowledged by it. It does not after its data
-// directory went back. Raft ignores heartbeats of former leaders.
+// checkHeartbeat checks that this replica has the entries that the leader believes it has acknowledged. They
+// are missing if the data directory was rolled back. Heartbeats of former leaders are accepted because raft
+// ignores them.
 func (r *Replica) checkHeartbeat(m *pb.Message) error {
 	last, err := r.storage.LastIndex()
 	if err != nil {
@@ -97,7 +101,7 @@
 	return nil
 }
 
-// checkAppendResponse checks that the acknowledged entries were sent. A rejection names entries that were not.
+// checkAppendResponse checks that the acknowledged entries exist. A rejection may name entries that do not.
 func (r *Replica) checkAppendResponse(m *pb.Message) error {
 	leads := r.node.BasicStatus().RaftState == raft.StateLeader && m.GetTerm() == r.node.BasicStatus().GetTerm()
 	if leads && !m.GetReject() && m.GetIndex() > r.storage.submittedIndex {
--- a/internal/configstore/raft_messages.go
+++ b/internal/configstore/raft_messages.go
@@ -14,30 +14,30 @@
 
 const (
 	pathRaftMessages = "/v1/raft"
-	// maxRaftMessagesBytes bounds the text of one call: a snapshot and a little.
+	// maxRaftMessagesBytes bounds the body of one call: an encoded snapshot and some overhead.
 	maxRaftMessagesBytes = maxSnapshotBytes * 3 / 2
 )
 
-// Reasons to reject messages.
+// Reasons to reject all messages of a call.
 var (
 	errOtherCluster  = errors.New("another cluster")
 	errNotMember     = errors.New("no member has this id: it was removed, or its data directory is not the one that was added")
 	errForeignSender = errors.New("a message of another replica")
 )
 
-// raftMessages is what one replica sends another in a call.
+// raftMessages is the body of a call from one replica to another.
 type raftMessages struct {
 	Cluster uint64            `json:"cluster"`
 	From    uint64            `json:"from"`
-	Name    string            `json:"name"` // of the sender: a replica that joins knows the others by name only
+	Name    string            `json:"name"` // of the sender: a joining replica knows the others by name only
 	To      uint64            `json:"to"`
-	Nonce   uint64            `json:"nonce"`           // of the sender's start
-	Last    uint64            `json:"last"`            // the sender's last durable entry
-	Acked   map[uint64]uint64 `json:"acked,omitempty"` // a leader's watermarks of all
-	Msgs    [][]byte          `json:"msgs"`            // raftpb.Message
+	Nonce   uint64            `json:"nonce"`           // identifies a start of the sender
+	Last    uint64            `json:"last"`            // index of the sender's last durable entry
+	Acked   map[uint64]uint64 `json:"acked,omitempty"` // watermarks of all replicas, if the sender leads
+	Msgs    [][]byte          `json:"msgs"`            // encoded raftpb.Message values
 }
 
-// readRaftMessages reads messages of a bounded size.
+// readRaftMessages decodes the body of a call, whose size is bounded.
 func readRaftMessages(body io.Reader) (*raftMessages, error) {
 	messages := &raftMessages{}
 	if err := json.NewDecoder(io.LimitReader(body, maxRaftMessagesBytes)).Decode(messages); err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// receive takes messages; an error is why they are rejected.
+// receive handles the messages of a call. An error says why they were rejected.
 func (r *Replica) receive(messages *raftMessages) error {
 	if messages.To != r.identity.ID {
 		return fmt.Errorf("this is replica %d, another data directory than %d; it was wiped or replaced", r.identity.ID, messages.To)
@@ -75,7 +75,8 @@
 		if r.applied != 0 {
 			return errNotMember
 		}
-		// This replica joins and has no state yet: it answers the sender at the address that its own file has.
+		// This replica is joining and has no state yet: it answers the sender at the address in its
+		// configuration file.
 		r.state.Members[messages.From] = member{Name: messages.Name}
 		r.updatePeers()
 	}
@@ -105,11 +106,11 @@
 	if from == r.softState.Lead && (m.GetType() == pb.MsgHeartbeat || m.GetType() == pb.MsgApp) {
 		r.delays.heartbeat(r.now())
 	}
-	r.node.Step(m) // an error is a message that raft drops
+	r.node.Step(m) // an error means that raft drops the message
 	return nil
 }
 
-// joinCluster makes the cluster that a replica joins durable.
+// joinCluster makes durable which cluster this replica has joined.
 func (r *Replica) joinCluster(cluster uint64) error {
 	joined := *r.identity
 	joined.Cluster = cluster
--- a/internal/configstore/snapshot.go
+++ b/internal/configstore/snapshot.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// snapshotEntries is the number of applied entries after which the next snapshot is taken.
+	// snapshotEntries is the number of applied entries since the last snapshot after which the next one is
+	// taken.
 	snapshotEntries = 512
-	// maxLogBeforeSnapshotBytes is the size of the log from which on a snapshot is taken.
+	// maxLogBeforeSnapshotBytes is the size of the log above which a snapshot is taken.
 	maxLogBeforeSnapshotBytes = 16 << 20
 )
 
-// openStorage loads the data directory and starts raft's node with it.
+// openStorage loads the data directory and creates the raft node from it.
 func (r *Replica) openStorage() (err error) {
 	if r.storage, err = loadStorage(r.dir); err != nil {
 		return err
 	}
 	if r.storage.truncatedBytes > 0 {
-		slog.Warn("the log ended with an incomplete record, which was removed", "bytes", r.storage.truncatedBytes)
+		slog.Warn("removed an incomplete record at the end of the log", "bytes", r.storage.truncatedBytes)
 	}
 	snapshot, err := r.storage.Snapshot()
 	if err != nil {
@@ -45,7 +46,7 @@
 	return err
 }
 
-// writeFirstSnapshot makes the first state, which is the same at all first members, durable.
+// writeFirstSnapshot makes the initial state durable. It is the same for all initial members.
 func (r *Replica) writeFirstSnapshot() (*pb.Snapshot, error) {
 	conf := &pb.ConfState{}
 	for name, id := range r.identity.InitialMembers {
@@ -67,7 +68,7 @@
 	return snapshot, r.storage.writeInitialSnapshot(snapshot)
 }
 
-// restore replaces the state by a snapshot's.
+// restore replaces the state with that of a snapshot.
 func (r *Replica) restore(snapshot *pb.Snapshot) error {
 	var restored state
 	if err := json.Unmarshal(snapshot.GetData(), &restored); err != nil {
@@ -80,7 +81,8 @@
 	return nil
 }
 
-// snapshotIfDue takes a snapshot of the state and shortens the log, if that is due and the writer has capacity.
+// snapshotIfDue takes a snapshot of the state and compacts the log, if that is due and the writer has
+// capacity.
 func (r *Replica) snapshotIfDue() error {
 	due := r.membersChanged || r.applied-r.storage.snapshotIndex >= snapshotEntries ||
 		r.storage.logBytes > maxLogBeforeSnapshotBytes
--- a/internal/configstore/storage.go
+++ b/internal/configstore/storage.go
@@ -13,33 +13,36 @@
 )
 
 const (
-	// retainedEntries is the number of entries before a snapshot that stay in the log for followers that lag a little.
+	// retainedEntries is the number of entries before a snapshot that stay in the log, so that followers with
+	// a small lag don't need the snapshot.
 	retainedEntries = 128
-	// maxTornTailBytes bounds how far behind an invalid record valid ones are looked for.
+	// maxTornTailBytes bounds the search for a valid record after an invalid one.
 	maxTornTailBytes = 1 << 20
 )
 
-// storage is raft's log and snapshot. What raft reads is in memory, is durable, and belongs to the loop. The files belong
-// to the writer once it runs; raft learns of a change only after the writer has made it durable.
+// storage stores raft's log and snapshot. Raft reads the embedded MemoryStorage, which has durable content
+// only and is used by the event loop only. Once the writer runs, only it accesses the files; a change is
+// added to the MemoryStorage after the writer has made it durable.
 type storage struct {
 	*raft.MemoryStorage
 	dir  *disk.Dir
 	file *logFileHandle
 
-	logBytes         int64         // size of the log, with what was submitted to the writer
-	snapshotIndex    uint64        // of the last snapshot
-	submittedState   *pb.HardState // the last that was submitted to the writer
-	submittedIndex   uint64        // of the last entry that was submitted to the writer, by which time raft may send it
-	unsynced         [][]byte      // records that were submitted and are not durable yet
-	pendingSnapshots int           // snapshots of the leader that were submitted and are not durable yet
-	truncatedBytes   int64         // of an incomplete record that loadStorage removed
+	logBytes         int64         // size of the log, including records that were submitted to the writer
+	snapshotIndex    uint64        // index of the last snapshot
+	submittedState   *pb.HardState // last hard state that was submitted to the writer
+	submittedIndex   uint64        // index of the last entry that was submitted to the writer; raft may have sent it
+	unsynced         [][]byte      // submitted records that are not durable yet
+	pendingSnapshots int           // number of submitted snapshots of the leader that are not durable yet
+	truncatedBytes   int64         // size of an incomplete record that loadStorage removed
 }
 
-// logFileHandle is the open log; it changes each time that the log is rewritten.
+// logFileHandle is the open log file. It is replaced whenever the log is rewritten.
 type logFileHandle struct{ *disk.File }
 
-// loadStorage reads the data directory. If the log ends within a record the process died while it wrote: the incomplete
-// record was never acknowledged and is removed. An invalid record that is complete or has others after it is ErrCorrupt.
+// loadStorage reads the data directory. If the log ends with an incomplete record, the process died while
+// writing it: the record was never acknowledged and is removed. An invalid record that is known to have been
+// complete, or that other records follow, is ErrCorrupt.
 func loadStorage(d *disk.Dir) (*storage, error) {
 	s := &storage{MemoryStorage: raft.NewMemoryStorage(), dir: d}
 	if err := s.loadSnapshot(); err != nil {
@@ -82,7 +85,7 @@
 	return s.ApplySnapshot(&snapshot)
 }
 
-// replay applies the records of the log and returns where the last valid one ends.
+// replay applies the records of the log and returns the offset at which the last valid one ends.
 func (s *storage) replay(log []byte) (end int, err error) {
 	snapshot, _ := s.Snapshot()
 	snapshotIndex := snapshot.GetMetadata().GetIndex()
@@ -96,14 +99,15 @@
 		}
 		end = r.end
 	}
-	// An invalid record may follow. A valid one behind it says that the invalid one was complete once.
+	// An invalid record may follow. If a valid record comes after it, the invalid one was complete once.
 	for at := end + 1; at < len(log) && at < end+maxTornTailBytes; at++ {
 		if _, ok := decodeRecord(log, at); ok {
 			return 0, fmt.Errorf("%w: log at byte %d: the checksum does not fit, and records follow", ErrCorrupt, end)
 		}
 	}
-	// Whether a last record of full length was torn or changed later is not known here, unless it was known to be
-	// committed; else the other replicas know how far this one had come (watermarks).
+	// If the last record has its full length but is invalid, it was either torn by a crash or corrupted
+	// later. It was corrupted if its entry is known to be committed; otherwise the other replicas detect the
+	// loss (watermarks).
 	state, _, _ := s.InitialState()
 	if last, _ := s.LastIndex(); state.GetCommit() > last {
 		return 0, fmt.Errorf("%w: log: entry %d was committed, the last is %d", ErrCorrupt, state.GetCommit(), last)
@@ -125,12 +129,12 @@
 			return err
 		}
 		if last, _ := s.LastIndex(); entry.GetIndex() > last+1 {
-			return fmt.Errorf("entry %d behind %d", entry.GetIndex(), last)
+			return fmt.Errorf("entry %d follows entry %d", entry.GetIndex(), last)
 		}
 		if entry.GetIndex() <= snapshotIndex {
 			return nil
 		}
 		return s.Append([]*pb.Entry{&entry})
 	}
-	return fmt.Errorf("a record of kind %d", r.kind)
+	return fmt.Errorf("unknown record kind %d", r.kind)
 }
--- a/internal/configstore/storage_write.go
+++ b/internal/configstore/storage_write.go
@@ -6,8 +6,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// save returns the job that makes what is new in raft durable; its onDurable has raft read it. hasVote reports whether a
-// new term or vote is part of it.
+// save returns a job that makes the new entries, hard state and snapshot of raft durable; its onDurable adds
+// them to the memory storage that raft reads. hasVote reports whether they include a new term or vote.
 func (s *storage) save(ready *raft.Ready) (j *job, hasVote bool, err error) {
 	if raft.IsEmptySnap(ready.Snapshot) {
 		j, err = s.appendJob(ready)
@@ -41,7 +41,7 @@
 	return j, hasVote, nil
 }
 
-// appendJob appends the new records to the log.
+// appendJob returns a job that appends the new records to the log.
 func (s *storage) appendJob(ready *raft.Ready) (*job, error) {
 	records, err := appendReady(nil, ready)
 	if err != nil {
@@ -54,7 +54,8 @@
 	return &job{sync: ready.MustSync, records: records}, nil
 }
 
-// snapshotJob replaces the snapshot by a leader's; the log begins anew after it.
+// snapshotJob returns a job that replaces the snapshot with one of the leader and the log with one that
+// begins after it.
 func (s *storage) snapshotJob(ready *raft.Ready) (*job, error) {
 	text, err := sealSnapshot(ready.Snapshot)
 	if err != nil {
@@ -68,12 +69,12 @@
 		return nil, err
 	}
 	s.logBytes = int64(len(log))
-	s.unsynced = nil // the log that they belong to is replaced
+	s.unsynced = nil // they belong to the log that is replaced
 	s.pendingSnapshots++
 	return &job{sync: ready.MustSync, replace: func() error { return s.replaceFiles(text, log) }}, nil
 }
 
-// recordsDurable removes records from those that are not durable yet.
+// recordsDurable removes records from the list of those that are not durable yet.
 func (s *storage) recordsDurable(records []byte) {
 	if len(s.unsynced) > 0 && len(records) > 0 && &s.unsynced[0][0] == &records[0] {
 		s.unsynced = s.unsynced[1:]
@@ -97,7 +98,7 @@
 	return seal(text), err
 }
 
-// replaceFiles replaces the snapshot and the log. It is the writer's once that runs.
+// replaceFiles replaces the snapshot and the log. Once the writer runs, only it may call this.
 func (s *storage) replaceFiles(snapshot, log []byte) error {
 	if err := s.dir.Replace(snapshotFile, snapshot); err != nil {
 		return err
@@ -115,7 +116,7 @@
 	return err
 }
 
-// writeInitialSnapshot makes the very first snapshot durable, before there is a writer.
+// writeInitialSnapshot makes the first snapshot durable, before the writer exists.
 func (s *storage) writeInitialSnapshot(snapshot *pb.Snapshot) error {
 	text, err := sealSnapshot(snapshot)
 	if err != nil {
@@ -136,7 +137,8 @@
 	return s.replaceFiles(text, log)
 }
 
-// compact returns the job that makes the state after an entry the snapshot and removes most entries before it.
+// compact takes a snapshot of the state as of an index and removes most entries before it; it returns the job
+// that rewrites the files accordingly.
 func (s *storage) compact(index uint64, conf *pb.ConfState, state []byte) (*job, error) {
 	snapshot, err := s.CreateSnapshot(index, conf, state)
 	if err != nil {
@@ -160,7 +162,8 @@
 	return &job{replace: func() error { return s.replaceFiles(text, log) }}, nil
 }
 
-// encodeLog encodes the log anew: the durable entries and state, and after them the records that are not durable yet.
+// encodeLog encodes a new log: the durable entries and hard state, followed by the records that are not
+// durable yet.
 func (s *storage) encodeLog() (log []byte, err error) {
 	first, _ := s.FirstIndex()
 	last, _ := s.LastIndex()
--- a/internal/configstore/watermarks.go
+++ b/internal/configstore/watermarks.go
@@ -14,7 +14,7 @@
 const (
 	// watermarkIntervalMs is the shortest time between two writes of the watermarks.
 	watermarkIntervalMs = 1000
-	// maxNonces bounds the starts of a replica that are told apart.
+	// maxNonces bounds the number of starts that are remembered for each replica.
 	maxNonces = 64
 )
 
@@ -22,30 +22,33 @@
 
 const rollbackReason = "its data directory was rolled back: it has less than it had acknowledged; replace this replica"
 
-// rejectedError is why a replica's messages are rejected for good.
+// rejectedError is the reason for which the messages of a replica are rejected permanently.
 type rejectedError string
 
 func (e rejectedError) Error() string { return string(e) }
 
-// detectRollback has replicas rejected whose data directory went back. Lab builds can disable it.
+// detectRollback enables the rejection of replicas whose data directory was rolled back. Lab builds can
+// disable it.
 var detectRollback = true
 
-// watermarks is what a replica knows of how far the others had come. A replica must still have every committed entry that
-// it acknowledged. One that starts with less had its data directory rolled back, or its disk lied: it would vote for
-// a leader that lacks what was acknowledged, so it is rejected for good and has to be replaced.
+// watermarks records up to which entry each replica has acknowledged the log. A replica must still have every
+// committed entry that it acknowledged. If it starts with fewer entries, its data directory was rolled back,
+// or its disk reported a sync that made nothing durable. Such a replica could vote for a leader that lacks
+// acknowledged entries, so it is rejected permanently and has to be replaced.
 //
-// A leader knows the watermarks from its followers' acknowledgements and sends them to all, so that those who decide
-// after its end know them too. What was acknowledged just before its end they may not know. It belongs to the loop.
+// A leader derives the watermarks from its followers' acknowledgements and sends them to all replicas, so
+// that they are known after the leader has failed. Acknowledgements from just before its failure may be
+// unknown. Only the event loop uses it.
 type watermarks struct {
-	Acked    map[uint64]uint64 `json:"acked"`   // last committed entry that a replica has, by id
-	Rejected map[uint64]string `json:"refused"` // why a replica is rejected, by id
+	Acked    map[uint64]uint64 `json:"acked"`   // last committed entry that a replica has acknowledged, by its id
+	Rejected map[uint64]string `json:"refused"` // why a replica is rejected, by its id
 
-	dirty   bool                // changed since they were written
-	savedAt float64             // ms of the monotonic clock
-	nonces  map[uint64][]uint64 // starts of each replica, by id, the newest last
+	dirty   bool                // changed since the last write
+	savedAt float64             // time of the last write, ms of the monotonic clock
+	nonces  map[uint64][]uint64 // nonces of the known starts of each replica, by its id, the newest last
 }
 
-// load reads the file of the data directory.
+// load reads the watermarks from the data directory.
 func (w *watermarks) load(d *disk.Dir) error {
 	if _, err := readJSON(d, watermarksFile, w); err != nil {
 		return err
@@ -60,8 +63,9 @@
 	return nil
 }
 
-// accept checks a message: which start of a replica sent it, and how far its data directory had come by then. An error
-// is why it is rejected.
+// accept checks the sender of a message: it must be the latest known start of the replica, and a new start
+// must have all entries up to the replica's watermark. last is the sender's last durable entry. An error says
+// why the message is rejected.
 func (w *watermarks) accept(id, nonce, last uint64) error {
 	if reason := w.Rejected[id]; reason != "" {
 		return rejectedError(reason)
@@ -86,7 +90,7 @@
 	return nil
 }
 
-// merge takes a leader's watermarks.
+// merge raises the watermarks to those of a leader.
 func (w *watermarks) merge(acked map[uint64]uint64) {
 	for id, index := range acked {
 		if index > w.Acked[id] {
@@ -96,7 +100,8 @@
 	}
 }
 
-// recordWatermarks notes, in the leader, how far each follower has come, and writes the watermarks now and then.
+// recordWatermarks updates the watermarks from the followers' progress, if this replica leads, and has the
+// writer save them at intervals.
 func (r *Replica) recordWatermarks() {
 	if r.softState.RaftState == raft.StateLeader {
 		commit := r.node.BasicStatus().GetCommit()
--- a/internal/configstore/writer.go
+++ b/internal/configstore/writer.go
@@ -2,15 +2,16 @@
 
 import "ringtrack.example/ringtrack/internal/clock"
 
-// maxPendingJobs bounds the jobs that wait for the disk; while there are so many, processReady takes nothing from raft.
+// maxPendingJobs bounds the jobs that wait for the disk. When it is reached, processReady takes no further
+// work from raft.
 const maxPendingJobs = 1024
 
-// job is a change of the data directory that has to be durable.
+// job is a change of the data directory that has to be made durable.
 type job struct {
-	records   []byte       // to append to the log
+	records   []byte       // records to append to the log
 	sync      bool         // records must be durable before onDurable is called
-	replace   func() error // another change, in place of records; it is durable when it returns
-	onDurable func() error // called by the loop; nil: nothing to do
+	replace   func() error // a change other than appending records, durable when the function returns
+	onDurable func() error // called by the event loop once the change is durable; may be nil
 
 	// Set by the writer.
 	err        error
@@ -18,15 +19,15 @@
 	finishedAt float64
 }
 
-// writer is the only one that writes to the data directory once the loop runs, on a goroutine of its own, so that the loop
-// goes on with ticks, heartbeats and requests while the disk is slow. It carries out jobs in order, those that wait
-// together with one sync. After the first error it fails all jobs: the content of the disk is unknown then, and the
-// replica ends.
+// writer makes all writes to the data directory once the event loop runs. It has its own goroutine, so that a
+// slow disk does not delay ticks, heartbeats and requests. It carries out jobs in order and syncs the log
+// once for all jobs that are queued. After the first error it fails all jobs: the content of the disk is then
+// unknown, and the replica stops.
 type writer struct {
 	file *logFileHandle
-	jobs chan *job // at most maxPendingJobs of them that have not come back, and one more
-	done chan *job
-	err  error
+	jobs chan *job // up to maxPendingJobs unfinished jobs, and one more
+	done chan *job // finished jobs
+	err  error     // the first error
 }
 
 func newWriter(f *logFileHandle) *writer {
@@ -40,7 +41,7 @@
 	}
 }
 
-// runBatch carries out a job and those that wait behind it.
+// runBatch carries out a job and those queued after it.
 func (w *writer) runBatch(first *job) {
 	batch := &jobBatch{writer: w, jobs: w.collect(first), startedAt: clock.Steady()}
 	for i, j := range batch.jobs {
@@ -60,7 +61,7 @@
 	batch.finish(len(batch.jobs))
 }
 
-// collect returns a job and those that wait behind it.
+// collect returns a job and those queued after it.
 func (w *writer) collect(first *job) []*job {
 	jobs := []*job{first}
 	for {
@@ -76,16 +77,17 @@
 	}
 }
 
-// jobBatch is the jobs that are carried out together.
+// jobBatch is a list of jobs that are carried out together.
 type jobBatch struct {
 	writer    *writer
 	jobs      []*job
-	finished  int     // number of jobs that were given back
-	startedAt float64 // of the first that was not, ms
-	unsynced  bool    // records were written that have to be synced
+	finished  int     // number of jobs that are finished
+	startedAt float64 // start of the first unfinished job, ms
+	unsynced  bool    // records were written that still have to be synced
 }
 
-// finish gives back the jobs before the end-th: what they changed is durable, or failed.
+// finish makes the changes of the jobs before index end durable and passes these jobs, with the result, to
+// done.
 func (b *jobBatch) finish(end int) {
 	w := b.writer
 	if b.unsynced && w.err == nil {
