--- a/internal/configstore/compatibility_test.go
+++ b/internal/configstore/compatibility_test.go
@@ -22,9 +22,9 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 )
 
-// Everything under testdata was written by ringtrack-keeper at commit 5a7ac45, before it was renamed to
-// ringtrack-configstore: datadir is the data directory of a replica that published three versions, added and removed a
-// member (which takes snapshots) and cordoned a server; answers are the bodies it returned then; messages are its JSON
+// The files under testdata were written at commit 5a7ac45, when the program was called ringtrack-keeper.
+// datadir is the data directory of a replica that published three versions, added and removed a member (which
+// takes snapshots) and cordoned a server. answers has the responses of that replica, and messages has JSON
 // messages with every field set.
 
 func golden(t *testing.T, path ...string) []byte {
@@ -36,7 +36,7 @@
 	return text
 }
 
-// TestMessagesKeepTheirJSON decodes each message of the old program strictly and encodes it again.
+// Messages of the earlier version are decoded, with no unknown field, and encoded again without a difference.
 func TestMessagesKeepTheirJSON(t *testing.T) {
 	messages := map[string]any{
 		"renew-request":    &client.RenewRequest{},
@@ -68,13 +68,14 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got, bytes.TrimSpace(want)) {
-				t.Errorf("encoded again:\n%s\nwant:\n%s", got, want)
+				t.Errorf("after decoding and encoding:\n%s\nwant:\n%s", got, want)
 			}
 		})
 	}
 }
 
-// runOldReplica opens a copy of the old program's data directory and returns the replica's address once it leads.
+// runOldReplica runs a replica on a copy of testdata/datadir. It returns the address of the replica once it
+// leads.
 func runOldReplica(t *testing.T) (address, data string) {
 	t.Helper()
 	data = t.TempDir()
@@ -111,7 +112,8 @@
 	return "", ""
 }
 
-// answer is the status and body of one HTTP call; body "" is a GET.
+// answer makes an HTTP call and returns the status and the body of the response. If body is "" the call is a
+// GET.
 func answer(t *testing.T, address, path, body string) (status int, text string) {
 	t.Helper()
 	method := http.MethodGet
@@ -134,8 +136,8 @@
 	return resp.StatusCode, string(content)
 }
 
-// TestOldDataDirectoryOpens has a replica go on from the old program's data directory: the versions with their digests,
-// the epoch and the identity are the same, the answers byte for byte, and a version more can be published.
+// A replica runs on the data directory of the earlier version: versions, digests, epoch and identity are
+// unchanged, the responses are equal byte for byte, and a further version can be published.
 func TestOldDataDirectoryOpens(t *testing.T) {
 	address, data := runOldReplica(t)
 	for _, call := range []struct{ name, path, body string }{
@@ -199,8 +201,8 @@
 	return text
 }
 
-// TestOldFilesAreReadAndWrittenAlike loads the old log and snapshot and writes the same records anew: the bytes are
-// the same.
+// The records of the earlier version's log and its other files are decoded and encoded again without a
+// difference.
 func TestOldFilesAreReadAndWrittenAlike(t *testing.T) {
 	old := golden(t, "datadir", "log")
 	var written []byte
@@ -217,16 +219,16 @@
 		at = r.end
 	}
 	if !bytes.Equal(written, old) {
-		t.Errorf("the log written anew has %d bytes that differ from the old %d", len(written), len(old))
+		t.Errorf("the log encoded again has %d bytes and differs from the original with %d bytes", len(written), len(old))
 	}
 	for _, name := range []string{snapshotFile, identityFile, watermarksFile} {
-		sealed := golden(t, "datadir", name)
-		text, err := unseal(name, sealed)
+		content := golden(t, "datadir", name)
+		text, err := removeChecksum(name, content)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(seal(text), sealed) {
-			t.Errorf("%s: sealed anew it differs", name)
+		if !bytes.Equal(addChecksum(text), content) {
+			t.Errorf("%s: the content with a new checksum differs from the file", name)
 		}
 	}
 }
--- a/internal/configstore/files.go
+++ b/internal/configstore/files.go
@@ -34,36 +34,36 @@
 
 const checksumBytes = 4
 
-// seal prepends a checksum to a text.
-func seal(text []byte) []byte {
-	sealed := binary.BigEndian.AppendUint32(nil, crc32.Checksum(text, crcTable))
-	return append(sealed, text...)
+// addChecksum prepends a checksum to a text.
+func addChecksum(text []byte) []byte {
+	content := binary.BigEndian.AppendUint32(nil, crc32.Checksum(text, crcTable))
+	return append(content, text...)
 }
 
-// unseal checks and removes the checksum of a file's content.
-func unseal(name string, sealed []byte) ([]byte, error) {
-	if len(sealed) < checksumBytes {
+// removeChecksum checks the checksum of a file's content and returns the text after it.
+func removeChecksum(name string, content []byte) ([]byte, error) {
+	if len(content) < checksumBytes {
 		return nil, fmt.Errorf("%w: %s: the checksum does not fit", ErrCorrupt, name)
 	}
-	text := sealed[checksumBytes:]
-	if crc32.Checksum(text, crcTable) != binary.BigEndian.Uint32(sealed) {
+	text := content[checksumBytes:]
+	if crc32.Checksum(text, crcTable) != binary.BigEndian.Uint32(content) {
 		return nil, fmt.Errorf("%w: %s: the checksum does not fit", ErrCorrupt, name)
 	}
 	return text, nil
 }
 
-// readSealed reads a sealed file. If it does not exist the error is fs.ErrNotExist.
-func readSealed(d *disk.Dir, name string) ([]byte, error) {
-	sealed, err := d.Read(name, maxSnapshotBytes)
+// readChecksummed reads a file and checks its checksum. If it does not exist the error is fs.ErrNotExist.
+func readChecksummed(d *disk.Dir, name string) ([]byte, error) {
+	content, err := d.Read(name, maxSnapshotBytes)
 	if err != nil {
 		return nil, err
 	}
-	return unseal(name, sealed)
+	return removeChecksum(name, content)
 }
 
-// readJSON reads a sealed JSON file; found is false if it does not exist.
+// readJSON reads a JSON file with a checksum; found is false if it does not exist.
 func readJSON(d *disk.Dir, name string, into any) (found bool, err error) {
-	text, err := readSealed(d, name)
+	text, err := readChecksummed(d, name)
 	if errors.Is(err, fs.ErrNotExist) {
 		return false, nil
 	}
@@ -76,11 +76,11 @@
 	return true, nil
 }
 
-// writeJSON replaces a sealed JSON file.
+// writeJSON replaces a JSON file and adds a checksum.
 func writeJSON(d *disk.Dir, name string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	return d.Replace(name, seal(text))
+	return d.Replace(name, addChecksum(text))
 }
--- a/internal/configstore/identity.go
+++ b/internal/configstore/identity.go
@@ -111,10 +111,10 @@
 	return nil
 }
 
-// form calls the other initial members for their identities until all are known, or until one of them has
-// already formed the cluster. So no vote takes place before the data directories of all initial members exist
-// and their ids are known.
-func (id *Identity) form(ctx context.Context, members map[string]string, caller *client.Caller) error {
+// formCluster calls the other initial members for their identities until all are known, or until one of them
+// has already formed the cluster. So no vote takes place before the data directories of all initial members
+// exist and their ids are known.
+func (id *Identity) formCluster(ctx context.Context, members map[string]string, caller *client.Caller) error {
 	known := map[string]uint64{id.Name: id.ID}
 	for {
 		for name, addr := range members {
--- a/internal/configstore/peer_test.go
+++ b/internal/configstore/peer_test.go
@@ -14,7 +14,7 @@
 	"ringtrack.example/ringtrack/internal/disk"
 )
 
-// TestHeartbeatDoesNotWaitForEntries has another replica delay a call with entries: the heartbeat behind it arrives.
+// A heartbeat arrives while a call with entries to the same replica is still in progress.
 func TestHeartbeatDoesNotWaitForEntries(t *testing.T) {
 	release, received := make(chan struct{}), make(chan pb.MessageType, 16)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -54,7 +54,7 @@
 	if err := replica.openStorage(); err != nil {
 		t.Fatal(err)
 	}
-	replica.goroutines.Go(func() { // stands in for the loop
+	replica.goroutines.Go(func() { // replaces the event loop
 		for {
 			select {
 			case f := <-replica.inbox:
--- a/internal/configstore/raft_message_check_test.go
+++ b/internal/configstore/raft_message_check_test.go
@@ -13,8 +13,9 @@
 	"ringtrack.example/ringtrack/internal/disk"
 )
 
-// newLedCluster returns a cluster of three whose leader has published a version, with one of its followers.
-func newLedCluster(t *testing.T) (s *testCluster, leader, follower *Replica) {
+// newClusterWithLeader returns a cluster of three replicas whose leader has published a version, the leader
+// and a follower.
+func newClusterWithLeader(t *testing.T) (s *testCluster, leader, follower *Replica) {
 	t.Helper()
 	s = newTestCluster(t, 3)
 	leader, _ = s.waitForLeader(10 * electionTicks)
@@ -30,7 +31,8 @@
 	return s, leader, follower
 }
 
-// receiveForged has a replica take a message in the name of another; an error is why it is rejected.
+// receiveForged passes a message to a replica with another one as its sender. An error says why it was
+// rejected.
 func (s *testCluster) receiveForged(from, to *Replica, m *pb.Message) error {
 	s.t.Helper()
 	m.From = proto.Uint64(from.identity.ID)
@@ -38,7 +40,7 @@
 	return s.receiveFrom(from, to, m)
 }
 
-// entriesAt are entries with these indexes, of one term.
+// entriesAt returns entries of one term with the given indexes.
 func entriesAt(term uint64, indexes ...uint64) []*pb.Entry {
 	var entries []*pb.Entry
 	for _, index := range indexes {
@@ -47,7 +49,7 @@
 	return entries
 }
 
-// A message that another replica should never send is rejected: raft would panic on it and end the process.
+// Messages that no correct replica sends are rejected: raft would panic on them and end the process.
 func TestImpossibleRaftMessagesAreRejected(t *testing.T) {
 	snapshot := func(index uint64, data string, members *pb.ConfState) *pb.Snapshot {
 		metadata := &pb.SnapshotMetadata{Index: &index, Term: proto.Uint64(1), ConfState: members}
@@ -57,7 +59,7 @@
 		toLeader bool
 		message  func(term, last uint64) *pb.Message
 	}{
-		"no type that exists":  {true, func(term, _ uint64) *pb.Message { return &pb.Message{Type: pb.MessageType(99).Enum(), Term: &term} }},
+		"an unknown type":      {true, func(term, _ uint64) *pb.Message { return &pb.Message{Type: pb.MessageType(99).Enum(), Term: &term} }},
 		"a negative type":      {true, func(term, _ uint64) *pb.Message { return &pb.Message{Type: pb.MessageType(-1).Enum(), Term: &term} }},
 		"a proposal":           {true, func(uint64, uint64) *pb.Message { return &pb.Message{Type: pb.MsgProp.Enum()} }},
 		"a read without entry": {true, func(uint64, uint64) *pb.Message { return &pb.Message{Type: pb.MsgReadIndex.Enum()} }},
@@ -100,14 +102,14 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, leader, follower := newLedCluster(t)
+			s, leader, follower := newClusterWithLeader(t)
 			from, to := leader, follower
 			if c.toLeader {
 				from, to = follower, leader
 			}
 			last, _ := to.storage.LastIndex()
 			if err := s.receiveForged(from, to, c.message(leader.node.BasicStatus().GetTerm(), last)); err == nil {
-				t.Error("the message was taken")
+				t.Error("the message was accepted")
 			}
 			answer := s.publish(leader)
 			s.tick()
@@ -117,17 +119,17 @@
 	}
 }
 
-// A replica that names itself as the sender is rejected.
+// A message whose sender is the receiving replica itself is rejected.
 func TestOwnMessagesFromOutsideAreRejected(t *testing.T) {
-	s, leader, _ := newLedCluster(t)
+	s, leader, _ := newClusterWithLeader(t)
 	term := leader.node.BasicStatus().GetTerm()
 	if err := s.receiveForged(leader, leader, &pb.Message{Type: pb.MsgAppResp.Enum(), Term: &term}); err == nil {
-		t.Error("the message was taken")
+		t.Error("the message was accepted")
 	}
 }
 
-// A replica that comes back with an older data directory rejects its leader's heartbeats and says why: it used to
-// panic on the first one, at each start.
+// A replica that restarts with an older copy of its data directory rejects the leader's heartbeats with a
+// reason. It used to panic on the first heartbeat after each start.
 func TestReplicaWithOlderDiskDoesNotPanic(t *testing.T) {
 	s := newTestCluster(t, 3)
 	leader, _ := s.waitForLeader(10 * electionTicks)
@@ -153,49 +155,49 @@
 	defer dir.Close()
 	restarted := newReplica(t.Context(), old.cfg, dir, old.identity)
 	restarted.runPeer = old.runPeer
-	s.must(restarted.watermarks.load(dir))
-	s.must(restarted.openStorage())
+	s.requireNoError(restarted.watermarks.load(dir))
+	s.requireNoError(restarted.openStorage())
 	last, _ := restarted.storage.LastIndex()
 	status := leader.node.BasicStatus()
 	if status.GetCommit() <= last {
-		t.Fatalf("the older disk has entry %d of %d: the case says nothing", last, status.GetCommit())
+		t.Fatalf("the older data directory already has entry %d, the commit index is %d", last, status.GetCommit())
 	}
 	heartbeat := &pb.Message{Type: pb.MsgHeartbeat.Enum(), Term: proto.Uint64(status.GetTerm()), Commit: proto.Uint64(status.GetCommit())}
 	if err := s.receiveForged(leader, restarted, heartbeat); err == nil {
-		t.Error("the heartbeat was taken")
+		t.Error("the heartbeat was accepted")
 	}
-	s.must(restarted.processReady())
+	s.requireNoError(restarted.processReady())
 }
 
-// Whatever one message of another replica has in its fields, it does not end the process. Each replica gets one such
-// message only: what several forged ones do to the agreement of a cluster is not judged.
+// No single message of another replica makes a replica panic, whatever its fields contain. Each replica
+// receives one random message only: the effect of several forged messages on the consensus is not tested.
 func TestRandomRaftMessagesDoNotPanic(t *testing.T) {
 	const clusters, seed = 60, 59
 	rng := rand.New(rand.NewPCG(seed, 0))
 	for range clusters {
-		s, leader, _ := newLedCluster(t)
+		s, leader, _ := newClusterWithLeader(t)
 		last, _ := leader.storage.LastIndex()
 		for _, to := range s.replicas {
 			from := s.replicas[rng.IntN(len(s.replicas))]
 			m := randomMessage(rng, leader.node.BasicStatus().GetTerm(), last)
 			if err := s.receiveForged(from, to, m); err == nil && from == to {
-				t.Errorf("%v of the replica itself was taken", m)
+				t.Errorf("%v of the replica itself was accepted", m)
 			}
-			s.must(to.processReady())
+			s.requireNoError(to.processReady())
 			for len(to.writer.jobs) > 0 {
 				to.writer.runBatch(<-to.writer.jobs)
 				for len(to.writer.done) > 0 {
-					s.must(to.jobFinished(<-to.writer.done))
+					s.requireNoError(to.jobFinished(<-to.writer.done))
 				}
-				s.must(to.processReady())
+				s.requireNoError(to.processReady())
 			}
 			to.tick()
-			s.must(to.processReady())
+			s.requireNoError(to.processReady())
 		}
 	}
 }
 
-// randomMessage draws a message whose fields are near those of a cluster with this term and last entry.
+// randomMessage returns a random message whose fields are mostly close to the given term and last index.
 func randomMessage(rng *rand.Rand, term, last uint64) *pb.Message {
 	near := func(value uint64) *uint64 {
 		drawn := value + rng.Uint64N(5) - min(2, value)
@@ -226,7 +228,7 @@
 		m.Snapshot = &pb.Snapshot{Data: []byte("{}"), Metadata: &pb.SnapshotMetadata{Index: near(last), Term: near(term), ConfState: members}}
 	}
 	if rng.IntN(10) == 0 {
-		m.Term = nil // as in the messages of its own process
+		m.Term = nil // like a message of the replica's own process
 	}
 	return m
 }
--- a/internal/configstore/raft_test.go
+++ b/internal/configstore/raft_test.go
@@ -17,14 +17,14 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 )
 
-// testCluster is a few replicas without goroutines, sockets and timers: the test makes their ticks, delivers their
-// messages and runs the jobs of their disks.
+// testCluster is a cluster of replicas without goroutines, sockets and timers: the test triggers their ticks,
+// delivers their messages and runs the jobs of their writers.
 type testCluster struct {
 	t        *testing.T
 	replicas []*Replica
-	stalled  map[*Replica]bool // disks that don't answer
-	dead     map[*Replica]bool
-	version  uint64
+	stalled  map[*Replica]bool // replicas whose disk does not answer
+	dead     map[*Replica]bool // replicas that have ended
+	version  uint64            // number of the last proposed version
 	// onMessage is called with each message before it is delivered.
 	onMessage func(from *Replica, m *pb.Message)
 }
@@ -63,14 +63,14 @@
 	return s
 }
 
-func (s *testCluster) must(err error) {
+func (s *testCluster) requireNoError(err error) {
 	s.t.Helper()
 	if err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// settle runs the jobs of the disks that are not stalled and delivers messages, until there are none.
+// settle runs the jobs of the disks that are not stalled and delivers messages until none are left.
 func (s *testCluster) settle() {
 	s.t.Helper()
 	for busy := true; busy; {
@@ -79,14 +79,14 @@
 			if s.dead[replica] {
 				continue
 			}
-			s.must(replica.processReady())
+			s.requireNoError(replica.processReady())
 			for !s.stalled[replica] && len(replica.writer.jobs) > 0 {
 				busy = true
 				replica.writer.runBatch(<-replica.writer.jobs)
 				for len(replica.writer.done) > 0 {
-					s.must(replica.jobFinished(<-replica.writer.done))
+					s.requireNoError(replica.jobFinished(<-replica.writer.done))
 				}
-				s.must(replica.processReady())
+				s.requireNoError(replica.processReady())
 			}
 			for _, p := range replica.peers {
 				for len(p.heartbeats)+len(p.queue) > 0 {
@@ -98,7 +98,7 @@
 	}
 }
 
-// deliverNext delivers the next message of a peer, heartbeats first.
+// deliverNext delivers the next queued message of a peer, heartbeats first.
 func (s *testCluster) deliverNext(from *Replica, p *peer) {
 	s.t.Helper()
 	queue := p.heartbeats
@@ -108,32 +108,32 @@
 	m := <-queue
 	s.onMessage(from, m)
 	if to := s.replicas[p.id-1]; !s.dead[to] {
-		s.must(s.receiveFrom(from, to, m))
+		s.requireNoError(s.receiveFrom(from, to, m))
 	}
 }
 
-// receiveFrom has a replica take one message of another; an error is why it is rejected.
+// receiveFrom passes one message of a replica to another one. An error says why it was rejected.
 func (s *testCluster) receiveFrom(from, to *Replica, m *pb.Message) error {
 	s.t.Helper()
 	text, err := proto.Marshal(m)
-	s.must(err)
+	s.requireNoError(err)
 	messages := &raftMessages{To: to.identity.ID, Msgs: [][]byte{text}}
 	from.setSender(messages)
 	return to.receive(messages)
 }
 
-// tick makes a tick of all replicas that live; what they send is delivered.
+// tick runs a tick of all replicas that are not dead, and delivers the messages that they send.
 func (s *testCluster) tick() {
 	s.t.Helper()
 	for _, replica := range s.replicas {
 		if !s.dead[replica] {
-			s.must(replica.handleTick())
+			s.requireNoError(replica.handleTick())
 		}
 	}
 	s.settle()
 }
 
-// waitForLeader ticks until a replica leads; it returns that and the number of ticks.
+// waitForLeader ticks until a replica leads. It returns this replica and the number of ticks.
 func (s *testCluster) waitForLeader(maxTicks int) (*Replica, int) {
 	s.t.Helper()
 	for n := range maxTicks {
@@ -155,7 +155,7 @@
 	return n
 }
 
-// publish proposes a version at a replica; the answer comes once it is applied there.
+// publish proposes a version at a replica. The result is sent to the channel once it is applied there.
 func (s *testCluster) publish(replica *Replica) chan proposalResult {
 	s.version++
 	answer := make(chan proposalResult, 1)
@@ -166,7 +166,7 @@
 	return answer
 }
 
-// requirePublished fails unless a publish has been applied by now.
+// requirePublished fails the test unless the proposed version has been applied.
 func requirePublished(t *testing.T, answer chan proposalResult) {
 	t.Helper()
 	select {
@@ -175,12 +175,12 @@
 			t.Error(r.err)
 		}
 	default:
-		t.Error("a publish has no answer")
+		t.Error("the proposal has no result")
 	}
 }
 
-// TestSlowDiskStartsNoElection stalls disks for longer than any election timeout, that of the leader, of the others or of
-// all, each time with an entry to save: the leader goes on and nobody requests votes.
+// Disks that stall for longer than any election timeout, while there is an entry to save, cause no election:
+// the leader keeps leading and no replica requests votes.
 func TestSlowDiskStartsNoElection(t *testing.T) {
 	for _, whose := range []string{"the leader's", "the others'", "all", "one other's"} {
 		t.Run(whose, func(t *testing.T) {
@@ -204,13 +204,13 @@
 				}
 			}
 			answer := s.publish(lead)
-			for range diskStallTicks - 1 { // the last moment before the disk counts as stalled
+			for range diskStallTicks - 1 { // the last tick before the disk counts as stalled
 				s.tick()
 			}
 			if whose == "one other's" {
 				requirePublished(t, answer)
 			} else if len(answer) > 0 {
-				t.Fatalf("%+v was answered before it is durable", <-answer)
+				t.Fatalf("result %+v before the entry is durable", <-answer)
 			}
 			clear(s.stalled)
 			for range 3 * electionTicks {
@@ -221,26 +221,26 @@
 			}
 			now := lead.node.BasicStatus().GetTerm()
 			if now != term || s.elections() != before || lead.softState.RaftState != raft.StateLeader {
-				t.Errorf("term %d, then %d; %d elections; %v", term, now, s.elections()-before, lead.softState)
+				t.Errorf("the term was %d and is %d after %d elections; state of the leader: %v", term, now, s.elections()-before, lead.softState)
 			}
 			for _, replica := range s.replicas {
 				if last := replica.state.History.Last(); last != s.version {
-					t.Errorf("%s has version %d of %d", replica.cfg.Name, last, s.version)
+					t.Errorf("%s has version %d, want %d", replica.cfg.Name, last, s.version)
 				}
 			}
 		})
 	}
 }
 
-// TestDeadLeaderIsReplaced has a leader that ended replaced within two election timeouts, and one whose disk stalled for
-// good within diskStallTicks more; once the disk answers again that replica is a follower.
+// A leader that has ended is replaced within two election timeouts, and one whose disk stalls permanently
+// within another diskStallTicks. When the disk answers again, the former leader becomes a follower.
 func TestDeadLeaderIsReplaced(t *testing.T) {
 	for _, x := range []struct {
 		failure  string
 		maxTicks int
-	}{{"ended", 2*electionTicks + 3}, {"its disk", diskStallTicks + 2*electionTicks + 3}} {
+	}{{"ended", 2*electionTicks + 3}, {"stalled disk", diskStallTicks + 2*electionTicks + 3}} {
 		t.Run(x.failure, func(t *testing.T) {
-			for attempts := 1; ; attempts++ { // candidates of the same tick both lose: that is raft's random draw
+			for attempts := 1; ; attempts++ { // repeated, as raft's random timeouts can be equal: then no candidate wins
 				s := newTestCluster(t, 5)
 				lead, _ := s.waitForLeader(10 * electionTicks)
 				for range electionTicks {
@@ -248,9 +248,9 @@
 				}
 				s.dead[lead], s.stalled[lead] = x.failure == "ended", true
 				s.publish(lead)
-				took := 0
+				ticks := 0
 				var next *Replica
-				for ; next == nil && took < 4*x.maxTicks; took++ {
+				for ; next == nil && ticks < 4*x.maxTicks; ticks++ {
 					s.tick()
 					for _, replica := range s.replicas {
 						if replica != lead && replica.softState.RaftState == raft.StateLeader {
@@ -258,36 +258,36 @@
 						}
 					}
 				}
-				if next != nil && took <= x.maxTicks {
+				if next != nil && ticks <= x.maxTicks {
 					clear(s.stalled)
 					for range 3 * electionTicks {
 						s.tick()
 					}
 					if !s.dead[lead] && lead.softState.RaftState != raft.StateFollower {
-						t.Errorf("its disk answers again and its state is %v", lead.softState)
+						t.Errorf("state %v after the disk has answered again, want a follower", lead.softState)
 					}
 					return
 				}
 				if attempts == 5 {
-					t.Fatalf("five times not replaced within %d ticks, %d the last time", x.maxTicks, took)
+					t.Fatalf("not replaced within %d ticks in five attempts; %d ticks in the last one", x.maxTicks, ticks)
 				}
 			}
 		})
 	}
 }
 
-// TestNothingIsSentBeforeTermAndVoteAreDurable checks that no replica learns of a term or vote that its sender could
-// forget in a crash; else the sender could vote twice in one term.
+// No message reveals a term or vote that its sender could lose in a crash. Otherwise the sender could vote
+// twice in one term.
 func TestNothingIsSentBeforeTermAndVoteAreDurable(t *testing.T) {
 	s := newTestCluster(t, 3)
 	s.onMessage = func(from *Replica, m *pb.Message) {
 		state, _, _ := from.storage.InitialState()
 		if m.GetType() != pb.MsgPreVote && m.GetType() != pb.MsgPreVoteResp && m.GetTerm() > state.GetTerm() {
-			t.Errorf("%s sent %v of term %d, durable is term %d", from.cfg.Name, m.GetType(), m.GetTerm(), state.GetTerm())
+			t.Errorf("%s sent %v of term %d, its durable term is %d", from.cfg.Name, m.GetType(), m.GetTerm(), state.GetTerm())
 		}
 	}
 	lead, _ := s.waitForLeader(10 * electionTicks)
-	for i := range 4 * electionTicks { // disks that answer now and then, while the leader changes
+	for i := range 4 * electionTicks { // disks answer intermittently while the leader changes
 		for j, replica := range s.replicas {
 			s.stalled[replica] = (i+j)%3 != 0
 		}
@@ -305,11 +305,11 @@
 		s.tick()
 	}
 	if term := lead.node.BasicStatus().GetTerm(); term < 4 {
-		t.Errorf("term %d: too few leaders to tell", term)
+		t.Errorf("term %d: too few changes of the leader for this test", term)
 	}
 }
 
-// TestInboxIsHandledBeforeATick checks that a message of the leader that is in the inbox at a tick is handled first.
+// Functions that are in the inbox at a tick, such as the receipt of a heartbeat, run before it.
 func TestInboxIsHandledBeforeATick(t *testing.T) {
 	s := newTestCluster(t, 1)
 	replica := s.replicas[0]
@@ -317,6 +317,6 @@
 	replica.inbox <- func() { handledAt = replica.delays.lastTick }
 	s.tick()
 	if handledAt != before || replica.delays.lastTick <= before {
-		t.Errorf("handled after the tick at %v ms; the one before was at %v, the next at %v", handledAt, before, replica.delays.lastTick)
+		t.Errorf("handled after the tick at %v ms; the previous tick was at %v ms, this one at %v ms", handledAt, before, replica.delays.lastTick)
 	}
 }
--- a/internal/configstore/replica.go
+++ b/internal/configstore/replica.go
@@ -132,7 +132,7 @@
 	}
 	if id.InitialMembers == nil && !cfg.Join {
 		formed := *id
-		if err := formed.form(stop, cfg.Members, r.caller); err != nil {
+		if err := formed.formCluster(stop, cfg.Members, r.caller); err != nil {
 			if stop.Err() != nil {
 				return nil
 			}
--- a/internal/configstore/status_test.go
+++ b/internal/configstore/status_test.go
@@ -8,8 +8,9 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 )
 
-// newLoneLeader returns a replica that leads alone, and has for so long that no previous leader's leases count.
-func newLoneLeader(t *testing.T) (*testCluster, *Replica) {
+// newSingleLeader returns a cluster of one replica that has led for so long that leases of previous leaders
+// have expired.
+func newSingleLeader(t *testing.T) (*testCluster, *Replica) {
 	t.Helper()
 	s := newTestCluster(t, 1)
 	r, _ := s.waitForLeader(10 * electionTicks)
@@ -18,7 +19,7 @@
 	return s, r
 }
 
-// publishConfig publishes a configuration, which is published when it returns.
+// publishConfig publishes a configuration and waits until it is applied.
 func (s *testCluster) publishConfig(r *Replica, config *sharedconfig.Config) {
 	s.t.Helper()
 	last := r.state.History.Last()
@@ -31,10 +32,10 @@
 	requirePublished(s.t, answer)
 }
 
-// While the next epoch waits for server rules that an expired lease still permits, the status names whose they are: it
-// used to name nobody, as it asked who had not adopted the epoch in force.
+// While server rules that outlast an expired lease block the next epoch, the status names their holder. It
+// used to name nobody because it reported only the holders that had not adopted the epoch in force.
 func TestStatusNamesWhoseServerRulesBlockTheNextEpoch(t *testing.T) {
-	s, r := newLoneLeader(t)
+	s, r := newSingleLeader(t)
 	s.publishConfig(r, &sharedconfig.Config{})
 	s.publishConfig(r, &sharedconfig.Config{MaxAttempts: 2})
 	if epoch := r.state.History.Epoch; epoch != 4 {
--- a/internal/configstore/storage.go
+++ b/internal/configstore/storage.go
@@ -71,7 +71,7 @@
 }
 
 func (s *storage) loadSnapshot() error {
-	text, err := readSealed(s.dir, snapshotFile)
+	text, err := readChecksummed(s.dir, snapshotFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
--- a/internal/configstore/storage_write.go
+++ b/internal/configstore/storage_write.go
@@ -57,7 +57,7 @@
 // snapshotJob returns a job that replaces the snapshot with one of the leader and the log with one that
 // begins after it.
 func (s *storage) snapshotJob(ready *raft.Ready) (*job, error) {
-	text, err := sealSnapshot(ready.Snapshot)
+	text, err := encodeSnapshot(ready.Snapshot)
 	if err != nil {
 		return nil, err
 	}
@@ -93,9 +93,9 @@
 	return nil
 }
 
-func sealSnapshot(snapshot *pb.Snapshot) ([]byte, error) {
+func encodeSnapshot(snapshot *pb.Snapshot) ([]byte, error) {
 	text, err := proto.Marshal(snapshot)
-	return seal(text), err
+	return addChecksum(text), err
 }
 
 // replaceFiles replaces the snapshot and the log. Once the writer runs, only it may call this.
@@ -118,7 +118,7 @@
 
 // writeInitialSnapshot makes the first snapshot durable, before the writer exists.
 func (s *storage) writeInitialSnapshot(snapshot *pb.Snapshot) error {
-	text, err := sealSnapshot(snapshot)
+	text, err := encodeSnapshot(snapshot)
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 			return nil, err
 		}
 	}
-	text, err := sealSnapshot(snapshot)
+	text, err := encodeSnapshot(snapshot)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/configstore/transition_cache_test.go
+++ b/internal/configstore/transition_cache_test.go
@@ -33,8 +33,9 @@
 	return string(text)
 }
 
-// TestCacheFollowsTheHistory has entries and snapshots change the history, also snapshots of another log, which replicas
-// never have: the cached transition is always that of the history, and the response the text that the encoder makes.
+// Random entries and snapshots change the history, including snapshots of another log, which do not occur in
+// a cluster. The cached transition always equals that of the history, and the cached response equals the
+// encoder's output.
 func TestCacheFollowsTheHistory(t *testing.T) {
 	cached, steps := 0, 0
 	for seed := range uint64(300) {
@@ -55,13 +56,13 @@
 			case 5:
 				log = &logs[rng.IntN(len(logs))]
 				*log = cloneViaJSON(t, log)
-			case 6: // another log that goes on from here
+			case 6: // another log that branches off here
 				logs[rng.IntN(len(logs))] = cloneViaJSON(t, log)
 			}
 			before, want := c.transition, log.Transition()
 			got := c.get(log)
 			if encodeJSON(t, got) != encodeJSON(t, want) {
-				t.Fatalf("seed %d, step %d: the cache has %s, the history %s", seed, i, encodeJSON(t, got), encodeJSON(t, want))
+				t.Fatalf("seed %d, step %d: the cache returned %s, want %s", seed, i, encodeJSON(t, got), encodeJSON(t, want))
 			}
 			if steps++; got != nil && got == before {
 				cached++
@@ -79,17 +80,17 @@
 			response := &client.RenewResponse{Epoch: g.Epoch, LeaseMs: g.LeaseMs, ServerRulesMs: g.ServerRulesMs, Config: config}
 			json.NewEncoder(&plain).Encode(response)
 			if !bytes.Equal(text, plain.Bytes()) {
-				t.Fatalf("seed %d, step %d: the answer is %s, the encoder's %s", seed, i, text, plain.Bytes())
+				t.Fatalf("seed %d, step %d: the response is %s, want %s", seed, i, text, plain.Bytes())
 			}
 		}
 	}
-	if t.Logf("%d of %d times the same transition", cached, steps); cached < steps/4 {
-		t.Errorf("%d of %d times the same transition: too few", cached, steps)
+	if t.Logf("%d of %d lookups were cached", cached, steps); cached < steps/4 {
+		t.Errorf("%d of %d lookups were cached, want at least a quarter", cached, steps)
 	}
 }
 
-// newLeader returns a leader with n holders on the epoch before the one in force, which is a transition between versions
-// of so many classes.
+// newLeader returns a leader with n holders on the epoch before the one in force. The epoch in force is a
+// transition between versions with the given number of classes.
 func newLeader(t *testing.T, n, classes int) (replica *Replica, now float64) {
 	replica = &Replica{cfg: &Config{TickMs: 50, LeaseMs: 2000, ServerRulesMs: 3000}, advancing: epochProposal{at: longAgo}}
 	now = 1e6
@@ -117,8 +118,8 @@
 	return replica, now
 }
 
-// allocationsOfTransition has all holders but one request the epoch in force and adopt it, with the loop's advance after
-// each; it returns how many objects that allocated.
+// allocationsOfTransition returns the number of objects that are allocated while all holders except one
+// request and adopt the epoch in force, with a call of advance after each step as in the event loop.
 func allocationsOfTransition(t *testing.T, n int) float64 {
 	replica, now := newLeader(t, n, 82)
 	requests := make([]*request, n-1)
@@ -148,17 +149,17 @@
 	return float64(after.Mallocs - before.Mallocs)
 }
 
-// TestRequestCostIsIndependentOfHolders counts the objects that the leader's loop allocates over a transition. Beyond the
-// configuration, which is made once, a request allocates the same few whatever the number of holders.
+// The configuration is encoded once per transition. Apart from that, the number of objects that the leader's
+// event loop allocates for a request does not depend on the number of holders.
 func TestRequestCostIsIndependentOfHolders(t *testing.T) {
 	first := allocationsOfTransition(t, 60)
 	t.Logf("60 holders: %.0f objects", first)
 	for _, n := range []int{120, 240, 470, 940} {
-		made := allocationsOfTransition(t, n)
-		each := (made - first) / float64(n-60)
-		t.Logf("%d holders: %.0f objects, %.2f for each more request", n, made, each)
-		if each > 4 {
-			t.Errorf("%d holders: each more request allocated %.1f objects, 4 at the most", n, each)
+		allocated := allocationsOfTransition(t, n)
+		perRequest := (allocated - first) / float64(n-60)
+		t.Logf("%d holders: %.0f objects, %.2f per additional request", n, allocated, perRequest)
+		if perRequest > 4 {
+			t.Errorf("%d holders: %.1f objects per additional request, want at most 4", n, perRequest)
 		}
 	}
 }
--- a/internal/configstore/watermarks.go
+++ b/internal/configstore/watermarks.go
@@ -123,7 +123,7 @@
 		return
 	}
 	submitJob(r, &job{replace: func() error {
-		if err := r.dir.Replace(watermarksFile, seal(text)); err != nil {
+		if err := r.dir.Replace(watermarksFile, addChecksum(text)); err != nil {
 			slog.Warn("watermarks not written", "err", err)
 		}
 		return nil
