--- a/internal/configstore/client/config.go
+++ b/internal/configstore/client/config.go
@@ -31,8 +31,8 @@
 type Config struct {
 	Replicas []string `toml:"keepers"`  // addresses
 	Peers    []string `toml:"peers"`    // addresses of agents that may relay a renewal
-	Listen   string   `toml:"listen"`   // address at which renewals of peers are relayed; "" disables relaying
-	CallMs   float64  `toml:"call_ms"`  // timeout of a call, in addition to the time that the replica may wait
+	Listen   string   `toml:"listen"`   // address for relaying renewals of peers; "" disables it
+	CallMs   float64  `toml:"call_ms"`  // timeout of a call, in addition to the wait of the replica
 	WaitMs   float64  `toml:"wait_ms"`  // how long a replica may wait for a new epoch before it answers
 	OnExpiry string   `toml:"on_lapse"` // OnExpiryReject or OnExpiryServe
 }
--- a/internal/configstore/client/lab.go
+++ b/internal/configstore/client/lab.go
@@ -14,8 +14,8 @@
 // response.
 const cachedResponseFile = "kept-book.json"
 
-// Defects that the lab seeds in an agent: its lease counts from the response; or it caches the first
-// configuration and, started again, acts on that without a lease.
+// Defects seeded by the lab in an agent: its lease starts at the response instead of the request; or it
+// caches the first configuration and adopts it after a restart without a lease.
 func init() {
 	switch os.Getenv("RINGTRACK_LAB_DEFECT") {
 	case "from-answer":
--- a/internal/configstore/client/messages.go
+++ b/internal/configstore/client/messages.go
@@ -36,14 +36,14 @@
 	Incarnation string  `json:"inc"`              // differs for each start of the agent
 	Epoch       uint64  `json:"has"`              // that the agent has adopted
 	Problem     string  `json:"unable,omitempty"` // why the last granted epoch could not be adopted
-	WaitMs      float64 `json:"wait_ms"`          // how long the replica may wait for a new epoch before it answers
+	WaitMs      float64 `json:"wait_ms"`          // how long the replica may wait for a new epoch
 }
 
 // RenewResponse is a granted lease. Config is set if its epoch differs from that of the request.
 type RenewResponse struct {
 	Epoch         uint64          `json:"stage"`
 	LeaseMs       float64         `json:"lease_ms"`
-	ServerRulesMs float64         `json:"list_ms"` // how long the epoch's server rules may be used after the lease
+	ServerRulesMs float64         `json:"list_ms"` // how long the epoch's server rules outlast the lease
 	Config        json.RawMessage `json:"book,omitempty"`
 }
 
@@ -87,8 +87,8 @@
 	Epoch       uint64            `json:"stage"`
 	Last        uint64            `json:"last"` // number of the newest version
 	Members     []string          `json:"members"`
-	Holders     map[string]uint64 `json:"holders,omitempty"` // epoch of each lease holder; set by the leader only
-	BlockedBy   []string          `json:"held_up,omitempty"` // who blocks the next epoch; set by the leader only
+	Holders     map[string]uint64 `json:"holders,omitempty"` // epochs of the lease holders (leader only)
+	BlockedBy   []string          `json:"held_up,omitempty"` // who blocks the next epoch (leader only)
 	Unreachable map[string]string `json:"refused,omitempty"` // replicas whose messages are rejected, and why
 	Loop        EventLoopStatus   `json:"loop"`
 	Panics      int64             `json:"panics,omitempty"` // number of recovered panics
@@ -96,9 +96,9 @@
 
 // EventLoopStatus has the delays of a replica's event loop since its start, and its elections.
 type EventLoopStatus struct {
-	LongestMs   map[string]float64 `json:"longest_ms"`   // longest delay by kind, see docs/operators/agreed.md
+	LongestMs   map[string]float64 `json:"longest_ms"`   // by kind of delay, see docs/operators/agreed.md
 	LostTicks   int64              `json:"lost_ticks"`   // ticks that were skipped because the loop was late
-	Queue       int                `json:"queue"`        // longest queue of functions that waited for the loop
-	Elections   int64              `json:"elections"`    // elections that it started because heartbeats were missing
+	Queue       int                `json:"queue"`        // most functions that waited for the loop
+	Elections   int64              `json:"elections"`    // elections that it started for lack of heartbeats
 	SteppedDown int64              `json:"stepped_down"` // how often it stopped leading
 }
--- a/internal/configstore/config.go
+++ b/internal/configstore/config.go
@@ -30,10 +30,10 @@
 	Name          string            `toml:"name"`
 	Listen        string            `toml:"listen"`
 	Data          string            `toml:"data"`    // directory
-	Members       map[string]string `toml:"members"` // addresses of the initial members by name, with this replica
+	Members       map[string]string `toml:"members"` // addresses of the initial members, by name
 	Join          bool              `toml:"join"`    // wait to be added to an existing cluster
 	LeaseMs       float64           `toml:"lease_ms"`
-	ServerRulesMs float64           `toml:"list_ms"` // how long server rules may be used after the lease has expired
+	ServerRulesMs float64           `toml:"list_ms"` // how long server rules outlast the lease
 	TickMs        float64           `toml:"tick_ms"`
 }
 
--- a/internal/configstore/raft_message_check_test.go
+++ b/internal/configstore/raft_message_check_test.go
@@ -78,7 +78,7 @@
 		"entries that go back": {false, func(term, last uint64) *pb.Message {
 			return &pb.Message{Type: pb.MsgApp.Enum(), Term: &term, LogTerm: &term, Index: &last, Entries: entriesAt(term+1, 1)}
 		}},
-		"entries behind the last index": {false, func(term, _ uint64) *pb.Message {
+		"an entry index that overflows": {false, func(term, _ uint64) *pb.Message {
 			index := uint64(math.MaxUint64)
 			return &pb.Message{Type: pb.MsgApp.Enum(), Term: &term, LogTerm: &term, Index: &index, Entries: entriesAt(term, index+1)}
 		}},
--- a/internal/configstore/raft_test.go
+++ b/internal/configstore/raft_test.go
@@ -240,7 +240,7 @@
 		maxTicks int
 	}{{"ended", 2*electionTicks + 3}, {"stalled disk", diskStallTicks + 2*electionTicks + 3}} {
 		t.Run(x.failure, func(t *testing.T) {
-			for attempts := 1; ; attempts++ { // repeated, as raft's random timeouts can be equal: then no candidate wins
+			for attempts := 1; ; attempts++ { // repeated: with equal random timeouts no candidate wins
 				s := newTestCluster(t, 5)
 				lead, _ := s.waitForLeader(10 * electionTicks)
 				for range electionTicks {
--- a/internal/configstore/replica.go
+++ b/internal/configstore/replica.go
@@ -86,7 +86,7 @@
 	requests   requestQueues
 	proposals  map[string][]chan proposalResult // by the publisher's id
 
-	membersChanged    bool    // since the last snapshot: a joining replica needs a snapshot in which it is a member
+	membersChanged    bool    // since the last snapshot; a joining replica needs one with itself as a member
 	memberChangeUntil float64 // when a proposed membership change that was not applied is given up, ms
 
 	peers      map[uint64]*peer
--- a/internal/configstore/storage.go
+++ b/internal/configstore/storage.go
@@ -30,8 +30,8 @@
 
 	logBytes         int64         // size of the log, including records that were submitted to the writer
 	snapshotIndex    uint64        // index of the last snapshot
-	submittedState   *pb.HardState // last hard state that was submitted to the writer
-	submittedIndex   uint64        // index of the last entry that was submitted to the writer; raft may have sent it
+	submittedState   *pb.HardState // last hard state submitted to the writer
+	submittedIndex   uint64        // index of the last entry submitted to the writer; raft may have sent it
 	unsynced         [][]byte      // submitted records that are not durable yet
 	pendingSnapshots int           // number of submitted snapshots of the leader that are not durable yet
 	truncatedBytes   int64         // size of an incomplete record that loadStorage removed
--- a/internal/configstore/watermarks.go
+++ b/internal/configstore/watermarks.go
@@ -40,7 +40,7 @@
 // that they are known after the leader has failed. Acknowledgements from just before its failure may be
 // unknown. Only the event loop uses it.
 type watermarks struct {
-	Acked    map[uint64]uint64 `json:"acked"`   // last committed entry that a replica has acknowledged, by its id
+	Acked    map[uint64]uint64 `json:"acked"`   // last committed entry that a replica acknowledged, by its id
 	Rejected map[uint64]string `json:"refused"` // why a replica is rejected, by its id
 
 	dirty   bool                // changed since the last write
