--- a/internal/configstore/storage.go
+++ b/internal/configstore/storage.go
@@ -106,8 +106,8 @@
 		}
 	}
 	// If the last record has its full length but is invalid, it was either torn by a crash or corrupted
-	// later. It was corrupted if its entry is known to be committed; otherwise the other replicas detect the
-	// loss (watermarks).
+	// later. It was corrupted if its entry is known to be committed; otherwise the other replicas detect
+	// whether an acknowledged entry was lost (watermarks).
 	state, _, _ := s.InitialState()
 	if last, _ := s.LastIndex(); state.GetCommit() > last {
 		return 0, fmt.Errorf("%w: log: entry %d was committed, the last is %d", ErrCorrupt, state.GetCommit(), last)
