--- a/internal/configstore/peer_test.go
+++ b/internal/configstore/peer_test.go
@@ -14,7 +14,7 @@
 	"ringtrack.example/ringtrack/internal/disk"
 )
 
-// TestHeartbeatDoesNotWaitForEntries has another replica delay a call with entries: the heartbeat behind it arrives.
+// A heartbeat arrives while a call with entries to the same replica is still in progress.
 func TestHeartbeatDoesNotWaitForEntries(t *testing.T) {
 	release, received := make(chan struct{}), make(chan pb.MessageType, 16)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -44,7 +44,7 @@
 	members := map[string]string{"k1": "127.0.0.1:1", "k2": strings.TrimPrefix(other.URL, "http://")}
 	ctx, cancel := context.WithCancel(t.Context())
 	replica := newReplica(ctx, &Config{Name: "k1", Members: members, LeaseMs: 2000, ServerRulesMs: 3000, TickMs: 25}, dir,
-		&Identity{Name: "k1", ID: 1, Cluster: 1, Formed: map[string]uint64{"k1": 1, "k2": 2}})
+		&Identity{Name: "k1", ID: 1, Cluster: 1, InitialMembers: map[string]uint64{"k1": 1, "k2": 2}})
 	replica.runPeer = (*peer).run
 	defer replica.goroutines.Wait()
 	defer cancel()
@@ -54,7 +54,7 @@
 	if err := replica.openStorage(); err != nil {
 		t.Fatal(err)
 	}
-	replica.goroutines.Go(func() { // stands in for the loop
+	replica.goroutines.Go(func() { // replaces the event loop
 		for {
 			select {
 			case f := <-replica.inbox:
