--- a/cmd/ringtrack-configstore/members.go
+++ b/cmd/ringtrack-configstore/members.go
@@ -36,7 +36,7 @@
 }
 
 func printStatus(addr string, s *client.Status) {
-	fmt.Printf("%s %s: leader %q, term %d, applied %d, epoch %d, last version %d, members %s\n",
+	fmt.Printf("%s %s: leader %q, term %d, applied %d, stage %d, last version %d, members %s\n",
 		addr, s.Name, s.Leader, s.Term, s.Applied, s.Epoch, s.Last, strings.Join(s.Members, ", "))
 	for name, reason := range s.Unreachable {
 		fmt.Printf("  messages rejected: %s: %s\n", name, reason)
@@ -53,7 +53,7 @@
 		return err
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Holders)) {
-		fmt.Printf("%s epoch %d\n", name, s.Holders[name])
+		fmt.Printf("%s stage %d\n", name, s.Holders[name])
 	}
 	for _, blocker := range s.BlockedBy {
 		fmt.Printf("blocked by: %s\n", blocker)
