--- a/internal/downstream/http/conns.go
+++ b/internal/downstream/http/conns.go
@@ -166,7 +166,7 @@
 	for e := c.evictable[idle].Front(); e != nil; {
 		nc := e.Value.(net.Conn)
 		e = e.Next()
-		if socket.Look(nc) != socket.Unread {
+		if socket.ReadState(nc) != socket.Unread {
 			c.evict(nc)
 		}
 	}
@@ -233,7 +233,7 @@
 // yet may be only where the hard limit is exceeded. The lock is held.
 func (c *clientConns) candidate(kind connKind, full bool) *list.Element {
 	e := c.evictable[kind].Front()
-	for !full && e != nil && socket.Look(e.Value.(net.Conn)) == socket.Unread {
+	for !full && e != nil && socket.ReadState(e.Value.(net.Conn)) == socket.Unread {
 		e = e.Next()
 	}
 	return e
--- a/internal/downstream/http/disconnect_test.go
+++ b/internal/downstream/http/disconnect_test.go
@@ -103,7 +103,7 @@
 	nc.SetReadDeadline(time.Unix(1, 0))
 	for i, part := range []string{"GET /api HTTP/1.1\r\n", "Host: x\r\n"} {
 		io.WriteString(client, part)
-		for end := time.Now().Add(10 * time.Second); socket.Look(nc) != socket.Unread && time.Now().Before(end); {
+		for end := time.Now().Add(10 * time.Second); socket.ReadState(nc) != socket.Unread && time.Now().Before(end); {
 			time.Sleep(time.Millisecond) // until it has arrived
 		}
 		got := make([]byte, 100)
--- a/internal/downstream/http/server_test.go
+++ b/internal/downstream/http/server_test.go
@@ -174,7 +174,7 @@
 	withRequest, client := pair()
 	pair()
 	io.WriteString(client, "GET")
-	for end := time.Now().Add(10 * time.Second); socket.Look(withRequest) != socket.Unread && time.Now().Before(end); {
+	for end := time.Now().Add(10 * time.Second); socket.ReadState(withRequest) != socket.Unread && time.Now().Before(end); {
 		time.Sleep(time.Millisecond) // until it has arrived
 	}
 	if c.closeIdle(); c.closing != 1 || c.conns[withRequest].closing {
--- a/internal/downstream/thrift/server.go
+++ b/internal/downstream/thrift/server.go
@@ -192,5 +192,5 @@
 
 // mayBringCall says whether a call is arriving or on its way. The server's lock is held.
 func (c *clientConn) mayBringCall() bool {
-	return c.readingCall || c.noCallYet || socket.Look(c.Conn) == socket.Unread
+	return c.readingCall || c.noCallYet || socket.ReadState(c.Conn) == socket.Unread
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -39,8 +39,8 @@
 	return true, raw.Control(func(fd uintptr) { f(int(fd)) }) == nil
 }
 
-// Look tells what a read would find now, and takes nothing.
-func Look(nc net.Conn) State {
+// ReadState tells what a read would find now, and takes nothing.
+func ReadState(nc net.Conn) State {
 	state := Silent
 	known, open := control(nc, func(fd int) { state = peek(fd) })
 	if known && !open {
@@ -99,7 +99,7 @@
 // sending is ended first, and what comes is read for nobody until the peer ends its own, for 0.1 s and 256 KiB at
 // the most.
 func LingeringClose(nc net.Conn, ahead bool) error {
-	if cw, ok := nc.(interface{ CloseWrite() error }); ok && (ahead || Look(nc) == Unread) && !HungUp(nc) {
+	if cw, ok := nc.(interface{ CloseWrite() error }); ok && (ahead || ReadState(nc) == Unread) && !HungUp(nc) {
 		if cw.CloseWrite() == nil {
 			nc.SetReadDeadline(time.Now().Add(lingerTime))
 			_, _ = io.CopyN(onlyWriter{}, nc, lingerMost)
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -39,14 +39,14 @@
 			defer nc.Close()
 			test.do(peer.(*net.TCPConn))
 			for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-				if HungUp(nc) == test.hungUp && (test.state == Ended || Look(nc) == test.state) {
+				if HungUp(nc) == test.hungUp && (test.state == Ended || ReadState(nc) == test.state) {
 					break // it has come
 				}
 			}
 			if got := HungUp(nc); got != test.hungUp {
 				t.Errorf("hung up %v, want %v", got, test.hungUp)
 			}
-			if got := Look(nc); got != test.state {
+			if got := ReadState(nc); got != test.state {
 				t.Errorf("state %d, want %d", got, test.state)
 			}
 			nc.SetReadDeadline(time.Unix(1, 0))
@@ -55,7 +55,7 @@
 				t.Errorf("read %d now, %q", n, buf)
 			}
 			nc.Close()
-			if Look(nc) != Ended || !HungUp(nc) {
+			if ReadState(nc) != Ended || !HungUp(nc) {
 				t.Error("closed here, and it goes on")
 			}
 		})
@@ -63,7 +63,7 @@
 	a, b := net.Pipe() // nobody can tell
 	defer a.Close()
 	defer b.Close()
-	if HungUp(a) || Look(a) != Silent {
+	if HungUp(a) || ReadState(a) != Silent {
 		t.Error("a pipe that tells something")
 	}
 }
--- a/internal/upstream/conns/pool.go
+++ b/internal/upstream/conns/pool.go
@@ -270,7 +270,7 @@
 		p.noteUnexpectedBytes()
 		return false
 	}
-	state := socket.Look(cn.Conn)
+	state := socket.ReadState(cn.Conn)
 	if state == socket.Unread {
 		p.noteUnexpectedBytes()
 	}
