--- a/internal/clock/lab.go
+++ b/internal/clock/lab.go
@@ -7,11 +7,11 @@
 	"os"
 )
 
-// RINGTRACK_LAB_CLOCK, "OFFSET_MS RATE", has this process's steady clock begin elsewhere and run at another rate. It
-// is in lab builds only.
+// RINGTRACK_LAB_CLOCK, "OFFSET_MS RATE", sets the offset and the rate of this process's steady clock. It is read in lab
+// builds only.
 func init() {
-	var at float64
-	if n, _ := fmt.Sscan(os.Getenv("RINGTRACK_LAB_CLOCK"), &at, &rate); n == 2 {
-		offset = func() float64 { return at }
+	var offsetMs float64
+	if n, _ := fmt.Sscan(os.Getenv("RINGTRACK_LAB_CLOCK"), &offsetMs, &rate); n == 2 {
+		offset = func() float64 { return offsetMs }
 	}
 }
--- a/internal/clock/steady.go
+++ b/internal/clock/steady.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-var begun = time.Now()
+var processStart = time.Now()
 
-// rate is by how much the steady clock runs faster than the machine's; a lab build changes it (lab.go).
+// rate is the speed of the steady clock relative to the machine's clock. Lab builds change it (lab.go).
 var rate = 1.0
 
-// offset is added to the steady clock, ms; a lab build changes it, also while the process runs.
+// offset returns the ms that are added to the steady clock. Lab builds change it, even while the process runs.
 var offset = func() float64 { return 0 }
 
-// Steady is a time in ms that leases are counted by: it has no relation to the wall clock or to any other process and
-// only advances, also while the process is stopped. A machine that is suspended stops it.
+// Steady returns the monotonic time in ms that lease durations are measured with. It is unrelated to the wall clock and
+// to the clocks of other processes. It advances while the process is stopped, but not while the machine is suspended.
 func Steady() float64 {
-	return float64(time.Since(begun).Microseconds())/1000*rate + offset()
+	return float64(time.Since(processStart).Microseconds())/1000*rate + offset()
 }
 
-// At is when the steady clock will have reached ms, as timers have it.
+// At converts a time of the steady clock, in ms, to the time.Time that timers and contexts use.
 func At(ms float64) time.Time {
 	return time.Now().Add(time.Duration((ms - Steady()) / rate * float64(time.Millisecond)))
 }
--- a/internal/socket/nodelay_test.go
+++ b/internal/socket/nodelay_test.go
@@ -13,7 +13,7 @@
 	"ringtrack.example/ringtrack/internal/upstream/conns"
 )
 
-// noDelay asks the kernel whether small writes go out at once.
+// noDelay says whether TCP_NODELAY is set on a connection: small writes are sent without delay.
 func noDelay(t *testing.T, nc net.Conn) bool {
 	t.Helper()
 	raw, err := nc.(syscall.Conn).SyscallConn()
@@ -28,9 +28,9 @@
 	return on != 0
 }
 
-// No connection of the agent's holds small writes back: those to backends, those that the listener of all fronts
-// accepts, and those that it found in its queue as it ended.
-func TestNoSmallWriteIsHeldBack(t *testing.T) {
+// TCP_NODELAY is set on every connection of the agent: those to backends, those accepted by the downstream listener,
+// and those still in its accept queue when it stops listening.
+func TestNoDelayOnAllConnections(t *testing.T) {
 	ln, err := upgrade.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -38,14 +38,14 @@
 	defer ln.Close()
 	addr := ln.Addr().String()
 	p := conns.New(time.Second, time.Minute, 8)
-	for _, left := range []bool{false, true} {
+	for _, queued := range []bool{false, true} {
 		to, err := p.Get(t.Context(), conns.Key{Backend: &core.Backend{}}, addr, time.Now().Add(10*time.Second))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer to.Close()
-		if left {
-			ln.StopListening() // it stands in the queue
+		if queued {
+			ln.StopListening() // the connection is still in the accept queue
 		}
 		from, err := ln.Accept()
 		if err != nil {
@@ -53,10 +53,10 @@
 		}
 		defer from.Close()
 		if !noDelay(t, to.Conn) {
-			t.Error("a backend's connection holds writes back")
+			t.Error("TCP_NODELAY is not set on a connection to a backend")
 		}
 		if !noDelay(t, from) {
-			t.Errorf("a client's holds writes back (found at the end: %v)", left)
+			t.Errorf("TCP_NODELAY is not set on a client's connection (in the queue at the stop: %v)", queued)
 		}
 	}
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,6 +1,7 @@
-// Package socket asks the kernel about a TCP connection beside whoever reads it: whether its peer has ended its
-// sending, and whether bytes have come that nobody has read; and it closes one that such bytes would reset. It owns
-// no connection, waits in LingeringClose alone, and takes bytes only where it is asked to.
+// Package socket queries the kernel for the state of a TCP connection, also while another goroutine reads from it:
+// whether the peer has closed its sending side, and whether unread bytes have arrived. It also closes connections that
+// unread bytes would otherwise reset. It owns no connection, blocks only in LingeringClose, and consumes bytes only in
+// ReadNow and LingeringClose.
 package socket
 
 import (
@@ -13,18 +14,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what a look at a connection tells of what is to be read from it next.
+// State says what the next read of a connection would find.
 type State uint8
 
-// The states.
+// The states of a connection.
 const (
-	Silent State = iota // nothing has come; also where nobody can tell
-	Unread              // bytes have come that nobody has read
-	Ended               // the peer has ended its sending, or the connection is broken or closed
+	Silent State = iota // no bytes have arrived, or the state can't be determined
+	Unread              // bytes have arrived and were not read
+	Ended               // the peer has closed its sending side, or the connection is broken or closed
 )
 
-// control runs f on the descriptor. known tells whether there is one to be asked, open whether it is.
-func control(nc net.Conn, f func(fd int)) (known, open bool) {
+// control calls f with the connection's descriptor. supported is false if the connection has none, open is false if it
+// is closed.
+func control(nc net.Conn, f func(fd int)) (supported, open bool) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return false, false
@@ -39,20 +41,20 @@
 	return true, raw.Control(func(fd uintptr) { f(int(fd)) }) == nil
 }
 
-// ReadState tells what a read would find now, and takes nothing.
+// ReadState returns what a read would find now. It consumes nothing.
 func ReadState(nc net.Conn) State {
 	state := Silent
-	known, open := control(nc, func(fd int) { state = peek(fd) })
-	if known && !open {
+	supported, open := control(nc, func(fd int) { state = peek(fd) })
+	if supported && !open {
 		return Ended
 	}
 	return state
 }
 
 func peek(fd int) State {
-	var one [1]byte
+	var buf [1]byte
 	for {
-		n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, err := syscall.Recvfrom(fd, buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EINTR):
 			continue
@@ -65,22 +67,22 @@
 	}
 }
 
-// HungUp tells whether the peer has ended its sending, whatever is unread before, or the connection is broken or
-// closed.
+// HungUp says whether the peer has closed its sending side, even if unread bytes precede that, or the connection is
+// broken or closed.
 func HungUp(nc net.Conn) bool {
-	gone := false
-	known, open := control(nc, func(fd int) {
-		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
-		if n, err := unix.Poll(look, 0); err != nil || n == 0 {
+	hungUp := false
+	supported, open := control(nc, func(fd int) {
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN | unix.POLLRDHUP}}
+		if n, err := unix.Poll(fds, 0); err != nil || n == 0 {
 			return
 		}
-		gone = look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 || peek(fd) == Ended
+		hungUp = fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 || peek(fd) == Ended
 	})
-	return known && (!open || gone)
+	return supported && (!open || hungUp)
 }
 
-// ReadNow reads what has come, as far as p goes, and never waits, whatever deadline is set; 0: there is nothing to
-// be had.
+// ReadNow reads the bytes that have already arrived into p and returns their number, 0 if there are none. It never
+// blocks and ignores the deadlines of the connection.
 func ReadNow(nc net.Conn, p []byte) int {
 	read := 0
 	control(nc, func(fd int) {
@@ -91,24 +93,24 @@
 	return read
 }
 
-// lingerTime and lingerMost bound what a lingering close still takes from a peer that goes on sending.
-const lingerTime, lingerMost = 100 * time.Millisecond, 256 << 10
+// lingerTimeout and lingerMaxBytes bound what LingeringClose reads from a peer that keeps sending.
+const lingerTimeout, lingerMaxBytes = 100 * time.Millisecond, 256 << 10
 
-// LingeringClose closes a connection on which an answer has been written. A close over bytes that nobody has read
-// resets it, and the answer may go with it: where there are any, or more has come than was asked for (ahead), the
-// sending is ended first, and what comes is read for nobody until the peer ends its own, for 0.1 s and 256 KiB at
-// the most.
-func LingeringClose(nc net.Conn, ahead bool) error {
-	if cw, ok := nc.(interface{ CloseWrite() error }); ok && (ahead || ReadState(nc) == Unread) && !HungUp(nc) {
+// LingeringClose closes a connection on which an answer has been written. Closing a socket with unread bytes resets the
+// connection, and the peer may lose the answer. If there are unread bytes, or bytes beyond the request were already read
+// (readAhead), it therefore closes the sending side first, then reads and discards until the peer closes its side, for
+// at most 0.1 s and 256 KiB.
+func LingeringClose(nc net.Conn, readAhead bool) error {
+	if cw, ok := nc.(interface{ CloseWrite() error }); ok && (readAhead || ReadState(nc) == Unread) && !HungUp(nc) {
 		if cw.CloseWrite() == nil {
-			nc.SetReadDeadline(time.Now().Add(lingerTime))
-			_, _ = io.CopyN(onlyWriter{}, nc, lingerMost)
+			nc.SetReadDeadline(time.Now().Add(lingerTimeout))
+			_, _ = io.CopyN(discardWriter{}, nc, lingerMaxBytes)
 		}
 	}
 	return nc.Close()
 }
 
-// onlyWriter discards, and keeps io.Copy from ways to copy that need calls of their own (splice).
-type onlyWriter struct{}
+// discardWriter discards what is written. It has no ReadFrom, so io.CopyN uses plain reads and not splice.
+type discardWriter struct{}
 
-func (onlyWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// What a look tells, in every state that a peer can leave a connection in.
-func TestLook(t *testing.T) {
+// ReadState, HungUp and ReadNow, for every state in which a peer can leave a connection.
+func TestReadState(t *testing.T) {
 	for name, test := range map[string]struct {
 		do     func(peer *net.TCPConn)
 		state  State
 		hungUp bool
 	}{
-		"silent":                  {func(*net.TCPConn) {}, Silent, false},
-		"unread":                  {func(p *net.TCPConn) { io.WriteString(p, "xy") }, Unread, false},
-		"half-closed":             {func(p *net.TCPConn) { p.CloseWrite() }, Ended, true},
-		"half-closed behind more": {func(p *net.TCPConn) { io.WriteString(p, "xy"); p.CloseWrite() }, Unread, true},
-		"closed":                  {func(p *net.TCPConn) { p.Close() }, Ended, true},
-		"reset":                   {func(p *net.TCPConn) { p.SetLinger(0); p.Close() }, Ended, true},
+		"silent":                 {func(*net.TCPConn) {}, Silent, false},
+		"unread":                 {func(p *net.TCPConn) { io.WriteString(p, "xy") }, Unread, false},
+		"half-closed":            {func(p *net.TCPConn) { p.CloseWrite() }, Ended, true},
+		"half-closed after data": {func(p *net.TCPConn) { io.WriteString(p, "xy"); p.CloseWrite() }, Unread, true},
+		"closed":                 {func(p *net.TCPConn) { p.Close() }, Ended, true},
+		"reset":                  {func(p *net.TCPConn) { p.SetLinger(0); p.Close() }, Ended, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,7 +40,7 @@
 			test.do(peer.(*net.TCPConn))
 			for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 				if HungUp(nc) == test.hungUp && (test.state == Ended || ReadState(nc) == test.state) {
-					break // it has come
+					break // the peer's action has arrived
 				}
 			}
 			if got := HungUp(nc); got != test.hungUp {
@@ -56,14 +56,14 @@
 			}
 			nc.Close()
 			if ReadState(nc) != Ended || !HungUp(nc) {
-				t.Error("closed here, and it goes on")
+				t.Error("a connection closed on this side is not reported as ended")
 			}
 		})
 	}
-	a, b := net.Pipe() // nobody can tell
+	a, b := net.Pipe() // it has no descriptor, so its state is unknown
 	defer a.Close()
 	defer b.Close()
 	if HungUp(a) || ReadState(a) != Silent {
-		t.Error("a pipe that tells something")
+		t.Error("a connection without a descriptor is not reported as silent")
 	}
 }
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -11,27 +11,26 @@
 )
 
 const (
-	// endpointTables is the number of tables that the wire can name.
-	endpointTables = 16
+	// maxEndpointTables is the number of endpoint tables that the protocol can address.
+	maxEndpointTables = 16
 	// maxReportValues is the largest number of values in a load report.
 	maxReportValues = 4
-	// readStep is the number of bytes for which memory is allocated before they have arrived.
-	readStep = 1 << 20
+	// readStepBytes is the size of the steps in which memory is allocated for bytes that have not arrived yet.
+	readStepBytes = 1 << 20
 )
 
-// Decoder reads batches from a stream. Its endpoint tables belong to the process: all instances share them,
-// read-only.
+// Decoder reads batches from a stream. All instances share its endpoint tables, which they only read.
 type Decoder struct {
 	r      io.Reader
 	buf    []byte
-	tables [endpointTables][]policy.Endpoint
+	tables [maxEndpointTables][]policy.Endpoint
 }
 
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
 
-// Next reads one batch and calls handle for each of its records in order, with the time of the batch. It
-// returns io.EOF itself, not wrapped, at a clean end of the input. An error names the field that is not valid.
+// Next reads one batch and calls handle for each of its records in order, with the time of the batch. Where the input
+// ends between two batches it returns io.EOF, not wrapped. Other errors name the invalid field.
 func (d *Decoder) Next(handle func(now float64, rec *Record) error) error {
 	count, err := d.readBatch()
 	if err != nil {
@@ -59,7 +58,7 @@
 	return nil
 }
 
-// readBatch reads the header and the body of a batch, and returns the number of its records.
+// readBatch reads the header and body of a batch into d.buf and returns the number of its records.
 func (d *Decoder) readBatch() (int, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(d.r, header[:]); err != nil {
@@ -70,7 +69,7 @@
 	}
 	count := binary.BigEndian.Uint32(header[:4])
 	size := binary.BigEndian.Uint32(header[4:])
-	if size < clockSize || size > maxFrame {
+	if size < clockSize || size > maxFrameBytes {
 		return 0, fmt.Errorf("batch header: length: %d is out of range", size)
 	}
 	if uint64(count)*EventSize > uint64(size)-clockSize {
@@ -79,34 +78,36 @@
 	return int(count), d.readBody(int(size))
 }
 
-// readBody reads size bytes in steps, so that a false length allocates no more than about twice what arrives.
+// readBody reads size bytes into d.buf. It allocates in steps, so that a wrong length costs no more than about twice the
+// memory of what has arrived.
 func (d *Decoder) readBody(size int) error {
 	d.buf = d.buf[:0]
 	for len(d.buf) < size {
-		n := min(readStep, size-len(d.buf))
-		at := len(d.buf)
-		if cap(d.buf) < at+n {
+		n := min(readStepBytes, size-len(d.buf))
+		start := len(d.buf)
+		if cap(d.buf) < start+n {
 			d.buf = append(d.buf, make([]byte, n)...)
 		}
-		d.buf = d.buf[:at+n]
-		if _, err := io.ReadFull(d.r, d.buf[at:]); err != nil {
-			return fmt.Errorf("batch: truncated at %d of %d bytes: %w", at, size, err)
+		d.buf = d.buf[:start+n]
+		if _, err := io.ReadFull(d.r, d.buf[start:]); err != nil {
+			return fmt.Errorf("batch: truncated at %d of %d bytes: %w", start, size, err)
 		}
 	}
 	return nil
 }
 
-// span resolves a field of an offset into the tail and a length, in units of the given number of bytes.
-func span(field string, raw, tail []byte, unit int) ([]byte, error) {
+// tailSlice returns the part of the tail that a field refers to. The field has an offset in bytes and a length in units
+// of unitBytes.
+func tailSlice(field string, raw, tail []byte, unitBytes int) ([]byte, error) {
 	offset := uint64(binary.BigEndian.Uint32(raw))
 	length := uint64(binary.BigEndian.Uint32(raw[4:]))
-	if offset+length*uint64(unit) > uint64(len(tail)) {
-		return nil, fmt.Errorf("%s: offset %d and length %d pass the tail's %d bytes", field, offset, length, len(tail))
+	if offset+length*uint64(unitBytes) > uint64(len(tail)) {
+		return nil, fmt.Errorf("%s: offset %d and length %d exceed the tail's %d bytes", field, offset, length, len(tail))
 	}
-	return tail[offset : offset+length*uint64(unit)], nil
+	return tail[offset : offset+length*uint64(unitBytes)], nil
 }
 
-// decode fills in the record of the raw bytes.
+// decode decodes the raw bytes of a record into rec.
 func (d *Decoder) decode(raw, tail []byte, rec *Record) (err error) {
 	be := binary.BigEndian
 	rec.Kind = Event
@@ -116,7 +117,7 @@
 	case codeBoot:
 		rec.Kind = Boot
 		rec.Seed = be.Uint64(raw[5:])
-		rec.Settings, err = span("boot: settings", raw[13:], tail, 1)
+		rec.Settings, err = tailSlice("boot: settings", raw[13:], tail, 1)
 	case codeKilled:
 		rec.Kind = Killed
 	case codePool:
@@ -148,7 +149,7 @@
 		ev.Token = be.Uint32(raw[5:])
 	case codePeerData:
 		ev.Kind = policy.EventPeerMessage
-		_, err = span("peer_data: msg", raw[9:], tail, 1)
+		_, err = tailSlice("peer_data: msg", raw[9:], tail, 1)
 	default:
 		return fmt.Errorf("code: unknown event %d", raw[0])
 	}
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// decodeUpdate decodes an update of the endpoint list, whose entries are those of a table.
+// decodeUpdate decodes an update of the endpoint list, which refers to an endpoint table.
 func (d *Decoder) decodeUpdate(raw []byte, ev *policy.Event) error {
 	ev.Kind = policy.EventEndpointUpdate
 	ev.Update = policy.UpdateKind(raw[5])
@@ -197,22 +198,22 @@
 		return nil
 	}
 	table := binary.BigEndian.Uint32(raw[10:])
-	if table >= endpointTables {
+	if table >= maxEndpointTables {
 		return fmt.Errorf("targets: table: %d is out of range", table)
 	}
 	ev.Endpoints = d.tables[table]
 	return nil
 }
 
-// decodeTable decodes a table of endpoints. A table may be replaced within a batch: earlier events keep the
-// entries of the former one.
+// decodeTable decodes an endpoint table. A batch may replace a table: the events before that keep the earlier
+// endpoints, so each table is a new slice.
 func (d *Decoder) decodeTable(raw, tail []byte) error {
 	be := binary.BigEndian
 	table := be.Uint32(raw[1:])
-	if table >= endpointTables {
+	if table >= maxEndpointTables {
 		return fmt.Errorf("pool: table: %d is out of range", table)
 	}
-	entries, err := span("pool: hosts", raw[5:], tail, endpointSize)
+	entries, err := tailSlice("pool: hosts", raw[5:], tail, endpointSize)
 	if err != nil {
 		return err
 	}
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -7,7 +7,7 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Encoder builds the frame that answers a batch.
+// Encoder builds the response frame to a batch.
 type Encoder struct {
 	count   uint32
 	records []byte
@@ -21,18 +21,18 @@
 	e.tail = e.tail[:0]
 }
 
-// addRecord appends an action record and returns its bytes.
+// addRecord appends an action record and returns its bytes, in which the caller sets the other fields.
 func (e *Encoder) addRecord(code byte, instance uint32) []byte {
-	at := len(e.records)
+	start := len(e.records)
 	e.records = append(e.records, make([]byte, ActionSize)...)
 	e.count++
-	raw := e.records[at:]
+	raw := e.records[start:]
 	raw[0] = code
 	binary.BigEndian.PutUint32(raw[1:], instance)
 	return raw
 }
 
-// addText appends an action record whose text stands in the tail.
+// addText appends an action record with a text, which goes into the tail of the frame.
 func (e *Encoder) addText(code byte, instance uint32, text string) {
 	raw := e.addRecord(code, instance)
 	binary.BigEndian.PutUint32(raw[5:], uint32(len(e.tail)))
@@ -40,7 +40,7 @@
 	e.tail = append(e.tail, text...)
 }
 
-// Crash adds the statement that an instance has failed.
+// Crash appends a record which reports that an instance failed.
 func (e *Encoder) Crash(instance uint32, text string) { e.addText(codeCrash, instance, text) }
 
 // Add appends one action of an instance.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the binary frames of the simulator and the events and actions of package
-// policy. It decides nothing. Here the names of the simulator's wire are mapped to those of policy.
+// Package wire translates between the binary frames of the simulator and the events and actions of package policy. It
+// maps the names of the simulator's protocol to those of policy and makes no decisions.
 package wire
 
 import (
@@ -16,8 +16,8 @@
 	endpointSize = 24
 	clockSize    = 8
 	headerSize   = 8
-	// maxFrame is the largest size of a batch that is accepted.
-	maxFrame = 1 << 30
+	// maxFrameBytes is the maximum size of a batch.
+	maxFrameBytes = 1 << 30
 )
 
 // Codes of the events, by their names on the wire.
@@ -25,7 +25,7 @@
 	codeDropped  = 16 // EventClientDisconnected
 	codeAsk      = 17 // EventRequest
 	codeVerdict  = 18 // EventAttemptEnded
-	codePool     = 19 // a table of endpoints
+	codePool     = 19 // an endpoint table
 	codeFlowing  = 20 // EventResponseStarted
 	codeKilled   = 21 // Killed
 	codeTargets  = 22 // EventEndpointUpdate
@@ -53,7 +53,7 @@
 // Kind tells which fields of a Record are set.
 type Kind uint8
 
-// The kinds of records. endpointTable is handled by the Decoder.
+// The kinds of records. The Decoder handles endpointTable itself and does not return it.
 const (
 	endpointTable Kind = iota
 	Boot               // Instance, Seed, Settings
@@ -61,7 +61,7 @@
 	Event              // Instance, Event
 )
 
-// Record is one record of a batch, with the endpoint tables resolved.
+// Record is one record of a batch. References to endpoint tables are resolved.
 type Record struct {
 	Kind     Kind
 	Instance uint32
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// frame builds a batch from hex text; blanks and newlines are for the reader.
+// frame decodes a batch from hex text, in which white space is ignored.
 func frame(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -81,7 +81,7 @@
 	}
 }
 
-// A table may be replaced within a batch: each event has the entries that the table had before it.
+// A batch may replace an endpoint table: each event has the endpoints that the table had at its position in the batch.
 func TestEndpointTablesAreReplacedInOrder(t *testing.T) {
 	entry := func(port string) string {
 		return "0001 40b7d40000000000 01 0a9011f2" + port + "3fc00000 0002 01"
