--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,11 +1,11 @@
-// Package clock provides the time that decisions are based on: Unix time in milliseconds that never goes back, even
-// if the wall clock is changed, and a monotonic clock for leases.
+// Package clock provides the time that decisions are based on: Unix time in milliseconds that never goes
+// back, even if the wall clock is changed, and a monotonic clock for leases.
 package clock
 
 import "time"
 
-// Clock reads the wall clock once, when it is created, and advances monotonically from there. Use New to create one;
-// the zero Clock is not valid.
+// Clock reads the wall clock once, when it is created, and advances monotonically from there. Use New to
+// create one; the zero Clock is not valid.
 type Clock struct {
 	started time.Time
 	baseMs  float64
--- a/internal/socket/nodelay_test.go
+++ b/internal/socket/nodelay_test.go
@@ -28,8 +28,8 @@
 	return on != 0
 }
 
-// TCP_NODELAY is set on every connection of the agent: those to backends, those accepted by the downstream listener,
-// and those still in its accept queue when it stops listening.
+// TCP_NODELAY is set on every connection of the agent: those to backends, those accepted by the downstream
+// listener, and those still in its accept queue when it stops listening.
 func TestNoDelayOnAllConnections(t *testing.T) {
 	ln, err := upgrade.Listen("127.0.0.1:0")
 	if err != nil {
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,7 +1,7 @@
-// Package socket queries the kernel for the state of a TCP connection, also while another goroutine reads from it:
-// whether the peer has closed its sending side, and whether unread bytes have arrived. It also closes connections that
-// unread bytes would otherwise reset. It owns no connection, blocks only in LingeringClose, and consumes bytes only in
-// ReadNow and LingeringClose.
+// Package socket queries the kernel for the state of a TCP connection, also while another goroutine reads
+// from it: whether the peer has closed its sending side, and whether unread bytes have arrived. It also
+// closes connections that unread bytes would otherwise reset. It owns no connection, blocks only in
+// LingeringClose, and consumes bytes only in ReadNow and LingeringClose.
 package socket
 
 import (
@@ -24,8 +24,8 @@
 	Ended               // the peer has closed its sending side, or the connection is broken or closed
 )
 
-// control calls f with the connection's descriptor. supported is false if the connection has none, open is false if it
-// is closed.
+// control calls f with the connection's descriptor. supported is false if the connection has none, open is
+// false if it is closed.
 func control(nc net.Conn, f func(fd int)) (supported, open bool) {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -67,8 +67,8 @@
 	}
 }
 
-// HungUp says whether the peer has closed its sending side, even if unread bytes precede that, or the connection is
-// broken or closed.
+// HungUp says whether the peer has closed its sending side, even if unread bytes precede that, or the
+// connection is broken or closed.
 func HungUp(nc net.Conn) bool {
 	hungUp := false
 	supported, open := control(nc, func(fd int) {
@@ -81,8 +81,8 @@
 	return supported && (!open || hungUp)
 }
 
-// ReadNow reads the bytes that have already arrived into p and returns their number, 0 if there are none. It never
-// blocks and ignores the deadlines of the connection.
+// ReadNow reads the bytes that have already arrived into p and returns their number, 0 if there are none. It
+// never blocks and ignores the deadlines of the connection.
 func ReadNow(nc net.Conn, p []byte) int {
 	read := 0
 	control(nc, func(fd int) {
@@ -96,10 +96,10 @@
 // lingerTimeout and lingerMaxBytes bound what LingeringClose reads from a peer that keeps sending.
 const lingerTimeout, lingerMaxBytes = 100 * time.Millisecond, 256 << 10
 
-// LingeringClose closes a connection on which an answer has been written. Closing a socket with unread bytes resets the
-// connection, and the peer may lose the answer. If there are unread bytes, or bytes beyond the request were already read
-// (readAhead), it therefore closes the sending side first, then reads and discards until the peer closes its side, for
-// at most 0.1 s and 256 KiB.
+// LingeringClose closes a connection on which an answer has been written. Closing a socket with unread bytes
+// resets the connection, and the peer may lose the answer. If there are unread bytes, or bytes beyond the
+// request were already read (readAhead), it therefore closes the sending side first, then reads and discards
+// until the peer closes its side, for at most 0.1 s and 256 KiB.
 func LingeringClose(nc net.Conn, readAhead bool) error {
 	if cw, ok := nc.(interface{ CloseWrite() error }); ok && (readAhead || ReadState(nc) == Unread) && !HungUp(nc) {
 		if cw.CloseWrite() == nil {
--- a/internal/upstream/conns/conn.go
+++ b/internal/upstream/conns/conn.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// expiredDeadline ends reads and writes at once.
+// expiredDeadline makes reads and writes fail immediately.
 var expiredDeadline = time.Unix(1, 0)
 
-// Conn is a connection of a pool.
+// Conn is a pooled connection.
 type Conn struct {
 	net.Conn
 	Reader *bufio.Reader
@@ -19,14 +19,15 @@
 	key       Key
 	addr      string
 	idleSince time.Time
-	ageBucket int     // how long it was idle before its last use; 0: it was new
-	stream    *Stream // of the current response; it takes the connection over
+	ageBucket int     // of the idle time before its current use; 0: a new connection
+	stream    *Stream // of the current response, if one was created: it takes ownership of the connection
 
 	mu        sync.Mutex
-	cancelled bool // reads and writes end at once, from now on
+	cancelled bool // all further reads and writes fail
 }
 
-// cancel ends reads and writes, the current ones too, for good: no deadline that is set later undoes it.
+// cancel ends reads and writes, including those in progress, permanently: a deadline that is set later does
+// not undo it.
 func (c *Conn) cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/conns/disconnect_test.go
+++ b/internal/upstream/conns/disconnect_test.go
@@ -16,9 +16,10 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// lateListener listens with a full accept queue, so that a connect waits until accept is called, which returns how many
-// bytes arrived on all connections, each up to its end.
-func lateListener(t *testing.T) (addr string, accept func() int64) {
+// listenWithFullQueue listens with a full accept queue, so that a connect blocks until accept is called.
+// accept accepts both
+// connections and returns the number of bytes that arrived on them.
+func listenWithFullQueue(t *testing.T) (addr string, accept func() int64) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +30,7 @@
 	if err := unix.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	f := os.NewFile(uintptr(fd), "late")
+	f := os.NewFile(uintptr(fd), "listener")
 	ln, err := net.FileListener(f)
 	f.Close()
 	if err != nil {
@@ -37,13 +38,13 @@
 	}
 	t.Cleanup(func() { ln.Close() })
 	addr = ln.Addr().String()
-	fill, err := net.Dial("tcp", addr)
+	filler, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return addr, func() (n int64) {
-		fill.Close()
-		for range 2 { // fill, and the late one
+		filler.Close()
+		for range 2 { // filler, and the connection that waited
 			ln.(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout))
 			c, err := ln.Accept()
 			if err != nil {
@@ -51,7 +52,7 @@
 				return n
 			}
 			t.Cleanup(func() { c.Close() })
-			c.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // what was written has arrived before Do returns
+			c.SetReadDeadline(time.Now().Add(50 * time.Millisecond)) // whatever Do wrote arrives sooner
 			m, _ := io.Copy(io.Discard, c)
 			n += m
 		}
@@ -59,16 +60,16 @@
 	}
 }
 
-// For a client that disconnected before the first byte nothing is sent, whether the connection is late or not; the
-// connection stays idle for others.
+// If the client disconnected before the first byte was written, nothing is sent, whether the connect
+// succeeded at once or had to wait for the backend. The connection stays in the pool for other requests.
 func TestNothingIsBegunForADisconnectedClient(t *testing.T) {
 	t.Parallel()
-	for _, late := range []bool{false, true} {
+	for _, slowConnect := range []bool{false, true} {
 		var addr string
 		accept := func() int64 { return 0 }
 		var read atomic.Int64
-		if late {
-			addr, accept = lateListener(t)
+		if slowConnect {
+			addr, accept = listenWithFullQueue(t)
 		} else {
 			addr = startPeer(t, func(c net.Conn) {
 				n, _ := c.Read(make([]byte, 8))
@@ -77,7 +78,7 @@
 		}
 		p, key := New(waitTimeout, time.Minute, 8), newKey()
 		var disconnected atomic.Bool
-		disconnected.Store(!late)
+		disconnected.Store(!slowConnect)
 		done := make(chan core.Result, 1)
 		go func() {
 			done <- p.Do(t.Context(), &Exchange{Key: key, Addr: addr, Sent: time.Now(), Deadline: time.Now().Add(2 * time.Second),
@@ -88,23 +89,23 @@
 					return core.Result{}, true, err
 				}})
 		}()
-		if late {
-			waitFor(t, "there is no connect", func() bool { return p.Open() == 1 })
+		if slowConnect {
+			waitFor(t, "no connect is in progress", func() bool { return p.Open() == 1 })
 			disconnected.Store(true)
 			if n := accept(); n != 0 {
-				t.Errorf("late: %d bytes were written", n)
+				t.Errorf("slow connect: %d bytes were written", n)
 			}
 		}
 		if r := <-done; r.Status != policy.NotStarted || !r.ClientDisconnected || p.Idle(key) != 1 || read.Load() != 0 {
-			t.Errorf("late %v: %+v, %d idle, %d read", late, r, p.Idle(key), read.Load())
+			t.Errorf("slow connect %v: %+v, %d idle, %d read", slowConnect, r, p.Idle(key), read.Load())
 		}
 	}
 }
 
-// A cancellation ends a connect at once, and nothing is written on a connection that is accepted later.
+// A cancellation ends a connect at once, and nothing is written if the backend accepts the connection later.
 func TestCancelledConnectCarriesNothing(t *testing.T) {
 	t.Parallel()
-	addr, _ := lateListener(t)
+	addr, _ := listenWithFullQueue(t)
 	p, key := New(waitTimeout, time.Minute, 8), newKey()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan core.Result, 1)
@@ -112,7 +113,7 @@
 		done <- p.Do(ctx, &Exchange{Key: key, Addr: addr, Sent: time.Now(), Deadline: time.Now().Add(waitTimeout), Budget: semaphore.NewWeighted(1),
 			EncodeRequest: func() net.Buffers { t.Error("a request was encoded"); return nil }})
 	}()
-	waitFor(t, "there is no connect", func() bool { return p.Open() == 1 })
+	waitFor(t, "no connect is in progress", func() bool { return p.Open() == 1 })
 	cancel()
 	select {
 	case r := <-done:
@@ -124,12 +125,12 @@
 	}
 }
 
-// waitFor waits until a condition holds.
-func waitFor(t *testing.T, what string, is func() bool) {
+// waitFor waits until a condition holds, and fails the test with a message if it takes too long.
+func waitFor(t *testing.T, message string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(message)
 		}
 	}
 }
--- a/internal/upstream/conns/exchange.go
+++ b/internal/upstream/conns/exchange.go
@@ -17,60 +17,64 @@
 )
 
 const (
-	// bodyWriteTimeout bounds how long a backend may accept nothing of a request's body.
+	// bodyWriteTimeout bounds how long a write of a request's body may block because the backend does not
+	// read.
 	bodyWriteTimeout = 5 * time.Second
-	// earlyResponseTimeout bounds the wait for a response after the backend stopped to accept the body.
+	// earlyResponseTimeout bounds the wait for a response after writing the body failed.
 	earlyResponseTimeout = 50 * time.Millisecond
 )
 
 var (
-	// ErrMalformedResponse is wrapped by the error of a response that can't be read, or belongs to another
+	// ErrMalformedResponse is wrapped by the errors of a response that can't be parsed or belongs to another
 	// request. The attempt may have run; its connection is closed.
 	ErrMalformedResponse = errors.New("malformed response")
-	// ErrIncompleteRequest is wrapped by the error of a body that did not arrive completely from the client.
+	// ErrIncompleteRequest is wrapped by the error of a request body that did not arrive completely from the
+	// client.
 	ErrIncompleteRequest = errors.New("incomplete request body")
 )
 
-// MalformedResponse returns an ErrMalformedResponse with a reason.
+// MalformedResponse returns an error that wraps ErrMalformedResponse and has a reason.
 func MalformedResponse(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformedResponse, fmt.Sprintf(format, args...))
 }
 
-// Exchange is one attempt: a request that is written once and its response, in any protocol.
+// Exchange is one attempt in any protocol: a request, which is written at most once, and its response.
 type Exchange struct {
 	Key      Key
 	Addr     string
-	Sent     time.Time // when the attempt began
+	Sent     time.Time // start of the attempt
 	Deadline time.Time
-	// StartBefore, if not zero, is until when the attempt may be begun.
+	// StartBefore, if not zero, is the time after which the attempt must not start.
 	StartBefore time.Time
-	// Superseded, if not nil and true, says that the attempt is not to be begun any more.
+	// Superseded, if not nil and true, says that the attempt must not start any more.
 	Superseded *atomic.Bool
-	// Disconnected, if not nil, says whether the client has disconnected. It is checked last, right before the
-	// first byte.
+	// Disconnected, if not nil, says whether the client has disconnected. It is the last check, immediately
+	// before the first byte is written.
 	Disconnected func() bool
 	Budget       *semaphore.Weighted // memory for the response, in bytes
 	HealthCheck  bool                // not counted as an attempt
 
-	// EncodeRequest returns the bytes of the request, once there is a connection.
+	// EncodeRequest returns the bytes of the request. It is called once there is a connection.
 	EncodeRequest func() net.Buffers
 	// ReadResponse reads the response and says whether the connection may carry another request. It calls
-	// reserve for memory. nil: there is no response.
+	// reserve before it allocates memory for the response. nil: the request has no response.
 	ReadResponse func(cn *Conn, reserve func(bytes int64) error) (result core.Result, reusable bool, err error)
-	// WriteBody, if not nil, writes what follows EncodeRequest, as it arrives from the client, and returns the
-	// deadline of the attempt from then on. An ErrIncompleteRequest is not the backend's fault.
+	// WriteBody, if not nil, writes the rest of the request after EncodeRequest, as it arrives from the
+	// client, and returns the new deadline of the attempt. An ErrIncompleteRequest is not the backend's
+	// fault.
 	WriteBody func(w io.Writer) (deadline time.Time, err error)
 }
 
-// Do makes the attempt and returns its outcome. It never sends anything twice. Cancelling ctx cancels the attempt
-// and closes its connection.
+// Do makes the attempt and returns its outcome. It never sends anything twice. Cancelling ctx cancels the
+// attempt and closes its connection.
 //
-// Here, and nowhere else, it is decided whether an attempt may have run: if its last byte was written, or if that
-// is unknown.
+// This is the only place that decides whether an attempt may have run: it may if its last byte was written,
+// or if that is unknown.
 func (p *Pool) Do(ctx context.Context, x *Exchange) core.Result {
 	result := p.attempt(ctx, x)
-	// A cancelled attempt says nothing about its backend, even if the cancellation ended a connect. A response
-	// that had arrived counts, and what was never written never ran.
+	// A cancelled attempt says nothing about its backend, even if the cancellation aborted a connect. A
+	// response that arrived before still counts, and an attempt that was not started keeps its status: it
+	// never ran.
 	if ctx.Err() != nil && result.Reply == nil && result.Status != policy.NotStarted {
 		result.Status = policy.Cancelled
 	}
@@ -78,7 +82,7 @@
 	return result
 }
 
-// attempt gets a connection and makes the exchange on it.
+// attempt gets a connection and performs the exchange on it.
 func (p *Pool) attempt(ctx context.Context, x *Exchange) (result core.Result) {
 	connectDeadline := time.Now().Add(p.connectTimeout)
 	deadline := connectDeadline
@@ -97,22 +101,23 @@
 	return result
 }
 
-// connectStatus is the outcome of an attempt without a connection: not a byte was sent. It is the backend's fault
-// only if it rejected the connection, or had the time to accept it.
-func connectStatus(err error, cutShort bool) policy.Status {
-	if IsLocalError(err) || cutShort && !errors.Is(err, syscall.ECONNREFUSED) {
+// connectStatus returns the outcome of an attempt that got no connection, so nothing was sent. The backend is
+// at fault only if it refused the connection, or failed to accept it within the full connect timeout (not
+// deadlineFirst).
+func connectStatus(err error, deadlineFirst bool) policy.Status {
+	if IsLocalError(err) || deadlineFirst && !errors.Is(err, syscall.ECONNREFUSED) {
 		return policy.NotStarted
 	}
 	return policy.ConnectFailed
 }
 
-// release ends the use of a connection. usable is false if its cancellation has begun: that could hit the next
-// user.
+// release ends the use of a connection. usable is false if its cancellation has started: it could take effect
+// on the next user of the connection.
 func (p *Pool) release(cn *Conn, usable, reusable bool) {
 	if stream := cn.stream; stream != nil {
 		cn.stream = nil
 		if usable {
-			return // the stream owns the connection now
+			return // the stream owns the connection
 		}
 		stream.conn = nil
 	}
@@ -124,9 +129,9 @@
 }
 
 // exchange writes the request and reads the response. reusable says whether the connection may carry another
-// request.
+// request afterwards.
 func (p *Pool) exchange(ctx context.Context, cn *Conn, x *Exchange) (result core.Result, reusable bool) {
-	if ctx.Err() != nil || !x.mayBegin() {
+	if ctx.Err() != nil || !x.mayStart() {
 		return core.Result{Status: policy.NotStarted}, true
 	}
 	request := x.EncodeRequest()
@@ -139,7 +144,7 @@
 	}
 	if n, err := request.WriteTo(cn.Conn); err != nil {
 		if n < size || x.WriteBody != nil {
-			// The last byte was not sent, and the connection is closed: it can't run.
+			// The last byte was not sent, and the connection is closed: the attempt can't run.
 			return core.Result{Status: policy.ConnectFailed}, false
 		}
 		return core.Result{Status: statusOf(err)}, false
@@ -153,15 +158,15 @@
 		p.AttemptsWritten.Add(1)
 	}
 	if x.ReadResponse == nil {
-		// It may have run, and nobody can know more.
+		// The attempt may have run; without a response nothing more is known.
 		return core.Result{Status: policy.Cancelled, NoReplyExpected: true}, true
 	}
 	return p.readResponse(ctx, cn, x)
 }
 
-// mayBegin says whether the attempt may still be begun. The connect may have taken long: a backend that has begun
-// to drain meanwhile gets no new request, and the idempotency window of a retry may be over.
-func (x *Exchange) mayBegin() bool {
+// mayStart says whether the attempt may still start. Connecting may have taken long: a backend that started
+// to drain meanwhile gets no new request, and the idempotency window of a retry may have passed.
+func (x *Exchange) mayStart() bool {
 	switch {
 	case x.Key.Backend.Unavailable():
 		return false
@@ -171,7 +176,7 @@
 	return x.Superseded == nil || !x.Superseded.Load()
 }
 
-// readResponse reads the response and accounts for its memory.
+// readResponse reads the response and accounts for the memory that it reserves.
 func (p *Pool) readResponse(ctx context.Context, cn *Conn, x *Exchange) (result core.Result, reusable bool) {
 	reserved := int64(0)
 	deadline := x.Deadline
@@ -197,15 +202,16 @@
 	return result, reusable
 }
 
-// writeBody writes the body as it arrives from the client. If it returns false the attempt has ended with the
-// result and never ran: the connection is closed before the last byte. A backend that has rejected the request
-// meanwhile counts as having done so.
+// writeBody writes the body as it arrives from the client. If it returns false, the attempt has ended with
+// the returned result and never ran: the connection is closed before the last byte. If the backend rejected
+// the request meanwhile, the result says so.
 func (p *Pool) writeBody(ctx context.Context, cn *Conn, x *Exchange) (core.Result, bool) {
 	cn.SetDeadline(time.Time{})
 	deadline, err := x.WriteBody(bodyWriter{ctx, cn})
 	switch {
 	case err == nil:
-		// The time of the attempt begins now: latency is what the backend takes.
+		// The latency of the attempt is measured from here: it must not include the time the client takes to
+		// send.
 		x.Sent = time.Now()
 		x.Deadline = deadline
 		cn.SetDeadline(deadline)
@@ -227,9 +233,9 @@
 	return core.Result{Status: status, BodyConsumed: true}, false
 }
 
-// bodyWriter gives each write of a body a timeout of its own.
+// bodyWriter sets a new timeout for each write of a body.
 type bodyWriter struct {
-	ctx context.Context // of the attempt: once it is cancelled nothing more is written
+	ctx context.Context // of the attempt: once it is cancelled, nothing more is written
 	cn  *Conn
 }
 
@@ -241,7 +247,7 @@
 	return w.cn.Write(p)
 }
 
-// statusOf is the outcome of an attempt that ended with an error after its last byte was written: it may have run.
+// statusOf returns the outcome of an attempt that failed after its last byte was written: it may have run.
 func statusOf(err error) policy.Status {
 	var netErr net.Error
 	switch {
--- a/internal/upstream/conns/exchange_test.go
+++ b/internal/upstream/conns/exchange_test.go
@@ -13,8 +13,9 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// An attempt that is cancelled as its response arrives has the response, and its connection is not used again: the
-// deadline of the cancellation would hit the next user. Memory that a failed attempt reserved is released.
+// An attempt that is cancelled while its response arrives returns the response, but its connection is not
+// reused: the expired deadline could fail the next request on it. Memory that a failed attempt reserved is
+// released.
 func TestCancelledAsTheResponseArrives(t *testing.T) {
 	addr := startPeer(t, func(c net.Conn) { io.WriteString(c, "answer") })
 	for _, cancelled := range []bool{false, true} {
@@ -44,7 +45,7 @@
 		budget.Release(r.ReservedBytes)
 		x.ReadResponse = func(_ *Conn, reserve func(int64) error) (core.Result, bool, error) {
 			reserve(60)
-			return core.Result{}, true, MalformedResponse("it is empty")
+			return core.Result{}, true, MalformedResponse("empty")
 		}
 		if r := p.Do(t.Context(), &x); r.Status != policy.Error || r.ReservedBytes != 0 || p.Open() != 0 || !budget.TryAcquire(100) {
 			t.Errorf("malformed: %+v, %d open", r, p.Open())
@@ -53,7 +54,8 @@
 	}
 }
 
-// A retry whose idempotency window is over once there is a connection is not begun, and the connection stays idle.
+// A retry whose idempotency window has passed by the time there is a connection does not start, and the
+// connection stays idle.
 func TestAttemptIsNotBegunAfterStartBefore(t *testing.T) {
 	requests := make(chan struct{}, 2)
 	addr := startPeer(t, func(c net.Conn) {
@@ -62,7 +64,7 @@
 			io.WriteString(c, "answer")
 		}
 	})
-	for _, late := range []bool{true, false} {
+	for _, expired := range []bool{true, false} {
 		p, key := New(waitTimeout, time.Minute, 8), newKey()
 		x := Exchange{Key: key, Addr: addr, Sent: time.Now(), Deadline: time.Now().Add(waitTimeout), StartBefore: time.Now().Add(waitTimeout),
 			Budget:        semaphore.NewWeighted(100),
@@ -72,19 +74,19 @@
 				return core.Result{Status: policy.OK}, true, err
 			}}
 		want := policy.OK
-		if late {
+		if expired {
 			x.StartBefore, want = time.Now(), policy.NotStarted
 		}
-		if r := p.Do(t.Context(), &x); r.Status != want || p.Idle(key) != 1 || late && len(requests) != 0 {
-			t.Errorf("late %v: %+v, %d idle, %d requests", late, r, p.Idle(key), len(requests))
+		if r := p.Do(t.Context(), &x); r.Status != want || p.Idle(key) != 1 || expired && len(requests) != 0 {
+			t.Errorf("expired %v: %+v, %d idle, %d requests", expired, r, p.Idle(key), len(requests))
 		}
 	}
 }
 
-// A cancellation lasts, whatever deadline is set after it: the reader of a response that arrives in pieces sets one for
-// each of them, and the attempt would not end. Its connection is not used again.
+// A deadline that is set after a cancellation does not undo it. The reader of a streamed response sets a
+// deadline for each piece, and a cancelled attempt used to continue. Its connection is not reused.
 func TestNoDeadlineUndoesACancellation(t *testing.T) {
-	addr := startPeer(t, func(c net.Conn) { c.Read(make([]byte, 8)) }) // it never responds
+	addr := startPeer(t, func(c net.Conn) { c.Read(make([]byte, 8)) }) // never responds
 	p, key := New(waitTimeout, time.Minute, 8), newKey()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan core.Result, 1)
@@ -112,7 +114,7 @@
 	}
 }
 
-// Cancelling a stream ends its read at once, and its connection is not used again.
+// Cancelling a stream ends its read at once, and its connection is not reused.
 func TestStreamIsCancelled(t *testing.T) {
 	addr := startPeer(t, func(c net.Conn) { c.Read(make([]byte, 8)) })
 	p, key := New(waitTimeout, time.Minute, 8), newKey()
@@ -134,7 +136,7 @@
 	select {
 	case err := <-read:
 		if err == nil {
-			t.Error("read something")
+			t.Error("the cancelled read returned data")
 		}
 	case <-time.After(waitTimeout / 4):
 		t.Fatal("the read does not end")
@@ -142,11 +144,12 @@
 	if stream.Close(true); p.Idle(key) != 0 || p.Open() != 0 {
 		t.Errorf("%d idle, %d open", p.Idle(key), p.Open())
 	}
-	stream.Cancel() // after the end: it affects no connection
+	stream.Cancel() // after Close it affects no connection
 }
 
-// A second response that arrives some ms after the first is not taken for the next one: once a backend has sent
-// unexpected bytes, a connection settles after each response, and meanwhile another one is opened.
+// A second response that arrives some ms after the first must not be taken for the response to the next
+// request. Once a backend has sent unexpected bytes, connections are reused only after a delay, and others
+// are opened meanwhile.
 func TestLateSecondResponseIsNotTakenForTheNext(t *testing.T) {
 	requests := make(chan net.Conn, 8)
 	addr := startPeer(t, func(c net.Conn) {
@@ -158,7 +161,7 @@
 		}
 	})
 	p, key := New(waitTimeout, time.Minute, 8), newKey()
-	do := func(extra string, meanwhile func(c net.Conn)) string {
+	do := func(extra string, beforeResponse func(c net.Conn)) string {
 		got := make([]byte, 6)
 		done := make(chan core.Result, 1)
 		go func() {
@@ -170,20 +173,20 @@
 				}})
 		}()
 		c := <-requests
-		meanwhile(c)
+		beforeResponse(c)
 		io.WriteString(c, "answer"+extra)
 		if r := <-done; r.Status != policy.OK {
 			t.Fatalf("%+v", r)
 		}
 		return string(got)
 	}
-	do("second", func(net.Conn) {}) // in one segment: noticed at once, and its connection closed
+	do("second", func(net.Conn) {}) // in one segment: noticed at once, and the connection closed
 	var first net.Conn
 	do("", func(c net.Conn) { first = c })
 	if p.Idle(key) != 1 {
 		t.Fatalf("%d idle", p.Idle(key))
 	}
-	got := do("", func(net.Conn) { io.WriteString(first, "second") }) // the request has been sent
+	got := do("", func(net.Conn) { io.WriteString(first, "second") }) // after the next request was written
 	if got != "answer" {
 		t.Errorf("the next response is %q", got)
 	}
--- a/internal/upstream/conns/pool.go
+++ b/internal/upstream/conns/pool.go
@@ -1,5 +1,5 @@
-// Package conns pools connections to backends, for the upstreams of all protocols: they share the bound on
-// descriptors, never a connection. Exchange is one attempt on a connection.
+// Package conns pools connections to backends for the upstreams of all protocols. They share one limit on
+// descriptors but never a connection. Exchange is one attempt on a connection.
 package conns
 
 import (
@@ -18,52 +18,53 @@
 )
 
 const (
-	// defaultTimeout stands for a connect timeout or keepalive of 0.
+	// defaultTimeout is used for a connect timeout or keepalive that is not positive.
 	defaultTimeout = time.Second
 	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 4 << 10
 
-	// A second response to one request may arrive some ms after the first, behind the last byte of the next
-	// request, and nothing in it says which request it belongs to. For settlePeriod after any connection
-	// brought unexpected bytes, a connection is therefore used again only settleTime after its response.
+	// A second response to one request may arrive some ms after the first, when the next request has already
+	// been written, and nothing in it says which request it belongs to. For settlePeriod after unexpected
+	// bytes arrived on any connection, connections are therefore reused only settleTime after their last
+	// response.
 	settleTime   = 50 * time.Millisecond
 	settlePeriod = time.Minute
 )
 
-// ErrTooManyConns says that the pool has as many connections as it may have, all of them in use.
-var ErrTooManyConns = errors.New("no descriptor left for a connection")
+// ErrTooManyConns says that the pool is at its connection limit and all connections are in use.
+var ErrTooManyConns = errors.New("connection limit reached, and all connections are in use")
 
-// Pool has the idle connections to backends and bounds the number of all connections. Its methods may be called
-// from any goroutine.
+// Pool keeps idle connections to backends and limits the total number of connections. Its methods are safe
+// for concurrent use.
 //
-// http.Transport is not used: it resends requests on a broken idle connection, and does not say whether the last
-// byte of a request was written, which decides whether an attempt may have run.
+// http.Transport is not suitable: it resends requests when an idle connection breaks, and does not report
+// whether the last byte of a request was written, which decides whether an attempt may have run.
 type Pool struct {
-	// AttemptsWritten, if not nil, counts the attempts that were written completely. It is set before the
-	// first attempt.
+	// AttemptsWritten, if not nil, counts the attempts that were written completely. It must be set before
+	// the first attempt.
 	AttemptsWritten *atomic.Int64
 
 	connectTimeout time.Duration
-	keepalive      time.Duration // idle connections older than this are not used
+	keepalive      time.Duration // connections that were idle longer are not used
 	idleAges       idleAges
 
 	mu       sync.Mutex
 	maxConns int
-	open     int // idle and in use
-	// idle has the idle connections, the most recently used last; a key without any has no entry. The key is the
-	// backend and not its address, which may pass from a removed backend to another one.
+	open     int // number of connections, idle and in use
+	// idle has the idle connections, the most recently used last; a key without any has no entry. The key has
+	// the backend rather than its address, which another backend may get after this one is removed.
 	idle         map[Key][]*Conn
-	unexpectedAt time.Time // when a connection last brought unexpected bytes
+	unexpectedAt time.Time // when unexpected bytes last arrived on a connection
 }
 
-// Key says which connections are interchangeable: those to one backend with one protocol.
+// Key identifies interchangeable connections: those to one backend with one protocol.
 type Key struct {
 	Backend *core.Backend
-	Kind    uint8 // of protocol: 0 is HTTP, other upstreams number their own
+	Kind    uint8 // of protocol: 0 is HTTP, other upstreams define their own numbers
 }
 
-// New returns a pool of at most maxConns connections. Idle ones are closed after keepalive. Times of 0 mean a
-// second.
+// New returns a pool of at most maxConns connections. Idle connections are closed after keepalive. Times that
+// are not positive mean one second.
 func New(connectTimeout, keepalive time.Duration, maxConns int) *Pool {
 	if connectTimeout <= 0 {
 		connectTimeout = defaultTimeout
@@ -79,10 +80,11 @@
 	}
 }
 
-// ConnectTimeout is how long connecting may take.
+// ConnectTimeout returns the connect timeout.
 func (p *Pool) ConnectTimeout() time.Duration { return p.connectTimeout }
 
-// SetMax changes the bound on connections. While there are more, idle ones are closed and none is opened.
+// SetMax changes the connection limit. While there are more connections, idle ones are closed and none is
+// opened.
 func (p *Pool) SetMax(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,24 +93,25 @@
 	}
 }
 
-// Open is the number of connections, idle ones and those in use.
+// Open returns the number of connections, idle and in use.
 func (p *Pool) Open() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// Idle is the number of idle connections of a key.
+// Idle returns the number of idle connections of a key.
 func (p *Pool) Idle(key Key) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[key])
 }
 
-// RecordEnd records whether an attempt ended with a reset of its connection, without a byte of a response.
+// RecordEnd records an attempt on a connection, and whether it ended with a reset before the first byte of a
+// response.
 func (p *Pool) RecordEnd(cn *Conn, reset bool) { p.idleAges.record(cn.ageBucket, reset) }
 
-// Adopt adds an idle connection that was opened elsewhere.
+// Adopt adds an idle connection that the caller opened.
 func (p *Pool) Adopt(nc net.Conn, key Key, addr string) {
 	p.mu.Lock()
 	p.open++
@@ -116,8 +119,8 @@
 	p.Put(&Conn{Conn: nc, Reader: bufio.NewReader(nc), key: key, addr: addr})
 }
 
-// Get returns an idle connection that is still usable, the most recently used first, or opens one until the
-// deadline. The caller ends its use with Put or Close.
+// Get returns the most recently used idle connection that is still usable, or opens a new one before the
+// deadline. The caller must return it with Put or Close.
 func (p *Pool) Get(ctx context.Context, key Key, addr string, deadline time.Time) (*Conn, error) {
 	for {
 		cn, err := p.takeIdleOrReserve(key)
@@ -136,8 +139,8 @@
 	}
 }
 
-// takeIdleOrReserve takes an idle connection. Where there is none it returns nil and counts a connection that is to
-// be opened; at the bound an idle one of any key is closed for it.
+// takeIdleOrReserve removes and returns an idle connection. If there is none it returns nil and counts the
+// connection that the caller will open; at the limit it closes an idle connection of any key to make room.
 func (p *Pool) takeIdleOrReserve(key Key) (*Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,8 +154,8 @@
 	return nil, nil
 }
 
-// takeIdle removes and returns the idle connection that was used last and has settled; nil: there is none. The
-// lock is held.
+// takeIdle removes and returns the most recently used idle connection, or nil if there is none. It skips
+// connections that have not settled yet (see settleTime). The caller holds the lock.
 func (p *Pool) takeIdle(key Key) *Conn {
 	idle := p.idle[key]
 	last := len(idle) - 1
@@ -169,7 +172,7 @@
 	return cn
 }
 
-// dial opens a connection that has been counted.
+// dial opens a connection that is already counted in p.open.
 func (p *Pool) dial(ctx context.Context, key Key, addr string, deadline time.Time) (*Conn, error) {
 	dialer := net.Dialer{Deadline: deadline, KeepAlive: -1}
 	nc, err := dialer.DialContext(ctx, "tcp", addr)
@@ -182,7 +185,7 @@
 	return &Conn{Conn: nc, Reader: bufio.NewReaderSize(nc, readBufferBytes), key: key, addr: addr}, nil
 }
 
-// setIdle sets the idle connections of a key. The lock is held.
+// setIdle sets the idle connections of a key. The caller holds the lock.
 func (p *Pool) setIdle(key Key, idle []*Conn) {
 	if len(idle) == 0 {
 		delete(p.idle, key)
@@ -191,7 +194,8 @@
 	p.idle[key] = idle
 }
 
-// evict closes the connection that has been idle longest; false if none is idle. The lock is held.
+// evict closes the connection that has been idle longest. It returns false if none is idle. The caller holds
+// the lock.
 func (p *Pool) evict() bool {
 	var oldest *Conn
 	for _, idle := range p.idle {
@@ -208,8 +212,8 @@
 	return true
 }
 
-// Put returns a connection for the next attempt. It is closed if its backend is unavailable, or if it brought
-// more than its response: that would be taken for the next one.
+// Put returns a connection to the pool. It is closed if its backend is unavailable, or if bytes arrived after
+// its response: they would be read as the next response.
 func (p *Pool) Put(cn *Conn) {
 	cn.SetDeadline(time.Time{})
 	cn.idleSince = time.Now()
@@ -222,7 +226,7 @@
 	p.idle[cn.key] = append(p.idle[cn.key], cn)
 }
 
-// Close closes a connection that Get returned.
+// Close closes a connection that Get returned, instead of Put.
 func (p *Pool) Close(cn *Conn) {
 	cn.Close()
 	p.mu.Lock()
@@ -246,8 +250,8 @@
 	}
 }
 
-// CloseExpired closes connections that have been idle for the keepalive, and those to backends that became
-// unavailable while a connection was in use.
+// CloseExpired closes connections that have been idle for the keepalive time, and idle ones to backends that
+// became unavailable while a connection was in use.
 func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -262,9 +266,9 @@
 	}
 }
 
-// isSilent says whether a connection without a request is open and brought no bytes. One that the peer closed, or
-// that brought unexpected bytes, must not carry a request: it would end as a reset, or take those bytes for its
-// response.
+// isSilent says whether a connection without a request is open and has no unread bytes. Otherwise it must not
+// carry a request, which would end with a reset if the peer closed the connection, or take the unexpected
+// bytes for its response.
 func (p *Pool) isSilent(cn *Conn) bool {
 	if cn.Reader.Buffered() > 0 {
 		p.noteUnexpectedBytes()
@@ -283,7 +287,7 @@
 	p.unexpectedAt = time.Now()
 }
 
-// localErrors are those of Get for which the backend is not responsible.
+// localErrors are the errors of Get for which the backend is not responsible.
 var localErrors = []error{
 	ErrTooManyConns,
 	syscall.EMFILE,
@@ -293,7 +297,7 @@
 	context.Canceled,
 }
 
-// IsLocalError says whether an error of Get is due to this host or process, not to the backend.
+// IsLocalError says whether an error of Get is caused by this host or process and not by the backend.
 func IsLocalError(err error) bool {
 	return slices.ContainsFunc(localErrors, func(local error) bool { return errors.Is(err, local) })
 }
--- a/internal/upstream/conns/pool_test.go
+++ b/internal/upstream/conns/pool_test.go
@@ -13,7 +13,8 @@
 // waitTimeout bounds each wait of the tests.
 const waitTimeout = 20 * time.Second
 
-// startPeer starts a server that calls do with each connection, then waits for its end.
+// startPeer starts a server that calls do with each connection, then reads until the client closes it. It
+// returns the server's address.
 func startPeer(t *testing.T, do func(net.Conn)) string {
 	t.Helper()
 	a, err := lab.Accept(func(c net.Conn) {
@@ -41,7 +42,7 @@
 
 func newKey() Key { return Key{Backend: &core.Backend{}} }
 
-// A new backend at the address of a removed one gets none of its connections.
+// A new backend with the address of a removed one must not get connections of the removed one.
 func TestAddressOfARemovedBackend(t *testing.T) {
 	addr := startPeer(t, nil)
 	p, removed, successor := New(waitTimeout, time.Minute, 8), newKey(), newKey()
@@ -59,14 +60,14 @@
 	}
 }
 
-// Beyond the bound no connection is opened, unless an idle one of another backend can be closed.
+// At the limit no connection is opened, unless an idle one of another backend can be closed.
 func TestMaxConns(t *testing.T) {
 	p, one, two := New(waitTimeout, time.Minute, 2), newKey(), newKey()
 	addr := startPeer(t, nil)
 	x := getConn(t, p, one, addr)
 	getConn(t, p, one, addr)
 	if _, err := p.Get(t.Context(), one, addr, time.Now().Add(waitTimeout)); err != ErrTooManyConns || !IsLocalError(err) {
-		t.Errorf("a third connection of two: %v", err)
+		t.Errorf("third connection with a limit of 2: %v", err)
 	}
 	p.Put(x)
 	getConn(t, p, two, addr)
@@ -75,54 +76,54 @@
 	}
 }
 
-// An idle connection is used again unless it was closed, brought unexpected bytes, has another address or another
-// protocol, or the idle connections of its backend were closed.
+// An idle connection is reused unless it was closed, received unexpected bytes, was idle for too long, has
+// another address or protocol, or the idle connections of its backend were closed.
 func TestIdleConnReuse(t *testing.T) {
 	silent := startPeer(t, nil)
-	acted := make(chan struct{}, 8)
-	closes := startPeer(t, func(c net.Conn) { c.Close(); acted <- struct{}{} })
-	talks := startPeer(t, func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\n"); acted <- struct{}{} })
-	reused := func(addr string, between func(p *Pool, key *Key, addr *string)) bool {
+	peerActed := make(chan struct{}, 8)
+	closes := startPeer(t, func(c net.Conn) { c.Close(); peerActed <- struct{}{} })
+	sends := startPeer(t, func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\n"); peerActed <- struct{}{} })
+	reused := func(addr string, change func(p *Pool, key *Key, addr *string)) bool {
 		p, key := New(waitTimeout, time.Minute, 8), newKey()
 		x := getConn(t, p, key, addr)
 		if addr != silent {
-			<-acted
+			<-peerActed
 			for end := time.Now().Add(waitTimeout); p.isSilent(x) && time.Now().Before(end); {
-				time.Sleep(time.Millisecond) // until what the peer did arrives
+				time.Sleep(time.Millisecond) // until the peer's action arrives
 			}
-			// As if it had been put back before.
+			// As if it had been returned to the pool before the peer acted.
 			p.idle[key], x.idleSince = []*Conn{x}, time.Now()
 		} else {
 			p.Put(x)
 		}
-		if between != nil {
-			between(p, &key, &addr)
+		if change != nil {
+			change(p, &key, &addr)
 		}
 		return getConn(t, p, key, addr) == x
 	}
 	other := startPeer(t, nil)
 	for name, test := range map[string]struct {
-		addr    string
-		between func(*Pool, *Key, *string)
-		want    bool
+		addr   string
+		change func(*Pool, *Key, *string)
+		want   bool
 	}{
 		"silent":           {silent, nil, true},
 		"closed":           {closes, nil, false},
-		"brought bytes":    {talks, nil, false},
+		"unexpected bytes": {sends, nil, false},
 		"another address":  {silent, func(_ *Pool, _ *Key, addr *string) { *addr = other }, false},
 		"another protocol": {silent, func(_ *Pool, key *Key, _ *string) { key.Kind = 3 }, false},
-		"closed by us":     {silent, func(p *Pool, key *Key, _ *string) { p.CloseIdle(key.Backend) }, false},
+		"idle ones closed": {silent, func(p *Pool, key *Key, _ *string) { p.CloseIdle(key.Backend) }, false},
 		"too old": {silent, func(p *Pool, key *Key, _ *string) {
 			p.idle[*key][0].idleSince = time.Now().Add(-2 * time.Minute)
 		}, false},
 	} {
-		if got := reused(test.addr, test.between); got != test.want {
-			t.Errorf("%s: used again: %v", name, got)
+		if got := reused(test.addr, test.change); got != test.want {
+			t.Errorf("%s: reused: %v", name, got)
 		}
 	}
 }
 
-// If connections that were idle for long are reset, only those are replaced by new ones.
+// If connections are reset after a long idle time, shorter idle ones stay usable.
 func TestIdleAges(t *testing.T) {
 	var a idleAges
 	for range 200 {
@@ -135,7 +136,8 @@
 	}
 }
 
-// A smaller bound closes idle connections at once, and none is opened until there are few enough.
+// Lowering the limit closes idle connections at once, and none is opened until there are fewer than the
+// limit.
 func TestSetMax(t *testing.T) {
 	p := New(time.Second, time.Minute, 4)
 	b := &core.Backend{}
@@ -161,7 +163,7 @@
 		t.Errorf("%d open, want the 3 in use", p.Open())
 	}
 	if _, err := get(); err != ErrTooManyConns {
-		t.Errorf("another one: %v", err)
+		t.Errorf("another connection above the limit: %v", err)
 	}
 	p.Close(used[1])
 	p.Close(used[2])
--- a/internal/upstream/conns/stream.go
+++ b/internal/upstream/conns/stream.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// streamReadTimeout bounds how long a backend may send nothing of a response that it has begun.
+// streamReadTimeout bounds how long a backend may pause within a response.
 const streamReadTimeout = 15 * time.Second
 
-// Stream is the part of a response that is still to be read while the rest is already passed on. It owns the
+// Stream is the remaining part of a response whose beginning is already being forwarded. It owns the
 // connection until it is closed.
 type Stream struct {
 	pool     *Pool
 	read     func(p []byte) (int, error)
-	reusable bool // the connection may carry another request after the response
+	reusable bool // whether the connection may carry another request after the response
 
 	mu   sync.Mutex
 	conn *Conn // nil: closed
 }
 
-// NewStream hands the connection of a response to a stream that read reads. It is called by
-// Exchange.ReadResponse, which returns the stream in its reply.
+// NewStream returns a stream that calls read for its content and takes ownership of the connection. It is
+// called by Exchange.ReadResponse, which returns the stream in its reply.
 func (p *Pool) NewStream(cn *Conn, read func(p []byte) (int, error), reusable bool) *Stream {
 	cn.stream = &Stream{pool: p, conn: cn, read: read, reusable: reusable}
 	return cn.stream
 }
 
-// Read reads the next bytes; io.EOF says that the response is complete.
+// Read reads the next bytes. It returns io.EOF once the response is complete.
 func (s *Stream) Read(p []byte) (int, error) {
 	s.mu.Lock()
 	cn := s.conn
@@ -39,7 +39,7 @@
 	return s.read(p)
 }
 
-// Cancel ends the current Read and each later one. It may be called from any goroutine, at any time.
+// Cancel makes the current Read and all later ones fail. It may be called from any goroutine at any time.
 func (s *Stream) Cancel() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,8 @@
 	}
 }
 
-// Close gives the connection back. complete says that Read returned io.EOF.
+// Close returns the connection to the pool, or closes it if it can't be reused. complete says that Read
+// returned io.EOF.
 func (s *Stream) Close(complete bool) {
 	s.mu.Lock()
 	cn := s.conn
@@ -57,7 +58,7 @@
 	if cn == nil {
 		return
 	}
-	if complete && s.reusable && !cn.cancelled { // nobody can cancel it any longer
+	if complete && s.reusable && !cn.cancelled { // without its lock: Cancel can't reach cn any more
 		s.pool.Put(cn)
 	} else {
 		s.pool.Close(cn)
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -15,7 +15,8 @@
 	maxEndpointTables = 16
 	// maxReportValues is the largest number of values in a load report.
 	maxReportValues = 4
-	// readStepBytes is the size of the steps in which memory is allocated for bytes that have not arrived yet.
+	// readStepBytes is the size of the steps in which memory is allocated for bytes that have not arrived
+	// yet.
 	readStepBytes = 1 << 20
 )
 
@@ -29,8 +30,8 @@
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
 
-// Next reads one batch and calls handle for each of its records in order, with the time of the batch. Where the input
-// ends between two batches it returns io.EOF, not wrapped. Other errors name the invalid field.
+// Next reads one batch and calls handle for each of its records in order, with the time of the batch. Where
+// the input ends between two batches it returns io.EOF, not wrapped. Other errors name the invalid field.
 func (d *Decoder) Next(handle func(now float64, rec *Record) error) error {
 	count, err := d.readBatch()
 	if err != nil {
@@ -78,8 +79,8 @@
 	return int(count), d.readBody(int(size))
 }
 
-// readBody reads size bytes into d.buf. It allocates in steps, so that a wrong length costs no more than about twice the
-// memory of what has arrived.
+// readBody reads size bytes into d.buf. It allocates in steps, so that a wrong length costs no more than
+// about twice the memory of what has arrived.
 func (d *Decoder) readBody(size int) error {
 	d.buf = d.buf[:0]
 	for len(d.buf) < size {
@@ -96,8 +97,8 @@
 	return nil
 }
 
-// tailSlice returns the part of the tail that a field refers to. The field has an offset in bytes and a length in units
-// of unitBytes.
+// tailSlice returns the part of the tail that a field refers to. The field has an offset in bytes and a
+// length in units of unitBytes.
 func tailSlice(field string, raw, tail []byte, unitBytes int) ([]byte, error) {
 	offset := uint64(binary.BigEndian.Uint32(raw))
 	length := uint64(binary.BigEndian.Uint32(raw[4:]))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,8 +8,8 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// ParseSettings parses the JSON text of a boot record. Unknown keys are ignored. If a value has the wrong type, the
-// error names its key.
+// ParseSettings parses the JSON text of a boot record. Unknown keys are ignored. If a value has the wrong
+// type, the error names its key.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	var settings policy.Settings
 	if err := json.Unmarshal(text, &settings); err != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the binary frames of the simulator and the events and actions of package policy. It
-// maps the names of the simulator's protocol to those of policy and makes no decisions.
+// Package wire translates between the binary frames of the simulator and the events and actions of package
+// policy. It maps the names of the simulator's protocol to those of policy and makes no decisions.
 package wire
 
 import (
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -81,7 +81,8 @@
 	}
 }
 
-// A batch may replace an endpoint table: each event has the endpoints that the table had at its position in the batch.
+// A batch may replace an endpoint table: each event has the endpoints that the table had at its position in
+// the batch.
 func TestEndpointTablesAreReplacedInOrder(t *testing.T) {
 	entry := func(port string) string {
 		return "0001 40b7d40000000000 01 0a9011f2" + port + "3fc00000 0002 01"
