--- a/internal/upstream/http/chunked.go
+++ b/internal/upstream/http/chunked.go
@@ -11,24 +11,25 @@
 	"ringtrack.example/ringtrack/internal/upstream/conns"
 )
 
-// maxTrailerBytes bounds the trailers of a chunked body, their empty line included: the limit of net/http's reader.
+// maxTrailerBytes bounds the trailer section of a chunked body, including the final empty line. net/http's
+// reader has the same limit.
 const maxTrailerBytes = 4 << 10
 
 var crlf = []byte("\r\n")
 
-// chunkedReader reads a chunked body (RFC 9112, section 7.1). Unlike net/http's reader it can be used after a
-// timeout: a response that arrives slowly is passed on from where it was.
+// chunkedReader reads a chunked body (RFC 9112, section 7.1). Unlike net/http's reader it can continue after
+// a read timeout, so that the rest of a slow response can be streamed.
 type chunkedReader struct {
 	br         *bufio.Reader
-	chunkLeft  int64 // unread bytes of the chunk
-	total      int64 // bytes of the body, this chunk included
-	inChunk    bool  // the end of a chunk is still to be read
+	chunkLeft  int64 // unread bytes of the current chunk
+	total      int64 // bytes of the body, including the current chunk
+	inChunk    bool  // the CR LF at the end of the current chunk has not been read
 	inTrailers bool  // the last chunk has been read
 	ended      bool
-	trailers   []byte // as far as they have arrived
+	trailers   []byte // the part that has been read
 }
 
-// Read reads the body. After a timeout of the connection it may be called again.
+// Read reads the body. After a read timeout it may be called again and continues.
 func (c *chunkedReader) Read(p []byte) (int, error) {
 	for c.chunkLeft == 0 {
 		if err := c.nextChunk(); err != nil {
@@ -40,7 +41,8 @@
 	return n, unexpectedEOF(err)
 }
 
-// nextChunk takes one step towards the data of the next chunk; io.EOF: the body has ended.
+// nextChunk reads the next element between chunk data: a chunk's end, a size line, or the trailers. It
+// returns io.EOF at the end of the body.
 func (c *chunkedReader) nextChunk() error {
 	switch {
 	case c.ended:
@@ -55,21 +57,21 @@
 	return c.readChunkSize()
 }
 
-// readChunkEnd reads the line end after the data of a chunk.
+// readChunkEnd reads the CR LF after the data of a chunk.
 func (c *chunkedReader) readChunkEnd() error {
 	end, err := c.br.Peek(len(crlf))
 	if err != nil {
 		return unexpectedEOF(err)
 	}
 	if !bytes.Equal(end, crlf) {
-		return conns.MalformedResponse("a chunk longer than its size")
+		return conns.MalformedResponse("chunk is longer than its size")
 	}
 	c.br.Discard(len(crlf))
 	c.inChunk = false
 	return nil
 }
 
-// readChunkSize reads the line before the data of a chunk. Extensions are ignored.
+// readChunkSize reads the line with the size of the next chunk. Chunk extensions are ignored.
 func (c *chunkedReader) readChunkSize() error {
 	line, err := peekLine(c.br)
 	if err != nil {
@@ -80,7 +82,7 @@
 	text = bytes.TrimRight(text, " \t")
 	size, err := strconv.ParseUint(string(text), 16, 63)
 	if !hasCRLF || err != nil || c.total+int64(min(size, MaxResponseBodyBytes+1)) > MaxResponseBodyBytes {
-		return conns.MalformedResponse("chunk size %.20q", line)
+		return conns.MalformedResponse("invalid chunk size %.20q", line)
 	}
 	c.br.Discard(len(line))
 	if size == 0 {
@@ -93,9 +95,9 @@
 	return nil
 }
 
-// readTrailers reads the end of a chunked body: trailer fields, which are ignored, and an empty line that is CR LF
-// and nothing else (RFC 9112, section 7.1.2). What net/http's reader does not take for the end is malformed:
-// responses get mixed up on a reused connection where two readers disagree on the end of one.
+// readTrailers reads the end of a chunked body: trailer fields, which are ignored, and an empty line, which
+// must be exactly CR LF (RFC 9112, section 7.1.2). An end that net/http's reader does not accept is
+// malformed: if two readers disagree on the end of a response, responses on a reused connection get mixed up.
 func (c *chunkedReader) readTrailers() error {
 	for {
 		line, err := peekLine(c.br)
@@ -108,11 +110,11 @@
 		case len(c.trailers) > maxTrailerBytes:
 			return conns.MalformedResponse("trailers too large")
 		case !bytes.HasSuffix(line, crlf):
-			return conns.MalformedResponse("a trailer line without CR LF")
+			return conns.MalformedResponse("trailer line does not end in CR LF")
 		case len(line) > len(crlf):
 			continue
 		case len(c.trailers) == len(crlf):
-			return nil // no trailer fields, as nearly always
+			return nil // no trailer fields, the usual case
 		}
 		if _, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(c.trailers))).ReadMIMEHeader(); err != nil {
 			return conns.MalformedResponse("trailers: %v", err)
@@ -121,7 +123,7 @@
 	}
 }
 
-// peekLine waits for a complete line, and leaves it in the buffer.
+// peekLine waits for a complete line and returns it without consuming it.
 func peekLine(br *bufio.Reader) ([]byte, error) {
 	for n := max(br.Buffered(), 1); ; n = max(n+1, br.Buffered()) {
 		line, err := br.Peek(n)
@@ -136,7 +138,7 @@
 	}
 }
 
-// unexpectedEOF replaces the end of the connection, which came before the end of the body.
+// unexpectedEOF replaces io.EOF, the end of the connection within the body, by io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
--- a/internal/upstream/http/healthcheck.go
+++ b/internal/upstream/http/healthcheck.go
@@ -14,13 +14,13 @@
 const (
 	healthPath = "/-/healthy"
 	loadPath   = "/-/load"
-	// healthCheckHead follows the path in the request of a health check.
+	// healthCheckHead is the part of a health check request after the path.
 	healthCheckHead = " HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 )
 
-// HealthCheck checks the health of a backend beside its requests. It requests the load report if ReportFields
-// names any fields, else whether the backend is healthy. A 503 says that the backend runs and accepts nothing now;
-// a 404, that it has no health checks, which says nothing.
+// HealthCheck makes an active health check of a backend. It requests the load report if ReportFields names
+// any fields, otherwise only the health. A 503 means that the backend runs but accepts no requests now. A 404
+// means that it does not support health checks, so nothing is known.
 func (u *Upstream) HealthCheck(ctx context.Context, b *core.Backend, addr string, sent, deadline time.Time) core.Result {
 	path := healthPath
 	if len(u.ReportFields) > 0 {
@@ -40,19 +40,19 @@
 	})
 }
 
-// readHealthCheck reads the response to a health check, whose body is at most unreservedBytes long.
+// readHealthCheck reads the response to a health check. Its body must not be longer than unreservedBytes.
 func (u *Upstream) readHealthCheck(cn *conns.Conn) (core.Result, bool, error) {
-	size := int64(0) // a chunked body reserves as it grows
+	size := int64(0) // of the body so far: a chunked one reserves memory as it grows
 	reserve := func(n int64) error {
 		size += n
 		if size > unreservedBytes {
-			return conns.MalformedResponse("health check with over %d bytes", unreservedBytes)
+			return conns.MalformedResponse("health check response with a body over %d bytes", unreservedBytes)
 		}
 		return nil
 	}
 	resp, body, err := readResponse(cn.Reader, reserve, nil)
 	if err == nil && body.readMore != nil {
-		err = conns.MalformedResponse("health check with %d bytes", body.size)
+		err = conns.MalformedResponse("health check response with a body of %d bytes", body.size)
 	}
 	if err != nil {
 		return core.Result{}, false, err
--- a/internal/upstream/http/report.go
+++ b/internal/upstream/http/report.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// parseReport reads a load report, "name=value, ..." in any order, and returns its values in the order of names.
-// Of several header fields the first valid one counts; nil: none is.
+// parseReport parses a load report, "name=value, ..." in any order, and returns its values in the order of
+// names. It uses the first valid header field and returns nil if there is none.
 func parseReport(fields, names []string) []float32 {
 	if len(names) == 0 {
 		return nil
@@ -20,7 +20,8 @@
 	return nil
 }
 
-// parseReportField reads one header field; nil: it lacks a value, has one twice, or one that no load can have.
+// parseReportField parses one header field. It returns nil if a value is missing, duplicate, not a number,
+// negative or infinite.
 func parseReportField(text string, names []string) []float32 {
 	values := make([]float32, len(names))
 	found := make([]bool, len(names))
--- a/internal/upstream/http/request.go
+++ b/internal/upstream/http/request.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// streamBufferBytes is how much of a body that is passed on is read at once.
+	// streamBufferBytes is the size of the buffer with which a request body is forwarded.
 	streamBufferBytes = 16 << 10
 
 	timeoutHeader = "Request-Timeout-Ms"
@@ -27,14 +27,14 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Remaining is the part of the body after Body, which is sent as it arrives; nil: there is none. It is read
-	// once, and its errors are the client's.
+	// Remaining is the part of the body after Body, or nil if there is none. It is forwarded as it arrives.
+	// It can be read only once, and its errors are the client's fault.
 	Remaining io.Reader
-	Length    int64 // of the complete body; -1: unknown. Used with Remaining only.
+	Length    int64 // of the complete body, -1 if unknown; used only with Remaining
 }
 
-// Head encodes the head of the request to a backend, with the timeout. The target is the client's:
-// http.Request would normalise it.
+// Head encodes the request line and header of the request to a backend, with the timeout. It writes the
+// client's target unchanged; http.Request would normalise it.
 func (c *Call) Head(timeout time.Duration) []byte {
 	h := EndToEnd(c.Header)
 	h.Set(timeoutHeader, strconv.FormatInt(max(timeout.Milliseconds(), 1), 10))
@@ -48,12 +48,12 @@
 	}
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "%s %s HTTP/1.1\r\nHost: %s\r\n", c.Method, c.Target, c.Host)
-	_ = h.Write(&out) // a bytes.Buffer returns no errors
+	_ = h.Write(&out) // writing to a bytes.Buffer never fails
 	out.WriteString("\r\n")
 	return out.Bytes()
 }
 
-// encodedBody is Body as it is sent ahead of Remaining.
+// encodedBody returns Body as it is sent before Remaining.
 func (c *Call) encodedBody() []byte {
 	if c.Length < 0 {
 		return appendChunk(nil, c.Body)
@@ -61,7 +61,7 @@
 	return c.Body
 }
 
-// writeRemaining writes the remaining body as it arrives.
+// writeRemaining writes the rest of the body as it arrives from the client.
 func (c *Call) writeRemaining(w io.Writer) error {
 	buf := make([]byte, streamBufferBytes)
 	left := c.Length - int64(len(c.Body))
@@ -69,11 +69,11 @@
 		n, err := c.Remaining.Read(buf)
 		left -= int64(n)
 		if n > 0 {
-			piece := buf[:n]
+			data := buf[:n]
 			if c.Length < 0 {
-				piece = appendChunk(nil, piece)
+				data = appendChunk(nil, data)
 			}
-			if _, err := w.Write(piece); err != nil {
+			if _, err := w.Write(data); err != nil {
 				return err
 			}
 		}
@@ -89,7 +89,8 @@
 	}
 }
 
-// appendChunk appends data as a chunk. Empty data has none: an empty chunk ends the body.
+// appendChunk appends data as a chunk. For empty data it appends nothing, as an empty chunk would end the
+// body.
 func appendChunk(to, data []byte) []byte {
 	if len(data) == 0 {
 		return to
@@ -100,8 +101,8 @@
 	return append(to, "\r\n"...)
 }
 
-// hopByHop are the header fields that are for one connection only.
-var hopByHop = []string{
+// hopByHopFields are the header fields that apply to a single connection and are not forwarded.
+var hopByHopFields = []string{
 	"Connection",
 	"Keep-Alive",
 	"Proxy-Connection",
@@ -113,7 +114,7 @@
 	"Content-Length",
 }
 
-// EndToEnd returns the header fields that are not for one connection only.
+// EndToEnd returns a copy of the header without the hop-by-hop fields.
 func EndToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h.Values("Connection") {
@@ -121,7 +122,7 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopFields {
 		out.Del(name)
 	}
 	return out
--- a/internal/upstream/http/response.go
+++ b/internal/upstream/http/response.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// maxHeadBytes bounds the head of a response.
+	// maxHeadBytes bounds the status line and header of a response.
 	maxHeadBytes = 16 << 10
 	// maxInterimResponses bounds the 1xx responses before the final one.
 	maxInterimResponses = 8
-	// versionPrefix begins each status line.
+	// versionPrefix is the beginning of every status line.
 	versionPrefix = "HTTP/"
 )
 
-// reserveFunc reserves memory for n bytes of a body.
+// reserveFunc reserves n bytes of memory for a body.
 type reserveFunc func(n int64) error
 
-// deadlineFunc sets the deadline of reads; the zero time means the attempt's.
+// deadlineFunc sets the read deadline; the zero time restores that of the attempt.
 type deadlineFunc func(time.Time)
 
-// readResponse reads one final response and its complete body, or the beginning of a long one. Only a response
-// whose head and framing leave no doubt is returned; then nothing of what follows on the connection has been taken
-// for part of it. setDeadline may be nil.
+// readResponse reads one final response with its complete body, or the beginning of a long body. It returns
+// only responses whose header and framing are unambiguous, and consumes no bytes after them. setDeadline may
+// be nil.
 func readResponse(
 	br *bufio.Reader, reserve reserveFunc, setDeadline deadlineFunc,
 ) (*http.Response, *responseBody, error) {
@@ -55,8 +55,8 @@
 	return nil, nil, conns.MalformedResponse("more than %d interim responses", maxInterimResponses)
 }
 
-// readHead reads and parses a head. closes says whether it has "Connection: close". net/http parses the head alone:
-// with the connection it would read beyond this response.
+// readHead reads and parses a status line and header. closes says whether it has "Connection: close".
+// net/http gets only these bytes to parse: given the connection, it would read beyond this response.
 func readHead(br *bufio.Reader) (resp *http.Response, closes bool, err error) {
 	head, err := readHeadBytes(br)
 	if err != nil {
@@ -73,14 +73,14 @@
 	return resp, closes, nil
 }
 
-// readHeadBytes reads up to the empty line, and never more than maxHeadBytes.
+// readHeadBytes reads up to and including the empty line, and fails beyond maxHeadBytes.
 func readHeadBytes(br *bufio.Reader) ([]byte, error) {
-	// Bytes that are no response may have no line end: the first ones show it.
+	// Bytes that are not a response may never have a line end, so the first ones are checked at once.
 	for _, n := range []int{1, len(versionPrefix)} {
 		if start, err := br.Peek(n); err != nil {
 			return nil, err
 		} else if string(start) != versionPrefix[:n] {
-			return nil, conns.MalformedResponse("no status line")
+			return nil, conns.MalformedResponse("response does not start with a status line")
 		}
 	}
 	var head []byte
@@ -89,7 +89,7 @@
 		head = append(head, line...)
 		switch {
 		case len(head) > maxHeadBytes || err == bufio.ErrBufferFull:
-			return nil, conns.MalformedResponse("head too large")
+			return nil, conns.MalformedResponse("response header too large")
 		case err != nil:
 			return nil, err
 		case len(line) <= 2 && (line[0] == '\n' || line[0] == '\r'):
@@ -98,8 +98,9 @@
 	}
 }
 
-// checkHead rejects what net/http accepts silently: more than one length, or one beside a transfer encoding. It
-// returns whether the head has "Connection: close", which net/http also assumes where there is no length.
+// checkHead rejects what net/http accepts silently: several lengths, or a length together with a transfer
+// encoding. It returns whether the header has "Connection: close", which net/http also assumes if there is no
+// length.
 func checkHead(head []byte) (closes bool, err error) {
 	_, fields, _ := bytes.Cut(head, []byte("\n"))
 	h, err := textproto.NewReader(bufio.NewReader(bytes.NewReader(fields))).ReadMIMEHeader()
--- a/internal/upstream/http/responsebody.go
+++ b/internal/upstream/http/responsebody.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	// MaxResponseBodyBytes bounds the body of a response: one that claims more is malformed.
+	// MaxResponseBodyBytes bounds the body of a response. A response that announces more is malformed.
 	MaxResponseBodyBytes = 64 << 20
-	// maxBufferedBody is the longest body that is read completely before any of it is passed on. A longer one is
-	// passed on as it arrives, and so is one of unknown length that has not ended bufferTimeout after its head.
+	// maxBufferedBody is the maximum length of a body that is read completely before it is forwarded. A
+	// longer one is streamed, and so is one of unknown length that has not ended bufferTimeout after the
+	// header.
 	maxBufferedBody = 64 << 10
 	bufferTimeout   = 100 * time.Millisecond
 )
 
-// responseBody is the body of a response as far as it was read.
+// responseBody is the body of a response, or its beginning.
 type responseBody struct {
 	bytes    []byte
-	readMore func(p []byte) (int, error) // continues it and ends with io.EOF; nil: it is complete
-	size     int64                       // of the complete body; -1: unknown
+	readMore func(p []byte) (int, error) // reads the rest, up to io.EOF; nil: bytes is complete
+	size     int64                       // of the complete body, -1 if unknown
 }
 
 // readBody reads the body of a response, or the beginning of a long one.
@@ -47,14 +48,14 @@
 	case size >= 0:
 		return &responseBody{size: size, readMore: exactLength(io.LimitReader(br, size).Read, size)}, nil
 	case closes:
-		// It ends where the connection does (RFC 9112, section 6.3).
+		// The body ends when the connection is closed (RFC 9112, section 6.3).
 		return readUnknownLength(br, streamable, reserve, setDeadline)
 	}
-	// A complete response could not be distinguished from a truncated one.
-	return nil, conns.MalformedResponse("a response without length")
+	// A complete body could not be distinguished from a truncated one.
+	return nil, conns.MalformedResponse("response has neither a length nor \"Connection: close\"")
 }
 
-// readBuffered reads a body completely.
+// readBuffered reads a complete body of known size.
 func readBuffered(br *bufio.Reader, size int64, reserve reserveFunc) (*responseBody, error) {
 	if err := reserve(size); err != nil {
 		return nil, err
@@ -64,7 +65,7 @@
 	return b, err
 }
 
-// exactLength returns a reader for which the end of the body before its n bytes is io.ErrUnexpectedEOF.
+// exactLength wraps read so that io.EOF before n bytes becomes io.ErrUnexpectedEOF.
 func exactLength(read func(p []byte) (int, error), n int64) func(p []byte) (int, error) {
 	return func(p []byte) (int, error) {
 		m, err := read(p)
@@ -76,8 +77,9 @@
 	}
 }
 
-// readUnknownLength reads a body of unknown length and reserves memory as it grows. It reads it completely or, if
-// it is streamable, up to maxBufferedBody bytes and for bufferTimeout.
+// readUnknownLength reads a body of unknown length and reserves memory as it grows. If the body is
+// streamable, it reads at most maxBufferedBody bytes and no longer than bufferTimeout; otherwise it reads the
+// body completely.
 func readUnknownLength(
 	from io.Reader, streamable bool, reserve reserveFunc, setDeadline deadlineFunc,
 ) (*responseBody, error) {
--- a/internal/upstream/http/upstream.go
+++ b/internal/upstream/http/upstream.go
@@ -1,6 +1,7 @@
-// Package http makes attempts in HTTP/1.1 (RFC 9110, RFC 9112): it is the core's upstream for calls that came by
-// the downstream of the same name. It writes one request and reads one response, strictly: a response whose
-// framing is in doubt may have run, and closes its connection. It decides nothing and sends nothing twice.
+// Package http makes attempts over HTTP/1.1 (RFC 9110, RFC 9112). It is the upstream for calls that were
+// received by the HTTP downstream. An attempt writes one request and reads one response. Parsing is strict:
+// an attempt whose response has ambiguous framing counts as one that may have run, and its connection is
+// closed. The package makes no decisions and sends nothing twice.
 package http
 
 import (
@@ -18,18 +19,18 @@
 )
 
 const (
-	// unreservedBytes is what the body of a response may use of memory without reserving it.
+	// unreservedBytes is the memory that the body of a response may use without a reservation.
 	unreservedBytes = 4 << 10
 
-	notStartedHeader = "Not-Started" // "1": the backend says that the request did not run
+	notStartedHeader = "Not-Started" // "1": the backend states that the request did not run
 	loadHeader       = "Server-Load" // the load report
 )
 
-// Upstream makes attempts. Its methods may be called from any goroutine.
+// Upstream makes attempts over HTTP. Its methods are safe for concurrent use.
 type Upstream struct {
 	Pool         *conns.Pool
-	Budget       *semaphore.Weighted // memory for bodies over unreservedBytes
-	ReportFields []string            // of a load report, in the order of package policy; none: reports are not read
+	Budget       *semaphore.Weighted // memory for response bodies over unreservedBytes
+	ReportFields []string            // of load reports, in the order of package policy; empty: ignored
 }
 
 // Reply is a complete response.
@@ -42,26 +43,26 @@
 // Stream is a response whose body continues after Reply.Body.
 type Stream struct {
 	Reply
-	Length int64 // of the complete body; -1: unknown
+	Length int64 // of the complete body, -1 if unknown
 	stream *conns.Stream
 }
 
-// Read reads the body after Reply.Body; io.EOF says that it is complete.
+// Read reads the body after Reply.Body. It returns io.EOF once the body is complete.
 func (s *Stream) Read(p []byte) (int, error) { return s.stream.Read(p) }
 
 // Close ends the response. complete says that Read returned io.EOF.
 func (s *Stream) Close(complete bool) { s.stream.Close(complete) }
 
-// Cancel ends the current Read at once, and each later one. It may be called from any goroutine.
+// Cancel makes the current Read and all later ones fail. It may be called from any goroutine.
 func (s *Stream) Cancel() { s.stream.Cancel() }
 
 // CloseIdle closes the idle connections to a backend.
 func (u *Upstream) CloseIdle(b *core.Backend) { u.Pool.CloseIdle(b) }
 
-// CloseExpired closes connections that have been idle too long.
+// CloseExpired closes connections that have been idle for too long.
 func (u *Upstream) CloseExpired() { u.Pool.CloseExpired() }
 
-// Do makes one attempt. The payload of the call is a *Call.
+// Do makes one attempt. The payload of the call must be a *Call.
 func (u *Upstream) Do(
 	ctx context.Context, b *core.Backend, addr string, cc *core.Call, sent, deadline time.Time,
 ) core.Result {
@@ -92,7 +93,7 @@
 	return u.Pool.Do(ctx, x)
 }
 
-// readResult reads the response of an attempt.
+// readResult reads the response of an attempt and returns its result.
 func (u *Upstream) readResult(cn *conns.Conn, x *conns.Exchange, reserve func(int64) error) (core.Result, bool, error) {
 	reserveLarge := func(n int64) error {
 		if n <= unreservedBytes {
@@ -125,9 +126,9 @@
 	return result, false, nil
 }
 
-// statusOf is the outcome of an attempt with a complete response. Only the backend itself can say that a request
-// did not run: a bare 503 or 504 may come from an intermediary while it runs. Other 4xx are about the request and
-// say nothing about the backend.
+// statusOf returns the outcome of an attempt with a complete response. Only the backend itself can state that
+// a request did not run: a 503 or 504 without that header may come from an intermediary while the request
+// runs. 4xx statuses other than 408 and 429 concern the request and say nothing about the backend.
 func statusOf(resp *http.Response) policy.Status {
 	switch code := resp.StatusCode; {
 	case code == http.StatusOK:
--- a/internal/upstream/http/upstream_test.go
+++ b/internal/upstream/http/upstream_test.go
@@ -22,7 +22,7 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// waitTimeout bounds each wait of the tests; none of them needs more than a part of it.
+// waitTimeout bounds each wait of the tests, which normally take much less.
 const waitTimeout = 20 * time.Second
 
 // testUpstream returns an upstream with at most maxConns connections.
@@ -45,8 +45,8 @@
 	return s
 }
 
-// A reset before the last byte is written proves that the attempt never ran; only the count of bytes written
-// distinguishes it from a later one.
+// A reset before the last byte was written proves that the attempt never ran. Only the number of bytes
+// written distinguishes it from a later reset.
 func TestResetBeforeLastByteNeverRan(t *testing.T) {
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
@@ -61,7 +61,7 @@
 		if err != nil {
 			return
 		}
-		c.Read(make([]byte, 1)) // the request has begun, and does not fit the buffers
+		c.Read(make([]byte, 1)) // the request has started, and is larger than the socket buffers
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}()
@@ -83,8 +83,8 @@
 	}
 }
 
-// A backend that begins to drain while the attempt connects gets nothing new, and an attempt that is cancelled
-// meanwhile says nothing about its backend.
+// A backend that starts to drain while an attempt connects gets no new request, and an attempt that is
+// cancelled while it connects is not counted against the backend.
 func TestNothingIsBegunOnceDrainingOrCancelled(t *testing.T) {
 	b := startServer(t)
 	s := testUpstream(8)
@@ -100,22 +100,22 @@
 	if res := s.Do(ctx, &core.Backend{}, b.Addr, c, now, now.Add(waitTimeout)); res.Status != policy.NotStarted {
 		t.Errorf("cancelled: ended as %d, want %d", res.Status, policy.NotStarted)
 	}
-	// After this one has arrived an earlier one would have, too.
+	// Once this request has arrived, one that was sent earlier would have arrived, too.
 	if res := s.Do(t.Context(), &core.Backend{}, b.Addr, c, now, now.Add(waitTimeout)); res.Status != policy.OK {
 		t.Errorf("ended as %d, want %d", res.Status, policy.OK)
 	}
 	if b.Begun() != 1 {
-		t.Errorf("%d arrivals, want 1", b.Begun())
+		t.Errorf("%d requests arrived, want 1", b.Begun())
 	}
 }
 
-// A failure on the agent's own host says nothing about the backend.
+// A failure on the agent's own host is not counted against the backend.
 func TestLocalFailureIsNotTheBackends(t *testing.T) {
 	b := startServer(t)
 	now := time.Now()
 	full := testUpstream(0)
 	if res := full.Do(t.Context(), &core.Backend{}, b.Addr, testCall(nil), now, now.Add(waitTimeout)); res.Status != policy.NotStarted {
-		t.Errorf("no descriptor: ended as %d, want %d", res.Status, policy.NotStarted)
+		t.Errorf("connection limit: ended as %d, want %d", res.Status, policy.NotStarted)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,7 +134,7 @@
 		"qps=3,util=0.5": "[]", "qps=3,util=x,eps=1": "[]", "": "[]", ",=,": "[]",
 		"qps=3,util=NaN,eps=1": "[]", "qps=Inf,util=0,eps=1": "[]", "qps=3,util=-1,eps=1": "[]",
 		"qps=3,util=0.5,eps=1,qps=4": "[]", "qps=1e99,util=0,eps=0": "[]",
-		"%%%|qps=3,util=0.5,eps=1": "[3 0.5 1]", // two fields, the first unreadable
+		"%%%|qps=3,util=0.5,eps=1": "[3 0.5 1]", // two fields, the first invalid
 	} {
 		if got := fmt.Sprint(parseReport(strings.Split(text, "|"), names)); got != want {
 			t.Errorf("%q parsed as %s, want %s", text, got, want)
@@ -142,12 +142,13 @@
 	}
 }
 
-// readFunc is a function as an io.Reader.
+// readFunc makes an io.Reader of a function.
 type readFunc func([]byte) (int, error)
 
 func (f readFunc) Read(p []byte) (int, error) { return f(p) }
 
-// Whatever arrives, the reader ends within its bounds, and what it takes for a response is the same to net/http.
+// For any input the reader stays within its limits, and net/http parses every response that it accepts the
+// same way.
 func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 103 E\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokrest"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nT: x\r\n\r\nrest"))
@@ -160,7 +161,7 @@
 		if len(body.bytes) > maxBufferedBody || resp.StatusCode < 200 {
 			t.Fatalf("%d bytes, status %d", len(body.bytes), resp.StatusCode)
 		}
-		if body.readMore != nil { // a long one; its end may be malformed
+		if body.readMore != nil { // a streamed body, whose end may be malformed
 			rest, err := io.ReadAll(readFunc(body.readMore))
 			if err != nil {
 				return
@@ -185,8 +186,9 @@
 	})
 }
 
-// In response to a health check 503 means that the backend runs and accepts nothing now, 404 nothing at all; only 200
-// is healthy. The report is that of the body, and the connection serves the next health check.
+// The outcome of a health check by status code: 200 is healthy, 503 means that the backend runs but accepts
+// no requests now, and 404 says nothing. The load report is read from the body, and the connection is reused
+// for the next check.
 func TestHealthCheckOutcomes(t *testing.T) {
 	u := testUpstream(1)
 	for _, c := range []struct {
--- a/internal/upstream/thrift/read.go
+++ b/internal/upstream/thrift/read.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// unreservedBytes is what a message may use of memory without reserving it.
+	// unreservedBytes is the memory that a message may use without a reservation.
 	unreservedBytes = 4 << 10
-	// frameLengthBytes is the size of the length before a framed message.
+	// frameLengthBytes is the size of the length field before a framed message.
 	frameLengthBytes = 4
-	// defaultFrameLimit bounds a frame where the limits do not.
+	// defaultFrameLimit bounds a frame if the limits have no size.
 	defaultFrameLimit = 16 << 20
 )
 
-// unreadableError is the error of bytes that are no message, whoever sent them.
+// unreadableError marks the error of bytes that are not a valid message, from a client or a backend.
 type unreadableError struct{ error }
 
 func (u unreadableError) Unwrap() error { return u.error }
@@ -27,14 +27,15 @@
 	return unreadableError{fmt.Errorf("%w: %s", thriftwire.ErrMalformed, fmt.Sprintf(format, args...))}
 }
 
-// IsUnreadable says whether an error of Read is due to a malformed or too large message, not to the connection.
+// IsUnreadable says whether an error of Read is caused by a malformed or too large message, not by the
+// connection.
 func IsUnreadable(err error) bool {
 	var u unreadableError
 	return errors.As(err, &u)
 }
 
-// Read reads one message and looks for the fields of paths. It calls reserve for memory over unreservedBytes, as
-// the message grows, and returns its error.
+// Read reads one message and extracts the fields of paths. For memory over unreservedBytes it calls reserve,
+// as the message grows, and returns its error.
 func Read(
 	br *bufio.Reader, t thriftwire.Transport, limits thriftwire.Limits, paths []thriftwire.Path, reserve func(n int64) error,
 ) ([]byte, thriftwire.Message, error) {
@@ -47,7 +48,7 @@
 	return msg, r.Message, err
 }
 
-// readFramed reads a message that is preceded by its length.
+// readFramed reads a message of the framed transport, which precedes it with its length.
 func readFramed(br *bufio.Reader, r *thriftwire.Reader, limits thriftwire.Limits, reserve func(n int64) error) ([]byte, error) {
 	msg, err := readFrame(br, limits, reserve)
 	if err != nil {
@@ -65,8 +66,8 @@
 	return msg, nil
 }
 
-// readFrame reads a frame. Memory for a large one is reserved only once its beginning has arrived, so that a peer
-// that only claims one occupies none.
+// readFrame reads the content of a frame. Memory for a large frame is reserved only after its first bytes
+// have arrived, so that a peer can't occupy memory just by announcing one.
 func readFrame(br *bufio.Reader, limits thriftwire.Limits, reserve func(n int64) error) ([]byte, error) {
 	length, err := br.Peek(frameLengthBytes)
 	if err == io.EOF && br.Buffered() > 0 {
@@ -99,11 +100,13 @@
 	return msg, err
 }
 
-// readUnframed reads a message that has no length: it ends where its content does.
+// readUnframed reads a message of the unframed transport, which has no length: parsing its content finds its
+// end.
 func readUnframed(br *bufio.Reader, r *thriftwire.Reader, _ thriftwire.Limits, reserve func(n int64) error) ([]byte, error) {
 	msg := make([]byte, 0, unreservedBytes)
 	for {
-		// Wait for one byte, then read no more than has arrived: what follows the message belongs to the next.
+		// Wait for one byte, then look only at what has arrived: bytes after this message belong to the next
+		// one.
 		if _, err := br.Peek(1); err != nil {
 			if len(msg) > 0 && err == io.EOF {
 				err = io.ErrUnexpectedEOF
@@ -126,7 +129,7 @@
 		}
 		if ok {
 			br.Discard(r.Size - before)
-			// r.Message may refer to an older buffer, whose content stays as it is.
+			// r.Message may refer to an earlier buffer, which is not modified any more.
 			return msg[:r.Size], nil
 		}
 		br.Discard(len(arrived))
--- a/internal/upstream/thrift/upstream.go
+++ b/internal/upstream/thrift/upstream.go
@@ -1,7 +1,7 @@
-// Package thrift makes attempts in Thrift: it is the core's upstream for calls that came by the downstream of the
-// same name. It passes the bytes of a call on unchanged, except for a sequence id of its own, in the transport and
-// protocol in which they came, and reads one reply. A connection carries one call at a time; one that brings
-// anything but the reply to its call is closed. The package decides nothing.
+// Package thrift makes attempts over Thrift. It is the upstream for calls that were received by the Thrift
+// downstream. It forwards the bytes of a call unchanged, except for a sequence id of its own, with the
+// transport and protocol of the client, and reads one reply. A connection carries one call at a time and is
+// closed if anything but the reply to that call arrives. The package makes no decisions.
 package thrift
 
 import (
@@ -21,31 +21,31 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// exceptionCodePath is the field of an application exception that has its code.
+// exceptionCodePath is the path of the code in an application exception.
 var exceptionCodePath = thriftwire.Path{2}
 
 // Call is the payload of a core.Call over Thrift.
 type Call struct {
-	Message   []byte // complete, without the length of a frame
+	Message   []byte // the complete message, without a frame length
 	Head      thriftwire.Message
 	Transport thriftwire.Transport
-	OneWay    bool // there is no reply
+	OneWay    bool // the call has no reply
 	NeverRan  NeverRan
 }
 
-// NeverRan says which replies prove that a call did not run.
+// NeverRan lists the replies which prove that a call did not run.
 type NeverRan struct {
-	Exceptions []int16 // field ids of declared exceptions in the result
-	Codes      []int32 // of application exceptions
+	Exceptions []int16 // field ids of declared exceptions in the result struct
+	Codes      []int32 // codes of application exceptions
 }
 
-// Reply is a complete reply. The downstream gives it the client's sequence id.
+// Reply is a complete reply. The downstream replaces its sequence id by the client's.
 type Reply struct {
 	Message []byte
 	Head    thriftwire.Message
 }
 
-// Upstream makes attempts. Its methods may be called from any goroutine.
+// Upstream makes attempts over Thrift. Its methods are safe for concurrent use.
 type Upstream struct {
 	Pool   *conns.Pool
 	Budget *semaphore.Weighted // memory for replies over unreservedBytes
@@ -57,10 +57,10 @@
 // CloseIdle closes the idle connections to a backend.
 func (u *Upstream) CloseIdle(b *core.Backend) { u.Pool.CloseIdle(b) }
 
-// CloseExpired closes connections that have been idle too long.
+// CloseExpired closes connections that have been idle for too long.
 func (u *Upstream) CloseExpired() { u.Pool.CloseExpired() }
 
-// Do makes one attempt. The payload of the call is a *Call.
+// Do makes one attempt. The payload of the call must be a *Call.
 func (u *Upstream) Do(
 	ctx context.Context, b *core.Backend, addr string, cc *core.Call, sent, deadline time.Time,
 ) core.Result {
@@ -89,10 +89,11 @@
 	return u.Pool.Do(ctx, &x)
 }
 
-// connKind numbers transport and protocol for the pool. It is never 0, which is HTTP's.
+// connKind returns the pool's number for the call's transport and protocol. It is never 0, the number of
+// HTTP.
 func (c *Call) connKind() uint8 { return uint8(c.Transport)<<4 | uint8(c.Head.Protocol) }
 
-// encode returns the call with this sequence id.
+// encode returns the encoded call with the given sequence id.
 func (c *Call) encode(seq int32) net.Buffers {
 	var head []byte
 	if c.Transport == thriftwire.Framed {
@@ -106,7 +107,7 @@
 	return net.Buffers{head, rest}
 }
 
-// result is the outcome of an attempt with a complete reply.
+// result returns the outcome of an attempt with a complete reply.
 func (c *Call) result(reply *Reply) core.Result {
 	result := core.Result{Status: policy.OK, Reply: reply}
 	switch {
@@ -120,13 +121,13 @@
 	return result
 }
 
-// exceptionStatus is the outcome of an attempt that was replied to with an application exception.
+// exceptionStatus returns the outcome of an attempt whose reply is an application exception with this code.
 func (c *Call) exceptionStatus(code int32) policy.Status {
 	switch {
 	case slices.Contains(c.NeverRan.Codes, code):
 		return policy.Rejected
 	case code == thriftwire.UnknownMethod:
-		return policy.Cancelled // every backend would reply so: it is no fault of this one
+		return policy.Cancelled // every backend would reply this way, so this one is not at fault
 	}
 	return policy.Error
 }
@@ -142,18 +143,18 @@
 	}
 	switch {
 	case head.Protocol != c.Head.Protocol:
-		return nil, conns.MalformedResponse("a %v reply to a %v call", head.Protocol, c.Head.Protocol)
+		return nil, conns.MalformedResponse("%v reply to a %v call", head.Protocol, c.Head.Protocol)
 	case head.Kind != thriftwire.Reply && head.Kind != thriftwire.Exception:
-		return nil, conns.MalformedResponse("a reply of kind %d", head.Kind)
+		return nil, conns.MalformedResponse("unexpected message type %d", head.Kind)
 	case head.Seq != seq:
-		return nil, conns.MalformedResponse("sequence id %d, want %d", head.Seq, seq)
+		return nil, conns.MalformedResponse("reply has sequence id %d, the call has %d", head.Seq, seq)
 	case string(head.Name) != string(c.Head.Name) && string(head.Name) != unqualifiedName(c.Head.Name):
-		return nil, conns.MalformedResponse("a reply to another method")
+		return nil, conns.MalformedResponse("reply to another method")
 	}
 	return &Reply{msg, head}, nil
 }
 
-// unqualifiedName is the name of a method without its service: some servers reply with that.
+// unqualifiedName returns the name of a method without its service. Some servers use only that in replies.
 func unqualifiedName(name []byte) string {
 	if i := slices.Index(name, ':'); i >= 0 {
 		return string(name[i+1:])
