--- a/internal/upstream/http/upstream.go
+++ b/internal/upstream/http/upstream.go
@@ -127,7 +127,7 @@
 }
 
 // statusOf returns the outcome of an attempt with a complete response. Only the backend itself can state that
-// a request did not run: a 503 or 504 without that header may come from an intermediary while the request
+// a request did not run: a 503 or 504 without Not-Started may come from an intermediary while the request
 // runs. 4xx statuses other than 408 and 429 concern the request and say nothing about the backend.
 func statusOf(resp *http.Response) policy.Status {
 	switch code := resp.StatusCode; {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -50,7 +50,7 @@
 	codeTrace       = 91 // ActionLog
 )
 
-// Kind tells which fields of a Record are set.
+// Kind says which fields of a Record are set.
 type Kind uint8
 
 // The kinds of records. The Decoder handles endpointTable itself and does not return it.
