--- a/internal/agent/admin.go
+++ b/internal/agent/admin.go
@@ -64,7 +64,7 @@
 			Failed:   c.Failed.Load(),
 		})
 	}
-	for reason := policy.ReasonNone + 1; reason < policy.RejectReasons; reason++ {
+	for reason := policy.ReasonNone + 1; reason < policy.NumRejectReasons; reason++ {
 		stats.Unserved = append(stats.Unserved, admin.RuleCount{Rule: reason.String(), Count: counters.Unserved[reason].Load()})
 	}
 	stats.SharedConfig = s.sharedConfigStats()
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -27,7 +27,7 @@
 	Written atomic.Int64    // attempts completely written to backends
 	Open    atomic.Int64    // requests without an answer
 	// Unserved counts the answers by the rule that ended their requests; ReasonNone is not to be read.
-	Unserved [policy.RejectReasons]atomic.Int64
+	Unserved [policy.NumRejectReasons]atomic.Int64
 }
 
 // ClassCounters count the answers to requests of one class.
@@ -65,8 +65,8 @@
 
 // unservedSince returns attributes for the log, the rules that have ended requests since the counts of before, with their
 // number, and brings these up to date.
-func (c *Counters) unservedSince(before *[policy.RejectReasons]int64) (rules []any) {
-	for reason := policy.ReasonNone + 1; reason < policy.RejectReasons; reason++ {
+func (c *Counters) unservedSince(before *[policy.NumRejectReasons]int64) (rules []any) {
+	for reason := policy.ReasonNone + 1; reason < policy.NumRejectReasons; reason++ {
 		count := c.Unserved[reason].Load()
 		if count > before[reason] {
 			rules = append(rules, reason.String(), count-before[reason])
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("%s: served %d, rejected %d, failed %d, open %d", c.Name, c.Served.Load(), c.Rejected.Load(), c.Failed.Load(), l.Counters().Open.Load())
 	}
 	// b must not run again; c had no other server within its time.
-	var before [policy.RejectReasons]int64
+	var before [policy.NumRejectReasons]int64
 	rules := l.Counters().unservedSince(&before)
 	if n := l.Counters().Unserved[policy.ReasonNotRetryable].Load(); n != 1 || len(rules) != 4 {
 		t.Errorf("ended by rules: %v, want two, not_retryable once", rules)
--- a/internal/core/eventloop.go
+++ b/internal/core/eventloop.go
@@ -64,7 +64,7 @@
 	mergeTimer           *time.Timer // next time at which the merge changes without input
 
 	stats          Stats
-	unservedLogged [policy.RejectReasons]int64 // of counters.Unserved
+	unservedLogged [policy.NumRejectReasons]int64 // of counters.Unserved
 	counters       *Counters
 	rotation       atomic.Pointer[Rotation]
 	logLimiter     *rate.Limiter
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -264,7 +264,7 @@
 // Unserved says which rules have ended how many requests.
 func (w *World) Unserved() string {
 	var rules []string
-	for reason := policy.ReasonNone + 1; reason < policy.RejectReasons; reason++ {
+	for reason := policy.ReasonNone + 1; reason < policy.NumRejectReasons; reason++ {
 		if n := w.Loop.Counters().Unserved[reason].Load(); n > 0 {
 			rules = append(rules, fmt.Sprintf("%v %d", reason, n))
 		}
--- a/policy/rejectreason.go
+++ b/policy/rejectreason.go
@@ -22,11 +22,11 @@
 	ReasonConfigExpired                     // the server rules of the shared configuration have expired
 	ReasonDuplicate                         // the id of a request that is open, or that may have run
 	ReasonDeadline                          // the deadline timer ended it, which is a bug or a stall
-	RejectReasons                           // their number
+	NumRejectReasons                        // their number
 )
 
 // rejectReasonNames are the names in metrics and logs; they do not change.
-var rejectReasonNames = [RejectReasons]string{
+var rejectReasonNames = [NumRejectReasons]string{
 	ReasonNone:          "none",
 	ReasonShed:          "shed",
 	ReasonHintedWork:    "hinted_work",
--- a/policy/rejectreason_test.go
+++ b/policy/rejectreason_test.go
@@ -67,7 +67,7 @@
 // The names of the rules are an interface to the outside: none is missing or stands twice.
 func TestRejectReasonNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
-	for reason := range RejectReasons {
+	for reason := range NumRejectReasons {
 		if name := reason.String(); name == "" || seen[name] {
 			t.Errorf("reason %d has the name %q, which is empty or stands twice", reason, name)
 		}
--- a/policy/request.go
+++ b/policy/request.go
@@ -83,7 +83,7 @@
 		r.firstArrival = b.firstArrivalOf(r)
 	}
 	class := &b.settings.Classes[r.class]
-	objectiveAt := r.firstArrival + class.LatencyObjectiveMs + class.ObjectiveStretch*r.workHintMs
+	objectiveAt := r.firstArrival + class.LatencyObjectiveMs + class.ObjectiveWorkFactor*r.workHintMs
 	r.objectiveAt = min(objectiveAt, r.deadline)
 	r.hashKey = b.hashKey(r.key)
 	r.flow = b.flowOf(r)
--- a/policy/types.go
+++ b/policy/types.go
@@ -54,7 +54,7 @@
 type Class struct {
 	Name                string     `json:"name"`
 	LatencyObjectiveMs  float64    `json:"aimMs"`
-	ObjectiveStretch    float64    `json:"aimStretch"` // part of the work hint added to the objective
+	ObjectiveWorkFactor float64    `json:"aimStretch"` // part of the work hint added to the objective
 	ClientTimeoutMs     float64    `json:"giveUpMs"`
 	Effect              Effect     `json:"effect"`
 	DedupScope          DedupScope `json:"group"`     // of IdempotentByKey
@@ -133,8 +133,8 @@
 	Clients       struct {
 		MarksRetry bool `json:"marksRetry"`
 	} `json:"clients"`
-	FamilyInfo struct {
-		WarmKeys bool `json:"warmKeys"`
+	Servers struct {
+		CacheKeys bool `json:"warmKeys"`
 	} `json:"familyInfo"`
 	ReplicaIndex    int     `json:"index"`          // of the agent among the replicas, from 0
 	Replicas        int     `json:"replicasOfMe"`   // agents that send to the same servers
