--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,34 +3,34 @@
 import "math"
 
 const (
-	// shedMemoryRequests is the number of ended requests over which the part served in time is averaged.
+	// shedMemoryRequests is the number of ended requests over which the fraction served in time is averaged.
 	shedMemoryRequests = 20.0
-	// minServedFactor is how many times the served part must fall short of all before requests are shed:
-	// none are shed while at least 1/minServedFactor of them are served in time.
+	// minServedFactor sets the threshold of load shedding: no request is shed while at least
+	// 1/minServedFactor of them are served in time.
 	minServedFactor = 1.5
-	// maxShedFraction bounds the part of requests that is shed.
+	// maxShedFraction is the upper bound of the fraction of requests that is shed.
 	maxShedFraction = 0.8
-	// underQuotaWeight is the part of the worst tenant's weight that is added to a request whose tenant and
-	// class have been served well under their quota.
+	// underQuotaWeight is the fraction of the worst tenant's weight that is added to a request whose tenant
+	// and class have been served well under their quota.
 	underQuotaWeight = 0.3
-	// minTenantUsage is the least part of the requests by which that weight is divided.
+	// minTenantUsage is the lower bound of the tenant's share of the requests that divides this weight.
 	minTenantUsage = 0.02
 	// recentKeyMs is how long after a key was sent its next request is likely to cost the server less.
 	recentKeyMs = 3000.0
-	// maxRecentKeys is the number of such keys remembered.
+	// maxRecentKeys is the number of such keys that are stored.
 	maxRecentKeys = 2048
-	// recentKeyPriorityFactor is the factor of priority for such a request.
+	// recentKeyPriorityFactor multiplies the priority of such a request.
 	recentKeyPriorityFactor = 2.0
-	// minLatencyFraction is the part of its hinted answer time that a request must have left to be
+	// minLatencyFraction is the fraction of its hinted answer time that a request must have left to be
 	// admitted. It is below 1 because hints are rough, a recent key saves work, and some servers are
 	// faster.
 	minLatencyFraction = 0.7
 )
 
-// goodput counts ended requests and what they earned, both as moving sums over the last
-// shedMemoryRequests. It counts those that say something about overload: served, shed, disconnected after
-// their objective, and not retried after a rejection or a timeout. Requests that end in the queue, by an
-// error or by a lost connection are not counted.
+// goodput holds moving sums, over the last shedMemoryRequests, of the ended requests and of the value they
+// earned. It counts the outcomes that indicate whether there is overload: served, shed, disconnected after
+// the objective, and not retried after a rejection or a timeout. Requests that end in the queue, by an error
+// or by a lost connection are not counted.
 type goodput struct {
 	ended  float64
 	earned float64 // 1 for a request served in time, less for a late one
@@ -40,13 +40,13 @@
 	return goodput{ended: shedMemoryRequests / 2, earned: shedMemoryRequests / 2}
 }
 
-// record notes an ended request and the part of its value, 0 to 1, that it earned.
+// record counts an ended request and the fraction of its value, 0 to 1, that it earned.
 func (g *goodput) record(earned float64) {
 	g.ended += 1 - g.ended/shedMemoryRequests
 	g.earned += earned - g.earned/shedMemoryRequests
 }
 
-// recordMany notes n ended requests at once, and how many of them were served.
+// recordMany counts n ended requests at once, of which earned were served.
 func (g *goodput) recordMany(n, earned float64) {
 	if n > 0 {
 		weight := 1 - math.Pow(1-1/shedMemoryRequests, n)
@@ -55,22 +55,22 @@
 	}
 }
 
-// shedFraction returns the part of the requests to shed, 0 to maxShedFraction. Where much is served too
-// late the servers are overloaded and their work is lost; only less load lets them recover. An agent that
-// sends little cannot see that at a server, but at its own requests.
+// shedFraction returns the fraction of the requests to shed, 0 to maxShedFraction. When many requests are
+// served too late, the servers are overloaded and their work is wasted; they recover only under less load.
+// An agent that sends few requests cannot detect this for a single server, but can from all its requests.
 func (g *goodput) shedFraction() float64 {
 	return min(max(g.ended-minServedFactor*g.earned, 0)/(g.ended+1), maxShedFraction)
 }
 
-// ShedFraction returns the part of the arriving requests that is to be shed.
+// ShedFraction returns the fraction of the arriving requests that is to be shed.
 func (b *Balancer) ShedFraction() float64 { return b.goodput.shedFraction() }
 
 // classStats holds moving averages for each class of requests.
 type classStats struct {
 	latencyMs    []float64 // mean answer time
-	requestShare []float64 // part of the requests that arrive
-	inTimeShare  []float64 // part of them that is served in time
-	worst        int       // class with the least part served in time
+	requestShare []float64 // fraction of the arriving requests
+	inTimeShare  []float64 // fraction of the arriving requests that are of the class and served in time
+	worst        int       // class with the lowest fraction served in time
 	meanPriority float64   // mean priority weight of a request
 }
 
@@ -84,7 +84,7 @@
 	return c
 }
 
-// countRequest notes an arriving request of the class.
+// countRequest counts an arriving request of the class.
 func (c *classStats) countRequest(class int, classes []Class) {
 	c.meanPriority = 0
 	for i := range classes {
@@ -97,10 +97,10 @@
 	}
 }
 
-// recordInTime notes a request of the class that was served in time.
+// recordInTime counts a request of the class that was served in time.
 func (c *classStats) recordInTime(class int) { c.inTimeShare[class] += 1 - shareDecay }
 
-// updateWorst finds the class of which the least part is served in time; of equals the former stays.
+// updateWorst finds the class with the lowest fraction served in time; a tie leaves the present one.
 func (c *classStats) updateWorst() {
 	for i := range c.inTimeShare {
 		if c.inTimeShare[i]*c.requestShare[c.worst] < c.inTimeShare[c.worst]*c.requestShare[i] {
@@ -109,15 +109,15 @@
 	}
 }
 
-// recordLatency notes the answer time of a request of the class, up to twice its objective.
+// recordLatency records the answer time of a request of the class, capped at twice its objective.
 func (c *classStats) recordLatency(class int, latencyMs, objectiveMs float64) {
 	c.latencyMs[class] = movingAverage(c.latencyMs[class], min(latencyMs, 2*objectiveMs), classLatencyWeight)
 }
 
-// usageShares holds the part of the requests that each tenant sends.
+// usageShares holds the fraction of the requests that each tenant sends.
 type usageShares []float64
 
-// count notes a request of the tenant; an unknown tenant changes nothing.
+// count counts a request of the tenant; an unknown tenant changes nothing.
 func (u usageShares) count(tenant int) {
 	if tenant < 0 || tenant >= len(u) {
 		return
@@ -128,8 +128,8 @@
 	u[tenant] += 1 - shareDecay
 }
 
-// admit decides about an arriving request, and rejects it where it sheds load or where the hinted work
-// cannot fit the objective on any server: a costly request would only make others wait.
+// admit rejects an arriving request if load shedding selects it, or if its hinted work cannot finish within
+// the objective on any server: a costly request would only delay the others.
 func (b *Balancer) admit(r *request) {
 	class := &b.settings.Classes[r.class]
 	shed := b.shedder.Sheds(b.priority(r), b.goodput.shedFraction(), b.rng.Float64())
@@ -144,8 +144,9 @@
 	}
 }
 
-// priority returns what the objective gains by a unit of server time that is spent on the request: its part
-// of the total, and of its class if that is the worst, and of its tenant if that is under its quota.
+// priority returns what the objective function gains per unit of server time spent on the request: from the
+// total, from the class term if its class is the worst, and from the tenant term if its tenant is under its
+// quota.
 func (b *Balancer) priority(r *request) float64 {
 	class := &b.settings.Classes[r.class]
 	objective := &b.settings.Objective
@@ -172,14 +173,14 @@
 	return value
 }
 
-// isRecentKey reports whether the request's key was sent so lately that it likely costs its server less.
+// isRecentKey reports whether the request's key was sent so recently that it likely costs its server less.
 func (b *Balancer) isRecentKey(r *request) bool {
 	return b.settings.Servers.CacheKeys && b.recentKeys.Contains(b.now, r.key)
 }
 
-// flowOf returns the request's flow of the fair share, or -1 for an unknown tenant. Each class is a flow of
-// its own, with a part of its tenant's quota: a quota spent on the class of the highest priority would
-// leave the others with none.
+// flowOf returns the request's flow in the fair share, or -1 for an unknown tenant. Each class of a tenant is
+// a separate flow with a share of the tenant's quota: otherwise the class of the highest priority would use
+// up the quota of the others.
 func (b *Balancer) flowOf(r *request) int {
 	if r.tenant < 0 || r.tenant >= len(b.settings.Tenants) {
 		return -1
@@ -187,7 +188,7 @@
 	return r.tenant*len(b.settings.Classes) + r.class
 }
 
-// flowWeights returns the weights of all flows: the quota of the tenant by the class's part of the
+// flowWeights returns the weights of all flows: the tenant's quota multiplied by the class's share of the
 // requests. The slice is valid until the next call.
 func (b *Balancer) flowWeights() []float64 {
 	b.flowWeightBuffer = b.flowWeightBuffer[:0]
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// attempt is a request that is sent to a server once.
+// attempt is one transmission of a request to a server.
 type attempt struct {
 	request *request
 	server  *server
-	index   int // in the attempts of the request
+	index   int // in the request's attempts
 	sentAt  float64
-	alone   bool    // this agent had no other in flight on the server
+	alone   bool    // this agent had no other attempt in flight on the server
 	work    float64 // in mean requests
 	done    bool
-	// bodyPending says that a streamed body is not sent completely. Until it is, the attempt is no load of
-	// its server, which may be silent.
+	// bodyPending says that a streamed body has not been sent completely. Until then the attempt does not
+	// count as load of its server, and the server is not expected to answer.
 	bodyPending bool
 }
 
@@ -56,7 +56,7 @@
 	b.inflight++
 }
 
-// removeInflight takes an ended attempt off the load of its server.
+// removeInflight removes an ended attempt from the load of its server.
 func (b *Balancer) removeInflight(a *attempt) {
 	if !a.bodyPending {
 		b.inflight--
@@ -66,7 +66,7 @@
 	}
 }
 
-// openAttempt returns the attempt that an event names, or nil if its request is unknown or it has ended.
+// openAttempt returns the attempt that the event refers to, or nil if its request is unknown or it has ended.
 func (b *Balancer) openAttempt(ev *Event) *attempt {
 	r := b.requests[ev.Request]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || r.attempts[ev.Attempt].done {
@@ -75,7 +75,7 @@
 	return r.attempts[ev.Attempt]
 }
 
-// onAttemptEnded records what an attempt's end says about its server, and finishes or retries its request.
+// onAttemptEnded records the outcome of an attempt for its server, and finishes or retries its request.
 func (b *Balancer) onAttemptEnded(ev *Event) {
 	a := b.openAttempt(ev)
 	if a == nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-// recordOutcome records what an attempt's end says about its server.
+// recordOutcome records the outcome of an attempt for its server.
 func (b *Balancer) recordOutcome(a *attempt, ev *Event) {
 	s := a.server
 	switch ev.Status {
@@ -115,7 +115,7 @@
 		s.respondedAt = b.now
 		b.eject(s, false)
 	case ConnectFailed:
-		// A server that refuses the connection is running; one that lets the connect time out is silent.
+		// A host that refuses the connection is reachable; one that lets the connect time out is silent.
 		b.recordFailure(s, 1)
 		b.eject(s, ev.LatencyMs >= b.settings.Limits.ConnectTimeoutMs)
 		if s.connectFailedSince == 0 {
@@ -128,7 +128,7 @@
 	}
 }
 
-// onTimeout records a timeout. A server that answered other attempts meanwhile is not silent: it is slow.
+// onTimeout records a timeout. A server that answered other attempts meanwhile is slow, not silent.
 func (b *Balancer) onTimeout(a *attempt, latencyMs float64) {
 	s := a.server
 	b.recordLocality(s, true)
@@ -141,9 +141,10 @@
 	}
 }
 
-// onServerRejected records that the server rejected an attempt. It still answers in time what it has. An
-// agent that soon sends it the next attempt adjusts to it by the concurrency limit: with a backoff its keys
-// would move to servers that do not have them cached, and push out the keys of those.
+// onServerRejected records that the server rejected an attempt. The server still answers in time what it has
+// accepted. An agent that sends it the next attempt soon adapts by the concurrency limit alone:
+// deprioritizing the server would move its keys to servers that do not have them cached, and evict other keys
+// there.
 func (b *Balancer) onServerRejected(s *server) {
 	s.respondedAt = b.now
 	s.limit.Rejected(b.now)
@@ -153,7 +154,7 @@
 	}
 }
 
-// onServed records a served attempt: budgets and averages, then the state and the limit of its server.
+// onServed records a served attempt in the budgets and averages, then in the state and limit of its server.
 func (b *Balancer) onServed(a *attempt, ev *Event) {
 	s := a.server
 	rttMs := ev.LatencyMs
@@ -174,7 +175,7 @@
 		b.deprioritize(s)
 	}
 	if s.state == Unhealthy && a.sentAt < s.stateSince && !s.silent {
-		return // sent before the failure: it says nothing about the time after
+		return // sent before the failure, so it is no evidence that the server has recovered
 	}
 	if s.state != Connected {
 		b.setState(s, Connected)
@@ -183,7 +184,7 @@
 	b.adjustLimit(s, rttMs, b.latencyLimit(s))
 }
 
-// recordServedRequest records a served attempt for the request's class, tenant and zone.
+// recordServedRequest records a served attempt for the request's class and tenant and the server's zone.
 func (b *Balancer) recordServedRequest(a *attempt, rttMs float64, late bool) {
 	r := a.request
 	class := &b.settings.Classes[r.class]
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -8,33 +8,33 @@
 	"ringtrack.example/ringtrack/internal/limits"
 )
 
-// Tokens of the timers that a Balancer sets.
+// Tokens of the timers set by a Balancer.
 const (
 	tickTimerToken = 1
 	pollTimerToken = 2
 )
 
-// minTickMs is the shortest time between two ticks.
+// minTickMs is the minimum time between two ticks.
 const minTickMs = 5
 
 // Balancer makes the decisions of one agent. It is not safe for concurrent use. Its times are in
 // milliseconds of the caller's clock.
 type Balancer struct {
 	settings       Settings
-	minObjectiveMs float64 // least latency objective of the classes
+	minObjectiveMs float64 // lowest latency objective of the classes
 	rng            *rand.Rand
 
 	// The event being handled.
 	now     float64
 	actions []Action
 
-	servers        []*server              // in the order of addresses
-	byAddr         map[Addr]*server       // those listed, and those removed with attempts in flight
-	requests       map[RequestID]*request // those not answered, and those with an open attempt
-	queued         []*request             // those without an open attempt, at most maxQueued
+	servers        []*server              // sorted by address
+	byAddr         map[Addr]*server       // listed servers and removed ones with attempts in flight
+	requests       map[RequestID]*request // unanswered requests and those with an open attempt
+	queued         []*request             // requests without an open attempt, at most maxQueued
 	unserved       []unservedRequest      // at most maxQueued
 	inflight       int                    // attempts in flight
-	tierGeneration uint64                 // counts changes of tiers and of the endpoint list
+	tierGeneration uint64                 // incremented when a tier or the endpoint list changes
 	tick           tickTimer
 
 	// Statistics.
@@ -57,10 +57,10 @@
 	retryBudget    retryBudget
 	healthChecks   healthCheckBudget
 	discovery      discoveryState
-	capacityScarce bool    // requests that would take any server found no capacity
-	minEjectionMs  float64 // set by Observe, else 0
+	capacityScarce bool    // a request that may go to any server found no capacity
+	minEjectionMs  float64 // set by Observe, otherwise 0
 
-	// Buffers that are used again.
+	// Reused buffers.
 	candidateBuffer  []*server
 	flowWeightBuffer []float64
 }
@@ -71,8 +71,8 @@
 	at    float64
 }
 
-// New returns the balancer of one agent, or an error that names the first setting that is not valid. All
-// its randomness comes from the seed.
+// New returns the balancer of one agent, or an error that names the first invalid setting. The seed is its
+// only source of randomness.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := settings.validate(); err != nil {
 		return nil, err
@@ -102,9 +102,9 @@
 	return b, nil
 }
 
-// UpdateSettings replaces the classes, the attempts per request and the contract. Other settings stay, and
-// so does everything if the number of classes differs. What is in flight is not changed; later decisions
-// follow the new settings.
+// UpdateSettings replaces the classes, the attempts per request and the contract, and no other setting. It
+// does nothing if the number of classes differs. Attempts in flight are not changed; later decisions follow
+// the new settings.
 func (b *Balancer) UpdateSettings(settings Settings) {
 	if len(settings.Classes) == len(b.settings.Classes) {
 		b.settings.Classes = settings.Classes
@@ -113,7 +113,7 @@
 	}
 }
 
-// Start appends the first actions of a new agent to out. It is called once, before Handle.
+// Start appends the initial actions of an agent to out. It is called once, before Handle.
 func (b *Balancer) Start(now float64, out []Action) []Action {
 	b.now = now
 	b.actions = out
@@ -121,8 +121,8 @@
 	return b.actions
 }
 
-// Handle takes one event and appends the actions that follow from it to out. An event about a request, an
-// attempt or a server that is unknown or finished is ignored. The event is not kept.
+// Handle processes one event and appends the resulting actions to out. An event for a request, an attempt or
+// a server that is unknown or finished is ignored. The event is not retained.
 func (b *Balancer) Handle(now float64, event *Event, out []Action) []Action {
 	b.now = now
 	b.actions = out
@@ -136,7 +136,7 @@
 	return b.actions
 }
 
-// handleEvent calls the rule of the event.
+// handleEvent calls the handler of the event's kind.
 func (b *Balancer) handleEvent(ev *Event) {
 	switch ev.Kind {
 	case EventRequest:
@@ -160,7 +160,7 @@
 	}
 }
 
-// sanitized returns the event with 0 in place of negative numbers, infinities and NaN.
+// sanitized returns a copy of the event with 0 in place of negative numbers, infinities and NaN.
 func (ev *Event) sanitized() *Event {
 	e := *ev
 	e.RemainingMs = nonNegative(e.RemainingMs)
@@ -169,11 +169,12 @@
 	return &e
 }
 
-// emit adds an action to those that the event at hand calls for.
+// emit appends an action to those of the event being handled.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 // armTickTimer sets the tick timer: for the next tick while requests are queued, otherwise for the time at
-// which the first server with attempts in flight counts as silent. While nothing can happen no timer runs.
+// which the first server with attempts in flight counts as silent. With nothing queued or in flight no timer
+// runs.
 func (b *Balancer) armTickTimer() {
 	wait := max(2*b.settings.BatchIntervalMs, minTickMs)
 	if len(b.queued) == 0 {
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -1,10 +1,10 @@
 package policy
 
-// idlePriceFactor scales the price of an open connection to that of a handshake.
+// idlePriceFactor converts the price of an open connection, which is per 100 servers, to that of a handshake.
 const idlePriceFactor = 100
 
-// closeConnections closes the idle connections to a server where keeping them until its next attempt costs
-// more than opening one. In a large fleet all agents together would keep too many open.
+// closeConnections closes the idle connections to a server if keeping them open until its next attempt costs
+// more than a new handshake. The agents of a large fleet would otherwise keep too many open together.
 func (b *Balancer) closeConnections(s *server) {
 	prices := &b.settings.Prices
 	servers := float64(len(b.servers))
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -10,40 +10,38 @@
 
 const (
 	// firstPollGapMs is the mean time between the first polls of all agents, as far as the poll interval
-	// allows: all agents may start at once, and polls that come faster than they are served time out in the
-	// queue.
+	// allows: all agents may start at once, and polls that arrive faster than they are served time out in
+	// the queue.
 	firstPollGapMs = 60.0
-	// minFirstPollSpread and maxFirstPollSpread bound the time for all first polls, as parts of the poll
-	// interval.
+	// minFirstPollSpread and maxFirstPollSpread bound the time over which all first polls are spread, as
+	// fractions of the poll interval.
 	minFirstPollSpread = 1.0 / 8
 	maxFirstPollSpread = 0.8
-	// pollBackoffFraction is the part of that time after which a first failed poll is repeated, before
-	// backoff.
+	// pollBackoffFraction is the base of the poll backoff, as a fraction of that time.
 	pollBackoffFraction = 0.4
-	// updateDeadlineMs is the time in milliseconds after which a change counts as notified, whatever polls
-	// failed.
+	// updateDeadlineMs is the time after which agents count as notified of a change, even if polls failed.
 	updateDeadlineMs = 6000.0
-	// discoveryQueueMs is the time that a poll may wait in the queue of discovery.
+	// discoveryQueueMs is the time that a poll may wait in the queue of the discovery service.
 	discoveryQueueMs = 2000.0
-	// minPollBackoffMs is the lower bound of the longest backoff, in milliseconds.
+	// minPollBackoffMs is the lower bound of the maximum backoff.
 	minPollBackoffMs = 1000.0
-	// minRestartMs is the shortest time for which a killed process is away.
+	// minRestartMs is the minimum downtime of a killed process.
 	minRestartMs = 1000.0
-	// fetchingReplicas is the number of agents that may each fetch the complete endpoint list once in a
-	// poll interval.
+	// fetchingReplicas is the number of agents that may each fetch the complete endpoint list once per poll
+	// interval.
 	fetchingReplicas = 8.0
-	// minFetchMs is the shortest time between two fetches of an agent.
+	// minFetchMs is the minimum time between two fetches of an agent.
 	minFetchMs = 1000
 )
 
-// discoveryState remembers the polls of the endpoint list.
+// discoveryState is the state of the endpoint list polls.
 type discoveryState struct {
 	fetchedAt   float64 // last fetch of the complete list
 	failedPolls int     // failed polls in a row
 }
 
-// startDiscovery sets the timer of the first poll where the endpoint list is polled. Agents that start
-// together get a slot each, by their index.
+// startDiscovery sets the timer of the first poll if the endpoint list is polled. Agents that start together
+// each get their own poll slot, by their index.
 func (b *Balancer) startDiscovery() {
 	if b.settings.DiscoveryMode == discoveryOnRequest {
 		slot := (float64(b.replicaSlot()) + b.rng.Float64()) / float64(b.replicas())
@@ -51,38 +49,38 @@
 		switch b.settings.LastPoll {
 		case PollUnanswered:
 			spread = min(spread, updateDeadlineMs-discoveryQueueMs-minRestartMs)
-		case PollUnknown: // it may have had no answer
+		case PollUnknown: // it may have been unanswered
 			spread = min(spread, updateDeadlineMs-discoveryQueueMs)
 		}
 		b.emit(Action{Kind: ActionTimer, DurationMs: slot * spread, Token: pollTimerToken})
 	}
 	if float64(b.replicas()) > fetchingReplicas {
-		b.discovery.fetchedAt = b.now // the list is as fresh as the start
+		b.discovery.fetchedAt = b.now // counts as a fetch, as the list is fresh at the start
 	}
 }
 
-// firstPollSpreadMs returns the time over which all agents make their first polls.
+// firstPollSpreadMs returns the time over which the first polls of all agents are spread.
 func (b *Balancer) firstPollSpreadMs() float64 {
 	interval := b.settings.Contract.PollIntervalMs
 	spread := max(firstPollGapMs*float64(b.replicas()), minFirstPollSpread*interval)
 	return min(spread, maxFirstPollSpread*interval)
 }
 
-// maxPollBackoffMs bounds the backoff before the next poll: a change that was pending when a poll failed
-// has to arrive within updateDeadlineMs, and the next poll may wait in the queue of discovery first. Few
-// agents load discovery less and poll again sooner.
+// maxPollBackoffMs bounds the backoff before the next poll: a change that was pending when a poll failed has
+// to arrive within updateDeadlineMs, and the next poll may first wait in the queue of the discovery service.
+// Few agents put less load on discovery, so they poll again sooner.
 func (b *Balancer) maxPollBackoffMs() float64 {
 	return min(max(firstPollGapMs*float64(b.replicas()), minPollBackoffMs), updateDeadlineMs-discoveryQueueMs)
 }
 
-// replicas returns the number of agents that share the load, at least this one.
+// replicas returns the number of agents that share the load, at least 1.
 func (b *Balancer) replicas() int { return max(b.settings.Replicas, 1) }
 
 // replicaSlot returns the agent's index among the replicas.
 func (b *Balancer) replicaSlot() int { return max(b.settings.ReplicaIndex, 0) % b.replicas() }
 
-// fetchEndpoints fetches the complete endpoint list, at most once in the poll interval, and more seldom the
-// more agents there are: many see the same failure at once, and every fetch loads discovery.
+// fetchEndpoints fetches the complete endpoint list, at most once per poll interval, and less often the more
+// agents there are: many agents see the same failure at once, and every fetch loads discovery.
 func (b *Balancer) fetchEndpoints() {
 	interval := max(b.settings.Contract.PollIntervalMs, minFetchMs)
 	if b.now-b.discovery.fetchedAt >= interval*max(float64(b.replicas())/fetchingReplicas, 1) {
@@ -91,8 +89,8 @@
 	}
 }
 
-// onEndpointUpdate applies an update of the endpoint list. A server that is not listed any more is
-// forgotten when no attempt and no health check of it is under way.
+// onEndpointUpdate applies an update of the endpoint list. A server that is no longer ready is removed once
+// no attempt is in flight on it and no health check is running.
 func (b *Balancer) onEndpointUpdate(ev *Event) {
 	if ev.Update == UpdateFailed {
 		b.onPollFailed()
@@ -116,7 +114,7 @@
 		}
 	}
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
-		// A server that is only cordoned stays: that may end before the next update.
+		// A server that is only cordoned stays: the cordon may end before the next update.
 		forget := !s.ready && len(s.inflight) == 0 && !s.checking
 		if forget {
 			delete(b.byAddr, s.addr)
@@ -138,8 +136,8 @@
 	b.emit(Action{Kind: ActionTimer, DurationMs: wait, Token: pollTimerToken})
 }
 
-// updateServer applies one entry of the endpoint list. A later start, or the end of a cordon, is a new
-// process: cordoned servers are restarted meanwhile, whatever start the list has.
+// updateServer applies one entry of the endpoint list. After a later start time or the end of a cordon the
+// server counts as a new process: cordoned servers are restarted meanwhile, whatever start time the list has.
 func (b *Balancer) updateServer(e *Endpoint) {
 	s := b.byAddr[e.Server]
 	started := min(nonNegative(e.StartedMs), b.now)
@@ -165,7 +163,7 @@
 	}
 }
 
-// addServer adds a server of which nothing is known but its address and its start.
+// addServer adds a server that has not been observed yet.
 func (b *Balancer) addServer(addr Addr, started float64) *server {
 	s := &server{
 		addr:            addr,
@@ -185,7 +183,7 @@
 	return s
 }
 
-// resetServer forgets what is known of a server's former process.
+// resetServer discards what was observed of the server's previous process.
 func (b *Balancer) resetServer(s *server) {
 	s.state = Unknown
 	s.stateSince = b.now
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -4,16 +4,16 @@
 // integer.
 const maxObservedSuccesses = 1e6
 
-// Observe takes what other agents saw of servers, each named at most once, and moves the states by it. A
-// server is ejected on failure and returns by what was served, or with time: an Unhealthy server is
-// UnhealthyPending after minEjectionMs, doubled with each further ejection, and one that is
-// pending without any evidence becomes Unknown after as long again. It is called instead of Handle, by a
-// caller that sends no requests of its own; its actions are dropped.
+// Observe updates the states of servers from the evidence of other agents, with at most one entry per server.
+// Failures eject a server; served attempts or time readmit it: an Unhealthy server becomes UnhealthyPending
+// after minEjectionMs, doubled with each further ejection, and a pending one without any evidence becomes
+// Unknown after the same time again. Observe is called instead of Handle, by a caller that sends no requests
+// of its own; the resulting actions are dropped.
 func (b *Balancer) Observe(now, minEjectionMs float64, seen []Evidence) {
 	b.now = now
 	b.minEjectionMs = minEjectionMs
 	b.actions = b.actions[:0]
-	var all Evidence // the sum, against which each server is compared
+	var all Evidence // the sum, to compare each server with
 	for i := range seen {
 		all.Served += nonNegative(seen[i].Served)
 		all.Failed += nonNegative(seen[i].Failed)
--- a/policy/healthcheck.go
+++ b/policy/healthcheck.go
@@ -1,16 +1,16 @@
 package policy
 
 const (
-	// maxHealthChecks bounds the health checks under way, and those saved up.
+	// maxHealthChecks bounds the running health checks and the saved tokens.
 	maxHealthChecks = 2
 	// healthChecksPerRequest is the number of health checks that a request earns.
 	healthChecksPerRequest = 0.1
 )
 
-// healthCheckBudget bounds health checks by the requests that arrive.
+// healthCheckBudget limits health checks to a fraction of the arriving requests.
 type healthCheckBudget struct {
 	running int
-	tokens  float64 // health checks that may be sent
+	tokens  float64 // health checks that may be started
 }
 
 func newHealthCheckBudget() healthCheckBudget { return healthCheckBudget{tokens: maxHealthChecks} }
@@ -26,8 +26,8 @@
 
 func (h *healthCheckBudget) end() { h.running-- }
 
-// checkHealth sends a health check to a server that is UnhealthyPending, where the deployment permits them
-// and the budget has one left.
+// checkHealth starts a health check of a server that is UnhealthyPending, if the deployment and the budget
+// permit it.
 func (b *Balancer) checkHealth(s *server) {
 	pending := s.state == UnhealthyPending && s.usable
 	if pending && b.settings.Limits.HealthChecks && !s.checking && b.healthChecks.available() {
--- a/policy/keyhash.go
+++ b/policy/keyhash.go
@@ -7,18 +7,17 @@
 )
 
 const (
-	// maxKeyShare is the part of a server's even share that one part of a split key may bring.
+	// maxKeyShare is the fraction of a server's even share that one part of a split key may bring.
 	maxKeyShare = 0.25
-	// keyCountsPerPart is the number of requests counted for each such part before all counts are halved.
+	// keyCountsPerPart is the number of requests counted per such part before all counts are halved.
 	keyCountsPerPart = 2.0
-	// minKeyCount is the count under which a key is forgotten.
+	// minKeyCount is the count below which a key is dropped.
 	minKeyCount = 0.5
 	// minUniform keeps the logarithm of a hash finite.
 	minUniform = 1e-18
 )
 
-// keyPopularity counts the requests of each key. It holds at most keyCountsPerPart/maxKeyShare keys for
-// each server.
+// keyPopularity counts the requests per key. It holds at most keyCountsPerPart/maxKeyShare keys per server.
 type keyPopularity struct {
 	counts map[uint64]float64
 	total  float64
@@ -26,7 +25,7 @@
 
 func newKeyPopularity() keyPopularity { return keyPopularity{counts: map[uint64]float64{}} }
 
-// count notes a request of the key. All counts are halved first when there are maxTotal.
+// count counts a request of the key. If the total has reached maxTotal, all counts are halved first.
 func (p *keyPopularity) count(key uint64, maxTotal float64) {
 	if p.total >= maxTotal {
 		p.total /= 2
@@ -41,10 +40,10 @@
 	p.counts[key]++
 }
 
-// hashKey returns the number that is hashed for a request of the key. A key with more than maxKeyShare of a
-// server's share of this agent's requests is split at random into parts, each with an order of servers of
-// its own: where there are many agents none has enough in flight for the bounded load to move a popular key
-// on. While few requests are counted each key has two parts.
+// hashKey returns the value that is hashed for a request of the key. A key with more than maxKeyShare of a
+// server's share of this agent's requests is split at random into parts, each with its own order of servers:
+// with many agents none has enough requests in flight for the bounded load to spread a popular key. While
+// few requests have been counted each key has two parts.
 func (b *Balancer) hashKey(key uint64) uint64 {
 	if key == 0 {
 		return 0
@@ -58,8 +57,8 @@
 	return key
 }
 
-// score orders servers for a request by weighted rendezvous hashing, the lowest first: every agent of a
-// zone finds the same order for a key, and a server's share of the keys is that of its weight. Without a
+// score orders the servers for a request by weighted rendezvous hashing, lowest first: every agent of a zone
+// finds the same order for a key, and a server's share of the keys is proportional to its weight. Without a
 // key the order is that of walkOffset.
 func (b *Balancer) score(r *request, s *server) float64 {
 	weight := s.weight * b.loadShare(s)
@@ -75,7 +74,7 @@
 
 // placeServers sets the walkOffset of each server. Requests without a key go to the first server in that
 // order that has capacity, so that an agent opens as many connections as it has requests in flight at once,
-// and not one to every server. Each agent starts at another server, by its index.
+// instead of one to every server. Each agent starts at a different server, by its index.
 func (b *Balancer) placeServers() {
 	ring := slices.Clone(b.servers)
 	slices.SortFunc(ring, func(x, y *server) int { return cmp.Compare(x.hash, y.hash) })
--- a/policy/rejectreason.go
+++ b/policy/rejectreason.go
@@ -1,31 +1,31 @@
 package policy
 
-// RejectReason says which rule ended a request that was not served, rejected or failed.
+// RejectReason names the rule that rejected or failed a request that was not served.
 type RejectReason uint8
 
-// The reasons. Those from ReasonNoTime on are the caller's, for requests that it does not give to the
-// Balancer or ends by itself.
+// The reasons. Those from ReasonNoTime on are used by the caller, for requests that it ends itself or does
+// not pass to the Balancer.
 const (
-	ReasonNone          RejectReason = iota // it was served, or its attempt has failed for good by itself
+	ReasonNone          RejectReason = iota // it was served, or its attempt failed with a final status
 	ReasonShed                              // load shedding at arrival
-	ReasonHintedWork                        // its hinted work cannot fit its objective
+	ReasonHintedWork                        // the hinted work cannot finish within the objective
 	ReasonQueueFull                         // dropped from a full queue
 	ReasonQueueTimeout                      // the queue timeout
-	ReasonUnsent                            // unsent for too large a part of its time
-	ReasonExpectedLate                      // an answer would come too late to count
-	ReasonNotRetryable                      // its attempt was not served, and it must not run again
-	ReasonRetryBudget                       // the retry budget is spent
-	ReasonAttempts                          // its attempts, or its time, are used up
+	ReasonUnsent                            // unsent for too large a fraction of its time
+	ReasonExpectedLate                      // an answer would arrive too late to count
+	ReasonNotRetryable                      // its attempt was not served and it must not run again
+	ReasonRetryBudget                       // the retry budget is used up
+	ReasonAttempts                          // its attempts or its time are used up
 	ReasonNoTime                            // no time was left at its arrival
-	ReasonConnections                       // its downstream is at its limit of connections
+	ReasonConnections                       // the downstream listener is at its connection limit
 	ReasonOpenRequests                      // too many requests are open
 	ReasonConfigExpired                     // the server rules of the shared configuration have expired
-	ReasonDuplicate                         // the id of a request that is open, or that may have run
-	ReasonDeadline                          // the deadline timer ended it, which is a bug or a stall
-	NumRejectReasons                        // their number
+	ReasonDuplicate                         // its id is that of a request that is open or may have run
+	ReasonDeadline                          // ended by the deadline timer, which indicates a bug or a stall
+	NumRejectReasons                        // number of reasons
 )
 
-// rejectReasonNames are the names in metrics and logs; they do not change.
+// rejectReasonNames are the names in metrics and logs. They are part of that interface and must not change.
 var rejectReasonNames = [NumRejectReasons]string{
 	ReasonNone:          "none",
 	ReasonShed:          "shed",
--- a/policy/request.go
+++ b/policy/request.go
@@ -2,45 +2,45 @@
 
 import "slices"
 
-// request is a request of the client. It is known until it is answered and none of its attempts is open.
-// Times are in milliseconds of the caller's clock.
+// request is a request of the client. It is stored until it is answered and has no open attempt. Times are in
+// milliseconds of the caller's clock.
 type request struct {
 	id         RequestID
 	class      int
 	tenant     int
 	key        uint64 // 0: none
 	workHintMs float64
-	flow       int // of the fair share; -1: none
+	flow       int // in the fair share; -1: none
 
 	// Times.
 	arrived      float64
-	firstArrival float64 // when the client's first attempt arrived, as far as known
+	firstArrival float64 // arrival of the client's first attempt, as far as known
 	objectiveAt  float64
-	deadline     float64 // with a margin taken off
+	deadline     float64 // less a margin
 
 	// Attempts.
 	attempts       []*attempt
 	openAttempts   int
 	mayHaveRun     int     // attempts that may have run
-	firstRunAt     float64 // when the first of those was sent
+	firstRunAt     float64 // when the first of these was sent
 	firstRunServer *server
 	reachedServer  bool
 
 	// Selection.
 	hashKey           uint64 // the key, or one of the parts that it is split into
 	nearest           [nearestServers]*server
-	nearestGeneration uint64  // tierGeneration of nearest
-	tierWeight        float64 // of the tier in which a server was last selected
+	nearestGeneration uint64  // tierGeneration when nearest was set
+	tierWeight        float64 // total weight of the tier of the last selection
 	priority          float64
-	recentKey         bool // its key was sent lately
+	recentKey         bool // the key was sent recently
 	anyServer         bool // has waited long enough for the servers nearest its key
 
 	closed          bool // answered
-	streamedBody    bool // its body is forwarded as it arrives, so it can be sent once only
-	responseStarted bool // a part of the answer is with the client
+	streamedBody    bool // the body is forwarded as it arrives, so it can be sent only once
+	responseStarted bool // the client has received a part of the answer
 }
 
-// unservedRequest is what is remembered of a request that was not served, to recognise its retry.
+// unservedRequest is the record of a request that was not served, used to recognise its retry.
 type unservedRequest struct {
 	class        int
 	key          uint64
@@ -63,7 +63,7 @@
 	b.admit(r)
 }
 
-// newRequest returns the request of an event.
+// newRequest creates the request of an EventRequest.
 func (b *Balancer) newRequest(ev *Event) *request {
 	r := &request{
 		id:           ev.Request,
@@ -91,13 +91,13 @@
 	return r
 }
 
-// deadlineIn returns the deadline of a request with so much time left. A margin is taken off for the
-// interval in which the agent handles events.
+// deadlineIn returns the deadline of a request with the given time left, less a margin for the interval at
+// which the agent handles events.
 func (b *Balancer) deadlineIn(remainingMs float64) float64 {
 	return b.now + remainingMs - min(b.settings.BatchIntervalMs, remainingMs/4)
 }
 
-// onResponseStarted notes that the client has got a part of the answer: the request cannot be retried.
+// onResponseStarted records that the client has received a part of the answer: the request cannot be retried.
 func (b *Balancer) onResponseStarted(ev *Event) {
 	r := b.requests[ev.Request]
 	if r == nil || r.closed {
@@ -109,7 +109,7 @@
 	}
 }
 
-// onBodyWritten starts the time of a streamed request and of its attempt: the server has the last byte now.
+// onBodyWritten starts the time of a streamed request and its attempt, as the last byte has now been sent.
 func (b *Balancer) onBodyWritten(ev *Event) {
 	r := b.requests[ev.Request]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].bodyPending {
@@ -127,7 +127,7 @@
 	r.objectiveAt = min(b.now+b.settings.Classes[r.class].LatencyObjectiveMs, r.deadline)
 }
 
-// onDeadlineShortened leaves the request less time than announced before.
+// onDeadlineShortened brings the deadline of a request forward; a later deadline is ignored.
 func (b *Balancer) onDeadlineShortened(ev *Event) {
 	if r := b.requests[ev.Request]; r != nil {
 		r.deadline = min(r.deadline, b.deadlineIn(ev.RemainingMs))
@@ -135,8 +135,8 @@
 	}
 }
 
-// onClientDisconnected finishes a request that its client has given up. Only one that was late counts as
-// not served: a client that disconnects sooner is no sign of overload.
+// onClientDisconnected finishes a request abandoned by its client. It counts as not served only if it was
+// late: a client that disconnects earlier is no sign of overload.
 func (b *Balancer) onClientDisconnected(ev *Event) {
 	r := b.requests[ev.Request]
 	if r == nil || r.closed {
@@ -149,8 +149,8 @@
 	b.finish(r)
 }
 
-// rejectOrFail answers a request that is not served: it is rejected where its class permits to say that a
-// retry is harmless, and failed otherwise. After the idempotency window a repeat would run again.
+// rejectOrFail answers a request that is not served. It is rejected if a retry by the client is safe, and
+// failed otherwise. After the idempotency window a repeat would run again.
 func (b *Balancer) rejectOrFail(r *request, reason RejectReason) {
 	if r.closed || r.responseStarted {
 		return
@@ -170,7 +170,7 @@
 	}
 }
 
-// finish closes a request and cancels its open attempts. It is forgotten when none is open.
+// finish closes a request and cancels its open attempts. The request is dropped once none is open.
 func (b *Balancer) finish(r *request) {
 	r.closed = true
 	if i := slices.Index(b.queued, r); i >= 0 {
@@ -186,7 +186,7 @@
 	}
 }
 
-// rememberUnserved remembers when an unserved request first arrived, where clients mark retries: the
+// rememberUnserved stores when an unserved request first arrived, if clients mark their retries: the
 // objective of a retry runs from that time.
 func (b *Balancer) rememberUnserved(r *request) {
 	if !b.settings.Clients.MarksRetry {
@@ -204,8 +204,8 @@
 	}
 }
 
-// firstArrivalOf returns when the first attempt of a retry arrived, and forgets it; if it is unknown, when
-// the retry arrived.
+// firstArrivalOf returns the arrival of the first attempt of a retry and removes the record of it. If there
+// is none, it returns the arrival of the retry.
 func (b *Balancer) firstArrivalOf(r *request) float64 {
 	i := slices.IndexFunc(b.unserved, func(u unservedRequest) bool {
 		return u.class == r.class && u.key == r.key
@@ -218,7 +218,7 @@
 	return firstArrival
 }
 
-// expectedLatency returns the mean answer time of the request's class or, with a hint, of its work, in ms.
+// expectedLatency returns the mean answer time in ms of the request's class or, with a hint, of its work.
 func (b *Balancer) expectedLatency(r *request) float64 {
 	expected := b.classes.latencyMs[r.class]
 	if hinted := b.hints.predict(r.workHintMs); hinted > 0 {
@@ -227,9 +227,9 @@
 	return expected
 }
 
-// objectiveFraction returns an answer time as a fraction of the latency objective, at most 2. With hints a
-// costly request counts as one of mean work; a small one is not scaled up, as most of its time is the
-// network's.
+// objectiveFraction returns an answer time as a fraction of the latency objective, at most 2. The answer time
+// of a request with more than the mean hinted work is scaled down to mean work; that of a smaller one is not
+// scaled up, as most of it is network time.
 func (b *Balancer) objectiveFraction(r *request, rttMs float64) float64 {
 	fraction := rttMs / b.settings.Classes[r.class].LatencyObjectiveMs
 	if r.workHintMs > 0 {
@@ -238,8 +238,8 @@
 	return min(fraction, 2)
 }
 
-// workCost returns the work of a request in mean requests, and never less than one: hints are rough, and a
-// server in slow start would be sent requests that only look small.
+// workCost returns the work of a request in mean requests, at least one: hints are rough, and a server in
+// slow start could otherwise be overloaded by requests that are hinted as small but are not.
 func (b *Balancer) workCost(r *request) float64 {
 	if r.workHintMs > b.hints.meanArriving {
 		return r.workHintMs / b.hints.meanArriving
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,11 +3,11 @@
 const (
 	// RetryTokensPerSuccess is the number of retries that a served request earns.
 	RetryTokensPerSuccess = 0.25
-	// maxRetryTokens bounds the retries saved up. An agent starts with as many.
+	// maxRetryTokens bounds the saved retry tokens. It is also their initial number.
 	maxRetryTokens = 4.0
 )
 
-// retryBudget holds the retries that may be sent. Served requests earn them: while few are served, retries
+// retryBudget holds the tokens for retries. Served requests earn them: while few requests are served, retries
 // would only multiply the load.
 type retryBudget struct {
 	tokens float64
@@ -21,9 +21,9 @@
 
 func (r *retryBudget) spend() { r.tokens-- }
 
-// maySend is the check before every attempt, the first and retries: the server is usable, the request is
-// open with time and attempts left, and it may run once more. The limit of a server in slow start is
-// checked by hasCapacity.
+// maySend reports whether an attempt, the first or a retry, is permitted: the server is usable, the request
+// is open with time and attempts left, and it may run once more. hasCapacity checks the limit of a server in
+// slow start.
 func (b *Balancer) maySend(r *request, s *server) bool {
 	if !s.usable || r.closed || r.responseStarted || r.openAttempts > 0 || b.now >= r.deadline ||
 		len(r.attempts) >= b.settings.Limits.MaxAttempts || r.streamedBody && r.mayHaveRun > 0 {
@@ -31,14 +31,15 @@
 	}
 	for _, a := range r.attempts {
 		if a.server == s && len(b.servers) > len(r.attempts) {
-			return false // a retry goes to another server
+			return false // a retry goes to a different server
 		}
 	}
 	return r.mayHaveRun == 0 || b.mayRunAgain(r, s)
 }
 
-// mayRunAgain reports whether a request that may have run may be sent to the server: an idempotent one to
-// any, one with an idempotency key to those that would drop the repeat, within the idempotency window.
+// mayRunAgain reports whether a request that may have run may be sent to the server. An idempotent request
+// may go to any server, one with an idempotency key only to servers that drop the repeat, within the
+// idempotency window.
 func (b *Balancer) mayRunAgain(r *request, s *server) bool {
 	class := &b.settings.Classes[r.class]
 	switch class.Effect {
@@ -55,9 +56,9 @@
 	return false
 }
 
-// retry queues a request whose attempt ended unserved for another attempt, where its class, its time and
-// the retry budget permit, and finishes it otherwise. An attempt that never started costs no token. The
-// idempotency window and scope are checked by maySend when a server is selected.
+// retry queues a request whose attempt was not served for another attempt, if its class, its time and the
+// retry budget permit it, and finishes it otherwise. An attempt that was never started costs no token.
+// maySend checks the idempotency window and scope when a server is selected.
 func (b *Balancer) retry(r *request, status Status) {
 	class := &b.settings.Classes[r.class]
 	repeatable := r.mayHaveRun == 0 || class.Effect == Idempotent || class.Effect == IdempotentByKey
@@ -73,7 +74,7 @@
 	}
 	if reason != ReasonNone {
 		if status == Rejected || status == Timeout {
-			b.goodput.record(0) // errors and lost connections are no sign of overload
+			b.goodput.record(0) // unlike errors and lost connections, these are signs of overload
 		}
 		b.rejectOrFail(r, reason)
 		return
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -3,16 +3,16 @@
 import "math"
 
 const (
-	// BoundedLoadFactor is the constant c of consistent hashing with bounded loads: how far above its even
-	// share of the agent's attempts a server may go before a request moves on to the next server in hash
-	// order.
+	// BoundedLoadFactor is the constant c of consistent hashing with bounded loads: the multiple of its even
+	// share of the agent's attempts that a server may have before a request moves on to the next server in
+	// hash order.
 	BoundedLoadFactor = 3.0
 	// minBoundedLoadFactor is the lower bound of that factor while servers reject attempts.
 	minBoundedLoadFactor = 1.1
-	// rejectionWeight is how steeply the factor falls with the part of attempts that are rejected.
+	// rejectionWeight is how steeply the factor falls with the fraction of attempts that are rejected.
 	rejectionWeight = 60.0
-	// nearestWaitFraction is the part of its time to the objective that a request waits for one of the
-	// servers nearest its key before it takes any other.
+	// nearestWaitFraction is the fraction of its time to the objective for which a request waits for one of
+	// the servers nearest its key before it may go to any other.
 	nearestWaitFraction = 0.25
 	// nearestServers is the number of those servers.
 	nearestServers = 2
@@ -25,14 +25,14 @@
 	tierHealthy healthTier = iota
 	tierPending
 	tierUnhealthy
-	healthTiers // their number
+	healthTiers // number of tiers
 )
 
-// candidates are the servers of a tier that may get a request, as collectCandidates found them.
+// candidates are the servers of a tier that may get a request, found by collectCandidates.
 type candidates struct {
 	servers             []*server
-	nearest             [nearestServers]*server // of servers, by score
-	deprioritizedWeight float64                 // weight of those passed over as deprioritized
+	nearest             [nearestServers]*server // those with the lowest scores, in order
+	deprioritizedWeight float64                 // total weight of the deprioritized servers that were skipped
 }
 
 // tier returns the server's tier for the request.
@@ -50,9 +50,9 @@
 	return tierHealthy
 }
 
-// selectServer returns the server for the request's next attempt, or nil if none has capacity: of the best
-// tier that is not empty the first one in the order of the key's hash that is under its bounded load.
-// Deprioritized servers come last in their tier, unless most of it is deprioritized: then all are
+// selectServer returns the server for the request's next attempt, or nil if none has capacity: in the best
+// tier that is not empty, the first server in hash order of the key that is under its bounded load.
+// Deprioritized servers come last in their tier, unless most of the tier is deprioritized: then all of it is
 // overloaded.
 func (b *Balancer) selectServer(r *request) *server {
 	if r.key == 0 && float64(b.inflight) >= b.keyless.max && b.now-b.fleet.sentAt < b.keylessTrickleMs() {
@@ -74,9 +74,8 @@
 }
 
 // collectCandidates finds and scores the servers of the tier that may get the request, and sets the
-// request's tierWeight. Only servers with capacity are scored, and none are sorted: both take time by the
-// number of servers. A request that waits for the servers nearest its key has to know them even without
-// capacity.
+// request's tierWeight. To save time in large fleets only servers with capacity are scored, and none are
+// sorted. For a request that waits for the servers nearest its key, servers without capacity are scored too.
 func (b *Balancer) collectCandidates(r *request, tier healthTier, skipDeprioritized bool) candidates {
 	waits := b.waitsForNearest(r)
 	found := candidates{servers: b.candidateBuffer[:0]}
@@ -104,7 +103,7 @@
 	return found
 }
 
-// add appends a scored server and keeps the nearest ones in order.
+// add appends a scored server and inserts it into the nearest ones.
 func (c *candidates) add(s *server) {
 	c.servers = append(c.servers, s)
 	for i, next := 0, s; i < nearestServers && next != nil; i++ {
@@ -132,15 +131,16 @@
 	return best
 }
 
-// waitsForNearest reports whether the request still waits for the servers nearest its key. Moving on at
-// once would lose what they have cached for the key, and cache it elsewhere, just when capacity is scarce.
+// waitsForNearest reports whether the request still waits for the servers nearest its key. Moving on at once
+// would not use what they have cached for the key, and would fill the caches of others while capacity is
+// scarce.
 func (b *Balancer) waitsForNearest(r *request) bool {
 	return r.key != 0 && !r.anyServer && len(r.attempts) == 0 &&
 		b.now-r.arrived < nearestWaitFraction*(r.objectiveAt-r.arrived)
 }
 
-// nearestAreFull reports whether the request waits for the servers nearest its key, as they were found when
-// it was last tried to send it, and none of them accepts it. Until they are found, it does not.
+// nearestAreFull reports whether the request waits for the servers nearest its key and none of them accepts
+// it. The servers are those found by the request's last selection; it returns false until there was one.
 func (b *Balancer) nearestAreFull(r *request) bool {
 	found := r.nearest[0] != nil && r.nearestGeneration == b.tierGeneration
 	if !found || !b.waitsForNearest(r) {
@@ -154,9 +154,9 @@
 	return true
 }
 
-// accepts reports whether the server has capacity and is under its bounded load in the tier of the
-// request's last selection. While servers reject attempts the bound is lower: they have little capacity
-// beyond it, and a key must move on before its server is full.
+// accepts reports whether the server has capacity and is under its bounded load in the tier of the request's
+// last selection. While servers reject attempts the bound is lower: they have little spare capacity, and the
+// requests of a key must move on before its server is full.
 func (b *Balancer) accepts(s *server, r *request) bool {
 	share := s.weight * b.warmUpFraction(s) / r.tierWeight
 	factor := max(BoundedLoadFactor/(1+rejectionWeight*b.fleet.rejectionRate), minBoundedLoadFactor)
@@ -164,8 +164,8 @@
 }
 
 // hasCapacity reports whether the server may get one more request of this agent: one at a time until it is
-// validated, then by its concurrency limit; in slow start also by its tokens, even to validate it, as all
-// agents do.
+// validated, then up to its concurrency limit. In slow start it needs tokens too, even to be validated, as
+// all agents validate it at the same time.
 func (b *Balancer) hasCapacity(s *server, r *request) bool {
 	unvalidated := s.state >= UnhealthyPending && (len(s.inflight) == 0 || !b.failureRateWithinBaseline(s))
 	switch {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -8,11 +8,11 @@
 	discoveryOnRequest = "on_request"
 )
 
-// priorityByWork is the value of Settings.PriorityUnit for which a priority is not divided by the answer
+// priorityByWork is the value of Settings.PriorityUnit with which priorities are not divided by the answer
 // time of the class.
 const priorityByWork = "work"
 
-// SettingError is the error of a setting that is not valid.
+// SettingError reports an invalid setting.
 type SettingError struct {
 	Key    string // on the wire
 	Reason string
@@ -20,7 +20,7 @@
 
 func (e *SettingError) Error() string { return fmt.Sprintf("settings: %s: %s", e.Key, e.Reason) }
 
-// validate returns a SettingError for the first setting that is not valid.
+// validate returns a SettingError for the first invalid setting.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
 		return &SettingError{Key: "classes", Reason: "none given"}
@@ -56,8 +56,7 @@
 	return nil
 }
 
-// validate returns a SettingError for the first setting of the class that is not valid. key is that of the
-// class.
+// validate returns a SettingError for the first invalid setting of the class. key is the key of the class.
 func (c *Class) validate(key string) error {
 	if err := requirePositive(key+".aimMs", c.LatencyObjectiveMs); err != nil {
 		return err
@@ -80,7 +79,7 @@
 	return &SettingError{Key: key + ".effect", Reason: fmt.Sprintf("unknown effect %q", c.Effect)}
 }
 
-// requirePositive returns a SettingError unless the value is a number above 0.
+// requirePositive returns a SettingError unless the value is above 0. NaN is invalid.
 func requirePositive(key string, value float64) error {
 	if value > 0 {
 		return nil
@@ -88,7 +87,7 @@
 	return &SettingError{Key: key, Reason: fmt.Sprintf("must be above 0, is %v", value)}
 }
 
-// requireNonNegative returns a SettingError unless the value is a number of 0 or above.
+// requireNonNegative returns a SettingError unless the value is 0 or above. NaN is invalid.
 func requireNonNegative(key string, value float64) error {
 	if value >= 0 {
 		return nil
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -3,46 +3,47 @@
 import "math"
 
 const (
-	// slowStartBurst bounds the slow-start tokens that a server saves up, in mean requests. An agent with
-	// sparse traffic saves up to twice as many.
+	// slowStartBurst bounds the slow-start tokens that a server saves up, in mean requests. For an agent with
+	// sparse traffic the bound is up to twice as high.
 	slowStartBurst = 1.0
-	// slowStartMargin divides the share of a server in slow start: the others save up to three quarters
-	// of the work by the keys they know, and the requests of an agent come in bursts.
+	// slowStartMargin divides the share of a server in slow start: other servers save up to three quarters
+	// of the work through their caches, and the requests of an agent arrive in bursts.
 	slowStartMargin = 4.0
-	// sparseSlowStartMargin replaces it for sparse traffic, where chance evens out the bursts of many
-	// agents.
+	// sparseSlowStartMargin replaces slowStartMargin for sparse traffic, where the bursts of many agents
+	// average out.
 	sparseSlowStartMargin = 2.5
-	// sparseEarnFactor is how many times its share an agent with sparse traffic earns a server: tokens for
-	// just the share are often full when none of its keys comes, and missing when one does.
+	// sparseEarnFactor is the multiple of its share that a server in slow start earns from sparse traffic:
+	// with tokens for just the share the bucket is often full while none of the server's keys is requested,
+	// and empty when one is.
 	sparseEarnFactor = 4.0
-	// sparseRequestsPerServer is the number of requests to a server during one slow start at which traffic
-	// counts as half sparse.
+	// sparseRequestsPerServer is the number of requests to a server during one slow start at which the
+	// sparsity of traffic is one half.
 	sparseRequestsPerServer = 8.0
 )
 
-// slowStartState is what the tokens of servers in slow start are computed from.
+// slowStartState holds what the tokens of servers in slow start are computed from.
 type slowStartState struct {
 	// flow is the work, in mean requests, served by a server of weight one that is not in slow start, as a
 	// moving sum that decays over the slow-start time.
 	flow   float64
 	flowAt float64 // last change of flow
 
-	// The weight of all healthy servers that are not in slow start, counted once for all decisions of a
+	// The weight of all healthy servers that are not in slow start, cached for all decisions at the same
 	// time.
 	establishedWeight     float64
 	establishedAt         float64
 	establishedGeneration uint64
 }
 
-// recordServed notes work served by servers of the given total weight.
+// recordServed records work served by servers of the given total weight.
 func (st *slowStartState) recordServed(now, work, weight, slowStartMs float64) {
 	st.flow = st.flow*math.Exp((st.flowAt-now)/slowStartMs) + work/weight
 	st.flowAt = now
 }
 
-// warmUpFraction returns the part of its capacity, 0 to 1, that a server has by the contract: it rises
-// linearly over the slow-start time. A start that was assumed and that the endpoint list does not confirm
-// within a poll interval does not count.
+// warmUpFraction returns the fraction of its capacity, 0 to 1, that a server has according to the contract:
+// it rises linearly over the slow-start time. An assumed restart that the endpoint list does not confirm
+// within a poll interval is ignored.
 func (b *Balancer) warmUpFraction(s *server) float64 {
 	contract := &b.settings.Contract
 	age := b.now - s.startedAt
@@ -53,8 +54,8 @@
 	return contract.SlowStartMinCapacity + (1-contract.SlowStartMinCapacity)*max(age, 0)/contract.SlowStartMs
 }
 
-// establishedWeight returns the weight of the servers of the best tier that are not in slow start. It is
-// counted once for all decisions of a time.
+// establishedWeight returns the weight of the healthy servers that are not in slow start. It is cached for
+// all decisions at the same time.
 func (b *Balancer) establishedWeight() float64 {
 	st := &b.slowStart
 	if st.establishedAt == b.now && st.establishedGeneration == b.tierGeneration {
@@ -71,9 +72,9 @@
 	return st.establishedWeight
 }
 
-// loadShare returns the part of an even share that a server may be sent. In slow start it keeps the
-// overload factor of the contract; the keys of the server move to it as it warms up, instead of waiting for
-// it.
+// loadShare returns the fraction of an even share that a server may be sent. In slow start it stays below the
+// overload factor of the contract; as it also reduces the server's weight in hash order, keys move to the
+// server gradually instead of waiting for its capacity.
 func (b *Balancer) loadShare(s *server) float64 {
 	if capacity := b.warmUpFraction(s); capacity < 1 {
 		margin := slowStartMargin - (slowStartMargin-sparseSlowStartMargin)*b.trafficSparsity(s)
@@ -82,8 +83,8 @@
 	return 1
 }
 
-// trafficSparsity returns from 0, much traffic, to 1 how few requests this agent sends to such a server. An
-// agent with sparse traffic is one of many. It is 0 while nothing was served.
+// trafficSparsity returns how few requests this agent sends to such a server, from 0 for heavy traffic to 1
+// for hardly any; an agent with sparse traffic is one of many. It is 0 until a request has been served.
 func (b *Balancer) trafficSparsity(s *server) float64 {
 	if b.slowStart.flow <= 0 {
 		return 0
@@ -91,14 +92,14 @@
 	return 1 / (1 + b.slowStart.flow*s.weight/sparseRequestsPerServer)
 }
 
-// initialSlowStartTokens returns a random part of one request. Of many agents that never earn a complete
-// one as many then send one as together have earned one.
+// initialSlowStartTokens returns a random fraction of one request. Of many agents that each earn less than
+// one request, the expected number that send one is then what all of them have earned together.
 func (b *Balancer) initialSlowStartTokens() float64 { return b.rng.Float64() }
 
-// earnSlowStartTokens gives the servers in slow start tokens for work that a server out of slow start has
-// served, by their weight and load share: so the shares that all agents send stay in proportion without any
-// coordination. Attempts that are only sent do not count: under overload they are many times what is
-// served.
+// earnSlowStartTokens gives the servers in slow start tokens for work that a server not in slow start has
+// served, by their weight and load share: this keeps the shares sent by all agents in proportion without
+// coordination. Attempts that are sent but not served do not count: under overload there are many times more
+// of them.
 func (b *Balancer) earnSlowStartTokens(s *server, work float64) {
 	established := b.establishedWeight()
 	if b.warmUpFraction(s) < 1 || established == 0 {
@@ -115,10 +116,11 @@
 	}
 }
 
-// allowedWhileAllSlowStart reports whether the server may get the request while all servers are in slow
-// start and none earns tokens. It gets as much of this agent as its share of the recent flow. An agent that
-// has just started and knows no flow sends one request at a time of all agents, by an answer time and the
-// server's share; without that it would reject all until the first server has its full capacity.
+// allowedWhileAllSlowStart reports whether the server may get the request while all servers are in slow start
+// and none earns tokens. The server gets its share of the work that this agent's servers served recently. An
+// agent that has just started has no such record: all agents together then send a server about one request
+// per answer time and share. Without that the agent would reject all requests until the first server has its
+// full capacity.
 func (b *Balancer) allowedWhileAllSlowStart(s *server, r *request) bool {
 	share := b.loadShare(s)
 	cost := b.workCost(r)
--- a/policy/slowstart_simulation_test.go
+++ b/policy/slowstart_simulation_test.go
@@ -277,7 +277,8 @@
 		}{{20, false}, {30, false}, {20, true}, {30, true}} {
 			agents := of.agents
 			overloaded, worst, served, requests := 0, 0.0, 0, 0
-			// Of sixty seeds those on which a server in slow start got the most; with 17, 29 and 41 all servers are in it.
+			// Of sixty seeds those on which a server in slow start got the most; with 17, 29 and 41 all
+			// servers are in it.
 			seeds := []uint64{2, 34, 29}
 			if name == "join and return" {
 				seeds = []uint64{2, 12, 17, 29, 34, 41, 47}
--- a/policy/statistics.go
+++ b/policy/statistics.go
@@ -9,12 +9,12 @@
 	fleetAverageWeight = 0.005
 	// classLatencyWeight is the weight of one answer in the mean answer time of its class.
 	classLatencyWeight = 4 * fleetAverageWeight
-	// shareDecay is the decay of shares of requests by one request: about the last 500 count.
+	// shareDecay is the decay per request of moving shares of requests, which thus cover about 500 requests.
 	shareDecay = 0.998
-	// minHintAnswers is the number of answers to hinted requests from which a prediction is made.
+	// minHintAnswers is the number of answers to hinted requests required for a prediction.
 	minHintAnswers = 1 / (4 * fleetAverageWeight)
-	// baselineAnswers is the number of answers that set the baseline latency. No concurrency limit grows
-	// before.
+	// baselineAnswers is the number of answers that set the baseline latency. No concurrency limit is
+	// increased before.
 	baselineAnswers = 50
 )
 
@@ -23,14 +23,14 @@
 	answers         float64 // served attempts
 	latency         float64 // mean latency
 	baselineLatency float64 // mean latency while no server is overloaded
-	failureRate     float64 // part of the attempts that failed
-	rejectionRate   float64 // part of the attempts that servers rejected
-	reportedLoad    float64 // mean reported requests in flight for a server of weight one
+	failureRate     float64 // fraction of the attempts that failed
+	rejectionRate   float64 // fraction of the attempts that servers rejected
+	reportedLoad    float64 // mean of the reported requests in flight, per server weight
 	sentAt          float64 // last attempt
 	sendInterval    float64 // mean time between attempts, in ms
 }
 
-// recordSend notes an attempt that is sent at now.
+// recordSend records an attempt that is sent at now.
 func (f *fleetStats) recordSend(now float64) {
 	if f.sentAt > 0 {
 		f.sendInterval = movingAverage(f.sendInterval, now-f.sentAt, fleetAverageWeight)
@@ -38,9 +38,9 @@
 	f.sentAt = now
 }
 
-// recordLatency notes the latency of a served attempt. The baseline follows shorter latencies at once and
-// longer ones by riseWeight. The first answers set it, within a bound: neither one quick answer nor an
-// overload at the start must become the baseline.
+// recordLatency records the latency of a served attempt. The baseline follows shorter latencies quickly and
+// longer ones with riseWeight. The first baselineAnswers answers set it, up to a bound: neither a single fast
+// answer nor an overload at the start may become the baseline.
 func (f *fleetStats) recordLatency(latency, riseWeight float64) {
 	f.answers++
 	f.latency = movingAverage(f.latency, latency, max(fleetAverageWeight, 1/f.answers))
@@ -54,8 +54,8 @@
 	}
 }
 
-// hintRegression fits a straight line of answer time over hinted work. Both are in milliseconds. The line
-// has an offset because the network's part of an answer time does not grow with the work.
+// hintRegression is a linear regression of answer time on hinted work, both in milliseconds. The line has an
+// intercept because the network's part of an answer time does not grow with the work.
 type hintRegression struct {
 	meanArriving float64 // mean hint of the requests that arrived
 	count        float64 // answers to hinted requests
@@ -65,12 +65,12 @@
 	covariance   float64 // of work and answer time
 }
 
-// recordArrival notes the hint of a request that arrived.
+// recordArrival records the hint of an arriving request.
 func (h *hintRegression) recordArrival(workMs float64) {
 	h.meanArriving = movingAverage(h.meanArriving, workMs, fleetAverageWeight)
 }
 
-// record notes the answer time of a request; without a hint it does nothing.
+// record adds the answer time of a request; without a hint it does nothing.
 func (h *hintRegression) record(workMs, latencyMs float64) {
 	if workMs <= 0 {
 		return
@@ -85,8 +85,7 @@
 	h.covariance += weight * (workDelta*latencyDelta*(1-weight) - h.covariance)
 }
 
-// predict returns the answer time expected for the hinted work, or 0 without a hint or while too few
-// answers are known.
+// predict returns the expected answer time for the hinted work, or 0 without a hint or with too few answers.
 func (h *hintRegression) predict(workMs float64) float64 {
 	if workMs <= 0 || h.count < minHintAnswers || h.variance <= 0 {
 		return 0
@@ -94,7 +93,8 @@
 	return max(h.meanLatency+h.covariance/h.variance*(workMs-h.meanWork), 0)
 }
 
-// movingAverage moves an average towards x; the first value is taken as it is.
+// movingAverage returns the exponentially weighted moving average after x; the first value becomes the
+// average.
 func movingAverage(old, x, weight float64) float64 {
 	if old == 0 {
 		return x
@@ -102,8 +102,8 @@
 	return old + weight*(x-old)
 }
 
-// movingRate moves a failure rate as if each of the failed and served attempts had been recorded on its
-// own.
+// movingRate returns a moving failure rate after the failed and served attempts, as if each had been recorded
+// individually.
 func movingRate(old, failed, served, weight float64) float64 {
 	if n := failed + served; n > 0 {
 		old += (1 - math.Pow(1-weight, n)) * (failed/n - old)
@@ -111,7 +111,7 @@
 	return old
 }
 
-// nonNegative returns x, or 0 where it is negative, infinite or no number.
+// nonNegative returns x, or 0 if it is negative, infinite or NaN.
 func nonNegative(x float64) float64 {
 	if !(x > 0) || math.IsInf(x, 1) {
 		return 0
