--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	// shedMemoryRequests is the number of ended requests over which the fraction served in time is averaged.
-	shedMemoryRequests = 20.0
-	// minServedFactor sets the threshold of load shedding: no request is shed while at least
-	// 1/minServedFactor of them are served in time.
-	minServedFactor = 1.5
+	// shedWindowRequests is the number of ended requests over which the fraction served in time is averaged.
+	shedWindowRequests = 20.0
+	// shedThresholdFactor sets the threshold of load shedding: no request is shed while at least
+	// 1/shedThresholdFactor of them are served in time.
+	shedThresholdFactor = 1.5
 	// maxShedFraction is the upper bound of the fraction of requests that is shed.
 	maxShedFraction = 0.8
 	// underQuotaWeight is the fraction of the worst tenant's weight that is added to a request whose tenant
@@ -27,7 +27,7 @@
 	minLatencyFraction = 0.7
 )
 
-// goodput holds moving sums, over the last shedMemoryRequests, of the ended requests and of the value they
+// goodput holds moving sums, over the last shedWindowRequests, of the ended requests and of the value they
 // earned. It counts the outcomes that indicate whether there is overload: served, shed, disconnected after
 // the objective, and not retried after a rejection or a timeout. Requests that end in the queue, by an error
 // or by a lost connection are not counted.
@@ -37,21 +37,21 @@
 }
 
 func newGoodput() goodput {
-	return goodput{ended: shedMemoryRequests / 2, earned: shedMemoryRequests / 2}
+	return goodput{ended: shedWindowRequests / 2, earned: shedWindowRequests / 2}
 }
 
 // record counts an ended request and the fraction of its value, 0 to 1, that it earned.
 func (g *goodput) record(earned float64) {
-	g.ended += 1 - g.ended/shedMemoryRequests
-	g.earned += earned - g.earned/shedMemoryRequests
+	g.ended += 1 - g.ended/shedWindowRequests
+	g.earned += earned - g.earned/shedWindowRequests
 }
 
 // recordMany counts n ended requests at once, of which earned were served.
 func (g *goodput) recordMany(n, earned float64) {
 	if n > 0 {
-		weight := 1 - math.Pow(1-1/shedMemoryRequests, n)
-		g.ended += weight * (shedMemoryRequests - g.ended)
-		g.earned += weight * (earned/n*shedMemoryRequests - g.earned)
+		weight := 1 - math.Pow(1-1/shedWindowRequests, n)
+		g.ended += weight * (shedWindowRequests - g.ended)
+		g.earned += weight * (earned/n*shedWindowRequests - g.earned)
 	}
 }
 
@@ -59,7 +59,7 @@
 // served too late, the servers are overloaded and their work is wasted; they recover only under less load.
 // An agent that sends few requests cannot detect this for a single server, but can from all its requests.
 func (g *goodput) shedFraction() float64 {
-	return min(max(g.ended-minServedFactor*g.earned, 0)/(g.ended+1), maxShedFraction)
+	return min(max(g.ended-shedThresholdFactor*g.earned, 0)/(g.ended+1), maxShedFraction)
 }
 
 // ShedFraction returns the fraction of the arriving requests that is to be shed.
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -4,13 +4,13 @@
 
 // attempt is one transmission of a request to a server.
 type attempt struct {
-	request *request
-	server  *server
-	index   int // in the request's attempts
-	sentAt  float64
-	alone   bool    // this agent had no other attempt in flight on the server
-	work    float64 // in mean requests
-	done    bool
+	request      *request
+	server       *server
+	index        int // in the request's attempts
+	sentAt       float64
+	onlyInflight bool    // this agent had no other attempt in flight on the server
+	work         float64 // in mean requests
+	done         bool
 	// bodyPending says that a streamed body has not been sent completely. Until then the attempt does not
 	// count as load of its server, and the server is not expected to answer.
 	bodyPending bool
@@ -22,13 +22,13 @@
 		return false
 	}
 	a := &attempt{
-		request:     r,
-		server:      s,
-		index:       len(r.attempts),
-		sentAt:      b.now,
-		alone:       len(s.inflight) == 0,
-		work:        b.workCost(r),
-		bodyPending: r.streamedBody,
+		request:      r,
+		server:       s,
+		index:        len(r.attempts),
+		sentAt:       b.now,
+		onlyInflight: len(s.inflight) == 0,
+		work:         b.workCost(r),
+		bodyPending:  r.streamedBody,
 	}
 	r.attempts = append(r.attempts, a)
 	r.openAttempts++
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -25,9 +25,9 @@
 	// overloadedReportFactor is the multiple of the mean reported requests in flight above which a server is
 	// overloaded.
 	overloadedReportFactor = 1.5
-	// maxTrickleRate bounds the requests without a key that all agents together send to a server per latency
-	// objective while their limits are reached.
-	maxTrickleRate = 2.0
+	// maxKeylessProbeRate bounds the requests without a key that all agents together send to a server per
+	// latency objective while their limits are reached.
+	maxKeylessProbeRate = 2.0
 	// keylessLatencyWeight is the weight of one answer in the mean latency that adjusts the keyless limit.
 	keylessLatencyWeight = serverAverageWeight / 4
 	// maxBaselineRiseDivisor is the largest divisor of the weight with which the baseline latency follows
@@ -64,12 +64,13 @@
 	}
 }
 
-// keylessTrickleMs returns the interval at which a request without a key is sent even though the keyless
-// limit is reached: requests that hang in overloaded servers until their deadline do not show when these
-// recover. All agents together send each server at most maxTrickleRate of them per lowest latency objective.
-func (b *Balancer) keylessTrickleMs() float64 {
+// keylessProbeMs returns the interval at which a request without a key is sent even though the
+// keyless limit is reached: requests that hang in overloaded servers until their deadline do not show when
+// these recover. All agents together send each server at most maxKeylessProbeRate of them per lowest latency
+// objective.
+func (b *Balancer) keylessProbeMs() float64 {
 	servers := float64(max(len(b.servers), 1))
-	return b.minObjectiveMs * max(float64(b.replicas())/(maxTrickleRate*servers), 1)
+	return b.minObjectiveMs * max(float64(b.replicas())/(maxKeylessProbeRate*servers), 1)
 }
 
 // latencyLimit returns the mean answer time, as a fraction of the latency objective, above which a server is
@@ -140,7 +141,7 @@
 // counts more the fewer agents there are: a single agent whose baseline was set by a few fast answers would
 // otherwise underuse its servers permanently.
 func (b *Balancer) baselineRiseWeight(a *attempt) float64 {
-	if a.alone {
+	if a.onlyInflight {
 		return fleetAverageWeight / min(2*math.Pow(float64(b.replicas()), 3), maxBaselineRiseDivisor)
 	}
 	return fleetAverageWeight / maxBaselineRiseDivisor
--- a/policy/connections.go
+++ b/policy/connections.go
@@ -12,9 +12,9 @@
 	if interval == 0 {
 		interval = b.fleet.sendInterval * servers
 	}
-	keeping := prices.Connection * interval * float64(b.settings.Replicas)
-	opening := idlePriceFactor * servers * b.fleet.sendInterval * prices.Handshake
-	if len(s.inflight) == 0 && keeping > opening {
+	keepCost := prices.Connection * interval * float64(b.settings.Replicas)
+	openCost := idlePriceFactor * servers * b.fleet.sendInterval * prices.Handshake
+	if len(s.inflight) == 0 && keepCost > openCost {
 		b.emit(Action{Kind: ActionCloseIdle, Server: s.addr})
 	}
 }
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -121,7 +121,7 @@
 		}
 		return forget
 	})
-	b.placeServers()
+	b.setRingOffsets()
 }
 
 // onPollFailed sets the timer of the next poll, with exponential backoff and jitter.
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -9,21 +9,21 @@
 // after minEjectionMs, doubled with each further ejection, and a pending one without any evidence becomes
 // Unknown after the same time again. Observe is called instead of Handle, by a caller that sends no requests
 // of its own; the resulting actions are dropped.
-func (b *Balancer) Observe(now, minEjectionMs float64, seen []Evidence) {
+func (b *Balancer) Observe(now, minEjectionMs float64, evidence []Evidence) {
 	b.now = now
 	b.minEjectionMs = minEjectionMs
 	b.actions = b.actions[:0]
-	var all Evidence // the sum, to compare each server with
-	for i := range seen {
-		all.Served += nonNegative(seen[i].Served)
-		all.Failed += nonNegative(seen[i].Failed)
-		all.Rejected += nonNegative(seen[i].Rejected)
+	var total Evidence // the sum, to compare each server with
+	for i := range evidence {
+		total.Served += nonNegative(evidence[i].Served)
+		total.Failed += nonNegative(evidence[i].Failed)
+		total.Rejected += nonNegative(evidence[i].Rejected)
 	}
-	b.goodput.recordMany(all.Served+all.Rejected, all.Served)
-	b.fleet.failureRate = movingRate(b.fleet.failureRate, all.Failed, all.Served, fleetAverageWeight)
-	for i := range seen {
-		if s := b.byAddr[seen[i].Server]; s != nil {
-			b.observeServer(s, &seen[i])
+	b.goodput.recordMany(total.Served+total.Rejected, total.Served)
+	b.fleet.failureRate = movingRate(b.fleet.failureRate, total.Failed, total.Served, fleetAverageWeight)
+	for i := range evidence {
+		if s := b.byAddr[evidence[i].Server]; s != nil {
+			b.observeServer(s, &evidence[i])
 		}
 	}
 	b.revalidateEjected()
--- a/policy/keyhash.go
+++ b/policy/keyhash.go
@@ -59,30 +59,30 @@
 
 // score orders the servers for a request by weighted rendezvous hashing, lowest first: every agent of a zone
 // finds the same order for a key, and a server's share of the keys is proportional to its weight. Without a
-// key the order is that of walkOffset.
+// key the order is that of ringOffset.
 func (b *Balancer) score(r *request, s *server) float64 {
 	weight := s.weight * b.loadShare(s)
 	if s.zone == b.settings.Zone {
 		weight *= b.locality.weight
 	}
 	if r.key == 0 {
-		return s.walkOffset / weight
+		return s.ringOffset / weight
 	}
 	uniform := float64(mix64(r.hashKey^s.hash)>>11) / (1 << 53)
 	return -math.Log(uniform+minUniform) / weight
 }
 
-// placeServers sets the walkOffset of each server. Requests without a key go to the first server in that
+// setRingOffsets sets the ringOffset of each server. Requests without a key go to the first server in that
 // order that has capacity, so that an agent opens as many connections as it has requests in flight at once,
 // instead of one to every server. Each agent starts at a different server, by its index.
-func (b *Balancer) placeServers() {
+func (b *Balancer) setRingOffsets() {
 	ring := slices.Clone(b.servers)
 	slices.SortFunc(ring, func(x, y *server) int { return cmp.Compare(x.hash, y.hash) })
 	start := (float64(b.replicaSlot()) + 0.5) / float64(b.replicas())
 	for i, s := range ring {
-		s.walkOffset = (float64(i)+0.5)/float64(len(ring)) - start
-		if s.walkOffset < 0 {
-			s.walkOffset++
+		s.ringOffset = (float64(i)+0.5)/float64(len(ring)) - start
+		if s.ringOffset < 0 {
+			s.ringOffset++
 		}
 	}
 }
--- a/policy/locality.go
+++ b/policy/locality.go
@@ -26,11 +26,11 @@
 
 // record counts an attempt in the own zone; missed says that it was not served in time.
 func (l *localityWeight) record(crossZonePrice float64, missed bool) {
-	part := 0.0
+	missedFraction := 0.0
 	if missed {
-		part = 1
+		missedFraction = 1
 	}
-	l.weight = NextLocalityWeight(l.weight, crossZonePrice, part)
+	l.weight = NextLocalityWeight(l.weight, crossZonePrice, missedFraction)
 }
 
 // NextLocalityWeight returns the weight of the own zone after attempts there of which the fraction missed, 0
--- a/policy/rejectreason_test.go
+++ b/policy/rejectreason_test.go
@@ -27,7 +27,7 @@
 		ReasonShed: func(t *testing.T) (*harness, RequestID, []Action) {
 			r := newHarness(t, testSettings(), 1)
 			for range 100 {
-				r.b.goodput.ended, r.b.goodput.earned = shedMemoryRequests, 0
+				r.b.goodput.ended, r.b.goodput.earned = shedWindowRequests, 0
 				id, actions := r.request(0, 7)
 				if findAction(actions, ActionReject) != nil {
 					return r, id, actions
--- a/policy/request.go
+++ b/policy/request.go
@@ -118,7 +118,7 @@
 	a := r.attempts[ev.Attempt]
 	a.bodyPending = false
 	a.sentAt = b.now
-	a.alone = len(a.server.inflight) == 0
+	a.onlyInflight = len(a.server.inflight) == 0
 	b.addInflight(a)
 	r.arrived = b.now
 	r.firstArrival = b.now
@@ -158,11 +158,11 @@
 	b.rememberUnserved(r)
 	b.queueTimeout.RequestEnded(false)
 	class := &b.settings.Classes[r.class]
-	dropsRepeats := class.Effect == IdempotentByKey && class.DedupScope == ScopeAll
-	harmless := r.mayHaveRun == 0 || class.Effect == Idempotent ||
-		dropsRepeats && b.now-r.firstRunAt < class.IdempotencyWindowMs
+	deduplicated := class.Effect == IdempotentByKey && class.DedupScope == ScopeAll
+	retryIsSafe := r.mayHaveRun == 0 || class.Effect == Idempotent ||
+		deduplicated && b.now-r.firstRunAt < class.IdempotencyWindowMs
 	b.finish(r)
-	if harmless {
+	if retryIsSafe {
 		retryAfterMs := b.settings.Limits.MaxRetryAfterMs
 		b.emit(Action{Kind: ActionReject, Request: r.id, DurationMs: retryAfterMs, Reason: reason})
 	} else {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -61,15 +61,15 @@
 // maySend checks the idempotency window and scope when a server is selected.
 func (b *Balancer) retry(r *request, status Status) {
 	class := &b.settings.Classes[r.class]
-	repeatable := r.mayHaveRun == 0 || class.Effect == Idempotent || class.Effect == IdempotentByKey
-	affordable := b.retryBudget.available() || status == NotStarted
+	retryable := r.mayHaveRun == 0 || class.Effect == Idempotent || class.Effect == IdempotentByKey
+	withinBudget := b.retryBudget.available() || status == NotStarted
 	reason := ReasonNone
 	switch {
-	case !repeatable:
+	case !retryable:
 		reason = ReasonNotRetryable
 	case len(r.attempts) >= b.settings.Limits.MaxAttempts || b.now >= r.deadline:
 		reason = ReasonAttempts
-	case !affordable:
+	case !withinBudget:
 		reason = ReasonRetryBudget
 	}
 	if reason != ReasonNone {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -25,7 +25,7 @@
 	tierHealthy healthTier = iota
 	tierPending
 	tierUnhealthy
-	healthTiers // number of tiers
+	numHealthTiers // number of tiers
 )
 
 // candidates are the servers of a tier that may get a request, found by collectCandidates.
@@ -55,10 +55,10 @@
 // Deprioritized servers come last in their tier, unless most of the tier is deprioritized: then all of it is
 // overloaded.
 func (b *Balancer) selectServer(r *request) *server {
-	if r.key == 0 && float64(b.inflight) >= b.keyless.max && b.now-b.fleet.sentAt < b.keylessTrickleMs() {
+	if r.key == 0 && float64(b.inflight) >= b.keyless.max && b.now-b.fleet.sentAt < b.keylessProbeMs() {
 		return nil
 	}
-	for tier := range healthTiers {
+	for tier := range numHealthTiers {
 		for _, skipDeprioritized := range []bool{true, false} {
 			found := b.collectCandidates(r, tier, skipDeprioritized)
 			if r.tierWeight == 0 {
--- a/policy/server.go
+++ b/policy/server.go
@@ -6,7 +6,7 @@
 type server struct {
 	addr       Addr
 	hash       uint64  // of the address
-	walkOffset float64 // 0 to 1: place in the order for requests without a key
+	ringOffset float64 // 0 to 1: place in the order for requests without a key
 
 	// From the endpoint list.
 	zone        int
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -23,10 +23,10 @@
 
 // slowStartState holds what the tokens of servers in slow start are computed from.
 type slowStartState struct {
-	// flow is the work, in mean requests, served by a server of weight one that is not in slow start, as a
-	// moving sum that decays over the slow-start time.
-	flow   float64
-	flowAt float64 // last change of flow
+	// servedWork is the work, in mean requests, served by a server of weight one that is not in slow start,
+	// as a moving sum that decays over the slow-start time.
+	servedWork   float64
+	servedWorkAt float64 // last change of servedWork
 
 	// The weight of all healthy servers that are not in slow start, cached for all decisions at the same
 	// time.
@@ -37,8 +37,8 @@
 
 // recordServed records work served by servers of the given total weight.
 func (st *slowStartState) recordServed(now, work, weight, slowStartMs float64) {
-	st.flow = st.flow*math.Exp((st.flowAt-now)/slowStartMs) + work/weight
-	st.flowAt = now
+	st.servedWork = st.servedWork*math.Exp((st.servedWorkAt-now)/slowStartMs) + work/weight
+	st.servedWorkAt = now
 }
 
 // warmUpFraction returns the fraction of its capacity, 0 to 1, that a server has according to the contract:
@@ -86,10 +86,10 @@
 // trafficSparsity returns how few requests this agent sends to such a server, from 0 for heavy traffic to 1
 // for hardly any; an agent with sparse traffic is one of many. It is 0 until a request has been served.
 func (b *Balancer) trafficSparsity(s *server) float64 {
-	if b.slowStart.flow <= 0 {
+	if b.slowStart.servedWork <= 0 {
 		return 0
 	}
-	return 1 / (1 + b.slowStart.flow*s.weight/sparseRequestsPerServer)
+	return 1 / (1 + b.slowStart.servedWork*s.weight/sparseRequestsPerServer)
 }
 
 // initialSlowStartTokens returns a random fraction of one request. Of many agents that each earn less than
@@ -126,7 +126,7 @@
 	cost := b.workCost(r)
 	contract := &b.settings.Contract
 	waited := b.now - max(s.sentAt, s.stateSince-contract.OverloadWindowMs)
-	earned := waited * b.slowStart.flow * s.weight * share / contract.SlowStartMs
+	earned := waited * b.slowStart.servedWork * s.weight * share / contract.SlowStartMs
 	if max(s.slowStartTokens, 0)+earned >= cost {
 		return true
 	}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -91,9 +91,9 @@
 			r.endAttempt(id, 0, a.Server, Rejected, 1)
 		}
 	}
-	if starting.slowStartTokens > first || r.b.slowStart.flow > 0 {
+	if starting.slowStartTokens > first || r.b.slowStart.servedWork > 0 {
 		t.Errorf("nothing was served, and the server in slow start has %.2f tokens of a flow of %.2f",
-			starting.slowStartTokens, r.b.slowStart.flow)
+			starting.slowStartTokens, r.b.slowStart.servedWork)
 	}
 }
 
