--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -41,7 +41,7 @@
 		OverQuotaWeight: 1,
 	}
 	out.Objective.Total = 1
-	out.Servers.CacheKeys = group.KeyCache.SavedFraction > 0
+	out.ServerInfo.CacheKeys = group.KeyCache.SavedFraction > 0
 	out.Prices.CrossZone = 0.02
 	for i := range s.Classes {
 		out.Classes = append(out.Classes, s.Classes[i].settings())
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -175,7 +175,7 @@
 
 // isRecentKey reports whether the request's key was sent so recently that it likely costs its server less.
 func (b *Balancer) isRecentKey(r *request) bool {
-	return b.settings.Servers.CacheKeys && b.recentKeys.Contains(b.now, r.key)
+	return b.settings.ServerInfo.CacheKeys && b.recentKeys.Contains(b.now, r.key)
 }
 
 // flowOf returns the request's flow in the fair share, or -1 for an unknown tenant. Each class of a tenant is
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -10,7 +10,7 @@
 func BenchmarkDecision(b *testing.B) {
 	set := testSettings()
 	set.Tenants = []Tenant{{QuotaWeight: 0.44}, {QuotaWeight: 0.32}, {QuotaWeight: 0.13}, {QuotaWeight: 0.11}}
-	set.OverQuotaWeight, set.Servers.CacheKeys = 0.1, true
+	set.OverQuotaWeight, set.ServerInfo.CacheKeys = 0.1, true
 	set.Report.Names = []string{"qps", "latency_ms", "eps", "util"}
 	m, err := New(set, 1)
 	if err != nil {
--- a/policy/overload_simulation_test.go
+++ b/policy/overload_simulation_test.go
@@ -107,7 +107,7 @@
 	set.Classes = []Class{read, book}
 	set.Limits.Cancelling = false
 	set.Clients.MarksRetry = false
-	set.Servers.CacheKeys = true
+	set.ServerInfo.CacheKeys = true
 	set.Report.Names = []string{"util", "inflight"}
 	set.Objective = Objective{Total: 0.4, WorstWindow: 0.15, WorstClass: 0.2, WorstTenant: 0.25}
 	set.OverQuotaWeight = 0.1
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -90,7 +90,7 @@
 // Of two requests with equal priority the one whose key was sent lately comes first.
 func TestRecentKeysAreSentFirst(t *testing.T) {
 	set := testSettings()
-	set.Servers.CacheKeys, set.Objective.Total = true, 1
+	set.ServerInfo.CacheKeys, set.Objective.Total = true, 1
 	r := newHarness(t, set, 1)
 	s := r.b.servers[0]
 	s.limit.Reset(1)
--- a/policy/types.go
+++ b/policy/types.go
@@ -134,7 +134,7 @@
 	Clients       struct {
 		MarksRetry bool `json:"marksRetry"` // retries of a client are marked as such
 	} `json:"clients"`
-	Servers struct {
+	ServerInfo struct {
 		CacheKeys bool `json:"warmKeys"` // repeated requests of a key cost less
 	} `json:"familyInfo"`
 	ReplicaIndex    int     `json:"index"`          // of the agent among the replicas, from 0
