--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -2,13 +2,14 @@
 
 import "testing"
 
-// The class with the least priority weight must not be starved where the worst class counts.
+// If the objective has a term for the worst class, the class with the lowest priority weight must not be
+// starved.
 func TestWorstClassHasAHigherPriority(t *testing.T) {
 	set := testSettings()
 	set.Objective = Objective{Total: 0.5, WorstClass: 0.5}
 	r := newHarness(t, set, 2)
 	once, free := &request{class: 1, objectiveAt: r.now + 500}, &request{class: 0, objectiveAt: r.now + 500}
-	for range 500 { // of class 1 all are served, of class 0 none
+	for range 500 { // all requests of class 1 are served, none of class 0
 		r.b.classes.countRequest(0, r.b.settings.Classes)
 		r.b.classes.countRequest(1, r.b.settings.Classes)
 		r.b.classes.inTimeShare[1] += 1 - shareDecay
@@ -20,8 +21,8 @@
 	}
 }
 
-// Overloaded servers work for clients that have disconnected, and each rejection brings a retry. Errors are
-// no overload.
+// Late answers, rejections and timeouts indicate overload, in which servers work for clients that have
+// disconnected and each rejection causes a retry. Errors do not.
 func TestLoadIsShedWhileServersAnswerLate(t *testing.T) {
 	for _, c := range []struct {
 		end  Status
@@ -48,21 +49,21 @@
 	}
 }
 
-// An agent that sheds most of its requests, as its servers were overloaded, keeps sending some, and all
-// again once they have recovered: of any 13 requests one is sent, also while priorities fall from one
-// request to the next.
+// An agent that sheds most of its requests because its servers were overloaded still sends some, and all of
+// them once the servers have recovered: at least one of any 13 requests is sent, even while each request has
+// a lower priority than the one before.
 func TestSheddingAgentKeepsSendingSomeRequests(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		before int // class of the requests while servers are late, and of those after that
-		then   int
+		before int // class of most requests during the overload
+		then   int // class of the requests after it
 		ending Status
 	}{{"late, one class", 0, 0, OK}, {"late, then another class", 1, 0, OK}, {"late, then a class of higher priority", 0, 1, OK}, {"rejected", 1, 0, Rejected}} {
 		set := testSettings()
 		set.Limits.MaxAttempts = 1
 		set.Objective = Objective{Total: 0.8, WorstWindow: 0.1, WorstClass: 0.1}
 		r := newHarness(t, set, 12)
-		for i := range 400 { // requests of both classes, and all end badly
+		for i := range 400 { // requests of both classes, all late or rejected
 			class := c.before
 			if i%5 == 0 {
 				class = c.then
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// simulateSilentServer sends requests to three servers, of which one answers nothing from some time on, and
-// runs for a second after that. Timers fire as the Balancer sets them, and from that time on ejectSilent
-// runs each extraMs besides (0: not). It returns when the silent server was ejected, and how many timers
-// were set in a second before, with requests in flight all the time.
+// simulateSilentServer sends requests to three servers, one of which stops answering at some time, and runs
+// for a second after that. Timers fire as the Balancer sets them; from that time on ejectSilent also runs
+// every extraMs, if that is not 0. It returns how long after that time the silent server was ejected, and how
+// many timers were set in the second before, in which requests were always in flight.
 func simulateSilentServer(t *testing.T, seed int, extraMs float64) (leftAt float64, ticks int) {
 	r := newHarness(t, testSettings(), 3)
 	type event struct {
@@ -73,15 +73,15 @@
 	return leftAt, ticks
 }
 
-// With all requests in flight the timer is set for when a server would count as silent, and not each few
-// ms; a silent server is ejected at most one tick (10 ms here) later than with a check each ms.
+// While no request is queued the tick timer is set for the time at which a server counts as silent, instead
+// of every few ms. A silent server is ejected at most one tick (10 ms here) later than with a check every ms.
 func TestTickTimerRunsOnlyWhenNeeded(t *testing.T) {
 	for seed := range 40 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			leftAt, ticks := simulateSilentServer(t, seed, 0)
 			want, _ := simulateSilentServer(t, seed, 1)
 			if leftAt == 0 || leftAt > want+10 {
-				t.Errorf("a silent server was ejected after %.1f ms, %.1f if checked each ms", leftAt, want)
+				t.Errorf("a silent server was ejected after %.1f ms, %.1f if checked every ms", leftAt, want)
 			}
 			if ticks > 60 {
 				t.Errorf("%d timers in a second", ticks)
@@ -90,8 +90,8 @@
 	}
 }
 
-// While nothing is queued and no server is silent a tick changes nothing, neither at once nor later:
-// therefore no timer has to run then.
+// While nothing is queued and no server is silent, a tick changes no action, neither then nor later, so no
+// timer needs to run.
 func TestTickWithAnEmptyQueueChangesNothing(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkDecision handles requests from arrival to answer, for an agent with 60 servers, tenants and
-// keys, where servers reject three in ten attempts.
+// BenchmarkDecision handles requests from arrival to answer for an agent with 60 servers, four tenants and
+// 1000 keys, with servers that reject three of ten attempts.
 func BenchmarkDecision(b *testing.B) {
 	set := testSettings()
 	set.Tenants = []Tenant{{QuotaWeight: 0.44}, {QuotaWeight: 0.32}, {QuotaWeight: 0.13}, {QuotaWeight: 0.11}}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// With one agent the first answers may be fast; what comes after must not count as overload for good at one
-// attempt a server.
+// A single agent may get fast answers first. Slower answers after that must not count as overload permanently
+// while it has one attempt at a time in flight on each server.
 func TestBaselineRisesForALoneAgent(t *testing.T) {
 	for _, agents := range []int{1, 5} {
 		set := testSettings()
@@ -28,8 +28,8 @@
 	}
 }
 
-// Few agents see most of the load: a server that answers well within the objective is not overloaded,
-// however low the baseline. Servers in slow start are slower before they are overloaded.
+// With few agents each sees most of a server's load: a server that answers well within the objective is not
+// overloaded, however low the baseline. Servers in slow start are slow before they are overloaded.
 func TestLatencyLimitFallsWithTheNumberOfAgents(t *testing.T) {
 	limit := func(agents int, baseline float64) float64 {
 		set := testSettings()
@@ -39,7 +39,7 @@
 		return r.b.latencyLimit(r.b.byAddr[addr(0)])
 	}
 	if one, many := limit(1, 0.01), limit(20, 0.01); one < 0.3 || many > 0.1 {
-		t.Errorf("least limits: %.2f for one agent, want about a third; %.2f for twenty, want little",
+		t.Errorf("lowest limits: %.2f for one agent, want about a third; %.2f for twenty, want at most 0.1",
 			one, many)
 	}
 	if l := limit(1, 0.9); l != maxLatencyFraction {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Agents may be restarted while the fleet is overloaded.
+// Agents may be restarted while the servers are overloaded.
 func TestOverloadAtStartDoesNotSetTheBaseline(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	for range baselineAnswers {
@@ -68,10 +68,10 @@
 
 func TestLimitOfAnOverloadedServerDecreases(t *testing.T) {
 	set := testSettings()
-	set.Replicas = 20 // each sees little of the load
+	set.Replicas = 20 // each sees a small part of the load
 	r := newHarness(t, set, 1)
 	srv := r.b.servers[0]
-	for range 300 { // long enough to know the baseline
+	for range 300 { // until the baseline is known
 		id, s := r.mustForward(0, 1)
 		r.now += 20
 		r.endAttempt(id, 0, s, OK, 20)
@@ -88,14 +88,14 @@
 		t.Errorf("answers took seven times as long and the limit went from %.2f to %.2f",
 			grown, srv.limit.Size())
 	}
-	// With many agents one attempt of each keeps an overloaded server busy.
+	// With many agents one attempt from each is enough to keep a server overloaded.
 	if srv.limit.Size() >= 1 {
-		t.Errorf("an overloaded server gets no pause: limit %.2f", srv.limit.Size())
+		t.Errorf("the limit of an overloaded server did not fall below one attempt: %.2f", srv.limit.Size())
 	}
 }
 
-// Limits that grew before the baseline is known would overload the servers, and the overload would become
-// the baseline.
+// Limits that were increased before the baseline is known would overload the servers, and the overload would
+// become the baseline.
 func TestLimitsDoNotGrowBeforeTheBaselineIsKnown(t *testing.T) {
 	r := newHarness(t, testSettings(), 2)
 	for range baselineAnswers - 1 {
@@ -121,13 +121,13 @@
 		}
 	}
 	if w := max(r.b.servers[0].limit.Size(), r.b.servers[1].limit.Size()); w <= initialLimit {
-		t.Errorf("no limit grew once the baseline was known: %.2f", w)
+		t.Errorf("no limit was increased once the baseline was known: %.2f", w)
 	}
 }
 
-// An agent that sends a server two requests a minute cannot adjust a limit. A server that rejected, was
-// late or reports far more than the mean is passed over for about one round, unless most of its tier would
-// be.
+// An agent that sends a server two requests a minute cannot adjust its limit. Instead, a server that rejected
+// an attempt, answered late or reports far more than the mean load is deprioritized for about as long as one
+// request to each server takes, unless that applies to most of its tier.
 func TestOverloadedServerIsInBackoff(t *testing.T) {
 	for _, c := range []struct {
 		crowd  string
@@ -166,8 +166,8 @@
 	}
 }
 
-// A server with few places rejects attempts while it answers in time what it has. An agent that soon sends
-// the next attempt adjusts its limit, and the keys stay where they are cached.
+// A server with few slots rejects attempts while it answers in time what it has accepted. An agent that sends
+// the next attempt soon adjusts its limit, and the keys stay where they are cached.
 func TestRejectingServerKeepsItsKeysForABusyAgent(t *testing.T) {
 	r := newHarness(t, testSettings(), 6)
 	for range 100 {
@@ -184,7 +184,7 @@
 	}
 }
 
-// Invalid reports reach no decision.
+// Invalid load reports do not count as overload.
 func TestInvalidReportsAreNoOverload(t *testing.T) {
 	set := testSettings()
 	set.Report = ReportFormat{Delivery: "inline", Names: []string{"inflight"}}
@@ -192,12 +192,12 @@
 	nan, inf := float32(math.NaN()), float32(math.Inf(1))
 	for _, report := range [][]float32{nil, {nan}, {inf}, {-inf}, {-3}} {
 		if s := r.b.servers[0]; r.b.overloaded(s, report) || r.b.fleet.reportedLoad != 0 {
-			t.Errorf("report %v: taken for overload, or the mean is %v", report, r.b.fleet.reportedLoad)
+			t.Errorf("report %v: counted as overload, or changed the mean to %v", report, r.b.fleet.reportedLoad)
 		}
 	}
 }
 
-// While requests find no capacity a limit tolerates a longer queue; otherwise the same answers decrease it.
+// While requests find no capacity a limit tolerates longer answer times, which otherwise decrease it.
 func TestLimitsTolerateLongerLatencyWhileCapacityIsScarce(t *testing.T) {
 	window := func(crowd int) float64 {
 		s := testSettings()
--- a/policy/connections_test.go
+++ b/policy/connections_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Each of a thousand agents would keep connections to many servers, which have a price; opening one has
-// another.
+// Each of a thousand agents would keep idle connections to many servers open. They are closed if their price
+// is higher than that of the handshakes.
 func TestIdleConnectionsAreClosedWhereKeepingThemCostsMore(t *testing.T) {
 	for _, c := range []struct {
 		agents          int
--- a/policy/discovery_simulation_test.go
+++ b/policy/discovery_simulation_test.go
@@ -5,17 +5,18 @@
 	"testing"
 )
 
-// discoveryServer works through polls in order. A poll that waits too long fails but its work is done all
-// the same, and one that finds the queue too long fails at once. Times are in ms.
+// discoveryServer simulates a discovery service that works through polls in order. A poll that waits too long
+// times out, but its work is done all the same; one that finds the queue too long fails at once. Times are in
+// ms.
 type discoveryServer struct {
-	callMs                      float64 // the work of a poll for changes; a complete list is twice that
-	freeAt                      float64 // when the present work is done
+	callMs                      float64 // cost of a poll for changes; the complete list costs twice as much
+	freeAt                      float64 // when the accepted work is done
 	clientTimeoutMs, maxQueueMs float64
 	callTimes                   []float64 // when polls arrived
 	failed                      int
 }
 
-// call takes a poll that costs so much time, and returns when and how it ends.
+// call accepts a poll with the given cost, and returns when it ends and whether it succeeds.
 func (l *discoveryServer) call(now, cost float64) (at float64, ok bool) {
 	l.callTimes = append(l.callTimes, now)
 	if l.freeAt = max(l.freeAt, now); l.freeAt-now > l.maxQueueMs {
@@ -30,7 +31,7 @@
 	return l.freeAt, true
 }
 
-// maxCallsPerSecond returns the most polls in any second.
+// maxCallsPerSecond returns the largest number of polls in any second.
 func (l *discoveryServer) maxCallsPerSecond() int {
 	most, from := 0, 0
 	for i, t := range l.callTimes {
@@ -42,9 +43,8 @@
 	return most
 }
 
-// simulateStart starts agents with the given last poll within startMs, lets each see failures of three
-// servers in its first second, and runs them for 60 s. It returns when the poll of each succeeded; -1:
-// never.
+// simulateStart starts agents with the given last poll within startMs, has each see three failed attempts in
+// its first second, and runs them for 60 s. It returns when the first poll of each succeeded; -1: never.
 func simulateStart(t *testing.T, agents int, last LastPoll, roster *discoveryServer, start float64) []float64 {
 	t.Helper()
 	set := testSettings()
@@ -81,10 +81,10 @@
 	return following
 }
 
-// A release that restarts all agents at once must not overload discovery: what it works off for pollers
-// that have timed out is lost to those who come after. The polls in a second stay under a bound that the
-// contract gives, whatever the number of agents. Agents whose last poll may have failed have less time, so
-// that more of them poll in a second; no poll may fail for it.
+// A release that restarts all agents at once must not overload discovery: the work it does for polls that
+// have timed out delays all later ones. The number of polls per second stays below a bound given by the
+// contract, whatever the number of agents. Agents whose last poll may have failed have less time, so more of
+// them poll per second; no poll may fail because of that.
 func TestFleetStartAtOverloadedDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		agents int
@@ -102,7 +102,7 @@
 		if slices.Contains(following, -1) {
 			t.Errorf("%d agents: the polls of some never succeeded", agents)
 		}
-		// Each must poll within its time; a second may bring little more than an even part of that.
+		// All must poll within the time; no second may have many more polls than an even spread.
 		least := float64(agents) / c.within
 		bound := int(max(least*1.6, 24))
 		t.Logf("%d agents, last poll %d: at most %d polls a second, %d polls, %d failed, the last succeeded after %.1f s",
@@ -116,7 +116,7 @@
 		if last > 10_000 {
 			t.Errorf("%d agents: the last poll succeeded after %.1f s", agents, last/1000)
 		}
-		each := 2 // one for changes, and one for the complete list, which many do without
+		each := 2 // one for changes and one for the complete list, which large fleets do not fetch
 		if agents > fetchingReplicas {
 			each = 1
 		}
@@ -126,9 +126,10 @@
 	}
 }
 
-// simulateOutage has agents lose discovery at once for downMs, in which each poll fails after 1 s, and runs
-// them for 60 s. It returns how long after the outage the last agent had no endpoint list, the most polls
-// in a second before and after its end, and the longest queue, in ms of work.
+// simulateOutage simulates agents that all start in an outage of discovery of the given length, in which each
+// poll fails after 1 s, and runs them for 60 s. It returns how long after the outage the last agent had its
+// endpoint list, the largest number of polls in a second during the outage and after it, and the longest
+// queue, in ms of work.
 func simulateOutage(t *testing.T, agents int, down float64, roster *discoveryServer) (last float64, before, after int, queue float64) {
 	t.Helper()
 	set := testSettings()
@@ -161,10 +162,11 @@
 	return slices.Max(following) - down, outside.maxCallsPerSecond(), roster.maxCallsPerSecond(), queue
 }
 
-// After an outage all agents poll a discovery that works through polls in order. Backoff keeps the polls of
-// a second below one of every other agent. A discovery that can take a poll of each within updateDeadlineMs
-// less a queue serves all before a change counts as notified; the slowest (8 s, more than there is time)
-// serves all within one more round, or two where it works off polls that have timed out.
+// After an outage all agents poll a discovery service that works through polls in order. Backoff keeps the
+// number of polls per second below half the number of agents. A service that can answer a poll of every agent
+// within updateDeadlineMs less its queue does so before agents count as notified of a change. The slowest (8
+// s for all, longer than the deadline) needs one more round of polls, or two if it also works through polls
+// that have timed out.
 func TestDiscoveryQueueAfterAnOutage(t *testing.T) {
 	for _, c := range []struct {
 		agents  int
@@ -188,9 +190,9 @@
 	}
 }
 
-// A process that is killed while its poll has no answer leaves an agent with an old endpoint list. The one
-// that is started in its place polls within the time that the failed poll would have left it, and not in
-// the slot of a complete fleet, which is later; agents whose last poll was answered keep that slot.
+// A process that is killed while its poll is unanswered leaves an agent with a stale endpoint list. Its
+// successor polls within the time that a failed poll would have left, instead of in its slot of a complete
+// fleet start, which is later. Agents whose last poll was answered keep that slot.
 func TestRestartAfterAFailedPollPollsInTime(t *testing.T) {
 	set := testSettings()
 	set.DiscoveryMode, set.Contract.PollIntervalMs = "on_request", 10_000
@@ -239,9 +241,9 @@
 	}
 }
 
-// A process whose state directory is lost starts without knowing its last poll, which may have failed. It
-// polls so soon that it is in time where it was restarted within minRestartMs after an outage, if discovery
-// can take a poll of each agent meanwhile; otherwise all have the endpoint list once it has taken those.
+// A process whose state directory was lost does not know the outcome of its last poll, which may have failed.
+// It polls early enough to be in time after a restart that took minRestartMs, if discovery can answer a poll
+// of every agent in that time; otherwise all have the endpoint list once discovery has answered them.
 func TestRestartWithUnknownLastPollPollsInTime(t *testing.T) {
 	set := testSettings()
 	set.DiscoveryMode, set.Contract.PollIntervalMs = "on_request", 10_000
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// A change counts as notified 6 s after a poll failed, however often polls failed before: the next poll
-// comes in time to wait 2 s in the queue of discovery, and with few agents much sooner. Many agents poll no
-// more often than once each in the shortest backoff.
+// Agents count as notified of a change 6 s after a failed poll, however many polls failed before: the next
+// poll comes early enough to wait 2 s in the queue of discovery, and with few agents much earlier. Many
+// agents wait at least half of the maximum backoff.
 func TestPollBackoffIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		agents       int
@@ -52,8 +52,8 @@
 	}
 }
 
-// Whatever index and number of replicas the settings have, an agent polls within the poll interval; a
-// negative number is rejected by its key.
+// An agent polls within the poll interval whatever its index and number of replicas are. A negative number of
+// replicas is an error that names the setting's key.
 func TestFirstPollWithAnyReplicaIndex(t *testing.T) {
 	set := testSettings()
 	set.DiscoveryMode = "on_request"
@@ -75,8 +75,8 @@
 	}
 }
 
-// A cordoned server gets no attempts whatever its health in the endpoint list, and returns in slow start:
-// the list may have the restart later, or never.
+// A cordoned server gets no attempts, whatever its health in the endpoint list, and returns in slow start:
+// the list may show its restart later or never.
 func TestCordonedServerReturnsInSlowStart(t *testing.T) {
 	r := newHarness(t, testSettings(), 2)
 	entry := func(banned bool) Endpoint {
@@ -110,7 +110,7 @@
 	if to := sent(400); to[0] == 0 || to[0] >= to[1]/2 {
 		t.Errorf("in the first 4 s after the cordon: %v", to)
 	}
-	// Whatever start the endpoint list has meanwhile.
+	// The same holds if the endpoint list shows a new start time during the cordon.
 	r.updateEndpoints(UpdateOtherSource, entry(true))
 	r.now += 5000
 	restarted := entry(true)
--- a/policy/evidence_test.go
+++ b/policy/evidence_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The four states by the evidence of others: ejection on failure, the ejection time, validation, and return
-// with time where there is no evidence.
+// The transitions of the four states by evidence from other agents: ejection on failure, the ejection time,
+// validation by served attempts, and readmission after a time without evidence.
 func TestObserveStates(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	s := addr(1)
@@ -25,18 +25,18 @@
 	r.wantState(s, Connected) // validated
 	r.observe(Evidence{Server: s, Failed: 20, Silent: true})
 	r.wantState(s, Unhealthy)
-	for range 8 { // consecutive failures double the ejection time: 2 of them by now, at most
+	for range 8 { // each consecutive failure doubles the ejection time; there were at most 2
 		r.now += 5000
 		r.observe()
 	}
-	r.wantState(s, Unknown) // with time
+	r.wantState(s, Unknown) // after a time without evidence
 	if v := r.view(s); v.Ejections == 0 {
-		t.Error("a consecutive failure was taken back though nothing was served")
+		t.Error("the ejection count was reduced though nothing was served")
 	}
 	r.wantState(addr(2), Unknown)
 }
 
-// A few failures among many answers eject no server; a failing server among healthy ones is ejected.
+// A server with a few failures among many answers is not ejected; one that fails far more than others is.
 func TestObserveBaselineFailures(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	for range 20 {
@@ -48,8 +48,8 @@
 	r.wantState(addr(1), Unhealthy)
 }
 
-// A server that nobody reached for long and that answers again may be a new process: it is in slow start,
-// also where the endpoint list has no start.
+// A server that answers again after all connects failed for long may be a new process: it is in slow start
+// even if the endpoint list shows no restart.
 func TestObserveAssumesRestart(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	r.observe(Evidence{Server: addr(0), Failed: 5, Silent: true})
@@ -64,7 +64,7 @@
 	}
 }
 
-// Invalid numbers, and servers that are not listed, change nothing.
+// Invalid numbers and evidence about servers that are not listed are ignored.
 func TestObserveInvalidNumbers(t *testing.T) {
 	r := newHarness(t, testSettings(), 2)
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5} {
@@ -78,7 +78,7 @@
 	}
 }
 
-// Where most attempts are rejected a part of the requests is to be shed, and none once they are served.
+// While most attempts are rejected a fraction of the requests is shed; once they are served again, none is.
 func TestObserveShedFraction(t *testing.T) {
 	r := newHarness(t, testSettings(), 2)
 	for range 3 {
@@ -92,6 +92,6 @@
 		r.observe(Evidence{Server: addr(0), Served: 100})
 	}
 	if x := r.b.ShedFraction(); x != 0 {
-		t.Errorf("shed %v after it", x)
+		t.Errorf("shed %v after the overload", x)
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// scheduledEvent is an event that an agent will get.
+// scheduledEvent is a future event of an agent.
 type scheduledEvent struct {
 	at    float64
-	order int // of what happens at one time
+	order int // breaks ties of at
 	agent int
 	ev    Event
 }
 
-// eventQueue is a heap of events, the next first.
+// eventQueue is a heap of events ordered by time.
 type eventQueue []scheduledEvent
 
 func (d eventQueue) Len() int { return len(d) }
@@ -33,17 +33,17 @@
 	return last
 }
 
-// fleet runs many agents in virtual time, in ms. Their actions are answered by the test.
+// fleet runs many agents in virtual time, in ms. The test handles their actions.
 type fleet struct {
 	now       float64
-	sequence  int // events so far
+	sequence  int // number of events so far
 	agents    []*Balancer
 	scheduled eventQueue
-	// onAction takes what an agent does, but for timers.
+	// onAction handles the actions of an agent, except timers.
 	onAction func(agent int, a *Action)
 }
 
-// schedule schedules an event of an agent.
+// schedule schedules an event of an agent after the given time.
 func (f *fleet) schedule(ms float64, agent int, ev Event) {
 	f.sequence++
 	heap.Push(&f.scheduled, scheduledEvent{f.now + ms, f.sequence, agent, ev})
@@ -59,14 +59,14 @@
 	}
 }
 
-// start starts an agent that knows the endpoints.
+// start starts an agent with a cached endpoint list.
 func (f *fleet) start(agent int, entries []Endpoint) {
 	b := f.agents[agent]
 	f.do(agent, b.Start(f.now, nil))
 	f.do(agent, b.Handle(f.now, &Event{Kind: EventEndpointUpdate, Update: UpdateCached, Endpoints: entries}, nil))
 }
 
-// runUntil handles the scheduled events up to a time.
+// runUntil handles the events scheduled before end.
 func (f *fleet) runUntil(end float64) {
 	for len(f.scheduled) > 0 && f.scheduled[0].at < end {
 		d := heap.Pop(&f.scheduled).(scheduledEvent)
@@ -99,14 +99,14 @@
 	return entries
 }
 
-// Without a server all requests are rejected; one server serves nearly all; where all servers are in slow
-// start each still gets some requests, so that they warm up.
+// Without servers all requests are rejected; a single server serves nearly all of them; if all servers are in
+// slow start, each of them still gets requests and warms up.
 func TestNoServerOneServerAndAllInSlowStart(t *testing.T) {
 	for name, x := range map[string]struct {
 		servers int
 		cold    bool
 		served  int // at least, of 200
-	}{"none": {0, false, 0}, "one": {1, false, 190}, "all cold": {6, true, 15}} {
+	}{"none": {0, false, 0}, "one": {1, false, 190}, "all in slow start": {6, true, 15}} {
 		set := testSettings()
 		f := newFleet(t, set, 3)
 		f.now = 1e6
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -8,7 +8,7 @@
 	b   *Balancer
 	now float64
 	id  RequestID
-	// splitKeys lets keys be split; elsewhere each is taken for one of very many.
+	// splitKeys permits popular keys to be split; by default no key counts as popular.
 	splitKeys bool
 }
 
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// mustForward sends one request and returns where it was forwarded.
+// mustForward sends one request and returns its id and the server it was forwarded to.
 func (r *harness) mustForward(class int, key uint64) (RequestID, Addr) {
 	r.t.Helper()
 	id, actions := r.request(class, key)
@@ -85,7 +85,7 @@
 	return id, a.Server
 }
 
-// tick lets ms pass and fires the tick timer.
+// tick advances the time by ms and fires the tick timer.
 func (r *harness) tick(ms float64) []Action {
 	r.now += ms
 	return r.do(Event{Kind: EventTimer, Token: tickTimerToken})
--- a/policy/healthcheck_test.go
+++ b/policy/healthcheck_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// An overloaded server rejects health checks too, and must not get one for each request.
+// An overloaded server also rejects health checks, and must not get one for every request.
 func TestHealthChecksAreFewerThanRequests(t *testing.T) {
 	set := testSettings()
 	set.Limits.HealthChecks = true
@@ -56,7 +56,7 @@
 	}
 }
 
-// A request that must not run twice would be lost on a failing server that is only being validated.
+// A request that must not run twice could not be retried if the server that it is to validate fails again.
 func TestNonIdempotentRequestsDoNotValidateServers(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	bad := r.b.byAddr[addr(0)]
--- a/policy/keyhash_test.go
+++ b/policy/keyhash_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A key that draws much of the traffic must not go to one server, though no agent has more than one of its
-// requests in flight. Other keys stay on few servers.
+// A key with a large share of the traffic must not go to a single server, even if no agent has more than one
+// of its requests in flight. Other keys stay on few servers.
 func TestPopularKeyIsSplit(t *testing.T) {
 	r := newHarness(t, testSettings(), 20)
 	r.splitKeys = true
--- a/policy/keyless_test.go
+++ b/policy/keyless_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Requests without a key that come one after the other stay on few servers, so that connections are used
-// again. Each agent uses other servers, as many as it has requests in flight at once.
+// Sequential requests without a key stay on few servers, so that connections are reused. An agent uses about
+// as many servers as it has requests in flight at once, and each agent uses different ones.
 func TestKeylessRequestsStayOnFewServers(t *testing.T) {
 	const agents, servers = 8, 64
 	homes := map[Addr]int{}
@@ -32,14 +32,13 @@
 	}
 	for to, n := range homes {
 		if n > 2 {
-			t.Errorf("%d of %d agents begin at %v", n, agents, to)
+			t.Errorf("%d of %d agents start at %v", n, agents, to)
 		}
 	}
 }
 
-// An agent whose answers take longer from all servers has fewer requests without a key in flight, though
-// none of the servers alone shows an overload, and more again once answers are fast. Requests with a key do
-// not wait for that.
+// An agent has fewer requests without a key in flight while answers from all servers take longer, though no
+// single server shows an overload, and more again once answers are fast. Requests with a key are not limited.
 func TestKeylessLimitFallsUnderOverload(t *testing.T) {
 	r := newHarness(t, testSettings(), 64)
 	type out struct {
@@ -47,7 +46,8 @@
 		to Addr
 	}
 	var inflight []out
-	steady := func(answers int, rtt float64) int { // as many as permitted are in flight, up to 40, and are answered in order
+	// steady keeps as many requests in flight as permitted, up to 40, and answers them in order.
+	steady := func(answers int, rtt float64) int {
 		for range answers {
 			for len(inflight) < 40 {
 				id, actions := r.request(0, 0)
@@ -80,8 +80,8 @@
 	}
 }
 
-// Requests that hang in overloaded servers fill the keyless limit up to their deadlines. One more is sent
-// in each latency objective all the same; with many agents and few servers no more than these bear.
+// Requests that hang in overloaded servers fill the keyless limit until their deadlines. Even so, one more is
+// sent per latency objective, or fewer with many agents and few servers, which could not handle that many.
 func TestHangingRequestsLeaveAKeylessTrickle(t *testing.T) {
 	for _, c := range []struct{ agents, servers, least, most int }{{3, 12, 19, 22}, {240, 12, 1, 3}, {294, 164, 19, 22}} {
 		set := testSettings()
@@ -107,7 +107,7 @@
 				sent, last = sent+1, r.now
 			}
 			longest = max(longest, r.now-last)
-			for _, h := range slices.Clone(r.b.queued) { // those that wait in vain
+			for _, h := range slices.Clone(r.b.queued) { // drop the requests that were not sent
 				r.do(Event{Kind: EventClientDisconnected, Request: h.id})
 			}
 		}
--- a/policy/locality_test.go
+++ b/policy/locality_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Crossing zones costs time and has a price: more keys stay in the own zone than its servers' part, and
-// still most other servers are used.
+// Crossing zones takes time and has a price: the own zone gets a larger share of the keys than its share of
+// the servers, but servers of the other zone are used too.
 func TestOwnZoneIsPreferredForKeys(t *testing.T) {
-	r := newHarness(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
+	r := newHarness(t, testSettings(), 6) // alternating in zones 0 and 1; this agent is in 0
 	own, used, all := 0, map[Addr]bool{}, 600
 	for key := range uint64(all) {
 		id, s := r.mustForward(0, mix64(key+1))
@@ -20,7 +20,7 @@
 	}
 }
 
-// Crossing zones has a price, but one zone may have more traffic than its servers can carry.
+// Crossing zones has a price, but one zone may have more traffic than its servers can handle.
 func TestLocalityWeightFollowsServiceInTime(t *testing.T) {
 	weight := func(price, rtt float64) float64 {
 		set := testSettings()
@@ -37,11 +37,11 @@
 		return r.b.locality.weight
 	}
 	if w := weight(0.1, 20); w < 4 {
-		t.Errorf("own zone in time: weight %.1f, want much", w)
+		t.Errorf("own zone in time: weight %.1f, want at least 4", w)
 	}
 	for _, w := range []float64{weight(0.1, 500), weight(0, 20)} {
 		if w != MinLocalityWeight {
-			t.Errorf("own zone late, or crossing without a price: weight %.1f, want the least", w)
+			t.Errorf("own zone late, or crossing without a price: weight %.1f, want the lower bound", w)
 		}
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -16,9 +16,9 @@
 	}
 	id, s2 := r.mustForward(0, 7)
 	if s2 != s {
-		t.Fatalf("key moved from %v to %v without a cause", s, s2)
+		t.Fatalf("key moved from %v to %v without a reason", s, s2)
 	}
-	srv.failureRate = 0.5 // an outlier
+	srv.failureRate = 0.5 // above the baseline
 	actions := r.endAttempt(id, 0, s, Error, 5)
 	if srv.state != Unhealthy {
 		t.Fatalf("error: state %d, want Unhealthy", srv.state)
@@ -29,10 +29,10 @@
 	if a := findAction(actions, ActionForward); a == nil || a.Server == s {
 		t.Errorf("the idempotent request was not retried on another server: %+v", actions)
 	}
-	// While it is Unhealthy its key goes elsewhere; after the ejection time the next
-	// request makes it pending, and a served answer Connected.
+	// While the server is Unhealthy its key goes to another one. After the ejection time the next request
+	// makes it UnhealthyPending, and a served attempt Connected.
 	if _, s3 := r.mustForward(0, 7); s3 == s {
-		t.Error("an Unhealthy server was chosen before the better tier")
+		t.Error("an Unhealthy server was selected before those of a better tier")
 	}
 	r.now += r.b.ejectionTime(srv) + 1
 	id, s4 := r.mustForward(0, 7)
@@ -59,7 +59,7 @@
 	}
 }
 
-// A server that takes attempts and answers nothing is ejected.
+// A server that accepts attempts and does not answer is ejected.
 func TestHungServerIsEjected(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	for range 200 { // until the answer time is known
@@ -73,11 +73,11 @@
 			return
 		}
 	}
-	t.Error("a server that answers nothing for 300 ms was not ejected")
+	t.Error("a server that did not answer for 300 ms was not ejected")
 }
 
-// A server that failed often has a long ejection time while others can take its requests, and none while
-// they are full.
+// A server that failed often has a long ejection time while others have capacity for its requests, and none
+// while they have not.
 func TestFailingServerIsValidatedSoonerWhileOthersAreFull(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		r := newHarness(t, testSettings(), 4)
@@ -88,7 +88,7 @@
 			r.b.eject(bad, false)
 		}
 		if full {
-			for range 40 { // more than the limits of the others
+			for range 40 { // more than the limits of the others permit
 				r.request(0, 0)
 			}
 		}
@@ -100,8 +100,8 @@
 	}
 }
 
-// Failures that all servers have alike, here one of twelve attempts, cost no capacity: no request may be
-// lost for want of servers. A server that fails more than the others is ejected.
+// Failures at the same rate on all servers, here one of twelve attempts, must not reduce capacity: no request
+// may be rejected because servers are ejected. A server that fails more often than the others is ejected.
 func TestBaselineFailuresEjectNoServer(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	rejected, n := 0, 0
@@ -126,7 +126,7 @@
 	}
 	for _, s := range r.b.servers {
 		if s.ejections > 2 || !r.b.failureRateWithinBaseline(s) { // one may be ejected by chance
-			t.Errorf("a server that fails as all do has %d consecutive failures", s.ejections)
+			t.Errorf("a server that fails as often as all others has %d counted ejections", s.ejections)
 		}
 	}
 	bad := r.b.servers[0]
@@ -137,16 +137,16 @@
 		r.b.eject(bad, false)
 	}
 	if r.b.ejectionTime(bad) < r.b.minObjectiveMs {
-		t.Error("a server that fails each time is not ejected")
+		t.Error("a server whose attempts all fail is not ejected")
 	}
 }
 
-// One attempt that hangs must not keep a server ejected that answers the others.
+// One hanging attempt must not keep a server ejected that answers the others.
 func TestOneHangingAttemptDoesNotPreventValidation(t *testing.T) {
 	r := newHarness(t, testSettings(), 1)
 	srv := r.b.byAddr[addr(0)]
 	hangs, s := r.mustForward(0, 7)
-	id, _ := r.mustForward(1, 7) // which is not retried
+	id, _ := r.mustForward(1, 7) // not retried
 	r.endAttempt(id, 0, s, Error, 5)
 	if srv.state != Unhealthy || r.b.requests[hangs] == nil {
 		t.Fatalf("state %d", srv.state)
--- a/policy/overload_simulation_test.go
+++ b/policy/overload_simulation_test.go
@@ -6,58 +6,58 @@
 	"testing"
 )
 
-// overloadScenario is a time of overload in virtual time: agents that do not communicate, servers with few
-// places that reject what finds none, and clients that retry at once, whatever Retry-After says.
+// overloadScenario is an overload in virtual time: agents that do not communicate, servers with few slots
+// that reject requests while all are in use, and clients that retry at once, whatever Retry-After says.
 type overloadScenario struct {
 	agents, servers int
-	slots, queue    int     // of each server: requests in work, and waiting
-	workMs          float64 // mean; exponential
-	load            float64 // as a part of what the servers can do
+	slots, queue    int     // per server: running requests, and queued ones
+	workMs          float64 // mean of an exponential distribution
+	load            float64 // as a fraction of the servers' capacity
 	weights         []float64
-	tenantLoads     []float64 // tenants' parts of the load; their quotas where nil
-	clientRetries   int       // retries of a client
+	tenantLoads     []float64 // tenants' shares of the load; nil: their quotas
+	clientRetries   int       // maximum retries of a client
 	seconds         float64
 	keys            int
-	hotKeyPart      float64                                            // part of the traffic of one key
+	hotKeyPart      float64                                            // share of one key in the traffic
 	oneBusyAgent    bool                                               // one agent has nine tenths of the traffic
-	surge           func(at float64) float64                           // factor of the load, at a part of the time
-	speed           func(server int, at float64) float64               // of a server
-	report          func(server int, util, inflight float64) []float32 // nil: both, as they are
-	slowStarting    int                                                // servers that are in slow start at first
+	surge           func(at float64) float64                           // load factor, by fraction of the run
+	speed           func(server int, at float64) float64               // speed factor of a server
+	report          func(server int, util, inflight float64) []float32 // nil: the true values of both
+	slowStarting    int                                                // servers that are initially in slow start
 	seed            uint64
 }
 
-// overloadResult is what became of the requests, in parts of all.
+// overloadResult holds the outcomes of the requests, as fractions of all.
 type overloadResult struct {
-	served             float64    // part of the first attempts answered within the objective
-	tenants            []float64  // the same by tenant
-	classes            [2]float64 // by class; the second has five times the priority
-	rejected           float64    // attempts rejected by servers
-	busy               float64    // of the servers' time, from the first second on
-	second             []float64  // served, by the second in which the first attempt arrived
-	slowestRejectionMs float64    // longest time until a rejection, ms
-	slowStartOverload  float64    // most that a server in slow start was sent in a second, in parts of what it can do
-	attemptsPerRequest float64    // by the requests, without retries of the client
+	served             float64    // fraction of the requests answered within the objective
+	tenants            []float64  // served, by tenant
+	classes            [2]float64 // served, by class; the second has five times the priority
+	rejected           float64    // fraction of the attempts that servers rejected
+	busy               float64    // utilization of the servers after the first second
+	second             []float64  // served, by the second in which the client's first attempt arrived
+	slowestRejectionMs float64    // longest time until a rejection
+	slowStartOverload  float64    // largest load of a server in slow start in any second, by its capacity
+	attemptsPerRequest float64    // not counting the client's retries as requests
 }
 
 type overloadServer struct {
-	free              []float64 // when each slot is free
-	ends              []float64 // when what is in it ends
+	free              []float64 // when each slot becomes free
+	ends              []float64 // when each accepted request ends
 	work              float64   // since reportedAt
 	utilization       float64   // as reported
 	reportedAt        float64
-	slowStartArrivals []float64 // when an attempt arrived in slow start
+	slowStartArrivals []float64 // arrivals of attempts in slow start
 }
 
-// overloadRequest is a request of a client, or its retry.
+// overloadRequest is a request of a client or its retry.
 type overloadRequest struct {
 	tenant       int
 	key          uint64
-	firstArrival float64 // of the first attempt of the client
+	firstArrival float64 // of the client's first attempt
 	arrived      float64
 	clientTries  int
 	ended        bool
-	attempts     int // of the agent
+	attempts     int // by the agent
 }
 
 const overloadObjectiveMs = 600.0
@@ -73,7 +73,7 @@
 	servers   []overloadServer
 	index     map[Addr]int                     // of servers
 	requests  []map[RequestID]*overloadRequest // by agent
-	ids       []RequestID                      // last one, by agent
+	ids       []RequestID                      // last id, by agent
 	result    overloadResult
 
 	// Counts.
@@ -85,7 +85,7 @@
 	attemptsRejected float64
 }
 
-// run plays the scenario.
+// run simulates the scenario.
 func (c overloadScenario) run(t *testing.T) overloadResult {
 	t.Helper()
 	r := newOverloadRun(t, c)
@@ -97,7 +97,7 @@
 	return r.finish()
 }
 
-// overloadSettings returns the settings of a run with tenants of these weights.
+// overloadSettings returns the settings of a run with tenants of the given weights.
 func overloadSettings(weights []float64) Settings {
 	set := testSettings()
 	class := Class{LatencyObjectiveMs: overloadObjectiveMs, ClientTimeoutMs: 4 * overloadObjectiveMs, Effect: Idempotent}
@@ -121,7 +121,7 @@
 	t.Helper()
 	r := &overloadRun{set: overloadSettings(c.weights), rng: rand.New(rand.NewPCG(c.seed, 5)), index: map[Addr]int{}}
 	if c.weights == nil {
-		c.weights = []float64{1} // all requests are of a tenant that the settings do not have
+		c.weights = []float64{1} // all requests are of a tenant that is not in the settings
 	}
 	if c.tenantLoads == nil {
 		c.tenantLoads = c.weights
@@ -179,7 +179,7 @@
 	}
 }
 
-// drawTenant draws the tenant of a request by the loads.
+// drawTenant draws the tenant of a request in proportion to the loads.
 func (r *overloadRun) drawTenant() int {
 	loads := r.scenario.tenantLoads
 	total := 0.0
@@ -236,7 +236,7 @@
 	}
 }
 
-// forward has a server answer an attempt, or reject it.
+// forward has a server answer or reject an attempt.
 func (r *overloadRun) forward(agent int, a *Action, request *overloadRequest) {
 	c, now := &r.scenario, r.fleet.now
 	i := r.index[a.Server]
@@ -269,7 +269,7 @@
 		ev.Report = c.report(i, s.utilization, float64(inServer+1))
 	}
 	r.fleet.schedule(ev.LatencyMs, agent, ev)
-	// The answer finishes the request when it arrives.
+	// The answer ends the request when it arrives.
 	r.fleet.schedule(ev.LatencyMs, agent, Event{Kind: EventClientDisconnected, Request: a.Request})
 	if now+ev.LatencyMs <= request.firstArrival+overloadObjectiveMs && !request.ended {
 		r.countServed(request)
@@ -277,7 +277,8 @@
 	request.ended = true
 }
 
-// arriveInSlowStart notes an attempt at a server that started with the run, and returns its capacity.
+// arriveInSlowStart records an attempt on a server that started with the run, and returns the server's
+// capacity.
 func (r *overloadRun) arriveInSlowStart(s *overloadServer) float64 {
 	contract, now := &r.set.Contract, r.fleet.now
 	age := now - r.startedAt
@@ -294,7 +295,8 @@
 	return capacity
 }
 
-// update removes what has ended, updates the report twice a second, and returns the requests in the server.
+// update removes the requests that have ended, updates the report twice a second, and returns the number of
+// requests in the server.
 func (s *overloadServer) update(now float64) int {
 	in := 0
 	for _, end := range s.ends {
@@ -312,7 +314,7 @@
 	return in
 }
 
-// begin puts work into the slot that is free first, and returns when it ends.
+// begin assigns work to the slot that becomes free first, and returns when it ends.
 func (s *overloadServer) begin(now, work float64) (end float64) {
 	slot := 0
 	for j := range s.free {
@@ -327,7 +329,7 @@
 	return end
 }
 
-// countServed counts a request that is served within its objective.
+// countServed counts a request that was served within its objective.
 func (r *overloadRun) countServed(request *overloadRequest) {
 	r.result.served++
 	r.result.tenants[request.tenant]++
@@ -337,7 +339,7 @@
 	}
 }
 
-// finish returns the result, in parts.
+// finish returns the result, with counts converted to fractions.
 func (r *overloadRun) finish() overloadResult {
 	result, c := r.result, &r.scenario
 	result.served /= r.arrived
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -5,18 +5,19 @@
 	"testing"
 )
 
-// Under overload servers are kept busy with few rejections, whichever agent has the traffic.
+// Under overload servers are kept busy with few rejections, however the traffic is distributed over the
+// agents.
 func TestOverloadKeepsServersBusy(t *testing.T) {
 	t.Parallel() // virtual time alone
 	for name, change := range map[string]func(*overloadScenario){
 		"default":                    func(*overloadScenario) {},
 		"one agent with the traffic": func(c *overloadScenario) { c.oneBusyAgent = true },
 		"a key with a fifth of it":   func(c *overloadScenario) { c.hotKeyPart = 0.21 },
-		"four in step": func(c *overloadScenario) {
+		"synchronized bursts": func(c *overloadScenario) {
 			c.surge = func(at float64) float64 { return 0.4 + 1.2*float64(int(at*40)%2) }
 		},
 		"80 agents with few requests": func(c *overloadScenario) { c.agents, c.servers = 80, 16 },
-		"clients that never return":   func(c *overloadScenario) { c.clientRetries = 0 },
+		"clients that never retry":    func(c *overloadScenario) { c.clientRetries = 0 },
 	} {
 		c := defaultOverload(1)
 		change(&c)
@@ -24,7 +25,7 @@
 		t.Logf("%s: served %.3f, rejected %.3f, busy %.3f, %.2f attempts a request, slowest rejection %.0f ms", name, f.served, f.rejected,
 			f.busy, f.attemptsPerRequest, f.slowestRejectionMs)
 		most := 0.25
-		if c.agents > 8 { // each sees a server once a second: no limit can follow it
+		if c.agents > 8 { // each sends to a server about once a second: too seldom to adjust a limit
 			most = 0.55
 		}
 		if f.busy < 0.9 || f.rejected > most || f.served < 0.6 {
@@ -32,13 +33,13 @@
 				name, f.busy, f.rejected, f.served)
 		}
 		if f.slowestRejectionMs > 0.5*4*overloadObjectiveMs {
-			t.Errorf("%s: a rejection took %.0f ms: held back until the client's time ran out",
+			t.Errorf("%s: a rejection took %.0f ms, more than half of the client's time",
 				name, f.slowestRejectionMs)
 		}
 	}
 }
 
-// Other tenants are served as without the greedy one, at 2, 5 and 20 times its quota.
+// A tenant with 2, 5 and 20 times its quota does not affect how the other tenants are served.
 func TestOverloadGreedyTenant(t *testing.T) {
 	t.Parallel() // virtual time alone
 	weights := []float64{0.44, 0.32, 0.13, 0.11}
@@ -60,7 +61,7 @@
 	}
 }
 
-// After a surge the fleet recovers by itself, though clients retry at once.
+// After a surge the fleet recovers without intervention, even though clients retry at once.
 func TestFleetRecoversAfterASurge(t *testing.T) {
 	t.Parallel() // virtual time alone
 	for seed := range uint64(3) {
@@ -85,7 +86,8 @@
 	}
 }
 
-// Reports that are absent, old or wrong cost little: rejections and answer times are seen anyhow.
+// Load reports that are absent, stale or wrong reduce goodput little, as rejections and answer times show the
+// overload too.
 func TestOverloadWithWrongReports(t *testing.T) {
 	t.Parallel() // virtual time alone
 	truth := defaultOverload(4).run(t)
@@ -95,7 +97,7 @@
 		"from some servers only":  func(i int, u, n float64) []float32 { return []float32{float32(u), float32(n)}[:2*(i%2)] },
 		"idle with a full queue":  func(int, float64, float64) []float32 { return []float32{0, 0} },
 		"busy on an idle machine": func(int, float64, float64) []float32 { return []float32{1, 1} },
-		"no numbers":              func(int, float64, float64) []float32 { return []float32{nan, nan} },
+		"NaN":                     func(int, float64, float64) []float32 { return []float32{nan, nan} },
 		"negative":                func(int, float64, float64) []float32 { return []float32{-3, -1} },
 	} {
 		for _, load := range []float64{1.4, 0.7} {
@@ -113,7 +115,7 @@
 	}
 }
 
-// Machines lose most of their speed for a time, again and again, or for long.
+// Machines lose most of their speed for a period, once or repeatedly.
 func TestOverloadOfSlowedMachines(t *testing.T) {
 	for name, speed := range map[string]func(int, float64) float64{
 		"a quarter at a fifth, then back": func(i int, at float64) float64 {
@@ -139,7 +141,7 @@
 	}
 }
 
-// A server in slow start beside overloaded ones is not overloaded by all agents together.
+// All agents together do not overload a server in slow start while the other servers are overloaded.
 func TestOverloadBesideAServerInSlowStart(t *testing.T) {
 	for _, agents := range []int{4, 40} {
 		c := defaultOverload(6)
@@ -153,8 +155,8 @@
 	}
 }
 
-// Of many agents with few requests none has a queue to choose from, and no limit can follow a server: what
-// is shed there are the requests of the lowest priority.
+// Many agents with few requests each have no queue from which to select by priority, and send too seldom to
+// adjust their limits. Load shedding there rejects the requests of the lowest priority.
 func TestLowestPriorityIsShed(t *testing.T) {
 	c := defaultOverload(7)
 	c.seconds = 20
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// randomRun plays random clients, servers and endpoint updates against one Balancer and checks the
-// invariants on its actions alone.
+// randomRun simulates random clients, servers and endpoint updates for one Balancer and checks invariants of
+// its actions only.
 type randomRun struct {
 	t             *testing.T
 	rng           *rand.Rand
@@ -20,9 +20,9 @@
 	requests      map[RequestID]*randomRequest
 	timers        []randomTimer
 	endpoints     map[Addr]Endpoint
-	drainingSince map[Addr]float64 // notified that it is draining or removed
+	drainingSince map[Addr]float64 // when the Balancer was notified that it is draining or removed
 	history       []Action
-	// extraTicks adds a tick to each step while nothing is queued and no server is silent.
+	// extraTicks adds a tick to each step in which nothing is queued and no server is silent.
 	extraTicks bool
 	ticks      int
 }
@@ -177,7 +177,7 @@
 			}
 			t.ended = true
 			if t.status == OK {
-				r.final++ // the answer of a hedged request changes nothing
+				r.final++ // a second answer, to a hedged request, does not count
 				r.final = min(r.final, 1)
 			}
 			w.handle(Event{Kind: EventAttemptEnded, Request: id, Attempt: i, Server: t.server, Status: t.status,
@@ -217,7 +217,7 @@
 		endpoints: map[Addr]Endpoint{}, drainingSince: map[Addr]float64{}}
 }
 
-// play runs the steps; in one of so many steps a request arrives.
+// play runs the simulation; a request arrives in one of the given number of steps.
 func (w *randomRun) play(seed uint64, steps int) []Action {
 	t, rng := w.t, w.rng
 	var err error
@@ -246,7 +246,7 @@
 				r.final = 1
 				w.handle(Event{Kind: EventClientDisconnected, Request: w.next})
 			}
-		case 2: // events about what is unknown or finished are ignored
+		case 2: // events for unknown or finished requests are ignored
 			w.handle(Event{Kind: EventAttemptEnded, Request: 1 << 30, Server: addr(1), Status: OK})
 			w.handle(Event{Kind: EventClientDisconnected, Request: 1 << 30})
 			w.handle(Event{Kind: EventTimer, Token: 99})
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -20,8 +20,8 @@
 	t.Error("a request without servers was never answered")
 }
 
-// A request that was never sent is rejected before half of its time is over: from then on the client counts
-// the wait as worse. One that reached a server may wait longer.
+// A request that was never sent is rejected before half of its time is over: for the client a longer wait is
+// worse than a rejection. One that reached a server may wait longer.
 func TestUnsentRequestEndsBeforeHalfOfItsTime(t *testing.T) {
 	for _, reached := range []bool{false, true} {
 		set := testSettings()
@@ -55,8 +55,8 @@
 	}
 }
 
-// A queue that was empty while no event came is not standing when a request joins it, even one whose
-// attempt was rejected: it may wait as long as in a burst.
+// A queue that was empty since the last event is not a standing queue when a request joins it, even one whose
+// attempt was rejected: the request may wait as long as in a burst.
 func TestQueueIsNotStandingAfterAnIdleTime(t *testing.T) {
 	set := testSettings()
 	set.Classes[1] = Class{Name: "slow", LatencyObjectiveMs: 1200, ClientTimeoutMs: 5000, Effect: Idempotent, PriorityWeight: 1}
@@ -73,21 +73,21 @@
 	r.updateEndpoints(UpdateDelta, Endpoint{Server: other, Health: Ready, Weight: 1, Cordoned: true}) // the attempt has nowhere else to go
 	r.b.fleet.baselineLatency = 0.05
 	for range 5000 {
-		r.b.queueTimeout.RequestEnded(false) // nearly all are rejected: a standing queue has the short timeout, 180 ms
+		r.b.queueTimeout.RequestEnded(false) // nearly all are rejected: the timeout of a standing queue is 180 ms
 	}
-	r.now += 400 // over the least objective, by which a queue counts as standing
+	r.now += 400 // longer than the lowest objective, after which a queue counts as standing
 	if findAction(r.endAttempt(id, 0, s, Rejected, 400), ActionReject) != nil || len(r.b.queued) != 1 {
 		t.Fatalf("%d queued after a rejection", len(r.b.queued))
 	}
 	if findAction(r.tick(10), ActionReject) != nil {
-		t.Error("rejected after 410 ms, as if the queue had been standing since the last event")
+		t.Error("rejected after 410 ms: the queue counted as standing since the last event")
 	}
 	if findAction(r.tick(80), ActionReject) == nil {
 		t.Error("still queued after 490 ms, want at most 480")
 	}
 }
 
-// Of two requests with equal priority the one whose key was sent lately comes first.
+// Of requests with otherwise equal priority the one whose key was sent recently is sent first.
 func TestRecentKeysAreSentFirst(t *testing.T) {
 	set := testSettings()
 	set.ServerInfo.CacheKeys, set.Objective.Total = true, 1
--- a/policy/rejectreason_test.go
+++ b/policy/rejectreason_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each answer to a request that is not served names the rule that ended it.
+// Each rejection and failure names the rule that caused it.
 func TestUnservedRequestsNameTheirRule(t *testing.T) {
 	ended := func(r *harness, id RequestID, actions []Action) RejectReason {
 		for range 200 {
@@ -64,12 +64,12 @@
 	}
 }
 
-// The names of the rules are an interface to the outside: none is missing or stands twice.
+// The names are part of the interface of metrics and logs: none may be missing or used twice.
 func TestRejectReasonNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
 	for reason := range NumRejectReasons {
 		if name := reason.String(); name == "" || seen[name] {
-			t.Errorf("reason %d has the name %q, which is empty or stands twice", reason, name)
+			t.Errorf("reason %d has the name %q, which is empty or not unique", reason, name)
 		}
 		seen[reason.String()] = true
 	}
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -15,11 +15,12 @@
 	r.id++
 	r.do(Event{Kind: EventRequest, Request: r.id, Class: 0, Key: 5, RemainingMs: 600, Retry: true})
 	if q := r.b.requests[r.id]; q == nil || q.objectiveAt-r.now > 101 {
-		t.Error("a retry was given the complete latency objective again")
+		t.Error("the latency objective of a retry started anew")
 	}
 }
 
-// A response that has started belongs to the client: nothing more is sent or answered for its request.
+// Once the client has received a part of a response, its request is neither sent again nor answered
+// otherwise.
 func TestStartedResponseIsNeitherRetriedNorAnswered(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Streamed = true
@@ -30,18 +31,18 @@
 	for range 200 {
 		for _, a := range r.tick(10) {
 			if a.Request == id && a.Kind != ActionTimer {
-				t.Fatalf("action %+v for a request whose answer streams", a)
+				t.Fatalf("action %+v for a request whose response has started", a)
 			}
 		}
 	}
 	actions := r.do(Event{Kind: EventAttemptEnded, Request: id, Attempt: 0, Server: s, Status: Reset, LatencyMs: 2000, Final: true})
 	if findAction(actions, ActionForward) != nil || findAction(actions, ActionFail) != nil || len(r.b.requests) != 0 {
-		t.Errorf("a stream that broke: %+v, %d requests kept", actions, len(r.b.requests))
+		t.Errorf("after a reset stream: %+v, %d requests left", actions, len(r.b.requests))
 	}
 }
 
-// While a streamed body still arrives its attempt is no load of its server, and the server's silence no
-// failure; the time of the request runs from the last byte.
+// While a streamed body is being sent its attempt does not count as load of its server, and a server that
+// does not answer is not failing; the time of the request runs from the last byte.
 func TestStreamedBodyIsNoLoadUntilItIsSent(t *testing.T) {
 	r := newHarness(t, testSettings(), 1)
 	r.id++
@@ -74,7 +75,7 @@
 	if len(s.inflight) != 0 || r.b.inflight != 0 || len(r.b.requests) != 0 {
 		t.Errorf("in the end %d, %d in flight, %d requests", len(s.inflight), r.b.inflight, len(r.b.requests))
 	}
-	// One that ends before its body is written is not taken off the load.
+	// An attempt that ends before its body is sent must not be subtracted from the load.
 	r.id++
 	id = r.id
 	r.do(Event{Kind: EventRequest, Request: id, Class: 1, RemainingMs: 600, StreamedBody: true})
@@ -85,7 +86,7 @@
 	}
 }
 
-// Invalid numbers reach no decision: every request is still sent and answered.
+// Invalid numbers have no effect: every request is still sent and answered.
 func TestInvalidNumbersReachNoDecision(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, math.MaxFloat64} {
 		r := newHarness(t, testSettings(), 3)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -14,7 +14,7 @@
 	r := newHarness(t, testSettings(), 3)
 	id, s := r.mustForward(1, 5)
 	if actions := r.endAttempt(id, 0, s, ConnectFailed, 50); findAction(actions, ActionForward) == nil {
-		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
+		t.Errorf("an attempt that never ran was not retried: %+v", actions)
 	}
 }
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// Where nothing is served retries would only multiply the load.
+// While nothing is served retries would only multiply the load.
 func TestRetriesAreEarnedByServedRequests(t *testing.T) {
 	for _, served := range []bool{true, false} {
 		r := newHarness(t, testSettings(), 8)
@@ -60,7 +60,7 @@
 	}
 }
 
-// A rejection tells the client that a retry is harmless: after the idempotency window it is not.
+// A rejection says that a retry by the client is safe. After the idempotency window it is not.
 func TestIdempotencyKeyRequestIsRejectedOnlyWithinItsWindow(t *testing.T) {
 	for _, c := range []struct {
 		after float64
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -9,19 +9,19 @@
 		r.endAttempt(id, 0, s, Error, 5)
 	}
 	if _, s := r.mustForward(0, 3); s == (Addr{}) {
-		t.Error("nothing was sent though Unhealthy servers are the only ones")
+		t.Error("no request was sent though there were only Unhealthy servers")
 	}
 }
 
-// Queued requests that wait for the servers nearest their key must not keep others from servers with
-// capacity.
+// Queued requests that wait for the servers nearest their key must not delay requests for which other servers
+// have capacity.
 func TestRequestsWaitingForAKeyBlockNoOthers(t *testing.T) {
 	r := newHarness(t, testSettings(), 6)
 	for range 30 {
-		r.request(0, 42) // one key: fills its two servers, the rest are queued
+		r.request(0, 42) // one key: fills its two nearest servers, the other requests are queued
 	}
 	if len(r.b.queued) == 0 {
-		t.Fatal("nothing is queued; the test does not test what it says")
+		t.Fatal("no request is queued, which the test requires")
 	}
 	free := 0
 	for key := uint64(100); key < 140; key++ {
@@ -34,8 +34,8 @@
 	}
 }
 
-// While attempts are rejected servers have little capacity left: of a burst for one key fewer requests go
-// to one server than otherwise, and as many as before when the rejections have ended.
+// While attempts are rejected servers have little spare capacity: fewer requests of a burst for one key go to
+// the same server, and as many as before once the rejections have ended.
 func TestBoundedLoadFallsWithRejections(t *testing.T) {
 	burst := func(r *harness) int {
 		r.now += 1000
@@ -84,13 +84,13 @@
 		r.do(Event{Kind: EventClientDisconnected, Request: id})
 	}
 	if again := burst(r); rejecting >= before || again < before {
-		t.Errorf("at one server at most %d of 12 before, %d while attempts are rejected, %d after",
+		t.Errorf("on one server at most %d of 12 before, %d while attempts are rejected, %d after",
 			before, rejecting, again)
 	}
 }
 
-// Before a request is rejected any idle server may have it, though its key is nearer to others; one that
-// reports that it is busy may not.
+// Before a request is rejected it may go to any idle server, even if its key is nearer to others, but not to
+// one that reports that it is busy.
 func TestIdleServerTakesRequestsOfFullServers(t *testing.T) {
 	for _, util := range []float32{0.3, 0.99} {
 		set := testSettings()
@@ -107,7 +107,7 @@
 		}
 		id, actions := r.request(0, 7)
 		if findAction(actions, ActionForward) != nil {
-			t.Fatal("the setup is wrong: there was capacity")
+			t.Fatal("the nearest servers still have capacity, which the test excludes")
 		}
 		var to *Action
 		ended := false
@@ -125,10 +125,10 @@
 			r.b.fleet.baselineLatency = 0.02
 		}
 		if util < 0.9 && to == nil {
-			t.Error("rejected beside idle servers")
+			t.Error("rejected although servers were idle")
 		}
 		if util > 0.9 && to != nil {
-			t.Error("moved its key to a server that says it is busy")
+			t.Error("sent to a server that reports that it is busy")
 		}
 	}
 }
@@ -153,7 +153,7 @@
 	}
 }
 
-// Requests that come before the first endpoint list are queued: one with a key used to panic in the balancer.
+// Requests that arrive before the first endpoint list are queued. One with a key used to panic the balancer.
 func TestRequestsBeforeTheFirstEndpointListAreQueued(t *testing.T) {
 	for _, key := range []uint64{0, 42} {
 		balancer, err := New(testSettings(), 1)
--- a/policy/size_test.go
+++ b/policy/size_test.go
@@ -15,7 +15,7 @@
 	maxLineWidth = 110 // characters, a tab counts as four
 )
 
-// sourceFiles returns the names of the package's files without tests.
+// sourceFiles returns the names of the package's files except tests.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	all, err := filepath.Glob("*.go")
@@ -51,7 +51,7 @@
 	}
 }
 
-// The deploy file names the decision module: all of its files and nothing else.
+// The deploy file lists all files of the package and no others.
 func TestDeployFileNamesEachSourceFile(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
--- a/policy/slowdown_simulation_test.go
+++ b/policy/slowdown_simulation_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// slowdownSimulation is agents and servers that slow down under overload, in virtual time (ms): each server
-// shares its cores among its jobs, works on for clients that have disconnected, and once it has had too
-// many jobs for too long is slower until it has been nearly empty for a time. Some agents see many times
-// what others do, and requests have no key.
+// slowdownSimulation simulates agents and servers that slow down under overload, in virtual time (ms). Each
+// server shares its cores among its jobs and continues to work for clients that have disconnected. Once it
+// has had too many jobs for too long it is slower, until it has been nearly empty for some time. Some agents
+// have many times the traffic of others, and requests have no key.
 type slowdownSimulation struct {
 	*fleet
 	rng       *rand.Rand
@@ -29,8 +29,8 @@
 	first, deadline float64
 }
 
-// rejectionSpell is what an agent rejected since it last sent an attempt, and the longest time in which it
-// rejected 15 and more.
+// rejectionSpell counts the requests that an agent rejected since it last sent an attempt, and holds the
+// longest time without an attempt in which it rejected at least 15.
 type rejectionSpell struct {
 	since     float64
 	rejected  int
@@ -47,35 +47,35 @@
 	addr            Addr
 	speed           float64
 	jobs            []*slowingJob
-	idleConnections map[int]int // of each agent
-	calmAt          float64     // when it last had few jobs, or last recovered
+	idleConnections map[int]int // by agent
+	calmAt          float64     // when it last had fewer than slowOverloadJobs, or last recovered
 	loadedAt        float64     // when it last had more than slowRecoveryJobs
-	slowSince       float64     // 0: it is not slow
+	slowSince       float64     // 0: not slow
 	connections     int
 }
 
 type slowingJob struct {
 	agent, attempt int
 	id             RequestID
-	work, io       float64 // left
+	work, io       float64 // remaining time
 	sentAt, until  float64
 	abandoned      bool
 }
 
-// Figures of a slowingServer.
+// Parameters of a slowingServer.
 const (
 	slowTickMs         = 5.0
 	slowCores          = 4
 	slowMaxConnections = 76
 	slowWorkMs         = 144.0 // mean work of a request
-	slowIOMs           = 170.0 // of a request, without work
-	slowHandshakeMs    = 48.0  // work of a connection
-	slowOverloadJobs   = 16.0  // with so many for slowOverloadMs it slows down
+	slowIOMs           = 170.0 // time of a request besides its work
+	slowHandshakeMs    = 48.0  // work of a handshake
+	slowOverloadJobs   = 16.0  // with at least this many for slowOverloadMs it slows down
 	slowOverloadMs     = 2000.0
-	slowFactor         = 3.1 // by which it is slower
-	slowRecoveryJobs   = 5.0 // with no more than these for slowRecoveryMs it recovers
+	slowFactor         = 3.1 // slowdown
+	slowRecoveryJobs   = 5.0 // with at most this many for slowRecoveryMs it recovers
 	slowRecoveryMs     = 4000.0
-	slowMaxMs          = 25_000.0 // it recovers after it anyhow
+	slowMaxMs          = 25_000.0 // it recovers after this time in any case
 )
 
 func newSlowdownSimulation(t *testing.T, seed uint64, agents, servers int) *slowdownSimulation {
@@ -137,7 +137,7 @@
 	}
 }
 
-// endAttempt ends an attempt.
+// endAttempt ends an attempt with the given status.
 func (y *slowdownSimulation) endAttempt(s *slowingServer, j *slowingJob, status Status) {
 	y.schedule(0, j.agent, Event{Kind: EventAttemptEnded, Request: j.id, Attempt: j.attempt, Server: s.addr, Status: status,
 		LatencyMs: y.now - j.sentAt, Final: status == OK})
@@ -149,7 +149,7 @@
 	}
 }
 
-// work lets a server work for a tick.
+// work advances a server by one tick.
 func (y *slowdownSimulation) work(s *slowingServer) {
 	busy, held := 0, float64(len(s.jobs))
 	for _, j := range s.jobs {
@@ -190,7 +190,7 @@
 	}
 }
 
-// load has requests arrive for a time, at part of what all servers can do.
+// load simulates requests for a time, at a load given as a fraction of the capacity of all servers.
 func (y *slowdownSimulation) load(ms, part float64) {
 	perMs, all := 0.0, 0.0
 	for _, s := range y.servers {
@@ -220,8 +220,8 @@
 	}
 }
 
-// In a burst that slows servers down, and after it, at most one agent in ten rejects all of its requests,
-// 15 and more, for 4 s without an attempt in between.
+// During and after a burst that slows servers down, at most one agent in ten rejects all of its requests, at
+// least 15, for 4 s without sending an attempt.
 func TestFewAgentsRejectEverythingUnderOverload(t *testing.T) {
 	t.Parallel() // virtual time alone
 	for seed := range uint64(2) {
--- a/policy/slowstart_simulation_test.go
+++ b/policy/slowstart_simulation_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// slowStartSimulation is agents and servers that can be overloaded, in virtual time (ms): each server works
-// through what it takes in order, rejects what would wait too long, starts with a part of its capacity, and
-// notes when something arrived.
+// slowStartSimulation simulates agents and servers that can be overloaded, in virtual time (ms). Each server
+// works through the accepted requests in order, rejects those that would wait too long, starts with a
+// fraction of its capacity, and records arrivals in slow start.
 type slowStartSimulation struct {
 	*fleet
 	rng          *rand.Rand
@@ -17,21 +17,21 @@
 	servers      []Endpoint // the endpoint list
 	backends     []*simulatedBackend
 	byAddr       map[Addr]*simulatedBackend
-	processes    []int // of each agent: the one in fleet.agents that takes its requests
+	processes    []int // per agent: index in fleet.agents of the process that gets its requests
 	requestsPerS float64
 	keyless      bool    // no request has a key
-	backendPerS  float64 // requests that a server can do in a second
+	backendPerS  float64 // capacity of a server in requests per second
 	joining      int     // number of servers that join
-	started      int     // processes of all agents
+	started      int     // number of processes started, over all agents
 	open         map[RequestID]bool
 	served       int
 	ended        int
 }
 
-// simulatedBackend is a server as it is, whatever the endpoint list says.
+// simulatedBackend is the actual state of a server, independent of the endpoint list.
 type simulatedBackend struct {
 	requestsPerS      float64 // after slow start
-	startMs           float64 // start of its process; 0: long past
+	startMs           float64 // start of its process; 0: long ago
 	freeAt            float64
 	unreachable       bool
 	slowStartArrivals []float64 // arrivals in slow start
@@ -63,7 +63,7 @@
 	return w
 }
 
-// capacity returns the part of its capacity that a backend has at a time.
+// capacity returns the fraction of its capacity that a backend has at the given time.
 func (w *slowStartSimulation) capacity(b *simulatedBackend, at float64) float64 {
 	c := &w.set.Contract
 	if b.startMs == 0 || at-b.startMs >= c.SlowStartMs {
@@ -72,8 +72,9 @@
 	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*max(at-b.startMs, 0)/c.SlowStartMs
 }
 
-// maxOverload returns the most that arrived within the overload window, as a part of what a backend in slow
-// start bears then: N, what the settings allow it at the beginning of the window, and 2 root N + 2 more.
+// maxOverload returns the largest number of arrivals within an overload window, as a fraction of what a
+// backend in slow start can handle then: N, the number that the settings permit at the beginning of the
+// window, plus 2 sqrt(N) + 2.
 func (w *slowStartSimulation) maxOverload(b *simulatedBackend) float64 {
 	worst := 0.0
 	for i, from := range b.slowStartArrivals {
@@ -84,7 +85,7 @@
 	return worst
 }
 
-// addBackend adds a server whose process started at a time; 0: long ago.
+// addBackend adds a server whose process started at the given time; 0: long ago.
 func (w *slowStartSimulation) addBackend(at float64) *simulatedBackend {
 	b := &simulatedBackend{requestsPerS: w.backendPerS, startMs: at}
 	e := Endpoint{Server: addr(len(w.servers)), Health: Ready, Weight: 1, StartedMs: at}
@@ -93,7 +94,7 @@
 	return b
 }
 
-// startProcess starts a process of an agent, which knows the endpoint list.
+// startProcess starts a process of an agent with a cached endpoint list.
 func (w *slowStartSimulation) startProcess() int {
 	set := w.set
 	set.ReplicaIndex = w.started % w.set.Replicas
@@ -159,15 +160,15 @@
 	}
 }
 
-// arrive counts what arrives at a server in slow start.
+// arrive records an arrival at a server in slow start.
 func (w *slowStartSimulation) arrive(b *simulatedBackend) {
 	if w.capacity(b, w.now) < 1 {
 		b.slowStartArrivals = append(b.slowStartArrivals, w.now)
 	}
 }
 
-// load has requests arrive for a time, at part of the usual rate; every fifth agent sees several times the
-// mean.
+// load simulates requests for a time, at a fraction of the usual rate; every fifth agent has several times
+// the mean traffic.
 func (w *slowStartSimulation) load(ms, part float64) {
 	weight := func(i int) float64 {
 		if i%5 == 0 {
@@ -179,7 +180,7 @@
 	for i := range w.processes {
 		all += weight(i)
 	}
-	for from, end := w.now, w.now+ms; from < end; from += 50 { // in pieces, as processes change
+	for from, end := w.now, w.now+ms; from < end; from += 50 { // in short intervals, as processes change
 		for i, p := range w.processes {
 			rate := w.requestsPerS * part * weight(i) / all / 1000
 			for at := w.rng.ExpFloat64() / rate; at < 50; at += w.rng.ExpFloat64() / rate {
@@ -210,7 +211,7 @@
 	return worst
 }
 
-// slowStartDisturbances are what happens to a running simulation.
+// slowStartDisturbances are changes to a running simulation.
 var slowStartDisturbances = map[string]func(w *slowStartSimulation){
 	"join and return": func(w *slowStartSimulation) {
 		dark := w.backends[:2+w.rng.IntN(len(w.backends)-1)]
@@ -264,10 +265,10 @@
 	},
 }
 
-// Servers in slow start get no more than they bear, counted over all processes of twenty to thirty agents
-// under a burst: where new ones join, where others come back from silence, where agents are restarted and
-// know nothing of the tokens that were spent, and where each agent is two processes for a time; with keys
-// and without. Each attempt and each health check counts.
+// Servers in slow start get no more than they can handle, counted over all processes of twenty and thirty
+// agents in a burst: when new servers join, when unreachable ones return, when agents restart and do not know
+// which tokens were spent, and while each agent has two processes; with and without keys. Attempts and health
+// checks count.
 func TestServersInSlowStartAreNotOverloaded(t *testing.T) {
 	t.Parallel() // virtual time alone
 	for name, play := range slowStartDisturbances {
@@ -277,8 +278,8 @@
 		}{{20, false}, {30, false}, {20, true}, {30, true}} {
 			agents := of.agents
 			overloaded, worst, served, requests := 0, 0.0, 0, 0
-			// Of sixty seeds those on which a server in slow start got the most; with 17, 29 and 41 all
-			// servers are in it.
+			// The seeds, out of sixty, with the highest load on a server in slow start; in 17, 29 and 41 all
+			// servers are in slow start.
 			seeds := []uint64{2, 34, 29}
 			if name == "join and return" {
 				seeds = []uint64{2, 12, 17, 29, 34, 41, 47}
@@ -296,7 +297,7 @@
 				served += w.served
 				requests += w.served + w.ended
 			}
-			t.Logf("%s, %d agents, no keys %v: the largest part of what a server in slow start bears %.2f; over it in %d of %d; served %.2f",
+			t.Logf("%s, %d agents, no keys %v: highest load on a server in slow start %.2f of its limit; exceeded in %d of %d; served %.2f",
 				name, agents, of.keyless, worst, overloaded, len(seeds), float64(served)/float64(requests))
 			if overloaded > 0 {
 				t.Errorf("%s, %d agents, no keys %v: a server in slow start is overloaded in %d of %d",
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A server in slow start gets no more than its share by its capacity, even after a quiet time.
+// A server in slow start gets no more than the share that its capacity permits.
 func TestSlowStartLimitsTheShareOfAServer(t *testing.T) {
 	r := newHarness(t, testSettings(), 5)
 	r.updateEndpoints(UpdateDelta, Endpoint{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now - 10})
@@ -25,7 +25,7 @@
 	}
 }
 
-// Hints are rough: many requests that are hinted as small would overload a server in slow start.
+// Hints are rough: a server in slow start could be overloaded by many requests that are hinted as small.
 func TestSmallHintsCostAMeanRequest(t *testing.T) {
 	r := newHarness(t, testSettings(), 3)
 	r.b.hints.meanArriving = 50
@@ -37,7 +37,7 @@
 	}
 }
 
-// Where only servers in slow start are left they serve.
+// If only servers in slow start are left, they get the requests.
 func TestServerInSlowStartServesWhenTheOthersFailed(t *testing.T) {
 	r := newHarness(t, testSettings(), 2)
 	for range 200 {
@@ -55,7 +55,8 @@
 	}
 }
 
-// A server that comes back from silence may be a new process, before the endpoint list says so.
+// A server that answers again after it was silent may be a new process that the endpoint list does not show
+// yet.
 func TestServerBackFromSilenceIsInSlowStart(t *testing.T) {
 	r := newHarness(t, testSettings(), 3)
 	id, s := r.mustForward(0, 9)
@@ -73,12 +74,12 @@
 		}
 	}
 	if srv := r.b.byAddr[s]; r.b.warmUpFraction(srv) >= 0.5 {
-		t.Errorf("a server back from silence is not in slow start: capacity %.2f", r.b.warmUpFraction(srv))
+		t.Errorf("a server that was silent is not in slow start: capacity %.2f", r.b.warmUpFraction(srv))
 	}
 }
 
-// Under overload most attempts are rejected; counted as served they would earn a server in slow start many
-// times its share.
+// Under overload most attempts are rejected. If they counted, a server in slow start would earn tokens for
+// many times its share.
 func TestSlowStartTokensAreEarnedByServedRequestsOnly(t *testing.T) {
 	r := newHarness(t, testSettings(), 4)
 	r.updateEndpoints(UpdateDelta, Endpoint{Server: addr(4), Health: Ready, Weight: 1, StartedMs: r.now})
@@ -92,13 +93,13 @@
 		}
 	}
 	if starting.slowStartTokens > first || r.b.slowStart.servedWork > 0 {
-		t.Errorf("nothing was served, and the server in slow start has %.2f tokens of a flow of %.2f",
+		t.Errorf("nothing was served, but the server in slow start has %.2f tokens and the served work is %.2f",
 			starting.slowStartTokens, r.b.slowStart.servedWork)
 	}
 }
 
-// Of many agents with few requests none earns a complete request for a server in slow start; together they
-// must send it its share.
+// Each of many agents with few requests earns less than one token for a server in slow start; together they
+// must still send it its share.
 func TestServerInSlowStartGetsItsShareFromManySmallAgents(t *testing.T) {
 	starting, all := 0, 0
 	for seed := range uint64(200) {
@@ -129,7 +130,7 @@
 	}
 }
 
-// New servers must soon take their share, or the others are overloaded, and never more than the contract
+// New servers must soon get their share, or the others are overloaded, and never more than the contract
 // permits, counted over all agents.
 func TestNewServersGetTheirShare(t *testing.T) {
 	const agents, servers, joining, perS, capacity = 80, 60, 18, 1450.0, 31.0
@@ -185,18 +186,18 @@
 		}
 	}
 	each, even := float64(total)/joining, float64(toOthers)/(servers-joining)
-	t.Logf("each new server got %.2f of what another got; the most in any second was %.2f of the contract's",
+	t.Logf("each new server got %.2f times as much as another; the maximum in any second was %.2f of the limit",
 		each/even, worst)
-	if each < 0.4*even { // they have 0.65 of the capacity meanwhile
-		t.Errorf("each new server got %.0f, each other one %.0f", each, even)
+	if each < 0.4*even { // their mean capacity in slow start is 0.65
+		t.Errorf("each new server got %.0f requests, each other one %.0f", each, even)
 	}
 	if worst > 0.8 {
 		t.Errorf("a server in slow start got %.2f of what overloads it", worst)
 	}
 }
 
-// Eighty agents that start where all servers have just started use all of them and overload none, were it
-// of one core only.
+// Eighty agents that start when all servers have just started use all servers and overload none, even if each
+// server has only one core.
 func TestAllServersInSlowStartWithManyAgents(t *testing.T) {
 	t.Parallel() // virtual time alone
 	const agents, servers, perS = 80, 60, 1450.0
@@ -234,10 +235,10 @@
 			worst = max(worst, float64(n)/(2.5*k*1000/mean))
 		}
 	}
-	t.Logf("%d of %.0f sent, to %d servers; the most in any second was %.2f of what a core may get",
+	t.Logf("%d of %.0f sent, to %d servers; the maximum in any second was %.2f of what a core can handle",
 		total, perS*6, len(sent), worst)
 	if len(sent) < servers || worst > 1 {
-		t.Errorf("%d of %d servers used; the most in any second was %.2f of what a core may get",
+		t.Errorf("%d of %d servers used; the maximum in any second was %.2f of what a core can handle",
 			len(sent), servers, worst)
 	}
 }
