--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -11,14 +11,14 @@
 // for a second after that. Timers fire as the Balancer sets them; from that time on ejectSilent also runs
 // every extraMs, if that is not 0. It returns how long after that time the silent server was ejected, and how
 // many timers were set in the second before, in which requests were always in flight.
-func simulateSilentServer(t *testing.T, seed int, extraMs float64) (leftAt float64, ticks int) {
+func simulateSilentServer(t *testing.T, seed int, extraMs float64) (ejectedAt float64, ticks int) {
 	r := newHarness(t, testSettings(), 3)
 	type event struct {
 		at float64
 		ev Event
 	}
-	var todo []event
-	later := func(at float64, ev Event) { todo = append(todo, event{at, ev}) }
+	var pending []event
+	schedule := func(at float64, ev Event) { pending = append(pending, event{at, ev}) }
 	silentFrom := 2000 + float64(seed%97)
 	end := r.now + silentFrom + 1000
 	start := r.now
@@ -29,33 +29,33 @@
 				if r.now-start > 1000 && r.now-start < 2000 {
 					ticks++
 				}
-				later(r.now+a.DurationMs, Event{Kind: EventTimer, Token: a.Token})
+				schedule(r.now+a.DurationMs, Event{Kind: EventTimer, Token: a.Token})
 			case ActionForward:
 				if a.Server == addr(0) && r.now-start >= silentFrom {
 					continue
 				}
 				took := 40 + float64((int(a.Request)*31+seed)%20)
-				later(r.now+took, Event{Kind: EventAttemptEnded, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Status: OK, LatencyMs: took, Final: true})
+				schedule(r.now+took, Event{Kind: EventAttemptEnded, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Status: OK, LatencyMs: took, Final: true})
 			}
 		}
 	}
 	for at := r.now; at < end; at += 20 {
-		later(at, Event{Kind: EventRequest, Request: RequestID(at), Class: 0, Key: uint64(at)*2654435761 + 1, RemainingMs: 1000})
+		schedule(at, Event{Kind: EventRequest, Request: RequestID(at), Class: 0, Key: uint64(at)*2654435761 + 1, RemainingMs: 1000})
 	}
 	if extraMs > 0 {
 		for at := r.now + silentFrom; at < end-400; at += extraMs {
-			later(at, Event{Kind: EventTimer, Token: 99}) // handled below
+			schedule(at, Event{Kind: EventTimer, Token: 99}) // handled below
 		}
 	}
-	for len(todo) > 0 {
+	for len(pending) > 0 {
 		first := 0
-		for i := range todo {
-			if todo[i].at < todo[first].at {
+		for i := range pending {
+			if pending[i].at < pending[first].at {
 				first = i
 			}
 		}
-		e := todo[first]
-		todo = append(todo[:first], todo[first+1:]...)
+		e := pending[first]
+		pending = append(pending[:first], pending[first+1:]...)
 		if r.now = e.at; e.at > end {
 			break
 		}
@@ -66,11 +66,11 @@
 		} else {
 			act(r.do(e.ev))
 		}
-		if leftAt == 0 && r.now-start > silentFrom && r.view(addr(0)).State == Unhealthy {
-			leftAt = r.now - start - silentFrom
+		if ejectedAt == 0 && r.now-start > silentFrom && r.view(addr(0)).State == Unhealthy {
+			ejectedAt = r.now - start - silentFrom
 		}
 	}
-	return leftAt, ticks
+	return ejectedAt, ticks
 }
 
 // While no request is queued the tick timer is set for the time at which a server counts as silent, instead
@@ -78,10 +78,10 @@
 func TestTickTimerRunsOnlyWhenNeeded(t *testing.T) {
 	for seed := range 40 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			leftAt, ticks := simulateSilentServer(t, seed, 0)
+			ejectedAt, ticks := simulateSilentServer(t, seed, 0)
 			want, _ := simulateSilentServer(t, seed, 1)
-			if leftAt == 0 || leftAt > want+10 {
-				t.Errorf("a silent server was ejected after %.1f ms, %.1f if checked every ms", leftAt, want)
+			if ejectedAt == 0 || ejectedAt > want+10 {
+				t.Errorf("a silent server was ejected after %.1f ms, %.1f if checked every ms", ejectedAt, want)
 			}
 			if ticks > 60 {
 				t.Errorf("%d timers in a second", ticks)
@@ -95,11 +95,11 @@
 func TestTickWithAnEmptyQueueChangesNothing(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			rests, ticks := newRandomRun(t, seed), newRandomRun(t, seed)
+			plain, ticks := newRandomRun(t, seed), newRandomRun(t, seed)
 			ticks.extraTicks = true
 			var got [2][]Action
-			for i, w := range []*randomRun{rests, ticks} {
-				got[i] = slices.DeleteFunc(w.play(seed, 10+int(seed%4)*10), func(a Action) bool { return a.Kind == ActionTimer })
+			for i, w := range []*randomRun{plain, ticks} {
+				got[i] = slices.DeleteFunc(w.simulate(seed, 10+int(seed%4)*10), func(a Action) bool { return a.Kind == ActionTimer })
 			}
 			if ticks.ticks < 30 {
 				t.Fatalf("ticked %d times only", ticks.ticks)
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -28,19 +28,19 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	id := RequestID(0)
-	tries := map[RequestID]int{}
+	attempts := map[RequestID]int{}
 	type end struct {
 		id RequestID
 		s  Addr
 	}
-	var ends []end
-	take := func() {
+	var inflight []end
+	collect := func() {
 		for i := range out {
 			switch a := &out[i]; a.Kind {
 			case ActionForward:
-				ends = append(ends, end{a.Request, a.Server})
+				inflight = append(inflight, end{a.Request, a.Server})
 			case ActionReject, ActionFail:
-				delete(tries, a.Request)
+				delete(attempts, a.Request)
 			}
 		}
 	}
@@ -48,24 +48,24 @@
 		now += 0.5
 		id++
 		out = m.Handle(now, &Event{Kind: EventRequest, Request: id, Class: rng.IntN(3), Tenant: rng.IntN(4), Key: 1 + rng.Uint64N(1000), RemainingMs: 600}, out[:0])
-		take()
+		collect()
 		if id%10 == 0 {
 			out = m.Handle(now, &Event{Kind: EventTimer, Token: tickTimerToken}, out[:0])
-			take()
+			collect()
 		}
-		for len(ends) > 40 {
-			e := ends[0]
-			ends = ends[1:]
-			n := tries[e.id]
-			tries[e.id]++
+		for len(inflight) > 40 {
+			e := inflight[0]
+			inflight = inflight[1:]
+			n := attempts[e.id]
+			attempts[e.id]++
 			ev := Event{Kind: EventAttemptEnded, Request: e.id, Attempt: n, Server: e.s, Status: OK, LatencyMs: 20, Final: true, Report: report}
 			if rng.Float64() < 0.3 {
 				ev.Status, ev.Final = Rejected, false
 			} else {
-				delete(tries, e.id)
+				delete(attempts, e.id)
 			}
 			out = m.Handle(now, &ev, out[:0])
-			take()
+			collect()
 		}
 	}
 }
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -48,8 +48,8 @@
 	r := newHarness(t, testSettings(), 1)
 	r.updateEndpoints(UpdateDelta, Endpoint{Server: addr(1), Health: Ready, Weight: 1, StartedMs: r.now})
 	r.b.fleet.baselineLatency = 0.2
-	if cold, warm := r.b.latencyLimit(r.b.byAddr[addr(1)]), r.b.latencyLimit(r.b.byAddr[addr(0)]); cold < 2*warm {
-		t.Errorf("limit %.2f in slow start, %.2f after it", cold, warm)
+	if starting, established := r.b.latencyLimit(r.b.byAddr[addr(1)]), r.b.latencyLimit(r.b.byAddr[addr(0)]); starting < 2*established {
+		t.Errorf("limit %.2f in slow start, %.2f after it", starting, established)
 	}
 }
 
@@ -130,9 +130,9 @@
 // request to each server takes, unless that applies to most of its tier.
 func TestOverloadedServerIsInBackoff(t *testing.T) {
 	for _, c := range []struct {
-		crowd  string
-		passed bool
-	}{{"calm", false}, {"full", true}, {"late", true}, {"reported", true}, {"all", false}} {
+		cause   string
+		skipped bool
+	}{{"none", false}, {"rejected", true}, {"late", true}, {"reported", true}, {"all", false}} {
 		set := testSettings()
 		set.Report = ReportFormat{Delivery: "inline", Names: []string{"eps", "inflight"}}
 		r := newHarness(t, set, 6)
@@ -144,8 +144,8 @@
 		}
 		id, s := r.mustForward(0, 7)
 		ev := Event{Kind: EventAttemptEnded, Request: id, Server: s, Status: OK, LatencyMs: 20, Final: true}
-		switch c.crowd {
-		case "full":
+		switch c.cause {
+		case "rejected":
 			ev.Status, ev.Final = Rejected, false
 		case "late":
 			ev.LatencyMs = 400
@@ -160,8 +160,8 @@
 		r.now += ev.LatencyMs
 		r.do(ev)
 		r.b.byAddr[s].limit.Reset(9)
-		if _, again := r.mustForward(0, 7); (again != s) != c.passed {
-			t.Errorf("%s: the key's next request went to %v after %v", c.crowd, again, s)
+		if _, again := r.mustForward(0, 7); (again != s) != c.skipped {
+			t.Errorf("%s: the key's next request went to %v after %v", c.cause, again, s)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 
 // While requests find no capacity a limit tolerates longer answer times, which otherwise decrease it.
 func TestLimitsTolerateLongerLatencyWhileCapacityIsScarce(t *testing.T) {
-	window := func(crowd int) float64 {
+	limitAfter := func(burst int) float64 {
 		s := testSettings()
 		s.Replicas = 20
 		r := newHarness(t, s, 1)
@@ -211,7 +211,7 @@
 		srv := r.b.byAddr[addr(0)]
 		srv.limit.Reset(4)
 		var out []RequestID
-		for range crowd {
+		for range burst {
 			id, actions := r.request(1, 0)
 			if findAction(actions, ActionForward) != nil {
 				out = append(out, id)
@@ -237,7 +237,7 @@
 		}
 		return srv.limit.Size()
 	}
-	if plenty, scarce := window(1), window(40); plenty >= 4 || scarce < plenty+0.5 {
+	if plenty, scarce := limitAfter(1), limitAfter(40); plenty >= 4 || scarce < plenty+0.5 {
 		t.Errorf("limits from 4: %.2f with capacity, %.2f without", plenty, scarce)
 	}
 }
--- a/policy/discovery_simulation_test.go
+++ b/policy/discovery_simulation_test.go
@@ -17,25 +17,25 @@
 }
 
 // call accepts a poll with the given cost, and returns when it ends and whether it succeeds.
-func (l *discoveryServer) call(now, cost float64) (at float64, ok bool) {
-	l.callTimes = append(l.callTimes, now)
-	if l.freeAt = max(l.freeAt, now); l.freeAt-now > l.maxQueueMs {
-		l.failed++
+func (d *discoveryServer) call(now, cost float64) (at float64, ok bool) {
+	d.callTimes = append(d.callTimes, now)
+	if d.freeAt = max(d.freeAt, now); d.freeAt-now > d.maxQueueMs {
+		d.failed++
 		return now + 25, false
 	}
-	l.freeAt += cost
-	if l.freeAt-now > l.clientTimeoutMs {
-		l.failed++
-		return now + l.clientTimeoutMs, false
+	d.freeAt += cost
+	if d.freeAt-now > d.clientTimeoutMs {
+		d.failed++
+		return now + d.clientTimeoutMs, false
 	}
-	return l.freeAt, true
+	return d.freeAt, true
 }
 
 // maxCallsPerSecond returns the largest number of polls in any second.
-func (l *discoveryServer) maxCallsPerSecond() int {
+func (d *discoveryServer) maxCallsPerSecond() int {
 	most, from := 0, 0
-	for i, t := range l.callTimes {
-		for l.callTimes[from] <= t-1000 {
+	for i, t := range d.callTimes {
+		for d.callTimes[from] <= t-1000 {
 			from++
 		}
 		most = max(most, i-from+1)
@@ -45,26 +45,26 @@
 
 // simulateStart starts agents with the given last poll within startMs, has each see three failed attempts in
 // its first second, and runs them for 60 s. It returns when the first poll of each succeeded; -1: never.
-func simulateStart(t *testing.T, agents int, last LastPoll, roster *discoveryServer, start float64) []float64 {
+func simulateStart(t *testing.T, agents int, last LastPoll, discovery *discoveryServer, start float64) []float64 {
 	t.Helper()
 	set := testSettings()
 	set.DiscoveryMode, set.Contract.PollIntervalMs, set.LastPoll = "on_request", 10_000, last
 	f := newFleet(t, set, agents)
-	following := slices.Repeat([]float64{-1}, agents)
+	listedAt := slices.Repeat([]float64{-1}, agents)
 	f.onAction = func(i int, a *Action) {
 		switch a.Kind {
 		case ActionWatchEndpoints, ActionFetchEndpoints:
-			if a.Kind == ActionWatchEndpoints && following[i] >= 0 {
+			if a.Kind == ActionWatchEndpoints && listedAt[i] >= 0 {
 				return
 			}
-			cost := roster.callMs
+			cost := discovery.callMs
 			if a.Kind == ActionFetchEndpoints {
 				cost *= 2
 			}
-			if at, ok := roster.call(f.now, cost); !ok {
+			if at, ok := discovery.call(f.now, cost); !ok {
 				f.schedule(at-f.now, i, Event{Kind: EventEndpointUpdate, Update: UpdateFailed})
 			} else if a.Kind == ActionWatchEndpoints {
-				following[i] = at
+				listedAt[i] = at
 			}
 		case ActionForward:
 			f.schedule(30, i, Event{Kind: EventAttemptEnded, Request: a.Request, Server: a.Server, Status: Error, LatencyMs: 30})
@@ -78,7 +78,7 @@
 		}
 	}
 	f.runUntil(60_000)
-	return following
+	return listedAt
 }
 
 // A release that restarts all agents at once must not overload discovery: the work it does for polls that
@@ -97,9 +97,9 @@
 		agents := c.agents
 		// 15 polls a second for 80 agents; in proportion for more.
 		r := &discoveryServer{callMs: min(65, 65*80/float64(agents)), clientTimeoutMs: 2000, maxQueueMs: 4700}
-		following := simulateStart(t, agents, c.last, r, 200)
-		last := slices.Max(following)
-		if slices.Contains(following, -1) {
+		listedAt := simulateStart(t, agents, c.last, r, 200)
+		last := slices.Max(listedAt)
+		if slices.Contains(listedAt, -1) {
 			t.Errorf("%d agents: the polls of some never succeeded", agents)
 		}
 		// All must poll within the time; no second may have many more polls than an even spread.
@@ -130,36 +130,36 @@
 // poll fails after 1 s, and runs them for 60 s. It returns how long after the outage the last agent had its
 // endpoint list, the largest number of polls in a second during the outage and after it, and the longest
 // queue, in ms of work.
-func simulateOutage(t *testing.T, agents int, down float64, roster *discoveryServer) (last float64, before, after int, queue float64) {
+func simulateOutage(t *testing.T, agents int, down float64, discovery *discoveryServer) (last float64, before, after int, queue float64) {
 	t.Helper()
 	set := testSettings()
 	set.DiscoveryMode, set.Contract.PollIntervalMs = "on_request", 10_000
 	f := newFleet(t, set, agents)
-	following := slices.Repeat([]float64{-1}, agents)
-	outside := &discoveryServer{}
+	listedAt := slices.Repeat([]float64{-1}, agents)
+	duringOutage := &discoveryServer{}
 	f.onAction = func(i int, a *Action) {
 		switch {
-		case a.Kind != ActionWatchEndpoints || following[i] >= 0:
+		case a.Kind != ActionWatchEndpoints || listedAt[i] >= 0:
 		case f.now < down:
-			outside.callTimes = append(outside.callTimes, f.now)
+			duringOutage.callTimes = append(duringOutage.callTimes, f.now)
 			f.schedule(1000, i, Event{Kind: EventEndpointUpdate, Update: UpdateFailed})
 		default:
-			at, ok := roster.call(f.now, roster.callMs)
-			if queue = max(queue, roster.freeAt-f.now); !ok {
+			at, ok := discovery.call(f.now, discovery.callMs)
+			if queue = max(queue, discovery.freeAt-f.now); !ok {
 				f.schedule(at-f.now, i, Event{Kind: EventEndpointUpdate, Update: UpdateFailed})
 				return
 			}
-			following[i] = at
+			listedAt[i] = at
 		}
 	}
 	for i := range agents {
 		f.start(i, readyEndpoints(60))
 	}
 	f.runUntil(60_000)
-	if slices.Contains(following, -1) {
+	if slices.Contains(listedAt, -1) {
 		t.Errorf("%d agents: some never got an endpoint list again", agents)
 	}
-	return slices.Max(following) - down, outside.maxCallsPerSecond(), roster.maxCallsPerSecond(), queue
+	return slices.Max(listedAt) - down, duringOutage.maxCallsPerSecond(), discovery.maxCallsPerSecond(), queue
 }
 
 // After an outage all agents poll a discovery service that works through polls in order. Backoff keeps the
@@ -203,7 +203,7 @@
 		f := newFleet(t, set, c.agents)
 		r := &discoveryServer{callMs: c.all / float64(c.agents), clientTimeoutMs: 2000, maxQueueMs: 4700}
 		last := map[bool]float64{}
-		left := slices.Repeat([]bool{true}, c.agents)
+		pending := slices.Repeat([]bool{true}, c.agents)
 		for i := range c.agents {
 			f.agents[i].settings.LastPoll = PollAnswered
 			if i*37%100 < c.stale {
@@ -211,7 +211,7 @@
 			}
 		}
 		f.onAction = func(i int, a *Action) {
-			if a.Kind != ActionWatchEndpoints || !left[i] {
+			if a.Kind != ActionWatchEndpoints || !pending[i] {
 				return
 			}
 			at, ok := r.call(f.now, r.callMs)
@@ -219,7 +219,7 @@
 				f.schedule(at-f.now, i, Event{Kind: EventEndpointUpdate, Update: UpdateFailed})
 				return
 			}
-			left[i] = false
+			pending[i] = false
 			stale := f.agents[i].settings.LastPoll == PollUnanswered
 			last[stale] = max(last[stale], at)
 		}
@@ -256,10 +256,10 @@
 	} {
 		f := newFleet(t, set, c.agents)
 		r := &discoveryServer{callMs: c.all / float64(c.agents), clientTimeoutMs: 2000, maxQueueMs: 4700}
-		has := slices.Repeat([]bool{true}, c.agents)
+		hasList := slices.Repeat([]bool{true}, c.agents)
 		last := 0.0
 		f.onAction = func(i int, a *Action) {
-			if a.Kind != ActionWatchEndpoints || has[i] {
+			if a.Kind != ActionWatchEndpoints || hasList[i] {
 				return
 			}
 			at, ok := r.call(f.now, r.callMs)
@@ -267,18 +267,18 @@
 				f.schedule(at-f.now, i, Event{Kind: EventEndpointUpdate, Update: UpdateFailed})
 				return
 			}
-			has[i], last = true, max(last, at)
+			hasList[i], last = true, max(last, at)
 		}
 		for i := range c.agents {
 			if i*37%100 < c.restarted {
-				has[i] = false
+				hasList[i] = false
 				f.start(i, readyEndpoints(60))
 			}
 		}
 		f.runUntil(60_000)
 		t.Logf("%d agents, %d%% restarted, %v ms for all: the last has the list after %.1f s; %d polls a second, %d failed",
 			c.agents, c.restarted, c.all, last/1000, r.maxCallsPerSecond(), r.failed)
-		if slices.Contains(has, false) || last > c.within {
+		if slices.Contains(hasList, false) || last > c.within {
 			t.Errorf("%d agents, %d%% restarted, %v ms for all: the last has the list after %.1f s",
 				c.agents, c.restarted, c.all, last/1000)
 		}
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -79,8 +79,8 @@
 // the list may show its restart later or never.
 func TestCordonedServerReturnsInSlowStart(t *testing.T) {
 	r := newHarness(t, testSettings(), 2)
-	entry := func(banned bool) Endpoint {
-		return Endpoint{Server: addr(0), Health: Ready, Weight: 1, Cordoned: banned}
+	entry := func(cordoned bool) Endpoint {
+		return Endpoint{Server: addr(0), Health: Ready, Weight: 1, Cordoned: cordoned}
 	}
 	sent := func(n int) (to [2]int) {
 		for range n {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -17,19 +17,19 @@
 // eventQueue is a heap of events ordered by time.
 type eventQueue []scheduledEvent
 
-func (d eventQueue) Len() int { return len(d) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (d eventQueue) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(d[i].at, d[j].at), d[i].order-d[j].order) < 0
+func (q eventQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(q[i].at, q[j].at), q[i].order-q[j].order) < 0
 }
 
-func (d eventQueue) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (d *eventQueue) Push(x any) { *d = append(*d, x.(scheduledEvent)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
-func (d *eventQueue) Pop() any {
-	last := (*d)[len(*d)-1]
-	*d = (*d)[:len(*d)-1]
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
@@ -69,9 +69,9 @@
 // runUntil handles the events scheduled before end.
 func (f *fleet) runUntil(end float64) {
 	for len(f.scheduled) > 0 && f.scheduled[0].at < end {
-		d := heap.Pop(&f.scheduled).(scheduledEvent)
-		f.now = d.at
-		f.do(d.agent, f.agents[d.agent].Handle(f.now, &d.ev, nil))
+		e := heap.Pop(&f.scheduled).(scheduledEvent)
+		f.now = e.at
+		f.do(e.agent, f.agents[e.agent].Handle(f.now, &e.ev, nil))
 	}
 	f.now = end
 }
@@ -103,9 +103,9 @@
 // slow start, each of them still gets requests and warms up.
 func TestNoServerOneServerAndAllInSlowStart(t *testing.T) {
 	for name, x := range map[string]struct {
-		servers int
-		cold    bool
-		served  int // at least, of 200
+		servers   int
+		slowStart bool
+		served    int // at least, of 200
 	}{"none": {0, false, 0}, "one": {1, false, 190}, "all in slow start": {6, true, 15}} {
 		set := testSettings()
 		f := newFleet(t, set, 3)
@@ -123,7 +123,7 @@
 		}
 		entries := readyEndpoints(x.servers)
 		for k := range entries {
-			if x.cold {
+			if x.slowStart {
 				entries[k].StartedMs = f.now - 10
 			}
 		}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -61,8 +61,8 @@
 	return r.id, r.do(Event{Kind: EventRequest, Request: r.id, Class: class, Key: key, RemainingMs: 600})
 }
 
-func (r *harness) endAttempt(id RequestID, try int, s Addr, st Status, rtt float64) []Action {
-	return r.do(Event{Kind: EventAttemptEnded, Request: id, Attempt: try, Server: s, Status: st, LatencyMs: rtt, Final: st == OK})
+func (r *harness) endAttempt(id RequestID, attempt int, s Addr, st Status, rtt float64) []Action {
+	return r.do(Event{Kind: EventAttemptEnded, Request: id, Attempt: attempt, Server: s, Status: st, LatencyMs: rtt, Final: st == OK})
 }
 
 func findAction(actions []Action, kind ActionKind) *Action {
--- a/policy/keyless_test.go
+++ b/policy/keyless_test.go
@@ -10,7 +10,7 @@
 // as many servers as it has requests in flight at once, and each agent uses different ones.
 func TestKeylessRequestsStayOnFewServers(t *testing.T) {
 	const agents, servers = 8, 64
-	homes := map[Addr]int{}
+	startedAt := map[Addr]int{}
 	for agent := range agents {
 		s := testSettings()
 		s.ReplicaIndex, s.Replicas = agent, agents
@@ -23,14 +23,14 @@
 			r.endAttempt(id, 0, to, OK, 40)
 		}
 		for to := range used {
-			homes[to]++
+			startedAt[to]++
 		}
 		if len(used) > 4 {
 			t.Errorf("agent %d: 100 requests, one at a time, went to %d of %d servers",
 				agent, len(used), servers)
 		}
 	}
-	for to, n := range homes {
+	for to, n := range startedAt {
 		if n > 2 {
 			t.Errorf("%d of %d agents start at %v", n, agents, to)
 		}
@@ -46,8 +46,8 @@
 		to Addr
 	}
 	var inflight []out
-	// steady keeps as many requests in flight as permitted, up to 40, and answers them in order.
-	steady := func(answers int, rtt float64) int {
+	// sustain keeps as many requests in flight as permitted, up to 40, and answers them in order.
+	sustain := func(answers int, rtt float64) int {
 		for range answers {
 			for len(inflight) < 40 {
 				id, actions := r.request(0, 0)
@@ -64,18 +64,18 @@
 		}
 		return len(inflight) + 1
 	}
-	before := steady(200, 30)
+	before := sustain(200, 30)
 	if before < 30 {
 		t.Fatalf("%d in flight before the overload", before)
 	}
-	overloaded := steady(300, 120)
+	overloaded := sustain(300, 120)
 	if overloaded > before/2 {
 		t.Errorf("%d in flight under overload, %d before", overloaded, before)
 	}
 	if _, actions := r.request(0, 99); findAction(actions, ActionForward) == nil {
 		t.Error("a request with a key waits")
 	}
-	if again := steady(1000, 30); again < 2*overloaded || math.IsInf(r.b.keyless.max, 1) {
+	if again := sustain(1000, 30); again < 2*overloaded || math.IsInf(r.b.keyless.max, 1) {
 		t.Errorf("%d in flight after the overload, %d under it", again, overloaded)
 	}
 }
--- a/policy/overload_simulation_test.go
+++ b/policy/overload_simulation_test.go
@@ -18,7 +18,7 @@
 	clientRetries   int       // maximum retries of a client
 	seconds         float64
 	keys            int
-	hotKeyPart      float64                                            // share of one key in the traffic
+	hotKeyShare     float64                                            // share of one key in the traffic
 	oneBusyAgent    bool                                               // one agent has nine tenths of the traffic
 	surge           func(at float64) float64                           // load factor, by fraction of the run
 	speed           func(server int, at float64) float64               // speed factor of a server
@@ -51,13 +51,13 @@
 
 // overloadRequest is a request of a client or its retry.
 type overloadRequest struct {
-	tenant       int
-	key          uint64
-	firstArrival float64 // of the client's first attempt
-	arrived      float64
-	clientTries  int
-	ended        bool
-	attempts     int // by the agent
+	tenant         int
+	key            uint64
+	firstArrival   float64 // of the client's first attempt
+	arrived        float64
+	clientAttempts int
+	ended          bool
+	attempts       int // by the agent
 }
 
 const overloadObjectiveMs = 600.0
@@ -101,10 +101,10 @@
 func overloadSettings(weights []float64) Settings {
 	set := testSettings()
 	class := Class{LatencyObjectiveMs: overloadObjectiveMs, ClientTimeoutMs: 4 * overloadObjectiveMs, Effect: Idempotent}
-	read, book := class, class
+	read, write := class, class
 	read.Name, read.PriorityWeight = "read", 1
-	book.Name, book.PriorityWeight = "book", 5
-	set.Classes = []Class{read, book}
+	write.Name, write.PriorityWeight = "write", 5
+	set.Classes = []Class{read, write}
 	set.Limits.Cancelling = false
 	set.Clients.MarksRetry = false
 	set.ServerInfo.CacheKeys = true
@@ -200,7 +200,7 @@
 		return 0
 	}
 	key := 1 + uint64(math.Pow(r.rng.Float64(), 2)*float64(r.scenario.keys))
-	if r.rng.Float64() < r.scenario.hotKeyPart {
+	if r.rng.Float64() < r.scenario.hotKeyShare {
 		return 1
 	}
 	return key
@@ -210,7 +210,7 @@
 func (r *overloadRun) send(agent int, delayMs float64, request overloadRequest) {
 	r.ids[agent]++
 	request.arrived = r.fleet.now + delayMs
-	request.clientTries++
+	request.clientAttempts++
 	request.attempts = 0
 	request.ended = false
 	r.requests[agent][r.ids[agent]] = &request
@@ -230,7 +230,7 @@
 		request.ended = true
 		r.result.slowestRejectionMs = max(r.result.slowestRejectionMs, r.fleet.now-request.arrived)
 		running := r.fleet.now < r.startedAt+r.scenario.seconds*1000
-		if request.clientTries <= r.scenario.clientRetries && running {
+		if request.clientAttempts <= r.scenario.clientRetries && running {
 			r.send(agent, 1, *request)
 		}
 	}
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -12,7 +12,7 @@
 	for name, change := range map[string]func(*overloadScenario){
 		"default":                    func(*overloadScenario) {},
 		"one agent with the traffic": func(c *overloadScenario) { c.oneBusyAgent = true },
-		"a key with a fifth of it":   func(c *overloadScenario) { c.hotKeyPart = 0.21 },
+		"a key with a fifth of it":   func(c *overloadScenario) { c.hotKeyShare = 0.21 },
 		"synchronized bursts": func(c *overloadScenario) {
 			c.surge = func(at float64) float64 { return 0.4 + 1.2*float64(int(at*40)%2) }
 		},
@@ -21,20 +21,20 @@
 	} {
 		c := defaultOverload(1)
 		change(&c)
-		f := c.run(t)
-		t.Logf("%s: served %.3f, rejected %.3f, busy %.3f, %.2f attempts a request, slowest rejection %.0f ms", name, f.served, f.rejected,
-			f.busy, f.attemptsPerRequest, f.slowestRejectionMs)
+		result := c.run(t)
+		t.Logf("%s: served %.3f, rejected %.3f, busy %.3f, %.2f attempts a request, slowest rejection %.0f ms", name, result.served, result.rejected,
+			result.busy, result.attemptsPerRequest, result.slowestRejectionMs)
 		most := 0.25
 		if c.agents > 8 { // each sends to a server about once a second: too seldom to adjust a limit
 			most = 0.55
 		}
-		if f.busy < 0.9 || f.rejected > most || f.served < 0.6 {
+		if result.busy < 0.9 || result.rejected > most || result.served < 0.6 {
 			t.Errorf("%s: servers busy for %.2f, %.2f rejected, %.2f served",
-				name, f.busy, f.rejected, f.served)
+				name, result.busy, result.rejected, result.served)
 		}
-		if f.slowestRejectionMs > 0.5*4*overloadObjectiveMs {
+		if result.slowestRejectionMs > 0.5*4*overloadObjectiveMs {
 			t.Errorf("%s: a rejection took %.0f ms, more than half of the client's time",
-				name, f.slowestRejectionMs)
+				name, result.slowestRejectionMs)
 		}
 	}
 }
@@ -48,14 +48,14 @@
 		c.seconds = 20
 		c.weights, c.tenantLoads = weights, []float64{0.44, 0.32, 0.13, 0.11 * times}
 		c.load = 0.75 * (0.89 + 0.11*times)
-		f := c.run(t)
-		t.Logf("%v times: served %.3f of all, by tenant %.3f", times, f.served, f.tenants)
-		for i, s := range f.tenants[:3] {
+		result := c.run(t)
+		t.Logf("%v times: served %.3f of all, by tenant %.3f", times, result.served, result.tenants)
+		for i, s := range result.tenants[:3] {
 			if s < 0.96 {
 				t.Errorf("at %v times the quota of another tenant %d is served %.3f", times, i, s)
 			}
 		}
-		if own := f.tenants[3] * times; own < 0.96 {
+		if own := result.tenants[3] * times; own < 0.96 {
 			t.Errorf("at %v times its quota a tenant is served %.3f of it", times, own)
 		}
 	}
@@ -73,15 +73,15 @@
 			}
 			return 1
 		}
-		f := c.run(t)
+		result := c.run(t)
 		back := 0
-		for i := 12; i < 24 && f.second[i] < 0.95; i++ {
+		for i := 12; i < 24 && result.second[i] < 0.95; i++ {
 			back++
 		}
-		t.Logf("seed %d: served by second %.2f; back after %d s", seed, f.second, back)
+		t.Logf("seed %d: served by second %.2f; back after %d s", seed, result.second, back)
 		if back > 2 {
 			t.Errorf("seed %d: %d s after the surge goodput is still under 0.95: %.2f",
-				seed, back, f.second[12:])
+				seed, back, result.second[12:])
 		}
 	}
 }
@@ -107,9 +107,9 @@
 			if load < 1 {
 				want = 0.99
 			}
-			if f := c.run(t); f.served < want-0.04 {
+			if result := c.run(t); result.served < want-0.04 {
 				t.Errorf("%s, load %v: served %.3f, want %.3f as with true reports",
-					name, load, f.served, want)
+					name, load, result.served, want)
 			}
 		}
 	}
@@ -133,10 +133,10 @@
 	} {
 		c := defaultOverload(5)
 		c.load, c.speed = 0.75, speed
-		f := c.run(t)
-		t.Logf("%s: served %.3f", name, f.served)
-		if f.served < 0.9 {
-			t.Errorf("%s: served %.3f", name, f.served)
+		result := c.run(t)
+		t.Logf("%s: served %.3f", name, result.served)
+		if result.served < 0.9 {
+			t.Errorf("%s: served %.3f", name, result.served)
 		}
 	}
 }
@@ -146,11 +146,11 @@
 	for _, agents := range []int{4, 40} {
 		c := defaultOverload(6)
 		c.agents, c.slowStarting = agents, 1
-		f := c.run(t)
-		t.Logf("%d agents: at most %.2f times what it could do in a second", agents, f.slowStartOverload)
-		if f.slowStartOverload > testSettings().Contract.OverloadFactor {
+		result := c.run(t)
+		t.Logf("%d agents: at most %.2f times what it could do in a second", agents, result.slowStartOverload)
+		if result.slowStartOverload > testSettings().Contract.OverloadFactor {
 			t.Errorf("%d agents sent a server in slow start %.2f times what it could do",
-				agents, f.slowStartOverload)
+				agents, result.slowStartOverload)
 		}
 	}
 }
@@ -161,9 +161,9 @@
 	c := defaultOverload(7)
 	c.seconds = 20
 	c.agents, c.servers, c.slots, c.queue, c.load = 80, 16, 1, 20, 1.5
-	f := c.run(t)
-	t.Logf("served %.3f of priority 1, %.3f of priority 5, %.3f of all", f.classes[0], f.classes[1], f.served)
-	if f.classes[1] < 0.6 || f.classes[1] < f.classes[0]+0.3 {
-		t.Errorf("served %.3f of priority 1 and %.3f of priority 5", f.classes[0], f.classes[1])
+	result := c.run(t)
+	t.Logf("served %.3f of priority 1, %.3f of priority 5, %.3f of all", result.classes[0], result.classes[1], result.served)
+	if result.classes[1] < 0.6 || result.classes[1] < result.classes[0]+0.3 {
+		t.Errorf("served %.3f of priority 1 and %.3f of priority 5", result.classes[0], result.classes[1])
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -98,8 +98,8 @@
 			if !w.set.Limits.Cancelling {
 				w.t.Fatal("cancelled where it is not permitted")
 			}
-			if try := r.attempts[a.Attempt]; !try.ended {
-				try.status, try.endsAt = Cancelled, w.now+5
+			if attempt := r.attempts[a.Attempt]; !attempt.ended {
+				attempt.status, attempt.endsAt = Cancelled, w.now+5
 			}
 		case ActionHealthCheck:
 			if !w.set.Limits.HealthChecks {
@@ -203,13 +203,15 @@
 	w.endpoints[s] = e
 	if e.Health == Ready {
 		delete(w.drainingSince, s)
-	} else if _, told := w.drainingSince[s]; !told {
+	} else if _, known := w.drainingSince[s]; !known {
 		w.drainingSince[s] = w.now
 	}
 	w.handle(Event{Kind: EventEndpointUpdate, Update: UpdateDelta, Endpoints: []Endpoint{e}})
 }
 
-func playRandomRun(t *testing.T, seed uint64) []Action { return newRandomRun(t, seed).play(seed, 3) }
+func simulateRandomRun(t *testing.T, seed uint64) []Action {
+	return newRandomRun(t, seed).simulate(seed, 3)
+}
 
 func newRandomRun(t *testing.T, seed uint64) *randomRun {
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -217,8 +219,8 @@
 		endpoints: map[Addr]Endpoint{}, drainingSince: map[Addr]float64{}}
 }
 
-// play runs the simulation; a request arrives in one of the given number of steps.
-func (w *randomRun) play(seed uint64, steps int) []Action {
+// simulate runs the simulation; a request arrives in one of the given number of steps.
+func (w *randomRun) simulate(seed uint64, steps int) []Action {
 	t, rng := w.t, w.rng
 	var err error
 	if w.b, err = New(w.set, seed); err != nil {
@@ -271,13 +273,13 @@
 func TestInvariantsHoldOnRandomRuns(t *testing.T) {
 	t.Parallel() // virtual time alone
 	for seed := range uint64(60) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRandomRun(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulateRandomRun(t, seed) })
 	}
 }
 
 func TestEqualInputsGiveEqualActions(t *testing.T) {
 	for seed := range uint64(5) {
-		if !reflect.DeepEqual(playRandomRun(t, seed), playRandomRun(t, seed)) {
+		if !reflect.DeepEqual(simulateRandomRun(t, seed), simulateRandomRun(t, seed)) {
 			t.Errorf("seed %d: two runs differ", seed)
 		}
 	}
--- a/policy/rejectreason_test.go
+++ b/policy/rejectreason_test.go
@@ -23,7 +23,7 @@
 		id, actions := r.request(0, 7)
 		return r, id, actions
 	}
-	for want, play := range map[RejectReason]func(t *testing.T) (*harness, RequestID, []Action){
+	for want, setup := range map[RejectReason]func(t *testing.T) (*harness, RequestID, []Action){
 		ReasonShed: func(t *testing.T) (*harness, RequestID, []Action) {
 			r := newHarness(t, testSettings(), 1)
 			for range 100 {
@@ -57,7 +57,7 @@
 		},
 	} {
 		t.Run(want.String(), func(t *testing.T) {
-			if got := ended(play(t)); got != want {
+			if got := ended(setup(t)); got != want {
 				t.Errorf("ended by %v, want %v", got, want)
 			}
 		})
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -87,7 +87,7 @@
 }
 
 // Invalid numbers have no effect: every request is still sent and answered.
-func TestInvalidNumbersReachNoDecision(t *testing.T) {
+func TestInvalidNumbersHaveNoEffect(t *testing.T) {
 	for _, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, math.MaxFloat64} {
 		r := newHarness(t, testSettings(), 3)
 		r.updateEndpoints(UpdateComplete, Endpoint{Server: addr(0), Health: Ready, Weight: x, StartedMs: x},
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -46,8 +46,8 @@
 				r.endAttempt(id, 0, s, OK, 10)
 				continue
 			}
-			for try := 0; ; try++ {
-				a := findAction(r.endAttempt(id, try, s, Rejected, 1), ActionForward)
+			for attempt := 0; ; attempt++ {
+				a := findAction(r.endAttempt(id, attempt, s, Rejected, 1), ActionForward)
 				if a == nil {
 					break
 				}
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-func TestInvalidSettingsAreNamed(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
+func TestInvalidSettingsAreReportedByKey(t *testing.T) {
+	for key, invalidate := range map[string]func(*Settings){
 		"classes":             func(s *Settings) { s.Classes = nil },
 		"classes[0].aimMs":    func(s *Settings) { s.Classes[0].LatencyObjectiveMs = math.NaN() },
 		"classes[1].giveUpMs": func(s *Settings) { s.Classes[1].ClientTimeoutMs = -1 },
@@ -17,7 +17,7 @@
 		"membershipMode":      func(s *Settings) { s.DiscoveryMode = "" },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		_, err := New(s, 1)
 		var invalid *SettingError
 		if !errors.As(err, &invalid) || invalid.Key != key {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -57,7 +57,7 @@
 
 // A server that answers again after it was silent may be a new process that the endpoint list does not show
 // yet.
-func TestServerBackFromSilenceIsInSlowStart(t *testing.T) {
+func TestServerThatWasSilentIsInSlowStart(t *testing.T) {
 	r := newHarness(t, testSettings(), 3)
 	id, s := r.mustForward(0, 9)
 	r.endAttempt(id, 0, s, ConnectFailed, 100)
