--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -115,11 +115,11 @@
 	}
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
 		// A server that is only cordoned stays: the cordon may end before the next update.
-		forget := !s.ready && len(s.inflight) == 0 && !s.checking
-		if forget {
+		remove := !s.ready && len(s.inflight) == 0 && !s.checking
+		if remove {
 			delete(b.byAddr, s.addr)
 		}
-		return forget
+		return remove
 	})
 	b.setRingOffsets()
 }
--- a/policy/slowstart_simulation_test.go
+++ b/policy/slowstart_simulation_test.go
@@ -79,8 +79,8 @@
 	worst := 0.0
 	for i, from := range b.slowStartArrivals {
 		n, _ := slices.BinarySearch(b.slowStartArrivals[i:], from+sim.set.Contract.OverloadWindowMs)
-		bears := sim.set.Contract.OverloadFactor * b.requestsPerS * sim.capacity(b, from) * sim.set.Contract.OverloadWindowMs / 1000
-		worst = max(worst, float64(n)/(bears+2*math.Sqrt(bears)+2))
+		limit := sim.set.Contract.OverloadFactor * b.requestsPerS * sim.capacity(b, from) * sim.set.Contract.OverloadWindowMs / 1000
+		worst = max(worst, float64(n)/(limit+2*math.Sqrt(limit)+2))
 	}
 	return worst
 }
--- a/policy/types.go
+++ b/policy/types.go
@@ -91,8 +91,8 @@
 	PollIntervalMs       float64 `json:"askWithinMs"`  // an agent polls discovery at least this often
 	SlowStartMinCapacity float64 `json:"coldFrom"`     // fraction of its capacity that a server starts with
 	SlowStartMs          float64 `json:"coldMs"`       // until a server has its full capacity
-	DrainGraceMs         float64 `json:"drainGraceMs"` // to stop sending; agents stop at the update
-	OverloadFactor       float64 `json:"fallMultiple"` // load that overloads a server, in present capacities
+	DrainGraceMs         float64 `json:"drainGraceMs"` // time to stop sending; agents stop at the update
+	OverloadFactor       float64 `json:"fallMultiple"` // overload of a server, by its present capacity
 	OverloadWindowMs     float64 `json:"tipAfterMs"`   // duration of that load after which the server fails
 }
 
