--- a/policy/discovery_simulation_test.go
+++ b/policy/discovery_simulation_test.go
@@ -5,36 +5,37 @@
 	"testing"
 )
 
-// discoveryServer works through polls in order. A poll that waits too long fails but its work is done all
-// the same, and one that finds the queue too long fails at once. Times are in ms.
+// discoveryServer simulates a discovery service that works through polls in order. A poll that waits too long
+// times out, but its work is done all the same; one that finds the queue too long fails at once. Times are in
+// ms.
 type discoveryServer struct {
-	callMs                      float64 // the work of a poll for changes; a complete list is twice that
-	freeAt                      float64 // when the present work is done
+	callMs                      float64 // cost of a poll for changes; the complete list costs twice as much
+	freeAt                      float64 // when the accepted work is done
 	clientTimeoutMs, maxQueueMs float64
 	callTimes                   []float64 // when polls arrived
 	failed                      int
 }
 
-// call takes a poll that costs so much time, and returns when and how it ends.
-func (l *discoveryServer) call(now, cost float64) (at float64, ok bool) {
-	l.callTimes = append(l.callTimes, now)
-	if l.freeAt = max(l.freeAt, now); l.freeAt-now > l.maxQueueMs {
-		l.failed++
+// call accepts a poll with the given cost, and returns when it ends and whether it succeeds.
+func (d *discoveryServer) call(now, cost float64) (at float64, ok bool) {
+	d.callTimes = append(d.callTimes, now)
+	if d.freeAt = max(d.freeAt, now); d.freeAt-now > d.maxQueueMs {
+		d.failed++
 		return now + 25, false
 	}
-	l.freeAt += cost
-	if l.freeAt-now > l.clientTimeoutMs {
-		l.failed++
-		return now + l.clientTimeoutMs, false
+	d.freeAt += cost
+	if d.freeAt-now > d.clientTimeoutMs {
+		d.failed++
+		return now + d.clientTimeoutMs, false
 	}
-	return l.freeAt, true
+	return d.freeAt, true
 }
 
-// maxCallsPerSecond returns the most polls in any second.
-func (l *discoveryServer) maxCallsPerSecond() int {
+// maxCallsPerSecond returns the largest number of polls in any second.
+func (d *discoveryServer) maxCallsPerSecond() int {
 	most, from := 0, 0
-	for i, t := range l.callTimes {
-		for l.callTimes[from] <= t-1000 {
+	for i, t := range d.callTimes {
+		for d.callTimes[from] <= t-1000 {
 			from++
 		}
 		most = max(most, i-from+1)
@@ -42,29 +43,28 @@
 	return most
 }
 
-// simulateStart starts agents with the given last poll within startMs, lets each see failures of three
-// servers in its first second, and runs them for 60 s. It returns when the poll of each succeeded; -1:
-// never.
-func simulateStart(t *testing.T, agents int, last LastPoll, roster *discoveryServer, start float64) []float64 {
+// simulateStart starts agents with the given last poll within startMs, has each see three failed attempts in
+// its first second, and runs them for 60 s. It returns when the first poll of each succeeded; -1: never.
+func simulateStart(t *testing.T, agents int, last LastPoll, discovery *discoveryServer, start float64) []float64 {
 	t.Helper()
 	set := testSettings()
 	set.DiscoveryMode, set.Contract.PollIntervalMs, set.LastPoll = "on_request", 10_000, last
 	f := newFleet(t, set, agents)
-	following := slices.Repeat([]float64{-1}, agents)
+	listedAt := slices.Repeat([]float64{-1}, agents)
 	f.onAction = func(i int, a *Action) {
 		switch a.Kind {
 		case ActionWatchEndpoints, ActionFetchEndpoints:
-			if a.Kind == ActionWatchEndpoints && following[i] >= 0 {
+			if a.Kind == ActionWatchEndpoints && listedAt[i] >= 0 {
 				return
 			}
-			cost := roster.callMs
+			cost := discovery.callMs
 			if a.Kind == ActionFetchEndpoints {
 				cost *= 2
 			}
-			if at, ok := roster.call(f.now, cost); !ok {
+			if at, ok := discovery.call(f.now, cost); !ok {
 				f.schedule(at-f.now, i, Event{Kind: EventEndpointUpdate, Update: UpdateFailed})
 			} else if a.Kind == ActionWatchEndpoints {
-				following[i] = at
+				listedAt[i] = at
 			}
 		case ActionForward:
 			f.schedule(30, i, Event{Kind: EventAttemptEnded, Request: a.Request, Server: a.Server, Status: Error, LatencyMs: 30})
@@ -78,13 +78,13 @@
 		}
 	}
 	f.runUntil(60_000)
-	return following
+	return listedAt
 }
 
-// A release that restarts all agents at once must not overload discovery: what it works off for pollers
-// that have timed out is lost to those who come after. The polls in a second stay under a bound that the
-// contract gives, whatever the number of agents. Agents whose last poll may have failed have less time, so
-// that more of them poll in a second; no poll may fail for it.
+// A release that restarts all agents at once must not overload discovery: the work it does for polls that
+// have timed out delays all later ones. The number of polls per second stays below a bound given by the
+// contract, whatever the number of agents. Agents whose last poll may have failed have less time, so more of
+// them poll per second; no poll may fail because of that.
 func TestFleetStartAtOverloadedDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		agents int
@@ -97,12 +97,12 @@
 		agents := c.agents
 		// 15 polls a second for 80 agents; in proportion for more.
 		r := &discoveryServer{callMs: min(65, 65*80/float64(agents)), clientTimeoutMs: 2000, maxQueueMs: 4700}
-		following := simulateStart(t, agents, c.last, r, 200)
-		last := slices.Max(following)
-		if slices.Contains(following, -1) {
+		listedAt := simulateStart(t, agents, c.last, r, 200)
+		last := slices.Max(listedAt)
+		if slices.Contains(listedAt, -1) {
 			t.Errorf("%d agents: the polls of some never succeeded", agents)
 		}
-		// Each must poll within its time; a second may bring little more than an even part of that.
+		// All must poll within the time; no second may have many more polls than an even spread.
 		least := float64(agents) / c.within
 		bound := int(max(least*1.6, 24))
 		t.Logf("%d agents, last poll %d: at most %d polls a second, %d polls, %d failed, the last succeeded after %.1f s",
@@ -116,7 +116,7 @@
 		if last > 10_000 {
 			t.Errorf("%d agents: the last poll succeeded after %.1f s", agents, last/1000)
 		}
-		each := 2 // one for changes, and one for the complete list, which many do without
+		each := 2 // one for changes and one for the complete list, which large fleets do not fetch
 		if agents > fetchingReplicas {
 			each = 1
 		}
@@ -126,45 +126,47 @@
 	}
 }
 
-// simulateOutage has agents lose discovery at once for downMs, in which each poll fails after 1 s, and runs
-// them for 60 s. It returns how long after the outage the last agent had no endpoint list, the most polls
-// in a second before and after its end, and the longest queue, in ms of work.
-func simulateOutage(t *testing.T, agents int, down float64, roster *discoveryServer) (last float64, before, after int, queue float64) {
+// simulateOutage simulates agents that all start in an outage of discovery of the given length, in which each
+// poll fails after 1 s, and runs them for 60 s. It returns how long after the outage the last agent had its
+// endpoint list, the largest number of polls in a second during the outage and after it, and the longest
+// queue, in ms of work.
+func simulateOutage(t *testing.T, agents int, down float64, discovery *discoveryServer) (last float64, before, after int, queue float64) {
 	t.Helper()
 	set := testSettings()
 	set.DiscoveryMode, set.Contract.PollIntervalMs = "on_request", 10_000
 	f := newFleet(t, set, agents)
-	following := slices.Repeat([]float64{-1}, agents)
-	outside := &discoveryServer{}
+	listedAt := slices.Repeat([]float64{-1}, agents)
+	duringOutage := &discoveryServer{}
 	f.onAction = func(i int, a *Action) {
 		switch {
-		case a.Kind != ActionWatchEndpoints || following[i] >= 0:
+		case a.Kind != ActionWatchEndpoints || listedAt[i] >= 0:
 		case f.now < down:
-			outside.callTimes = append(outside.callTimes, f.now)
+			duringOutage.callTimes = append(duringOutage.callTimes, f.now)
 			f.schedule(1000, i, Event{Kind: EventEndpointUpdate, Update: UpdateFailed})
 		default:
-			at, ok := roster.call(f.now, roster.callMs)
-			if queue = max(queue, roster.freeAt-f.now); !ok {
+			at, ok := discovery.call(f.now, discovery.callMs)
+			if queue = max(queue, discovery.freeAt-f.now); !ok {
 				f.schedule(at-f.now, i, Event{Kind: EventEndpointUpdate, Update: UpdateFailed})
 				return
 			}
-			following[i] = at
+			listedAt[i] = at
 		}
 	}
 	for i := range agents {
 		f.start(i, readyEndpoints(60))
 	}
 	f.runUntil(60_000)
-	if slices.Contains(following, -1) {
+	if slices.Contains(listedAt, -1) {
 		t.Errorf("%d agents: some never got an endpoint list again", agents)
 	}
-	return slices.Max(following) - down, outside.maxCallsPerSecond(), roster.maxCallsPerSecond(), queue
+	return slices.Max(listedAt) - down, duringOutage.maxCallsPerSecond(), discovery.maxCallsPerSecond(), queue
 }
 
-// After an outage all agents poll a discovery that works through polls in order. Backoff keeps the polls of
-// a second below one of every other agent. A discovery that can take a poll of each within updateDeadlineMs
-// less a queue serves all before a change counts as notified; the slowest (8 s, more than there is time)
-// serves all within one more round, or two where it works off polls that have timed out.
+// After an outage all agents poll a discovery service that works through polls in order. Backoff keeps the
+// number of polls per second below half the number of agents. A service that can answer a poll of every agent
+// within updateDeadlineMs less its queue does so before agents count as notified of a change. The slowest (8
+// s for all, longer than the deadline) needs one more round of polls, or two if it also works through polls
+// that have timed out.
 func TestDiscoveryQueueAfterAnOutage(t *testing.T) {
 	for _, c := range []struct {
 		agents  int
@@ -188,9 +190,9 @@
 	}
 }
 
-// A process that is killed while its poll has no answer leaves an agent with an old endpoint list. The one
-// that is started in its place polls within the time that the failed poll would have left it, and not in
-// the slot of a complete fleet, which is later; agents whose last poll was answered keep that slot.
+// A process that is killed while its poll is unanswered leaves an agent with a stale endpoint list. Its
+// successor polls within the time that a failed poll would have left, instead of in its slot of a complete
+// fleet start, which is later. Agents whose last poll was answered keep that slot.
 func TestRestartAfterAFailedPollPollsInTime(t *testing.T) {
 	set := testSettings()
 	set.DiscoveryMode, set.Contract.PollIntervalMs = "on_request", 10_000
@@ -201,7 +203,7 @@
 		f := newFleet(t, set, c.agents)
 		r := &discoveryServer{callMs: c.all / float64(c.agents), clientTimeoutMs: 2000, maxQueueMs: 4700}
 		last := map[bool]float64{}
-		left := slices.Repeat([]bool{true}, c.agents)
+		pending := slices.Repeat([]bool{true}, c.agents)
 		for i := range c.agents {
 			f.agents[i].settings.LastPoll = PollAnswered
 			if i*37%100 < c.stale {
@@ -209,7 +211,7 @@
 			}
 		}
 		f.onAction = func(i int, a *Action) {
-			if a.Kind != ActionWatchEndpoints || !left[i] {
+			if a.Kind != ActionWatchEndpoints || !pending[i] {
 				return
 			}
 			at, ok := r.call(f.now, r.callMs)
@@ -217,7 +219,7 @@
 				f.schedule(at-f.now, i, Event{Kind: EventEndpointUpdate, Update: UpdateFailed})
 				return
 			}
-			left[i] = false
+			pending[i] = false
 			stale := f.agents[i].settings.LastPoll == PollUnanswered
 			last[stale] = max(last[stale], at)
 		}
@@ -239,9 +241,9 @@
 	}
 }
 
-// A process whose state directory is lost starts without knowing its last poll, which may have failed. It
-// polls so soon that it is in time where it was restarted within minRestartMs after an outage, if discovery
-// can take a poll of each agent meanwhile; otherwise all have the endpoint list once it has taken those.
+// A process whose state directory was lost does not know the outcome of its last poll, which may have failed.
+// It polls early enough to be in time after a restart that took minRestartMs, if discovery can answer a poll
+// of every agent in that time; otherwise all have the endpoint list once discovery has answered them.
 func TestRestartWithUnknownLastPollPollsInTime(t *testing.T) {
 	set := testSettings()
 	set.DiscoveryMode, set.Contract.PollIntervalMs = "on_request", 10_000
@@ -254,10 +256,10 @@
 	} {
 		f := newFleet(t, set, c.agents)
 		r := &discoveryServer{callMs: c.all / float64(c.agents), clientTimeoutMs: 2000, maxQueueMs: 4700}
-		has := slices.Repeat([]bool{true}, c.agents)
+		hasList := slices.Repeat([]bool{true}, c.agents)
 		last := 0.0
 		f.onAction = func(i int, a *Action) {
-			if a.Kind != ActionWatchEndpoints || has[i] {
+			if a.Kind != ActionWatchEndpoints || hasList[i] {
 				return
 			}
 			at, ok := r.call(f.now, r.callMs)
@@ -265,18 +267,18 @@
 				f.schedule(at-f.now, i, Event{Kind: EventEndpointUpdate, Update: UpdateFailed})
 				return
 			}
-			has[i], last = true, max(last, at)
+			hasList[i], last = true, max(last, at)
 		}
 		for i := range c.agents {
 			if i*37%100 < c.restarted {
-				has[i] = false
+				hasList[i] = false
 				f.start(i, readyEndpoints(60))
 			}
 		}
 		f.runUntil(60_000)
 		t.Logf("%d agents, %d%% restarted, %v ms for all: the last has the list after %.1f s; %d polls a second, %d failed",
 			c.agents, c.restarted, c.all, last/1000, r.maxCallsPerSecond(), r.failed)
-		if slices.Contains(has, false) || last > c.within {
+		if slices.Contains(hasList, false) || last > c.within {
 			t.Errorf("%d agents, %d%% restarted, %v ms for all: the last has the list after %.1f s",
 				c.agents, c.restarted, c.all, last/1000)
 		}
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -4,26 +4,26 @@
 // integer.
 const maxObservedSuccesses = 1e6
 
-// Observe takes what other agents saw of servers, each named at most once, and moves the states by it. A
-// server is ejected on failure and returns by what was served, or with time: an Unhealthy server is
-// UnhealthyPending after minEjectionMs, doubled with each further ejection, and one that is
-// pending without any evidence becomes Unknown after as long again. It is called instead of Handle, by a
-// caller that sends no requests of its own; its actions are dropped.
-func (b *Balancer) Observe(now, minEjectionMs float64, seen []Evidence) {
+// Observe updates the states of servers from the evidence of other agents, with at most one entry per server.
+// Failures eject a server; served attempts or time readmit it: an Unhealthy server becomes UnhealthyPending
+// after minEjectionMs, doubled with each further ejection, and a pending one without any evidence becomes
+// Unknown after the same time again. Observe is called instead of Handle, by a caller that sends no requests
+// of its own; the resulting actions are dropped.
+func (b *Balancer) Observe(now, minEjectionMs float64, evidence []Evidence) {
 	b.now = now
 	b.minEjectionMs = minEjectionMs
 	b.actions = b.actions[:0]
-	var all Evidence // the sum, against which each server is compared
-	for i := range seen {
-		all.Served += nonNegative(seen[i].Served)
-		all.Failed += nonNegative(seen[i].Failed)
-		all.Rejected += nonNegative(seen[i].Rejected)
+	var total Evidence // the sum, to compare each server with
+	for i := range evidence {
+		total.Served += nonNegative(evidence[i].Served)
+		total.Failed += nonNegative(evidence[i].Failed)
+		total.Rejected += nonNegative(evidence[i].Rejected)
 	}
-	b.goodput.recordMany(all.Served+all.Rejected, all.Served)
-	b.fleet.failureRate = movingRate(b.fleet.failureRate, all.Failed, all.Served, fleetAverageWeight)
-	for i := range seen {
-		if s := b.byAddr[seen[i].Server]; s != nil {
-			b.observeServer(s, &seen[i])
+	b.goodput.recordMany(total.Served+total.Rejected, total.Served)
+	b.fleet.failureRate = movingRate(b.fleet.failureRate, total.Failed, total.Served, fleetAverageWeight)
+	for i := range evidence {
+		if s := b.byAddr[evidence[i].Server]; s != nil {
+			b.observeServer(s, &evidence[i])
 		}
 	}
 	b.revalidateEjected()
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// randomRun plays random clients, servers and endpoint updates against one Balancer and checks the
-// invariants on its actions alone.
+// randomRun simulates random clients, servers and endpoint updates for one Balancer and checks invariants of
+// its actions only.
 type randomRun struct {
 	t             *testing.T
 	rng           *rand.Rand
@@ -20,9 +20,9 @@
 	requests      map[RequestID]*randomRequest
 	timers        []randomTimer
 	endpoints     map[Addr]Endpoint
-	drainingSince map[Addr]float64 // notified that it is draining or removed
+	drainingSince map[Addr]float64 // when the Balancer was notified that it is draining or removed
 	history       []Action
-	// extraTicks adds a tick to each step while nothing is queued and no server is silent.
+	// extraTicks adds a tick to each step in which nothing is queued and no server is silent.
 	extraTicks bool
 	ticks      int
 }
@@ -98,8 +98,8 @@
 			if !w.set.Limits.Cancelling {
 				w.t.Fatal("cancelled where it is not permitted")
 			}
-			if try := r.attempts[a.Attempt]; !try.ended {
-				try.status, try.endsAt = Cancelled, w.now+5
+			if attempt := r.attempts[a.Attempt]; !attempt.ended {
+				attempt.status, attempt.endsAt = Cancelled, w.now+5
 			}
 		case ActionHealthCheck:
 			if !w.set.Limits.HealthChecks {
@@ -177,7 +177,7 @@
 			}
 			t.ended = true
 			if t.status == OK {
-				r.final++ // the answer of a hedged request changes nothing
+				r.final++ // a second answer, to a hedged request, does not count
 				r.final = min(r.final, 1)
 			}
 			w.handle(Event{Kind: EventAttemptEnded, Request: id, Attempt: i, Server: t.server, Status: t.status,
@@ -203,13 +203,15 @@
 	w.endpoints[s] = e
 	if e.Health == Ready {
 		delete(w.drainingSince, s)
-	} else if _, told := w.drainingSince[s]; !told {
+	} else if _, known := w.drainingSince[s]; !known {
 		w.drainingSince[s] = w.now
 	}
 	w.handle(Event{Kind: EventEndpointUpdate, Update: UpdateDelta, Endpoints: []Endpoint{e}})
 }
 
-func playRandomRun(t *testing.T, seed uint64) []Action { return newRandomRun(t, seed).play(seed, 3) }
+func simulateRandomRun(t *testing.T, seed uint64) []Action {
+	return newRandomRun(t, seed).simulate(seed, 3)
+}
 
 func newRandomRun(t *testing.T, seed uint64) *randomRun {
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -217,8 +219,8 @@
 		endpoints: map[Addr]Endpoint{}, drainingSince: map[Addr]float64{}}
 }
 
-// play runs the steps; in one of so many steps a request arrives.
-func (w *randomRun) play(seed uint64, steps int) []Action {
+// simulate runs the simulation; a request arrives in one of the given number of steps.
+func (w *randomRun) simulate(seed uint64, steps int) []Action {
 	t, rng := w.t, w.rng
 	var err error
 	if w.b, err = New(w.set, seed); err != nil {
@@ -246,7 +248,7 @@
 				r.final = 1
 				w.handle(Event{Kind: EventClientDisconnected, Request: w.next})
 			}
-		case 2: // events about what is unknown or finished are ignored
+		case 2: // events for unknown or finished requests are ignored
 			w.handle(Event{Kind: EventAttemptEnded, Request: 1 << 30, Server: addr(1), Status: OK})
 			w.handle(Event{Kind: EventClientDisconnected, Request: 1 << 30})
 			w.handle(Event{Kind: EventTimer, Token: 99})
@@ -271,13 +273,13 @@
 func TestInvariantsHoldOnRandomRuns(t *testing.T) {
 	t.Parallel() // virtual time alone
 	for seed := range uint64(60) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRandomRun(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulateRandomRun(t, seed) })
 	}
 }
 
 func TestEqualInputsGiveEqualActions(t *testing.T) {
 	for seed := range uint64(5) {
-		if !reflect.DeepEqual(playRandomRun(t, seed), playRandomRun(t, seed)) {
+		if !reflect.DeepEqual(simulateRandomRun(t, seed), simulateRandomRun(t, seed)) {
 			t.Errorf("seed %d: two runs differ", seed)
 		}
 	}
--- a/policy/rejectreason_test.go
+++ b/policy/rejectreason_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each answer to a request that is not served names the rule that ended it.
+// Each rejection and failure names the rule that caused it.
 func TestUnservedRequestsNameTheirRule(t *testing.T) {
 	ended := func(r *harness, id RequestID, actions []Action) RejectReason {
 		for range 200 {
@@ -23,11 +23,11 @@
 		id, actions := r.request(0, 7)
 		return r, id, actions
 	}
-	for want, play := range map[RejectReason]func(t *testing.T) (*harness, RequestID, []Action){
+	for want, setup := range map[RejectReason]func(t *testing.T) (*harness, RequestID, []Action){
 		ReasonShed: func(t *testing.T) (*harness, RequestID, []Action) {
 			r := newHarness(t, testSettings(), 1)
 			for range 100 {
-				r.b.goodput.ended, r.b.goodput.earned = shedMemoryRequests, 0
+				r.b.goodput.ended, r.b.goodput.earned = shedWindowRequests, 0
 				id, actions := r.request(0, 7)
 				if findAction(actions, ActionReject) != nil {
 					return r, id, actions
@@ -57,19 +57,19 @@
 		},
 	} {
 		t.Run(want.String(), func(t *testing.T) {
-			if got := ended(play(t)); got != want {
+			if got := ended(setup(t)); got != want {
 				t.Errorf("ended by %v, want %v", got, want)
 			}
 		})
 	}
 }
 
-// The names of the rules are an interface to the outside: none is missing or stands twice.
+// The names are part of the interface of metrics and logs: none may be missing or used twice.
 func TestRejectReasonNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
-	for reason := range RejectReasons {
+	for reason := range NumRejectReasons {
 		if name := reason.String(); name == "" || seen[name] {
-			t.Errorf("reason %d has the name %q, which is empty or stands twice", reason, name)
+			t.Errorf("reason %d has the name %q, which is empty or not unique", reason, name)
 		}
 		seen[reason.String()] = true
 	}
