--- a/internal/configstore/api_read.go
+++ b/internal/configstore/api_read.go
@@ -126,9 +126,9 @@
 func (r *Replica) blockers(now float64) lease.Blockers {
 	versions := &r.state.History
 	if versions.CanAdvance() {
-		return r.lessor.Next(now, versions.Epoch, versions.ServerRulesDiffer)
+		return r.lessor.AdvanceBlockers(now, versions.Epoch, versions.ServerRulesDiffer)
 	}
-	return r.lessor.Adopted(now, versions.Epoch, versions.ServerRulesDiffer)
+	return r.lessor.AdoptionBlockers(now, versions.Epoch, versions.ServerRulesDiffer)
 }
 
 func (r *Replica) describeMembers() []string {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -87,7 +87,7 @@
 	switch {
 	case left <= 0:
 		return policy.ReasonNoTime
-	case c.NoConnections:
+	case c.AtConnectionLimit:
 		return policy.ReasonConnections
 	case l.tooManyOpenRequests():
 		return policy.ReasonOpenRequests
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -11,19 +11,19 @@
 
 // Call is a client's request as a downstream received it.
 type Call struct {
-	ID            string // unique among the open calls of all downstreams
-	Class         int    // index of the settings' classes
-	Tenant        int
-	Key           uint64
-	HintMs        float64 // expected work; see HasHint
-	HasHint       bool
-	Retry         bool // the client says that it is a retry
-	Deadline      time.Time
-	Upstream      Upstream
-	Payload       any         // passed from the downstream to its upstream
-	Answer        chan Answer // capacity 1, so that the loop never blocks on a client
-	Unique        bool        // the downstream made the id, and never uses it again
-	NoConnections bool        // the downstream is at its limit of connections: the call is rejected
+	ID                string // unique among the open calls of all downstreams
+	Class             int    // index of the settings' classes
+	Tenant            int
+	Key               uint64
+	HintMs            float64 // expected work; see HasHint
+	HasHint           bool
+	Retry             bool // the client says that it is a retry
+	Deadline          time.Time
+	Upstream          Upstream
+	Payload           any         // passed from the downstream to its upstream
+	Answer            chan Answer // capacity 1, so that the loop never blocks on a client
+	Unique            bool        // the downstream made the id, and never uses it again
+	AtConnectionLimit bool        // the downstream is at its limit of connections: the call is rejected
 
 	// TimeAfterBody, where it is not 0, makes this a streamed call: parts of its body arrive while it is sent. It is the
 	// time that the call has from the last byte of its body on; Deadline then bounds all of it.
--- a/internal/downstream/http/handler.go
+++ b/internal/downstream/http/handler.go
@@ -52,7 +52,7 @@
 	if !s.clientConns.requestRead(req.Context()) {
 		panic(http.ErrAbortHandler) // nothing was forwarded
 	}
-	c.NoConnections = s.clientConns.overloaded()
+	c.AtConnectionLimit = s.clientConns.overloaded()
 	if framed {
 		c.Disconnected = conn.disconnect.isDisconnected
 		if body != nil {
--- a/internal/downstream/thrift/call.go
+++ b/internal/downstream/thrift/call.go
@@ -32,7 +32,7 @@
 	}
 	oneWay = oneWay || method.oneWay
 	call := s.newCall(c, m, method, oneWay)
-	call.NoConnections = overloaded
+	call.AtConnectionLimit = overloaded
 	submitted := make(chan *core.Request, 1)
 	s.EventLoop.Post(func() { submitted <- s.EventLoop.Submit(call) })
 	answer, ok := s.await(c, call, oneWay, messages)
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -193,7 +193,7 @@
 	s.draining = draining
 	if draining {
 		notified := max(w.discoveryDownUntil-w.now, 0) + fromMs(2*w.scenario.Discovery.LagMs)
-		s.record.NotifiedDraining(w.time().Add(time.Duration(notified)))
+		s.record.DrainPublished(w.time().Add(time.Duration(notified)))
 	} else {
 		s.record.InService()
 	}
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -88,7 +88,7 @@
 	c := Checker{Rules: DefaultRules()}
 	s := &Server{Name: "s"}
 	c.RequestReceived(s, at(0))
-	s.NotifiedDraining(at(100))
+	s.DrainPublished(at(100))
 	c.RequestReceived(s, at(350)) // the end of the grace period
 	if got, descriptions := c.Violations(); len(got) != 0 {
 		t.Errorf("violations in the grace period: %v, %q", got, descriptions)
--- a/internal/invariant/server.go
+++ b/internal/invariant/server.go
@@ -16,8 +16,8 @@
 	received  []time.Time
 }
 
-// NotifiedDraining records that the server's drain or removal was published.
-func (s *Server) NotifiedDraining(at time.Time) { s.drainedAt = at }
+// DrainPublished records that the server's drain or removal was published.
+func (s *Server) DrainPublished(at time.Time) { s.drainedAt = at }
 
 // InService records that the server is in service.
 func (s *Server) InService() { s.drainedAt = time.Time{} }
--- a/internal/lab/leasemodel/events.go
+++ b/internal/lab/leasemodel/events.go
@@ -127,7 +127,7 @@
 	epoch := l.log.history.Epoch
 	changed := l.log.endpointsChanged(w.defect)
 	may := l.lessor.MayAdvance(w.now, epoch, changed)
-	if blockers := l.lessor.Next(w.now, epoch, changed); blockers.None() != may && w.indexDiff == "" {
+	if blockers := l.lessor.AdvanceBlockers(w.now, epoch, changed); blockers.None() != may && w.indexDiff == "" {
 		w.indexDiff = fmt.Sprintf("whether epoch %d may end: %v by the index, blocked by %v", epoch, may, blockers.Holders)
 	}
 	return may
--- a/internal/lab/ledger.go
+++ b/internal/lab/ledger.go
@@ -113,7 +113,7 @@
 func (l *Ledger) Told(server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.server(server).NotifiedDraining(at)
+	l.server(server).DrainPublished(at)
 }
 
 // Up notes that a server is in service.
--- a/internal/lease/blockers.go
+++ b/internal/lease/blockers.go
@@ -47,7 +47,7 @@
 	return e.lease > now || e.serverRules > now && changed(from, target)
 }
 
-// MayAdvance reports whether the epoch after this one may begin (invariant 1), as Next does, without the names. It looks
+// MayAdvance reports whether the epoch after this one may begin (invariant 1), as AdvanceBlockers does, without the names. It looks
 // at every holder once an epoch, and beyond that about once or twice at each until it has adopted the epoch.
 func (l *Lessor) MayAdvance(now float64, epoch uint64, changed ServerRulesDiffer) bool {
 	inherited := expiry{lease: l.inheritedUntil, serverRules: l.inheritedServerRulesUntil}
--- a/internal/lease/blockers_test.go
+++ b/internal/lease/blockers_test.go
@@ -48,10 +48,10 @@
 	epochJumps             int
 }
 
-// compareWithNext has holders join, renew, adopt, fall silent and expire in any order, also in orders that no replica
+// compareWithAdvanceBlockers has holders join, renew, adopt, fall silent and expire in any order, also in orders that no replica
 // produces (grants on lower epochs, epochs that jump, endpoints that change back). After each step MayAdvance must
-// agree with Next, which looks at every holder; the error says where it does not. draw returns a number from 0 to n-1.
-func compareWithNext(draw func(what string, n int) int, c *outcomeCounts) error {
+// agree with AdvanceBlockers, which looks at every holder; the error says where it does not. draw returns a number from 0 to n-1.
+func compareWithAdvanceBlockers(draw func(what string, n int) int, c *outcomeCounts) error {
 	now := []float64{-1000, 0, 5e6}[draw("begin", 3)]
 	epoch := uint64(draw("epoch", 5))
 	lessor := NewLessor(now, 20, []float64{0, 10, 30}[draw("endpoints", 3)])
@@ -94,7 +94,7 @@
 				lessor = NewLessor(now, 20, 10)
 			}
 		}
-		blockers := lessor.Next(now, epoch, changed)
+		blockers := lessor.AdvanceBlockers(now, epoch, changed)
 		want := blockers.None()
 		if got := lessor.MayAdvance(now, epoch, changed); got != want {
 			return fmt.Errorf("step %d: at %.2f epoch %d may end: %v by the index; blocked by %q", n, now, epoch, got, blockers.Holders)
@@ -116,11 +116,11 @@
 }
 
 // The order of the candidates follows a map's: a seed that fails may need some runs to fail again.
-func TestMayAdvanceAgreesWithNext(t *testing.T) {
+func TestMayAdvanceAgreesWithAdvanceBlockers(t *testing.T) {
 	var c outcomeCounts
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		if err := compareWithNext(func(_ string, n int) int { return rng.IntN(n) }, &c); err != nil {
+		if err := compareWithAdvanceBlockers(func(_ string, n int) int { return rng.IntN(n) }, &c); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
@@ -131,9 +131,9 @@
 }
 
 // The same with inputs that rapid shrinks.
-func TestMayAdvanceAgreesWithNextShrunk(t *testing.T) {
+func TestMayAdvanceAgreesWithAdvanceBlockersShrunk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := compareWithNext(func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }, &outcomeCounts{}); err != nil {
+		if err := compareWithAdvanceBlockers(func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }, &outcomeCounts{}); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -135,14 +135,14 @@
 // None reports whether nothing blocks the epoch.
 func (b Blockers) None() bool { return len(b.Holders) == 0 }
 
-// Next returns what blocks the epoch after this one (invariant 1): whoever may act on an epoch before this one, by its
+// AdvanceBlockers returns what blocks the epoch after this one (invariant 1): whoever may act on an epoch before this one, by its
 // settings, or by its server rules where those of the next epoch differ.
-func (l *Lessor) Next(now float64, epoch uint64, changed ServerRulesDiffer) Blockers {
+func (l *Lessor) AdvanceBlockers(now float64, epoch uint64, changed ServerRulesDiffer) Blockers {
 	return l.findBlockers(now, epoch, epoch+1, changed)
 }
 
-// Adopted returns who may still act on an epoch before this one. Nobody: the epoch is adopted everywhere.
-func (l *Lessor) Adopted(now float64, epoch uint64, changed ServerRulesDiffer) Blockers {
+// AdoptionBlockers returns who may still act on an epoch before this one. Nobody: the epoch is adopted everywhere.
+func (l *Lessor) AdoptionBlockers(now float64, epoch uint64, changed ServerRulesDiffer) Blockers {
 	return l.findBlockers(now, epoch, epoch, changed)
 }
 
