--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -7,7 +7,7 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// dispatch carries out the balancer's actions in their order.
+// dispatch carries out the balancer's actions in order.
 func (l *EventLoop) dispatch(actions []policy.Action) {
 	l.actions = actions
 	for i := range actions {
@@ -34,7 +34,7 @@
 		case policy.ActionFetchEndpoints:
 			l.fetchEndpoints()
 		case policy.ActionCloseIdle:
-			if b := l.endpoints.byAddr[a.Server]; b != nil {
+			if b := l.endpoints.byPolicyAddr[a.Server]; b != nil {
 				l.closeIdle(b)
 			}
 		case policy.ActionLog:
@@ -45,7 +45,7 @@
 	}
 }
 
-// startTimer raises EventTimer with the token after a time.
+// startTimer raises EventTimer with the token after the given duration.
 func (l *EventLoop) startTimer(durationMs float64, token uint32) {
 	time.AfterFunc(durationFromMs(durationMs), func() {
 		l.Post(func() { l.handle(&policy.Event{Kind: policy.EventTimer, Token: token}) })
--- a/internal/core/anylist_test.go
+++ b/internal/core/anylist_test.go
@@ -12,35 +12,35 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Whatever discovery answers, the loop takes it and goes on with requests: it owns the state of all of them, so that a
-// panic there would end the agent.
-func TestAnyEndpointListIsTaken(t *testing.T) {
+// No endpoint list, however malformed, may panic or block the loop: it owns the state of all requests, so a
+// panic there terminates the agent.
+func TestArbitraryEndpointListsAreApplied(t *testing.T) {
 	const lists, seed = 1500, 59
 	rng := rand.New(rand.NewPCG(seed, 0))
 	statuses := []policy.Status{policy.OK, policy.OK, policy.Error, policy.Reset, policy.Rejected, policy.ConnectFailed}
 	results := make(chan policy.Status, lists)
 	upstream := stub{do: func(context.Context, *Backend, *Call) Result { return Result{Status: <-results, LatencyMs: 1} }}
-	l := running(t, upstream)
+	l := startTestLoop(t, upstream)
 	for i := range lists {
 		results <- statuses[rng.IntN(len(statuses))]
-		list := drawList(rng)
+		list := randomList(rng)
 		call := newCall(upstream, fmt.Sprint("call-", i), rng.IntN(3))
 		call.Key = rng.Uint64N(3)
 		kinds := []policy.UpdateKind{policy.UpdateCached, policy.UpdateComplete, policy.UpdateDelta, policy.UpdateOtherSource}
 		kind := kinds[rng.IntN(len(kinds))]
-		taken := l.Do(testTimeout, func() {
+		applied := l.Do(testTimeout, func() {
 			l.updateEndpoints(list, kind, list.Full)
 			r := l.Submit(call)
-			l.ClientDisconnected(r) // it has an answer already, or nobody waits for one
+			l.ClientDisconnected(r) // the answer, if any, is discarded
 		})
-		if !taken {
-			t.Fatalf("list %d was not taken: %+v", i, list)
+		if !applied {
+			t.Fatalf("list %d was not applied: %+v", i, list)
 		}
 	}
 }
 
-// drawList draws an endpoint list, most of whose entries are not as they should be.
-func drawList(rng *rand.Rand) *membership.List {
+// randomList returns an endpoint list whose entries are mostly invalid.
+func randomList(rng *rand.Rand) *membership.List {
 	pick := func(values ...string) string { return values[rng.IntN(len(values))] }
 	number := func(values ...float64) float64 { return values[rng.IntN(len(values))] }
 	list := &membership.List{Revision: rng.Uint64() >> rng.IntN(64), Full: rng.IntN(2) == 0, RequestedAt: time.Now()}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// cancelAttempt cancels an attempt of a request, where that is in flight.
+// cancelAttempt cancels an attempt of a request if it is in flight.
 func (l *EventLoop) cancelAttempt(id policy.RequestID, index int) {
 	r := l.requests[id]
 	if r == nil || index < 0 || index >= len(r.attempts) {
@@ -30,16 +30,16 @@
 	r.attempts[index].cancelIfInFlight()
 }
 
-// forward begins an attempt, if the guard allows it. One that it does not allow ends as NotStarted.
+// forward starts an attempt if the guard allows it. An attempt that the guard blocks ends as NotStarted.
 func (l *EventLoop) forward(action *policy.Action) {
 	r := l.requests[action.Request]
 	if r == nil {
-		// The request is answered and forgotten: there is nothing that the attempt could be counted on.
+		// The request was answered and dropped, so there is no state in which to count the attempt.
 		l.reportViolation(ViolationCompleted)
 		return
 	}
 	index := len(r.attempts)
-	backend := l.endpoints.byAddr[action.Server]
+	backend := l.endpoints.byPolicyAddr[action.Server]
 	r.attempts = append(r.attempts, &attempt{backend: backend})
 	until := r.call.Deadline.Add(-deadlineTimerMargin)
 	now := time.Now()
@@ -59,13 +59,13 @@
 		r.firstSentAt = now
 		r.firstSentTo = l.endpoints.endpoint(backend)
 	}
-	// No attempt is in flight that could read these two.
+	// No attempt is in flight, so nothing reads these two fields concurrently.
 	r.call.RetryBefore = l.shared.startDeadline(index, retryUntil)
 	r.call.Superseded.Store(false)
 	l.startAttempt(r, index, now, until)
 }
 
-// startAttempt has the upstream make an attempt in a goroutine of its own.
+// startAttempt runs an attempt of the upstream in a new goroutine.
 func (l *EventLoop) startAttempt(r *Request, index int, now, until time.Time) {
 	a := r.attempts[index]
 	r.inFlight++
@@ -81,7 +81,8 @@
 	}()
 }
 
-// doAttempt makes an attempt. One whose code panics may have run, and its body can't be sent again.
+// doAttempt makes an attempt. If its code panics, the attempt may have run and its body can't be sent
+// again.
 func doAttempt(ctx context.Context, b *Backend, addr string, c *Call, now, until time.Time) (result Result) {
 	defer panics.Recover("attempt", addr, func() {
 		result = Result{Status: policy.Reset, LatencyMs: msFromDuration(time.Since(now)), BodyConsumed: c.TimeAfterBody > 0}
@@ -89,7 +90,7 @@
 	return c.Upstream.Do(ctx, b, addr, c, now, until)
 }
 
-// attemptNotAllowed ends an attempt that the guard does not allow. Beyond MaxForwardActions the request fails.
+// attemptNotAllowed ends an attempt that the guard blocked. Beyond MaxForwardActions the request fails.
 func (l *EventLoop) attemptNotAllowed(r *Request, index int, server policy.Addr, v Violation) {
 	l.reportViolation(v)
 	r.attempts[index].done = true
@@ -107,8 +108,9 @@
 	})
 }
 
-// violation checks the last attempt of a request against the contract before it begins. retryUntil is until when it
-// may repeat an attempt that may have run; zero: it repeats none, or may do so at any time.
+// violation checks the last attempt of a request against the contract before it starts. retryUntil is the
+// time until which it may repeat an attempt that may have run; zero if it repeats none or has no such
+// bound.
 func (l *EventLoop) violation(r *Request, b *Backend, now, until, retryUntil time.Time) Violation {
 	class := l.class(r)
 	guard := Guard{
@@ -134,7 +136,8 @@
 	return guard.Violation()
 }
 
-// attemptEnded takes the result of an attempt. A final one completes the request; the balancer decides on the rest.
+// attemptEnded handles the result of an attempt. A final result completes the request; the balancer decides
+// about the others.
 func (l *EventLoop) attemptEnded(r *Request, index int, result *Result) {
 	a := r.attempts[index]
 	a.done = true
@@ -149,7 +152,7 @@
 		Kind:      policy.EventAttemptEnded,
 		Request:   r.id,
 		Attempt:   index,
-		Server:    a.backend.name,
+		Server:    a.backend.policyAddr,
 		Status:    result.Status,
 		LatencyMs: result.LatencyMs,
 		Final:     r.answered,
@@ -159,28 +162,28 @@
 	l.endpoints.forget(a.backend)
 }
 
-// completeByResult completes a request whose attempt leaves nothing to decide. Memory reserved for the reply passes
-// to the answer, or is released.
+// completeByResult completes a request if the result of its attempt is final. Memory reserved for the reply
+// is passed to the answer or released.
 func (l *EventLoop) completeByResult(r *Request, result *Result) {
 	switch {
 	case r.answered:
 		l.bodyBudget.Release(result.ReservedBytes)
 		closeReply(result.Reply)
 	case result.ClientDisconnected:
-		// The downstream notices as well, but later.
+		// The downstream will detect the disconnect too, but later.
 		l.ClientDisconnected(r)
 	case result.Status == policy.OK:
 		l.complete(r, Answer{Outcome: Served, Reply: result.Reply, ReservedBytes: result.ReservedBytes})
 	case result.Status == policy.Cancelled && result.NoReplyExpected:
 		l.complete(r, Answer{Outcome: Served})
 	case result.Status == policy.Cancelled && result.BadRequest:
-		// Any other backend would answer the same.
+		// Every other backend would give the same answer.
 		l.complete(r, Answer{Outcome: Failed, Reason: BadRequest, Reply: result.Reply, ReservedBytes: result.ReservedBytes})
 	case result.IncompleteRequest:
 		l.bodyBudget.Release(result.ReservedBytes)
 		l.complete(r, Answer{Outcome: Failed, Reason: IncompleteRequest})
 	case result.BodyConsumed:
-		// No other attempt can be made.
+		// The body is no longer available for another attempt.
 		l.bodyBudget.Release(result.ReservedBytes)
 		if MayReject(l.class(r), r.mayHaveRun) {
 			l.complete(r, Answer{Outcome: Rejected, RetryAfterMs: l.cfg.Settings.Limits.MaxRetryAfterMs})
--- a/internal/core/cordon.go
+++ b/internal/core/cordon.go
@@ -2,8 +2,8 @@
 
 import "ringtrack.example/ringtrack/policy"
 
-// Cordon stops new attempts to a backend, or permits them again. A cordon holds whatever the endpoint list says of
-// the backend. It is called in the loop.
+// Cordon stops new attempts to a backend, or permits them again. A cordon applies whatever the endpoint
+// list says about the backend. It must be called in the loop.
 func (l *EventLoop) Cordon(id string, cordoned bool) {
 	b := l.endpoints.setCordoned(id, cordoned)
 	if b == nil {
@@ -21,8 +21,8 @@
 	l.publishRotation()
 }
 
-// SetCordoned makes the given ids the cordoned ones, as another process of this agent has them. It is called in the
-// loop.
+// SetCordoned replaces the set of cordoned ids with that of another process of this agent. It must be
+// called in the loop.
 func (l *EventLoop) SetCordoned(ids []string) {
 	cordoned := map[string]bool{}
 	for _, id := range ids {
@@ -36,8 +36,8 @@
 	}
 }
 
-// ReleaseCordon ends a cordon of this agent at the epoch whose shared configuration contains it, or has ended it. It
-// is called in the loop.
+// ReleaseCordon ends a cordon of this agent at the given epoch, whose shared configuration contains the
+// cordon or has ended it. It must be called in the loop.
 func (l *EventLoop) ReleaseCordon(id string, epoch uint64) {
 	if l.shared.epoch < epoch {
 		l.shared.cordonReleases[id] = epoch
--- a/internal/core/cordon_test.go
+++ b/internal/core/cordon_test.go
@@ -8,9 +8,9 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// A cordon holds whatever the endpoint list says, also of a backend that was removed and listed again, until one call
-// ends it. An id that was never listed is not known.
-func TestCordonHoldsWhateverTheListSays(t *testing.T) {
+// A cordon persists across endpoint updates, also for a backend that is removed and listed again, until it
+// is ended explicitly. An id that was never listed is not known.
+func TestCordonPersistsAcrossEndpointUpdates(t *testing.T) {
 	var l *EventLoop
 	u := stub{do: func(_ context.Context, b *Backend, _ *Call) Result {
 		return Result{Status: policy.OK, Reply: b.id}
@@ -30,7 +30,7 @@
 	}
 	check("before the cordon", false, 0)
 	if l.Known("s-9") || !l.Known("s-1") {
-		t.Error("Known is wrong")
+		t.Error("Known(s-9) is true, or Known(s-1) is false")
 	}
 	l.Cordon("s-1", true)
 	l.Cordon("s-1", true)
@@ -48,15 +48,15 @@
 	list(false, back)
 	check("listed again", true, 1)
 	for _, v := range l.balancer.View(l.now(), nil) {
-		if v.Usable != (v.Server != l.endpoints.byID["s-1"].name) {
-			t.Errorf("the balancer has %+v", v)
+		if v.Usable != (v.Server != l.endpoints.byID["s-1"].policyAddr) {
+			t.Errorf("the balancer's view is %+v", v)
 		}
 	}
-	l.SetCordoned(nil) // as another process has it
+	l.SetCordoned(nil) // the other process has no cordons
 	check("cordon ended", false, 0)
 	l.SetCordoned([]string{"s-2"})
 	if !l.endpoints.getOrCreate("s-2").Unavailable() {
-		t.Error("the cordon of another process does not hold")
+		t.Error("the cordon of another process was not applied")
 	}
 	l.Cordon("s-2", false)
 	if r := l.Rotation(); r != (Rotation{Listed: 2}) {
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -6,27 +6,27 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Stats are the loop's totals, which the agent logs when it ends.
+// Stats are the loop's totals, which the agent logs on exit.
 type Stats struct {
 	Accepted         int // calls submitted
 	Served           int
 	Rejected         int
 	Failed           int
-	Disconnected     int // their client disconnected before the answer
+	Disconnected     int // the client disconnected before the answer
 	DeadlineExceeded int // completed by the deadline timer instead of the balancer
-	GuardViolations  int // decisions of the balancer that the guard did not allow
+	GuardViolations  int // decisions of the balancer that the guard blocked
 }
 
-// Stats returns the totals so far. It is called in the loop, or after Run has returned.
+// Stats returns the totals so far. It must be called in the loop, or after Run has returned.
 func (l *EventLoop) Stats() Stats { return l.stats }
 
-// Counters count requests since the start of the agent. They may be read and written from any goroutine. A request
-// counts once: when it is answered, or when its streamed reply has ended.
+// Counters count requests since the start of the agent. They are safe for concurrent use. A request is
+// counted once: when it is answered, or when its streamed reply ends.
 type Counters struct {
 	Classes []ClassCounters // in the order of the settings
-	Written atomic.Int64    // attempts completely written to backends
-	Open    atomic.Int64    // requests without an answer
-	// Unserved counts the answers by the rule that ended their requests; ReasonNone is not to be read.
+	Written atomic.Int64    // attempts that were completely written to backends
+	Open    atomic.Int64    // requests that are not answered yet
+	// Unserved counts requests by the rule that ended them. The element of ReasonNone has no meaning.
 	Unserved [policy.RejectReasons]atomic.Int64
 }
 
@@ -44,7 +44,7 @@
 	return c
 }
 
-// Count counts one answer to a request of a class.
+// Count counts one answer to a request of the class.
 func (c *Counters) Count(class int, outcome Outcome) {
 	counters := &c.Classes[class]
 	switch outcome {
@@ -63,8 +63,8 @@
 	c.Open.Add(-1)
 }
 
-// unservedSince returns attributes for the log, the rules that have ended requests since the counts of before, with their
-// number, and brings these up to date.
+// unservedSince returns, as log attributes, how many requests each rule has ended since the counts in
+// before, and updates these.
 func (c *Counters) unservedSince(before *[policy.RejectReasons]int64) (rules []any) {
 	for reason := policy.ReasonNone + 1; reason < policy.RejectReasons; reason++ {
 		count := c.Unserved[reason].Load()
@@ -76,5 +76,5 @@
 	return rules
 }
 
-// Counters returns the loop's counters. It may be called from any goroutine.
+// Counters returns the loop's counters. It is safe for concurrent use.
 func (l *EventLoop) Counters() *Counters { return l.counters }
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -7,11 +7,10 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// The counters match the answers that clients got.
 func TestCountersMatchAnswers(t *testing.T) {
 	status := map[string]policy.Status{"a": policy.OK, "b": policy.Error, "c": policy.Rejected}
 	u := stub{do: func(_ context.Context, _ *Backend, c *Call) Result { return Result{Status: status[c.ID]} }}
-	l := running(t, u)
+	l := startTestLoop(t, u)
 	want := map[string]Outcome{"a": Served, "b": Failed, "c": Rejected}
 	for _, id := range []string{"a", "b", "c"} {
 		if a := l.roundTrip(t, newCall(u, id, 2)); a.Outcome != want[id] {
@@ -22,7 +21,7 @@
 	if c.Name != "order" || c.Served.Load() != 1 || c.Failed.Load() != 1 || c.Rejected.Load() != 1 || l.Counters().Open.Load() != 0 {
 		t.Errorf("%s: served %d, rejected %d, failed %d, open %d", c.Name, c.Served.Load(), c.Rejected.Load(), c.Failed.Load(), l.Counters().Open.Load())
 	}
-	// b must not run again; c had no other server within its time.
+	// b must not run twice; no other server was available for c before its deadline.
 	var before [policy.RejectReasons]int64
 	rules := l.Counters().unservedSince(&before)
 	if n := l.Counters().Unserved[policy.ReasonNotRetryable].Load(); n != 1 || len(rules) != 4 {
--- a/internal/core/dedup.go
+++ b/internal/core/dedup.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// dedupWindow is the minimum time for which the id of a request that may have run is known: the longest deadline
-	// that a client may set (README, "Limits of the agent").
+	// dedupWindow is the minimum time for which the id of a request that may have run is remembered: the
+	// longest deadline that a client may set (README, "Limits of the agent").
 	dedupWindow = time.Minute
-	// maxRecentIDs bounds the known ids, in two generations. With more than maxRecentIDs/2 ids in dedupWindow the oldest
-	// are forgotten sooner. An id takes about 20 bytes.
+	// maxRecentIDs bounds the ids in both generations. With more than maxRecentIDs/2 ids within dedupWindow
+	// the oldest are dropped earlier. An id takes about 20 bytes.
 	maxRecentIDs = 1 << 16
 )
 
-// recentIDs remembers the ids of completed requests that may have run and must not run again. A client may send an id
-// a second time by mistake, or since it never read its answer. The ids are kept as hashes in two generations, of
-// which the older is dropped at once. It belongs to the loop.
+// recentIDs remembers the ids of completed requests that may have run and must not run again. A client may
+// repeat an id by mistake, or because it never read the answer. The ids are stored as hashes in two
+// generations; the older one is dropped as a unit. It is accessed by the loop only.
 type recentIDs struct {
 	seed         maphash.Seed
 	current      map[uint64]struct{}
@@ -30,8 +30,9 @@
 	return &recentIDs{seed: maphash.MakeSeed(), current: map[uint64]struct{}{}}
 }
 
-// applies reports whether the id of a call may be sent again while its work must not run twice.
-func (r *recentIDs) applies(class *policy.Class, c *Call) bool {
+// mustTrack reports whether the id of a call has to be remembered: a client may repeat it, and the request
+// must not run twice.
+func (r *recentIDs) mustTrack(class *policy.Class, c *Call) bool {
 	return class.Effect != policy.Idempotent && !c.Unique
 }
 
@@ -51,7 +52,7 @@
 	return inCurrent || inPrevious
 }
 
-// rotate begins a new generation once the current one is full or older than dedupWindow.
+// rotate starts a new generation once the current one is full or older than dedupWindow.
 func (r *recentIDs) rotate(now time.Time) {
 	age := now.Sub(r.currentSince)
 	if age < dedupWindow && len(r.current) < maxRecentIDs/2 {
@@ -59,7 +60,7 @@
 	}
 	r.previous = r.current
 	if age >= 2*dedupWindow {
-		r.previous = nil // its youngest id is older than dedupWindow
+		r.previous = nil // its newest id is older than dedupWindow
 	}
 	r.current = map[uint64]struct{}{}
 	r.currentSince = now
--- a/internal/core/dedup_test.go
+++ b/internal/core/dedup_test.go
@@ -9,8 +9,8 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// The id of a completed request that may have run, and must not run again, is a duplicate. Where nothing ran, or the
-// request is idempotent, it is forwarded.
+// Repeating the id of a completed request that may have run fails as a duplicate. If the first request
+// never ran, or is idempotent, the repeat is forwarded.
 func TestRepeatedIDOfCompletedRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		class     int
@@ -32,7 +32,7 @@
 				}
 				return Result{Status: policy.OK, LatencyMs: 1, Reply: "reply"}
 			}}
-			l := running(t, u)
+			l := startTestLoop(t, u)
 			l.roundTrip(t, newCall(u, "1", c.class))
 			before := attempts
 			first = false
@@ -44,19 +44,19 @@
 	}
 }
 
-// Ids are known for at least dedupWindow; their age and their number are bounded.
+// Ids are remembered for at least dedupWindow; their age and number are bounded.
 func TestRecentIDsAreBounded(t *testing.T) {
 	o, now := newRecentIDs(), time.Now()
 	o.add(now, "a")
 	if !o.contains(now.Add(dedupWindow), "a") || o.contains(now, "b") {
-		t.Error("within dedupWindow")
+		t.Error("within dedupWindow: a is not known, or b is")
 	}
 	o.add(now.Add(dedupWindow), "b")
 	if later := now.Add(2 * dedupWindow); o.contains(later, "a") || !o.contains(later, "b") {
-		t.Error("a minute later")
+		t.Error("after two windows: a is still known, or b is not")
 	}
 	if later := now.Add(5 * dedupWindow); o.contains(later, "b") || len(o.current)+len(o.previous) != 0 {
-		t.Errorf("without new ids %d are left", len(o.current)+len(o.previous))
+		t.Errorf("%d ids are left after five windows without new ones", len(o.current)+len(o.previous))
 	}
 	for i := range 3 * maxRecentIDs {
 		o.add(now.Add(6*dedupWindow), strconv.Itoa(i))
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// discoveryPushed is the DiscoveryMode in which the balancer expects updates without a call of its own.
+	// discoveryPushed is the DiscoveryMode in which the balancer expects updates without requesting them.
 	discoveryPushed = "pushed"
-	// pushedMinBackoff and pushedMaxBackoff bound the backoff after a failed call where updates are pushed. The
-	// discovery server then runs on the agent's own machine, so that a call is cheap.
+	// pushedMinBackoff and pushedMaxBackoff bound the backoff after a failed call if updates are pushed. In
+	// this mode the discovery server runs on the same machine, so calls are cheap.
 	pushedMinBackoff = 100 * time.Millisecond
 	pushedMaxBackoff = time.Second
 )
 
-// useDiscovery makes addr the current discovery server. Callbacks of the previous client are dropped: their
-// revisions do not compare with those of this server.
+// useDiscovery makes addr the current discovery server. Callbacks of the previous client are ignored:
+// revisions of different servers are not comparable.
 func (l *EventLoop) useDiscovery(addr string) {
 	client := discovery.NewClient(l.ctx, addr)
 	if l.updatesPushed() {
@@ -49,8 +49,8 @@
 	l.discoveryClient = client
 }
 
-// SwitchDiscovery moves to another discovery server and requests its complete list. The current endpoints stay in use
-// until that arrives. It is called in the loop.
+// SwitchDiscovery switches to another discovery server and requests its complete list. The current
+// endpoints stay in use until that list arrives. It must be called in the loop.
 func (l *EventLoop) SwitchDiscovery(addr string) {
 	if addr == l.discoveryClient.Addr {
 		return
@@ -63,21 +63,21 @@
 	l.startWatch()
 }
 
-// Discovery returns the current discovery client. It is called in the loop, or before Run.
+// Discovery returns the current discovery client. It must be called in the loop, or before Run.
 func (l *EventLoop) Discovery() *discovery.Client { return l.discoveryClient }
 
-// updatesPushed reports whether the balancer expects updates without a call of its own. The loop then keeps a watch
-// open, since the balancer never requests one.
+// updatesPushed reports whether the balancer expects updates without requesting them. The loop then keeps a
+// watch open, as the balancer never requests one.
 func (l *EventLoop) updatesPushed() bool { return l.cfg.Settings.DiscoveryMode == discoveryPushed }
 
-// startWatch opens a watch. Where updates are pushed it is reopened until the loop ends; else its failure is reported
-// to the balancer, which decides when to open another.
+// startWatch opens a watch. If updates are pushed, the watch is reopened until the loop ends; otherwise its
+// failure is reported to the balancer, which decides when to open another.
 func (l *EventLoop) startWatch() {
 	l.watching = true
-	if !l.contacted && !l.endpoints.usable() {
+	if !l.discoveryContacted && !l.endpoints.usable() {
 		go l.discoveryClient.FetchInitial()
 	}
-	l.contacted = true
+	l.discoveryContacted = true
 	if l.updatesPushed() {
 		go l.discoveryClient.Follow(pushedMinBackoff, pushedMaxBackoff)
 		return
@@ -86,7 +86,7 @@
 	go l.discoveryClient.Watch(l.revision, l.awaitingCompleteList)
 }
 
-// fetchEndpoints requests the endpoint list once, unless such a request is in progress.
+// fetchEndpoints requests the endpoint list once, unless a fetch is already in progress.
 func (l *EventLoop) fetchEndpoints() {
 	if l.fetching {
 		return
@@ -95,7 +95,8 @@
 	go l.discoveryClient.Fetch()
 }
 
-// setDiscoveryStale reports a change of whether the endpoint list may be older than what the server has sent others.
+// setDiscoveryStale calls Config.DiscoveryStale when it changes whether the endpoint list may be older than
+// the one that other agents have received.
 func (l *EventLoop) setDiscoveryStale(stale bool) {
 	if l.cfg.DiscoveryStale == nil || l.updatesPushed() || l.discoveryStale == stale {
 		return
@@ -104,10 +105,10 @@
 	l.cfg.DiscoveryStale(stale)
 }
 
-// discoveryAnswered takes the end of a fetch, or an event or the end of a watch.
+// discoveryAnswered handles the result of a fetch, and each event and the end of a watch.
 func (l *EventLoop) discoveryAnswered(list *membership.List, watch bool, err error) {
 	if watch && err != nil {
-		l.watching = l.updatesPushed() // that watch is reopened
+		l.watching = l.updatesPushed() // Follow reopens the watch
 	} else if !watch {
 		l.fetching = false
 	}
@@ -116,7 +117,7 @@
 	}
 	if err != nil {
 		l.discoveryFailed(err)
-		if !watch || !l.updatesPushed() { // the balancer gets the end of each call that it requested
+		if !watch || !l.updatesPushed() { // the balancer is notified of the end of each call that it requested
 			l.handle(&policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateFailed})
 		}
 		return
@@ -132,15 +133,15 @@
 	l.notifyReady()
 }
 
-// serverRestarted reports whether a list with a lower revision comes from a server that has restarted without state:
-// it sends a complete list on a watch. The call has to be younger than the current list, as a late answer to an
-// earlier call would undo a drain.
+// serverRestarted reports whether a list with a lower revision comes from a server that has restarted
+// without its state: it sends a complete list on a watch. The call must have been made after the current
+// list was received, as a late answer to an earlier call would undo a drain.
 func (l *EventLoop) serverRestarted(list *membership.List, watch bool) bool {
 	return watch && list.Full &&
 		(list.RequestedAt.IsZero() || !list.RequestedAt.Before(l.revisionReceivedAt))
 }
 
-// discoveryFailed notes that the discovery server has not answered.
+// discoveryFailed records that a discovery call has failed.
 func (l *EventLoop) discoveryFailed(err error) {
 	if l.merge != nil {
 		l.merge.DiscoveryLost(err)
@@ -148,7 +149,7 @@
 	l.log(slog.LevelWarn, "discovery call failed", "err", err)
 }
 
-// watchNodes applies changes of the registry to the merge until the loop's context ends.
+// watchNodes applies registry changes to the merge until the loop's context ends.
 func (l *EventLoop) watchNodes() {
 	l.cfg.WatchNodes(l.ctx, func(apply func(*membership.Merge, float64)) {
 		l.Post(func() {
@@ -158,7 +159,7 @@
 	})
 }
 
-// updateEndpoints takes an endpoint list, complete or a delta, at its revision.
+// updateEndpoints applies an endpoint list, complete or a delta, and records its revision.
 func (l *EventLoop) updateEndpoints(list *membership.List, kind policy.UpdateKind, complete bool) {
 	l.revision = list.Revision
 	l.revisionReceivedAt = time.Now()
@@ -171,7 +172,8 @@
 	l.applyEndpoints(list, kind, complete)
 }
 
-// applyMergeChanges applies what the merge has changed by now, and sets a timer for changes by time alone.
+// applyMergeChanges applies the changes of the merge that are due, and sets a timer for the next change
+// that depends on time alone.
 func (l *EventLoop) applyMergeChanges(kind policy.UpdateKind) {
 	now := l.now()
 	changes := membership.List{Entries: l.merge.Changes(now)}
@@ -190,7 +192,7 @@
 	l.notifyReady()
 }
 
-// applyEndpoints applies a list to the endpoint table and gives the balancer what has changed.
+// applyEndpoints applies a list to the endpoint table and passes the changes to the balancer.
 func (l *EventLoop) applyEndpoints(list *membership.List, kind policy.UpdateKind, complete bool) {
 	changes := l.endpoints.apply(list, complete)
 	for _, b := range changes.closeIdle {
@@ -206,14 +208,14 @@
 	}
 }
 
-// Endpoints returns the current endpoint list, in no order, and the ids that were listed before. It is called in the
-// loop.
+// Endpoints returns the current endpoint list, in no particular order, and the ids that were listed before
+// and are not now. It must be called in the loop.
 func (l *EventLoop) Endpoints() (list membership.List, seen []string) {
 	return l.endpoints.list(l.revision)
 }
 
-// IsListed reports whether a backend of this id is listed. It is called in the loop.
+// IsListed reports whether a backend with this id is listed. It must be called in the loop.
 func (l *EventLoop) IsListed(id string) bool { return l.endpoints.byID[id] != nil }
 
-// Known reports whether a backend of this id is, or ever was, listed. It is called in the loop.
+// Known reports whether a backend with this id is, or ever was, listed. It must be called in the loop.
 func (l *EventLoop) Known(id string) bool { return l.endpoints.known(id) }
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -7,9 +7,10 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// An endpoint list that is older than the current one is dropped, unless the discovery server has restarted.
+// An endpoint list that is older than the current one is ignored unless the discovery server has restarted:
+// it would undo a drain.
 func TestOlderEndpointListIsDropped(t *testing.T) {
-	l := running(t, stub{})
+	l := startTestLoop(t, stub{})
 	done := make(chan bool)
 	l.Post(func() {
 		defer close(done)
@@ -20,7 +21,8 @@
 		if !l.endpoints.byID["s-1"].Unavailable() {
 			t.Error("an older list undid a drain")
 		}
-		// So does a late answer on the watch to a call before the drain. A restarted server answers a later call.
+		// The same applies to a late answer on the watch to a call made before the drain. A restarted server
+		// answers a call made after it.
 		requestedAt := l.revisionReceivedAt.Add(-time.Millisecond)
 		old := membership.List{Revision: 8, Full: true, Entries: []membership.Entry{listedBackend("s-1"), listedBackend("s-2")}, RequestedAt: requestedAt}
 		l.discoveryAnswered(&old, true, nil)
@@ -29,25 +31,25 @@
 		}
 		old.RequestedAt = l.revisionReceivedAt.Add(time.Millisecond)
 		if l.discoveryAnswered(&old, true, nil); l.revision != 8 || l.endpoints.byID["s-1"].Unavailable() || l.endpoints.byID["s-2"] == nil {
-			t.Error("the list of a restarted server was dropped")
+			t.Error("the list of a restarted server was ignored")
 		}
 		l.discoveryAnswered(&membership.List{Revision: 10, Full: true}, true, nil)
-		if len(l.endpoints.byID) != 0 || len(l.endpoints.byAddr) != 0 {
-			t.Error("a removed backend was not forgotten")
+		if len(l.endpoints.byID) != 0 || len(l.endpoints.byPolicyAddr) != 0 {
+			t.Error("a removed backend was not deleted")
 		}
 	})
 	<-done
 }
 
-// All agents give an id the same address, and two ids never share one.
+// All agents map an id to the same address, and two ids never share one.
 func TestServerAddressesAreStableAndUnique(t *testing.T) {
 	x, y := newEndpointTable(nil, nil), newEndpointTable(nil, nil)
 	a, b := x.getOrCreate("s-1"), y.getOrCreate("s-1")
-	if a.name != b.name {
-		t.Error("two agents give one backend different addresses")
+	if a.policyAddr != b.policyAddr {
+		t.Error("two agents map one backend to different addresses")
 	}
-	delete(y.byID, "s-1") // now another id has its address
-	if c := y.getOrCreate("s-1"); c.name == b.name {
+	delete(y.byID, "s-1") // the address is now occupied, but not by s-1
+	if c := y.getOrCreate("s-1"); c.policyAddr == b.policyAddr {
 		t.Error("two backends have one address")
 	}
 }
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -6,38 +6,39 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// maxSeenIDs bounds the ids that are remembered as once listed. Beyond it only the ids listed now are known.
+// maxSeenIDs bounds the ids that are remembered as listed before. Beyond it only the currently listed ids
+// are known.
 const maxSeenIDs = 1 << 14
 
-// endpointTable holds the listed backends. It belongs to the loop.
+// endpointTable holds the listed backends. It is accessed by the loop only.
 type endpointTable struct {
-	names    membership.Names
-	byID     map[string]*Backend      // listed backends, and removed ones with attempts in flight
-	byAddr   map[policy.Addr]*Backend // the same backends by the balancer's address
-	cordoned map[string]bool          // ids cordoned by an operator, listed or not; at most upgrade.MaxCordoned
-	seen     map[string]bool          // ids that were ever listed, up to maxSeenIDs
-	config   *sharedconfig.Config     // nil: no shared configuration
+	names        membership.Names
+	byID         map[string]*Backend      // listed backends, and removed ones with attempts in flight
+	byPolicyAddr map[policy.Addr]*Backend // the same backends by the address that the balancer uses
+	cordoned     map[string]bool          // ids cordoned by an operator, listed or not; at most upgrade.MaxCordoned
+	seen         map[string]bool          // ids that were ever listed, up to maxSeenIDs
+	config       *sharedconfig.Config     // nil: no shared configuration
 }
 
 func newEndpointTable(zones, machineTypes []string) *endpointTable {
 	return &endpointTable{
-		names:    membership.NewNames(zones, machineTypes),
-		byID:     map[string]*Backend{},
-		byAddr:   map[policy.Addr]*Backend{},
-		cordoned: map[string]bool{},
-		seen:     map[string]bool{},
+		names:        membership.NewNames(zones, machineTypes),
+		byID:         map[string]*Backend{},
+		byPolicyAddr: map[policy.Addr]*Backend{},
+		cordoned:     map[string]bool{},
+		seen:         map[string]bool{},
 	}
 }
 
-// getOrCreate returns the backend of an id.
+// getOrCreate returns the backend with the id, creating it if there is none.
 func (t *endpointTable) getOrCreate(id string) *Backend {
 	if b := t.byID[id]; b != nil {
 		return b
 	}
-	taken := func(a policy.Addr) bool { return t.byAddr[a] != nil }
-	b := &Backend{id: id, name: membership.ServerAddr(id, taken)}
+	inUse := func(a policy.Addr) bool { return t.byPolicyAddr[a] != nil }
+	b := &Backend{id: id, policyAddr: membership.ServerAddr(id, inUse)}
 	t.byID[id] = b
-	t.byAddr[b.name] = b
+	t.byPolicyAddr[b.policyAddr] = b
 	t.addSeen(id)
 	return b
 }
@@ -48,7 +49,7 @@
 	}
 }
 
-// list returns the complete endpoint list, and the ids that were listed before.
+// list returns the complete endpoint list, and the ids that were listed before and are not now.
 func (t *endpointTable) list(revision uint64) (l membership.List, seen []string) {
 	l = membership.List{Revision: revision, Full: true}
 	for _, b := range t.byID {
@@ -67,11 +68,11 @@
 // endpointChanges are the effects of an endpoint list.
 type endpointChanges struct {
 	endpoints []policy.Endpoint // for the balancer
-	closeIdle []*Backend        // their idle connections are of no more use
+	closeIdle []*Backend        // their idle connections must be closed
 	removed   []*Backend
 }
 
-// apply applies an endpoint list. Backends that a complete list does not name are removed.
+// apply applies an endpoint list. Backends that are missing from a complete list are removed.
 func (t *endpointTable) apply(l *membership.List, complete bool) (changes endpointChanges) {
 	named := make(map[string]bool, len(l.Entries))
 	for i := range l.Entries {
@@ -116,10 +117,10 @@
 	changes.endpoints = append(changes.endpoints, e)
 }
 
-// endpoint returns a backend as the balancer is notified of it.
+// endpoint returns the description of a backend that is passed to the balancer.
 func (t *endpointTable) endpoint(b *Backend) policy.Endpoint {
 	e := t.names.Policy(&b.entry)
-	e.Server = b.name
+	e.Server = b.policyAddr
 	e.Cordoned = t.cordoned[b.id]
 	if t.config != nil {
 		e.Cordoned = e.Cordoned || !t.config.Allows(b.id)
@@ -130,11 +131,11 @@
 	return e
 }
 
-// isUnavailable reports whether an endpoint may get no new attempts.
+// isUnavailable reports whether an endpoint must not get new attempts.
 func isUnavailable(e *policy.Endpoint) bool { return e.Health != policy.Ready || e.Cordoned }
 
-// setCordoned notes whether an operator has cordoned an id. It returns the backend if it is listed and that has
-// changed, else nil.
+// setCordoned records whether an operator has cordoned an id. It returns the backend if it is listed and
+// its state has changed, else nil.
 func (t *endpointTable) setCordoned(id string, cordoned bool) *Backend {
 	before := t.cordoned[id]
 	delete(t.cordoned, id)
@@ -155,15 +156,15 @@
 	return t.byID[id] != nil || t.seen[id] || t.cordoned[id]
 }
 
-// forget drops a removed backend that has no attempt in flight. The balancer has forgotten it by then.
+// forget deletes a removed backend that has no attempt in flight. The balancer has dropped it by then.
 func (t *endpointTable) forget(b *Backend) {
 	if b.removed && b.inFlight == 0 && t.byID[b.id] == b {
 		delete(t.byID, b.id)
-		delete(t.byAddr, b.name)
+		delete(t.byPolicyAddr, b.policyAddr)
 	}
 }
 
-// usable reports whether any backend may get attempts.
+// usable reports whether any backend may get new attempts.
 func (t *endpointTable) usable() bool {
 	for _, b := range t.byID {
 		if !b.unavailable.Load() {
--- a/internal/core/eventloop.go
+++ b/internal/core/eventloop.go
@@ -1,8 +1,9 @@
 // Package core runs the event loop that owns the balancer and all open requests.
 //
-// The loop knows no protocol. A downstream submits a Call and receives exactly one Answer; an Upstream makes one
-// attempt and returns exactly one Result. Which backend a request goes to, and when, is decided by the policy
-// package. The loop carries those decisions out and checks each of them against the contract first (see Guard).
+// The loop is independent of the protocols. A downstream submits a Call and receives exactly one Answer; an
+// Upstream makes one attempt and returns exactly one Result. The policy package decides which backend a
+// request is sent to, and when. The loop checks each of these decisions against the contract (see Guard)
+// and then carries it out.
 package core
 
 import (
@@ -20,16 +21,18 @@
 )
 
 const (
-	// inboxCapacity bounds the functions that are posted and not yet run. Post blocks beyond it.
+	// inboxCapacity bounds the functions that are posted and not yet run. Post blocks while the inbox is
+	// full.
 	inboxCapacity = 4096
-	// closeExpiredInterval is how often upstreams close connections that have idled too long.
+	// closeExpiredInterval is how often upstreams close connections that have been idle for too long.
 	closeExpiredInterval = time.Second
-	// rotationInterval is how often the published Rotation is computed again.
+	// rotationInterval is how often the published Rotation is recomputed.
 	rotationInterval = 200 * time.Millisecond
 )
 
-// EventLoop owns the balancer and the state of all requests. One goroutine runs it (Run); everything else reaches
-// that state through Post or Call. The loop never blocks: work that may wait runs in goroutines of its own.
+// EventLoop owns the balancer and the state of all requests. One goroutine runs it (Run); all other
+// goroutines access that state through Post or Do. The loop never blocks: work that may wait runs in other
+// goroutines.
 type EventLoop struct {
 	cfg        Config
 	ctx        context.Context
@@ -45,11 +48,11 @@
 
 	nextID             policy.RequestID
 	requests           map[policy.RequestID]*Request // open requests, and completed ones with attempts in flight
-	requestsByClientID map[string]*Request           // the same requests by the ids that clients gave them
+	requestsByClientID map[string]*Request           // the same requests by the ids set by their clients
 	openRequests       int                           // requests without an answer; bounded by Limits.MaxOpenRequests
 	dedup              *recentIDs                    // ids of completed requests that must not run again
-	shutdownDeadline   time.Time                     // every request is answered by then; zero: no shutdown
-	shared             *sharedConfigState            // nil: the agent uses its own file alone
+	shutdownDeadline   time.Time                     // by which every request is answered; zero: no shutdown
+	shared             *sharedConfigState            // nil: only the agent's own file applies
 
 	endpoints            *endpointTable
 	discoveryClient      *discovery.Client
@@ -58,21 +61,22 @@
 	awaitingCompleteList bool      // the current discovery server has not sent a complete list yet
 	watching             bool      // a watch is open
 	fetching             bool      // a fetch is in progress
-	contacted            bool      // discovery was contacted at least once
-	discoveryStale       bool      // last value given to Config.DiscoveryStale
+	discoveryContacted   bool      // discovery was contacted at least once
+	discoveryStale       bool      // last value passed to Config.DiscoveryStale
 	merge                *membership.Merge
-	mergeTimer           *time.Timer // next time at which the merge changes without input
+	mergeTimer           *time.Timer // fires when the merge next changes without input
 
 	stats          Stats
 	unservedLogged [policy.RejectReasons]int64 // of counters.Unserved
 	counters       *Counters
 	rotation       atomic.Pointer[Rotation]
 	logLimiter     *rate.Limiter
-	logLines       chan func() // lines on their way to writeLog
+	logLines       chan func() // lines queued for writeLog
 }
 
-// New returns an event loop that has not started. bodyBudget is the memory for bodies, in bytes, which downstreams
-// and upstreams share. onReady is called in the loop each time that requests can be served.
+// New returns an event loop that is not running yet. bodyBudget is the memory for bodies, in bytes, shared
+// by downstreams and upstreams. onReady is called in the loop whenever requests can be served; it may be
+// called repeatedly.
 func New(ctx context.Context, cfg Config, bodyBudget *semaphore.Weighted, upstreams []Upstream, onReady func()) (*EventLoop, error) {
 	balancer, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -111,8 +115,8 @@
 	return l, nil
 }
 
-// Post queues a function to run in the loop. It may block, so the loop itself never calls it. Once the loop's
-// context has ended the function may be dropped.
+// Post queues a function to run in the loop. It may block, so it must not be called by the loop itself.
+// Once the loop's context has ended the function may be dropped.
 func (l *EventLoop) Post(f func()) {
 	select {
 	case l.inbox <- f:
@@ -121,7 +125,7 @@
 }
 
 // Do runs a function in the loop and waits for it, for at most timeout. It reports whether the function has
-// returned by then; one that has not may still run.
+// returned; if it has not, it may still run later.
 func (l *EventLoop) Do(timeout time.Duration, f func()) bool {
 	expired := time.NewTimer(timeout)
 	defer expired.Stop()
@@ -147,18 +151,18 @@
 	go l.writeLog()
 	l.start()
 	if l.merge != nil {
-		followed := make(chan struct{})
+		watchEnded := make(chan struct{})
 		go func() {
-			defer close(followed)
+			defer close(watchEnded)
 			l.watchNodes()
 		}()
-		defer func() { <-followed }()
+		defer func() { <-watchEnded }()
 	}
 	closeExpired := time.NewTicker(closeExpiredInterval)
 	defer closeExpired.Stop()
 	logUnserved := time.NewTicker(unservedLogInterval)
 	defer logUnserved.Stop()
-	var publish <-chan time.Time // nil: nobody reads the rotation
+	var publish <-chan time.Time // nil: the rotation is not published periodically
 	if l.cfg.PublishRotation {
 		ticker := time.NewTicker(rotationInterval)
 		defer ticker.Stop()
@@ -184,7 +188,7 @@
 	}
 }
 
-// start starts the balancer with the cached endpoint list, however old that is.
+// start starts the balancer with the cached endpoint list, regardless of its age.
 func (l *EventLoop) start() {
 	l.dispatch(l.balancer.Start(l.now(), l.actions[:0]))
 	l.setDiscoveryStale(true) // the cached list was received by an earlier process
@@ -196,10 +200,11 @@
 	}
 }
 
-// now is the loop's clock in ms: Unix time that never goes back, comparable with an endpoint's StartedMs.
+// now returns the time of the loop's clock: monotonic Unix time in ms, comparable with an endpoint's
+// StartedMs.
 func (l *EventLoop) now() float64 { return l.clock.Ms() }
 
-// handle gives the balancer one event and dispatches the actions that it returns.
+// handle passes one event to the balancer and dispatches the actions that it returns.
 func (l *EventLoop) handle(event *policy.Event) {
 	l.dispatch(l.balancer.Handle(l.now(), event, l.actions[:0]))
 }
@@ -221,10 +226,10 @@
 	}
 }
 
-// durationFromMs converts a time of the balancer, in ms.
+// durationFromMs converts a duration used by the balancer, in ms.
 func durationFromMs(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// msFromDuration converts a time for the balancer, in ms with a resolution of 1 µs.
+// msFromDuration converts a duration for the balancer, to ms with a resolution of 1 µs.
 func msFromDuration(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 func earliest(a, b time.Time) time.Time {
--- a/internal/core/eventloop_test.go
+++ b/internal/core/eventloop_test.go
@@ -11,10 +11,10 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// testTimeout bounds every wait of the tests, which take a fraction of it.
+// testTimeout bounds every wait in the tests, which normally take a fraction of it.
 const testTimeout = 20 * time.Second
 
-// stub is an upstream whose attempts end as a test says.
+// stub is an upstream whose attempts are implemented by the test.
 type stub struct {
 	do func(ctx context.Context, b *Backend, c *Call) Result
 }
@@ -40,7 +40,7 @@
 			DiscoveryMode: "on_request", Replicas: 1, BatchIntervalMs: 5}}
 }
 
-// newTestLoop returns a loop that does not run.
+// newTestLoop returns a loop that is not running.
 func newTestLoop(t *testing.T, u Upstream) *EventLoop {
 	t.Helper()
 	l, err := New(t.Context(), testConfig(), semaphore.NewWeighted(1<<20), []Upstream{u}, func() {})
@@ -50,14 +50,14 @@
 	return l
 }
 
-// running starts a loop, which ends with the test.
-func running(t *testing.T, u Upstream) *EventLoop {
+// startTestLoop returns a running loop, which is stopped at the end of the test.
+func startTestLoop(t *testing.T, u Upstream) *EventLoop {
 	t.Helper()
-	return start(t, newTestLoop(t, u))
+	return runLoop(t, newTestLoop(t, u))
 }
 
-// start runs a loop, which ends with the test.
-func start(t *testing.T, l *EventLoop) *EventLoop {
+// runLoop runs a loop until the end of the test.
+func runLoop(t *testing.T, l *EventLoop) *EventLoop {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -83,7 +83,8 @@
 	return Answer{}
 }
 
-// How an attempt ends, and the effect of the class, decide whether the request is retried and how the call ends.
+// The result of an attempt and the effect of the class determine whether the request is retried and how the
+// call ends.
 func TestAttemptResultsAndAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		status     policy.Status
@@ -91,7 +92,7 @@
 		class      int
 		want       Outcome
 		reason     FailureReason
-		retried    bool // where there is another backend
+		retried    bool // to another backend
 	}{
 		"served":                      {policy.OK, false, 2, Served, NoReason, false},
 		"non-idempotent, error":       {policy.Error, false, 2, Failed, NoReason, false},
@@ -123,14 +124,14 @@
 	}
 }
 
-// The id of an open request is a duplicate for any other.
+// A request with the id of an open request fails as a duplicate.
 func TestIDOfOpenRequestIsDuplicate(t *testing.T) {
 	release := make(chan struct{})
 	u := stub{func(ctx context.Context, _ *Backend, _ *Call) Result {
 		<-release
 		return Result{Status: policy.OK}
 	}}
-	l := running(t, u)
+	l := startTestLoop(t, u)
 	first := newCall(u, "1", 0)
 	l.Post(func() { l.Submit(first) })
 	if a := l.roundTrip(t, newCall(u, "1", 0)); a.Outcome != Failed || a.Reason != Duplicate {
@@ -138,20 +139,20 @@
 	}
 	close(release)
 	if a := <-first.Answer; a.Outcome != Served {
-		t.Errorf("the first: %+v", a)
+		t.Errorf("the first request: answered %+v", a)
 	}
 }
 
-// The deadline timer answers before the deadline if the balancer does not.
+// If the balancer has not completed a request in time, the deadline timer answers it, exactly once.
 func TestDeadlineExceededAnswersOnce(t *testing.T) {
 	l := newTestLoop(t, stub{})
-	// A request that the balancer does not know stands for one that it forgot.
+	// The balancer does not know this request, as if it had lost it.
 	c := newCall(stub{}, "1", 2)
 	r := &Request{id: 1, call: c}
 	l.requests[1], l.openRequests = r, 1
 	l.deadlineExceeded(r)
 	if a := <-c.Answer; a.Outcome != Failed || a.Reason != DeadlineExceeded {
-		t.Errorf("answered %+v, want failure DeadlineExceeded", a)
+		t.Errorf("answered %+v, want Failed with DeadlineExceeded", a)
 	}
 	l.complete(r, Answer{Outcome: Served})
 	if len(c.Answer) != 0 || l.stats.DeadlineExceeded != 1 || l.openRequests != 0 || len(l.requests) != 0 {
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -7,52 +7,54 @@
 )
 
 const (
-	// policyMargin is taken off the time that the balancer is given for a request, for the way of the answer to the
-	// client.
+	// policyMargin is subtracted from the time that the balancer gets for a request, to leave time for
+	// sending the answer to the client.
 	policyMargin = 8 * time.Millisecond
-	// deadlineTimerMargin is how long before the client's deadline the event loop answers by itself, after the balancer
-	// should have.
+	// deadlineTimerMargin is how long before the client's deadline the event loop answers a request that
+	// the balancer should have completed by then.
 	deadlineTimerMargin = 4 * time.Millisecond
-	// dedupWindowMargin is taken off the time in which servers drop repeats of a request, for the way to the server.
-	// The balancer stops earlier, by two of its batch intervals.
+	// dedupWindowMargin is subtracted from the time in which servers deduplicate a request, to leave time
+	// for sending it to the server. The balancer stops retrying two of its batch intervals earlier.
 	dedupWindowMargin = 5 * time.Millisecond
 )
 
-// RequestTimeouts returns, of the time that a request has left, what the balancer is given and after how long the
-// deadline timer answers. Of a short time each margin is a fraction.
+// RequestTimeouts divides the time left for a request: it returns the time that the balancer gets, and the
+// time after which the deadline timer answers. If little time is left, each margin is a fraction of it.
 func RequestTimeouts(left time.Duration) (balancer, deadlineTimer time.Duration) {
 	return left - min(policyMargin, left/8), left - min(deadlineTimerMargin, left/16)
 }
 
-// Guard checks an attempt against the contract, whatever the balancer decides. The event loop and the emulator use the
-// same checks. The contract has four rules:
+// Guard checks an attempt against the contract, independently of the balancer. The event loop and the
+// emulator use the same checks. The contract has four rules:
 //
-//  1. A request gets exactly one answer, in time: no attempt for a completed request, without time left, or beyond
-//     MaxAttempts; see also MaxForwardActions and RequestTimeouts.
-//  2. A request takes effect at most once: no second attempt in flight, and no retry of one that may have run unless
-//     the request is idempotent, or has an idempotency key, whose window and scope then hold; see also MayReject.
+//  1. A request gets exactly one answer, before its deadline: no attempt for a completed request, without time
+//     left, or beyond MaxAttempts; see also MaxForwardActions and RequestTimeouts.
+//  2. A request takes effect at most once: no second attempt in flight, and no retry after an attempt that may have
+//     run, unless the request is idempotent, or has an idempotency key and the retry stays within its dedup window
+//     and scope; see also MayReject.
 //  3. A draining, removed or cordoned backend gets no new attempt.
 //  4. A backend in slow start is not overloaded. The balancer enforces this one; the guard does not check it.
 type Guard struct {
 	Completed    bool // the request is completed
 	Listed       bool // the backend is listed, with an address
 	Unavailable  bool // the backend is draining, removed or cordoned
-	HasTime      bool // the request has time left
+	HasTime      bool // time is left before the deadline
 	InFlight     int  // attempts of the request in flight
 	MayHaveRun   int  // attempts in flight, or that may have run
 	Attempts     int  // attempts so far, with this one
 	MaxAttempts  int
 	Effect       policy.Effect
-	BodyConsumed bool // a part of a streamed body was sent and is not buffered
-	// WindowExpired and OutsideScope are of a request with an idempotency key that may have run: the dedup window is
-	// over; the backend is in another dedup scope than the one that the first such attempt was sent to.
+	BodyConsumed bool // part of a streamed body was sent and is no longer buffered
+	// WindowExpired and OutsideScope concern a request with an idempotency key that may have run: the dedup
+	// window has expired; the backend is outside the dedup scope of the backend that got the first such
+	// attempt.
 	WindowExpired bool
 	OutsideScope  bool
 
-	LeaseExpired bool // the lease on the shared configuration by which the attempt was decided has expired
+	LeaseExpired bool // the lease on the shared configuration that permitted the attempt has expired
 }
 
-// Violation names the check by which the guard does not allow an attempt.
+// Violation identifies the check that an attempt failed.
 type Violation string
 
 // The violations. Operators match these texts in the log.
@@ -70,7 +72,7 @@
 	ViolationBodyConsumed     Violation = "repeat of a request that is not kept"
 	ViolationDeadlineExceeded Violation = "attempt without time"
 
-	// ViolationRejectAfterRun and ViolationHealthCheck are of decisions other than attempts.
+	// ViolationRejectAfterRun and ViolationHealthCheck concern decisions other than attempts.
 	ViolationRejectAfterRun Violation = "rejection after an attempt that may have run"
 	ViolationHealthCheck    Violation = "health check of a backend that must not be checked"
 )
@@ -106,14 +108,15 @@
 	return NoViolation
 }
 
-// RetryWindow returns for how long, from the send of its first attempt that may have run, a request with an
-// idempotency key may be retried. An attempt that has to connect checks it again before its first byte.
+// RetryWindow returns how long a request with an idempotency key may be retried, counted from sending its
+// first attempt that may have run. An attempt that has to connect first checks it again before writing its
+// first byte.
 func RetryWindow(c *policy.Class) time.Duration {
 	window := time.Duration(c.IdempotencyWindowMs * float64(time.Millisecond))
 	return window - min(dedupWindowMargin, window/8)
 }
 
-// InDedupScope reports whether endpoint to drops repeats of what endpoint first may have run.
+// InDedupScope reports whether endpoint to deduplicates requests that endpoint first may have run.
 func InDedupScope(scope policy.DedupScope, first, to *policy.Endpoint) bool {
 	switch scope {
 	case policy.ScopeAll:
@@ -126,12 +129,13 @@
 	return false
 }
 
-// MaxForwardActions is how many attempts the balancer may request for one request, with those that the guard does not
-// allow. Beyond it the request fails, as a balancer that repeats such an attempt would never end.
+// MaxForwardActions returns how many attempts the balancer may order for one request, including those that
+// the guard blocks. Beyond it the request fails: a balancer that repeats a blocked attempt would loop
+// forever.
 func MaxForwardActions(maxAttempts int) int { return 4*maxAttempts + 4 }
 
-// MayReject reports whether a request may be answered that a retry is harmless, after a number of attempts that may
-// have run.
+// MayReject reports whether a request may be answered as rejected, which tells the client that a retry is
+// harmless, after the given number of attempts that may have run.
 func MayReject(c *policy.Class, mayHaveRun int) bool {
 	if mayHaveRun == 0 {
 		return true
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -9,12 +9,12 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// A request with an idempotency key that may have run is retried only within its dedup window and scope, as both were
-// when it was first sent.
+// A request with an idempotency key that may have run is retried only within the dedup window and scope
+// that applied when it was first sent.
 func TestRetryByKeyStaysInWindowAndScope(t *testing.T) {
 	far := listedBackend("s-2")
 	far.Zone, far.Cell = "west", 2
-	moved := listedBackend("s-1") // the id of the first server, listed elsewhere
+	moved := listedBackend("s-1") // the id of the first server, now in another zone and cell
 	moved.Zone, moved.Cell = "west", 2
 	for name, c := range map[string]struct {
 		scope  policy.DedupScope
@@ -47,7 +47,7 @@
 		r.firstSentAt, r.firstSentTo = time.Now().Add(-c.ago), l.endpoints.endpoint(l.endpoints.byID["s-1"])
 		l.requests[1] = r
 		l.endpoints.apply(&membership.List{Entries: []membership.Entry{c.to}}, false)
-		l.forward(&policy.Action{Kind: policy.ActionForward, Request: 1, Server: l.endpoints.byID[c.to.ID].name, DurationMs: 1000})
+		l.forward(&policy.Action{Kind: policy.ActionForward, Request: 1, Server: l.endpoints.byID[c.to.ID].policyAddr, DurationMs: 1000})
 		if sent := r.inFlight; (sent == 1) != c.want || (l.stats.GuardViolations == 0) != c.want {
 			t.Errorf("%s: %d sent, %d violations", name, sent, l.stats.GuardViolations)
 		}
@@ -60,8 +60,8 @@
 	}
 }
 
-// The guard holds whatever the balancer decides.
-func TestGuardHoldsWhateverTheBalancerDecides(t *testing.T) {
+// The guard blocks invalid attempts and rejections that the balancer orders.
+func TestGuardBlocksInvalidDecisions(t *testing.T) {
 	up := func() *Backend { return &Backend{addr: "127.0.0.1:1"} }
 	unavailable := up()
 	unavailable.MarkUnavailable()
--- a/internal/core/healthcheck.go
+++ b/internal/core/healthcheck.go
@@ -7,14 +7,14 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// healthCheckTimeout bounds a health check. A backend answers it beside its request queue, so that one that takes
-// longer is stalled.
+// healthCheckTimeout bounds a health check. A backend answers health checks outside its request queue, so a
+// longer answer time means that it is stalled.
 const healthCheckTimeout = 500 * time.Millisecond
 
-// startHealthCheck checks a backend. The balancer gets exactly one EventHealthCheckEnded in any case, since it bounds
-// the checks in progress.
+// startHealthCheck checks a backend. The balancer always gets exactly one EventHealthCheckEnded, as it
+// bounds the checks in progress.
 func (l *EventLoop) startHealthCheck(server policy.Addr) {
-	b := l.endpoints.byAddr[server]
+	b := l.endpoints.byPolicyAddr[server]
 	if !l.mayCheckHealth(b) {
 		l.reportViolation(ViolationHealthCheck)
 		l.pendingEvents = append(l.pendingEvents, policy.Event{
@@ -33,7 +33,7 @@
 	}()
 }
 
-// checkHealth makes a health check. One whose code panics has failed.
+// checkHealth makes a health check. A panic in its code counts as a failed check.
 func (l *EventLoop) checkHealth(b *Backend, addr string, now time.Time) (result Result) {
 	defer panics.Recover("health check", addr, func() {
 		result = Result{Status: policy.Reset, LatencyMs: msFromDuration(time.Since(now))}
--- a/internal/core/healthcheck_test.go
+++ b/internal/core/healthcheck_test.go
@@ -8,7 +8,8 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// A health check that is not allowed ends as NotStarted, as the balancer waits for the end of each check.
+// A health check that is not allowed ends as NotStarted: the balancer waits for the end of each check, and
+// would otherwise wait forever.
 func TestForbiddenHealthCheckEndsAsNotStarted(t *testing.T) {
 	l := newTestLoop(t, stub{})
 	checked := false
@@ -22,8 +23,8 @@
 		b.addr, l.cfg.Settings.Limits.HealthChecks = "127.0.0.1:1", true
 		b.unavailable.Store(false)
 		forbid()
-		l.dispatch([]policy.Action{{Kind: policy.ActionHealthCheck, Server: b.name}})
-		if len(l.pendingEvents) != 1 || l.pendingEvents[0].Kind != policy.EventHealthCheckEnded || l.pendingEvents[0].Server != b.name || l.pendingEvents[0].Status != policy.NotStarted || checked {
+		l.dispatch([]policy.Action{{Kind: policy.ActionHealthCheck, Server: b.policyAddr}})
+		if len(l.pendingEvents) != 1 || l.pendingEvents[0].Kind != policy.EventHealthCheckEnded || l.pendingEvents[0].Server != b.policyAddr || l.pendingEvents[0].Status != policy.NotStarted || checked {
 			t.Errorf("%s: %+v", name, l.pendingEvents)
 		}
 		l.pendingEvents = nil
--- a/internal/core/log.go
+++ b/internal/core/log.go
@@ -9,21 +9,22 @@
 	// logLinesPerSecond and logBurst limit the loop's log lines; lines beyond them are dropped.
 	logLinesPerSecond = 5
 	logBurst          = 50
-	// logBacklog bounds the lines that wait for writeLog; lines beyond it are dropped.
+	// logBacklog bounds the lines queued for writeLog; lines beyond it are dropped.
 	logBacklog = 64
 )
 
-// reportViolation counts and logs a decision of the balancer that the loop did not carry out. Operators match the
-// complete line, so that the violation is part of the message.
+// reportViolation counts and logs a decision of the balancer that the loop did not carry out. Operators
+// match the complete message, so the violation is part of it instead of an attribute.
 func (l *EventLoop) reportViolation(v Violation) {
 	l.stats.GuardViolations++
 	l.log(slog.LevelError, "guard: "+string(v))
 }
 
-// unservedLogInterval is how often requests that were not served are logged, by the rules that ended them.
+// unservedLogInterval is how often the requests that were not served are logged, by the rule that ended
+// them.
 const unservedLogInterval = 10 * time.Second
 
-// logUnserved logs which rules have ended requests since it last did.
+// logUnserved logs how many requests each rule has ended since the last call.
 func (l *EventLoop) logUnserved() {
 	if rules := l.counters.unservedSince(&l.unservedLogged); len(rules) > 0 {
 		l.log(slog.LevelInfo, "requests not served, by rule", rules...)
@@ -41,8 +42,8 @@
 	}
 }
 
-// writeLog writes the queued log lines until the loop's context ends. It has a goroutine of its own, since a log
-// that nobody reads blocks its writer.
+// writeLog writes the queued log lines until the loop's context ends. It runs in its own goroutine, as
+// writing blocks if the reader of the log does not keep up.
 func (l *EventLoop) writeLog() {
 	for {
 		select {
--- a/internal/core/log_test.go
+++ b/internal/core/log_test.go
@@ -11,10 +11,10 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// A log that nobody reads does not block the loop.
+// A blocked log writer, such as a pipe that is not read, does not block the loop.
 func TestLogNeverBlocksTheLoop(t *testing.T) {
 	u := stub{func(context.Context, *Backend, *Call) Result { return Result{Status: policy.OK} }}
-	l := running(t, u)
+	l := startTestLoop(t, u)
 	unblock, writing := make(chan struct{}), make(chan struct{})
 	l.logLines <- func() { close(writing); <-unblock }
 	defer close(unblock)
--- a/internal/core/panic_test.go
+++ b/internal/core/panic_test.go
@@ -9,8 +9,8 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// A panic in the code of one attempt costs that attempt, which may have run: a request that must not run twice fails,
-// and the agent goes on.
+// A panic in the code of an attempt fails only that attempt, which counts as one that may have run: a
+// non-idempotent request fails, and the agent continues to serve.
 func TestPanicOfAnAttemptFailsItsRequestOnly(t *testing.T) {
 	before := panics.Recovered()
 	attempts := 0
@@ -20,7 +20,7 @@
 		}
 		return Result{Status: policy.OK, LatencyMs: 1}
 	}}
-	l := running(t, upstream)
+	l := startTestLoop(t, upstream)
 	const nonIdempotent = 2
 	if a := l.roundTrip(t, newCall(upstream, "a", nonIdempotent)); a.Outcome != Failed {
 		t.Errorf("%+v, want a failed request", a)
@@ -33,7 +33,6 @@
 	}
 }
 
-// A panic in a health check is a failed health check.
 func TestPanicOfAHealthCheckIsAFailedCheck(t *testing.T) {
 	l := newTestLoop(t, stub{})
 	l.cfg.HealthCheck = func(context.Context, *Backend, string, time.Time, time.Time) Result { panic("defect") }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -7,12 +7,12 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Request is a submitted call. The loop keeps it until it is answered and no attempt is in flight.
+// Request is a submitted call. The loop retains it until it is answered and no attempt is in flight.
 type Request struct {
 	id                policy.RequestID
 	call              *Call
 	answered          bool
-	streaming         bool          // the rest of its reply is still being sent to the client
+	streaming         bool          // its reply is still being sent to the client
 	narrowestClass    *policy.Class // strictest rules that applied since it was submitted; nil: never changed
 	deadlineTimer     *time.Timer   // calls deadlineExceeded
 	deadlineShortened bool          // by the shutdown of the process
@@ -22,11 +22,11 @@
 	inFlight     int // attempts in flight
 	mayHaveRun   int // attempts that are in flight or may have run
 	bodyConsumed bool
-	firstSentAt  time.Time       // of an idempotent-by-key request: when its first attempt that may have run was sent
-	firstSentTo  policy.Endpoint // and where to, as that endpoint was listed then
+	firstSentAt  time.Time       // with an idempotency key: when the first attempt that may have run was sent
+	firstSentTo  policy.Endpoint // the endpoint of that attempt, as it was listed then
 }
 
-// class returns the rules of the request's class that apply to it.
+// class returns the class rules that apply to the request.
 func (l *EventLoop) class(r *Request) *policy.Class {
 	if r.narrowestClass != nil {
 		return r.narrowestClass
@@ -34,9 +34,10 @@
 	return &l.cfg.Settings.Classes[r.call.Class]
 }
 
-// Submit gives a call to the balancer. A call with the id of another request fails. A call is rejected if it has no time
-// left, if its downstream is at its connection limit, if it exceeds Limits.MaxOpenRequests, or if the server rules of the
-// shared configuration have expired. It is called in the loop.
+// Submit passes a call to the balancer. A call with the id of another request fails. A call is rejected if
+// its deadline has passed, if its downstream is at its connection limit, if it exceeds
+// Limits.MaxOpenRequests, or if the server rules of the shared configuration have expired. It must be
+// called in the loop.
 func (l *EventLoop) Submit(c *Call) *Request {
 	l.stats.Accepted++
 	l.nextID++
@@ -82,7 +83,7 @@
 	return r
 }
 
-// rejectAtArrival returns why a call is not given to the balancer; ReasonNone: it is.
+// rejectAtArrival returns why a call is not passed to the balancer; ReasonNone: it is passed.
 func (l *EventLoop) rejectAtArrival(c *Call, left time.Duration) policy.RejectReason {
 	switch {
 	case left <= 0:
@@ -102,7 +103,8 @@
 	return limit > 0 && l.openRequests > limit
 }
 
-// bodyWritten sets the deadline of a streamed call: its last byte was written to a backend.
+// bodyWritten sets the deadline of a streamed call, whose last byte was written to a backend at the given
+// time.
 func (l *EventLoop) bodyWritten(r *Request, at time.Time) {
 	if r.answered {
 		return
@@ -118,8 +120,8 @@
 	})
 }
 
-// deadlineExceeded is called by the deadline timer: the balancer should have completed the request before. That it has not is a bug
-// or a stall, which is logged and counted, unless a shutdown shortened the deadline under an attempt in flight.
+// deadlineExceeded is called by the deadline timer. The balancer should have completed the request before,
+// so this indicates a bug or a stall and is logged and counted, unless a shutdown shortened the deadline.
 func (l *EventLoop) deadlineExceeded(r *Request) {
 	if r.answered {
 		return
@@ -133,7 +135,7 @@
 	l.abandon(r)
 }
 
-// ClientDisconnected ends a request whose client has closed its connection. It is called in the loop.
+// ClientDisconnected ends a request whose client has closed its connection. It must be called in the loop.
 func (l *EventLoop) ClientDisconnected(r *Request) {
 	if r.answered {
 		l.discardAnswer(r.call)
@@ -144,7 +146,7 @@
 	l.abandon(r)
 }
 
-// discardAnswer releases an answer that its downstream has not read.
+// discardAnswer releases the resources of an answer that the downstream has not received.
 func (l *EventLoop) discardAnswer(c *Call) {
 	select {
 	case a := <-c.Answer:
@@ -156,7 +158,7 @@
 	}
 }
 
-// abandon cancels the attempts of a request that was answered without the balancer, and notifies the balancer.
+// abandon cancels the attempts of a request that was ended without the balancer, and notifies the balancer.
 func (l *EventLoop) abandon(r *Request) {
 	for _, a := range r.attempts {
 		a.cancelIfInFlight()
@@ -164,7 +166,8 @@
 	l.handle(&policy.Event{Kind: policy.EventClientDisconnected, Request: r.id})
 }
 
-// reject answers that a retry is harmless. Where an attempt may have run that makes it harmful, the request fails.
+// reject answers a request as rejected, which tells the client that a retry is harmless. If an attempt may
+// have run and a retry could do harm, the request fails instead.
 func (l *EventLoop) reject(r *Request, retryAfterMs float64, reason policy.RejectReason) {
 	if !MayReject(l.class(r), r.mayHaveRun) {
 		l.reportViolation(ViolationRejectAfterRun)
@@ -174,7 +177,7 @@
 	l.complete(r, Answer{Outcome: Rejected, RetryAfterMs: retryAfterMs, Rule: reason})
 }
 
-// complete gives the final answer. Only the first call for a request has an effect.
+// complete sends the final answer. Only the first call for a request has an effect.
 func (l *EventLoop) complete(r *Request, a Answer) {
 	if r.answered {
 		return
@@ -192,12 +195,12 @@
 	case Failed:
 		l.stats.Failed++
 	}
-	// The id is released first: a client that has its answer may send the id to another process at once.
+	// The id is released first: a client may reuse it at another process as soon as it has the answer.
 	l.close(r)
 	r.call.Answer <- a
 }
 
-// close marks a request as answered and forgets it unless attempts are in flight.
+// close marks a request as answered and deletes it unless attempts are in flight.
 func (l *EventLoop) close(r *Request) {
 	if !r.answered {
 		r.answered = true
@@ -212,14 +215,15 @@
 	l.forget(r)
 }
 
-// forget drops a request that is answered and has no attempt in flight.
+// forget deletes a request that is answered and has no attempt in flight. Its id is retained if it must not
+// run again.
 func (l *EventLoop) forget(r *Request) {
 	if !r.answered || r.inFlight != 0 || l.requests[r.id] != r {
 		return
 	}
 	delete(l.requests, r.id)
 	delete(l.requestsByClientID, r.call.ID)
-	if r.mayHaveRun > 0 && l.dedup.applies(l.class(r), r.call) {
+	if r.mayHaveRun > 0 && l.dedup.mustTrack(l.class(r), r.call) {
 		l.dedup.add(time.Now(), r.call.ID)
 		l.retainID(r)
 	} else {
--- a/internal/core/retrywindow_test.go
+++ b/internal/core/retrywindow_test.go
@@ -9,8 +9,9 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Nothing is retried in a dedup window that is shorter than a round trip or than two batch intervals of the balancer,
-// and the guard is not needed for that. A first attempt that never ran opens no window and is retried.
+// With a dedup window shorter than a round trip, or than two batch intervals of the balancer, the balancer
+// does not retry; the guard need not intervene. A first attempt that never ran does not start the window
+// and is retried.
 func TestNoRetryInTooShortDedupWindow(t *testing.T) {
 	for _, test := range []struct {
 		ttlMs       float64
@@ -58,7 +59,7 @@
 	}
 }
 
-// The retry window lies within the dedup window, however short that is.
+// The retry window lies within the dedup window, even if that is very short.
 func TestRetryWindowStaysWithinDedupWindow(t *testing.T) {
 	for _, ms := range []float64{0, 0.1, 1, 5, 9, 40, 700, 8000} {
 		ttl := time.Duration(ms * float64(time.Millisecond))
--- a/internal/core/rotation.go
+++ b/internal/core/rotation.go
@@ -2,14 +2,14 @@
 
 import "ringtrack.example/ringtrack/policy"
 
-// Rotation counts the backends, and those of them that get no requests.
+// Rotation counts the listed backends, and those of them that get no requests.
 type Rotation struct {
 	Listed      int
 	Unavailable int // draining, cordoned by an operator, or Unhealthy to the balancer
 }
 
-// Rotation returns the published counts, which are at most rotationInterval old where Config.PublishRotation is set.
-// It may be called from any goroutine and never blocks.
+// Rotation returns the published counts, which are at most rotationInterval old if Config.PublishRotation
+// is set. It is safe for concurrent use and never blocks.
 func (l *EventLoop) Rotation() Rotation {
 	if r := l.rotation.Load(); r != nil {
 		return *r
@@ -33,7 +33,7 @@
 			continue
 		}
 		r.Listed++
-		if b.unavailable.Load() || unhealthy[b.name] {
+		if b.unavailable.Load() || unhealthy[b.policyAddr] {
 			r.Unavailable++
 		}
 	}
--- a/internal/core/rotation_test.go
+++ b/internal/core/rotation_test.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// With PublishRotation the rotation is computed five times a second. Without it the loop stays idle: in ten seconds
-// without a request or an endpoint list it computes the rotation once.
+// With PublishRotation the rotation is computed five times a second. Without it the loop stays idle: in ten
+// seconds without a request or an endpoint update it computes the rotation only once, at its start.
 func TestRotationIsPublishedOnlyIfConfigured(t *testing.T) {
 	for _, c := range []struct {
 		publish  bool
@@ -32,7 +32,7 @@
 			counts := map[*Rotation]bool{}
 			for range 200 {
 				time.Sleep(50 * time.Millisecond)
-				counts[l.rotation.Load()] = true // referenced, so that no two share an address
+				counts[l.rotation.Load()] = true // stays referenced, so that addresses are not reused
 			}
 			if n := len(counts); n < c.min || n > c.max {
 				t.Errorf("publish %v: counted %d times in 10 s, want %d to %d", c.publish, n, c.min, c.max)
--- a/internal/core/sharedconfig.go
+++ b/internal/core/sharedconfig.go
@@ -9,35 +9,37 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// SharedConfig has the loop act by the configuration that all agents share, for as long as it holds a lease on it.
+// SharedConfig makes the loop use the configuration shared by all agents, as long as it holds a lease on
+// it.
 type SharedConfig struct {
-	// RejectOnExpiry: requests are rejected once the endpoint list has expired, too. Else they are forwarded by the
-	// last known list.
+	// RejectOnExpiry rejects requests once the server rules have expired, too. Otherwise they are forwarded
+	// by the last known rules.
 	RejectOnExpiry bool
 }
 
-// sharedConfigState is the loop's state of the shared configuration. A nil state means that there is none.
+// sharedConfigState is the loop's state of the shared configuration. It is nil if the agent has none.
 type sharedConfigState struct {
 	SharedConfig
-	own               policy.Settings // of the agent's file
-	narrowed          policy.Settings // of the agent's file, narrowed by the shared configuration
+	own               policy.Settings // from the agent's file
+	narrowed          policy.Settings // own, narrowed by the shared configuration
 	epoch             uint64
-	serving           bool      // requests may be served: there was a lease, or none is needed
+	serving           bool      // requests may be served: a lease was granted, or none is required
 	strict            bool      // the settings in use are the strictest
-	leaseExpiry       time.Time // zero: there was no lease
+	leaseExpiry       time.Time // zero: no lease was granted yet
 	serverRulesExpiry time.Time // until when the configuration's server rules may be used
 	expiryTimer       *time.Timer
 	expirations       int
 	cordonReleases    map[string]uint64 // by id: the epoch at which a cordon of this agent ends; see ReleaseCordon
 }
 
-// beforeAnyTime is a deadline that has always passed.
-var beforeAnyTime = time.Unix(1, 0)
+// distantPast is a deadline that has always passed.
+var distantPast = time.Unix(1, 0)
 
-// idleTimer is the first duration of a timer that is stopped at once.
-const idleTimer = time.Hour
+// stoppedTimerDuration is the initial duration of a timer that is stopped right after its creation.
+const stoppedTimerDuration = time.Hour
 
-// initSharedConfig starts the loop without a lease: it rejects requests, or serves by the strictest form of its file.
+// initSharedConfig initializes the loop without a lease: it rejects requests, or serves by the strictest
+// form of its own settings.
 func (l *EventLoop) initSharedConfig() {
 	l.shared = &sharedConfigState{
 		SharedConfig:   *l.cfg.SharedConfig,
@@ -45,19 +47,20 @@
 		narrowed:       l.cfg.Settings,
 		cordonReleases: map[string]uint64{},
 	}
-	l.shared.expiryTimer = time.AfterFunc(idleTimer, func() { l.Post(l.leaseExpired) })
+	l.shared.expiryTimer = time.AfterFunc(stoppedTimerDuration, func() { l.Post(l.leaseExpired) })
 	l.shared.expiryTimer.Stop()
 	l.shared.serving = !l.shared.RejectOnExpiry
 	l.useSettings(sharedconfig.Strict(l.cfg.Settings), true)
 }
 
-// rejecting reports whether requests are rejected, since the endpoint list has expired.
+// rejecting reports whether requests are rejected because the server rules have expired.
 func (s *sharedConfigState) rejecting(now time.Time) bool {
 	return s != nil && s.RejectOnExpiry && !now.Before(s.serverRulesExpiry)
 }
 
-// startDeadline returns until when an attempt may begin: a retry within the lease, and any attempt before the server
-// rules expire where RejectOnExpiry is set. The earlier of that and retryUntil counts; zero is no bound.
+// startDeadline returns the time before which an attempt has to start: a retry before the lease expires
+// and, with RejectOnExpiry, a first attempt before the server rules expire. If retryUntil is earlier, it
+// applies instead. Zero means no bound.
 func (s *sharedConfigState) startDeadline(index int, retryUntil time.Time) time.Time {
 	var deadline time.Time
 	switch {
@@ -70,8 +73,8 @@
 	default:
 		return retryUntil
 	}
-	if deadline.IsZero() { // there was no lease
-		deadline = beforeAnyTime
+	if deadline.IsZero() { // no lease was granted yet
+		deadline = distantPast
 	}
 	if !retryUntil.IsZero() && retryUntil.Before(deadline) {
 		return retryUntil
@@ -79,8 +82,8 @@
 	return deadline
 }
 
-// AdoptConfig has the loop act by the configuration of an epoch until leaseExpiry, and select backends by it until
-// serverRulesExpiry. With a nil config the agent's own file holds. It is called in the loop.
+// AdoptConfig makes the loop use the configuration of an epoch until leaseExpiry, and its server rules
+// until serverRulesExpiry. With a nil config the agent's own settings apply. It must be called in the loop.
 func (l *EventLoop) AdoptConfig(epoch uint64, config *sharedconfig.Config, leaseExpiry, serverRulesExpiry time.Time) {
 	s := l.shared
 	settings := s.own
@@ -94,7 +97,7 @@
 	l.applyServerRules(config)
 }
 
-// RenewLease extends the lease and the use of the endpoint list. It is called in the loop.
+// RenewLease extends the lease and the use of the server rules. It must be called in the loop.
 func (l *EventLoop) RenewLease(leaseExpiry, serverRulesExpiry time.Time) {
 	s := l.shared
 	s.leaseExpiry = leaseExpiry
@@ -109,8 +112,8 @@
 	}
 }
 
-// leaseExpired uses the strictest settings once the lease has expired. The guard has enforced the end of the lease by
-// then; this lets the balancer plan by it.
+// leaseExpired switches to the strictest settings once the lease has expired. The guard already enforces
+// the expiry; this makes the balancer take it into account.
 func (l *EventLoop) leaseExpired() {
 	s := l.shared
 	if s.strict || time.Now().Before(s.leaseExpiry) {
@@ -120,8 +123,9 @@
 	l.useSettings(sharedconfig.Strict(s.narrowed), true)
 }
 
-// useSettings has the loop and the balancer act by these settings. An open request keeps the strictest rules that
-// applied since it was submitted: what was sent under a wider rule is retried under the stricter of both.
+// useSettings applies settings to the loop and the balancer. An open request is subject to the strictest
+// rules that applied since it was submitted: a request sent under wider rules is retried under the stricter
+// of both.
 func (l *EventLoop) useSettings(settings policy.Settings, strict bool) {
 	previous := l.cfg.Settings
 	l.cfg.Settings = settings
@@ -140,7 +144,8 @@
 	}
 }
 
-// classRules returns the rules of a class in the form that narrows others.
+// classRules returns the rules of a class in the form of the shared configuration, which can narrow other
+// rules.
 func classRules(c *policy.Class) sharedconfig.Class {
 	rules := sharedconfig.Class{Effect: c.Effect}
 	if c.Effect == policy.IdempotentByKey {
@@ -150,8 +155,8 @@
 	return rules
 }
 
-// applyServerRules applies what the shared configuration says of servers, and notifies the balancer of the backends
-// for which that has changed.
+// applyServerRules applies the server rules of the shared configuration, and notifies the balancer of the
+// backends that they change.
 func (l *EventLoop) applyServerRules(config *sharedconfig.Config) {
 	t := l.endpoints
 	before := make(map[*Backend]policy.Endpoint, len(t.byID))
@@ -190,16 +195,16 @@
 	}
 }
 
-// SharedConfigStats are for operators.
+// SharedConfigStats is the state of the shared configuration, for operators.
 type SharedConfigStats struct {
 	Epoch       uint64
-	Strict      bool // no lease is held: nothing is retried
-	Rejecting   bool // requests are rejected, since the endpoint list has expired
+	Strict      bool // no lease is held, so nothing is retried
+	Rejecting   bool // requests are rejected because the server rules have expired
 	Expirations int  // of leases
 }
 
-// SharedConfigStats returns the state of the shared configuration; ok is false where there is none. It is called in
-// the loop.
+// SharedConfigStats returns the state of the shared configuration; ok is false if the agent has none. It
+// must be called in the loop.
 func (l *EventLoop) SharedConfigStats() (stats SharedConfigStats, ok bool) {
 	s := l.shared
 	if s == nil {
--- a/internal/core/sharedconfig_test.go
+++ b/internal/core/sharedconfig_test.go
@@ -10,9 +10,9 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// newSharedConfigLoop returns a loop that does not run and acts by a shared configuration, and the calls that its
-// upstream gets.
-func newSharedConfigLoop(t *testing.T, rejectWhenStale bool) (*EventLoop, chan *Call) {
+// newSharedConfigLoop returns a loop that is not running and uses a shared configuration, and a channel of
+// the calls that its upstream receives.
+func newSharedConfigLoop(t *testing.T, rejectOnExpiry bool) (*EventLoop, chan *Call) {
 	t.Helper()
 	sent := make(chan *Call, 100)
 	u := stub{do: func(ctx context.Context, _ *Backend, c *Call) Result {
@@ -21,7 +21,7 @@
 		return Result{Status: policy.Cancelled}
 	}}
 	l := newTestLoop(t, u)
-	l.cfg.SharedConfig = &SharedConfig{RejectOnExpiry: rejectWhenStale}
+	l.cfg.SharedConfig = &SharedConfig{RejectOnExpiry: rejectOnExpiry}
 	l.initSharedConfig()
 	l.updateEndpoints(&membership.List{Revision: 1, Full: true, Entries: []membership.Entry{listedBackend("s-1"), listedBackend("s-2")}}, policy.UpdateDelta, true)
 	return l, sent
@@ -39,9 +39,9 @@
 	}
 }
 
-// An agent that never had a lease rejects requests, and so does one whose endpoint list has expired. Without
-// RejectWhenStale it serves by the strictest settings.
-func TestRejectsWithoutFreshEndpoints(t *testing.T) {
+// With RejectOnExpiry an agent rejects requests before its first lease and once its server rules have
+// expired. Without it the agent serves by the strictest settings.
+func TestRejectsWithoutValidServerRules(t *testing.T) {
 	l, sent := newSharedConfigLoop(t, true)
 	if _, a := l.submit(t, "1", 0); a == nil || a.Outcome != Rejected || a.RetryAfterMs != 600 {
 		t.Fatalf("before any lease: %+v", a)
@@ -54,20 +54,20 @@
 	<-sent
 	l.RenewLease(now.Add(-2*time.Second), now.Add(-time.Second))
 	if _, a := l.submit(t, "3", 0); a == nil || a.Outcome != Rejected {
-		t.Fatalf("the endpoint list has expired: %+v", a)
+		t.Fatalf("the server rules have expired: %+v", a)
 	}
 	l, sent = newSharedConfigLoop(t, false)
 	if _, a := l.submit(t, "1", 0); a != nil {
-		t.Fatalf("without RejectWhenStale: %+v", a)
+		t.Fatalf("without RejectOnExpiry: %+v", a)
 	}
 	<-sent
 	if l.cfg.Settings.Limits.MaxAttempts != 1 || l.cfg.Settings.Classes[0].Effect != policy.NonIdempotent {
-		t.Errorf("it serves by the settings %+v", l.cfg.Settings)
+		t.Errorf("the settings in use are %+v", l.cfg.Settings)
 	}
 }
 
-// After the lease has expired nothing is retried, even before the balancer knows of it. A new lease permits retries
-// once more.
+// Once the lease has expired nothing is retried, even before the balancer is notified of it. A new lease
+// permits retries again.
 func TestNoRetryAfterLeaseExpiry(t *testing.T) {
 	for _, c := range []struct {
 		left time.Duration
@@ -77,10 +77,10 @@
 		l.AdoptConfig(2, &sharedconfig.Config{}, time.Now().Add(time.Hour), time.Now().Add(2*time.Hour))
 		r, _ := l.submit(t, "1", 0)
 		<-sent
-		r.attempts[0].done = true // it may have run, and its end is still to come
+		r.attempts[0].done = true // it may have run, and attemptEnded is not called yet
 		r.inFlight = 0
 		l.RenewLease(time.Now().Add(c.left), time.Now().Add(time.Hour))
-		l.forward(&policy.Action{Kind: policy.ActionForward, Request: r.id, Server: l.endpoints.byID["s-1"].name, DurationMs: 1000})
+		l.forward(&policy.Action{Kind: policy.ActionForward, Request: r.id, Server: l.endpoints.byID["s-1"].policyAddr, DurationMs: 1000})
 		if r.inFlight != c.want || l.stats.GuardViolations != 1-c.want {
 			t.Errorf("%v left: %d retried, %d violations", c.left, r.inFlight, l.stats.GuardViolations)
 		}
@@ -102,8 +102,8 @@
 	}
 }
 
-// An open request keeps the narrowest of the rules that applied to it. A retry that has not begun to write is
-// superseded.
+// An open request is subject to the narrowest rules that applied since it was submitted. A retry that has
+// not started to write when the rules change is superseded.
 func TestOpenRequestsKeepNarrowestRules(t *testing.T) {
 	l, sent := newSharedConfigLoop(t, true)
 	far := time.Now().Add(time.Hour)
@@ -118,7 +118,7 @@
 		t.Errorf("narrowed to %+v, superseded %v", k, c.Superseded.Load())
 	}
 	if !d.Superseded.Load() {
-		t.Error("a retry by the old rules may still begin")
+		t.Error("a retry decided under the previous rules is not superseded")
 	}
 	l.AdoptConfig(4, &sharedconfig.Config{}, far, far)
 	if k := l.class(first); k.DedupScope != policy.ScopeZone || k.IdempotencyWindowMs != 500 {
@@ -133,9 +133,9 @@
 	}
 }
 
-// The shared configuration cordons servers, leaves servers out and sets weights. The endpoint list holds beside it. A
-// cordon of this agent ends once the shared configuration has taken it over.
-func TestSharedConfigRulesOfServers(t *testing.T) {
+// The shared configuration cordons servers, excludes servers and sets weights, in addition to the endpoint
+// list. A cordon of this agent ends once the shared configuration contains it.
+func TestSharedConfigServerRules(t *testing.T) {
 	l, _ := newSharedConfigLoop(t, true)
 	far := time.Now().Add(time.Hour)
 	wantUnavailable := func(what string, want ...string) {
@@ -168,10 +168,10 @@
 		t.Errorf("weight %v", e.Weight)
 	}
 	l.AdoptConfig(5, &sharedconfig.Config{}, far, far)
-	wantUnavailable("the shared configuration has taken over")
+	wantUnavailable("cordon released at the epoch")
 	l.Cordon("s-2", true)
 	l.ReleaseCordon("s-2", 4)
-	wantUnavailable("a cordon that the shared configuration has ended by now")
+	wantUnavailable("cordon released at an earlier epoch")
 	drains := listedBackend("s-2")
 	drains.State = membership.Draining
 	l.updateEndpoints(&membership.List{Revision: 3, Entries: []membership.Entry{drains}}, policy.UpdateDelta, false)
--- a/internal/core/sharedids.go
+++ b/internal/core/sharedids.go
@@ -2,24 +2,25 @@
 
 // SharedIDs are the ids of requests that any process of the agent has accepted. Its methods never block.
 type SharedIDs interface {
-	// Claim takes an id. It returns false if a request of another process has it, or had it and may have run.
+	// Claim claims an id. It returns false if a request of another process has the id, or had it and may
+	// have run.
 	Claim(id string) bool
-	// Release gives back an id whose request has not run.
+	// Release releases an id whose request has not run.
 	Release(id string)
-	// Retain has an id known for a minute more.
+	// Retain keeps an id claimed for another minute.
 	Retain(id string)
 }
 
 // claimID claims a request's id. It returns false if another process has it.
 func (l *EventLoop) claimID(r *Request) bool {
-	if l.cfg.SharedIDs == nil || !l.dedup.applies(l.class(r), r.call) {
+	if l.cfg.SharedIDs == nil || !l.dedup.mustTrack(l.class(r), r.call) {
 		return true
 	}
 	r.idClaimed = l.cfg.SharedIDs.Claim(r.call.ID)
 	return r.idClaimed
 }
 
-// releaseID gives back the id of a request that has not run.
+// releaseID releases the id of a request that has not run.
 func (l *EventLoop) releaseID(r *Request) {
 	if r.idClaimed {
 		l.cfg.SharedIDs.Release(r.call.ID)
--- a/internal/core/sharedids_test.go
+++ b/internal/core/sharedids_test.go
@@ -8,32 +8,32 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// sharedIDs are the ids of two processes of an agent, in memory.
+// sharedIDs is an in-memory SharedIDs for two processes of an agent.
 type sharedIDs struct {
-	mu    sync.Mutex
-	taken map[string]bool
+	mu      sync.Mutex
+	claimed map[string]bool
 }
 
 func (s *sharedIDs) Claim(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.taken[id] {
+	if s.claimed[id] {
 		return false
 	}
-	s.taken[id] = true
+	s.claimed[id] = true
 	return true
 }
 
 func (s *sharedIDs) Release(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.taken, id)
+	delete(s.claimed, id)
 }
 
 func (s *sharedIDs) Retain(string) {}
 
-// An id that one process of an agent has accepted is a duplicate at the other one, unless its request never ran or is
-// idempotent.
+// An id that one process of an agent has accepted is a duplicate at another process, unless its request
+// never ran or is idempotent.
 func TestIDRepeatedAtOtherProcess(t *testing.T) {
 	for name, c := range map[string]struct {
 		class     int
@@ -47,7 +47,7 @@
 		"idempotent, served":        {0, policy.OK, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			shared := &sharedIDs{taken: map[string]bool{}}
+			shared := &sharedIDs{claimed: map[string]bool{}}
 			result := c.first
 			sent := 0
 			u := stub{func(context.Context, *Backend, *Call) Result {
@@ -57,7 +57,7 @@
 			process := func() *EventLoop {
 				l := newTestLoop(t, u)
 				l.cfg.SharedIDs = shared
-				return start(t, l)
+				return runLoop(t, l)
 			}
 			one, other := process(), process()
 			one.roundTrip(t, newCall(u, "1", c.class))
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -6,8 +6,8 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// ShutDownBy bounds all deadlines by the end of the process: requests that are open, and those submitted later, are
-// answered by then whatever their clients allow. It is called in the loop.
+// ShutDownBy bounds all deadlines by that of the shutdown: open requests, and those submitted later, are
+// answered by then even if their own deadlines are later. It must be called in the loop.
 func (l *EventLoop) ShutDownBy(deadline time.Time) {
 	l.shutdownDeadline = deadline
 	left, untilDeadlineTimer := RequestTimeouts(time.Until(deadline))
@@ -26,7 +26,7 @@
 	}
 }
 
-// limitToShutdown returns a deadline, or the end of the process where that is earlier.
+// limitToShutdown returns the deadline, or that of the shutdown if it is earlier.
 func (l *EventLoop) limitToShutdown(deadline time.Time) time.Time {
 	if l.shutdownDeadline.IsZero() {
 		return deadline
