--- a/internal/concurrency/doc.go
+++ b/internal/concurrency/doc.go
@@ -1,7 +1,7 @@
-// Package concurrency knows what a server can take at present: how many attempts of one agent at a time
-// (Limit), whether its last load report says that it is idle (LoadReport), and which keys it has likely cached
-// (RecentKeys). It decides about no request.
+// Package concurrency tracks the state of one server as seen by one agent: how many concurrent attempts it
+// can handle (Limit), whether it is idle by its last load report (LoadReport), and which keys it has likely
+// cached (RecentKeys). Decisions about requests are made elsewhere.
 //
-// It has no I/O, clock, goroutines or randomness: times are arguments, in milliseconds of one clock that never
-// runs back. Nothing in it is safe for concurrent use.
+// It has no I/O, clock, goroutines or randomness: times are arguments, in milliseconds of one monotonic
+// clock. Its types are not safe for concurrent use.
 package concurrency
--- a/internal/concurrency/limit_test.go
+++ b/internal/concurrency/limit_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// simulate drives the limits of some agents against a server that does its work in order and rejects what finds
-// its queue full, for so many seconds; each agent sends whenever its limit admits an attempt. It returns the
-// part of the attempts that were rejected, the part of the time that the server was idle, and the served
-// requests of each agent.
+// simulate runs agents with the given limits against a server that processes requests in order and rejects
+// them when its queue is full. Each agent sends whenever its limit admits an attempt. It returns the
+// fraction of the attempts that were rejected, the fraction of the time that the server was idle, and the
+// number of requests served for each agent.
 func simulate(rng *rand.Rand, limits []Limit, queueSize func(now float64) int, workMs, seconds float64) (
 	rejected, idle float64, served []int,
 ) {
@@ -56,8 +56,8 @@
 	return w
 }
 
-// Agents that always have work and do not communicate fill a server's queue with few rejections, and end at fair
-// parts, wherever they start.
+// Agents that always have requests to send and do not communicate keep a server busy with few rejections,
+// and converge to fair shares from any initial limits.
 func TestLimitsFillAServerFairly(t *testing.T) {
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -72,12 +72,12 @@
 			least, most = min(least, n), max(most, n)
 		}
 		if float64(most) > 2*float64(least) {
-			t.Errorf("seed %d: served %v: not at fair parts", seed, served)
+			t.Errorf("seed %d: served %v: the shares are not fair", seed, served)
 		}
 	}
 }
 
-// Where the queue of the server falls to a fifth for a time limits follow, and return with it.
+// If the server's queue shrinks to a fifth for some time, the limits follow, and grow again with it.
 func TestLimitsFollowTheServersCapacity(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 1))
 	w := newLimits(2, 1)
@@ -123,10 +123,10 @@
 	}
 	w.Reset(0.25)
 	if w.Rejected(1); w.Size() != 0.25 {
-		t.Errorf("a limit under one was increased to %v by a rejection", w.Size())
+		t.Errorf("a limit below one was increased to %v by a rejection", w.Size())
 	}
 	if w.Admits(0, 39, 10) || !w.Admits(0, 40, 10) || w.Admits(1, 1000, 10) {
-		t.Error("a limit of a quarter is not kept by a pause of four answer times")
+		t.Error("a limit of a quarter is not enforced by a pause of four answer times")
 	}
 	w.Reset(4)
 	if !w.Decrease(1000, 50, 0.5, 1) || w.Size() != 2 {
@@ -136,10 +136,10 @@
 		t.Errorf("decreased again for answers that were in flight: %v", w.Size())
 	}
 	if w.Decrease(1051, 50, 0.1, 1); w.Size() != 1 {
-		t.Errorf("decreased under the least: %v", w.Size())
+		t.Errorf("decreased below the floor: %v", w.Size())
 	}
 	if w.Reset(1.5); w.RecentlyRejected(0) {
-		t.Error("a reset limit remembers a rejection")
+		t.Error("a rejection was not discarded by Reset")
 	}
 	if w.Halve(); w.Size() != 1 {
 		t.Errorf("half of 1.5: %v, want 1", w.Size())
@@ -150,8 +150,8 @@
 	}
 }
 
-// On a random walk a limit stays a number over 0, admits one attempt at some time, never more than its size, and
-// changes only as its rules say.
+// On a random walk a limit stays positive and finite, eventually admits an attempt, never admits more than
+// its size, and each operation changes it only in its direction and within its bounds.
 func TestLimitStaysInBoundsOnRandomWalk(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 3))
--- a/internal/concurrency/loadreport.go
+++ b/internal/concurrency/loadreport.go
@@ -3,21 +3,21 @@
 import "math"
 
 const (
-	// idleUtilization is the core utilization under which a server is idle. Noise and the delay of the report
-	// lie between this and a server without a free core.
+	// idleUtilization is the core utilization below which a server counts as idle. The margin to full
+	// utilization covers noise and the delay of the report.
 	idleUtilization = 0.9
-	// maxReportAgeMs is how old a report may be to count.
+	// maxReportAgeMs is the age beyond which a report is ignored.
 	maxReportAgeMs = 3000.0
 	// absent is the index of a field that reports do not have.
 	absent = -1
 )
 
-// ReportFields knows where the values of a load report stand. Values with unknown names are ignored.
+// ReportFields holds the positions of the values in a load report. Values with unknown names are ignored.
 type ReportFields struct {
 	utilization, inflight int // index, or absent
 }
 
-// NewReportFields finds the fields by the names of the values.
+// NewReportFields returns the positions of the known values, given the names of all values in order.
 func NewReportFields(names []string) ReportFields {
 	fields := ReportFields{utilization: absent, inflight: absent}
 	for i, name := range names {
@@ -31,8 +31,8 @@
 	return fields
 }
 
-// Inflight returns the number of requests in the server, of all agents, and false if the report has none or it
-// is not valid.
+// Inflight returns the number of requests in flight at the server, from all agents, and false if the report
+// has no valid value for it.
 func (f ReportFields) Inflight(report []float32) (float64, bool) {
 	return reportValue(report, f.inflight)
 }
@@ -46,14 +46,14 @@
 	return value, value >= 0 && !math.IsInf(value, 0)
 }
 
-// LoadReport is the last load report of a server. The zero value has none.
+// LoadReport is the last load report of a server. The zero value has no report.
 type LoadReport struct {
 	utilization float64
 	updatedAt   float64
 	known       bool
 }
 
-// Update takes the report of an answer. One without a valid utilization changes nothing.
+// Update records the report in an answer. A report without a valid utilization is ignored.
 func (l *LoadReport) Update(now float64, fields ReportFields, report []float32) {
 	if utilization, ok := reportValue(report, fields.utilization); ok {
 		l.utilization = utilization
@@ -62,9 +62,9 @@
 	}
 }
 
-// Idle reports whether the server likely has a free core, by its last report. A server without a report, or
-// with an old one, is idle unless it has rejected attempts lately, which the caller says. A report that is wrong
-// does no harm, as the caller checks the Limit too.
+// Idle reports whether the server likely has a free core, by its last report. A server without a recent
+// report counts as idle unless recentlyRejected is set. Wrong reports do no harm, as the caller checks the
+// Limit as well.
 func (l *LoadReport) Idle(now float64, recentlyRejected bool) bool {
 	if !l.known || now-l.updatedAt > maxReportAgeMs {
 		return !recentlyRejected
--- a/internal/concurrency/loadreport_test.go
+++ b/internal/concurrency/loadreport_test.go
@@ -41,6 +41,6 @@
 	var l LoadReport
 	l.Update(0, f, []float32{1, 0.99})
 	if l.Update(10, f, []float32{1, nan}); l.Idle(10, false) {
-		t.Error("an invalid report replaced the one before")
+		t.Error("an invalid report replaced the previous one")
 	}
 }
--- a/internal/concurrency/recentkeys.go
+++ b/internal/concurrency/recentkeys.go
@@ -1,7 +1,8 @@
 package concurrency
 
-// RecentKeys remembers which keys were sent lately. It holds two generations of at most maxKeys keys each: when
-// the current one is full or older than the span, it becomes the previous one, whose keys are forgotten.
+// RecentKeys remembers the keys that were sent recently. It has two generations of at most maxKeys keys
+// each: when the current one is full or older than the span, it replaces the previous one, whose keys are
+// dropped.
 type RecentKeys struct {
 	spanMs            float64
 	maxKeys           int
@@ -19,7 +20,7 @@
 	}
 }
 
-// Add notes that the key was sent. Key 0, which stands for none, is ignored.
+// Add records that the key was sent. Key 0, which means no key, is ignored.
 func (r *RecentKeys) Add(now float64, key uint64) {
 	if key == 0 {
 		return
--- a/internal/concurrency/recentkeys_test.go
+++ b/internal/concurrency/recentkeys_test.go
@@ -13,7 +13,7 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	sent := map[uint64]float64{}
-	for now := 0.0; now < 60_000; now += 20 { // under 100 keys in one generation: none may be lost
+	for now := 0.0; now < 60_000; now += 20 { // below 100 keys in each generation, so none may be lost
 		key := rng.Uint64N(80) + 1
 		r.Add(now, key)
 		sent[key] = now
--- a/internal/limits/doc.go
+++ b/internal/limits/doc.go
@@ -1,7 +1,7 @@
-// Package limits decides which requests are served while there are more than the servers can do: FairShare
-// divides what is served among tenants, LoadShedder sheds the requests of the lowest priority, QueueTimeout
-// bounds the time in the queue.
+// Package limits decides which requests are served under overload: FairShare divides the served requests
+// among tenants, LoadShedder sheds the requests of the lowest priority, QueueTimeout bounds the time in the
+// queue.
 //
-// It has no I/O, clock, goroutines or randomness: times are arguments, in milliseconds of one clock that never
-// runs back. Nothing in it is safe for concurrent use.
+// It has no I/O, clock, goroutines or randomness: times are arguments, in milliseconds of one monotonic
+// clock. Its types are not safe for concurrent use.
 package limits
--- a/internal/limits/fairshare_test.go
+++ b/internal/limits/fairshare_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// serve serves one request after the other to flows that send requests at the given rates: flows not over their
-// quota first, of equals at random. part is the part of the requests that can be served.
-func serve(rng *rand.Rand, f *FairShare, weights, rates []float64, part float64, rounds int) []float64 {
+// serve simulates flows that send requests at the given rates and returns the number served of each.
+// Requests of flows that are not over their quota are served first, ties are broken at random. fraction is
+// the fraction of the requests that can be served.
+func serve(rng *rand.Rand, f *FairShare, weights, rates []float64, fraction float64, rounds int) []float64 {
 	served := make([]float64, len(rates))
 	total := 0.0
 	for _, rate := range rates {
@@ -24,7 +25,7 @@
 				break
 			}
 		}
-		for capacity += part; capacity >= 1; capacity-- {
+		for capacity += fraction; capacity >= 1; capacity-- {
 			best, n := -1, 0.0
 			for _, over := range []bool{false, true} {
 				for i := range queued {
@@ -46,14 +47,15 @@
 			f.Served(best, weights)
 		}
 		for i := range queued {
-			queued[i] = min(queued[i], 20) // a request that waits too long is given up
+			queued[i] = min(queued[i], 20) // requests that wait too long are abandoned
 		}
 	}
 	return served
 }
 
-// The other flows are served as without the greedy one, at 2, 5 and 20 times its quota, and it gets its quota.
-func TestGreedyFlowTakesNothingFromOtherFlows(t *testing.T) {
+// A flow that sends 2, 5 or 20 times its quota gets its quota, and the other flows are served as without
+// it.
+func TestFlowOverItsQuotaDoesNotAffectOtherFlows(t *testing.T) {
 	weights := []float64{0.44, 0.32, 0.13, 0.11}
 	for _, times := range []float64{1, 2, 5, 20} {
 		rates := []float64{0.44, 0.32, 0.13, 0.11}
@@ -65,16 +67,16 @@
 		rounds := int(20_000 * total)
 		served := serve(rand.New(rand.NewPCG(1, 9)), NewFairShare(4), weights, rates, 0.9/total, rounds)
 		for i, s := range served {
-			part := s / (20_000 * weights[i]) // 1 would be its complete quota
-			if part < 0.88 || part > 0.93 && i != 3 {
-				t.Errorf("at %v times: flow %d is served %.3f of its quota, want about 0.9", times, i, part)
+			fraction := s / (20_000 * weights[i]) // of its quota
+			if fraction < 0.88 || fraction > 0.93 && i != 3 {
+				t.Errorf("at %v times: flow %d is served %.3f of its quota, want about 0.9", times, i, fraction)
 			}
 		}
 	}
 }
 
-// What one flow does not use goes to the others by their weights; one that was idle returns to its quota at once
-// and displaces no other for what it did not use before.
+// The unused quota of a flow goes to the others by their weights. A flow that was idle gets its quota again
+// at once, and does not displace the others to make up for the time before.
 func TestUnusedQuotaGoesToOtherFlows(t *testing.T) {
 	weights := make([]float64, 10)
 	rates := make([]float64, 10)
@@ -93,7 +95,7 @@
 	rates[9] = 0.2
 	served = serve(rng, p, weights, rates, 0.5, 200)
 	if served[9] < 7 || served[9] > 10+maxBalance+3 {
-		t.Errorf("the flow that returned got %v of 100, want about 10 and at most %v more at first",
+		t.Errorf("the flow that was idle got %v of 100, want about 10 and at most %v more at first",
 			served[9], maxBalance)
 	}
 }
@@ -112,7 +114,7 @@
 		p.Served(0, []float64{math.NaN(), -1, 0})
 	}
 	if !p.OverQuota(0) || p.OverQuota(1) || p.UnderQuota(1) || p.OverQuota(-1) || p.UnderQuota(7) {
-		t.Error("invalid weights gave something")
+		t.Error("invalid weights changed a balance, or the flow was not charged")
 	}
 	for range 100 {
 		p.Served(0, one)
@@ -127,7 +129,7 @@
 	}
 }
 
-// 10,000 steps of random flows: balances stay bounded, and a flow that is never served is never over its quota.
+// On a random walk of 10,000 steps balances stay bounded, and a flow that is never served is never over its quota.
 func TestFairShareBalancesStayInBoundsOnRandomWalk(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -143,7 +145,7 @@
 				}
 			}
 			if p.OverQuota(0) {
-				t.Fatalf("seed %d step %d: over its quota without having been served", seed, step)
+				t.Fatalf("seed %d step %d: flow 0 is over its quota without having been served", seed, step)
 			}
 		}
 	}
--- a/internal/limits/loadshedder.go
+++ b/internal/limits/loadshedder.go
@@ -3,33 +3,35 @@
 import "math"
 
 const (
-	// comparedRequests is the number of requests whose priorities a new one is compared with: enough for steps
-	// of one or two in a hundred, few enough to follow changes within seconds where few requests arrive.
+	// comparedRequests is the number of requests that a new one is compared with: enough to shed fractions
+	// in steps of one or two percent, few enough to follow changes within seconds at low request rates.
 	comparedRequests = 64
-	// minShedRun is the least number of requests shed in a row before one is admitted whatever its priority.
+	// minShedRun is the minimum number of requests shed in a row before one is admitted regardless of its
+	// priority.
 	minShedRun = 12
-	// maxOmittedAdmissions is the number of requests of such a row that would have been admitted by the
-	// fraction alone. By chance few rows get so long.
+	// maxOmittedAdmissions is the number of requests in such a run that the fraction alone would have
+	// admitted. Runs of this length rarely occur by chance.
 	maxOmittedAdmissions = 2.4
 	// omittedTolerance allows for rounding in the sum of omitted admissions.
 	omittedTolerance = 1e-9
 )
 
-// LoadShedder sheds a fraction of the requests, those of the lowest priority: admission by priority as in DAGOR
-// (Zhou et al., SoCC 2018), with the threshold taken from the priorities of the last requests. While priorities
-// fall every request is lower than all before it, and by the threshold alone none would be admitted. Therefore
-// at most max(minShedRun, maxOmittedAdmissions/(1-fraction)) are shed in a row: with nothing admitted nothing
-// would be learned that ends the shedding. The zero value has seen no requests.
+// LoadShedder sheds the given fraction of the requests, those of the lowest priority: admission by priority
+// as in DAGOR (Zhou et al., SoCC 2018), with the threshold derived from the priorities of the last
+// requests. While priorities fall, every request is lower than all before it and the threshold alone would
+// admit none. Therefore at most max(minShedRun, maxOmittedAdmissions/(1-fraction)) requests are shed in a
+// row: without admitted requests there would be no measurement that ends the shedding. The zero value has
+// seen no requests.
 type LoadShedder struct {
 	priorities        [comparedRequests]float64
 	seen              int
 	shedRun           int     // requests shed in a row
-	omittedAdmissions float64 // how many of them the fraction would have admitted
+	omittedAdmissions float64 // how many of these the fraction alone would have admitted
 }
 
-// Sheds notes a request's priority and reports whether to shed it, where the given fraction, 0 to 1, is to be
-// shed. Of requests with equal priority chance decides, a random number from 0 to 1. A priority of NaN is the
-// lowest.
+// Sheds records the priority of a request and reports whether to shed it, given the fraction of requests to
+// shed, 0 to 1. Among requests of equal priority chance decides, a random number from 0 to 1. NaN is the
+// lowest priority.
 func (l *LoadShedder) Sheds(priority, fraction, chance float64) bool {
 	if math.IsNaN(priority) {
 		priority = math.Inf(-1)
@@ -51,7 +53,7 @@
 	return false
 }
 
-// compare counts how many of the last requests have a lower priority, and how many an equal one.
+// compare counts the last requests with a lower and with an equal priority.
 func (l *LoadShedder) compare(priority float64, compared int) (lower, equal float64) {
 	for _, other := range l.priorities[:compared] {
 		switch {
@@ -69,6 +71,6 @@
 	l.priorities[l.seen%comparedRequests] = priority
 	l.seen++
 	if l.seen == 2*comparedRequests {
-		l.seen = comparedRequests // so that it does not overflow
+		l.seen = comparedRequests // prevents an overflow
 	}
 }
--- a/internal/limits/loadshedder_test.go
+++ b/internal/limits/loadshedder_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The part that is shed is the given fraction, and that of the lowest priority.
+// The given fraction of the requests is shed, those of the lowest priority.
 func TestLoadShedderShedsLowestPriority(t *testing.T) {
 	for _, fraction := range []float64{0, 0.1, 0.5, 0.8, 1} {
 		rng := rand.New(rand.NewPCG(3, 9))
@@ -41,12 +41,12 @@
 		t.Error("a priority of NaN is not the lowest")
 	}
 	if l.seen > 2*comparedRequests {
-		t.Errorf("%d seen: the count grows", l.seen)
+		t.Errorf("%d seen: the count is not bounded", l.seen)
 	}
 }
 
-// While priorities fall each request has a lower one than all before it. Some must be admitted all the same, or
-// nothing is learned that ends the shedding; while priorities rise nothing changes.
+// While priorities fall, each request is lower than all before it and would be shed. Some must be admitted
+// nevertheless, or no measurement ends the shedding. While priorities rise this limit has no effect.
 func TestLoadShedderAdmitsSomeWhilePrioritiesFall(t *testing.T) {
 	for _, c := range []struct {
 		fraction, step float64
@@ -73,10 +73,10 @@
 	var l LoadShedder
 	for range 1000 {
 		if l.Sheds(1, 1, 0.5) && l.shedRun == 0 {
-			t.Error("a run that is not counted")
+			t.Error("shedRun is 0 after a shed request")
 		}
 	}
 	if l.shedRun != 1000-1 && l.shedRun != 1000 {
-		t.Errorf("%d shed in a row of 1000 that all are to be", l.shedRun)
+		t.Errorf("%d shed in a row of 1000 that all are to be shed", l.shedRun)
 	}
 }
--- a/internal/limits/queuetimeout_test.go
+++ b/internal/limits/queuetimeout_test.go
@@ -29,10 +29,10 @@
 	}
 	q.QueueLength(2600, 0)
 	if w := q.Fraction(2700, 1500, 0.05); w != burstFraction {
-		t.Errorf("empty just now: %v, want %v", w, burstFraction)
+		t.Errorf("queue just emptied: %v, want %v", w, burstFraction)
 	}
 	last := 0.0
-	for range 5000 { // served requests make it longer again, step by step
+	for range 5000 { // served requests extend it again gradually
 		w := q.Fraction(9000, 1500, 0.05)
 		if w < last-1e-12 || w > burstFraction {
 			t.Fatalf("fraction %v after %v", w, last)
