--- a/internal/lease/blockers.go
+++ b/internal/lease/blockers.go
@@ -1,16 +1,18 @@
 package lease
 
-// blockerIndex is an index of the holders that may block an epoch, so that asking after each message whether the next
-// epoch may begin does not look at every holder. Times passed to it never go back. Its own invariants:
+// blockerIndex is an index of the holders that may block an epoch, so that checking after each message
+// whether the next epoch may begin does not examine every holder. Times passed to it never decrease. Its
+// invariants:
 //
-//	a. Every holder that acts on an epoch below this one, or uses server rules of one, is a candidate. A holder that is
-//	   none can only become one by a Grant, which adds it.
-//	b. No holder is a candidate twice, and none that the lessor has forgotten: there are at most MaxHolders candidates.
-//	c. The candidates before next did not block the epoch when they were last looked at, since next was last 0; of the
-//	   others nothing is known. So an epoch that all adopt costs one or two looks at each holder, in any order.
+//	a. Every holder that acts on a lower epoch, or uses the server rules of one, is a candidate. Any other holder can
+//	   only become one by a Grant, which adds it.
+//	b. No holder is a candidate twice, and no removed holder is one: there are at most MaxHolders candidates.
+//	c. The candidates before next did not block the epoch when they were examined, after next was last 0; nothing is
+//	   known of the others. So an epoch that all holders adopt examines each one or two times, in any order.
 //
-// A candidate need not block the epoch: its lease may have expired while its server rules are in use, which block only if
-// they change. That is checked each time, as EndpointsChanged may come to return true.
+// A candidate does not necessarily block the epoch: its lease may have expired while its server rules are
+// still in use, which block only if they change. This is checked each time, as the result of
+// ServerRulesDiffer may become true.
 type blockerIndex struct {
 	built      bool
 	epoch      uint64
@@ -18,8 +20,8 @@
 	next       int
 }
 
-// mayBlock reports whether the holder can block the epoch, whichever server rules it uses. Once it can't, it can't until it
-// is granted another lease.
+// mayBlock reports whether the holder can block the epoch, whichever server rules it uses. Once false, it
+// stays false until the holder is granted another lease.
 func (h *holderState) mayBlock(now float64, epoch uint64) bool {
 	below := h.expiryBelow(epoch)
 	return h.epoch < epoch && max(below.lease, below.serverRules) > now
@@ -33,7 +35,7 @@
 	}
 }
 
-// removeNext removes the next candidate; the last one takes its place.
+// removeNext removes the next candidate and moves the last one to its position.
 func (b *blockerIndex) removeNext() {
 	last := len(b.candidates) - 1
 	b.candidates[b.next].indexed = false
@@ -42,13 +44,14 @@
 	b.candidates = b.candidates[:last]
 }
 
-// blocks reports whether the lease is held, or server rules are in use that change until the target epoch.
+// blocks reports whether the lease is held, or server rules are in use that change up to the target epoch.
 func (e expiry) blocks(now float64, changed ServerRulesDiffer, from, target uint64) bool {
 	return e.lease > now || e.serverRules > now && changed(from, target)
 }
 
-// MayAdvance reports whether the epoch after this one may begin (invariant 1), as AdvanceBlockers does, without the names. It looks
-// at every holder once an epoch, and beyond that about once or twice at each until it has adopted the epoch.
+// MayAdvance reports whether the epoch after this one may begin (invariant 1), that is whether
+// AdvanceBlockers returns none. It examines every holder once per epoch, and each one or two times more
+// until it has adopted the epoch.
 func (l *Lessor) MayAdvance(now float64, epoch uint64, changed ServerRulesDiffer) bool {
 	inherited := expiry{lease: l.inheritedUntil, serverRules: l.inheritedServerRulesUntil}
 	if epoch > 0 && inherited.blocks(now, changed, epoch-1, epoch+1) {
@@ -78,7 +81,8 @@
 	}
 }
 
-// findBlocker advances next to the first candidate that blocks the epoch, removing those that can't any more.
+// findBlocker advances next to the first candidate that blocks the epoch, and removes those that no longer
+// can.
 func (b *blockerIndex) findBlocker(now float64, changed ServerRulesDiffer) (found bool) {
 	for b.next < len(b.candidates) {
 		h := b.candidates[b.next]
--- a/internal/lease/blockers_test.go
+++ b/internal/lease/blockers_test.go
@@ -15,32 +15,32 @@
 	if !b.built {
 		return nil
 	}
-	in := map[*holderState]bool{}
+	isCandidate := map[*holderState]bool{}
 	for _, h := range b.candidates {
-		if in[h] || !h.indexed {
+		if isCandidate[h] || !h.indexed {
 			return fmt.Errorf("invariant b: a holder is a candidate twice, or not marked as one")
 		}
-		in[h] = true
+		isCandidate[h] = true
 	}
 	known := 0
 	for _, h := range l.holders {
-		if in[h] {
+		if isCandidate[h] {
 			known++
 		}
-		if in[h] != h.indexed {
-			return fmt.Errorf("a holder is marked as a candidate: %v, and is one: %v", h.indexed, in[h])
+		if isCandidate[h] != h.indexed {
+			return fmt.Errorf("a holder is marked as a candidate: %v, but is one: %v", h.indexed, isCandidate[h])
 		}
-		if !in[h] && h.mayBlock(now, b.epoch) {
-			return fmt.Errorf("invariant a: a holder may block epoch %d and is no candidate", b.epoch)
+		if !isCandidate[h] && h.mayBlock(now, b.epoch) {
+			return fmt.Errorf("invariant a: a holder may block epoch %d and is not a candidate", b.epoch)
 		}
 	}
-	if known != len(in) {
-		return fmt.Errorf("invariant b: %d candidates are forgotten by the lessor", len(in)-known)
+	if known != len(isCandidate) {
+		return fmt.Errorf("invariant b: %d candidates are not known to the lessor", len(isCandidate)-known)
 	}
 	return nil
 }
 
-// outcomeCounts counts the cases that the differential runs met.
+// outcomeCounts counts the cases that the differential tests covered.
 type outcomeCounts struct {
 	advances               int
 	blocked                int
@@ -48,22 +48,23 @@
 	epochJumps             int
 }
 
-// compareWithAdvanceBlockers has holders join, renew, adopt, fall silent and expire in any order, also in orders that no replica
-// produces (grants on lower epochs, epochs that jump, endpoints that change back). After each step MayAdvance must
-// agree with AdvanceBlockers, which looks at every holder; the error says where it does not. draw returns a number from 0 to n-1.
+// compareWithAdvanceBlockers runs random events: holders join, renew, adopt epochs, stop reporting and
+// expire, also in orders that no replica produces (grants on lower epochs, epochs that jump, server rules
+// that change back). After each step MayAdvance must agree with AdvanceBlockers, which examines every
+// holder; the error describes the first difference. draw returns a number from 0 to n-1.
 func compareWithAdvanceBlockers(draw func(what string, n int) int, c *outcomeCounts) error {
 	now := []float64{-1000, 0, 5e6}[draw("begin", 3)]
 	epoch := uint64(draw("epoch", 5))
-	lessor := NewLessor(now, 20, []float64{0, 10, 30}[draw("endpoints", 3)])
-	endpointsDiffer := [16]bool{}
+	lessor := NewLessor(now, 20, []float64{0, 10, 30}[draw("server rules", 3)])
+	rulesDiffer := [16]bool{}
 	flip := func() {
 		i := draw("flip", 16)
-		endpointsDiffer[i] = !endpointsDiffer[i]
+		rulesDiffer[i] = !rulesDiffer[i]
 	}
 	for range 8 {
 		flip()
 	}
-	changed := func(from, to uint64) bool { return endpointsDiffer[(from*5+to)%16] }
+	changed := func(from, to uint64) bool { return rulesDiffer[(from*5+to)%16] }
 	adopted := map[Holder]uint64{}
 	for n := range 1 + draw("steps", 120) {
 		holder := Holder{fmt.Sprint(draw("name", 6)), fmt.Sprint(draw("incarnation", 2))}
@@ -73,9 +74,9 @@
 		case 3, 4: // adoption of the epoch in force
 			adopted[holder] = max(adopted[holder], epoch)
 			lessor.Observe(now, Request{Holder: holder, Epoch: adopted[holder]})
-		case 5: // any report
+		case 5: // a report of any epoch
 			lessor.Observe(now, Request{Holder: holder, Epoch: uint64(draw("reported epoch", int(epoch)+3))})
-		case 6: // a grant on another epoch than MayAdvance is asked about
+		case 6: // a grant on an epoch other than the one passed to MayAdvance
 			lessor.Grant(now, Request{Holder: holder, Epoch: adopted[holder]}, uint64(draw("granted epoch", int(epoch)+3)))
 		case 7, 8:
 			now += float64(draw("time", 100)) / 4
@@ -97,7 +98,7 @@
 		blockers := lessor.AdvanceBlockers(now, epoch, changed)
 		want := blockers.None()
 		if got := lessor.MayAdvance(now, epoch, changed); got != want {
-			return fmt.Errorf("step %d: at %.2f epoch %d may end: %v by the index; blocked by %q", n, now, epoch, got, blockers.Holders)
+			return fmt.Errorf("step %d: at %.2f MayAdvance of epoch %d is %v, the blockers are %q", n, now, epoch, got, blockers.Holders)
 		}
 		if err := lessor.checkIndex(now); err != nil {
 			return fmt.Errorf("step %d: %w", n, err)
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// The order of the candidates follows a map's: a seed that fails may need some runs to fail again.
+// The order of the candidates depends on map iteration: it may take several runs to reproduce a failing seed.
 func TestMayAdvanceAgreesWithAdvanceBlockers(t *testing.T) {
 	var c outcomeCounts
 	for seed := range uint64(2000) {
@@ -124,13 +125,13 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
-	t.Logf("%d times allowed, %d of them with candidates, %d times blocked, %d epoch jumps", c.advances, c.advancesWithCandidates, c.blocked, c.epochJumps)
+	t.Logf("%d steps may advance, %d of them with candidates, %d are blocked, %d epoch jumps", c.advances, c.advancesWithCandidates, c.blocked, c.epochJumps)
 	if min(c.advances, c.blocked, c.advancesWithCandidates, c.epochJumps) < 100 {
 		t.Errorf("%+v: too few cases of one kind", c)
 	}
 }
 
-// The same with inputs that rapid shrinks.
+// The same test with inputs that rapid can shrink.
 func TestMayAdvanceAgreesWithAdvanceBlockersShrunk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if err := compareWithAdvanceBlockers(func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }, &outcomeCounts{}); err != nil {
@@ -139,19 +140,19 @@
 	})
 }
 
-// A full lessor forgets holders whose leases have expired, and its index does too.
-func TestFullLessorForgetsExpiredHoldersInItsIndex(t *testing.T) {
+// A full lessor removes holders whose leases have expired, also from its index.
+func TestFullLessorRemovesExpiredHoldersFromIndex(t *testing.T) {
 	lessor, now := NewLessor(0, 20, 10), 1000.0
 	changed := func(_, _ uint64) bool { return true }
 	for i := range MaxHolders {
 		lessor.Grant(now, Request{Holder: Holder{fmt.Sprint(i), "a"}, Epoch: 2}, 2)
 	}
 	if lessor.MayAdvance(now, 4, changed) {
-		t.Fatal("all act on epoch 2, and epoch 4 may end")
+		t.Fatal("all holders act on epoch 2, and epoch 4 may end")
 	}
 	now += 100
 	if _, ok := lessor.Grant(now, Request{Holder: Holder{"new", "a"}, Epoch: 2}, 2); !ok {
-		t.Fatal("no lease for a new holder, though the others have expired")
+		t.Fatal("no lease is granted to a new holder, although the others have expired")
 	}
 	if err := lessor.checkIndex(now); err != nil {
 		t.Error(err)
@@ -164,16 +165,16 @@
 	}
 }
 
-// TestTransitionLooksAtEachHolderAFewTimes counts how often a holder below the epoch is looked at over one transition,
-// with MayAdvance after each report, in several orders: the count grows with the holders and not with their square.
-// Leases have expired here and endpoints are in use, so that each look calls EndpointsChanged once; a look that finds
-// a holder that has adopted the epoch removes it.
-func TestTransitionLooksAtEachHolderAFewTimes(t *testing.T) {
+// TestTransitionExaminesEachHolderAtMostTwice counts how often holders below the epoch are examined over
+// one transition, with MayAdvance after each report, in several orders: the count must be linear in the
+// number of holders, not quadratic. Leases have expired here and server rules are in use, so that each
+// examination calls ServerRulesDiffer once; examining a holder that has adopted the epoch removes it.
+func TestTransitionExaminesEachHolderAtMostTwice(t *testing.T) {
 	for _, order := range []string{"as indexed", "reversed", "shuffled"} {
-		for _, unaffected := range []int{0, 2} { // every second holder uses endpoints that do not change
+		for _, unaffected := range []int{0, 2} { // every second holder uses server rules that do not change
 			for _, n := range []int{60, 120, 240, 470, 940} {
-				looks := 0
-				changed := func(from, _ uint64) bool { looks++; return from == 2 }
+				examined := 0
+				changed := func(from, _ uint64) bool { examined++; return from == 2 }
 				lessor := NewLessor(0, 20, 1e6)
 				now := 2e6
 				var all []Holder
@@ -186,10 +187,10 @@
 						all = append(all, holder)
 					}
 					lessor.Grant(now, Request{Holder: holder, Epoch: reported}, 3)
-					lessor.holders[holder].previous = lessor.holders[holder].current // it had a lease on the epoch before as well
+					lessor.holders[holder].previous = lessor.holders[holder].current // it also had a lease on the previous epoch
 				}
 				now += 50
-				looks = 0
+				examined = 0
 				lessor.MayAdvance(now, 4, changed)
 				switch order {
 				case "as indexed":
@@ -214,9 +215,9 @@
 						t.Fatalf("%d holders, %d have adopted the epoch: may advance: %v", n, i+1, may)
 					}
 				}
-				t.Logf("%s, %d holders, %d of them unaffected: %d looks", order, n, n-len(all), looks)
-				if looks > 2*n {
-					t.Errorf("%s, %d holders, %d of them unaffected: %d looks are more than 2 each", order, n, n-len(all), looks)
+				t.Logf("%s, %d holders, %d of them unaffected: %d examinations", order, n, n-len(all), examined)
+				if examined > 2*n {
+					t.Errorf("%s, %d holders, %d of them unaffected: %d examinations are more than 2 each", order, n, n-len(all), examined)
 				}
 			}
 		}
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -5,29 +5,30 @@
 	"slices"
 )
 
-// Lessor grants leases. The leading replica has one, made anew for each term that it leads: leases that it does not know
-// of it waits for. Times are milliseconds of the replica's own monotonic clock. It belongs to one goroutine.
+// Lessor grants leases. The leading replica creates one for each term that it leads, and waits for leases
+// granted by previous leaders to expire. Times are milliseconds of the replica's monotonic clock. A Lessor
+// is not safe for concurrent use.
 type Lessor struct {
 	leaseMs       float64
 	serverRulesMs float64
-	// Until when leases granted by previous leaders may be held, and their server rules used.
+	// The times until which leases granted by previous leaders may be held, and their server rules used.
 	inheritedUntil            float64
 	inheritedServerRulesUntil float64
 	holders                   map[Holder]*holderState
 	blockers                  blockerIndex
 }
 
-// holderState is what a Lessor knows of one holder.
+// holderState is the state of one holder.
 type holderState struct {
-	epoch        uint64 // the holder acts on no lower one
+	epoch        uint64 // the highest that it reported; it acts on no lower one
 	grantedEpoch uint64 // the highest that it was granted
-	current      expiry // of its leases on grantedEpoch
-	previous     expiry // of its leases on lower epochs: an epoch that is granted but never adopted does not extend them
+	current      expiry // of the leases on grantedEpoch
+	previous     expiry // of the leases on lower epochs; grants of an epoch that is never adopted do not extend it
 	problem      string
-	indexed      bool // it is in blockers.candidates
+	indexed      bool // whether it is in blockers.candidates
 }
 
-// expiry is until when a lease may be held, and until when its server rules may be used.
+// expiry has the times until which a lease may be held and its server rules may be used.
 type expiry struct {
 	lease       float64
 	serverRules float64
@@ -37,12 +38,12 @@
 	return expiry{lease: max(e.lease, other.lease), serverRules: max(e.serverRules, other.serverRules)}
 }
 
-// remaining is for how long each still holds, as text.
+// remaining returns the remaining durations as text.
 func (e expiry) remaining(now float64) string {
 	return fmt.Sprintf("%.3f,%.3f", max(e.lease-now, 0), max(e.serverRules-now, 0))
 }
 
-// expiryBelow is until when the holder may act on an epoch below this one.
+// expiryBelow returns until when the holder may act on an epoch below the given one.
 func (h *holderState) expiryBelow(epoch uint64) expiry {
 	if h.grantedEpoch < epoch {
 		return h.current.latest(h.previous)
@@ -50,8 +51,8 @@
 	return h.previous
 }
 
-// NewLessor returns the lessor of a replica that becomes the leader at now. Previous leaders granted leases of at most
-// these durations, and none after now.
+// NewLessor returns the lessor of a replica that becomes the leader at now. Previous leaders must have
+// granted leases of at most these durations, and none after now.
 func NewLessor(now, leaseMs, serverRulesMs float64) *Lessor {
 	return &Lessor{
 		leaseMs:                   leaseMs,
@@ -62,11 +63,12 @@
 	}
 }
 
-// withDrift is how long the lessor counts a lease for, so that it never ends before the holder's count (invariant 4).
+// withDrift returns how long the lessor counts a lease as held, so that it never expires before it does for
+// the holder (invariant 4).
 func withDrift(leaseMs float64) float64 { return leaseMs * (1 + MaxClockDrift) }
 
-// Observe records what a holder reports of itself. It may be called before the replica's leadership is confirmed: a
-// holder that reports an epoch acts on no lower one, whoever leads (invariant 2).
+// Observe records the state that a holder reports. It may be called before the replica's leadership is
+// confirmed: a holder that reports an epoch acts on no lower one, whichever replica leads (invariant 2).
 func (l *Lessor) Observe(now float64, r Request) {
 	if h := l.findOrAdd(now, r.Holder); h != nil {
 		h.report(r)
@@ -78,7 +80,7 @@
 	h.problem = r.Problem
 }
 
-// findOrAdd returns a holder's state; nil if there are MaxHolders others.
+// findOrAdd returns the state of a holder, adding it if it is new; nil if there are MaxHolders others.
 func (l *Lessor) findOrAdd(now float64, holder Holder) *holderState {
 	if h := l.holders[holder]; h != nil {
 		return h
@@ -92,8 +94,9 @@
 	return h
 }
 
-// Grant answers a request that arrived before a majority confirmed that this replica leads. epoch is the one in force,
-// as this replica has applied it. ok is false if no lease is granted.
+// Grant answers a request. The caller must have confirmed with a majority, after the request arrived, that
+// this replica leads. epoch is the one in force, as applied by this replica. ok is false if no lease is
+// granted.
 func (l *Lessor) Grant(now float64, r Request, epoch uint64) (g Grant, ok bool) {
 	h := l.findOrAdd(now, r.Holder)
 	if h == nil {
@@ -101,7 +104,8 @@
 	}
 	h.report(r)
 	if r.Epoch > epoch {
-		// Invariant 2: the holder knows more than this replica has applied and must not return to a lower epoch.
+		// Invariant 2: the holder is ahead of what this replica has applied and must not return to a lower
+		// epoch.
 		return Grant{}, false
 	}
 	if h.grantedEpoch < epoch {
@@ -113,7 +117,7 @@
 	return Grant{Epoch: epoch, LeaseMs: l.leaseMs, ServerRulesMs: l.serverRulesMs}, true
 }
 
-// removeExpired forgets the holders whose leases have expired, once there are MaxHolders.
+// removeExpired removes the holders whose leases have expired, once there are MaxHolders.
 func (l *Lessor) removeExpired(now float64) {
 	if len(l.holders) < MaxHolders {
 		return
@@ -121,32 +125,34 @@
 	for holder, h := range l.holders {
 		if h.current.serverRules <= now && h.previous.serverRules <= now {
 			delete(l.holders, holder)
-			l.blockers = blockerIndex{} // it must not refer to a removed holder; it is rebuilt when needed next
+			l.blockers = blockerIndex{} // must not refer to removed holders; rebuilt on the next use
 		}
 	}
 }
 
 // Blockers are the holders that block an epoch.
 type Blockers struct {
-	Holders []string // a description of each for operators, sorted
-	Until   float64  // when the last of them stops blocking at the latest, by what is known now
+	Holders []string // descriptions for operators, sorted
+	Until   float64  // when the last of them stops blocking at the latest, as far as is known
 }
 
 // None reports whether nothing blocks the epoch.
 func (b Blockers) None() bool { return len(b.Holders) == 0 }
 
-// AdvanceBlockers returns what blocks the epoch after this one (invariant 1): whoever may act on an epoch before this one, by its
-// settings, or by its server rules where those of the next epoch differ.
+// AdvanceBlockers returns the holders that block the epoch after this one (invariant 1): those that may act
+// on an epoch before this one, by its settings, or by its server rules if those of the next epoch differ.
 func (l *Lessor) AdvanceBlockers(now float64, epoch uint64, changed ServerRulesDiffer) Blockers {
 	return l.findBlockers(now, epoch, epoch+1, changed)
 }
 
-// AdoptionBlockers returns who may still act on an epoch before this one. Nobody: the epoch is adopted everywhere.
+// AdoptionBlockers returns the holders that may still act on an epoch before this one. If there are none,
+// all holders have adopted the epoch.
 func (l *Lessor) AdoptionBlockers(now float64, epoch uint64, changed ServerRulesDiffer) Blockers {
 	return l.findBlockers(now, epoch, epoch, changed)
 }
 
-// findBlockers returns who may act on an epoch before this one, or use other server rules than those of the target epoch.
+// findBlockers returns the holders that may act on an epoch before this one, or use server rules that
+// differ from those of the target epoch.
 func (l *Lessor) findBlockers(now float64, epoch, target uint64, changed ServerRulesDiffer) Blockers {
 	blocksUntil := func(e expiry, from uint64) float64 {
 		if e.serverRules > now && changed(from, target) {
@@ -156,7 +162,8 @@
 	}
 	var blockers Blockers
 	if epoch > 0 {
-		// A holder that only a previous leader knows acts on the epoch before this one or later, or on the same server rules.
+		// A holder that only a previous leader knows acts on the epoch before this one or a later one, or
+		// uses the same server rules.
 		inherited := expiry{lease: l.inheritedUntil, serverRules: l.inheritedServerRulesUntil}
 		if until := blocksUntil(inherited, epoch-1); until > now {
 			blockers.Until = until
@@ -187,7 +194,8 @@
 	return text
 }
 
-// Holders returns the names that hold a lease, each with the lowest epoch that one of its incarnations acts on.
+// Holders returns the names that hold a lease, each with the lowest epoch that any of its incarnations acts
+// on.
 func (l *Lessor) Holders(now float64) map[string]uint64 {
 	out := map[string]uint64{}
 	for holder, h := range l.holders {
@@ -201,7 +209,7 @@
 	return out
 }
 
-// Clone returns a copy that shares nothing, for model checks. The index that MayAdvance uses is rebuilt by the copy.
+// Clone returns a deep copy, for model checks. The copy rebuilds the index that MayAdvance uses.
 func (l *Lessor) Clone() *Lessor {
 	c := &Lessor{
 		leaseMs:                   l.leaseMs,
