--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -117,7 +117,7 @@
 	}
 	if err != nil {
 		l.discoveryFailed(err)
-		if !watch || !l.updatesPushed() { // the balancer is notified of the end of each call that it requested
+		if !watch || !l.updatesPushed() { // the balancer needs the end of each call that it requested
 			l.handle(&policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateFailed})
 		}
 		return
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -15,7 +15,7 @@
 	names        membership.Names
 	byID         map[string]*Backend      // listed backends, and removed ones with attempts in flight
 	byPolicyAddr map[policy.Addr]*Backend // the same backends by the address that the balancer uses
-	cordoned     map[string]bool          // ids cordoned by an operator, listed or not; at most upgrade.MaxCordoned
+	cordoned     map[string]bool          // by an operator, listed or not; at most upgrade.MaxCordoned
 	seen         map[string]bool          // ids that were ever listed, up to maxSeenIDs
 	config       *sharedconfig.Config     // nil: no shared configuration
 }
--- a/internal/core/eventloop.go
+++ b/internal/core/eventloop.go
@@ -47,9 +47,9 @@
 	pendingEvents []policy.Event  // raised while actions were dispatched; see handlePending
 
 	nextID             policy.RequestID
-	requests           map[policy.RequestID]*Request // open requests, and completed ones with attempts in flight
+	requests           map[policy.RequestID]*Request // open, or completed with attempts in flight
 	requestsByClientID map[string]*Request           // the same requests by the ids set by their clients
-	openRequests       int                           // requests without an answer; bounded by Limits.MaxOpenRequests
+	openRequests       int                           // without an answer; bounded by Limits.MaxOpenRequests
 	dedup              *recentIDs                    // ids of completed requests that must not run again
 	shutdownDeadline   time.Time                     // by which every request is answered; zero: no shutdown
 	shared             *sharedConfigState            // nil: only the agent's own file applies
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -27,11 +27,11 @@
 // Guard checks an attempt against the contract, independently of the balancer. The event loop and the
 // emulator use the same checks. The contract has four rules:
 //
-//  1. A request gets exactly one answer, before its deadline: no attempt for a completed request, without time
-//     left, or beyond MaxAttempts; see also MaxForwardActions and RequestTimeouts.
-//  2. A request takes effect at most once: no second attempt in flight, and no retry after an attempt that may have
-//     run, unless the request is idempotent, or has an idempotency key and the retry stays within its dedup window
-//     and scope; see also MayReject.
+//  1. A request gets exactly one answer, before its deadline: no attempt for a completed request, without
+//     time left, or beyond MaxAttempts; see also MaxForwardActions and RequestTimeouts.
+//  2. A request takes effect at most once: no second attempt in flight, and no retry after an attempt that
+//     may have run, unless the request is idempotent, or has an idempotency key and the retry stays within
+//     its dedup window and scope; see also MayReject.
 //  3. A draining, removed or cordoned backend gets no new attempt.
 //  4. A backend in slow start is not overloaded. The balancer enforces this one; the guard does not check it.
 type Guard struct {
--- a/internal/core/retrywindow_test.go
+++ b/internal/core/retrywindow_test.go
@@ -27,7 +27,8 @@
 			u := stub{func(_ context.Context, _ *Backend, c *Call) Result {
 				began <- time.Now()
 				if test.ttlMs == 30 {
-					for from := time.Now(); time.Since(from) < 40*time.Millisecond; { // a round trip longer than the window
+					// This round trip is longer than the window.
+					for from := time.Now(); time.Since(from) < 40*time.Millisecond; {
 						time.Sleep(time.Millisecond)
 					}
 				}
--- a/internal/core/sharedconfig.go
+++ b/internal/core/sharedconfig.go
@@ -29,7 +29,7 @@
 	serverRulesExpiry time.Time // until when the configuration's server rules may be used
 	expiryTimer       *time.Timer
 	expirations       int
-	cordonReleases    map[string]uint64 // by id: the epoch at which a cordon of this agent ends; see ReleaseCordon
+	cordonReleases    map[string]uint64 // by id: the epoch at which a cordon ends; see ReleaseCordon
 }
 
 // distantPast is a deadline that has always passed.
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -68,7 +68,7 @@
 // The reasons.
 const (
 	NoReason          FailureReason = iota
-	Duplicate                       // its id is that of an open call, or of one that may have run and must not run again
+	Duplicate                       // its id is that of an open call, or of one that must not run again
 	DeadlineExceeded                // the deadline timer ended it
 	BadRequest                      // the backend found the request invalid
 	IncompleteRequest               // the client did not send the complete body
@@ -81,7 +81,7 @@
 	Reason        FailureReason       // with Failed
 	Rule          policy.RejectReason // with Rejected or Failed: the rule that ended it, if one did
 	Reply         any                 // passed from the upstream to its downstream, with Served or BadRequest
-	ReservedBytes int64               // of the memory for bodies; released by the downstream once the answer is written
+	ReservedBytes int64               // of the memory for bodies; released by the downstream after writing
 }
 
 // StreamedReply is a reply that is forwarded while it arrives. Its call is open until the downstream calls
@@ -115,7 +115,7 @@
 	IncompleteRequest  bool
 	ClientDisconnected bool // with NotStarted: the client disconnected before the attempt started
 	Reply              any
-	ReservedBytes      int64 // of the memory for bodies, for the reply; released by the last holder of the reply
+	ReservedBytes      int64 // of the memory for bodies; released by the last holder of the reply
 }
 
 // Upstream makes attempts in one protocol. Its methods are safe for concurrent use.
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -1,15 +1,16 @@
-// Package invariant checks the four rules of the system on what clients and servers observed, one operation and
-// one server at a time. It knows nothing of the system between them, does no I/O and reads no clock. Callers
-// hold the operations and servers and synchronize the calls: the lab's ledger beside sockets, the emulator in
-// virtual time.
+// Package invariant checks the four rules of the system against the observations of clients and servers,
+// one operation and one server at a time. It is independent of the system between them, does no I/O and
+// reads no clock. Callers store the operations and servers and synchronize the calls: the lab's ledger does
+// for real sockets, the emulator in virtual time.
 //
 // The rules:
 //
-//  1. Each attempt of a client gets one answer, in the client's time; what is answered as served has run.
-//  2. An operation that is not idempotent runs at most once, and not after its rejection; one with an
-//     idempotency key takes effect once in the idempotency window; nothing runs that no client sent.
+//  1. Each attempt of a client gets one answer, before the client's deadline; a request answered as served
+//     has run.
+//  2. A non-idempotent operation runs at most once, and not after its rejection; an operation with an
+//     idempotency key takes effect once within the idempotency window; no operation runs that no client sent.
 //  3. No request reaches a server later than the grace period after the drain was published.
-//  4. A server in slow start gets at most a multiple of its capacity at the time.
+//  4. A server in slow start gets at most a fixed multiple of its current capacity.
 package invariant
 
 import (
@@ -18,7 +19,7 @@
 	"time"
 )
 
-// maxDescriptions bounds the violations that are described.
+// maxDescriptions bounds the number of violations that are described.
 const maxDescriptions = 20
 
 // The numbers of the rules.
@@ -29,20 +30,20 @@
 	ruleSlowStart
 )
 
-// Rules has the limits of the four rules.
+// Rules has the parameters of the four rules.
 type Rules struct {
-	AnswerSlack          time.Duration // rule 1: by which an answer may be late
+	AnswerSlack          time.Duration // rule 1: how late an answer may be
 	KeyWindow            time.Duration // rule 2: idempotency window of the servers
 	DrainGrace           time.Duration // rule 3: grace period after a drain
 	SlowStart            time.Duration // rule 4: length of slow start
-	SlowStartMinCapacity float64       // rule 4: part of its capacity that a server has at its start
-	OverloadFactor       float64       // rule 4: multiple of its present capacity that it may get
-	Window               time.Duration // rule 4: in any window of this length
-	Burst                float64       // rule 4: requests beyond, for random variation
-	ByZone               bool          // rule 2: servers share deduplication in their own zone only
+	SlowStartMinCapacity float64       // rule 4: fraction of its capacity that a server has at its start
+	OverloadFactor       float64       // rule 4: multiple of its current capacity that it may get
+	Window               time.Duration // rule 4: length of the windows in which requests are counted
+	Burst                float64       // rule 4: additional requests allowed for random variation
+	ByZone               bool          // rule 2: servers share deduplication state only within their zone
 }
 
-// DefaultRules returns the limits that the system is specified for.
+// DefaultRules returns the parameters that the system is specified for.
 func DefaultRules() Rules {
 	return Rules{
 		AnswerSlack:          70 * time.Millisecond,
@@ -56,14 +57,14 @@
 	}
 }
 
-// Totals are counted over all operations.
+// Totals are sums over all operations.
 type Totals struct {
 	Attempts, Served, Rejected, Failed, Late, Received int
-	// LatestAfterDrain is the longest time after a drain at which its server received a request.
+	// LatestAfterDrain is the longest time after its drain at which a server received a request.
 	LatestAfterDrain time.Duration
 }
 
-// Checker counts violations of the rules. The zero value with Rules set is ready to use.
+// Checker counts violations of the rules. The zero value is ready to use once Rules is set.
 type Checker struct {
 	Rules  Rules
 	Totals Totals
@@ -79,7 +80,7 @@
 	}
 }
 
-// Violations returns the number of violations by rule, and the descriptions of the first of them.
+// Violations returns the number of violations by rule, and descriptions of the first maxDescriptions.
 func (c *Checker) Violations() (map[int]int, []string) {
 	counts := map[int]int{}
 	for rule, n := range c.violations {
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -18,7 +18,7 @@
 		name   string
 		effect Effect
 		byZone bool
-		play   func(c *Checker, o *Operation)
+		events func(c *Checker, o *Operation)
 		want   map[int]int
 	}{
 		{"served in time", NonIdempotent, false, func(c *Checker, o *Operation) {
@@ -75,7 +75,7 @@
 			c.Rules.ByZone = test.byZone
 			o := &Operation{Name: "op", Effect: test.effect}
 			c.AttemptStarted(o, at(1000))
-			test.play(&c, o)
+			test.events(&c, o)
 			got, descriptions := c.Violations()
 			if !maps.Equal(got, test.want) {
 				t.Errorf("violations %v, want %v: %q", got, test.want, descriptions)
@@ -109,7 +109,8 @@
 		requests int // at once, at the start
 		want     map[int]int
 	}{
-		// 100 requests a second, 0.31 of that at the start, 2.5 times that allowed, and a burst of 4.
+		// The capacity is 100 requests per second, 0.31 of that at the start; 2.5 times that and a burst of 4
+		// are allowed.
 		{81, nil},
 		{82, map[int]int{4: 1}},
 	} {
--- a/internal/invariant/operation.go
+++ b/internal/invariant/operation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Effect is what a repeated execution of an operation does.
+// Effect describes whether an operation may be executed repeatedly.
 type Effect string
 
 // The effects, by the names that clients use.
@@ -22,20 +22,20 @@
 	Failed
 )
 
-// Operation is one operation over all attempts of its client.
+// Operation is the state of one operation over all attempts of its client.
 type Operation struct {
 	Name   string
 	Effect Effect
 
 	deadline   time.Time // of the attempt in flight
 	inFlight   bool
-	rejected   bool // the last attempt was rejected, which promises that the operation does not run
+	rejected   bool // the last attempt was rejected, which guarantees that the operation does not run
 	executions int
 	executedAt time.Time // of the first execution
 	zone       string    // of the first execution
 }
 
-// AttemptStarted records that a client sent an attempt, and its deadline.
+// AttemptStarted records that a client sent an attempt with the given deadline.
 func (c *Checker) AttemptStarted(o *Operation, deadline time.Time) {
 	c.Totals.Attempts++
 	o.deadline = deadline
@@ -79,7 +79,7 @@
 	}
 }
 
-// Close ends an attempt that is still in flight past its deadline as lost.
+// Close ends an attempt that is still in flight after its deadline and reports it as never answered.
 func (c *Checker) Close(o *Operation, now time.Time) {
 	if o.inFlight && now.Sub(o.deadline) > c.Rules.AnswerSlack {
 		o.inFlight = false
@@ -87,8 +87,8 @@
 	}
 }
 
-// Executed records that an operation took effect at a server. A repeat of an idempotency key within the
-// window is deduplicated by the servers and is no effect.
+// Executed records that a server executed an operation. A repeat of an idempotency key within the window is
+// deduplicated by the servers and does not count.
 func (c *Checker) Executed(s *Server, o *Operation, at time.Time) {
 	if o.executions > 0 {
 		since := at.Sub(o.executedAt)
--- a/internal/invariant/server.go
+++ b/internal/invariant/server.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Server is one server over all its processes.
+// Server is the state of one server over all of its processes.
 type Server struct {
 	Name string
 	Zone string
 
-	drainedAt time.Time // zero: in service
-	startedAt time.Time // zero: not known, no slow start
-	capacity  float64   // requests a second after slow start
+	drainedAt time.Time // when its drain was published; zero: in service
+	startedAt time.Time // zero: unknown, slow start is not checked
+	capacity  float64   // requests per second after slow start
 	received  []time.Time
 }
 
@@ -38,7 +38,7 @@
 	}
 }
 
-// Started checks the slow start of a server's last process, and records the start of the next one.
+// Started checks the slow start of the previous process of a server, and records the start of the next one.
 func (c *Checker) Started(s *Server, at time.Time, capacity float64) {
 	c.CheckSlowStart(s)
 	s.startedAt = at
@@ -54,22 +54,22 @@
 	}
 }
 
-// Overload returns the largest number of requests that a server received in any window of its slow start, as a
-// multiple of its capacity at the end of that window.
+// Overload returns the largest number of requests that a server received in any window of its slow start,
+// as a multiple of its capacity at the end of that window.
 func (c *Checker) Overload(s *Server) float64 {
 	if s.startedAt.IsZero() || s.capacity <= 0 {
 		return 0
 	}
 	slices.SortFunc(s.received, func(x, y time.Time) int { return x.Compare(y) })
 	worst := 0.0
-	first := 0 // of the window that ends with request i
+	first := 0 // index of the first request in the window that ends with request i
 	for i, at := range s.received {
 		for at.Sub(s.received[first]) > c.Rules.Window {
 			first++
 		}
 		age := at.Sub(s.startedAt)
-		warmed := c.Rules.SlowStartMinCapacity + (1-c.Rules.SlowStartMinCapacity)*float64(age)/float64(c.Rules.SlowStart)
-		capacity := s.capacity * warmed * c.Rules.Window.Seconds()
+		fraction := c.Rules.SlowStartMinCapacity + (1-c.Rules.SlowStartMinCapacity)*float64(age)/float64(c.Rules.SlowStart)
+		capacity := s.capacity * fraction * c.Rules.Window.Seconds()
 		worst = max(worst, (float64(i-first+1)-c.Rules.Burst)/capacity)
 	}
 	return worst
--- a/internal/lease/blockers.go
+++ b/internal/lease/blockers.go
@@ -4,11 +4,12 @@
 // whether the next epoch may begin does not examine every holder. Times passed to it never decrease. Its
 // invariants:
 //
-//	a. Every holder that acts on a lower epoch, or uses the server rules of one, is a candidate. Any other holder can
-//	   only become one by a Grant, which adds it.
+//	a. Every holder that acts on a lower epoch, or uses the server rules of one, is a candidate. Any other
+//	   holder can only become one by a Grant, which adds it.
 //	b. No holder is a candidate twice, and no removed holder is one: there are at most MaxHolders candidates.
-//	c. The candidates before next did not block the epoch when they were examined, after next was last 0; nothing is
-//	   known of the others. So an epoch that all holders adopt examines each one or two times, in any order.
+//	c. The candidates before next did not block the epoch when they were last examined, since next was last 0;
+//	   nothing is known of the others. So during an epoch that all holders adopt, each holder is examined one
+//	   or two times, in any order.
 //
 // A candidate does not necessarily block the epoch: its lease may have expired while its server rules are
 // still in use, which block only if they change. This is checked each time, as the result of
--- a/internal/lease/blockers_test.go
+++ b/internal/lease/blockers_test.go
@@ -187,7 +187,8 @@
 						all = append(all, holder)
 					}
 					lessor.Grant(now, Request{Holder: holder, Epoch: reported}, 3)
-					lessor.holders[holder].previous = lessor.holders[holder].current // it also had a lease on the previous epoch
+					// It also had a lease on the previous epoch.
+					lessor.holders[holder].previous = lessor.holders[holder].current
 				}
 				now += 50
 				examined = 0
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -9,8 +9,8 @@
 //  1. At any time all holders together act on at most two neighbouring epochs, e and e+1.
 //  2. A holder never returns to a lower epoch, nor does a holder that restarts with a new incarnation.
 //  3. No acknowledged version is lost or changed, has two numbers or is published twice (package history).
-//  4. A holder acts on an epoch only within a lease, and the lease expires by the holder's clock before it does by
-//     the lessor's.
+//  4. A holder acts on an epoch only within a lease, and the lease expires by the holder's clock before it
+//     does by the lessor's.
 //
 // Safety is based on order: epochs advance one by one, and only after every holder has confirmed that it
 // adopted the last one, or its lease has expired. Clocks only bound the wait for a holder that is stopped
@@ -43,9 +43,11 @@
 // Grant is a lease on an epoch. Both durations are measured on the holder's clock from a time before it
 // sent the request.
 type Grant struct {
-	Epoch         uint64
-	LeaseMs       float64
-	ServerRulesMs float64 // after LeaseMs, during which the epoch's server rules may still be used, with the strictest settings
+	Epoch   uint64
+	LeaseMs float64
+	// ServerRulesMs is the time after LeaseMs during which the epoch's server rules may still be used, with
+	// the strictest settings.
+	ServerRulesMs float64
 }
 
 // ServerRulesDiffer reports whether the server rules of the shared configuration (the servers in service,
--- a/internal/limits/fairshare_test.go
+++ b/internal/limits/fairshare_test.go
@@ -129,7 +129,8 @@
 	}
 }
 
-// On a random walk of 10,000 steps balances stay bounded, and a flow that is never served is never over its quota.
+// On a random walk of 10,000 steps balances stay bounded, and a flow that is never served is never over its
+// quota.
 func TestFairShareBalancesStayInBoundsOnRandomWalk(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 4))
--- a/internal/sharedconfig/check.go
+++ b/internal/sharedconfig/check.go
@@ -7,7 +7,7 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Bounds of the numbers, where they are set.
+// Bounds of the numbers that are set.
 const (
 	maxAttempts            = 3
 	maxIdempotencyWindowMs = 3_600_000
@@ -22,8 +22,8 @@
 	return fmt.Errorf("rules: %s: "+format, append([]any{key}, args...)...)
 }
 
-// checkNumber returns an error unless the value is 0, which leaves it to the agent's file, or within the
-// bounds; NaN is not.
+// checkNumber returns an error unless the value is 0, which means that the agent's file decides, or within
+// the bounds; NaN is not.
 func checkNumber(key string, value, lower, upper float64) error {
 	if value != 0 && !(value >= lower && value <= upper) {
 		return invalid(key, "must be %v to %v, is %v", lower, upper, value)
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// checkNames checks a list of names and replaces it by a sorted copy without duplicates.
+// checkNames checks a list of names and replaces it with a sorted copy without duplicates.
 func checkNames(key string, names *[]string, limit int) error {
 	if len(*names) > limit {
 		return invalid(key, "%d, %d at the most", len(*names), limit)
--- a/internal/sharedconfig/config.go
+++ b/internal/sharedconfig/config.go
@@ -1,7 +1,8 @@
-// Package sharedconfig is the configuration that all agents of a cell share: which requests may be repeated, how often,
-// and which servers and agents are in service. What it does not set is left to each agent's own file, which it can only
-// make stricter. Configurations come in numbered versions; package intersect makes what two of them both permit. The
-// package is pure: no I/O, no clock.
+// Package sharedconfig defines the configuration that all agents of a cell share: which requests may be
+// repeated, how often, and which servers and agents are in service. Values that it does not set are taken
+// from each agent's own file, whose values it can only make stricter. Configurations have numbered
+// versions; package intersect computes what two of them both permit. The package is pure: it has no I/O and
+// no clock.
 package sharedconfig
 
 import (
@@ -24,15 +25,17 @@
 	MaxClasses  = 256
 	// MaxNameBytes bounds a name and a publisher's reason.
 	MaxNameBytes = 256
-	// MaxBytes bounds the JSON text: 20,000 servers take some 1 MB.
+	// MaxBytes bounds the JSON text; 20,000 servers take about 1 MB.
 	MaxBytes = 4 << 20
 )
 
-// Class is what the configuration permits of one class of requests. A zero field permits what the agent's file does.
+// Class is what the configuration permits for one class of requests. A zero field permits what the agent's
+// file permits.
 type Class struct {
-	Effect              policy.Effect     `json:"effect,omitempty" toml:"effect"`
-	DedupScope          policy.DedupScope `json:"group,omitempty" toml:"group"`           // only with IdempotentByKey
-	IdempotencyWindowMs float64           `json:"key_ttl_ms,omitempty" toml:"key_ttl_ms"` // only with IdempotentByKey
+	Effect policy.Effect `json:"effect,omitempty" toml:"effect"`
+	// DedupScope and IdempotencyWindowMs may be set only if Effect is IdempotentByKey.
+	DedupScope          policy.DedupScope `json:"group,omitempty" toml:"group"`
+	IdempotencyWindowMs float64           `json:"key_ttl_ms,omitempty" toml:"key_ttl_ms"`
 }
 
 // Server is the configuration of one server.
@@ -40,21 +43,23 @@
 	Weight float64 `json:"weight,omitempty" toml:"weight"` // 0: as in the endpoint list
 }
 
-// Config is the content of one version. 0 in a number leaves it to the agent's file.
+// Config is the content of one version. For a number that is 0 the agent's file decides.
 type Config struct {
 	Classes      map[string]Class `json:"classes,omitempty" toml:"classes"`
 	MaxAttempts  int              `json:"max_attempts,omitempty" toml:"max_attempts"` // 1 to 3
 	DrainGraceMs float64          `json:"drain_grace_ms,omitempty" toml:"drain_grace_ms"`
-	// OverloadFactor is relative to the capacity of a warming server.
+	// OverloadFactor is relative to the capacity of a server in slow start.
 	OverloadFactor float64 `json:"fall_multiple,omitempty" toml:"fall_multiple"`
-	// Servers are those in service, by id, if Listed; else the endpoint list decides.
+	// Servers are the servers in service, by id, if Listed is set; otherwise the endpoint list decides.
 	Servers  map[string]Server `json:"servers,omitempty" toml:"servers"`
 	Listed   bool              `json:"listed,omitempty" toml:"listed"`
-	Cordoned []string          `json:"bans,omitempty" toml:"bans"`     // server ids, sorted
-	Agents   []string          `json:"agents,omitempty" toml:"agents"` // that may hold a lease, sorted; none: any
+	Cordoned []string          `json:"bans,omitempty" toml:"bans"` // server ids, sorted
+	// Agents are the names that may hold a lease, sorted. If it is empty, all may.
+	Agents []string `json:"agents,omitempty" toml:"agents"`
 }
 
-// Decode reads and checks the JSON text of a configuration. Unknown keys are an error: they might forbid something.
+// Decode parses and checks the JSON text of a configuration. Unknown keys are an error, as they might be
+// restrictions.
 func Decode(text []byte) (*Config, error) {
 	if len(text) > MaxBytes {
 		return nil, fmt.Errorf("rules: %d bytes, %d at the most", len(text), MaxBytes)
@@ -68,17 +73,17 @@
 	return config, config.Check()
 }
 
-// Digest returns a hash of the content, the same on every machine.
+// Digest returns a hash of the content, which is the same on all machines.
 func (c *Config) Digest() string {
-	text, err := json.Marshal(c) // keys of maps are sorted
+	text, err := json.Marshal(c) // map keys are sorted
 	if err != nil {
-		panic(err) // a checked configuration has no number that JSON lacks
+		panic(err) // a checked configuration has only numbers that JSON can encode
 	}
 	sum := sha256.Sum256(text)
 	return hex.EncodeToString(sum[:12])
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (c *Config) Clone() *Config {
 	clone := *c
 	clone.Classes = map[string]Class{}
@@ -90,13 +95,13 @@
 	return &clone
 }
 
-// InService reports whether the list of servers, if there is one, has the server.
+// InService reports whether the server is in Servers, or Servers is not in use (see Listed).
 func (c *Config) InService(id string) bool {
 	_, listed := c.Servers[id]
 	return listed || !c.Listed
 }
 
-// Allows reports whether an agent may send to a server: it is in service and not cordoned.
+// Allows reports whether agents may send requests to a server: it is in service and not cordoned.
 func (c *Config) Allows(id string) bool {
 	if _, cordoned := slices.BinarySearch(c.Cordoned, id); cordoned {
 		return false
@@ -104,7 +109,7 @@
 	return c.InService(id)
 }
 
-// SameServerRules reports whether two configurations agree on servers.
+// SameServerRules reports whether two configurations have equal server rules.
 func (c *Config) SameServerRules(other *Config) bool {
 	return c.Listed == other.Listed && slices.Equal(c.Cordoned, other.Cordoned) && maps.Equal(c.Servers, other.Servers)
 }
--- a/internal/sharedconfig/history/commands.go
+++ b/internal/sharedconfig/history/commands.go
@@ -6,7 +6,8 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// Errors of Apply for a Publish or Cordon. They depend on the log only, so all replicas return the same.
+// Errors of Apply for a Publish or Cordon. They depend only on the log, so all replicas return the same
+// error.
 var (
 	ErrParentMismatch = errors.New("history: the parent is not the last version")
 	ErrTooManyPending = errors.New("history: too many versions wait to come in force")
@@ -18,11 +19,12 @@
 type Command struct {
 	Publish *Publish `json:"publish,omitempty"`
 	Cordon  *Cordon  `json:"ban,omitempty"`
-	// Advance is the epoch to end. One that is not in force any more comes from a previous leader and has no effect.
+	// Advance is the epoch to end. If it is no longer in force, the command comes from a previous leader
+	// and has no effect.
 	Advance *uint64 `json:"advance,omitempty"`
 }
 
-// ID is the publisher's id of the command, "" if it has none.
+// ID returns the id that the publisher chose for the command, "" if it has none.
 func (c *Command) ID() string {
 	switch {
 	case c.Publish != nil:
@@ -33,7 +35,7 @@
 	return ""
 }
 
-// Publish appends a version after Parent.
+// Publish appends a version. Parent must be the last one.
 type Publish struct {
 	ID     string               `json:"id"` // drawn by the publisher; a retry has the same
 	Parent uint64               `json:"parent"`
--- a/internal/sharedconfig/history/epoch.go
+++ b/internal/sharedconfig/history/epoch.go
@@ -5,10 +5,11 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig/intersect"
 )
 
-// intersectConfigs makes the configuration between two versions. Lab builds can replace it.
+// intersectConfigs computes the configuration of a transition between two versions. Lab builds can replace
+// it.
 var intersectConfigs = intersect.Intersect
 
-// Transition returns what is permitted in the epoch in force; nil in epoch 0.
+// Transition returns the configuration of the epoch in force; nil in epoch 0.
 func (h *History) Transition() *sharedconfig.Transition {
 	number := h.Epoch / 2
 	switch {
@@ -21,8 +22,9 @@
 	return &sharedconfig.Transition{Epoch: h.Epoch, Config: intersectConfigs(h.config(to.From), to.Config)}
 }
 
-// Source identifies what a Transition is made of: the epoch, and the digests of the versions that it lies between
-// ("": none). Histories with equal sources have equal transitions, as no version changes (invariant 3).
+// Source identifies the inputs of a Transition: the epoch, and the digests of the versions that it is
+// computed from ("": none). Histories with equal sources have equal transitions, as versions are immutable
+// (invariant 3).
 type Source struct {
 	Epoch uint64
 	From  string
@@ -44,9 +46,9 @@
 	return source
 }
 
-// ServerRulesDiffer reports whether the server rules change anywhere between two epochs, from <= to; it is a
-// lease.ServerRulesDiffer. It returns true if a version that it needs is no longer retained, and from epoch 0, in which
-// each agent uses its own server rules.
+// ServerRulesDiffer reports whether the server rules change anywhere between two epochs, from <= to; it is
+// a lease.ServerRulesDiffer. It returns true if a required version is no longer retained, and if from is
+// epoch 0, in which each agent uses its own server rules.
 func (h *History) ServerRulesDiffer(from, to uint64) bool {
 	if from/2 < h.Dropped || from == 0 && to > 0 {
 		return true
@@ -64,8 +66,8 @@
 	return false
 }
 
-// lastInForce is the version that was in force in an epoch, or last before it if the epoch is a transition or was
-// skipped.
+// lastInForce returns the version that was in force in an epoch, or the last one before it if the epoch is
+// a transition or was skipped.
 func (h *History) lastInForce(epoch uint64) uint64 {
 	for number := (epoch + 1) / 2; number <= h.Last(); number++ {
 		v := h.Version(number)
--- a/internal/sharedconfig/history/history.go
+++ b/internal/sharedconfig/history/history.go
@@ -1,8 +1,9 @@
-// Package history is the state machine of the replicated log: the versions of the shared configuration and the epoch in
-// force. Every replica applies the same commands in the same order. The package is pure: no I/O, no clock.
+// Package history implements the state machine of the replicated log: the versions of the shared
+// configuration and the epoch in force. All replicas apply the same commands in the same order. The package
+// is pure: it has no I/O and no clock.
 //
-// Together with the log it provides invariant 3 of package lease: no acknowledged version is lost or changed, none has
-// two numbers, none is published twice.
+// Together with the log it ensures invariant 3 of package lease: no acknowledged version is lost or
+// changed, has two numbers or is published twice.
 package history
 
 import (
@@ -16,21 +17,21 @@
 const (
 	// MaxVersions bounds the versions that a History retains, unless an epoch in use needs more.
 	MaxVersions = 512
-	// MaxPendingVersions bounds the versions that are published and not yet in force.
+	// MaxPendingVersions bounds the versions that are published but not yet in force.
 	MaxPendingVersions = 16
 )
 
-// History is the state that the log's commands produce. It belongs to one goroutine.
+// History is the state produced by the commands of the log. It is not safe for concurrent use.
 type History struct {
 	Epoch    uint64                 `json:"stage"`
-	Versions []sharedconfig.Version `json:"versions"` // by number, without gaps, those that are retained
+	Versions []sharedconfig.Version `json:"versions"` // the retained ones, by number without gaps
 	Dropped  uint64                 `json:"dropped"`  // number of versions before Versions[0]
 }
 
-// Last is the number of the newest version; 0: there is none.
+// Last returns the number of the newest version; 0 if there is none.
 func (h *History) Last() uint64 { return h.Dropped + uint64(len(h.Versions)) }
 
-// Version returns a version by number; nil if there is none or it is no longer retained.
+// Version returns a version by number; nil if it does not exist or is no longer retained.
 func (h *History) Version(number uint64) *sharedconfig.Version {
 	if number <= h.Dropped || number > h.Last() {
 		return nil
@@ -38,7 +39,7 @@
 	return &h.Versions[number-h.Dropped-1]
 }
 
-// config is a version's content, nil before the first.
+// config returns the content of a version; nil if Version returns nil.
 func (h *History) config(number uint64) *sharedconfig.Config {
 	if v := h.Version(number); v != nil {
 		return v.Config
@@ -49,8 +50,8 @@
 // CanAdvance reports whether there is an epoch after the one in force.
 func (h *History) CanAdvance() bool { return h.Epoch < sharedconfig.EpochOf(h.Last()) }
 
-// Apply applies one command. For a Publish or Cordon it returns the version that it produced, also if an earlier command
-// of the same ID produced it (invariant 3). A command that returns an error has no effect.
+// Apply applies one command. For a Publish or Cordon it returns the version that the command, or an earlier
+// one with the same ID, has produced (invariant 3). A command that returns an error has no effect.
 func (h *History) Apply(command *Command) (*sharedconfig.Version, error) {
 	switch {
 	case command.Advance != nil:
@@ -66,8 +67,8 @@
 	return nil, errNoCommand
 }
 
-// advance begins the next epoch. From a version that is the transition to the newest version that CheckTransition
-// permits; pending versions before it are skipped.
+// advance starts the next epoch. If a version is in force, that is the transition to the newest version
+// that CheckTransition permits; pending versions before it are skipped.
 func (h *History) advance() {
 	if h.Epoch%2 == 1 {
 		h.Epoch++
@@ -144,7 +145,8 @@
 	return h.publish(&Publish{ID: c.ID, Parent: h.Last(), Config: next, Author: c.Author, Reason: reason, AtMs: c.AtMs})
 }
 
-// oldestInUse is the oldest version that the epoch in force, or the one acted on just before, was made of.
+// oldestInUse returns the oldest version that the epoch in force, or the one acted on before it, was
+// computed from.
 func (h *History) oldestInUse() uint64 {
 	number := (h.Epoch + 1) / 2
 	for range 2 {
@@ -155,7 +157,7 @@
 	return number
 }
 
-// trim drops the oldest versions, but none that an epoch in force or to come needs.
+// trim drops the oldest versions beyond MaxVersions, except those that the current or a later epoch needs.
 func (h *History) trim() {
 	for len(h.Versions) > MaxVersions && h.Versions[0].Number+1 < h.oldestInUse() {
 		h.Versions = slices.Delete(h.Versions, 0, 1)
--- a/internal/sharedconfig/history/history_test.go
+++ b/internal/sharedconfig/history/history_test.go
@@ -30,14 +30,14 @@
 	if h.Epoch != want {
 		t.Fatalf("after epoch %d comes %d, want %d", at, h.Epoch, want)
 	}
-	h.Apply(&Command{Advance: &at}) // a repeated command is late
+	h.Apply(&Command{Advance: &at}) // the repeated command is outdated
 	if h.Epoch != want {
-		t.Fatalf("a late Advance made the epoch %d", h.Epoch)
+		t.Fatalf("a repeated Advance changed the epoch to %d", h.Epoch)
 	}
 }
 
-// Pending versions are skipped, and an epoch that was skipped stands for the version before the transition: a holder that
-// the lessor does not know acts on that, or on the transition, and not on a skipped version.
+// Pending versions are skipped, and a skipped epoch counts as the version before the transition: a holder
+// that the lessor does not know acts on that version or on the transition, but never on a skipped version.
 func TestPendingVersionsAreSkipped(t *testing.T) {
 	h := newHistory(t, "a")
 	h.advanceTo(t, 1)
@@ -49,7 +49,7 @@
 	}
 	h.advanceTo(t, 5)
 	if got := fmt.Sprint(h.Transition().Config.Cordoned); got != "[a b]" {
-		t.Errorf("in the transition %s are cordoned", got)
+		t.Errorf("cordoned in the transition: %s, want [a b]", got)
 	}
 	if _, err := h.Apply(publishCommand("b2", 3, &sharedconfig.Config{Cordoned: []string{"b"}, MaxAttempts: 1})); err != nil {
 		t.Fatal(err)
@@ -59,29 +59,30 @@
 		want     bool
 	}{{2, 6, true}, {5, 6, true}, {4, 6, true}, {6, 8, false}, {2, 2, false}} {
 		if got := h.ServerRulesDiffer(c.from, c.to); got != c.want {
-			t.Errorf("endpoints change from epoch %d to %d: %v", c.from, c.to, got)
+			t.Errorf("server rules differ from epoch %d to %d: %v", c.from, c.to, got)
 		}
 	}
 	h.advanceTo(t, 6)
 	h.advanceTo(t, 7)
 	h.advanceTo(t, 8)
 	if at := h.Epoch; h.CanAdvance() || at != 8 {
-		t.Errorf("epoch %d can advance, or is not 8", at)
+		t.Errorf("epoch %d, want 8 and no epoch after it", at)
 	}
 }
 
-// A retried publish is the same version, one with another parent is rejected, and pending versions are bounded.
+// A retried publish yields the same version, a publish with another parent is rejected, and pending
+// versions are bounded.
 func TestPublishIsCompareAndSet(t *testing.T) {
 	h := newHistory(t, "a", "b")
 	retry := publishCommand("0", 0, &sharedconfig.Config{Cordoned: []string{"a"}})
 	if v, err := h.Apply(retry); err != nil || v.Number != 1 || h.Last() != 2 {
-		t.Errorf("the retry: %+v, %v", v, err)
+		t.Errorf("retry: %+v, %v", v, err)
 	}
 	if _, err := h.Apply(publishCommand("x", 1, &sharedconfig.Config{})); !errors.Is(err, ErrParentMismatch) {
-		t.Errorf("an older parent: %v", err)
+		t.Errorf("outdated parent: %v", err)
 	}
 	if _, err := h.Apply(publishCommand("y", 2, &sharedconfig.Config{MaxAttempts: 9})); err == nil {
-		t.Error("an invalid configuration is published")
+		t.Error("an invalid configuration was published")
 	}
 	var err error
 	for n := uint64(2); err == nil && n < 100; n++ {
@@ -91,12 +92,13 @@
 		t.Errorf("%d are pending: %v", h.Last(), err)
 	}
 	if v := h.Version(h.Last()); len(v.Config.Cordoned) != MaxPendingVersions-1 {
-		t.Errorf("cordons lost earlier ones: %v", v.Config.Cordoned)
+		t.Errorf("earlier cordons were lost: %v", v.Config.Cordoned)
 	}
 }
 
-// A transition is made of two versions: a source that named one alone would be equal for transitions that differ.
-func TestSourceNamesBothVersions(t *testing.T) {
+// A transition is computed from two versions: if a source identified only one of them, different
+// transitions would have equal sources.
+func TestSourceIdentifiesBothVersions(t *testing.T) {
 	transition := func(from, to string) *History {
 		h := newHistory(t, from)
 		h.advanceTo(t, 1)
--- a/internal/sharedconfig/history/lab.go
+++ b/internal/sharedconfig/history/lab.go
@@ -8,7 +8,7 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// A defect that the lab seeds: a change goes from version to version without the intersection of both.
+// A defect injected by the lab: a transition uses the new version instead of the intersection of both.
 func init() {
 	if os.Getenv("RINGTRACK_LAB_DEFECT") == "no-meet" {
 		intersectConfigs = func(_, to *sharedconfig.Config) *sharedconfig.Config { return to }
--- a/internal/sharedconfig/intersect/capacity.go
+++ b/internal/sharedconfig/intersect/capacity.go
@@ -6,7 +6,7 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// ServersUnknown is the value of Capacity.During where a configuration does not list the servers.
+// ServersUnknown is the value of ServerCount.During if a configuration does not list the servers.
 const ServersUnknown = -1
 
 // ServerCount is the number of servers that may be used before, during and after a change.
@@ -16,8 +16,8 @@
 	After  int
 }
 
-// CountServers counts the servers that a, the intersection and b allow. During is CapacityUnknown if one of both is nil or
-// does not list the servers.
+// CountServers counts the servers that a, the intersection and b allow. During is ServersUnknown if a or b
+// is nil or does not list the servers.
 func CountServers(a, b *sharedconfig.Config) ServerCount {
 	if a == nil || b == nil || !a.Listed || !b.Listed {
 		return ServerCount{During: ServersUnknown}
@@ -38,9 +38,9 @@
 	return n
 }
 
-// CheckTransition returns an error that says why a change from a to b can't be made in one step, nil if it can. During the
-// change at least half of the servers of the smaller one must be allowed, and at least one; none may be allowed after
-// it only if none was before.
+// CheckTransition returns nil if the change from a to b can be made in one step, else an error with the
+// reason. During the change at least half as many servers as in the smaller of both must be allowed, and at
+// least one. A change to no servers is permitted only if there were none before.
 func CheckTransition(a, b *sharedconfig.Config) error {
 	c := CountServers(a, b)
 	if c.During == ServersUnknown || c.After == 0 && c.Before == 0 {
--- a/internal/sharedconfig/intersect/intersect.go
+++ b/internal/sharedconfig/intersect/intersect.go
@@ -1,11 +1,12 @@
-// Package intersect makes, of two configurations, the one that permits what both permit and nothing else. A change from
-// version a to b goes through Intersect(a, b): at any time at most two neighbours of the three are acted on, and of two
-// neighbours one always permits a part of the other. Intermediate states of this kind are known from schema changes in
-// F1 (VLDB 2013). The package is pure: no I/O, no clock.
+// Package intersect computes the intersection of two configurations, which permits exactly what both
+// permit. A change from version a to b passes through Intersect(a, b): at any time at most two neighbouring
+// ones of these three are acted on, and one of two neighbours always permits a subset of the other. Online
+// schema changes in F1 use intermediate states in the same way (VLDB 2013). The package is pure: it has no
+// I/O and no clock.
 //
-// Invariants, which the tests name by number:
-//  1. Intersect(a, b) permits no act that a or b forbids.
-//  2. It permits what both permit, except where two dedup scopes are not ordered: there nothing is repeated.
+// Invariants, which the tests refer to by number:
+//  1. Intersect(a, b) permits nothing that a or b forbids.
+//  2. It permits what both permit, except if two dedup scopes are not ordered: then nothing is repeated.
 //  3. Intersect is commutative, associative and idempotent.
 package intersect
 
@@ -18,7 +19,8 @@
 // Nobody is a name that no agent has.
 const Nobody = "\x00"
 
-// Intersect returns what a and b both permit. nil stands for no configuration, which forbids nothing.
+// Intersect returns the configuration that permits what a and b both permit. nil means no configuration,
+// which forbids nothing.
 func Intersect(a, b *sharedconfig.Config) *sharedconfig.Config {
 	switch {
 	case a == nil && b == nil:
@@ -62,8 +64,8 @@
 	return out
 }
 
-// intersectAgents returns the names in both sorted lists. An empty list permits every agent, so that two lists without a
-// common name become one of Nobody.
+// intersectAgents returns the names in both sorted lists. As an empty list permits every agent, the result
+// for two lists without a common name contains only Nobody.
 func intersectAgents(a, b []string) []string {
 	switch {
 	case len(a) == 0:
--- a/internal/sharedconfig/intersect/intersect_test.go
+++ b/internal/sharedconfig/intersect/intersect_test.go
@@ -10,16 +10,16 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// act is something that an agent might do; a configuration permits it or not.
-type act struct {
-	agent, server, class        string
-	attempt                     int
-	repeat, sameZone, sameCell  bool
-	afterMs, graceMs, multipleX float64
+// action is a possible action of an agent, which a configuration permits or forbids.
+type action struct {
+	agent, server, class       string
+	attempt                    int
+	repeat, sameZone, sameCell bool
+	afterMs, graceMs, overload float64
 }
 
-// permits judges an act without using the code under test.
-func permits(b *sharedconfig.Config, a act) bool {
+// permits reports whether a configuration permits an action, without using the code under test.
+func permits(b *sharedconfig.Config, a action) bool {
 	has := func(l []string, s string) bool {
 		for _, v := range l {
 			if v == s {
@@ -34,7 +34,7 @@
 	if _, ok := b.Servers[a.server]; b.Listed && !ok {
 		return false
 	}
-	if b.MaxAttempts > 0 && a.attempt > b.MaxAttempts || b.DrainGraceMs > 0 && a.graceMs > b.DrainGraceMs || b.OverloadFactor > 0 && a.multipleX > b.OverloadFactor {
+	if b.MaxAttempts > 0 && a.attempt > b.MaxAttempts || b.DrainGraceMs > 0 && a.graceMs > b.DrainGraceMs || b.OverloadFactor > 0 && a.overload > b.OverloadFactor {
 		return false
 	}
 	c, ok := b.Classes[a.class]
@@ -77,9 +77,9 @@
 	})
 }
 
-func acts() *rapid.Generator[act] {
-	return rapid.Custom(func(t *rapid.T) act {
-		return act{names.Draw(t, "agent"), names.Draw(t, "server"), names.Draw(t, "class"), rapid.IntRange(1, 3).Draw(t, "attempt"),
+func actions() *rapid.Generator[action] {
+	return rapid.Custom(func(t *rapid.T) action {
+		return action{names.Draw(t, "agent"), names.Draw(t, "server"), names.Draw(t, "class"), rapid.IntRange(1, 3).Draw(t, "attempt"),
 			rapid.Bool().Draw(t, "repeat"), rapid.Bool().Draw(t, "zone"), rapid.Bool().Draw(t, "cell"),
 			float64(rapid.IntRange(0, 4).Draw(t, "after")) * 900, float64(rapid.IntRange(0, 3).Draw(t, "grace")) * 200, float64(rapid.IntRange(0, 4).Draw(t, "multiple"))}
 	})
@@ -90,13 +90,13 @@
 	return string(t)
 }
 
-// Invariants 1 to 3 of the package.
+// Checks invariants 1 to 3 of the package on random configurations.
 func TestIntersectPermitsWhatBothPermit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := configs().Draw(t, "a"), configs().Draw(t, "b"), configs().Draw(t, "c")
 		m := Intersect(a, b)
 		for range 20 {
-			x := acts().Draw(t, "act")
+			x := actions().Draw(t, "action")
 			both := permits(a, x) && permits(b, x)
 			switch {
 			case permits(m, x) && !both:
--- a/internal/sharedconfig/stricter.go
+++ b/internal/sharedconfig/stricter.go
@@ -6,10 +6,10 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// effectsByStrictness lists what may be repeated least first.
+// effectsByStrictness lists the effects, the strictest first.
 var effectsByStrictness = []policy.Effect{policy.NonIdempotent, policy.IdempotentByKey, policy.Idempotent}
 
-// Stricter is the smaller of two bounds, of which 0 is no bound.
+// Stricter returns the smaller of two bounds, where 0 means no bound.
 func Stricter[T int | float64](a, b T) T {
 	if a == 0 || b != 0 && b < a {
 		return b
@@ -17,8 +17,8 @@
 	return a
 }
 
-// IntersectClass returns what two classes both permit. Zone and cell scopes are not ordered: no server is known to be in
-// both, so a request of both is never repeated.
+// IntersectClass returns what two classes both permit. Zone and cell scopes are not ordered: no server is
+// known to be in both, so a request that is subject to both is never repeated.
 func IntersectClass(a, b Class) Class {
 	switch {
 	case a.Effect == "":
@@ -58,7 +58,7 @@
 	return "", false
 }
 
-// Narrow returns a class of an agent's settings as this class permits it.
+// Narrow returns a class of an agent's settings, restricted to what this class permits.
 func (c Class) Narrow(own policy.Class) policy.Class {
 	class := Class{Effect: own.Effect}
 	if own.Effect == policy.IdempotentByKey {
@@ -74,7 +74,8 @@
 	return own
 }
 
-// Settings returns an agent's own settings as the configuration permits them. The argument is not changed.
+// Settings returns an agent's own settings, restricted to what the configuration permits. The argument is
+// not modified.
 func (c *Config) Settings(own policy.Settings) policy.Settings {
 	settings := own
 	settings.Classes = slices.Clone(own.Classes)
@@ -87,7 +88,8 @@
 	return settings
 }
 
-// Strict returns an agent's settings for when it does not know what the others act on: one attempt, nothing repeated.
+// Strict returns the settings that an agent uses while it does not know which configuration the others act
+// on: one attempt, and nothing is repeated.
 func Strict(own policy.Settings) policy.Settings {
 	own.Classes = slices.Clone(own.Classes)
 	for i := range own.Classes {
