--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -95,8 +95,8 @@
 	go l.discoveryClient.Fetch()
 }
 
-// setDiscoveryStale calls Config.DiscoveryStale when it changes whether the endpoint list may be older than
-// the one that other agents have received.
+// setDiscoveryStale calls Config.DiscoveryStale on a change. The endpoint list is stale if it may be older
+// than the one that the discovery server has sent to other agents.
 func (l *EventLoop) setDiscoveryStale(stale bool) {
 	if l.cfg.DiscoveryStale == nil || l.updatesPushed() || l.discoveryStale == stale {
 		return
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -6,8 +6,8 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// maxSeenIDs bounds the ids that are remembered as listed before. Beyond it only the currently listed ids
-// are known.
+// maxSeenIDs bounds the ids that are remembered as listed before. Ids first listed beyond it are known only
+// while they are listed.
 const maxSeenIDs = 1 << 14
 
 // endpointTable holds the listed backends. It is accessed by the loop only.
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -10,8 +10,8 @@
 	// policyMargin is subtracted from the time that the balancer gets for a request, to leave time for
 	// sending the answer to the client.
 	policyMargin = 8 * time.Millisecond
-	// deadlineTimerMargin is how long before the client's deadline the event loop answers a request that
-	// the balancer should have completed by then.
+	// deadlineTimerMargin is how long before the client's deadline the event loop answers a request itself,
+	// if the balancer has not completed it by then.
 	deadlineTimerMargin = 4 * time.Millisecond
 	// dedupWindowMargin is subtracted from the time in which servers deduplicate a request, to leave time
 	// for sending it to the server. The balancer stops retrying two of its batch intervals earlier.
--- a/internal/core/sharedconfig.go
+++ b/internal/core/sharedconfig.go
@@ -9,8 +9,7 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// SharedConfig makes the loop use the configuration shared by all agents, as long as it holds a lease on
-// it.
+// SharedConfig makes the loop use the configuration shared by all agents while it has a lease on it.
 type SharedConfig struct {
 	// RejectOnExpiry rejects requests once the server rules have expired, too. Otherwise they are forwarded
 	// by the last known rules.
