--- a/internal/control/assign/assigner.go
+++ b/internal/control/assign/assigner.go
@@ -1,10 +1,10 @@
-// Package assign computes what the control service serves to proxies: from the membership, the load
-// reports and the connected proxies one Assignment for each group of proxies, and from the settings the
-// Routes. It does no I/O and reads no clock: all times are arguments, in Unix ms.
+// Package assign computes what the control service serves to proxies: an Assignment for each group of
+// proxies, from the membership, the load reports and the connected proxies, and the Routes, from the
+// settings. It does no I/O and reads no clock: all times are arguments, in Unix ms.
 //
-// The state of a server is decided by package policy; this package feeds it the evidence of all proxies
-// and reads its view. What is decided here is what a single agent cannot know: how the load allowed to a
-// server in slow start is divided over all proxies, including those that still hold an older assignment.
+// Package policy decides the state of each server; this package passes it the evidence of all proxies and
+// reads its view. This package decides only what a single agent cannot: how the load allowed to a server in
+// slow start is divided among all proxies, including those that still use an older assignment.
 package assign
 
 import (
@@ -16,15 +16,15 @@
 )
 
 const (
-	// fullWeight is the integer weight of a server of weight one outside slow start; ring hash
-	// needs integers.
+	// fullWeight is the integer weight of a server of weight one outside slow start. Ring hash load
+	// balancing requires integer weights.
 	fullWeight = 960
-	// slowStartLevels is the number of steps in which the weight rises during slow start. Each step is
-	// an update to all proxies.
+	// slowStartLevels is the number of steps in which the weight rises during slow start. Each step costs an
+	// update to all proxies.
 	slowStartLevels = 32
-	// MaxServers bounds the servers of an assignment.
+	// MaxServers bounds the number of servers in an assignment.
 	MaxServers = membership.MaxEntries
-	// MaxProxies bounds the proxies that are remembered, connected or recently disconnected.
+	// MaxProxies bounds the number of tracked proxies, connected or recently disconnected.
 	MaxProxies = 20_000
 
 	maxConfigMs = 3_600_000
@@ -35,19 +35,19 @@
 	Settings policy.Settings
 	Zones    []string // indexed by the zone number of package policy
 	Kinds    []string // indexed by the kind number of package policy
-	// EjectionMs is the base ejection time: how long a server stays Unhealthy, and then pending.
-	// Each consecutive ejection doubles it.
+	// EjectionMs is the base ejection time: how long a server stays Unhealthy, and then
+	// UnhealthyPending. It doubles with each consecutive ejection.
 	EjectionMs float64
-	// ReportMs is the interval at which proxies report load; the evidence is judged as often.
+	// ReportMs is the interval at which proxies report load and the evidence is evaluated.
 	ReportMs float64
-	// DisconnectGraceMs is how long a disconnected proxy counts as still sending by its last assignment.
+	// DisconnectGraceMs is how long a disconnected proxy is assumed to send requests by its last assignment.
 	DisconnectGraceMs float64
-	// StartupHoldMs is how long after the start proxies may hold assignments of an earlier process;
-	// until then servers in slow start get no requests.
+	// StartupHoldMs is how long after startup proxies may still use assignments of an earlier process. Until
+	// then, servers in slow start get no requests.
 	StartupHoldMs float64
 }
 
-// validate reports the first value out of range, by its key in deploy/control.toml.
+// validate returns an error for the first value out of range, with its key in deploy/control.toml.
 func (c *Config) validate() error {
 	for _, setting := range []struct {
 		key   string
@@ -67,25 +67,25 @@
 	return nil
 }
 
-// Assigner keeps the assignments of all groups. It is not safe for concurrent use: one goroutine owns it.
+// Assigner maintains the assignments of all groups. It is not safe for concurrent use.
 type Assigner struct {
-	cfg       Config
-	names     membership.Names
-	balancer  *policy.Balancer
-	startedMs float64
-	judgedMs  float64 // when the evidence was judged last
-	builtMs   float64 // when the assignments were built last
-	dirty     bool    // the assignments may have changed since
-	views     []policy.View
+	cfg         Config
+	names       membership.Names
+	balancer    *policy.Balancer
+	startedMs   float64
+	evaluatedMs float64 // when the evidence was last evaluated
+	builtMs     float64 // when the assignments were last built
+	dirty       bool    // the assignments may have changed since
+	views       []policy.View
 
 	hasMembership bool
 	servers       map[string]*server // by ID
 	byPolicyAddr  map[policy.Addr]*server
 	byAddr        map[string]*server
-	starts        map[string]float64 // start times by ID; outlive the listing until slow start is over
+	startTimes    map[string]float64 // start times by ID; unlisted servers stay until the end of slow start
 	problems      []string
 
-	unhealthySince map[string]float64 // by ID, the Unhealthy servers as of the last build
+	unhealthySince map[string]float64 // by ID, for the servers that were Unhealthy at the last build
 	proxies        map[string]*proxy
 	groups         map[string]*group // by zone
 	counts         EvidenceCounts
@@ -93,17 +93,17 @@
 
 // group is the proxies of one zone.
 type group struct {
-	localityWeight float64 // of a server of the group's own zone
+	localityWeight float64 // factor for servers in the group's own zone
 	assignment     *Assignment
 }
 
-// New returns an Assigner, or an error that names the setting that is out of range.
+// New returns an Assigner. An error names the setting that is out of range.
 func New(cfg Config, now float64) (*Assigner, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
-	cfg.Settings.Limits.HealthChecks = false // the service sends no requests, proxies' requests validate
-	// The seed has no effect: the balancer draws only when it selects a server.
+	cfg.Settings.Limits.HealthChecks = false // the service itself sends no requests; those of proxies show a server's health
+	// The seed has no effect: the balancer uses random numbers only to select a server.
 	balancer, err := policy.New(cfg.Settings, 1)
 	if err != nil {
 		return nil, err
@@ -113,21 +113,21 @@
 		names:          membership.NewNames(cfg.Zones, cfg.Kinds),
 		balancer:       balancer,
 		startedMs:      now,
-		judgedMs:       now,
+		evaluatedMs:    now,
 		servers:        map[string]*server{},
 		byPolicyAddr:   map[policy.Addr]*server{},
 		byAddr:         map[string]*server{},
-		starts:         map[string]float64{},
+		startTimes:     map[string]float64{},
 		unhealthySince: map[string]float64{},
 		proxies:        map[string]*proxy{},
 		groups:         map[string]*group{},
 	}, nil
 }
 
-// Counts returns how much of the evidence was not used.
+// Counts returns the number of reports, and of the parts of them that were not used.
 func (a *Assigner) Counts() EvidenceCounts { return a.counts }
 
-// Views returns the balancer's view of all servers, by ID.
+// Views returns the balancer's view of each server, by ID.
 func (a *Assigner) Views(now float64) map[string]policy.View {
 	views := make(map[string]policy.View, len(a.servers))
 	for _, view := range a.balancer.View(now, nil) {
@@ -138,28 +138,29 @@
 	return views
 }
 
-// NextTickMs returns when Tick is due next if nothing else happens.
+// NextTickMs returns when Tick has to be called next if nothing else changes.
 func (a *Assigner) NextTickMs(now float64) float64 {
-	next := a.judgedMs + a.cfg.ReportMs
+	next := a.evaluatedMs + a.cfg.ReportMs
 	if a.anySlowStart(now) {
 		next = min(next, a.builtMs+a.rebuildIntervalMs())
 	}
 	return max(next, now+1)
 }
 
-// rebuildIntervalMs is how often assignments are rebuilt while nothing but time has changed: twice a level.
+// rebuildIntervalMs returns the interval at which assignments are rebuilt while only time changes: twice per
+// slow-start level.
 func (a *Assigner) rebuildIntervalMs() float64 {
 	return a.cfg.Settings.Contract.SlowStartMs / slowStartLevels / 2
 }
 
-// Tick advances time: it judges the evidence once a report interval and rebuilds all assignments where
-// anything may have changed. It returns, sorted, the zones of the groups whose assignment changed.
+// Tick advances time: it evaluates the evidence once per report interval and rebuilds the assignments if
+// anything may have changed. It returns the sorted zones of the groups whose assignment changed.
 func (a *Assigner) Tick(now float64) []string {
-	if now-a.judgedMs >= a.cfg.ReportMs {
-		a.judgeEvidence(now)
-		a.judgedMs = now
+	if now-a.evaluatedMs >= a.cfg.ReportMs {
+		a.evaluateEvidence(now)
+		a.evaluatedMs = now
 	}
-	a.forgetProxies(now)
+	a.expireProxies(now)
 	if !a.hasMembership || !a.dirty && now-a.builtMs < a.rebuildIntervalMs() {
 		return nil
 	}
@@ -180,8 +181,8 @@
 	return changed
 }
 
-// Assignment returns the current assignment of a zone's proxies, and creates the group if there is none.
-// It is nil until the first membership update.
+// Assignment returns the current assignment of a zone's proxies, and creates the group if it does not exist.
+// It returns nil until the first membership update.
 func (a *Assigner) Assignment(now float64, zone string) *Assignment {
 	if !a.hasMembership {
 		return nil
@@ -195,8 +196,8 @@
 	return g.assignment
 }
 
-// group finds or creates the group of a zone. Callers pass zones of the settings, or "" for all others:
-// this bounds the groups to one more than the zones.
+// group returns the group of a zone, and creates it if it does not exist. Callers pass a zone of the settings
+// or "" for any other zone, which bounds the number of groups.
 func (a *Assigner) group(zone string) *group {
 	g := a.groups[zone]
 	if g == nil {
--- a/internal/control/assign/assigner_test.go
+++ b/internal/control/assign/assigner_test.go
@@ -27,7 +27,7 @@
 	return Config{Settings: testSettings(), Zones: []string{"east", "west"}, EjectionMs: 5000, ReportMs: 1000, DisconnectGraceMs: 60_000}
 }
 
-// fixture drives one Assigner by hand.
+// fixture drives an Assigner with simulated time.
 type fixture struct {
 	t       *testing.T
 	a       *Assigner
@@ -59,7 +59,7 @@
 	return f
 }
 
-// advance lets time pass in ticks of 100 ms.
+// advance moves time forward in ticks of 100 ms.
 func (f *fixture) advance(ms float64) {
 	for end := f.now + ms; f.now < end; {
 		f.now = min(f.now+100, end)
@@ -83,7 +83,7 @@
 	return a.Endpoints[j]
 }
 
-// report sends the load report of proxies from to to-1 about a server.
+// report sends a load report about a server from each of the proxies from, ..., to-1.
 func (f *fixture) report(from, to, server int, served, failed float64) {
 	for p := from; p < to; p++ {
 		f.a.Report(f.now, fmt.Sprintf("p-%d", p), &Report{IntervalMs: 1000, Loads: []ServerLoad{{Addr: f.entries[server].Addr, Served: served, Failed: failed}}})
--- a/internal/control/assign/assignment.go
+++ b/internal/control/assign/assignment.go
@@ -9,47 +9,48 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// unprovenWeight is the part of its weight that a server has whose ejection ended by time only, until a
-// request was served: enough to prove itself, few requests to lose.
-const unprovenWeight = 0.1
+// recoveryWeightFraction is the fraction of its weight that a server gets when its ejection time has expired
+// but no request has succeeded since: enough requests to detect its recovery, few that can fail.
+const recoveryWeightFraction = 0.1
 
-// Tier is the preference among the servers of an assignment; proxies see it as a priority.
+// Tier ranks the servers of an assignment by preference. Proxies receive it as a priority.
 type Tier uint8
 
 // The tiers, best first.
 const (
 	Healthy    Tier = iota // Connected or Unknown
 	Pending                // UnhealthyPending
-	LastResort             // Unhealthy, or in slow start without any load allowed
+	LastResort             // Unhealthy, or in slow start with no load allowed yet
 )
 
 // Endpoint is one server in an assignment. The JSON keys are those of the admin endpoint.
 type Endpoint struct {
 	ID, Addr, Zone string
 	Tier           Tier
-	Draining       bool   // listed, but gets no new requests
+	Draining       bool   // remains in the assignment, but gets no new requests
 	Weight         uint32 // at least 1
 	SlowStart      bool   `json:"Cold"`
 }
 
-// Assignment is what all proxies of a group should hold. It is immutable once returned and may be read
-// from any goroutine.
+// Assignment is the desired endpoint configuration of all proxies in a group. It is immutable once returned
+// and may be read from any goroutine.
 type Assignment struct {
-	Zone      string // of the group
+	Zone      string // zone of the group's proxies
 	Endpoints []Endpoint
-	// ShedPercent is the percentage of requests that proxies reject at once.
+	// ShedPercent is the percentage of requests that proxies reject without sending them to a server.
 	ShedPercent int `json:"Shed"`
 	// LocalityWeightPercent is the weight of a server in the group's own zone, as a percentage of the
 	// weight in another zone.
 	LocalityWeightPercent int `json:"Own"`
 
-	index       map[string]int // of Endpoints, by ID
+	index       map[string]int // index into Endpoints, by ID
 	bestTier    Tier           // the best tier with a server that is not draining
-	totalWeight float64        // of the best tier, locality weight included
+	totalWeight float64        // total weight of the best tier, locality weight included
 }
 
-// Share returns the part of a proxy's requests, 0 to 1, that the weights of the assignment send to a
-// server. Hot keys and bounded loads shift the actual part. A nil assignment sends nothing.
+// Share returns the fraction of a proxy's requests, 0 to 1, that a server gets by the weights of the
+// assignment. The actual fraction deviates from it with hot keys and bounded loads. It is 0 for a nil
+// assignment.
 func (a *Assignment) Share(id string) float64 {
 	if a == nil {
 		return 0
@@ -74,7 +75,7 @@
 	return w
 }
 
-// buildIndex prepares a new assignment for Share and returns it.
+// buildIndex computes the fields that Share reads, and returns the assignment.
 func (a *Assignment) buildIndex() *Assignment {
 	a.index = make(map[string]int, len(a.Endpoints))
 	a.bestTier = LastResort
@@ -101,21 +102,22 @@
 		slices.Equal(a.Endpoints, b.Endpoints)
 }
 
-// baseEndpoint is the part of an Endpoint that is the same for all groups.
+// baseEndpoint holds the properties of an endpoint that are the same for all groups.
 type baseEndpoint struct {
 	Endpoint
 	fullWeight float64 // weight outside slow start, in units of the constant fullWeight
-	loadShare  float64 // part of an even share that the server may get, 0 to 1
+	loadShare  float64 // fraction of an even share that the server may get, 0 to 1
 }
 
-// baseEndpoints returns the servers as of the last balancer view, sorted by ID, and records which of them
-// are Unhealthy.
+// baseEndpoints returns the servers in the last balancer view, sorted by ID, and records which of them are
+// Unhealthy.
 func (a *Assigner) baseEndpoints() []baseEndpoint {
 	base := make([]baseEndpoint, 0, len(a.servers))
 	clear(a.unhealthySince)
 	for id, s := range a.servers {
 		if s.entry.Health() != policy.Ready {
-			// The balancer forgets draining servers; proxies that hold one have to see that it drains.
+			// The balancer drops draining servers, but proxies that use one have to be notified that it
+			// drains.
 			base = append(base, baseEndpoint{
 				Endpoint:   Endpoint{ID: id, Addr: s.entry.Addr, Zone: s.entry.Zone, Draining: true},
 				fullWeight: max(listedWeight(s.entry.Weight)*fullWeight, 1),
@@ -146,12 +148,12 @@
 		e.Tier = LastResort
 		a.unhealthySince[entry.ID] = view.StateSinceMs
 	case view.State == policy.Unknown && view.Ejections > 0:
-		e.fullWeight = max(e.fullWeight*unprovenWeight, 1)
+		e.fullWeight = max(e.fullWeight*recoveryWeightFraction, 1)
 	}
 	return e
 }
 
-// listedWeight is a listed weight as the balancer reads it: none counts as one.
+// listedWeight returns the weight from the endpoint list, or 1 where it is missing, as in the balancer.
 func listedWeight(w float64) float64 {
 	if w <= 0 {
 		return 1
@@ -159,7 +161,8 @@
 	return w
 }
 
-// build makes the assignment of a group from the base endpoints and the levels of those in slow start.
+// build returns the assignment of a group, given the base endpoints and the slow-start level of each server
+// in slow start.
 func (a *Assigner) build(zone string, g *group, base []baseEndpoint, levels map[string]int) *Assignment {
 	assignment := &Assignment{
 		Zone:                  zone,
--- a/internal/control/assign/assignment_test.go
+++ b/internal/control/assign/assignment_test.go
@@ -28,19 +28,19 @@
 		t.Errorf("after the ejection time: %+v", e)
 	}
 	f.advance(6000)
-	if e := f.endpoint("east", 1); e.Tier != Healthy || e.Weight != fullWeight*unprovenWeight {
-		t.Errorf("ejection over, not proven yet: %+v", e)
+	if e := f.endpoint("east", 1); e.Tier != Healthy || e.Weight != fullWeight*recoveryWeightFraction {
+		t.Errorf("ejection expired, no successful request yet: %+v", e)
 	}
 	for range 20 {
 		f.report(0, 4, 1, 50, 0)
 		f.advance(1000)
 	}
 	if e := f.endpoint("east", 1); e.Tier != Healthy || e.Weight != fullWeight {
-		t.Errorf("proven: %+v", e)
+		t.Errorf("after successful requests: %+v", e)
 	}
 }
 
-// A drain changes only the server's health; a removal removes it.
+// A drain changes only the server's health; a removal removes it from the assignment.
 func TestDrainAndRemoval(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.connect(2)
@@ -51,7 +51,7 @@
 		t.Errorf("draining: %+v", after.Endpoints)
 	}
 	if before.Endpoints[2].Draining {
-		t.Error("an assignment was changed after it was made")
+		t.Error("an assignment was modified after it was returned")
 	}
 	for i := range after.Endpoints {
 		if i != 2 && after.Endpoints[i] != before.Endpoints[i] {
@@ -66,8 +66,7 @@
 	}
 }
 
-// A second entry with the same address, for which proxies would reject the complete resource, is left out
-// and reported.
+// A second entry with the same address is left out and reported: proxies would reject the complete resource.
 func TestDuplicateAddressIsLeftOut(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.update(3, func(e *membership.Entry) { e.Addr = f.entries[0].Addr })
@@ -79,7 +78,7 @@
 	}
 }
 
-// The same membership gives the same assignment in any order of events and on every replica.
+// The same membership results in the same assignment, in any order of events and on every replica.
 func TestAssignmentsDoNotDependOnEventOrder(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -99,7 +98,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			// Servers are listed in any order, in several steps.
+			// Servers are added to the endpoint list in random order, in several updates.
 			set := membership.NewSet(1000, "roster")
 			var list []membership.Entry
 			for _, i := range rng.Perm(len(final)) {
@@ -126,8 +125,8 @@
 	}
 }
 
-// rendezvous places a key by weighted rendezvous hashing over an assignment, as a balancer with a perfect
-// table would.
+// rendezvous selects the server of a key by weighted rendezvous hashing over an assignment. This models a
+// consistent hashing balancer without the quantization error of a table.
 func rendezvous(a *Assignment, key int) string {
 	best, at := math.Inf(1), ""
 	for i := range a.Endpoints {
@@ -145,13 +144,13 @@
 	return at
 }
 
-// When one of N servers is removed or drains, under 2/N of the keys migrate: its own, and no others.
+// When one of N servers is removed or drains, only its keys migrate, and they are fewer than 2/N of all keys.
 func TestRemovalMovesOnlyItsKeys(t *testing.T) {
 	for _, n := range []int{2, 3, 9, 17, 64, 200} {
 		for _, remove := range []bool{false, true} {
 			f := newFixture(t, n, nil)
 			f.connect(2)
-			before := f.a.Assignment(f.now, "") // of proxies without a known zone
+			before := f.a.Assignment(f.now, "") // for proxies without a known zone
 			removed := f.entries[n/2].ID
 			if remove {
 				f.entries = append(f.entries[:n/2:n/2], f.entries[n/2+1:]...)
@@ -167,7 +166,7 @@
 				if x != y {
 					moved++
 					if x != removed {
-						t.Fatalf("%d servers: key %d migrated from %s, which stayed", n, k, x)
+						t.Fatalf("%d servers: key %d migrated from %s, which was not removed", n, k, x)
 					}
 				}
 			}
@@ -178,7 +177,7 @@
 	}
 }
 
-// One drain: from the endpoint list to the assignments of all groups.
+// Measures a drain, from the update of the endpoint list to the assignments of all groups.
 func BenchmarkDrain(f *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		f.Run(fmt.Sprint(n), func(f *testing.B) {
--- a/internal/control/assign/evidence.go
+++ b/internal/control/assign/evidence.go
@@ -8,50 +8,52 @@
 )
 
 const (
-	// maxReportedValue bounds a value of a report; no proxy makes as many attempts between two reports.
+	// maxReportedValue bounds the values in a report. No proxy makes that many attempts between two reports.
 	maxReportedValue = 1e9
-	// maxReportIntervalMs bounds the interval that a report claims to cover.
+	// maxReportIntervalMs bounds the interval that a report states.
 	maxReportIntervalMs = 1e9
-	// hungWindows is the number of consecutive windows in which requests were in progress at a server and
-	// none ended, after which the server counts as silent.
+	// hungWindows is the number of consecutive windows with requests in progress and none ended after which
+	// a server counts as silent.
 	hungWindows = 3
-	// maxHungFailures bounds the failures that a silent server's requests in progress count as.
+	// maxHungFailures bounds the number of failures that a silent server's requests in progress count as.
 	maxHungFailures = 10
-	// rateSmoothing is the weight of a new report in a proxy's moving average rate.
+	// rateSmoothing is the weight of a new report in the moving average of a proxy's request rate.
 	rateSmoothing = 0.3
 )
 
-// ServerLoad is what a proxy saw of one server since its last report.
+// ServerLoad is the load of one server that a proxy observed since its last report.
 type ServerLoad struct {
 	Addr                       string // host:port
 	Served, Failed, InProgress float64
 	Issued                     float64
-	Rejected                   float64 // by the named metric, where servers report it
+	Rejected                   float64 // from the named metric, if servers report it
 }
 
 // Report is a proxy's load report.
 type Report struct {
-	IntervalMs float64 // time since its last report, as the proxy says
+	IntervalMs float64 // time since the last report, as stated by the proxy
 	Issued     float64 // requests that are not broken down by server
 	Loads      []ServerLoad
 }
 
-// EvidenceCounts counts reports, and what of them was not used. The JSON keys are those of the admin endpoint.
+// EvidenceCounts counts the load reports and the parts of them that were not used. The JSON keys are those of
+// the admin endpoint.
 type EvidenceCounts struct {
 	Reports      uint64 `json:"reports"`
 	Invalid      uint64 `json:"absurd"`       // loads with a value out of range
 	Late         uint64 `json:"late"`         // loads of a window that began before the server became Unhealthy
-	Contradicted uint64 `json:"contradicted"` // loads with failures that no majority of proxies saw
+	Contradicted uint64 `json:"contradicted"` // loads with failures that the majority of proxies did not see
 	Unknown      uint64 `json:"unknown"`      // loads of unlisted servers, reports of unknown proxies
 }
 
-// evidenceWindow is what proxies reported of a server since the evidence was judged last.
+// evidenceWindow aggregates what proxies reported about a server since the evidence was last evaluated.
 type evidenceWindow struct {
 	loads map[string]ServerLoad // by proxy
-	hung  int                   // consecutive windows with requests in progress and none that ended
+	hung  int                   // consecutive windows with requests in progress and none ended
 }
 
-// Report takes a load report. Reports of unknown proxies and loads of unlisted servers are counted and dropped.
+// Report records a load report. Reports of unknown proxies and loads of unlisted servers are counted and
+// dropped.
 func (a *Assigner) Report(now float64, id string, r *Report) {
 	p := a.proxies[id]
 	if p == nil {
@@ -89,8 +91,8 @@
 	return !slices.ContainsFunc(values, func(v float64) bool { return !(v >= 0 && v <= maxReportedValue) })
 }
 
-// dropLate removes what a server answered in a window that began before it became Unhealthy: that says
-// nothing about its state since.
+// dropLate discards the answers of an Unhealthy server where the reported window began before it became
+// Unhealthy, since they may predate that change.
 func (a *Assigner) dropLate(s *server, load *ServerLoad, windowStart float64) {
 	since, unhealthy := a.unhealthySince[s.entry.ID]
 	if !unhealthy || windowStart >= since {
@@ -103,7 +105,7 @@
 	load.Rejected = 0
 }
 
-// add adds a load to what the proxy reported in this window.
+// add adds a load to the sum that the proxy reported in this window.
 func (w *evidenceWindow) add(proxyID string, load ServerLoad) {
 	if w.loads == nil {
 		w.loads = map[string]ServerLoad{}
@@ -118,19 +120,19 @@
 
 // updateRate updates the moving average of the proxy's request rate.
 func (p *proxy) updateRate(now, rate float64) {
-	if p.ratedMs == 0 {
+	if p.reportedMs == 0 {
 		p.rate = rate
 	} else {
 		p.rate += rateSmoothing * (rate - p.rate)
 	}
-	p.ratedMs = now
+	p.reportedMs = now
 }
 
-// judgeEvidence passes the window's evidence to the balancer, one item a server, in the order of IDs, and
+// evaluateEvidence passes the window's evidence to the balancer, one item per server in the order of IDs, and
 // updates the locality weights.
-func (a *Assigner) judgeEvidence(now float64) {
+func (a *Assigner) evaluateEvidence(now float64) {
 	var evidence []policy.Evidence
-	// Of the servers in a zone, as seen by the proxies of the same zone.
+	// Requests to the servers of a zone from proxies in the same zone, by zone.
 	failed := map[string]float64{}
 	ended := map[string]float64{}
 	ids := make([]string, 0, len(a.servers))
@@ -164,8 +166,8 @@
 	a.dirty = true
 }
 
-// aggregate sums up what proxies reported of a server. No proxy counts for more requests than the median
-// one, and the failures of a proxy that saw mostly failures count only where most proxies did.
+// aggregate combines the reports of all proxies about a server. Each proxy counts for at most the median
+// number of requests, and the failures of a proxy that saw mostly failures count only if most proxies did.
 func (w *evidenceWindow) aggregate() (e policy.Evidence, contradicted int) {
 	var endedByProxy []float64
 	failing := 0
@@ -209,8 +211,8 @@
 	return e, contradicted
 }
 
-// aggregateHung is the evidence of a window in which no request ended: requests that stay in progress over
-// several windows mean a server that hangs.
+// aggregateHung returns the evidence of a window in which no request ended. Requests that stay in progress
+// for several windows indicate that the server hangs.
 func (w *evidenceWindow) aggregateHung(inProgress float64) (e policy.Evidence) {
 	w.hung++
 	if inProgress == 0 {
@@ -223,5 +225,5 @@
 	return e
 }
 
-// ended is the number of requests that ended.
+// ended returns the number of requests that ended, with any outcome.
 func (l *ServerLoad) ended() float64 { return l.Served + l.Failed + l.Rejected }
--- a/internal/control/assign/evidence_test.go
+++ b/internal/control/assign/evidence_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// Two proxies report a server failing and 98 report it healthy; then one contradicts another; then most
-// report failures.
+// Failures of a server count only if the majority of proxies report them: not if 2 of 100 do, nor 1 of 2, but
+// if 60 of 100 do.
 func TestMajorityOfProxiesDecides(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.connect(100)
-	f.report(0, 2, 0, 0, 100_000) // whatever their load
+	f.report(0, 2, 0, 0, 100_000) // a high load gives a proxy no more votes
 	f.report(2, 100, 0, 10, 0)
 	f.advance(1100)
 	if e := f.endpoint("east", 0); e.Tier != Healthy {
@@ -21,14 +21,14 @@
 	f.report(1, 2, 0, 10, 0)
 	f.advance(1100)
 	if e := f.endpoint("east", 0); e.Tier != Healthy {
-		t.Errorf("one against one: %+v", e)
+		t.Errorf("1 of 2 reports failures: %+v", e)
 	}
 	if n := f.a.Counts().Contradicted; n != 3 {
 		t.Errorf("%d loads contradicted, want 3", n)
 	}
 	f.report(0, 60, 0, 0, 10)
 	f.report(60, 100, 0, 10, 0)
-	for i := 1; i < 4; i++ { // the others are healthy: it is not a fault common to all
+	for i := 1; i < 4; i++ { // the other servers are healthy: the fault is not common to all
 		f.report(0, 100, i, 10, 0)
 	}
 	f.advance(1100)
@@ -37,7 +37,7 @@
 	}
 }
 
-// Invalid, late and unknown loads are counted and change nothing.
+// Invalid, late and unknown loads are counted and otherwise ignored.
 func TestUnusableEvidenceIsCounted(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.connect(2)
@@ -48,7 +48,7 @@
 				{Addr: f.entries[0].Addr, Failed: x}, {Addr: f.entries[0].Addr, Served: 1, Rejected: x}}})
 		}
 	}
-	f.a.Report(f.now, "nobody", &Report{IntervalMs: 1000, Loads: []ServerLoad{{Addr: f.entries[0].Addr, Failed: 10}}})
+	f.a.Report(f.now, "unknown", &Report{IntervalMs: 1000, Loads: []ServerLoad{{Addr: f.entries[0].Addr, Failed: 10}}})
 	f.a.Report(f.now, "p-0", &Report{IntervalMs: 1000, Loads: []ServerLoad{{Addr: "10.9.9.9:1", Failed: 10}}})
 	f.advance(1100)
 	if e := f.endpoint("east", 0); e.Tier != Healthy {
@@ -57,7 +57,7 @@
 	if c := f.a.Counts(); c.Invalid != 16 || c.Unknown != 2 {
 		t.Errorf("counts %+v, want 16 invalid and 2 unknown", c)
 	}
-	// What a server answered before it failed says nothing.
+	// Answers from before the server became Unhealthy are ignored.
 	f.report(0, 2, 0, 0, 10)
 	f.advance(1000)
 	if e := f.endpoint("east", 0); e.Tier != LastResort {
@@ -70,14 +70,14 @@
 	}
 }
 
-// Requests that stay in progress and never end mean a hanging server.
+// A server whose requests stay in progress and never end is treated as hanging.
 func TestHangingServerBecomesLastResort(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.connect(2)
 	f.advance(100)
 	for range hungWindows {
 		if e := f.endpoint("east", 0); e.Tier != Healthy {
-			t.Fatalf("too soon: %+v", e)
+			t.Fatalf("before the number of windows: %+v", e)
 		}
 		f.a.Report(f.now, "p-0", &Report{IntervalMs: 1000, Loads: []ServerLoad{{Addr: f.entries[0].Addr, InProgress: 5}}})
 		f.report(0, 2, 1, 10, 0)
@@ -88,7 +88,7 @@
 	}
 }
 
-// Where servers reject most requests, proxies shed a part at once; when they serve, none.
+// While servers reject most requests, proxies shed a part of the load themselves, and none afterwards.
 func TestOverloadShedsLoad(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.connect(2)
@@ -102,7 +102,7 @@
 	}
 	report(20, 180)
 	if s := f.a.Assignment(f.now, "east").ShedPercent; s < 50 || s > 80 {
-		t.Errorf("%d of 100 are shed", s)
+		t.Errorf("%d%% of the load is shed, want 50%% to 80%%", s)
 	}
 	if e := f.endpoint("east", 0); e.Tier != Healthy {
 		t.Errorf("an overloaded server is not unhealthy: %+v", e)
@@ -111,6 +111,6 @@
 		report(100, 0)
 	}
 	if s := f.a.Assignment(f.now, "east").ShedPercent; s != 0 {
-		t.Errorf("%d of 100 are shed without overload", s)
+		t.Errorf("%d%% of the load is shed without overload", s)
 	}
 }
--- a/internal/control/assign/golden_test.go
+++ b/internal/control/assign/golden_test.go
@@ -10,11 +10,11 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-var update = flag.Bool("update", false, "write the golden files from what the code decides now")
+var update = flag.Bool("update", false, "update the golden files")
 
 const goldenFile = "testdata/assignments.golden"
 
-// dump writes the assignments of all zones, one endpoint a line.
+// dump writes the assignments of all zones, one endpoint per line.
 func (f *fixture) dump(out *strings.Builder, step string) {
 	for _, zone := range []string{"east", "west", ""} {
 		a := f.a.Assignment(f.now, zone)
@@ -27,8 +27,8 @@
 	fmt.Fprintf(out, "%s changed at %.3f counts=%v\n", step, f.now, f.a.Counts())
 }
 
-// A scripted day: evidence, an ejection and its end, drains, slow starts beside stalled proxies, load
-// shedding. The assignments after each step stay as they were when the file was written.
+// Compares the assignments after each step of a fixed scenario with a golden file. The scenario has evidence,
+// an ejection and its expiry, drains, slow starts while some proxies stall, and load shedding.
 func TestAssignmentsAreStable(t *testing.T) {
 	var out strings.Builder
 	f := newFixture(t, 8, nil)
@@ -44,7 +44,7 @@
 	f.update(4, func(e *membership.Entry) { e.StartedMs = f.now })
 	f.update(5, func(e *membership.Entry) { e.StartedMs = f.now - 3000 })
 	f.dump(&out, "slow start before acknowledgements")
-	f.ackAll(4) // two proxies stay on the old assignment
+	f.ackAll(4) // two proxies keep the old assignment
 	f.dump(&out, "slow start beside stalled proxies")
 	f.a.Connect(f.now, "foreign", "west", false)
 	f.ackAll(6)
--- a/internal/control/assign/membership.go
+++ b/internal/control/assign/membership.go
@@ -7,17 +7,17 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// maxProblems bounds the problems that are kept of one membership update.
+// maxProblems bounds the number of problems recorded for one membership update.
 const maxProblems = 16
 
-// server is a listed server.
+// server is a server in the current membership.
 type server struct {
 	entry      membership.Entry
 	policyAddr policy.Addr
 	evidence   evidenceWindow
 }
 
-// UpdateMembership replaces the membership by the complete list of entries, in the form of
+// UpdateMembership replaces the membership with a complete list of entries, as returned by
 // membership.Set.Entries.
 func (a *Assigner) UpdateMembership(now float64, entries []membership.Entry) {
 	a.hasMembership = true
@@ -29,7 +29,7 @@
 	for i := range entries {
 		entry := entries[i]
 		if other := a.byAddr[entry.Addr]; other != nil {
-			// Proxies reject a resource that has one address twice, and with it all other endpoints.
+			// Proxies reject a resource with a duplicate address, including all its other endpoints.
 			a.addProblem(fmt.Sprintf("%s: left out, %s has its address %s", entry.ID, other.entry.ID, entry.Addr))
 			continue
 		}
@@ -46,16 +46,16 @@
 			delete(a.byPolicyAddr, s.policyAddr)
 		}
 	}
-	for id, startedMs := range a.starts {
+	for id, startedMs := range a.startTimes {
 		if !a.inSlowStart(now, startedMs) {
-			delete(a.starts, id)
+			delete(a.startTimes, id)
 		}
 	}
 	update := policy.Event{Kind: policy.EventEndpointUpdate, Update: policy.UpdateComplete, Endpoints: endpoints}
 	a.balancer.Handle(now, &update, nil)
 }
 
-// updateServer records a listed server and returns its endpoint for the balancer.
+// updateServer adds or updates a server and returns its endpoint for the balancer.
 func (a *Assigner) updateServer(now float64, entry membership.Entry) policy.Endpoint {
 	s := a.servers[entry.ID]
 	if s == nil {
@@ -68,23 +68,24 @@
 	a.byAddr[entry.Addr] = s
 	endpoint := a.names.Policy(&entry)
 	endpoint.Server = s.policyAddr
-	// A server that is listed again with an older start, or with none, is still in slow start.
-	if startedMs, ok := a.starts[entry.ID]; ok && startedMs > endpoint.StartedMs {
+	// A server that returns to the endpoint list with an earlier start time, or without one, stays in slow
+	// start.
+	if startedMs, ok := a.startTimes[entry.ID]; ok && startedMs > endpoint.StartedMs {
 		endpoint.StartedMs = startedMs
 	}
 	if endpoint.StartedMs > 0 && a.inSlowStart(now, endpoint.StartedMs) {
-		a.starts[entry.ID] = endpoint.StartedMs
+		a.startTimes[entry.ID] = endpoint.StartedMs
 	}
 	return endpoint
 }
 
-// inSlowStart reports whether a server that started at startedMs is still warming up.
+// inSlowStart reports whether a server that started at startedMs is still in slow start.
 func (a *Assigner) inSlowStart(now, startedMs float64) bool {
 	return now-startedMs < a.cfg.Settings.Contract.SlowStartMs
 }
 
 func (a *Assigner) anySlowStart(now float64) bool {
-	for _, startedMs := range a.starts {
+	for _, startedMs := range a.startTimes {
 		if a.inSlowStart(now, startedMs) {
 			return true
 		}
@@ -98,9 +99,9 @@
 	}
 }
 
-// Problems returns which entries of the last membership update could not be used, and why.
+// Problems describes the entries of the last membership update that could not be used.
 func (a *Assigner) Problems() []string { return a.problems }
 
-// HasMembership reports whether any membership update came yet. Until then there is nothing to serve: a
-// proxy with an older assignment keeps it, which is better than an empty one.
+// HasMembership reports whether any membership update has been received. Until then no assignment is served,
+// so that a proxy keeps an older assignment instead of replacing it with an empty one.
 func (a *Assigner) HasMembership() bool { return a.hasMembership }
--- a/internal/control/assign/proxies.go
+++ b/internal/control/assign/proxies.go
@@ -1,31 +1,31 @@
 package assign
 
-// rateUnit is the resolution in which request rates are summed, per request a second: integer sums do not
-// depend on the order of a map.
+// rateUnit is the number of units per request/s in which request rates are summed. Integer sums do not depend
+// on the iteration order of a map.
 const rateUnit = 1000
 
-// proxy is what is known of one proxy.
+// proxy is the state of one proxy.
 type proxy struct {
 	zone           string
-	streams        int // connected ones
+	streams        int // number of open streams
 	disconnectedMs float64
-	rate           float64 // requests a second by its load reports; 0: none yet
-	ratedMs        float64 // when it last reported; 0: never
+	rate           float64 // requests per second according to its load reports; 0: unknown
+	reportedMs     float64 // time of its last load report; 0: none yet
 	acknowledged   *Assignment
-	// foreign reports that it connected with an assignment of another process and has acknowledged none
-	// of this one.
-	foreign bool
+	// unknownAssignment reports that the proxy connected with an assignment of another process, whose content
+	// is unknown here, and has not acknowledged one of this process yet.
+	unknownAssignment bool
 }
 
-// Connect records a stream of a proxy. fresh reports that the proxy came without resources, so that it
-// cannot hold an assignment of another process.
-func (a *Assigner) Connect(now float64, id, zone string, fresh bool) {
+// Connect records a new stream of a proxy. withoutResources reports that the proxy has no resources, so that
+// it cannot use an assignment of another process.
+func (a *Assigner) Connect(now float64, id, zone string, withoutResources bool) {
 	p := a.proxies[id]
 	if p == nil {
 		if len(a.proxies) >= MaxProxies {
-			a.forgetOldestProxy()
+			a.evictOldestProxy()
 		}
-		p = &proxy{foreign: !fresh}
+		p = &proxy{unknownAssignment: !withoutResources}
 		a.proxies[id] = p
 	}
 	p.zone = zone
@@ -34,9 +34,9 @@
 	a.dirty = true
 }
 
-// forgetOldestProxy forgets the proxy that disconnected longest ago. Connected proxies are never forgotten;
-// the service bounds them.
-func (a *Assigner) forgetOldestProxy() {
+// evictOldestProxy evicts the proxy that disconnected longest ago. Connected proxies are never evicted; the
+// service bounds their number.
+func (a *Assigner) evictOldestProxy() {
 	oldest := ""
 	for id, p := range a.proxies {
 		if p.streams == 0 && (oldest == "" || p.disconnectedMs < a.proxies[oldest].disconnectedMs ||
@@ -47,7 +47,7 @@
 	delete(a.proxies, oldest)
 }
 
-// Disconnect records the end of a stream. The proxy continues to send by the assignment that it holds.
+// Disconnect records the end of a stream. The proxy continues to send requests by its last assignment.
 func (a *Assigner) Disconnect(now float64, id string) {
 	p := a.proxies[id]
 	if p == nil || p.streams == 0 {
@@ -60,21 +60,21 @@
 	}
 }
 
-// Acknowledge records the assignment that a proxy accepted last.
+// Acknowledge records the last assignment that a proxy accepted.
 func (a *Assigner) Acknowledge(id string, assignment *Assignment) {
 	p := a.proxies[id]
 	if p == nil || p.acknowledged == assignment {
 		return
 	}
 	p.acknowledged = assignment
-	p.foreign = false
-	if len(a.starts) > 0 { // only slow start depends on what proxies hold
+	p.unknownAssignment = false
+	if len(a.startTimes) > 0 { // only slow start depends on the acknowledged assignments
 		a.dirty = true
 	}
 }
 
-// forgetProxies drops proxies whose grace period after the disconnect is over.
-func (a *Assigner) forgetProxies(now float64) {
+// expireProxies removes the proxies whose grace period after the disconnect has expired.
+func (a *Assigner) expireProxies(now float64) {
 	for id, p := range a.proxies {
 		if p.streams == 0 && now-p.disconnectedMs >= a.cfg.DisconnectGraceMs {
 			delete(a.proxies, id)
@@ -83,22 +83,22 @@
 	}
 }
 
-// senderKey tells proxies apart that send requests by different weights.
+// senderKey identifies a set of proxies that send requests by the same weights.
 type senderKey struct {
-	zone         string
-	acknowledged *Assignment
-	disconnected bool // will not take a new assignment
-	foreign      bool
+	zone              string
+	acknowledged      *Assignment
+	disconnected      bool // cannot receive a new assignment
+	unknownAssignment bool
 }
 
-// sender is all proxies of one key and the sum of their request rates.
+// sender represents all proxies with the same key.
 type sender struct {
 	senderKey
-	rate float64 // requests a second
+	rate float64 // total requests per second
 }
 
-// senders groups the proxies and returns the groups, in no particular order, and the total rate. A proxy
-// whose rate is not known counts with the mean of the known rates.
+// senders groups the proxies by key and returns the groups, in no particular order, and the total rate. A
+// proxy with an unknown rate counts with the mean of the known rates.
 func (a *Assigner) senders() (senders []sender, totalRate float64) {
 	mean := a.meanRate()
 	rates := map[senderKey]int64{}
@@ -108,7 +108,7 @@
 		if p.rate <= 0 {
 			rate = mean
 		}
-		key := senderKey{p.zone, p.acknowledged, p.streams == 0, p.foreign}
+		key := senderKey{p.zone, p.acknowledged, p.streams == 0, p.unknownAssignment}
 		rates[key] += rate
 		total += rate
 	}
@@ -119,7 +119,8 @@
 	return senders, float64(total) / rateUnit
 }
 
-// meanRate returns the mean of the known request rates, in 1/rateUnit; one request a second if none is known.
+// meanRate returns the mean of the known request rates in units of 1/rateUnit, or one request per second if
+// none is known.
 func (a *Assigner) meanRate() int64 {
 	sum := int64(0)
 	known := int64(0)
--- a/internal/control/assign/routes.go
+++ b/internal/control/assign/routes.go
@@ -5,21 +5,23 @@
 const (
 	backoffBaseMs = 10
 	backoffMaxMs  = 100
-	// maxProxyAttempts bounds the attempts of a request at a proxy, whatever the settings allow.
+	// maxProxyAttempts bounds the attempts that a proxy makes for a request, whatever the settings allow.
 	maxProxyAttempts = 3
-	// answerMarginMs is taken from a route's timeout, so that the proxy's answer reaches the client in time.
+	// answerMarginMs is subtracted from a route's timeout, so that the proxy's answer reaches the client
+	// before the client's own timeout.
 	answerMarginMs = 8.0
-	// maxAnswerMarginFraction bounds that margin, as a part of the timeout.
+	// maxAnswerMarginFraction bounds that margin, as a fraction of the timeout.
 	maxAnswerMarginFraction = 1.0 / 8
-	// windowMarginMs is what clocks, scheduling and the network may take from an idempotency window.
+	// windowMarginMs is the part of an idempotency window that clock differences, scheduling and network
+	// delays may use up.
 	windowMarginMs = 50.0
 )
 
-// Route is how proxies handle the requests of one class.
+// Route configures how proxies handle the requests of one class.
 type Route struct {
 	Class      string // "" for requests without a known class
 	TimeoutMs  float64
-	MaxRetries int // attempts after the first; never two at once
+	MaxRetries int // attempts after the first, one at a time
 	RetryOn    RetryOn
 	// BackoffBaseMs and BackoffMaxMs bound the random backoff before a retry.
 	BackoffBaseMs, BackoffMaxMs float64
@@ -32,19 +34,19 @@
 
 // The retry conditions.
 const (
-	// NeverRan permits a retry only where the attempt cannot have run: the connection failed, the stream
-	// was refused, or the answer carries Not-Started.
+	// NeverRan permits a retry only if the attempt cannot have run: the connection failed, the stream was
+	// refused, or the answer has the header Not-Started.
 	NeverRan RetryOn = iota
 	// AnyFailure permits a retry after any failure, including those after which the attempt may have run.
 	AnyFailure
 )
 
-// Routes returns a route for each class, and a last one for requests without a known class, which are
-// taken as not idempotent and get the shortest timeout of all.
+// Routes returns a route for each class, followed by one for requests without a known class, which are
+// treated as not idempotent and get the shortest timeout of all classes.
 //
-// A proxy knows neither idempotency windows nor deduplication scopes, so what it may retry has to be safe
-// for the complete timeout of the route: classes idempotent by key are retried after any failure only
-// where all servers share the deduplication and the window is longer than the timeout.
+// A proxy knows neither idempotency windows nor deduplication scopes, so its retries have to be safe at any
+// time within the route's timeout: classes that are idempotent by key are retried after any failure only if
+// all servers share the deduplication and the window is longer than the timeout.
 func Routes(s *policy.Settings) []Route {
 	routes := make([]Route, 0, len(s.Classes)+1)
 	unclassified := Route{RetryOn: NeverRan}
@@ -67,7 +69,7 @@
 	return routes
 }
 
-// retryOn returns after which failures proxies may retry requests of a class.
+// retryOn returns the failures after which proxies may retry requests of a class.
 func retryOn(class *policy.Class) RetryOn {
 	switch class.Effect {
 	case policy.Idempotent:
--- a/internal/control/assign/routes_test.go
+++ b/internal/control/assign/routes_test.go
@@ -6,18 +6,19 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// outcome is how an attempt may end at a proxy, and whether it may have run.
+// outcome is a possible outcome of an attempt as seen by a proxy.
 type outcome struct {
 	name   string
-	mayRun bool
+	mayRun bool // the server may have executed the request
 }
 
 var outcomes = []outcome{
 	{"error answer", true}, {"rejected", false}, {"could not connect", false}, {"reset", true}, {"timed out", true},
 }
 
-// modelAllows is rule 2 as a model independent of the code: whether a proxy that knows no idempotency window
-// and no deduplication scope may retry a class at any time within the client timeout.
+// modelAllows specifies, independently of the code, whether a proxy may retry a request of a class at any
+// time within the client timeout without executing it twice. The proxy knows neither idempotency windows nor
+// deduplication scopes.
 func modelAllows(c policy.Class, o outcome) bool {
 	if !o.mayRun {
 		return true
@@ -34,9 +35,9 @@
 func TestRoutesRetryOnlyWhatIsSafe(t *testing.T) {
 	var classes []policy.Class
 	for _, effect := range []policy.Effect{policy.Idempotent, policy.IdempotentByKey, policy.NonIdempotent} {
-		for _, group := range []policy.DedupScope{policy.ScopeAll, policy.ScopeZone, policy.ScopeCell} {
-			for _, ttl := range []float64{0, 300, 599, 600, 640, 660, 5000} {
-				classes = append(classes, policy.Class{Name: string(effect) + string(group), LatencyObjectiveMs: 100, ClientTimeoutMs: 600, Effect: effect, DedupScope: group, IdempotencyWindowMs: ttl})
+		for _, scope := range []policy.DedupScope{policy.ScopeAll, policy.ScopeZone, policy.ScopeCell} {
+			for _, window := range []float64{0, 300, 599, 600, 640, 660, 5000} {
+				classes = append(classes, policy.Class{Name: string(effect) + string(scope), LatencyObjectiveMs: 100, ClientTimeoutMs: 600, Effect: effect, DedupScope: scope, IdempotencyWindowMs: window})
 			}
 		}
 	}
@@ -56,7 +57,7 @@
 				t.Errorf("%d attempts allowed: %d retries, want %d", attempts, r.MaxRetries, want)
 			}
 			if !(r.TimeoutMs > 0 && r.TimeoutMs < c.ClientTimeoutMs) {
-				t.Errorf("%+v: time-out %v of %v", c, r.TimeoutMs, c.ClientTimeoutMs)
+				t.Errorf("%+v: route timeout %v, client timeout %v", c, r.TimeoutMs, c.ClientTimeoutMs)
 			}
 			for _, o := range outcomes {
 				retried := !o.mayRun || r.RetryOn == AnyFailure
@@ -64,7 +65,7 @@
 					t.Errorf("%+v is retried after %q", c, o.name)
 				}
 			}
-			// What is clearly permitted is used.
+			// Retries that are clearly safe are configured.
 			if c.Effect == policy.Idempotent && r.RetryOn != AnyFailure || c.Effect == policy.IdempotentByKey && c.DedupScope == policy.ScopeAll && c.IdempotencyWindowMs == 5000 && r.RetryOn != AnyFailure {
 				t.Errorf("%+v is not retried", c)
 			}
--- a/internal/control/assign/slowstart.go
+++ b/internal/control/assign/slowstart.go
@@ -8,21 +8,22 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// assignSlowStartLevels divides the load allowed to each server in slow start over the proxies. It returns,
-// by server ID, the level (1 to slowStartLevels) of its full weight in all assignments.
+// assignSlowStartLevels divides the load allowed to each server in slow start among the proxies. It returns,
+// by server ID, the weight of the server in all assignments, as a level from 1 to slowStartLevels, where
+// slowStartLevels is the full weight.
 //
-// The rule: all proxies together, each counted with the larger of what it holds and what it is about to
-// get, send the server no more than loadShare of an even share. Level 0, a missing entry, means that no
-// load is allowed: proxies on older assignments use all of it up, or the service has just started and
-// does not know yet what proxies hold.
+// All proxies together must send the server no more than loadShare of an even share, where each proxy counts
+// with the larger of its current and its next assignment. A missing entry (level 0) means that no load is
+// allowed: proxies with older assignments already use all of it, or the service has just started and does not
+// know yet which assignments proxies have.
 func (a *Assigner) assignSlowStartLevels(now float64, base []baseEndpoint) map[string]int {
 	warming, warmWeight := splitBySlowStart(base)
 	levels := make(map[string]int, len(warming))
 	if len(warming) == 0 {
 		return levels
 	}
-	// With no other server there is no even share to compare with, and nowhere else to send requests:
-	// the warming servers divide them by their own limits.
+	// With no server outside slow start there is no even share to compare with and no alternative: the
+	// warming servers divide the load in proportion to their own limits.
 	if warmWeight == 0 {
 		for _, e := range warming {
 			levels[e.ID] = max(int(e.loadShare*slowStartLevels), 1)
@@ -47,7 +48,8 @@
 	return levels
 }
 
-// splitBySlowStart returns, of the healthy servers, those in slow start and the full weight of the others.
+// splitBySlowStart returns the healthy servers in slow start, and the total full weight of the healthy
+// servers outside it.
 func splitBySlowStart(base []baseEndpoint) (warming []*baseEndpoint, warmWeight float64) {
 	for i := range base {
 		switch e := &base[i]; {
@@ -61,8 +63,8 @@
 	return warming, warmWeight
 }
 
-// warmWeightByZone returns, for each group, the weight of the healthy servers that are not in slow start,
-// locality weight included.
+// warmWeightByZone returns, by the zone of each group, the total weight of the healthy servers that are not
+// in slow start, locality weight included.
 func (a *Assigner) warmWeightByZone(base []baseEndpoint) map[string]float64 {
 	weights := make(map[string]float64, len(a.groups))
 	for zone, g := range a.groups {
@@ -75,8 +77,8 @@
 	return weights
 }
 
-// weight returns w as the proxies of the group's zone see it for a server of serverZone. The locality
-// weight is rounded as in LocalityWeightPercent.
+// weight returns w times the locality weight that the group's proxies, in zone, apply to a server in
+// serverZone. The locality weight is rounded as in LocalityWeightPercent.
 func (g *group) weight(zone, serverZone string, w float64) float64 {
 	if serverZone == zone {
 		w *= math.Round(g.localityWeight*10) / 10
@@ -84,8 +86,9 @@
 	return w
 }
 
-// maxRate returns the largest number of requests a second that all senders together may send a server in
-// slow start while its new level propagates: each holds either its old assignment or the new one.
+// maxRate returns the highest request rate, in requests per second, that all senders together may send a
+// server in slow start while its new level propagates, when each sender uses either its old assignment or the
+// new one.
 func (a *Assigner) maxRate(e *baseEndpoint, level int, senders []sender, otherWeight map[string]float64) float64 {
 	rates := make([]float64, 0, len(senders))
 	for i := range senders {
@@ -95,8 +98,8 @@
 		next := w / (w + others)
 		current := s.acknowledged.Share(e.ID)
 		switch {
-		case s.foreign && s.acknowledged == nil:
-			// It may hold the server at its full weight.
+		case s.unknownAssignment && s.acknowledged == nil:
+			// Its assignment may contain the server at full weight.
 			full := e.fullWeight * maxLocalityWeight(e.Zone == s.zone)
 			current = full / (full + others)
 		case s.disconnected:
@@ -104,7 +107,7 @@
 		}
 		rates = append(rates, s.rate*max(next, current))
 	}
-	slices.Sort(rates) // so that the floating-point sum does not depend on the order of the senders
+	slices.Sort(rates) // makes the floating-point sum independent of the order of the senders
 	sum := 0.0
 	for _, rate := range rates {
 		sum += rate
@@ -112,7 +115,7 @@
 	return sum
 }
 
-// maxLocalityWeight is the largest locality weight that the balancer ever gives a server.
+// maxLocalityWeight returns the largest locality weight that the balancer can assign to a server.
 func maxLocalityWeight(sameZone bool) float64 {
 	if sameZone {
 		return policy.MaxLocalityWeight
--- a/internal/control/assign/slowstart_test.go
+++ b/internal/control/assign/slowstart_test.go
@@ -9,13 +9,13 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// share returns the weight of a server as a part of its full weight.
+// share returns the weight of a server as a fraction of its full weight.
 func (f *fixture) share(i int) float64 {
 	return float64(f.endpoint("east", i).Weight) / fullWeight
 }
 
 func (f *fixture) ackAll(n int) {
-	for range 3 { // an ack may change what is next
+	for range 3 { // an acknowledgement may change the next assignment
 		for p := range n {
 			id, zone := fmt.Sprintf("p-%d", p), []string{"east", "west"}[p%2]
 			f.a.Acknowledge(id, f.a.Assignment(f.now, zone))
@@ -25,13 +25,13 @@
 	}
 }
 
-// A started server gets the load that slow start allows, more as it warms up, and its full weight at the end.
+// A server in slow start gets the load that is allowed, which rises until it has its full weight at the end.
 func TestSlowStartRaisesTheWeight(t *testing.T) {
 	f := newFixture(t, 10, nil)
 	f.connect(10)
 	f.update(4, func(e *membership.Entry) { e.StartedMs = f.now })
 	if e := f.endpoint("east", 4); e.Tier != LastResort || !e.SlowStart {
-		t.Errorf("while proxies hold its full weight: %+v", e)
+		t.Errorf("while proxies use it with its full weight: %+v", e)
 	}
 	f.ackAll(10)
 	last := f.share(4)
@@ -54,7 +54,7 @@
 	}
 }
 
-// Proxies that stay on an older assignment, connected or recently disconnected, are counted with it.
+// Proxies that still use an older assignment, stalled or recently disconnected, count with that assignment.
 func TestSlowStartCountsOldAssignments(t *testing.T) {
 	for name, disconnected := range map[string]bool{"stalled": false, "disconnected": true} {
 		t.Run(name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 			other.ackAll(8)
 			all := other.share(4)
 			if e := f.endpoint("east", 4); e.Tier == Healthy && got >= all {
-				t.Errorf("share %v beside two stalled proxies, %v without", got, all)
+				t.Errorf("share %v with two proxies on the old assignment, %v without them", got, all)
 			}
 			if disconnected { // after the grace period they no longer count
 				f.now += f.a.cfg.DisconnectGraceMs
@@ -87,7 +87,8 @@
 	}
 }
 
-// A process that has just started does not know what proxies hold: servers in slow start wait.
+// A process that has just started does not know which assignments proxies use, so servers in slow start get
+// no load during the startup hold.
 func TestSlowStartWaitsAfterStartup(t *testing.T) {
 	f := newFixture(t, 4, func(c *Config) { c.StartupHoldMs = 3000 })
 	f.update(1, func(e *membership.Entry) { e.StartedMs = f.now })
@@ -102,7 +103,7 @@
 	}
 }
 
-// A proxy with an assignment of another process may hold a server in slow start at its full weight.
+// A proxy with an assignment of another process may use a server in slow start with its full weight.
 func TestSlowStartCountsForeignAssignments(t *testing.T) {
 	f := newFixture(t, 10, nil)
 	f.connect(4)
@@ -113,11 +114,11 @@
 	f.a.Acknowledge("foreign", f.a.Assignment(f.now, "east"))
 	f.ackAll(4)
 	if s := f.share(4); s <= current && f.endpoint("east", 4).Tier == Healthy {
-		t.Errorf("share %v with a foreign proxy, %v once it acknowledged", current, s)
+		t.Errorf("share %v with a proxy on an unknown assignment, %v after its acknowledgement", current, s)
 	}
 }
 
-// A flapping server stays in slow start, though the endpoint list forgets its start.
+// A flapping server stays in slow start, even if the endpoint list no longer has its start time.
 func TestFlappingKeepsSlowStart(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.connect(2)
@@ -139,7 +140,7 @@
 	}
 }
 
-// All servers in slow start, as after a power cut: they divide the load, and none is left out.
+// If all servers are in slow start, as after a power failure, they divide the load and all of them are used.
 func TestAllServersInSlowStart(t *testing.T) {
 	f := newFixture(t, 4, nil)
 	f.connect(2)
@@ -154,7 +155,8 @@
 	}
 }
 
-// Whatever proxies hold and get, together they send a server in slow start no more than the balancer allows.
+// Whichever assignments proxies use and receive, together they send a server in slow start no more than the
+// balancer allows.
 func TestSlowStartLimitProperty(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -180,7 +182,7 @@
 			}
 			f.now += 200
 			f.a.Tick(f.now)
-			// An independent sum: each proxy with the larger of what it holds and what it may get.
+			// Computed independently: each proxy counts with the larger of its current and its next share.
 			id := f.entries[target].ID
 			sent, total, warm, full := 0.0, 0.0, 0.0, 0.0
 			for _, p := range f.a.proxies {
@@ -202,15 +204,16 @@
 			for _, p := range f.a.proxies {
 				current += p.rate * p.acknowledged.Share(id)
 			}
-			// What proxies hold cannot be taken back; nothing may be added to it beyond the limit.
+			// The load of current assignments cannot be reduced here; new ones must not raise it above the
+			// limit.
 			if sent > full*1.001 && sent > current*1.001 {
-				t.Fatalf("seed %d, step %d: %v a second, allowed %v, current %v", seed, step, sent, full, current)
+				t.Fatalf("seed %d, step %d: %v requests/s, allowed %v, current %v", seed, step, sent, full, current)
 			}
 		}
 	}
 }
 
-// Above the bound, the proxies that disconnected longest ago are forgotten, and no connected one.
+// Above the bound, the proxies that disconnected longest ago are evicted, and no connected one.
 func TestProxiesAreBounded(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.a.Connect(f.now, "connected", "east", true)
@@ -219,10 +222,10 @@
 		f.a.Connect(f.now, id, "east", true)
 		f.a.Disconnect(f.now+float64(i), id)
 		if len(f.a.proxies) > MaxProxies {
-			t.Fatalf("%d proxies are remembered", len(f.a.proxies))
+			t.Fatalf("%d proxies are tracked", len(f.a.proxies))
 		}
 	}
 	if f.a.proxies["connected"] == nil {
-		t.Error("a connected proxy was forgotten")
+		t.Error("a connected proxy was evicted")
 	}
 }
