--- a/internal/control/resource/clusters.go
+++ b/internal/control/resource/clusters.go
@@ -17,24 +17,25 @@
 )
 
 const (
-	// ringEntriesPerServer is the minimum of entries on the ring for each server. Large rings cost each proxy
-	// memory and time at every change.
+	// ringEntriesPerServer is the minimum number of ring entries per server. Large rings cost each proxy
+	// memory, and time at every change.
 	ringEntriesPerServer = 64
 	minRingSize          = 1024
 	maxRingSize          = 1 << 18
-	// ringSizeLimit is the most that Envoy and gRPC accept.
+	// ringSizeLimit is the largest ring size that Envoy and gRPC accept.
 	ringSizeLimit = 8 << 20
-	// maxConnections bounds the connections of one proxy to the servers of a class.
+	// maxConnections bounds the connections of one proxy to the servers for a class.
 	maxConnections = 4096
-	// defaultMaxRequests bounds the active requests of a class at one proxy where the settings do not.
+	// defaultMaxRequests bounds the active requests of a class at one proxy if the settings do not.
 	defaultMaxRequests = 1024
-	// maxPendingRequests bounds the requests of a class that wait at one proxy for a connection.
+	// maxPendingRequests bounds the requests of a class that wait for a connection at one proxy.
 	maxPendingRequests = 1024
-	// minRetryConcurrency is the number of concurrent retries that a proxy may always have.
+	// minRetryConcurrency is the number of concurrent retries that the retry budget always permits.
 	minRetryConcurrency = 3
 )
 
-// RingSize returns the minimum ring size for a number of servers: a power of two, so that it seldom changes.
+// RingSize returns the minimum ring size for a number of servers. It is a power of two, so that it rarely
+// changes.
 func RingSize(servers int) uint64 {
 	size := uint64(minRingSize)
 	for size < uint64(servers)*ringEntriesPerServer && size < maxRingSize {
@@ -43,8 +44,8 @@
 	return size
 }
 
-// Clusters renders one cluster for each route, sorted by name. All of them refer to the same endpoints, so that
-// a change of these is sent once.
+// Clusters renders one cluster for each route, sorted by name. All clusters refer to the same endpoint
+// resource, so that a change of the endpoints is sent once.
 func (s *Service) Clusters(servers int) ([]*Resource, error) {
 	var clusters []*Resource
 	for i := range s.Routes {
@@ -71,7 +72,7 @@
 			MaximumRingSize: wrapperspb.UInt64(ringSizeLimit),
 		}},
 		CommonLbConfig: commonLbConfig(),
-		// A removed server is removed at once, whatever health checks the proxy runs itself.
+		// Removes a host as soon as it is no longer listed, whatever health checks the proxy runs itself.
 		IgnoreHealthOnHostRemoval: true,
 		CircuitBreakers: &clusterv3.CircuitBreakers{
 			Thresholds: []*clusterv3.CircuitBreakers_Thresholds{circuitBreakers(&s.Settings, route)},
@@ -90,9 +91,10 @@
 
 func commonLbConfig() *clusterv3.Cluster_CommonLbConfig {
 	return &clusterv3.Cluster_CommonLbConfig{
-		// With any other threshold a proxy with too few healthy servers sends to all, draining ones included.
+		// With any other threshold, a proxy with too few healthy servers sends requests to all servers,
+		// draining ones included.
 		HealthyPanicThreshold: &typev3.Percent{Value: 0},
-		// The default window of a second delays changes of health, and with them a drain.
+		// The default window of one second would delay health changes and therefore drains.
 		UpdateMergeWindow: durationpb.New(0),
 		LocalityConfigSpecifier: &clusterv3.Cluster_CommonLbConfig_LocalityWeightedLbConfig_{
 			LocalityWeightedLbConfig: &clusterv3.Cluster_CommonLbConfig_LocalityWeightedLbConfig{},
@@ -116,7 +118,7 @@
 	}
 }
 
-// maxRequests bounds the active requests of a class at one proxy.
+// maxRequests returns the limit on active requests of a class at one proxy.
 func maxRequests(s *policy.Settings) int {
 	if s.Limits.MaxOpenRequests > 0 && s.Limits.MaxOpenRequests < math.MaxInt32 {
 		return s.Limits.MaxOpenRequests
--- a/internal/control/resource/endpoint.go
+++ b/internal/control/resource/endpoint.go
@@ -14,14 +14,15 @@
 	"ringtrack.example/ringtrack/internal/control/assign"
 )
 
-// cachedEndpoint is an endpoint as it was rendered last.
+// cachedEndpoint is the last rendering of an endpoint.
 type cachedEndpoint struct {
 	endpoint  assign.Endpoint
 	value     []byte               // a marshalled LbEndpoint
-	resources map[string]*Resource // by collection, whose name is part of the resource's
+	resources map[string]*Resource // by collection, whose name is part of the resource name
 }
 
-// endpoint returns an endpoint with its resource in a collection, rendered only where it changed.
+// endpoint returns the rendering of an endpoint, including its resource in a collection. It renders the
+// endpoint only if it changed.
 func (r *Renderer) endpoint(e *assign.Endpoint, collection string) (cachedEndpoint, error) {
 	cached, ok := r.endpoints[e.ID]
 	if !ok || cached.endpoint != *e {
@@ -39,8 +40,8 @@
 	return cached, nil
 }
 
-// marshalEndpoint encodes an LbEndpoint. Its hash key on the ring is the server's ID: a server that changes
-// its address keeps its keys.
+// marshalEndpoint encodes an LbEndpoint. Its hash key is the server's ID, so that a server keeps its keys
+// when its address changes.
 func marshalEndpoint(e *assign.Endpoint) ([]byte, error) {
 	addr, err := parseAddress(e.Addr)
 	if err != nil {
@@ -67,7 +68,7 @@
 	host, port, err := net.SplitHostPort(hostPort)
 	number, portErr := strconv.ParseUint(port, 10, 16)
 	if err != nil || portErr != nil {
-		return nil, fmt.Errorf("%q is no host:port", hostPort)
+		return nil, fmt.Errorf("%q is not a host:port address", hostPort)
 	}
 	return &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
 		Address:       host,
@@ -75,7 +76,7 @@
 	}}}, nil
 }
 
-// adsSource refers a proxy to the ADS stream that it has.
+// adsSource returns a config source that refers to the proxy's ADS stream.
 func adsSource() *corev3.ConfigSource {
 	return &corev3.ConfigSource{
 		ResourceApiVersion:    corev3.ApiVersion_V3,
--- a/internal/control/resource/endpoints.go
+++ b/internal/control/resource/endpoints.go
@@ -18,19 +18,21 @@
 )
 
 const (
-	// overprovisioningPercent makes a priority take all requests as long as 1 in 100 of its servers is
-	// healthy: with the default of 140 a fourth of them draining would spill over to the next priority.
+	// overprovisioningPercent makes a priority receive all requests as long as 1 in 100 of its servers is
+	// healthy. With the default of 140, requests would spill over to the next priority once more than about a
+	// fourth of the servers drain.
 	overprovisioningPercent = 10_000
-	// maxLocalityWeight keeps the sum of the weights of all localities in 32 bits, as proxies require.
+	// maxLocalityWeight keeps the sum of the weights of all localities within 32 bits, as proxies require.
 	maxLocalityWeight = 1 << 30
 	// collectionAuthority is the authority in the names of collections.
 	collectionAuthority = "ringtrack"
-	// sweepAfterRenders is the number of renderings without a locality after which it is forgotten.
+	// sweepAfterRenders is the number of renderings without a locality after which Sweep evicts it.
 	sweepAfterRenders = 16
 )
 
-// Renderer renders the endpoint resources of a service. It caches each server's bytes, so that a change of one
-// server costs that server and a copy. It is not safe for concurrent use: one goroutine owns it.
+// Renderer renders the endpoint resources of a service. It caches the encoded endpoints, so that after a
+// change of one server only that server is encoded again and the rest is copied. It is not safe for
+// concurrent use.
 type Renderer struct {
 	service    string
 	endpoints  map[string]cachedEndpoint // by server ID
@@ -44,12 +46,12 @@
 	zone     string
 }
 
-// cachedLocality is a locality as it was rendered last. It is the same for all groups, and after a drain for
-// all zones but one.
+// cachedLocality is the last rendering of a locality. All groups share it, and a drain changes the one of
+// only one zone.
 type cachedLocality struct {
 	members    []assign.Endpoint
-	body       []byte // the endpoints as they stand in a LocalityLbEndpoints
-	digest     []byte // hash of body, made once for all groups
+	body       []byte // the endpoints, encoded as fields of a LocalityLbEndpoints
+	digest     []byte // hash of body, computed once for all groups
 	collection *Set
 	lastRender uint64
 }
@@ -63,15 +65,15 @@
 	}
 }
 
-// RenderedEndpoints is an assignment as resources: complete, for proxies that take all endpoints in one
-// resource, and by collection, one for each zone and priority, for those that take single endpoints (LEDS).
+// RenderedEndpoints is an assignment rendered in two forms: as one complete resource, and as collections of
+// single endpoints, one for each zone and priority, for proxies that use LEDS.
 type RenderedEndpoints struct {
 	Complete     *Resource       // a ClusterLoadAssignment with all endpoints
-	ByCollection *Resource       // a ClusterLoadAssignment that names the collections
+	ByCollection *Resource       // a ClusterLoadAssignment that refers to the collections
 	Collections  map[string]*Set // of LbEndpoint, by the collection's glob name
 }
 
-// Render renders an assignment. A collection that has not changed is the same Set as before.
+// Render renders an assignment. For an unchanged collection, it returns the same Set as before.
 func (r *Renderer) Render(a *assign.Assignment) (*RenderedEndpoints, error) {
 	r.renders++
 	members := membersByLocality(a)
@@ -85,7 +87,7 @@
 	rendered := &RenderedEndpoints{Collections: make(map[string]*Set, len(keys))}
 	complete := appendString(nil, 1, r.service)
 	byCollection := slices.Clone(complete)
-	var digests [][]byte // of the parts of complete, which is not hashed itself
+	var digests [][]byte // digests of the parts of complete, which are hashed in place of it
 	for _, key := range keys {
 		collection := r.collectionName(key)
 		header, err := localityHeader(a, key, members[key])
@@ -119,7 +121,8 @@
 	return rendered, nil
 }
 
-// membersByLocality groups the endpoints of an assignment; draining ones are in the first priority.
+// membersByLocality groups the endpoints of an assignment by locality. Draining endpoints are in the first
+// priority.
 func membersByLocality(a *assign.Assignment) map[localityKey][]*assign.Endpoint {
 	priorityOf := priorities(a)
 	members := map[localityKey][]*assign.Endpoint{}
@@ -135,8 +138,9 @@
 	return members
 }
 
-// priorities numbers the tiers that have a server in use, without gaps, as proxies reject a resource with
-// one. Where no server is in use, all tiers have priority 0.
+// priorities returns the priority of each tier. The tiers with a server that is not draining are numbered
+// without gaps, since proxies reject a resource with a gap. If all servers are draining, all tiers have
+// priority 0.
 func priorities(a *assign.Assignment) [3]uint32 {
 	var used [3]bool
 	for i := range a.Endpoints {
@@ -155,7 +159,7 @@
 	return numbers
 }
 
-// locality renders the endpoints of a locality, or returns it from the cache where none of them changed.
+// locality renders the endpoints of a locality, or returns the cached rendering if none of them changed.
 func (r *Renderer) locality(key localityKey, members []*assign.Endpoint, collection string) (*cachedLocality, error) {
 	cached := r.localities[key]
 	equal := func(x assign.Endpoint, y *assign.Endpoint) bool { return x == *y }
@@ -185,7 +189,7 @@
 	return l, nil
 }
 
-// Sweep forgets localities and endpoints that no assignment had lately.
+// Sweep evicts the localities and endpoints that no recent assignment contained from the cache.
 func (r *Renderer) Sweep() {
 	for key, l := range r.localities {
 		if r.renders-l.lastRender > sweepAfterRenders {
@@ -205,9 +209,10 @@
 	}
 }
 
-// localityHeader is a LocalityLbEndpoints without its endpoints. Its weight is the sum of those in use, times
-// the group's locality weight: proxies divide it by the weights of the endpoints. It is not rounded, though a
-// drain then changes two resources and not one, since rounding would migrate keys of other servers.
+// localityHeader encodes a LocalityLbEndpoints without its endpoints. Its weight is the sum of the weights of
+// the endpoints that are not draining, times the group's locality weight; proxies divide it among the
+// endpoints by their weights. The weight is not rounded to coarser steps: with them, a drain would change one
+// resource and not two, but would also migrate keys of other servers.
 func localityHeader(a *assign.Assignment, key localityKey, members []*assign.Endpoint) ([]byte, error) {
 	sum := 0.0
 	for _, e := range members {
@@ -225,7 +230,8 @@
 	})
 }
 
-// collectionReference is the part of a LocalityLbEndpoints that names a collection in place of endpoints.
+// collectionReference encodes the part of a LocalityLbEndpoints that refers to a collection in place of
+// endpoints.
 func collectionReference(collection string) ([]byte, error) {
 	b, err := marshal(&endpointv3.LocalityLbEndpoints{
 		LbConfig: &endpointv3.LocalityLbEndpoints_LedsClusterLocalityConfig{
@@ -241,18 +247,18 @@
 	return b, nil
 }
 
-// collectionName is the glob name of a locality's collection.
+// collectionName returns the glob name of a locality's collection.
 func (r *Renderer) collectionName(key localityKey) string {
 	return "xdstp://" + collectionAuthority + "/envoy.config.endpoint.v3.LbEndpoint/" + escape(r.service) + "/" +
 		escape(key.zone) + "/" + strconv.Itoa(int(key.priority)) + "/*"
 }
 
-// escape makes a name one segment of a path.
+// escape encodes a name as one path segment.
 func escape(s string) string {
 	return strings.NewReplacer("%", "%25", "/", "%2F", "*", "%2A", "#", "%23", "?", "%3F").Replace(s)
 }
 
-// dropPolicy sets the overprovisioning and the percentage of requests that proxies drop.
+// dropPolicy returns the policy with the overprovisioning factor and the percentage of requests to drop.
 func dropPolicy(shedPercent int) *endpointv3.ClusterLoadAssignment_Policy {
 	p := &endpointv3.ClusterLoadAssignment_Policy{OverprovisioningFactor: wrapperspb.UInt32(overprovisioningPercent)}
 	if shedPercent > 0 {
--- a/internal/control/resource/golden_test.go
+++ b/internal/control/resource/golden_test.go
@@ -12,11 +12,12 @@
 	"ringtrack.example/ringtrack/internal/control/assign"
 )
 
-var update = flag.Bool("update", false, "write the golden files from what the code renders now")
+var update = flag.Bool("update", false, "update the golden files")
 
 const goldenFile = "testdata/resources.golden"
 
-// goldenAssignment has a draining server, a warming server and one that is the last resort, and sheds load.
+// goldenAssignment returns an assignment with load shedding, a draining server, one in slow start, and
+// servers of all tiers.
 func goldenAssignment() *assign.Assignment {
 	a := assignment(func(endpoints []assign.Endpoint) {
 		endpoints[1].Draining = true
@@ -30,7 +31,7 @@
 	return a
 }
 
-// renderGolden lists every rendered resource and frame, one a line: type, name, version, bytes.
+// renderGolden lists all rendered resources and responses, one per line, with type, name, version and bytes.
 func renderGolden(t *testing.T) string {
 	t.Helper()
 	var b strings.Builder
@@ -79,8 +80,8 @@
 	return b.String()
 }
 
-// The bytes, names and versions of all resources are a contract with proxies and with other replicas of
-// another release: they stay as they are.
+// The bytes, names and versions of resources must not change between releases: proxies and replicas of other
+// releases depend on them.
 func TestRenderedResourcesAreStable(t *testing.T) {
 	got := renderGolden(t)
 	if *update {
--- a/internal/control/resource/listeners.go
+++ b/internal/control/resource/listeners.go
@@ -8,7 +8,8 @@
 	hcmv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/filters/network/http_connection_manager/v3"
 )
 
-// Listeners renders the listener for gRPC clients and, where Service.Listen is set, one with a socket.
+// Listeners renders the API listener for gRPC clients and, if Service.Listen is set, a listener with a
+// socket.
 func (s *Service) Listeners() ([]*Resource, error) {
 	manager := mustAny(&hcmv3.HttpConnectionManager{
 		StatPrefix: s.Name,
--- a/internal/control/resource/resource.go
+++ b/internal/control/resource/resource.go
@@ -1,9 +1,9 @@
 // Package resource renders the decisions of package assign as xDS resources, marshalled once for all proxies
-// of a group and ready for the wire. It does no I/O and reads no clock; the same input gives the same bytes
-// and the same versions in every process.
+// of a group. It does no I/O and reads no clock: the same input results in the same bytes and the same
+// versions in every process.
 //
-// A resource's version is a hash of its bytes. Versions are compared for equality only: no replica is ahead
-// of another, and a proxy that reconnects to another replica is sent nothing that it has.
+// A resource's version is a hash of its bytes. Versions are compared only for equality: they do not order
+// replicas, and a proxy that reconnects to another replica is not sent resources that it already has.
 package resource
 
 import (
@@ -15,30 +15,30 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The type URLs of the resources that are served.
+// The type URLs of the served resources.
 const (
 	Listener   = "type.googleapis.com/envoy.config.listener.v3.Listener"
 	Route      = "type.googleapis.com/envoy.config.route.v3.RouteConfiguration"
 	Cluster    = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 	Endpoints  = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-	LbEndpoint = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint" // of LEDS, incremental only
+	LbEndpoint = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint" // LEDS, incremental only
 )
 
-// Types lists the type URLs in the order in which changes are sent: endpoints first, since only a drain is
-// urgent; then what others refer to before what refers to it (make before break).
+// Types lists the type URLs in the order in which changes are sent: endpoints first, since only drains are
+// urgent, then each type after those that it refers to (make before break).
 var Types = []string{LbEndpoint, Endpoints, Cluster, Listener, Route}
 
-// versionBytes is how much of a hash makes a version.
+// versionBytes is the number of hash bytes that form a version.
 const versionBytes = 8
 
 // Resource is one marshalled resource. It is immutable.
 type Resource struct {
 	Name    string
 	Version string
-	any     []byte // google.protobuf.Any
+	any     []byte // marshalled google.protobuf.Any
 }
 
-// New marshals a message as a resource. An error is a defect of the message.
+// New marshals a message as a resource. It fails only for an invalid message.
 func New(typeURL, name string, m proto.Message) (*Resource, error) {
 	value, err := marshal(m)
 	if err != nil {
@@ -47,12 +47,12 @@
 	return fromValue(typeURL, name, value, version(value)), nil
 }
 
-// marshal encodes a message to the same bytes in every process of a release.
+// marshal encodes a message. The bytes are the same in every process of a release.
 func marshal(m proto.Message) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m)
 }
 
-// fromValue makes a resource of an already marshalled message.
+// fromValue returns a resource for an already marshalled message.
 func fromValue(typeURL, name string, value []byte, version string) *Resource {
 	b := make([]byte, 0, len(value)+len(typeURL)+16)
 	b = appendString(b, 1, typeURL)
@@ -60,7 +60,7 @@
 	return &Resource{Name: name, Version: version, any: b}
 }
 
-// version hashes parts, each preceded by its length.
+// version returns a hash of the parts, each prefixed with its length.
 func version(parts ...[]byte) string {
 	h := sha256.New()
 	for _, p := range parts {
@@ -70,15 +70,14 @@
 	return hex.EncodeToString(h.Sum(nil)[:versionBytes])
 }
 
-// Set is the resources of one type, or of one collection, that are sent together. It is immutable; a nil Set
-// is empty.
+// Set is a set of resources of one type or one collection. It is immutable; a nil Set is empty.
 type Set struct {
 	Version string
 	byName  map[string]*Resource
 	names   []string // sorted
 }
 
-// NewSet makes a set; of two resources with one name the later is used.
+// NewSet returns a set of the resources. If two have the same name, the later one is used.
 func NewSet(resources ...*Resource) *Set {
 	s := &Set{byName: make(map[string]*Resource, len(resources))}
 	for _, r := range resources {
@@ -98,7 +97,7 @@
 	return s
 }
 
-// Get returns the resource of a name, or nil.
+// Get returns the resource with a name, or nil.
 func (s *Set) Get(name string) *Resource {
 	if s == nil {
 		return nil
@@ -120,8 +119,8 @@
 	return all
 }
 
-// Diff returns the resources of s that are new or changed since old, and the names of old that s does not
-// have, both sorted by name.
+// Diff returns the resources of s that are new or changed since old, and the names of those in old that s
+// does not have, both sorted by name.
 func (s *Set) Diff(old *Set) (changed []*Resource, removed []string) {
 	for _, name := range s.Names() {
 		r := s.byName[name]
--- a/internal/control/resource/resource_test.go
+++ b/internal/control/resource/resource_test.go
@@ -66,7 +66,7 @@
 	return s
 }
 
-// Hand-made wire bytes decode to what the protocol buffers library would have sent.
+// The protocol buffers library decodes the responses that this package encodes itself.
 func TestResponsesDecode(t *testing.T) {
 	s := render(t, NewRenderer("orders"), assignment(nil))
 	rs := []*Resource{s.Complete, s.ByCollection}
@@ -101,7 +101,7 @@
 	}
 }
 
-// The resource put together from cached parts decodes to the complete assignment.
+// The resource assembled from cached parts decodes to the complete assignment.
 func TestCompleteResource(t *testing.T) {
 	a := assignment(func(es []assign.Endpoint) {
 		es[1].Draining = true
@@ -133,7 +133,7 @@
 	}
 }
 
-// Priorities never have gaps, whatever tiers are empty, and every listed server is rendered.
+// Priorities have no gaps, whichever tiers are empty, and every server is rendered.
 func TestPrioritiesHaveNoGaps(t *testing.T) {
 	for mask := range 4 * 4 * 4 * 4 {
 		a := assignment(func(es []assign.Endpoint) {
@@ -163,11 +163,12 @@
 	}
 }
 
-// Two replicas with different histories render the same bytes; and a drain changes one endpoint resource and no other.
+// Replicas render the same bytes whatever they rendered before, and a drain changes a single endpoint
+// resource.
 func TestReplicasRenderTheSameBytes(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	one, other := NewRenderer("orders"), NewRenderer("orders")
-	for range 50 { // one has a history
+	for range 50 { // fills the caches of one renderer
 		render(t, one, assignment(func(es []assign.Endpoint) {
 			for i := range es {
 				es[i].Tier, es[i].Weight, es[i].Draining = assign.Tier(rng.IntN(3)), uint32(1+rng.IntN(960)), rng.IntN(3) == 0
@@ -190,7 +191,7 @@
 		changed, removed := set.Diff(x.Collections[name])
 		changes += len(changed) + len(removed)
 		if set == x.Collections[name] != (len(changed)+len(removed) == 0) {
-			t.Errorf("%s: an unchanged collection is another Set, or a changed one the same", name)
+			t.Errorf("%s: a new Set for an unchanged collection, or the same Set for a changed one", name)
 		}
 	}
 	if changes != 1 {
@@ -198,7 +199,8 @@
 	}
 }
 
-// What the drain rule needs from proxies, and that no request is retried or hedged where that is not permitted.
+// Proxies are configured to apply drains at once, and not to retry or hedge requests where that is not
+// permitted.
 func TestServiceResources(t *testing.T) {
 	s := testService()
 	clusters, err := s.Clusters(9)
@@ -213,13 +215,13 @@
 		common := c.GetCommonLbConfig()
 		switch {
 		case common.GetHealthyPanicThreshold() == nil || common.GetHealthyPanicThreshold().GetValue() != 0:
-			t.Errorf("%s: a panic threshold", c.Name)
+			t.Errorf("%s: the panic threshold is not 0", c.Name)
 		case common.GetUpdateMergeWindow() == nil || common.GetUpdateMergeWindow().AsDuration() != 0:
-			t.Errorf("%s: changes of health are merged", c.Name)
+			t.Errorf("%s: health updates are merged over a time window", c.Name)
 		case common.GetConsistentHashingLbConfig().GetHashBalanceFactor().GetValue() != 300:
-			t.Errorf("%s: no bounded load", c.Name)
+			t.Errorf("%s: the hash balance factor is not 300", c.Name)
 		case c.GetLbPolicy() != clusterv3.Cluster_RING_HASH || c.GetRingHashLbConfig().GetMinimumRingSize().GetValue() != 1024:
-			t.Errorf("%s: no ring", c.Name)
+			t.Errorf("%s: not a ring hash of the minimum size", c.Name)
 		case c.GetEdsClusterConfig().GetServiceName() != "orders" || c.GetCircuitBreakers().GetThresholds()[0].GetMaxRequests().GetValue() != 5000:
 			t.Errorf("%s: %+v", c.Name, c)
 		}
@@ -230,7 +232,7 @@
 	}
 	routes := decode(t, rc, &routev3.RouteConfiguration{}).VirtualHosts[0].Routes
 	if len(routes) != 4 || len(routes[3].Match.Headers) != 0 {
-		t.Fatalf("%d routes; the last has to match all other requests", len(routes))
+		t.Fatalf("%d routes, want 4, of which the last matches all requests", len(routes))
 	}
 	for i, on := range []string{"5xx,reset,connect-failure,refused-stream,retriable-headers", "5xx,reset,connect-failure,refused-stream,retriable-headers",
 		"connect-failure,refused-stream,retriable-headers", "connect-failure,refused-stream,retriable-headers"} {
@@ -256,7 +258,7 @@
 	}
 }
 
-// The pattern in the hash policy finds the last segment of a path.
+// The pattern in the hash policy extracts the last segment of a path.
 func TestLastPathSegment(t *testing.T) {
 	re := regexp.MustCompile(lastPathSegment)
 	for path, want := range map[string]string{"/api/7f3a": "7f3a", "/api/7f3a?op=1/2": "7f3a", "/": "", "/a": "a"} {
@@ -266,7 +268,7 @@
 	}
 }
 
-// A name with separators stays one segment of the path.
+// A name that contains separators is encoded as a single path segment.
 func TestCollectionNamesAreEscaped(t *testing.T) {
 	r := NewRenderer("or/ders")
 	a := assignment(func(es []assign.Endpoint) { es[0].ID, es[0].Zone = "a/b*", "ea/st" })
--- a/internal/control/resource/response.go
+++ b/internal/control/resource/response.go
@@ -2,10 +2,10 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// responseOverhead is room for the tags and lengths of a response's own fields.
+// responseOverhead bounds the encoded size of the tags and lengths of a response's own fields.
 const responseOverhead = 32
 
-// Response is a DiscoveryResponse of the state-of-the-world protocol.
+// Response is a DiscoveryResponse of the state-of-the-world variant of the protocol.
 type Response struct {
 	TypeURL   string
 	Version   string
@@ -28,15 +28,15 @@
 	return appendString(b, 5, r.Nonce)
 }
 
-// DeltaResponse is a DeltaDiscoveryResponse of the incremental protocol.
+// DeltaResponse is a DeltaDiscoveryResponse of the incremental variant of the protocol.
 type DeltaResponse struct {
 	TypeURL    string
 	Version    string
 	Nonce      string
 	Changed    []*Resource
 	Removed    []string
-	TTLSeconds int  // of each resource; 0: none
-	Heartbeat  bool // leaves out the resources' bodies, which only renews their TTL
+	TTLSeconds int  // TTL of each resource; 0: none
+	Heartbeat  bool // omit the bodies of the resources, to renew only their TTL
 }
 
 // Marshal encodes the response from the resources' marshalled bytes.
@@ -58,7 +58,7 @@
 	return b
 }
 
-// appendResource appends one resource as field 2, a message of type Resource.
+// appendResource appends a resource as field 2, a message of type Resource.
 func (d *DeltaResponse) appendResource(b []byte, r *Resource) []byte {
 	size := fieldSize(1, len(r.Version)) + fieldSize(3, len(r.Name))
 	if !d.Heartbeat {
@@ -94,7 +94,7 @@
 	return protowire.AppendBytes(b, value)
 }
 
-// fieldSize is the encoded size of a length-delimited field with n bytes of content.
+// fieldSize returns the encoded size of a length-delimited field with n bytes of content.
 func fieldSize(field protowire.Number, n int) int {
 	return protowire.SizeTag(field) + protowire.SizeBytes(n)
 }
--- a/internal/control/resource/routes.go
+++ b/internal/control/resource/routes.go
@@ -4,14 +4,14 @@
 	"strings"
 
 	routev3 "github.com/envoyproxy/go-control-plane/envoy/config/route/v3"
-	previousv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/retry/host/previous_hosts/v3"
+	previoushostsv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/retry/host/previous_hosts/v3"
 	matcherv3 "github.com/envoyproxy/go-control-plane/envoy/type/matcher/v3"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"ringtrack.example/ringtrack/internal/control/assign"
 )
 
-// NotStarted is the header of an answer that says that the attempt never ran.
+// NotStarted is the header of an answer that states that the server did not start to execute the attempt.
 const NotStarted = "not-started"
 
 const (
@@ -20,16 +20,16 @@
 	unclassifiedRoute = "rest"
 	// lastPathSegment captures the last segment of a path, without the query.
 	lastPathSegment = `^.*?([^/?]*)(\?.*)?$`
-	// retryNeverRan are the conditions under which an attempt cannot have run: the connection failed, the
-	// stream was refused, or the answer carries NotStarted.
+	// retryNeverRan lists the retry conditions under which an attempt cannot have run: the connection failed,
+	// the stream was refused, or the answer has the header NotStarted.
 	retryNeverRan = "connect-failure,refused-stream,retriable-headers"
-	// retryAnyFailure are the conditions of all failures.
+	// retryAnyFailure lists the retry conditions for all failures.
 	retryAnyFailure = "5xx,reset," + retryNeverRan
-	// hostSelectionAttempts bounds the selections of a server that the request has not been sent to.
+	// hostSelectionAttempts bounds the attempts to select a server that the request has not been sent to.
 	hostSelectionAttempts = 3
 )
 
-// RouteConfig renders the routes by class.
+// RouteConfig renders the route configuration, with one route for each class.
 func (s *Service) RouteConfig() (*Resource, error) {
 	host := &routev3.VirtualHost{Name: s.Name, Domains: []string{"*"}}
 	for i := range s.Routes {
@@ -42,7 +42,7 @@
 	action := &routev3.RouteAction{
 		ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: s.ClusterName(r.Class)},
 		Timeout:          duration(r.TimeoutMs),
-		// gRPC clients read this in place of the timeout.
+		// gRPC clients use this in place of Timeout.
 		MaxStreamDuration: &routev3.RouteAction_MaxStreamDuration{MaxStreamDuration: duration(r.TimeoutMs)},
 		RetryPolicy:       retryPolicy(r, s.Settings.Limits.MaxRetryAfterMs),
 		HashPolicy:        s.hashPolicy(),
@@ -56,7 +56,7 @@
 	return &routev3.Route{Name: name, Match: match, Action: &routev3.Route_Route{Route: action}}
 }
 
-// hashPolicy takes the affinity key from the header, or else from the path.
+// hashPolicy returns the policies that take the affinity key from the header or, without it, from the path.
 func (s *Service) hashPolicy() []*routev3.RouteAction_HashPolicy {
 	var policies []*routev3.RouteAction_HashPolicy
 	if s.AffinityHeader != "" {
@@ -78,7 +78,7 @@
 	})
 }
 
-// retryPolicy permits sequential retries only: no hedging and no timeout of a single attempt.
+// retryPolicy returns a policy that permits only sequential retries, without hedging or per-attempt timeouts.
 func retryPolicy(r *assign.Route, maxRetryAfterMs float64) *routev3.RetryPolicy {
 	p := &routev3.RetryPolicy{
 		NumRetries:       wrapperspb.UInt32(uint32(r.MaxRetries)),
@@ -96,7 +96,7 @@
 		RetryHostPredicate: []*routev3.RetryPolicy_RetryHostPredicate{{
 			Name: "envoy.retry_host_predicates.previous_hosts",
 			ConfigType: &routev3.RetryPolicy_RetryHostPredicate_TypedConfig{
-				TypedConfig: mustAny(&previousv3.PreviousHostsPredicate{}),
+				TypedConfig: mustAny(&previoushostsv3.PreviousHostsPredicate{}),
 			},
 		}},
 	}
@@ -106,7 +106,7 @@
 	return p
 }
 
-// exactHeader matches requests or answers whose header has exactly this value.
+// exactHeader returns a matcher for requests or answers whose header has exactly this value.
 func exactHeader(name, value string) *routev3.HeaderMatcher {
 	return &routev3.HeaderMatcher{
 		Name: name,
--- a/internal/control/resource/service.go
+++ b/internal/control/resource/service.go
@@ -14,25 +14,25 @@
 // BalancerMaglev and BalancerRingHash are the values of Service.Balancer.
 const (
 	BalancerMaglev   = "maglev"
-	BalancerRingHash = "ring_hash" // the only one that gRPC clients know
+	BalancerRingHash = "ring_hash" // the only one that gRPC clients support
 )
 
-// Service is what proxies are configured with beside the endpoints: the listener, the routes by class, and
+// Service is the configuration of proxies apart from the endpoints: the listeners, the routes by class, and
 // how clusters select servers.
 type Service struct {
-	Name string // of the listener, the routes and the endpoints, by which proxies subscribe
-	// Listen is host:port on which proxies that open sockets listen; "": no such listener. Proxies inside a
-	// client (gRPC) use the same routes without one.
+	Name string // name of the listener, route and endpoint resources, to which proxies subscribe
+	// Listen is the host:port for the socket listener of proxies; "": none. Proxyless gRPC clients use the
+	// same routes without a socket.
 	Listen   string
 	Balancer string
-	// AffinityHeader is the request header with the affinity key. Without the header, or where it is "", the
-	// key is the last segment of the path.
+	// AffinityHeader is the request header with the affinity key. If it is "", or a request does not have the
+	// header, the key is the last segment of the path.
 	AffinityHeader string
 	Settings       policy.Settings
 	Routes         []assign.Route
 }
 
-// ClusterName returns the name of the cluster of a class; "" is the class of all other requests.
+// ClusterName returns the name of the cluster of a class; "" stands for requests without a known class.
 func (s *Service) ClusterName(class string) string {
 	if class == "" {
 		return s.Name + "/-"
@@ -44,7 +44,7 @@
 	return durationpb.New(time.Duration(ms * float64(time.Millisecond)))
 }
 
-// mustAny packs a message of this package, which cannot fail.
+// mustAny packs a message. It panics on an error, which only a defect in this package can cause.
 func mustAny(m proto.Message) *anypb.Any {
 	packed := &anypb.Any{}
 	if err := anypb.MarshalFrom(packed, m, proto.MarshalOptions{Deterministic: true}); err != nil {
