--- a/cmd/ringtrack-control/main.go
+++ b/cmd/ringtrack-control/main.go
@@ -1,5 +1,5 @@
-// Command ringtrack-control is one replica of the control service: it serves the balancer's decisions to proxies
-// over xDS. See docs/operators/control.md.
+// Command ringtrack-control runs a replica of the control service, which serves the balancer's decisions to
+// proxies over xDS. See docs/operators/control.md.
 package main
 
 import (
@@ -22,13 +22,13 @@
 	}
 }
 
-// run runs the program until a signal ends it.
+// run runs the program until it receives SIGTERM or an interrupt.
 func run() error {
-	// Subscribed before anything else: the default action of SIGHUP ends the program.
+	// Registered first, since the default action of SIGHUP terminates the program.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	file := flag.String("config", "deploy/control.toml", "the configuration `file`")
-	check := flag.Bool("check", false, "check the configuration and end")
+	check := flag.Bool("check", false, "check the configuration and exit")
 	flag.Parse()
 	if flag.NArg() > 0 {
 		return fmt.Errorf("unknown argument %q", flag.Arg(0))
@@ -38,7 +38,7 @@
 		return err
 	}
 	if *check {
-		fmt.Println("the configuration is sound")
+		fmt.Println("the configuration is valid")
 		return nil
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
@@ -61,7 +61,7 @@
 	return server.Run(ctx, ln, admin)
 }
 
-// listen opens the listeners for proxies and, where one is configured, for the admin endpoint.
+// listen opens the listener for proxies and, if configured, the one for the admin endpoint.
 func listen(cfg *control.Config) (proxies, admin net.Listener, err error) {
 	proxies, err = net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -78,8 +78,8 @@
 	return proxies, admin, nil
 }
 
-// reloadOnSignal loads the configuration at each signal, until ctx ends. A configuration with an error leaves the
-// last one in use.
+// reloadOnSignal reloads the configuration on each signal until ctx ends. After an error, the previous
+// configuration stays in use.
 func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, server *control.Server, file string, log *slog.Logger) {
 	for {
 		select {
--- a/cmd/ringtrack-control/main_test.go
+++ b/cmd/ringtrack-control/main_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// The program serves, reloads its configuration on SIGHUP, keeps the last one where the new one is invalid, and shuts
-// down on SIGTERM.
+// The program serves, reloads its configuration on SIGHUP, keeps the last one where the new one is invalid,
+// and shuts down on SIGTERM.
 func TestReloadAndShutdownBySignal(t *testing.T) {
 	roster, err := lab.NewRoster(membership.Entry{ID: "s-1", Addr: "127.0.0.1:80", Zone: "east", State: membership.Up, Weight: 1})
 	if err != nil {
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	waitForLine("configuration read again")
+	waitForLine("configuration reloaded")
 	cmd.Process.Signal(syscall.SIGTERM)
 	for range lines { // to its end
 	}
--- a/internal/control/ack.go
+++ b/internal/control/ack.go
@@ -12,11 +12,11 @@
 type pendingResponse struct {
 	nonce   string
 	version string
-	seq     uint64 // of the publication
+	seq     uint64 // sequence number of the publication
 }
 
-// handleAnswer takes an ACK or a NACK. It reports whether the request's nonce is that of a pending response
-// or of the last one, which a proxy repeats to change its subscription.
+// handleAnswer processes an ACK or a NACK. It reports whether the request's nonce is that of a pending
+// response or of the last one, which a proxy repeats to change its subscription.
 func (s *stream) handleAnswer(r *request, sub *subscription) bool {
 	i := slices.IndexFunc(sub.pending, func(p pendingResponse) bool { return p.nonce == r.nonce })
 	if i < 0 {
@@ -32,8 +32,8 @@
 	return true
 }
 
-// handleNack records a rejection. The proxy stays with what it accepted last; the same version is not sent
-// again.
+// handleNack records a rejection. The proxy keeps the last version that it accepted; the rejected version is
+// not sent again.
 func (s *stream) handleNack(r *request, sub *subscription, response pendingResponse) {
 	sub.rejected = true
 	s.publisher.counts.nacks.Add(1)
@@ -58,7 +58,7 @@
 	s.updateAcked()
 }
 
-// currentSeq returns the newest publication of which the proxy holds everything in this subscription.
+// currentSeq returns the newest publication of which the proxy has all resources in this subscription.
 func (sub *subscription) currentSeq() uint64 {
 	if len(sub.pending) == 0 && !sub.rejected {
 		return max(sub.ackedSeq, sub.sentSeq)
@@ -66,8 +66,8 @@
 	return sub.ackedSeq
 }
 
-// updateAcked works out the newest publication whose endpoints the proxy holds, and notifies the publisher
-// where that advanced.
+// updateAcked computes the newest publication whose endpoints the proxy has, and notifies the publisher if it
+// advanced.
 func (s *stream) updateAcked() {
 	endpoints := s.subscriptions[resource.Endpoints]
 	if endpoints == nil {
@@ -95,8 +95,8 @@
 	})
 }
 
-// recordDrainAck records how long the proxy took to acknowledge the last urgent update, if that is among the
-// publications after previous, up to seq. The publisher's goroutine calls it.
+// recordDrainAck records how long the proxy took to acknowledge the last urgent update, if that is one of the
+// publications after previous and up to seq. It must be called on the publisher's goroutine.
 func (s *stream) recordDrainAck(now float64, previous, seq uint64) {
 	update := &s.publisher.urgent.last
 	if update.seq == 0 || previous >= update.seq || seq < update.seq {
--- a/internal/control/acktimeout.go
+++ b/internal/control/acktimeout.go
@@ -1,28 +1,28 @@
 package control
 
-// maxUncheckedUpdates bounds the urgent updates that wait for their acknowledgement timeout; of more the
-// oldest is checked with the next.
+// maxUncheckedUpdates bounds the urgent updates whose acknowledgement timeout has not expired. Beyond that,
+// the oldest is dropped, and checked together with the next one.
 const maxUncheckedUpdates = 1024
 
-// checkRetryMs is when the check is repeated after the close limiter was exhausted.
+// checkRetryMs is the delay before the check is repeated when the close limiter was exhausted.
 const checkRetryMs = 50
 
-// urgentUpdate is a publication with the drain or removal of a server.
+// urgentUpdate is a publication that contains the drain or removal of a server.
 type urgentUpdate struct {
-	seq         uint64 // of the publication; 0: there was none
+	seq         uint64 // sequence number of the publication; 0: none yet
 	publishedMs float64
 	server      string
 }
 
-// urgentUpdates keeps track of which urgent updates proxies should have acknowledged by now.
+// urgentUpdates tracks the acknowledgement timeouts of urgent updates.
 type urgentUpdates struct {
 	last       urgentUpdate
-	unchecked  []urgentUpdate // whose timeout is not over, oldest first
-	overdue    urgentUpdate   // the last one whose timeout is over
-	checkDueMs float64        // when the next timeout is over; 0: none runs
+	unchecked  []urgentUpdate // those whose timeout has not expired, oldest first
+	overdue    urgentUpdate   // the last one whose timeout has expired
+	checkDueMs float64        // when the next timeout expires; 0: none is pending
 }
 
-// add records an urgent update that streams have to acknowledge within timeoutMs.
+// add adds an urgent update that streams have to acknowledge within timeoutMs.
 func (u *urgentUpdates) add(update urgentUpdate, timeoutMs float64) {
 	u.last = update
 	if len(u.unchecked) >= maxUncheckedUpdates {
@@ -34,7 +34,7 @@
 	}
 }
 
-// expire moves the updates whose timeout is over to overdue and sets when the next one is.
+// expire sets overdue to the last update whose timeout has expired, and checkDueMs to the next expiry.
 func (u *urgentUpdates) expire(now, timeoutMs float64) {
 	for len(u.unchecked) > 0 && u.unchecked[0].publishedMs+timeoutMs <= now {
 		u.overdue = u.unchecked[0]
@@ -46,9 +46,9 @@
 	}
 }
 
-// checkAcknowledgements closes the streams of proxies that have not acknowledged the overdue update, so that
-// they reconnect, as fast as the limiter allows. A proxy that answered, be it with a NACK, reads its stream
-// and stays connected.
+// checkAcknowledgements closes the streams of proxies that have not answered the overdue update, so that they
+// reconnect. The limiter bounds how fast streams are closed. A proxy that answered, even with a NACK, still
+// reads its stream and stays connected.
 func (p *publisher) checkAcknowledgements(now float64) {
 	p.urgent.expire(now, p.cfg().Proxies.AckTimeoutMs)
 	overdue := &p.urgent.overdue
--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -32,41 +32,41 @@
 	LastDrain   *DrainReport                  `json:"last_drain,omitempty"`
 	Counts      map[string]int64              `json:"counts"`
 	Evidence    assign.EvidenceCounts         `json:"evidence"`
-	Assignments map[string]*assign.Assignment `json:"assignments"` // by zone; "": of proxies without a known zone
+	Assignments map[string]*assign.Assignment `json:"assignments"` // by zone; "": for proxies without a known zone
 }
 
-// ServerReport is the balancer's view of one server.
+// ServerReport describes the balancer's view of one server.
 type ServerReport struct {
 	ID                  string  `json:"id"`
 	State               string  `json:"state"`
 	SinceMs             float64 `json:"since_ms"`
 	Usable              bool    `json:"usable"`
-	Capacity            float64 `json:"ramp"` // part of its capacity that slow start allows, 0 to 1
+	Capacity            float64 `json:"ramp"` // fraction of its capacity that slow start allows, 0 to 1
 	ConsecutiveFailures int     `json:"strikes"`
 }
 
-// ProxyReport is one ADS stream.
+// ProxyReport describes one ADS stream.
 type ProxyReport struct {
 	Node     string  `json:"node"`
 	Zone     string  `json:"zone"`
 	Peer     string  `json:"peer"`
 	Protocol string  `json:"protocol"` // "sotw", "delta" or "delta+leds"
 	OpenedMs float64 `json:"since_ms"`
-	Behind   bool    `json:"behind"` // has not acknowledged the last drain
+	Behind   bool    `json:"behind"` // has not answered the last drain
 	streamStats
 }
 
-// DrainReport is the last published drain or removal of a server.
+// DrainReport describes the last published drain or removal of a server.
 type DrainReport struct {
 	Server      string  `json:"server"`
 	PublishedMs float64 `json:"told_ms"`
-	Waiting     int     `json:"waiting"` // proxies that have not acknowledged it
+	Waiting     int     `json:"waiting"` // streams of proxies that have not answered it
 }
 
-// stateNames are the states of policy.View, by number.
+// stateNames lists the names of the states in policy.View, by number.
 var stateNames = [...]string{"connected", "unknown", "unhealthy-pending", "unhealthy"}
 
-// report makes the admin document, or returns nil if ctx or the service ends first.
+// report returns the admin report, or nil if ctx or the service ends first.
 func (s *Server) report(ctx context.Context) *Report {
 	made := make(chan *Report, 1)
 	s.publisher.post(func() { made <- s.publisher.report() })
@@ -80,7 +80,7 @@
 	}
 }
 
-// report makes the admin document. The publisher's goroutine calls it.
+// report returns the admin report. It must be called on the publisher's goroutine.
 func (p *publisher) report() *Report {
 	now := p.clock.Ms()
 	r := &Report{
@@ -122,7 +122,7 @@
 	}
 }
 
-// serverReports returns the balancer's view, sorted by ID.
+// serverReports returns the reports of all servers, sorted by ID.
 func (p *publisher) serverReports(now float64) []ServerReport {
 	var reports []ServerReport
 	for id, view := range p.assigner.Views(now) {
@@ -139,7 +139,7 @@
 	return reports
 }
 
-// proxyReports returns all streams, sorted by node and peer.
+// proxyReports returns the reports of all streams, sorted by node and peer.
 func (p *publisher) proxyReports() []ProxyReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,7 +153,7 @@
 	return reports
 }
 
-// report returns the stream's state, with its answer to an urgent update.
+// report returns the report of the stream. last is the last urgent update.
 func (s *stream) report(last *urgentUpdate) ProxyReport {
 	r := ProxyReport{
 		Node:     s.node,
@@ -177,8 +177,8 @@
 	return r
 }
 
-// serveAdmin answers GET / with the report and GET /ready with 200 once there is something to serve, until ctx
-// ends.
+// serveAdmin serves the admin endpoint until ctx ends: GET / returns the report, and GET /ready returns 200
+// once a membership has been received.
 func (s *Server) serveAdmin(ctx context.Context, ln net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /{$}", s.handleReport)
--- a/internal/control/ads.go
+++ b/internal/control/ads.go
@@ -15,14 +15,14 @@
 	"ringtrack.example/ringtrack/internal/panics"
 )
 
-// maxQueuedRequests bounds the requests that a stream has read and not handled.
+// maxQueuedRequests bounds the requests that a stream has received but not handled yet.
 const maxQueuedRequests = 16
 
-// receiveFunc reads the next request of a stream, with the node that it names, if any. io.EOF means that the proxy
-// half-closed its stream.
+// receiveFunc receives the next request of a stream and its node, if it has one. io.EOF means that the proxy
+// half-closed the stream.
 type receiveFunc func() (*request, *corev3.Node, error)
 
-// StreamAggregatedResources serves ADS, state of the world.
+// StreamAggregatedResources implements the state-of-the-world variant of ADS.
 func (s *Server) StreamAggregatedResources(g discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	st := s.newStream(g.Context(), false, func(b []byte) error { return g.SendMsg(rawFrame(b)) })
 	return s.serveADS(g.Context(), st, func() (*request, *corev3.Node, error) {
@@ -36,12 +36,12 @@
 			version:  m.VersionInfo,
 			names:    m.ResourceNames,
 			rejected: m.ErrorDetail != nil,
-			reason:   clipText(m.ErrorDetail.GetMessage()),
+			reason:   truncateText(m.ErrorDetail.GetMessage()),
 		}, m.Node, nil
 	})
 }
 
-// DeltaAggregatedResources serves ADS, incremental.
+// DeltaAggregatedResources implements the incremental variant of ADS.
 func (s *Server) DeltaAggregatedResources(g discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
 	st := s.newStream(g.Context(), true, func(b []byte) error { return g.SendMsg(rawFrame(b)) })
 	return s.serveADS(g.Context(), st, func() (*request, *corev3.Node, error) {
@@ -56,12 +56,12 @@
 			unsubscribe:     m.ResourceNamesUnsubscribe,
 			initialVersions: m.InitialResourceVersions,
 			rejected:        m.ErrorDetail != nil,
-			reason:          clipText(m.ErrorDetail.GetMessage()),
+			reason:          truncateText(m.ErrorDetail.GetMessage()),
 		}, m.Node, nil
 	})
 }
 
-// newStream makes the stream of the peer in ctx.
+// newStream creates a stream for the peer in ctx.
 func (s *Server) newStream(ctx context.Context, delta bool, send func([]byte) error) *stream {
 	var conn net.Conn
 	addr := ""
@@ -91,7 +91,7 @@
 	cert := peerCertificate(ctx)
 	if err := cfg.authorize(cert, node.GetId()); err != nil {
 		s.publisher.counts.rejected.Add(1)
-		s.log.Warn("proxy rejected", "node", clipText(node.GetId()), "peer", st.peer, "err", err)
+		s.log.Warn("proxy rejected", "node", truncateText(node.GetId()), "peer", st.peer, "err", err)
 		return err
 	}
 	if cert != nil {
@@ -99,16 +99,16 @@
 		defer expiry.Stop()
 	}
 	st.setNode(node)
-	s.publisher.addStream(st, first.fresh())
+	s.publisher.addStream(st, first.withoutResources())
 	defer s.publisher.removeStream(st)
 
 	requests := make(chan *request, maxQueuedRequests)
 	failed := make(chan error, 1)
-	go func() { failed <- st.receiveRecovered(ctx, first, requests, receive) }() // ends with ctx, at the latest
+	go func() { failed <- st.receiveRecovered(ctx, first, requests, receive) }() // returns when ctx ends, at the latest
 	return streamError(st.serve(ctx, requests, failed))
 }
 
-// receiveRecovered is receiveAll, with an error in place of a panic.
+// receiveRecovered calls receiveAll and turns a panic into an error.
 func (s *stream) receiveRecovered(
 	ctx context.Context, first *request, requests chan<- *request, receive receiveFunc,
 ) (err error) {
@@ -116,8 +116,8 @@
 	return s.receiveAll(ctx, first, requests, receive)
 }
 
-// receiveAll passes on the first request and all that follow, until the stream ends. It never returns nil; io.EOF: the
-// proxy half-closed its stream.
+// receiveAll sends the first request and all that follow to the channel until the stream ends. It never
+// returns nil; io.EOF means that the proxy half-closed the stream.
 func (s *stream) receiveAll(ctx context.Context, first *request, requests chan<- *request, receive receiveFunc) error {
 	r := first
 	for {
@@ -132,13 +132,14 @@
 		}
 		if id := node.GetId(); id != "" && id != s.node {
 			return status.Errorf(codes.PermissionDenied,
-				"the node id changed on a stream from %q to %q", clipText(s.node), clipText(id))
+				"the node id changed on a stream from %q to %q", truncateText(s.node), truncateText(id))
 		}
 		r = next
 	}
 }
 
-// knownZone returns a zone of the settings, or "" for all others: this bounds the groups of proxies.
+// knownZone returns name if it is a zone of the settings, and "" otherwise. This bounds the number of proxy
+// groups.
 func (c *Config) knownZone(name string) string {
 	if slices.Contains(c.zones, name) {
 		return name
--- a/internal/control/auth.go
+++ b/internal/control/auth.go
@@ -11,7 +11,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// maxNodeIDBytes bounds a node ID.
+// maxNodeIDBytes bounds the length of a node ID.
 const maxNodeIDBytes = 256
 
 // peerCertificate returns the verified certificate of the peer in ctx, or nil.
@@ -27,9 +27,9 @@
 	return info.State.VerifiedChains[0][0]
 }
 
-// authorize returns a status error unless a peer may use a node ID. With client certificates, a [[node]] entry
-// has to allow the ID to a name of the certificate or, where there are no entries, the ID has to be one of its
-// names.
+// authorize returns a status error unless a peer may use a node ID. With client certificates, a [[node]]
+// entry must allow the ID for one of the names of the certificate. If there are no entries, the ID must be
+// one of the names.
 func (c *Config) authorize(cert *x509.Certificate, id string) error {
 	if id == "" || len(id) > maxNodeIDBytes {
 		return status.Errorf(codes.InvalidArgument, "node.id has %d bytes, 1 to %d are needed", len(id), maxNodeIDBytes)
@@ -51,7 +51,7 @@
 			}
 		}
 	}
-	return status.Errorf(codes.PermissionDenied, "the certificate's names %q do not allow the node id %q", names, clipText(id))
+	return status.Errorf(codes.PermissionDenied, "the certificate's names %q do not allow the node id %q", names, truncateText(id))
 }
 
 // certificateNames returns the DNS and URI names of a certificate.
@@ -63,7 +63,7 @@
 	return names
 }
 
-// allows reports whether the entry allows a node ID to a certificate with this name.
+// allows reports whether the entry allows a certificate with this name to use a node ID.
 func (n *NodeConfig) allows(name, id string) bool {
 	if !match(n.Certificate, name) {
 		return false
--- a/internal/control/certificates.go
+++ b/internal/control/certificates.go
@@ -15,20 +15,21 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// expiryWarning is how long before its expiry the service's certificate is warned about.
+// expiryWarning is the remaining lifetime of the service's certificate below which a warning is logged.
 const expiryWarning = 24 * time.Hour
 
 var errNoCertificate = errors.New("tls: no certificate is loaded")
 
-// certificates holds the service's certificate and the authority of the proxies' certificates. read is called
-// by one goroutine at a time; the others may be called from any.
+// certificates holds the service's certificate and the authority that issues the certificates of proxies.
+// read must not be called concurrently; the other methods may.
 type certificates struct {
 	cfg     TLSConfig
-	files   [3][]byte // content of certificate, key and authority as of the last read
+	files   [3][]byte // content of the certificate, key and authority files at the last read
 	current atomic.Pointer[tls.Config]
 }
 
-// read reads the files and reports whether they changed. Files that cannot be used leave the last ones in use.
+// read reads the files and reports whether they changed. After an error, the previous certificates stay in
+// use.
 func (c *certificates) read() (changed bool, err error) {
 	var files [3][]byte
 	for i, name := range []string{c.cfg.Cert, c.cfg.Key, c.cfg.ClientCA} {
@@ -60,7 +61,7 @@
 	return true, nil
 }
 
-// expiry returns when the service's certificate expires.
+// expiry returns the expiry time of the service's certificate.
 func (c *certificates) expiry() time.Time {
 	if leaf := c.current.Load().Certificates[0].Leaf; leaf != nil {
 		return leaf.NotAfter
@@ -68,7 +69,7 @@
 	return time.Time{}
 }
 
-// credentials returns server credentials that use the current certificate at each handshake.
+// credentials returns server credentials that use the current certificate for each handshake.
 func (c *certificates) credentials() credentials.TransportCredentials {
 	return credentials.NewTLS(&tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -96,7 +97,7 @@
 	}
 }
 
-// readCertificates reads the certificate files and logs what an operator has to know.
+// readCertificates reads the certificate files and logs errors, changes and an approaching expiry.
 func (s *Server) readCertificates() {
 	changed, err := s.certificates.read()
 	switch left := time.Until(s.certificates.expiry()); {
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -16,15 +16,15 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Config is the checked content of deploy/control.toml. Keys, units and defaults are described in
+// Config is the validated content of deploy/control.toml. Keys, units and defaults are documented in
 // docs/operators/control.md.
 type Config struct {
 	Listen    string          `toml:"listen"`   // host:port for proxies
 	Admin     string          `toml:"admin"`    // host:port of the admin endpoint, on loopback; "": none
-	Service   string          `toml:"service"`  // name of the listener, the routes and the endpoints
+	Service   string          `toml:"service"`  // name of the listener, route and endpoint resources
 	Settings  string          `toml:"settings"` // file with the platform's settings object
 	Discovery DiscoveryConfig `toml:"roster"`
-	Ephemeral string          `toml:"ephemeral"` // file of the instance registry's configuration; "": discovery only
+	Ephemeral string          `toml:"ephemeral"` // configuration file of the instance registry; "": discovery only
 	Evidence  EvidenceConfig  `toml:"evidence"`
 	Proxies   ProxiesConfig   `toml:"proxies"`
 	XDS       XDSConfig       `toml:"xds"`
@@ -36,39 +36,39 @@
 	ephemeral    *ephemeral.Config
 }
 
-// DiscoveryConfig names the service discovery that lists the servers.
+// DiscoveryConfig configures the service discovery that lists the servers.
 type DiscoveryConfig struct {
 	Addr         string  `toml:"addr"`           // host:port
-	StaleAfterMs float64 `toml:"stale_after_ms"` // silence after which the endpoint list is reported stale
+	StaleAfterMs float64 `toml:"stale_after_ms"` // time without updates after which the endpoint list is reported as stale
 }
 
-// EvidenceConfig says how load reports are judged.
+// EvidenceConfig configures the evaluation of load reports.
 type EvidenceConfig struct {
-	ReportMs   float64 `toml:"report_ms"` // interval at which proxies report, and reports are judged
+	ReportMs   float64 `toml:"report_ms"` // interval at which proxies report load and reports are evaluated
 	EjectionMs float64 `toml:"lapse_ms"`  // base ejection time
 }
 
-// ProxiesConfig bounds the proxies that are served and the time that they get.
+// ProxiesConfig configures limits and timeouts for proxies.
 type ProxiesConfig struct {
-	MaxStreams        int     `toml:"most"`           // ADS streams
-	MaxNames          int     `toml:"names_most"`     // resource names in one subscription
-	DisconnectGraceMs float64 `toml:"linger_ms"`      // how long a disconnected proxy counts as still sending
-	StartupHoldMs     float64 `toml:"settle_ms"`      // how long after startup warming servers get nothing
-	DebounceMs        float64 `toml:"debounce_ms"`    // delay of updates that are not urgent, to batch them
+	MaxStreams        int     `toml:"most"`           // maximum number of ADS streams
+	MaxNames          int     `toml:"names_most"`     // maximum number of resource names in one subscription
+	DisconnectGraceMs float64 `toml:"linger_ms"`      // how long a disconnected proxy is assumed to send requests
+	StartupHoldMs     float64 `toml:"settle_ms"`      // how long after startup servers in slow start get no requests
+	DebounceMs        float64 `toml:"debounce_ms"`    // delay of non-urgent updates, to batch them
 	AckTimeoutMs      float64 `toml:"stall_after_ms"` // time to acknowledge an urgent update
-	StreamClosesPerS  float64 `toml:"ends_per_s"`     // streams closed a second for missing acknowledgements
-	HeartbeatS        int     `toml:"heartbeat_s"`    // time to live of endpoint resources; 0: none
+	StreamClosesPerS  float64 `toml:"ends_per_s"`     // streams closed per second for missing acknowledgements
+	HeartbeatS        int     `toml:"heartbeat_s"`    // TTL of endpoint resources; 0: none
 }
 
-// XDSConfig shapes the listener, the routes and the clusters.
+// XDSConfig configures the listener, route and cluster resources.
 type XDSConfig struct {
 	Listen         string `toml:"listen"`          // host:port on which proxies listen; "": no socket listener
 	Balancer       string `toml:"balancer"`        // "ring_hash" or "maglev"
 	AffinityHeader string `toml:"affinity_header"` // request header with the affinity key; "": none
 }
 
-// TLSConfig names the PEM files of the service's certificate and of the authority of the proxies'
-// certificates.
+// TLSConfig configures the PEM files of the service's certificate and of the authority that issues the
+// certificates of proxies.
 type TLSConfig struct {
 	Cert     string  `toml:"cert"`
 	Key      string  `toml:"key"`
@@ -76,13 +76,13 @@
 	ReloadS  float64 `toml:"reload_s"` // interval at which the files are read
 }
 
-// NodeConfig allows node IDs, by pattern (path.Match), to certificates with a name.
+// NodeConfig allows certificates to use node IDs, both by pattern (path.Match).
 type NodeConfig struct {
-	Certificate string   `toml:"certificate"` // a DNS or URI name of the certificate, by pattern
+	Certificate string   `toml:"certificate"` // pattern for a DNS or URI name of the certificate
 	IDs         []string `toml:"ids"`
 }
 
-// DefaultConfig returns a Config with all settings that have a default.
+// DefaultConfig returns a Config with the default values.
 func DefaultConfig() *Config {
 	c := &Config{Service: "orders"}
 	c.Discovery.StaleAfterMs = 15_000
@@ -93,14 +93,15 @@
 	c.Proxies.DisconnectGraceMs = 60_000
 	c.Proxies.StartupHoldMs = 5000
 	c.Proxies.DebounceMs = 100
-	c.Proxies.AckTimeoutMs = 200 // within the 250 ms in which a drain has to reach proxies
+	c.Proxies.AckTimeoutMs = 200 // less than the 250 ms within which a drain has to reach proxies
 	c.Proxies.StreamClosesPerS = 50
 	c.XDS.Balancer = resource.BalancerRingHash
 	c.TLS.ReloadS = 30
 	return c
 }
 
-// Load reads and checks a file. File names in it are relative to its directory. An error names the key.
+// Load reads and validates a configuration file. File names in it are relative to its directory. An error
+// names the invalid key.
 func Load(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -122,7 +123,7 @@
 	return c, nil
 }
 
-// describeDecodeError returns a decoder's error with the key that it is about.
+// describeDecodeError returns the text of a decoding error, including the key.
 func describeDecodeError(err error) string {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
@@ -153,7 +154,7 @@
 	}
 }
 
-// service returns what proxies are configured with beside the endpoints.
+// service returns the configuration of the rendered listeners, routes and clusters.
 func (c *Config) service() *resource.Service {
 	return &resource.Service{
 		Name:           c.Service,
--- a/internal/control/config_test.go
+++ b/internal/control/config_test.go
@@ -34,7 +34,7 @@
 		"is not on loopback":        strings.Replace(good, "127.0.0.1:18000", "0.0.0.0:18000", 1),
 		"admin: ":                   "admin = \"0.0.0.0:1\"\n" + good,
 		"service: ":                 "service = \"a/b\"\n" + good,
-		"settings: names no file":   strings.Replace(good, "settings = \"settings.json\"\n", "", 1),
+		"settings: no file given":   strings.Replace(good, "settings = \"settings.json\"\n", "", 1),
 		"settings: open":            strings.Replace(good, "settings.json", "none.json", 1),
 		"roster.addr: ":             strings.Replace(good, "127.0.0.1:8500", "", 1),
 		"unknown: proxies.mots":     good + "[proxies]\nmots = 3\n",
--- a/internal/control/delta.go
+++ b/internal/control/delta.go
@@ -8,10 +8,10 @@
 	"ringtrack.example/ringtrack/internal/control/resource"
 )
 
-// emptySet is what a proxy holds of a collection that does not exist.
+// emptySet represents a collection that does not exist.
 var emptySet = resource.NewSet()
 
-// pushDelta sends responses of the incremental protocol, if anything changed for the proxy.
+// pushDelta sends incremental responses, if anything changed for the proxy.
 func (s *stream) pushDelta(snap *snapshot, typeURL string, sub *subscription) error {
 	if typeURL == resource.LbEndpoint {
 		return s.pushCollections(snap, sub)
@@ -32,7 +32,7 @@
 	return s.pushDeltaByName(snap, typeURL, sub, current)
 }
 
-// pushDeltaWildcard sends what changed of all resources of the type.
+// pushDeltaWildcard sends the changes of all resources of the type.
 func (s *stream) pushDeltaWildcard(snap *snapshot, typeURL string, sub *subscription, current *resource.Set) error {
 	response := resource.DeltaResponse{TypeURL: typeURL, Version: current.Version, TTLSeconds: s.ttlSeconds(typeURL)}
 	first := sub.nothingSent
@@ -55,8 +55,8 @@
 	return s.sendFrame(sub, f, current.Version, snap.seq)
 }
 
-// pushDeltaByName sends what changed of the subscribed names, those included that do not exist, so that the
-// proxy does not wait for them.
+// pushDeltaByName sends the changes of the subscribed resources. Names that do not exist are reported as
+// removed, so that the proxy does not wait for them.
 func (s *stream) pushDeltaByName(snap *snapshot, typeURL string, sub *subscription, current *resource.Set) error {
 	response := resource.DeltaResponse{TypeURL: typeURL, Version: current.Version, TTLSeconds: s.ttlSeconds(typeURL)}
 	for _, name := range slices.Sorted(maps.Keys(sub.names)) {
@@ -82,7 +82,7 @@
 	return s.sendFrame(sub, snap.newFrame(encode), current.Version, snap.seq)
 }
 
-// collectionUpdate is a change of a collection that the stream has not sent.
+// collectionUpdate is a change of a collection that has not been sent on the stream.
 type collectionUpdate struct {
 	glob     string
 	to       *resource.Set
@@ -90,11 +90,11 @@
 	previous *resource.Set
 }
 
-// pushCollections sends what changed in the subscribed collections: a response each, those that may add
-// endpoints before those that remove some.
+// pushCollections sends the changes of the subscribed collections, one response for each. Collections that
+// shrink come last, so that endpoints are added before others are removed.
 func (s *stream) pushCollections(snap *snapshot, sub *subscription) error {
 	if snap.endpoints == nil {
-		return nil // no endpoint list yet: an unknown collection is not reported to be empty
+		return nil // no endpoint list yet: collections must not be reported as empty
 	}
 	for _, update := range sub.collectionUpdates(snap) {
 		f := s.collectionFrame(snap, sub, &update)
@@ -107,7 +107,8 @@
 	return nil
 }
 
-// collectionUpdates returns the changes of the subscribed collections, in the order in which they are sent.
+// collectionUpdates returns the changes of the subscribed collections in the order in which they are to be
+// sent.
 func (sub *subscription) collectionUpdates(snap *snapshot) []collectionUpdate {
 	var updates []collectionUpdate
 	for glob, previous := range sub.collections {
@@ -150,8 +151,8 @@
 	})
 }
 
-// changesSinceInitial compares the current set with what the proxy held when the stream opened, perhaps from
-// another replica. Only names in scope are removed.
+// changesSinceInitial compares the current set with the resources that the proxy had when the stream opened,
+// which may come from another replica. Only names in scope are reported as removed.
 func (sub *subscription) changesSinceInitial(
 	current *resource.Set, inScope func(name string) bool,
 ) (changed []*resource.Resource, removed []string) {
@@ -167,7 +168,8 @@
 	return changed, removed
 }
 
-// encodeDelta encodes a response. It is empty where nothing changed, unless it is to be sent in any case.
+// encodeDelta returns an encodeFunc for the response. A response without changes is empty, unless always is
+// set.
 func encodeDelta(response resource.DeltaResponse, always bool) encodeFunc {
 	return func(nonce string) ([]byte, bool) {
 		response.Nonce = nonce
@@ -175,7 +177,7 @@
 	}
 }
 
-// ttlSeconds is the TTL of a type's resources on this stream; 0: none.
+// ttlSeconds returns the TTL of a type's resources on this stream; 0: none.
 func (s *stream) ttlSeconds(typeURL string) int {
 	if s.supportsTTL && typeURL == resource.Endpoints {
 		return s.publisher.cfg().Proxies.HeartbeatS
@@ -183,7 +185,7 @@
 	return 0
 }
 
-// sendHeartbeat renews the TTL of the endpoints that the proxy holds.
+// sendHeartbeat renews the TTL of the endpoints that the proxy has.
 func (s *stream) sendHeartbeat() error {
 	sub := s.subscriptions[resource.Endpoints]
 	snap := s.group.current.Load()
--- a/internal/control/delta_test.go
+++ b/internal/control/delta_test.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// Resources with a TTL are renewed before it is over, without their bodies, and only for proxies that support it.
+// Resources with a TTL are renewed before it is over, without their bodies, and only for proxies that support
+// it.
 func TestHeartbeatsRenewTheTTL(t *testing.T) {
 	f := newFixture(t, testEntries(6), func(c *control.Config) { c.Proxies.HeartbeatS = 1 })
 	d := openDelta(t, connect(t, f.Addr, nil))
--- a/internal/control/grpc_test.go
+++ b/internal/control/grpc_test.go
@@ -24,8 +24,8 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// grpc-go's own xDS client reads its bootstrap from the environment at startup, so that it runs in a process of its own:
-// this test binary, started with clientEnv.
+// grpc-go's own xDS client reads its bootstrap from the environment at startup, so that it runs in a process
+// of its own: this test binary, started with clientEnv.
 const clientEnv = "RINGTRACK_TEST_GRPC_CLIENT"
 
 func TestMain(m *testing.M) {
@@ -39,8 +39,8 @@
 	os.Exit(m.Run())
 }
 
-// runClient reads lines "CLASS FIRSTKEY CALLS" from standard input, makes the calls of each and writes how many each server
-// answered; "" counts those that failed.
+// runClient reads lines "CLASS FIRSTKEY CALLS" from standard input, makes the calls of each and writes how
+// many each server answered; "" counts those that failed.
 func runClient() error {
 	conn, err := grpc.NewClient("xds:///orders", grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -106,8 +106,8 @@
 	t.Cleanup(g.s.Stop)
 }
 
-// grpc-go's xDS client resolves the service, distributes requests over the ring, keeps the affinity of a key, follows a
-// drain, fails over to the next priority and fails back.
+// grpc-go's xDS client resolves the service, distributes requests over the ring, keeps the affinity of a key,
+// follows a drain, fails over to the next priority and fails back.
 func TestGRPCClientFollowsTheService(t *testing.T) {
 	var servers []*grpcServer
 	var entries []membership.Entry
--- a/internal/control/halfclose_test.go
+++ b/internal/control/halfclose_test.go
@@ -11,7 +11,8 @@
 	"ringtrack.example/ringtrack/internal/lab/xdsproxy"
 )
 
-// A proxy that half-closes its stream (CloseSend) ends that stream only: it used to end the process for all proxies.
+// A proxy that half-closes its stream (CloseSend) ends that stream only: it used to end the process for all
+// proxies.
 func TestHalfClosedStreamEndsAlone(t *testing.T) {
 	f := newFixture(t, testEntries(6), nil)
 	other := f.dial(xdsproxy.Options{Node: "other", Zone: "east"})
--- a/internal/control/lrs.go
+++ b/internal/control/lrs.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// maxReportedServers bounds the servers that are read of one report.
+	// maxReportedServers bounds the number of servers read from one report.
 	maxReportedServers = assign.MaxServers
-	// rejectedMetric is the named metric (ORCA) with the requests that a server rejected.
+	// rejectedMetric is the named metric (ORCA) that counts the requests rejected by a server.
 	rejectedMetric = "turned_away"
-	// featureAllClusters is the client feature of proxies that can report all clusters unnamed.
+	// featureAllClusters is the client feature of proxies that can be asked to report all clusters.
 	featureAllClusters = "envoy.lrs.supports_send_all_clusters"
 )
 
-// StreamLoadStats serves LRS: it subscribes to the load of all clusters by endpoint, and passes the reports to
-// the assigner.
+// StreamLoadStats implements LRS: it requests load reports of all clusters by endpoint and passes them to the
+// assigner.
 func (s *Server) StreamLoadStats(g loadstatsv3.LoadReportingService_StreamLoadStatsServer) error {
 	m, err := g.Recv()
 	if err != nil {
@@ -50,7 +50,8 @@
 	}
 }
 
-// loadStatsResponse subscribes to the load of all clusters, by name where the proxy needs that.
+// loadStatsResponse returns the request for load reports of all clusters. It lists the clusters by name
+// unless allClusters is set.
 func (c *Config) loadStatsResponse(allClusters bool) *loadstatsv3.LoadStatsResponse {
 	ms := int64(c.Evidence.ReportMs)
 	response := &loadstatsv3.LoadStatsResponse{
@@ -67,8 +68,8 @@
 	return response
 }
 
-// loadReport sums up a proxy's load of each server over all clusters, which have the same servers. Load that is
-// not broken down by server counts as issued requests only.
+// loadReport sums a proxy's load of each server over all clusters, which have the same servers. Load that is
+// not broken down by server counts only as issued requests.
 func loadReport(clusters []*endpointv3.ClusterStats) *assign.Report {
 	report := &assign.Report{}
 	indexByAddr := map[string]int{}
@@ -115,7 +116,7 @@
 	return net.JoinHostPort(addr.GetAddress(), strconv.Itoa(int(addr.GetPortValue())))
 }
 
-// streamError returns the error that ends a stream; nil where the peer half-closed it.
+// streamError returns the error to end a stream with: nil if the peer half-closed it.
 func streamError(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -5,11 +5,11 @@
 	"ringtrack.example/ringtrack/internal/membership/ephemeral"
 )
 
-// discoverySource is the name of service discovery at the admin endpoint.
+// discoverySource is the name of service discovery in the admin report.
 const discoverySource = "roster"
 
-// updateDiscovery takes a watch event of service discovery: a new endpoint list, an error, or neither, which
-// confirms the last list. It may be called from any goroutine.
+// updateDiscovery handles a watch event of service discovery: a new endpoint list, an error, or neither,
+// which confirms the last list. It may be called from any goroutine.
 func (p *publisher) updateDiscovery(list *membership.List, err error) {
 	p.post(func() {
 		now := p.clock.Ms()
@@ -36,7 +36,7 @@
 	})
 }
 
-// updateRegistry takes an update of the instance registry. It may be called from any goroutine.
+// updateRegistry handles an update of the instance registry. It may be called from any goroutine.
 func (p *publisher) updateRegistry(u ephemeral.Update) {
 	p.post(func() {
 		now := p.clock.Ms()
@@ -45,14 +45,14 @@
 	})
 }
 
-// applyMerge passes the merged membership to the assigner where it changed.
+// applyMerge passes the merged membership to the assigner if it changed.
 func (p *publisher) applyMerge(now float64) {
 	if len(p.merge.Changes(now)) > 0 {
 		p.assigner.UpdateMembership(now, p.merge.Entries())
 	}
 }
 
-// entries returns all listed servers.
+// entries returns the entries of the current membership.
 func (p *publisher) entries() []membership.Entry {
 	if p.merge != nil {
 		return p.merge.Entries()
@@ -60,7 +60,7 @@
 	return p.discovered.Entries()
 }
 
-// membershipStatus returns the status of the membership's sources.
+// membershipStatus returns the status of each source of the membership.
 func (p *publisher) membershipStatus(now float64) []membership.Status {
 	if p.merge != nil {
 		return p.merge.Status(now)
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -16,7 +16,8 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// Discovery fails, or lists nothing: proxies keep their resources, and the admin report says that the list is stale.
+// Discovery fails, or lists nothing: proxies keep their resources, and the admin report says that the list is
+// stale.
 func TestMembershipLostOrEmpty(t *testing.T) {
 	f := newFixture(t, testEntries(6), func(c *control.Config) { c.Discovery.StaleAfterMs = 1000 })
 	p := f.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true})
@@ -42,8 +43,8 @@
 	f.eventually("the list fresh", func(r *control.Report) bool { return !r.Membership[0].Stale })
 }
 
-// The service restarts empty while discovery is down: proxies keep their resources, and get what they miss once
-// discovery is back.
+// The service restarts empty while discovery is down: proxies keep their resources, and get what they miss
+// once discovery is back.
 func TestProxiesSurviveARestart(t *testing.T) {
 	f := newFixture(t, testEntries(6), nil)
 	s, err := service.Start("", f.roster.Addr, nil, nil)
--- a/internal/control/publish.go
+++ b/internal/control/publish.go
@@ -7,7 +7,7 @@
 	"ringtrack.example/ringtrack/internal/control/resource"
 )
 
-// publishDue publishes changed assignments, urgent ones at once and others in batches, and checks whether
+// publishDue publishes changed assignments, urgent changes at once and others in batches, and checks whether
 // streams acknowledged the urgent ones in time.
 func (p *publisher) publishDue() {
 	now := p.clock.Ms()
@@ -27,8 +27,8 @@
 	}
 }
 
-// urgentChange returns a server that drains or was removed and to which the proxies of some zone still send
-// requests; "" if there is none.
+// urgentChange returns the ID of a server that drains or was removed while the proxies of some zone still
+// send it requests, or "" if there is none.
 func (p *publisher) urgentChange(zones []string) string {
 	for _, zone := range zones {
 		snap := p.group(zone).current.Load()
@@ -43,8 +43,8 @@
 	return ""
 }
 
-// removedServer returns a server that gets requests by old and not by next; "" if there is none. Both are
-// sorted by ID.
+// removedServer returns the ID of a server that gets requests according to old and not according to next, or
+// "" if there is none. Both assignments are sorted by ID.
 func removedServer(old, next *assign.Assignment) string {
 	j := 0
 	for i := range old.Endpoints {
@@ -65,8 +65,8 @@
 	return ""
 }
 
-// publish makes the snapshots of all groups and notifies their streams. server is the one whose drain or
-// removal makes the publication urgent; "": none.
+// publish creates new snapshots of all groups and notifies their streams. server is the ID of the server
+// whose drain or removal makes the publication urgent; "": it is not urgent.
 func (p *publisher) publish(now float64, server string) {
 	p.batchDueMs = 0
 	p.seq++
@@ -81,7 +81,7 @@
 	})
 }
 
-// publishGroup makes the snapshot of a group and notifies its streams.
+// publishGroup creates a new snapshot of a group and notifies its streams.
 func (p *publisher) publishGroup(now float64, zone string, g *group) {
 	assignment := p.assigner.Assignment(now, zone)
 	old := g.current.Load()
@@ -98,7 +98,7 @@
 		} else {
 			endpoints, err := p.renderer.Render(assignment)
 			if err != nil {
-				p.log.Error("assignment not rendered, the last one stays in use", "zone", zone, "err", err)
+				p.log.Error("assignment could not be rendered; keeping the previous one", "zone", zone, "err", err)
 				return
 			}
 			next.endpoints = endpoints
@@ -118,8 +118,8 @@
 	}
 }
 
-// reuse returns the set of endpoints in the old snapshot where it equals the next one, so that streams need
-// not compare them.
+// reuse returns the endpoint set of the old snapshot if it equals next, so that an unchanged set is
+// recognized without comparing its resources.
 func reuse(old *snapshot, leds bool, next *resource.Set) *resource.Set {
 	if old != nil {
 		if set := old.set(resource.Endpoints, leds); set != nil && set.Version == next.Version {
--- a/internal/control/publisher.go
+++ b/internal/control/publisher.go
@@ -18,33 +18,33 @@
 )
 
 const (
-	// inboxSize bounds the functions that wait for the publisher; a stream with more to post blocks.
-	inboxSize = 4096
-	// renderCacheSweepInterval is how often the renderer forgets what is no longer used.
+	// queueSize bounds the number of functions queued for the publisher; further calls of post block.
+	queueSize = 4096
+	// renderCacheSweepInterval is the interval at which unused entries are evicted from the render cache.
 	renderCacheSweepInterval = time.Minute
 	// noncePrefixBytes is the length of the random prefix of this process's nonces.
 	noncePrefixBytes = 6
 )
 
-// publisher owns the membership, the assigner and the snapshots. One goroutine runs it; all others reach its
-// state through post. It never waits for a stream: it publishes a snapshot and notifies.
+// publisher owns the membership, the assigner and the snapshots. One goroutine runs it; others access its
+// state through post. It never waits for a stream: it publishes a snapshot and notifies the streams.
 type publisher struct {
 	config       atomic.Pointer[Config]
 	clock        clock.Clock
 	log          *slog.Logger
 	nonces       *nonces
-	closeLimiter *rate.Limiter // of streams closed for missing acknowledgements
-	inbox        chan func()
+	closeLimiter *rate.Limiter // limits how fast streams are closed for missing acknowledgements
+	queue        chan func()
 	done         chan struct{} // closed when run has returned
 
-	// Owned by run's goroutine.
+	// Accessed only on run's goroutine.
 	discovered *membership.Set   // the endpoint list of discovery; unused with an instance registry
 	merge      *membership.Merge // discovery and the instance registry; nil without a registry
 	assigner   *assign.Assigner
 	renderer   *resource.Renderer
 	static     staticResources
-	seq        uint64  // of the last publication
-	batchDueMs float64 // when the batched updates are published; 0: there are none
+	seq        uint64  // sequence number of the last publication
+	batchDueMs float64 // when the batched updates are to be published; 0: there are none
 	urgent     urgentUpdates
 
 	groups  sync.Map // zone → *group
@@ -53,17 +53,17 @@
 	counts  counters
 }
 
-// counters are shown at the admin endpoint.
+// counters are reported by the admin endpoint.
 type counters struct {
 	published    atomic.Int64
-	urgent       atomic.Int64 // publications of a drain or a removal
-	unresponsive atomic.Int64 // streams that did not acknowledge one of these in time
-	closed       atomic.Int64 // of these
+	urgent       atomic.Int64 // publications with a drain or a removal
+	unresponsive atomic.Int64 // streams that did not acknowledge such a publication in time
+	closed       atomic.Int64 // streams that were closed for that
 	nacks        atomic.Int64
 	rejected     atomic.Int64 // streams that were not admitted
 }
 
-// group is the streams of one zone and the snapshot that they send.
+// group contains the streams of one zone and their current snapshot.
 type group struct {
 	current atomic.Pointer[snapshot]
 	mu      sync.Mutex
@@ -80,7 +80,7 @@
 		log:          log,
 		nonces:       &nonces{prefix: hex.EncodeToString(prefix)},
 		closeLimiter: rate.NewLimiter(rate.Limit(cfg.Proxies.StreamClosesPerS), max(int(cfg.Proxies.StreamClosesPerS), 1)),
-		inbox:        make(chan func(), inboxSize),
+		queue:        make(chan func(), queueSize),
 		done:         make(chan struct{}),
 		discovered:   membership.NewSet(cfg.Discovery.StaleAfterMs, discoverySource),
 		renderer:     resource.NewRenderer(cfg.Service),
@@ -100,16 +100,16 @@
 // cfg returns the configuration in use.
 func (p *publisher) cfg() *Config { return p.config.Load() }
 
-// post runs f on the publisher's goroutine, later. It blocks while the inbox is full, and drops f once run
-// has returned.
+// post schedules f to run on the publisher's goroutine. It blocks while the queue is full, and drops f once
+// run has returned.
 func (p *publisher) post(f func()) {
 	select {
-	case p.inbox <- f:
+	case p.queue <- f:
 	case <-p.done:
 	}
 }
 
-// run handles what is posted and what is due, until ctx ends.
+// run executes posted functions and scheduled work until ctx ends.
 func (p *publisher) run(ctx context.Context) {
 	defer close(p.done)
 	sweep := time.NewTicker(renderCacheSweepInterval)
@@ -118,10 +118,10 @@
 	defer timer.Stop()
 	for {
 		select {
-		case f := <-p.inbox:
+		case f := <-p.queue:
 			f()
-			for range len(p.inbox) { // what has come meanwhile is part of the same publication
-				(<-p.inbox)()
+			for range len(p.queue) { // includes everything that is queued in the same publication
+				(<-p.queue)()
 			}
 		case <-timer.C:
 			if p.merge != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// nextDueMs returns when run has something to do if nothing is posted.
+// nextDueMs returns the time of the next scheduled work.
 func (p *publisher) nextDueMs(now float64) float64 {
 	next := p.assigner.NextTickMs(now)
 	if p.merge != nil {
@@ -152,7 +152,8 @@
 	return next
 }
 
-// group finds or creates the group of a zone. It may be called from any goroutine.
+// group returns the group of a zone, and creates it if it does not exist. It may be called from any
+// goroutine.
 func (p *publisher) group(zone string) *group {
 	if g, ok := p.groups.Load(zone); ok {
 		return g.(*group)
@@ -161,9 +162,9 @@
 	return g.(*group)
 }
 
-// addStream adds a stream to its group and to the assigner. fresh reports that the proxy came without
-// resources. It may be called from any goroutine.
-func (p *publisher) addStream(s *stream, fresh bool) {
+// addStream adds a stream to its group and to the assigner. withoutResources reports that the proxy has no
+// resources yet. It may be called from any goroutine.
+func (p *publisher) addStream(s *stream, withoutResources bool) {
 	s.group = p.group(s.zone)
 	p.mu.Lock()
 	p.streams[s] = struct{}{}
@@ -173,7 +174,7 @@
 	s.group.mu.Unlock()
 	p.post(func() {
 		now := p.clock.Ms()
-		p.assigner.Connect(now, s.node, s.zone, fresh)
+		p.assigner.Connect(now, s.node, s.zone, withoutResources)
 		if s.group.current.Load() == nil {
 			p.seq++
 			p.publishGroup(now, s.zone, s.group)
@@ -181,7 +182,7 @@
 	})
 }
 
-// removeStream undoes addStream.
+// removeStream removes a stream from its group and from the assigner.
 func (p *publisher) removeStream(s *stream) {
 	p.mu.Lock()
 	delete(p.streams, s)
--- a/internal/control/reload.go
+++ b/internal/control/reload.go
@@ -5,11 +5,12 @@
 	"reflect"
 )
 
-// Reload applies what can change without a restart: certificates, [[node]], [xds] and the classes of the
-// settings. All other changes are logged as needing a restart. An error leaves the last configuration in use.
+// Reload applies the changes that need no restart: certificates, [[node]], [xds] and the classes of the
+// settings. It logs all other changes as requiring a restart. After an error, the previous configuration
+// stays in use.
 func (s *Server) Reload(next *Config) error {
 	old := s.publisher.cfg()
-	s.logNeedsRestart(old, next)
+	s.logRestartRequired(old, next)
 	merged := *old
 	merged.Nodes = next.Nodes
 	merged.XDS = next.XDS
@@ -29,12 +30,12 @@
 	case <-s.publisher.done:
 		return fmt.Errorf("control: reload: %w", errShuttingDown)
 	}
-	s.log.Info("configuration read again")
+	s.log.Info("configuration reloaded")
 	return nil
 }
 
-// logNeedsRestart logs the configuration keys whose change is used only after a restart.
-func (s *Server) logNeedsRestart(old, next *Config) {
+// logRestartRequired logs the changed configuration keys that take effect only after a restart.
+func (s *Server) logRestartRequired(old, next *Config) {
 	for key, same := range map[string]bool{
 		"listen":    next.Listen == old.Listen,
 		"admin":     next.Admin == old.Admin,
@@ -46,12 +47,13 @@
 		"tls":       next.TLS == old.TLS,
 	} {
 		if !same {
-			s.log.Warn("changed in the configuration, but used only after a restart", "key", key)
+			s.log.Warn("configuration change takes effect only after a restart", "key", key)
 		}
 	}
 }
 
-// reload renders and publishes a configuration, or leaves the last one in use. The publisher's goroutine calls it.
+// reload renders and publishes a configuration. After an error, the previous one stays in use. It must be
+// called on the publisher's goroutine.
 func (p *publisher) reload(cfg *Config) error {
 	old := p.cfg()
 	p.config.Store(cfg)
--- a/internal/control/reload_test.go
+++ b/internal/control/reload_test.go
@@ -14,7 +14,8 @@
 	"ringtrack.example/ringtrack/internal/lab/xdsproxy"
 )
 
-// A reload changes classes: routes are sent after their clusters, and the clusters of older routes stay for a while.
+// A reload changes classes: routes are sent after their clusters, and the clusters of older routes stay for a
+// while.
 func TestReload(t *testing.T) {
 	f := newFixture(t, testEntries(3), nil)
 	p := f.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true})
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -1,6 +1,6 @@
-// Package control is the control service: it serves the decisions of package assign to proxies over xDS (ADS,
-// state of the world and incremental) and takes their load reports (LRS). It owns the sockets, the streams and
-// the clock; it decides nothing about servers, routes or budgets.
+// Package control implements the control service: it serves the decisions of package assign to proxies over
+// xDS (ADS, state of the world and incremental) and receives their load reports (LRS). It handles sockets,
+// streams and time; decisions about servers, routes and budgets are made in packages assign and policy.
 package control
 
 import (
@@ -17,7 +17,7 @@
 	loadstatsv3 "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/encoding"
-	_ "google.golang.org/grpc/encoding/proto" // the codec of all messages but raw frames
+	_ "google.golang.org/grpc/encoding/proto" // the codec for all messages except raw frames
 	"google.golang.org/grpc/keepalive"
 
 	"ringtrack.example/ringtrack/internal/membership"
@@ -26,12 +26,13 @@
 )
 
 const (
-	// maxRequestBytes bounds a request: 10,000 names of 256 bytes and their encoding.
+	// maxRequestBytes bounds the size of a request. It has room for 10,000 names of 256 bytes.
 	maxRequestBytes = 4 << 20
 	readBufferBytes = 4 << 10
-	// maxStreamsPerConnection bounds the streams that a proxy multiplexes on one connection.
+	// maxStreamsPerConnection bounds the streams that a proxy may multiplex on one connection.
 	maxStreamsPerConnection = 64
-	// keepaliveInterval and keepaliveTimeout detect a proxy whose machine is unreachable, which no write does.
+	// keepaliveInterval and keepaliveTimeout detect a proxy whose machine is unreachable, which writes do
+	// not.
 	keepaliveInterval = 10 * time.Second
 	keepaliveTimeout  = 5 * time.Second
 	// minClientKeepalive is the shortest keepalive interval that proxies may use.
@@ -55,7 +56,7 @@
 	loadstatsv3.UnimplementedLoadReportingServiceServer
 }
 
-// New makes a server from a checked configuration.
+// New creates a server from a validated configuration.
 func New(cfg *Config, log *slog.Logger) (*Server, error) {
 	p, err := newPublisher(cfg, log)
 	if err != nil {
@@ -71,8 +72,8 @@
 	return s, nil
 }
 
-// Run serves on ln, and the admin endpoint on admin where that is not nil, until ctx ends; then it closes all
-// streams and returns nil. It closes both listeners.
+// Run serves proxies on ln and, unless admin is nil, the admin endpoint on admin, until ctx ends. Then it
+// closes all streams and returns nil. It closes both listeners.
 func (s *Server) Run(ctx context.Context, ln, admin net.Listener) error {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -103,7 +104,7 @@
 			err = errListenerClosed
 		}
 	}
-	// Proxies keep their resources and reconnect to another replica: there is nothing to drain.
+	// Proxies keep their resources and reconnect to another replica, so that streams need no draining.
 	s.publisher.closeStreams("the control service is shutting down")
 	grpcServer.Stop()
 	cancel()
@@ -111,7 +112,7 @@
 	return err
 }
 
-// newGRPCServer makes the gRPC server with the ADS and LRS services.
+// newGRPCServer creates the gRPC server with the ADS and LRS services.
 func (s *Server) newGRPCServer(addr string) *grpc.Server {
 	options := []grpc.ServerOption{
 		grpc.ForceServerCodecV2(frameCodec{encoding.GetCodecV2("proto")}),
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -9,14 +9,15 @@
 	"ringtrack.example/ringtrack/internal/control/resource"
 )
 
-// snapshot is everything that the proxies of a group should hold. Its resources are immutable. A stream
-// sends what its proxy does not have of the current snapshot, and so never sends an older one after a newer.
+// snapshot contains all resources for the proxies of a group. Its resources are immutable. A stream sends the
+// resources of the current snapshot that its proxy does not have, so that it never sends older after newer
+// ones.
 type snapshot struct {
-	seq          uint64 // of the publication in this process; never sent as a version
-	urgentSeq    uint64 // of the last publication with a drain or a removal
+	seq          uint64 // sequence number of the publication in this process; never sent as a version
+	urgentSeq    uint64 // sequence number of the last publication with a drain or a removal
 	assignment   *assign.Assignment
 	endpoints    *resource.RenderedEndpoints
-	sets         map[string]*resource.Set // by type URL; endpoints in one complete resource
+	sets         map[string]*resource.Set // by type URL; the endpoints form one complete resource
 	byCollection *resource.Set            // endpoints for proxies that use LEDS
 	nonces       *nonces
 
@@ -24,7 +25,7 @@
 	frames map[frameKey]frame
 }
 
-// set returns the resources of a type for streams with or without LEDS.
+// set returns the resources of a type, for streams with or without LEDS.
 func (s *snapshot) set(typeURL string, leds bool) *resource.Set {
 	if typeURL == resource.Endpoints && leds {
 		return s.byCollection
@@ -40,27 +41,27 @@
 	return s.endpoints.Collections[glob]
 }
 
-// frame is a marshalled response, the same for all streams that it fits.
+// frame is a marshalled response, which several streams may share.
 type frame struct {
 	nonce string
 	bytes []byte
-	empty bool // the response has nothing that needs to be sent
+	empty bool // the response need not be sent
 }
 
-// frameKey identifies a frame of a snapshot by what it changes at the proxy.
+// frameKey identifies a frame of a snapshot by the change that it makes at the proxy.
 type frameKey struct {
 	typeURL  string
 	delta    bool
 	from, to *resource.Set
-	name     string // of the single resource or collection in the frame; "": all
-	ttl      bool   // resources carry a TTL
+	name     string // name of the single resource or collection in the frame; "": all
+	ttl      bool   // the resources have a TTL
 	first    bool   // the first frame of its type on the stream, sent even if it is empty
 }
 
-// encodeFunc marshals a response with a nonce. empty reports that it need not be sent.
+// encodeFunc marshals a response with a nonce. empty reports that the response need not be sent.
 type encodeFunc func(nonce string) (bytes []byte, empty bool)
 
-// sharedFrame returns the frame of a key, which is encoded once for all streams.
+// sharedFrame returns the frame for a key, encoded once for all streams.
 func (s *snapshot) sharedFrame(key frameKey, encode encodeFunc) frame {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,15 +73,15 @@
 	return f
 }
 
-// newFrame encodes a frame with a nonce of its own.
+// newFrame encodes a frame with a new nonce.
 func (s *snapshot) newFrame(encode encodeFunc) frame {
 	f := frame{nonce: s.nonces.next()}
 	f.bytes, f.empty = encode(f.nonce)
 	return f
 }
 
-// nonces are unique over all streams and processes, so that a nonce of an earlier process is never taken for
-// one of this process.
+// nonces generates nonces that are unique across all streams and processes, so that a nonce of an earlier
+// process is never mistaken for one of this process.
 type nonces struct {
 	prefix string
 	n      atomic.Uint64
--- a/internal/control/sotw.go
+++ b/internal/control/sotw.go
@@ -7,7 +7,7 @@
 	"ringtrack.example/ringtrack/internal/control/resource"
 )
 
-// pushSotW sends a response of the state-of-the-world protocol, if anything changed for the proxy.
+// pushSotW sends a state-of-the-world response, if anything changed for the proxy.
 func (s *stream) pushSotW(snap *snapshot, typeURL string, sub *subscription) error {
 	current := snap.set(typeURL, false)
 	if current == nil {
@@ -29,8 +29,8 @@
 	return s.sendFrame(sub, f, current.Version, snap.seq)
 }
 
-// pushSotWByName sends the subscribed resources that changed, or all of them for the types whose responses
-// have to be complete.
+// pushSotWByName sends the subscribed resources that changed, or all subscribed resources for the types whose
+// responses have to be complete.
 func (s *stream) pushSotWByName(snap *snapshot, typeURL string, sub *subscription, current *resource.Set) error {
 	names := slices.Sorted(maps.Keys(sub.names))
 	complete := hasWildcard(typeURL)
@@ -62,7 +62,7 @@
 	return s.sendFrame(sub, snap.newFrame(encode), current.Version, snap.seq)
 }
 
-// encodeSotW encodes a response that is sent even if it has no resources.
+// encodeSotW returns an encodeFunc for a response. The response is sent even if it has no resources.
 func encodeSotW(typeURL, version string, resources []*resource.Resource) encodeFunc {
 	return func(nonce string) ([]byte, bool) {
 		response := resource.Response{TypeURL: typeURL, Version: version, Nonce: nonce, Resources: resources}
--- a/internal/control/static.go
+++ b/internal/control/static.go
@@ -8,31 +8,31 @@
 	"ringtrack.example/ringtrack/internal/control/resource"
 )
 
-// clusterRetirement is how long clusters stay that the routes no longer refer to, for proxies that have not
-// taken the new routes yet.
-const clusterRetirement = 5 * time.Second
+// clusterRetirementDelay is how long clusters are served after the routes stopped referring to them, for
+// proxies that have not applied the new routes yet.
+const clusterRetirementDelay = 5 * time.Second
 
-// staticResources are the listeners, routes and clusters: what depends on the configuration and the number of
-// servers only.
+// staticResources contains the listeners, routes and clusters, which depend only on the configuration and the
+// number of servers.
 type staticResources struct {
 	sets     map[string]*resource.Set // by type URL
 	ringSize uint64
-	// remaining is the set of clusters without those that wait for their retirement; nil: none wait.
+	// remaining is the set of clusters without those to be retired; nil: none are to be retired.
 	remaining *resource.Set
 }
 
-// resizeRing renders the clusters again where the number of servers needs another ring size.
+// resizeRing renders the clusters again if the number of servers requires another ring size.
 func (p *publisher) resizeRing(servers int) {
 	if resource.RingSize(servers) == p.static.ringSize {
 		return
 	}
 	if err := p.renderStatic(servers); err != nil {
-		p.log.Error("clusters not rendered, the last ones stay in use", "err", err)
+		p.log.Error("clusters could not be rendered; keeping the previous ones", "err", err)
 	}
 }
 
-// renderStatic renders listeners, routes and clusters from the configuration. Clusters that only older routes
-// name stay until their retirement.
+// renderStatic renders listeners, routes and clusters from the configuration. Clusters that only earlier
+// routes refer to are kept until their retirement.
 func (p *publisher) renderStatic(servers int) error {
 	service := p.cfg().service()
 	clusters, err := service.Clusters(servers)
@@ -50,7 +50,7 @@
 	next := map[string]*resource.Set{
 		resource.Listener: resource.NewSet(listeners...),
 		resource.Route:    resource.NewSet(routes),
-		resource.Cluster:  p.keepRetiring(clusters),
+		resource.Cluster:  p.withRetiringClusters(clusters),
 	}
 	for typeURL, set := range next {
 		if old := p.static.sets[typeURL]; old != nil && old.Version == set.Version {
@@ -62,9 +62,9 @@
 	return nil
 }
 
-// keepRetiring returns the set of the clusters, with those of the last set that are no longer among them, and
-// schedules the retirement of these.
-func (p *publisher) keepRetiring(clusters []*resource.Resource) *resource.Set {
+// withRetiringClusters returns a set of the clusters and of those that were in the previous set but are no
+// longer among them, and schedules the retirement of the latter.
+func (p *publisher) withRetiringClusters(clusters []*resource.Resource) *resource.Set {
 	remaining := resource.NewSet(clusters...)
 	old := p.static.sets[resource.Cluster]
 	if old == nil {
@@ -79,13 +79,13 @@
 	for _, name := range removed {
 		both = append(both, old.Get(name))
 	}
-	time.AfterFunc(clusterRetirement, func() {
+	time.AfterFunc(clusterRetirementDelay, func() {
 		p.post(func() { p.retireClusters(remaining) })
 	})
 	return resource.NewSet(both...)
 }
 
-// retireClusters publishes the remaining clusters, unless a newer configuration has replaced them.
+// retireClusters publishes the remaining clusters, unless a newer configuration has replaced them since.
 func (p *publisher) retireClusters(remaining *resource.Set) {
 	if p.static.remaining != remaining {
 		return
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -17,29 +17,30 @@
 )
 
 const (
-	// maxPendingResponses bounds the unacknowledged responses of one type. What is not urgent waits for the
-	// first of them, so that a slow proxy gets fewer and newer responses.
+	// maxPendingResponses bounds the unanswered responses of one type. Non-urgent responses wait until there
+	// are none, so that a slow proxy gets fewer and newer responses.
 	maxPendingResponses = 8
-	// heartbeatsPerTTL is how often resources are renewed within their TTL.
+	// heartbeatsPerTTL is the number of heartbeats within a TTL.
 	heartbeatsPerTTL = 3
-	// maxErrorText bounds what is kept of a text that a proxy sent.
-	maxErrorText = 512
+	// maxPeerTextBytes bounds the length in bytes of texts from proxies in logs, reports and errors.
+	maxPeerTextBytes = 512
 )
 
-// The features by which a proxy says what it supports.
+// The client features that are recognized.
 const (
 	featureTTL  = "xds.config.supports-resource-ttl"
-	featureLEDS = "ringtrack.leds" // among the client features, or true in the metadata
+	featureLEDS = "ringtrack.leds" // may also be set to true in the node metadata
 )
 
-// stream is one ADS stream. Its goroutine runs serve; notify, close and behind are called by others.
+// stream is an ADS stream. Its own goroutine runs serve; notify, close and behind may be called from any
+// goroutine.
 type stream struct {
 	publisher    *publisher
 	group        *group
-	node         string // ID of the proxy
+	node         string // node ID of the proxy
 	zone         string
-	delta        bool // the incremental protocol
-	leds         bool // takes endpoints one by one, in collections
+	delta        bool // uses the incremental variant of the protocol
+	leds         bool // receives single endpoints, in collections
 	supportsTTL  bool
 	conn         net.Conn
 	peer         string
@@ -49,20 +50,20 @@
 	closed       chan struct{}
 	closeOnce    sync.Once
 	closeReason  atomic.Pointer[string]
-	unresponsive atomic.Bool // did not acknowledge an urgent update in time; counted once
+	unresponsive atomic.Bool // did not answer an urgent update in time, and was counted
 
 	subscriptions map[string]*subscription // by type URL
 
-	// Read by the publisher.
-	subscribedMs atomic.Uint64 // when it first subscribed to endpoints, as math.Float64bits of ms; 0: not yet
-	ackedSeq     atomic.Uint64 // the newest publication whose endpoints the proxy holds
+	// Written by the stream's goroutine and read by the publisher.
+	subscribedMs atomic.Uint64 // time of the first subscription to endpoints, as math.Float64bits of ms; 0: none yet
+	ackedSeq     atomic.Uint64 // the newest publication whose endpoints the proxy has
 	nackedSeq    atomic.Uint64 // the newest publication whose endpoints the proxy rejected
 
 	mu    sync.Mutex // protects stats
 	stats streamStats
 }
 
-// streamStats is what the admin endpoint shows of a stream.
+// streamStats contains the statistics of a stream in the admin report.
 type streamStats struct {
 	Acked      map[string]string `json:"acked"`              // version by type
 	Rejected   map[string]string `json:"rejected,omitempty"` // version and reason by type
@@ -86,7 +87,7 @@
 	}
 }
 
-// setNode records the proxy's identity, zone and features.
+// setNode sets the proxy's identity, zone and features.
 func (s *stream) setNode(node *corev3.Node) {
 	s.node = node.GetId()
 	for _, feature := range node.GetClientFeatures() {
@@ -103,7 +104,7 @@
 	s.zone = s.publisher.cfg().knownZone(node.GetLocality().GetZone())
 }
 
-// notify tells the stream that there may be something to send. It never blocks.
+// notify wakes the stream's goroutine, since there may be a new snapshot. It never blocks.
 func (s *stream) notify() {
 	select {
 	case s.wake <- struct{}{}:
@@ -111,7 +112,7 @@
 	}
 }
 
-// close ends the stream from outside. It closes the connection, the only way to end a stream that blocks in a
+// close ends the stream. It closes the connection, which is the only way to end a stream that is blocked in a
 // write to a proxy that does not read.
 func (s *stream) close(reason string) {
 	s.closeOnce.Do(func() {
@@ -123,18 +124,19 @@
 	})
 }
 
-// closeError is the error of a stream that was closed from outside.
+// closeError returns the error of a stream that was ended by close.
 func (s *stream) closeError() error { return status.Error(codes.Unavailable, *s.closeReason.Load()) }
 
-// behind reports whether the proxy should have answered an urgent update and has not.
+// behind reports whether the proxy was subscribed to endpoints when an urgent update was published and has
+// not answered it yet.
 func (s *stream) behind(update *urgentUpdate) bool {
 	subscribedMs := math.Float64frombits(s.subscribedMs.Load())
 	return subscribedMs > 0 && subscribedMs < update.publishedMs &&
 		s.ackedSeq.Load() < update.seq && s.nackedSeq.Load() < update.seq
 }
 
-// serve handles requests and sends what is new until the stream ends. failed delivers the error that ended
-// the receiving side; io.EOF: the proxy half-closed the stream.
+// serve handles requests and sends updates until the stream ends. failed delivers the error that ended the
+// receiving side; io.EOF means that the proxy half-closed the stream.
 func (s *stream) serve(ctx context.Context, requests <-chan *request, failed <-chan error) error {
 	var heartbeats <-chan time.Time
 	if ttl := s.publisher.cfg().Proxies.HeartbeatS; s.supportsTTL && s.delta && ttl > 0 {
@@ -171,8 +173,8 @@
 	}
 }
 
-// push sends what the proxy does not have of the current snapshot, in the order of resource.Types. Routes wait
-// until the clusters that they refer to are acknowledged.
+// push sends the resources of the current snapshot that the proxy does not have, in the order of
+// resource.Types. Routes wait until the clusters that they refer to are acknowledged.
 func (s *stream) push() error {
 	snap := s.group.current.Load()
 	if snap == nil {
@@ -201,7 +203,7 @@
 	return nil
 }
 
-// maySend reports whether responses of a type are due now. Where not, push is called again after the next
+// maySend reports whether responses of a type may be sent now. If not, push is called again after the next
 // request or publication.
 func (s *stream) maySend(snap *snapshot, typeURL string, sub *subscription) bool {
 	if sub.sentSeq >= snap.seq && !sub.resend {
@@ -219,7 +221,7 @@
 	return urgent || len(sub.pending) == 0
 }
 
-// sendFrame sends a frame and records it as not acknowledged. An empty frame is not sent.
+// sendFrame sends a frame and records it as pending. An empty frame is not sent.
 func (s *stream) sendFrame(sub *subscription, f frame, version string, seq uint64) error {
 	if f.empty {
 		return nil
@@ -233,8 +235,8 @@
 	return s.send(f.bytes)
 }
 
-// sharedFrame returns the frame that streams share, or one with a nonce of its own where this stream has had
-// that already: a nonce is used once on a stream.
+// sharedFrame returns the frame that all streams share for the key, or a new one if the nonce of the shared
+// frame was already used on this stream.
 func (s *stream) sharedFrame(snap *snapshot, sub *subscription, key frameKey, encode encodeFunc) frame {
 	f := snap.sharedFrame(key, encode)
 	if sub.usedNonce(f.nonce) {
@@ -243,10 +245,10 @@
 	return f
 }
 
-// clipText bounds a text that a proxy sent and makes it valid UTF-8.
-func clipText(text string) string {
-	if len(text) > maxErrorText {
-		text = text[:maxErrorText]
+// truncateText truncates a text from a proxy and makes it valid UTF-8.
+func truncateText(text string) string {
+	if len(text) > maxPeerTextBytes {
+		text = text[:maxPeerTextBytes]
 	}
 	return strings.ToValidUTF8(text, "?")
 }
--- a/internal/control/subscription.go
+++ b/internal/control/subscription.go
@@ -13,51 +13,52 @@
 
 const (
 	wildcardName = "*"
-	// globPrefix and globSuffix mark the name of a collection.
+	// globPrefix and globSuffix identify the name of a collection.
 	globPrefix = "xdstp://"
 	globSuffix = "/*"
 )
 
-// request is a request of either variant of the protocol.
+// request is a discovery request of either variant of the protocol.
 type request struct {
 	typeURL  string
-	nonce    string // of the response that it answers; "": the first of its type on the stream
-	rejected bool   // a NACK; else an ACK or a change of the subscription
-	reason   string // of a NACK; may be ""
+	nonce    string // nonce of the response that it answers; "": the first request of its type on the stream
+	rejected bool   // a NACK; otherwise an ACK or a change of the subscription
+	reason   string // reason of a NACK; may be ""
 
 	// State of the world.
-	version string   // that the proxy holds
+	version string   // version that the proxy has
 	names   []string // the complete subscription
 
 	// Incremental.
 	subscribe       []string
 	unsubscribe     []string
-	initialVersions map[string]string // what the proxy holds, by name; in the first request of a type
+	initialVersions map[string]string // versions that the proxy has, by name; in the first request of a type
 }
 
-// fresh reports whether the first request of a stream says that the proxy holds nothing.
-func (r *request) fresh() bool { return len(r.initialVersions) == 0 && r.version == "" }
+// withoutResources reports whether the first request of a stream indicates that the proxy has no resources.
+func (r *request) withoutResources() bool { return len(r.initialVersions) == 0 && r.version == "" }
 
 // subscription is a stream's subscription to one type.
 type subscription struct {
 	names    map[string]bool
 	wildcard bool
-	// initialVersions is what the proxy held when the stream opened, by name; incremental only.
+	// initialVersions contains the versions that the proxy had when the stream opened, by name; incremental
+	// only.
 	initialVersions map[string]string
 
-	wildcardSent *resource.Set // the set that was sent last for the wildcard
+	wildcardSent *resource.Set // the last set that was sent for the wildcard
 	nothingSent  bool          // incremental: no response was sent on this stream
-	// sentVersions is the version that was sent of each name; "" where the proxy was notified that the
+	// sentVersions contains the last version that was sent, by name; "" if the proxy was notified that the
 	// resource does not exist.
 	sentVersions map[string]string
-	collections  map[string]*resource.Set // what was sent, by glob name; nil: nothing yet
+	collections  map[string]*resource.Set // the last set that was sent, by glob name; nil: none yet
 
-	pending   []pendingResponse // not acknowledged, oldest first
+	pending   []pendingResponse // unanswered responses, oldest first
 	lastNonce string
-	sentSeq   uint64 // the newest publication that was sent, or had nothing to send
+	sentSeq   uint64 // the newest publication that was sent or contained nothing to send
 	ackedSeq  uint64
 	rejected  bool // the last answer was a NACK
-	resend    bool // the subscription has grown: send whatever was sent before
+	resend    bool // the subscription has grown: send resources even if the publication was sent before
 }
 
 func newSubscription(initialVersions map[string]string) *subscription {
@@ -70,16 +71,16 @@
 	}
 }
 
-// usedNonce reports whether a response with this nonce may be unanswered on the stream.
+// usedNonce reports whether the nonce is that of an unanswered response or of the last one.
 func (sub *subscription) usedNonce(nonce string) bool {
 	return nonce == sub.lastNonce ||
 		slices.ContainsFunc(sub.pending, func(r pendingResponse) bool { return r.nonce == nonce })
 }
 
-// handle takes one request: an ACK or a NACK, and a change of the subscription.
+// handle processes a request, which may be an ACK or a NACK and may change the subscription.
 func (s *stream) handle(r *request) error {
 	if !slices.Contains(resource.Types, r.typeURL) || r.typeURL == resource.LbEndpoint && !s.delta {
-		return status.Errorf(codes.InvalidArgument, "type %q is not served", clipText(r.typeURL))
+		return status.Errorf(codes.InvalidArgument, "type %q is not served", truncateText(r.typeURL))
 	}
 	sub := s.subscriptions[r.typeURL]
 	first := sub == nil
@@ -101,12 +102,13 @@
 	return s.replaceSubscription(r, sub, first)
 }
 
-// replaceSubscription applies a state-of-the-world request, which has the complete subscription.
+// replaceSubscription applies a state-of-the-world request, which contains the complete subscription.
 func (s *stream) replaceSubscription(r *request, sub *subscription, first bool) error {
 	if err := s.checkNames(len(r.names)); err != nil {
 		return err
 	}
-	// For the types with a wildcard, no names mean all resources until names have been given once.
+	// For types with a wildcard, an empty list of names means all resources, until a request has listed
+	// names.
 	implicit := len(r.names) == 0 && (first || sub.wildcard) && hasWildcard(r.typeURL)
 	wildcard := implicit || slices.Contains(r.names, wildcardName)
 	names := make(map[string]bool, len(r.names))
@@ -121,7 +123,7 @@
 	}
 	for name := range sub.sentVersions {
 		if !names[name] {
-			delete(sub.sentVersions, name) // a new subscription to it sends it again
+			delete(sub.sentVersions, name) // a later subscription to it sends it again
 		}
 	}
 	if wildcard && !sub.wildcard {
@@ -150,7 +152,8 @@
 	return nil
 }
 
-// add subscribes to a name, a collection or the wildcard. A repeated subscription sends the resource again.
+// add subscribes to a name, a collection or the wildcard. A repeated subscription to a name sends its
+// resource again.
 func (sub *subscription) add(name string, first bool) {
 	switch {
 	case name == wildcardName:
@@ -180,7 +183,7 @@
 	delete(sub.collections, name)
 }
 
-// checkNames bounds the names in a subscription.
+// checkNames returns an error if a subscription has too many names.
 func (s *stream) checkNames(n int) error {
 	if limit := s.publisher.cfg().Proxies.MaxNames; n > limit {
 		return status.Errorf(codes.ResourceExhausted, "subscription has %d names, at most %d are allowed", n, limit)
@@ -188,7 +191,7 @@
 	return nil
 }
 
-// hasWildcard reports whether an empty subscription to a type means all of its resources.
+// hasWildcard reports whether an empty subscription to a type means all its resources.
 func hasWildcard(typeURL string) bool {
 	return typeURL == resource.Cluster || typeURL == resource.Listener
 }
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -14,10 +14,10 @@
 	"ringtrack.example/ringtrack/internal/panics"
 )
 
-// errPanicked ends a stream whose code has panicked.
+// errPanicked is the error of a stream whose handler panicked.
 var errPanicked = status.Error(codes.Internal, panics.ErrRecovered.Error())
 
-// recoverStream ends a stream whose handler panics, and no other.
+// recoverStream is a stream interceptor that turns a panic of the handler into an error of its stream.
 func recoverStream(server any, stream grpc.ServerStream, info *grpc.StreamServerInfo, handler grpc.StreamHandler) (err error) {
 	addr := ""
 	if p, ok := peer.FromContext(stream.Context()); ok {
@@ -27,10 +27,10 @@
 	return handler(server, stream)
 }
 
-// rawFrame is a marshalled message. Many streams may send the same bytes at once.
+// rawFrame is a marshalled message. Several streams may send the same bytes concurrently.
 type rawFrame []byte
 
-// frameCodec sends a rawFrame as it is, and leaves all other messages to the codec it wraps.
+// frameCodec passes a rawFrame through unchanged, and encodes all other messages with the wrapped codec.
 type frameCodec struct{ encoding.CodecV2 }
 
 // Marshal implements encoding.CodecV2.
@@ -41,7 +41,7 @@
 	return c.CodecV2.Marshal(v)
 }
 
-// trackingListener records its connections by remote address, so that a stream can close its own.
+// trackingListener records its connections by remote address, so that a stream can close its connection.
 type trackingListener struct {
 	net.Listener
 	connections *sync.Map
--- a/internal/control/validate.go
+++ b/internal/control/validate.go
@@ -18,7 +18,8 @@
 
 var serviceName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Check reads the files that the configuration names and reports the first key whose value is not valid.
+// Check validates the configuration and reads the files that it refers to. An error names the first invalid
+// key.
 func (c *Config) Check() error {
 	if c.Ephemeral != "" {
 		var err error
@@ -50,11 +51,11 @@
 			continue
 		}
 		if _, port, err := net.SplitHostPort(addr.value); err != nil || port == "" {
-			return fmt.Errorf("%s: %q is no host:port", addr.key, addr.value)
+			return fmt.Errorf("%s: %q is not a host:port address", addr.key, addr.value)
 		}
 	}
 	if c.Admin != "" && !isLoopback(c.Admin) {
-		return fmt.Errorf("admin: %q is not on loopback: the admin endpoint is for this machine only", c.Admin)
+		return fmt.Errorf("admin: %q is not on loopback; the admin endpoint must be reachable only from this machine", c.Admin)
 	}
 	return nil
 }
@@ -103,11 +104,11 @@
 func (c *Config) checkTLS() error {
 	switch {
 	case (c.TLS.Cert == "") != (c.TLS.Key == ""):
-		return errors.New("tls.cert and tls.key: one is given without the other")
+		return errors.New("tls.cert and tls.key: both or neither must be given")
 	case c.TLS.ClientCA != "" && c.TLS.Cert == "":
 		return errors.New("tls.client_ca: given without tls.cert")
 	case c.TLS.Cert == "" && !isLoopback(c.Listen):
-		return fmt.Errorf("listen: %q is not on loopback: tls.cert is required elsewhere", c.Listen)
+		return fmt.Errorf("listen: %q is not on loopback, which requires tls.cert", c.Listen)
 	}
 	return nil
 }
@@ -129,11 +130,11 @@
 	return nil
 }
 
-// readSettings reads the settings object in the form in which the platform gives it to agents, and checks
-// what the assigner uses of it.
+// readSettings reads the settings object, in the same format as agents receive it from the platform, and
+// validates the parts that the assigner uses.
 func (c *Config) readSettings() error {
 	if c.Settings == "" {
-		return errors.New("settings: names no file")
+		return errors.New("settings: no file given")
 	}
 	text, err := os.ReadFile(c.Settings)
 	if err != nil {
@@ -155,7 +156,7 @@
 	return err
 }
 
-// isLoopback reports whether an address can be reached from this machine only.
+// isLoopback reports whether an address is reachable only from this machine.
 func isLoopback(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
