--- a/cmd/ringtrack-control/main_test.go
+++ b/cmd/ringtrack-control/main_test.go
@@ -21,7 +21,7 @@
 
 const testTimeout = 20 * time.Second
 
-// The test binary is the program where the environment says so.
+// The test binary runs the program itself if the environment variable is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("RINGTRACK_TEST_MAIN") != "" {
 		main()
@@ -41,10 +41,10 @@
 	return cmd
 }
 
-func config(t *testing.T, roster, more string) string {
+func config(t *testing.T, discoveryAddr, settings string) string {
 	t.Helper()
 	dir := t.TempDir()
-	text := fmt.Sprintf("listen = \"127.0.0.1:0\"\nadmin = \"127.0.0.1:0\"\nsettings = \"settings.json\"\n%s[roster]\naddr = %q\n", more, roster)
+	text := fmt.Sprintf("listen = \"127.0.0.1:0\"\nadmin = \"127.0.0.1:0\"\nsettings = \"settings.json\"\n%s[roster]\naddr = %q\n", settings, discoveryAddr)
 	for name, body := range map[string]string{"control.toml": text, "settings.json": string(service.Settings)} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(body), 0o600); err != nil {
 			t.Fatal(err)
@@ -53,7 +53,7 @@
 	return filepath.Join(dir, "control.toml")
 }
 
-// An invalid configuration ends the program with one line that names the key, and exit code 1.
+// With an invalid configuration the program prints one line with the key and exits with a failure.
 func TestInvalidConfigEndsTheProgram(t *testing.T) {
 	out, err := program(t, "-config", config(t, "127.0.0.1:1", "service = \"a b\"\n")).CombinedOutput()
 	if err == nil || bytes.Count(out, []byte("\n")) != 1 || !bytes.Contains(out, []byte("service: ")) {
@@ -64,15 +64,15 @@
 	}
 }
 
-// The program serves, reloads its configuration on SIGHUP, keeps the last one where the new one is invalid,
-// and shuts down on SIGTERM.
+// The program serves proxies, reloads its configuration on SIGHUP, keeps the previous one if the new one is
+// invalid, and shuts down on SIGTERM.
 func TestReloadAndShutdownBySignal(t *testing.T) {
-	roster, err := lab.NewRoster(membership.Entry{ID: "s-1", Addr: "127.0.0.1:80", Zone: "east", State: membership.Up, Weight: 1})
+	discovery, err := lab.NewRoster(membership.Entry{ID: "s-1", Addr: "127.0.0.1:80", Zone: "east", State: membership.Up, Weight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer roster.Close()
-	file := config(t, roster.Addr, "")
+	defer discovery.Close()
+	file := config(t, discovery.Addr, "")
 	cmd := program(t, "-config", file)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
@@ -139,17 +139,17 @@
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
 	waitForLine("the old one holds")
-	good, err := os.ReadFile(config(t, roster.Addr, ""))
+	valid, err := os.ReadFile(config(t, discovery.Addr, ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(file, good, 0o600); err != nil {
+	if err := os.WriteFile(file, valid, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
 	waitForLine("configuration reloaded")
 	cmd.Process.Signal(syscall.SIGTERM)
-	for range lines { // to its end
+	for range lines { // until the program closes its output
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("ended with %v", err)
--- a/internal/control/auth_test.go
+++ b/internal/control/auth_test.go
@@ -22,7 +22,7 @@
 	"ringtrack.example/ringtrack/internal/control"
 )
 
-// authority is a certificate authority.
+// authority is a certificate authority for tests.
 type authority struct {
 	t    *testing.T
 	cert *x509.Certificate
@@ -48,7 +48,7 @@
 	return &authority{t, c, key, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
 }
 
-// issue makes a certificate with these names that is valid for a duration.
+// issue returns a PEM certificate and its key, with these DNS or URI names and this validity.
 func (a *authority) issue(valid time.Duration, names ...string) (cert, key []byte) {
 	a.t.Helper()
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -75,7 +75,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: kder})
 }
 
-// proxy returns the credentials of a proxy with these names.
+// proxy returns the credentials of a proxy whose certificate has these names.
 func (a *authority) proxy(valid time.Duration, names ...string) credentials.TransportCredentials {
 	a.t.Helper()
 	cert, key := a.issue(valid, names...)
@@ -97,8 +97,8 @@
 	return path
 }
 
-// secured makes a fixture with mutual TLS.
-func secured(t *testing.T, a *authority, valid time.Duration, nodes ...control.NodeConfig) (*fixture, control.TLSConfig) {
+// newTLSFixture returns a fixture with mutual TLS.
+func newTLSFixture(t *testing.T, a *authority, valid time.Duration, nodes ...control.NodeConfig) (*fixture, control.TLSConfig) {
 	dir := t.TempDir()
 	cert, key := a.issue(valid, "service")
 	files := control.TLSConfig{Cert: write(t, dir, "cert.pem", cert), Key: write(t, dir, "key.pem", key), ClientCA: write(t, dir, "ca.pem", a.pem), ReloadS: 1}
@@ -107,8 +107,8 @@
 
 // A proxy may use only the node IDs that its certificate allows.
 func TestNodeIDsByCertificate(t *testing.T) {
-	a, stranger := newAuthority(t), newAuthority(t)
-	f, _ := secured(t, a, time.Hour, control.NodeConfig{Certificate: "spiffe://x/proxy/*", IDs: []string{"edge-*"}})
+	a, other := newAuthority(t), newAuthority(t)
+	f, _ := newTLSFixture(t, a, time.Hour, control.NodeConfig{Certificate: "spiffe://x/proxy/*", IDs: []string{"edge-*"}})
 	open := func(creds credentials.TransportCredentials, id string) *adsClient {
 		r := openSotW(t, connect(t, f.Addr, creds))
 		r.sotw.Send(edsRequest(id, "orders"))
@@ -120,9 +120,9 @@
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	for name, creds := range map[string]credentials.TransportCredentials{
-		"none":     credentials.NewTLS(&tls.Config{RootCAs: pool, NextProtos: []string{"h2"}}),
-		"expired":  a.proxy(-time.Minute, "spiffe://x/proxy/1"),
-		"stranger": stranger.proxy(time.Hour, "spiffe://x/proxy/1"),
+		"none":      credentials.NewTLS(&tls.Config{RootCAs: pool, NextProtos: []string{"h2"}}),
+		"expired":   a.proxy(-time.Minute, "spiffe://x/proxy/1"),
+		"untrusted": other.proxy(time.Hour, "spiffe://x/proxy/1"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn := connect(t, f.Addr, creds)
@@ -134,20 +134,20 @@
 		})
 	}
 	// Without [[node]] entries, the ID has to be one of the certificate's names.
-	other, _ := secured(t, a, time.Hour)
-	r := openSotW(t, connect(t, other.Addr, a.proxy(time.Hour, "edge-1")))
+	withoutNodes, _ := newTLSFixture(t, a, time.Hour)
+	r := openSotW(t, connect(t, withoutNodes.Addr, a.proxy(time.Hour, "edge-1")))
 	r.send(edsRequest("edge-1", "orders"))
 	r.receive()
-	r = openSotW(t, connect(t, other.Addr, a.proxy(time.Hour, "edge-1")))
+	r = openSotW(t, connect(t, withoutNodes.Addr, a.proxy(time.Hour, "edge-1")))
 	r.sotw.Send(edsRequest("edge-2", "orders"))
 	r.expectEnd(codes.PermissionDenied)
 }
 
-// A stream does not outlive the certificate that opened it.
+// A stream is closed when the certificate of its proxy expires.
 func TestProxyCertificateExpires(t *testing.T) {
 	a := newAuthority(t)
-	f, _ := secured(t, a, time.Hour)
-	r := openSotW(t, connect(t, f.Addr, a.proxy(3*time.Second, "edge-1"))) // certificates have a resolution of a second
+	f, _ := newTLSFixture(t, a, time.Hour)
+	r := openSotW(t, connect(t, f.Addr, a.proxy(3*time.Second, "edge-1"))) // expiry times have a resolution of 1 s
 	r.send(edsRequest("edge-1", "orders"))
 	r.receive()
 	r.expectEnd(codes.Unavailable)
--- a/internal/control/certificates_test.go
+++ b/internal/control/certificates_test.go
@@ -10,18 +10,18 @@
 	"ringtrack.example/ringtrack/internal/lab/xdsproxy"
 )
 
-// The service's certificate is reloaded while it runs; files that cannot be used change nothing.
+// The service reloads its certificate while it runs. Invalid files are ignored, and open streams stay open.
 func TestServiceCertificateIsReplaced(t *testing.T) {
 	a := newAuthority(t)
-	f, files := secured(t, a, 2*time.Second) // the first certificate expires soon
+	f, files := newTLSFixture(t, a, 2*time.Second) // the first certificate is about to expire
 	p := f.dial(xdsproxy.Options{Node: "edge-1", Zone: "east", Creds: a.proxy(time.Hour, "edge-1")})
-	f.ready(p)
+	f.awaitReady(p)
 	if err := os.WriteFile(files.Cert, []byte("half-written"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(2500 * time.Millisecond) // until it has expired, and the broken file was read
-	fails := connect(t, f.Addr, a.proxy(time.Hour, "edge-2"))
-	if r, err := tryOpenSotW(t, fails); err == nil {
+	time.Sleep(2500 * time.Millisecond) // until the certificate has expired and the invalid file has been read
+	conn := connect(t, f.Addr, a.proxy(time.Hour, "edge-2"))
+	if r, err := tryOpenSotW(t, conn); err == nil {
 		r.expectEnd(codes.Unavailable)
 	}
 	cert, key := a.issue(time.Hour, "service")
@@ -31,11 +31,11 @@
 	if err := os.WriteFile(files.Cert, cert, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	late := f.dial(xdsproxy.Options{Node: "edge-3", Zone: "east", Creds: a.proxy(time.Hour, "edge-3")})
-	f.ready(late)
+	newClient := f.dial(xdsproxy.Options{Node: "edge-3", Zone: "east", Creds: a.proxy(time.Hour, "edge-3")})
+	f.awaitReady(newClient)
 	f.drain(0)
-	f.await(p, "the drain, on the stream that outlived it", usable("s-000", false))
+	f.await(p, "the drain, on a stream opened before the certificate expired", usable("s-000", false))
 	if p.Streams.Load() != 1 {
-		t.Errorf("the open stream was ended: %s", p.LastError())
+		t.Errorf("the open stream was closed: %s", p.LastError())
 	}
 }
--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -20,7 +20,7 @@
 	"ringtrack.example/ringtrack/internal/control/resource"
 )
 
-// adsClient is a scripted ADS stream: it sends what a test says, and never acknowledges by itself.
+// adsClient is an ADS stream under the control of a test. It never acknowledges a response by itself.
 type adsClient struct {
 	t              *testing.T
 	conn           *grpc.ClientConn
@@ -100,7 +100,7 @@
 	case err := <-r.ended:
 		r.t.Fatalf("the stream ended: %v", err)
 	case <-time.After(testTimeout):
-		r.t.Fatal("no response came")
+		r.t.Fatal("timed out waiting for a response")
 	}
 	return nil
 }
@@ -113,26 +113,26 @@
 	case err := <-r.ended:
 		r.t.Fatalf("the stream ended: %v", err)
 	case <-time.After(testTimeout):
-		r.t.Fatal("no response came")
+		r.t.Fatal("timed out waiting for a response")
 	}
 	return nil
 }
 
-// expectNone checks that no response comes within d.
+// expectNone checks that no response arrives within d.
 func (r *adsClient) expectNone(d time.Duration) {
 	r.t.Helper()
 	select {
 	case m := <-r.responses:
-		r.t.Errorf("a response came: %s %s", m.TypeUrl, m.Nonce)
+		r.t.Errorf("unexpected response: %s %s", m.TypeUrl, m.Nonce)
 	case m := <-r.deltaResponses:
-		r.t.Errorf("a response came: %s %s", m.TypeUrl, m.Nonce)
+		r.t.Errorf("unexpected response: %s %s", m.TypeUrl, m.Nonce)
 	case err := <-r.ended:
 		r.t.Errorf("the stream ended: %v", err)
 	case <-time.After(d):
 	}
 }
 
-// expectEnd waits until the stream ends with a code.
+// expectEnd waits until the stream ends and checks its status code.
 func (r *adsClient) expectEnd(code codes.Code) {
 	r.t.Helper()
 	select {
@@ -150,13 +150,14 @@
 	r.send(&discoveryv3.DiscoveryRequest{TypeUrl: m.TypeUrl, ResponseNonce: m.Nonce, VersionInfo: m.VersionInfo, ResourceNames: names})
 }
 
-func (r *adsClient) nack(m *discoveryv3.DiscoveryResponse, why string, names ...string) {
+func (r *adsClient) nack(m *discoveryv3.DiscoveryResponse, reason string, names ...string) {
 	r.t.Helper()
 	r.send(&discoveryv3.DiscoveryRequest{TypeUrl: m.TypeUrl, ResponseNonce: m.Nonce, ResourceNames: names,
-		ErrorDetail: &rpcstatus.Status{Code: 3, Message: why}})
+		ErrorDetail: &rpcstatus.Status{Code: 3, Message: reason}})
 }
 
-// draining returns the addresses that drain by a response, and all in it.
+// draining returns the addresses of the draining servers in a response, and the addresses of all servers in
+// it.
 func draining(t *testing.T, m *discoveryv3.DiscoveryResponse) (drains, all map[string]bool) {
 	t.Helper()
 	drains, all = map[string]bool{}, map[string]bool{}
@@ -194,15 +195,15 @@
 		Address: host, PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(n)}}}}
 }
 
-// rawCodec is a codec that sends bytes as they are.
+// rawCodec is a codec that sends bytes unchanged.
 type rawCodec struct{}
 
 func (rawCodec) Name() string                  { return "proto" }
 func (rawCodec) Marshal(v any) ([]byte, error) { return v.([]byte), nil }
 func (rawCodec) Unmarshal([]byte, any) error   { return nil }
 
-// sendGarbage sends bytes that are no message.
-func sendGarbage(t *testing.T, addr string) {
+// sendMalformed sends bytes that are not a valid message and expects the stream to end with an error.
+func sendMalformed(t *testing.T, addr string) {
 	t.Helper()
 	s, err := connect(t, addr, nil).NewStream(t.Context(), &grpc.StreamDesc{ClientStreams: true, ServerStreams: true},
 		"/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources", grpc.ForceCodec(rawCodec{}))
@@ -218,7 +219,7 @@
 	}
 }
 
-// tryOpenSotW is openSotW for tests in which opening may fail.
+// tryOpenSotW is like openSotW, but returns an error in place of failing the test.
 func tryOpenSotW(t *testing.T, conn *grpc.ClientConn) (*adsClient, error) {
 	r := &adsClient{t: t, conn: conn, responses: make(chan *discoveryv3.DiscoveryResponse, 1000), ended: make(chan error, 1)}
 	var err error
--- a/internal/control/config_test.go
+++ b/internal/control/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const goodSettings = `{"classes":[{"name":"order","aimMs":500,"giveUpMs":1200,"effect":"single_shot","credit":5}],
+const validSettings = `{"classes":[{"name":"order","aimMs":500,"giveUpMs":1200,"effect":"single_shot","credit":5}],
  "contract":{"askWithinMs":10000,"coldFrom":0.31,"coldMs":8600,"drainGraceMs":250,"fallMultiple":2.5,"tipAfterMs":1000},
  "failureDomains":["east"],"limits":{"maxAttempts":3},"membershipMode":"on_request","replicasOfMe":1,"roundMs":5}`
 
@@ -22,44 +22,44 @@
 	return Load(filepath.Join(dir, "control.toml"))
 }
 
-const good = "listen = \"127.0.0.1:18000\"\nsettings = \"settings.json\"\n[roster]\naddr = \"127.0.0.1:8500\"\n"
+const validConfig = "listen = \"127.0.0.1:18000\"\nsettings = \"settings.json\"\n[roster]\naddr = \"127.0.0.1:8500\"\n"
 
-// An invalid configuration is reported with its key.
+// The error for an invalid configuration contains the key.
 func TestConfigErrorsNameTheKey(t *testing.T) {
-	if c, err := load(t, good, goodSettings); err != nil || c.Proxies.AckTimeoutMs != 200 || c.XDS.Balancer != "ring_hash" {
+	if c, err := load(t, validConfig, validSettings); err != nil || c.Proxies.AckTimeoutMs != 200 || c.XDS.Balancer != "ring_hash" {
 		t.Fatalf("%v, %+v", err, c)
 	}
 	for key, text := range map[string]string{
-		"listen: ":                  strings.Replace(good, "127.0.0.1:18000", "nowhere", 1),
-		"is not on loopback":        strings.Replace(good, "127.0.0.1:18000", "0.0.0.0:18000", 1),
-		"admin: ":                   "admin = \"0.0.0.0:1\"\n" + good,
-		"service: ":                 "service = \"a/b\"\n" + good,
-		"settings: no file given":   strings.Replace(good, "settings = \"settings.json\"\n", "", 1),
-		"settings: open":            strings.Replace(good, "settings.json", "none.json", 1),
-		"roster.addr: ":             strings.Replace(good, "127.0.0.1:8500", "", 1),
-		"unknown: proxies.mots":     good + "[proxies]\nmots = 3\n",
-		"proxies.most: ":            good + "[proxies]\nmost = 0\n",
-		"proxies.stall_after_ms: ":  good + "[proxies]\nstall_after_ms = 1\n",
-		"proxies.debounce_ms: ":     good + "[proxies]\ndebounce_ms = nan\n",
-		"proxies.linger_ms: ":       good + "[proxies]\nlinger_ms = -1\n",
-		"evidence.lapse_ms: ":       good + "[evidence]\nlapse_ms = 1\n",
-		"line 6: proxies.most":      good + "[proxies]\nmost = \"many\"\n",
-		"xds.balancer: ":            good + "[xds]\nbalancer = \"random\"\n",
-		"xds.affinity_header: ":     good + "[xds]\naffinity_header = \"a b\"\n",
-		"xds.listen: ":              good + "[xds]\nlisten = \"x\"\n",
-		"tls.cert and tls.key":      good + "[tls]\ncert = \"x\"\n",
-		"tls.client_ca: ":           good + "[tls]\nclient_ca = \"x\"\n",
-		"node: given without":       good + "[[node]]\ncertificate = \"x\"\nids = [\"y\"]\n",
-		"tls.reload_s: ":            good + "[tls]\nreload_s = 0\n",
-		"roster.stale_after_ms: ":   good + "stale_after_ms = 5\n",
-		"proxies.ends_per_s: ":      good + "[proxies]\nends_per_s = inf\n",
-		"proxies.names_most: ":      good + "[proxies]\nnames_most = 1\n",
-		"proxies.heartbeat_s: ":     good + "[proxies]\nheartbeat_s = -1\n",
+		"listen: ":                  strings.Replace(validConfig, "127.0.0.1:18000", "nowhere", 1),
+		"is not on loopback":        strings.Replace(validConfig, "127.0.0.1:18000", "0.0.0.0:18000", 1),
+		"admin: ":                   "admin = \"0.0.0.0:1\"\n" + validConfig,
+		"service: ":                 "service = \"a/b\"\n" + validConfig,
+		"settings: no file given":   strings.Replace(validConfig, "settings = \"settings.json\"\n", "", 1),
+		"settings: open":            strings.Replace(validConfig, "settings.json", "none.json", 1),
+		"roster.addr: ":             strings.Replace(validConfig, "127.0.0.1:8500", "", 1),
+		"unknown: proxies.mots":     validConfig + "[proxies]\nmots = 3\n",
+		"proxies.most: ":            validConfig + "[proxies]\nmost = 0\n",
+		"proxies.stall_after_ms: ":  validConfig + "[proxies]\nstall_after_ms = 1\n",
+		"proxies.debounce_ms: ":     validConfig + "[proxies]\ndebounce_ms = nan\n",
+		"proxies.linger_ms: ":       validConfig + "[proxies]\nlinger_ms = -1\n",
+		"evidence.lapse_ms: ":       validConfig + "[evidence]\nlapse_ms = 1\n",
+		"line 6: proxies.most":      validConfig + "[proxies]\nmost = \"many\"\n",
+		"xds.balancer: ":            validConfig + "[xds]\nbalancer = \"random\"\n",
+		"xds.affinity_header: ":     validConfig + "[xds]\naffinity_header = \"a b\"\n",
+		"xds.listen: ":              validConfig + "[xds]\nlisten = \"x\"\n",
+		"tls.cert and tls.key":      validConfig + "[tls]\ncert = \"x\"\n",
+		"tls.client_ca: ":           validConfig + "[tls]\nclient_ca = \"x\"\n",
+		"node: given without":       validConfig + "[[node]]\ncertificate = \"x\"\nids = [\"y\"]\n",
+		"tls.reload_s: ":            validConfig + "[tls]\nreload_s = 0\n",
+		"roster.stale_after_ms: ":   validConfig + "stale_after_ms = 5\n",
+		"proxies.ends_per_s: ":      validConfig + "[proxies]\nends_per_s = inf\n",
+		"proxies.names_most: ":      validConfig + "[proxies]\nnames_most = 1\n",
+		"proxies.heartbeat_s: ":     validConfig + "[proxies]\nheartbeat_s = -1\n",
 		"settings: classes[0].aimM": "",
 	} {
-		settings := goodSettings
+		settings := validSettings
 		if text == "" {
-			text, settings = good, strings.Replace(goodSettings, `"aimMs":500`, `"aimMs":0`, 1)
+			text, settings = validConfig, strings.Replace(validSettings, `"aimMs":500`, `"aimMs":0`, 1)
 		}
 		if _, err := load(t, text, settings); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -12,10 +12,10 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// testTimeout bounds every wait of the tests; each needs only a small part of it.
+// testTimeout bounds each wait in the tests, which normally take only a small part of it.
 const testTimeout = 20 * time.Second
 
-// testEntries returns entries of servers that need not be reachable.
+// testEntries returns the entries of n servers that do not exist.
 func testEntries(n int) []membership.Entry {
 	var out []membership.Entry
 	for i := range n {
@@ -25,10 +25,10 @@
 	return out
 }
 
-// fixture is service discovery and a replica of the control service.
+// fixture runs service discovery and a replica of the control service.
 type fixture struct {
-	t      *testing.T
-	roster *lab.Roster
+	t         *testing.T
+	discovery *lab.Roster
 	*service.Service
 }
 
@@ -62,7 +62,7 @@
 	return p
 }
 
-func (f *fixture) ready(p *xdsproxy.Proxy) {
+func (f *fixture) awaitReady(p *xdsproxy.Proxy) {
 	f.t.Helper()
 	select {
 	case <-p.Ready():
@@ -76,7 +76,7 @@
 	f.t.Helper()
 	if !p.Await(testTimeout, want) {
 		t, _ := p.Table()
-		f.t.Fatalf("never saw %s; holds %.600s; last error %q", what, fmt.Sprintf("%+v", t.Endpoints), p.LastError())
+		f.t.Fatalf("timed out waiting for %s; the proxy has %.600s; last error %q", what, fmt.Sprintf("%+v", t.Endpoints), p.LastError())
 	}
 }
 
@@ -93,7 +93,7 @@
 			return r
 		}
 	}
-	f.t.Fatalf("never saw %s; the admin endpoint reports %.1500s", what, fmt.Sprintf("%+v", r))
+	f.t.Fatalf("timed out waiting for %s; the admin endpoint reports %.1500s", what, fmt.Sprintf("%+v", r))
 	return nil
 }
 
@@ -101,55 +101,56 @@
 	return func(t *xdsproxy.Table) bool { return t.Usable(id) == want }
 }
 
-func holds(n int) func(*xdsproxy.Table) bool {
+func hasServers(n int) func(*xdsproxy.Table) bool {
 	return func(t *xdsproxy.Table) bool { return len(t.Shares()) == n }
 }
 
-// variants are the variants of the protocol that a proxy may use.
+// variants contains the options of a proxy for each variant of the protocol.
 var variants = map[string]xdsproxy.Options{
 	"sotw":  {Node: "p-sotw", Zone: "east"},
 	"delta": {Node: "p-delta", Zone: "east", Delta: true},
 	"leds":  {Node: "p-leds", Zone: "east", Delta: true, LEDS: true},
 }
 
-// In every variant a proxy gets all resources and follows a drain, a return, a removal and an addition.
+// In each variant of the protocol, a proxy receives all resources and applies a drain and its end, a removal
+// and an addition.
 func TestProxiesFollowMembership(t *testing.T) {
 	for name, o := range variants {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, testEntries(6), nil)
 			p := f.dial(o)
-			f.ready(p)
-			f.await(p, "all servers", holds(6))
+			f.awaitReady(p)
+			f.await(p, "all servers", hasServers(6))
 			tab, _ := p.Table()
 			if r := tab.Route("order"); r == nil || r.MaxRetries != 2 {
 				t.Errorf("route of order: %+v", r)
 			}
 			drains := testEntries(6)[0]
 			drains.State = membership.Draining
-			f.roster.Set(drains)
+			f.discovery.Set(drains)
 			f.await(p, "the drain", usable("s-000", false))
 			if tab, _ = p.Table(); len(tab.Endpoints) != 6 {
 				t.Errorf("a drain removed the server: %+v", tab.Endpoints)
 			}
-			f.roster.Set(testEntries(6)[0])
-			f.await(p, "the return", usable("s-000", true))
-			f.roster.Remove("s-001")
+			f.discovery.Set(testEntries(6)[0])
+			f.await(p, "the end of the drain", usable("s-000", true))
+			f.discovery.Remove("s-001")
 			f.await(p, "the removal", func(t *xdsproxy.Table) bool { _, ok := t.Find("s-001"); return !ok })
-			f.roster.Set(testEntries(7)[6])
+			f.discovery.Set(testEntries(7)[6])
 			f.await(p, "the new server", usable("s-006", true))
-			f.eventually("the proxy up to date", func(r *control.Report) bool {
+			f.eventually("an up-to-date proxy in the report", func(r *control.Report) bool {
 				return len(r.Proxies) == 1 && !r.Proxies[0].Behind && r.Proxies[0].DrainAckMs >= 0 && len(r.Proxies[0].Acked) >= 4
 			})
 		})
 	}
 }
 
-// settleTime is long enough for a response that was in flight to arrive.
+// settleTime is long enough for a response in flight to arrive.
 const settleTime = 300 * time.Millisecond
 
 func (f *fixture) drain(i int) membership.Entry {
 	e := testEntries(i + 1)[i]
 	e.State = membership.Draining
-	f.roster.Set(e)
+	f.discovery.Set(e)
 	return e
 }
--- a/internal/control/delta_test.go
+++ b/internal/control/delta_test.go
@@ -12,7 +12,7 @@
 	"ringtrack.example/ringtrack/internal/control/resource"
 )
 
-// With LEDS, a drain sends one endpoint and the weights of the localities, however many servers there are.
+// With LEDS, a drain sends one endpoint and the weights of the localities, whatever the number of servers.
 func TestLEDSDrainIsSmall(t *testing.T) {
 	f := newFixture(t, testEntries(900), nil)
 	d := openDelta(t, connect(t, f.Addr, nil))
@@ -44,24 +44,24 @@
 		d.sendDelta(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: m.TypeUrl, ResponseNonce: m.Nonce})
 	}
 	// The endpoint first, since it is urgent; then the weight of its locality.
-	two := func(what string) (first *discoveryv3.DeltaDiscoveryResponse) {
+	receiveTwo := func(what string) (first *discoveryv3.DeltaDiscoveryResponse) {
 		t.Helper()
 		first = d.receiveDelta()
 		ack(first)
 		second := d.receiveDelta()
 		ack(second)
 		if first.TypeUrl != resource.LbEndpoint || second.TypeUrl != resource.Endpoints || proto.Size(first)+proto.Size(second) > 2000 {
-			t.Errorf("%s brought %s and %s, %d bytes", what, first.TypeUrl, second.TypeUrl, proto.Size(first)+proto.Size(second))
+			t.Errorf("%s sent %s and %s, %d bytes", what, first.TypeUrl, second.TypeUrl, proto.Size(first)+proto.Size(second))
 		}
 		return first
 	}
 	f.drain(450)
-	if m = two("a drain"); len(m.Resources) != 1 || len(m.RemovedResources) != 0 {
-		t.Errorf("a drain brought %d servers, %q removed", len(m.Resources), m.RemovedResources)
+	if m = receiveTwo("a drain"); len(m.Resources) != 1 || len(m.RemovedResources) != 0 {
+		t.Errorf("a drain sent %d servers, %q removed", len(m.Resources), m.RemovedResources)
 	}
-	f.roster.Remove("s-451")
-	if m = two("a removal"); len(m.Resources) != 0 || len(m.RemovedResources) != 1 || !strings.HasSuffix(m.RemovedResources[0], "/s-451") {
-		t.Errorf("a removal brought %d servers, %q removed", len(m.Resources), m.RemovedResources)
+	f.discovery.Remove("s-451")
+	if m = receiveTwo("a removal"); len(m.Resources) != 0 || len(m.RemovedResources) != 1 || !strings.HasSuffix(m.RemovedResources[0], "/s-451") {
+		t.Errorf("a removal sent %d servers, %q removed", len(m.Resources), m.RemovedResources)
 	}
 }
 
@@ -84,9 +84,9 @@
 			t.Errorf("heartbeat %+v", m.Resources[0])
 		}
 	}
-	plain := openDelta(t, connect(t, f.Addr, nil))
-	plain.sendDelta(deltaRequest("q", "orders"))
-	if m := plain.receiveDelta(); m.Resources[0].Ttl != nil {
+	withoutTTL := openDelta(t, connect(t, f.Addr, nil))
+	withoutTTL.sendDelta(deltaRequest("q", "orders"))
+	if m := withoutTTL.receiveDelta(); m.Resources[0].Ttl != nil {
 		t.Errorf("%+v", m.Resources[0])
 	}
 }
--- a/internal/control/grpc_test.go
+++ b/internal/control/grpc_test.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// grpcServer answers with its own ID.
+// grpcServer is a gRPC health server that returns its own ID in a header.
 type grpcServer struct {
 	healthpb.UnimplementedHealthServer
 	id   string
@@ -153,7 +153,7 @@
 		t.Helper()
 		fmt.Fprintln(in, class, first, calls)
 		if !answers.Scan() {
-			t.Fatal("the client ended")
+			t.Fatal("the client process ended")
 		}
 		got := map[string]int{}
 		if err := json.Unmarshal(answers.Bytes(), &got); err != nil {
@@ -161,8 +161,8 @@
 		}
 		return got
 	}
-	// until repeats calls until they are answered as wanted.
-	until := func(what string, want func(map[string]int) bool) {
+	// callUntil repeats calls until the numbers of answers by server satisfy want.
+	callUntil := func(what string, want func(map[string]int) bool) {
 		t.Helper()
 		var got map[string]int
 		for end := time.Now().Add(testTimeout); time.Now().Before(end); {
@@ -170,37 +170,37 @@
 				return
 			}
 		}
-		t.Fatalf("never saw %s; the last calls: %v", what, got)
+		t.Fatalf("timed out waiting for %s; the last calls: %v", what, got)
 	}
 
 	got := call("order", 0, 400)
 	for _, g := range servers {
 		if n := got[g.id]; n < 30 || n > 250 {
-			t.Errorf("spread %v", got)
+			t.Errorf("requests are distributed unevenly: %v", got)
 		}
 	}
 	if got = call("order", 7, 1); len(got) != 1 {
 		t.Errorf("%v", got)
 	}
-	home := ""
-	for home = range got {
+	affinityServer := ""
+	for affinityServer = range got {
 	}
 	for range 20 {
-		if got = call("read", 7, 1); got[home] != 1 {
-			t.Errorf("the key went to %v, and to %s before", got, home)
+		if got = call("read", 7, 1); got[affinityServer] != 1 {
+			t.Errorf("the key went to %v, and to %s before", got, affinityServer)
 		}
 	}
 
-	// A drain: after 250 ms no new request reaches the server.
+	// 250 ms after a drain, no new request reaches the server.
 	drained := entries[0]
 	drained.State = membership.Draining
-	f.roster.Set(drained)
+	f.discovery.Set(drained)
 	time.Sleep(250 * time.Millisecond)
 	if got = call("order", 0, 400); got["s-0"] != 0 || got[""] != 0 {
 		t.Errorf("after the drain: %v", got)
 	}
 
-	// Priorities: s-3 is reported failing by all and gets the last priority; then the others stop.
+	// All proxies report s-3 as failing, which moves it to the last priority; then the other servers stop.
 	var mu sync.Mutex
 	failing := true
 	for i := range 3 {
@@ -208,7 +208,7 @@
 		r := openSotW(t, connect(t, f.Addr, nil))
 		r.send(edsRequest(id, "orders"))
 		r.receive()
-		f.lrs(t, id, 100*time.Millisecond, func() []*endpointv3.UpstreamEndpointStats {
+		f.reportLoads(t, id, 100*time.Millisecond, func() []*endpointv3.UpstreamEndpointStats {
 			mu.Lock()
 			defer mu.Unlock()
 			var out []*endpointv3.UpstreamEndpointStats
@@ -222,14 +222,14 @@
 			return out
 		})
 	}
-	until("s-3 without requests", func(got map[string]int) bool { return got["s-3"] == 0 && got["s-1"] > 0 && got["s-2"] > 0 })
+	callUntil("s-3 without requests", func(got map[string]int) bool { return got["s-3"] == 0 && got["s-1"] > 0 && got["s-2"] > 0 })
 	servers[1].s.Stop()
 	servers[2].s.Stop()
-	until("the failover to s-3", func(got map[string]int) bool { return got["s-3"] == 60 })
+	callUntil("failover to s-3", func(got map[string]int) bool { return got["s-3"] == 60 })
 	servers[1].start(t)
-	until("the return to s-1", func(got map[string]int) bool { return got["s-1"] == 60 })
-	f.roster.Set(entries[0])
-	until("s-0 served again", func(got map[string]int) bool { return got["s-0"] > 0 && got[""] == 0 })
+	callUntil("failback to s-1", func(got map[string]int) bool { return got["s-1"] == 60 })
+	f.discovery.Set(entries[0])
+	callUntil("requests to s-0 again", func(got map[string]int) bool { return got["s-0"] > 0 && got[""] == 0 })
 	if r, err := f.Report(); err != nil || r.Counts["rejections"] != 0 {
 		t.Errorf("%v, %d rejections", err, r.Counts["rejections"])
 	}
--- a/internal/control/halfclose_test.go
+++ b/internal/control/halfclose_test.go
@@ -11,12 +11,12 @@
 	"ringtrack.example/ringtrack/internal/lab/xdsproxy"
 )
 
-// A proxy that half-closes its stream (CloseSend) ends that stream only: it used to end the process for all
-// proxies.
+// A proxy that half-closes its stream (CloseSend) ends that stream only: a half-closed stream once ended the
+// process for all proxies.
 func TestHalfClosedStreamEndsAlone(t *testing.T) {
 	f := newFixture(t, testEntries(6), nil)
 	other := f.dial(xdsproxy.Options{Node: "other", Zone: "east"})
-	f.ready(other)
+	f.awaitReady(other)
 	sotwRequest, deltaRequest := edsRequest("p", "orders"), deltaRequest("p", "orders")
 	for name, halfClose := range map[string]func(t *testing.T) error{
 		"state of the world, nothing sent": func(t *testing.T) error { return halfCloseSotW(t, f) },
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			for range 10 {
 				if err := halfClose(t); !errors.Is(err, io.EOF) {
-					t.Errorf("the stream ended with %v, want the server's end of it", err)
+					t.Errorf("the stream ended with %v, want io.EOF", err)
 				}
 			}
 		})
--- a/internal/control/lrs_test.go
+++ b/internal/control/lrs_test.go
@@ -14,8 +14,8 @@
 	"ringtrack.example/ringtrack/internal/lab/xdsproxy"
 )
 
-// lrs reports loads as a proxy until the test ends.
-func (f *fixture) lrs(t *testing.T, id string, every time.Duration, loads func() []*endpointv3.UpstreamEndpointStats) {
+// reportLoads sends load reports as a proxy until the test ends.
+func (f *fixture) reportLoads(t *testing.T, id string, every time.Duration, loads func() []*endpointv3.UpstreamEndpointStats) {
 	t.Helper()
 	g, err := loadstatsv3.NewLoadReportingServiceClient(connect(t, f.Addr, nil)).StreamLoadStats(t.Context())
 	if err != nil {
@@ -48,7 +48,7 @@
 	t.Cleanup(done.Wait)
 }
 
-// Load reports move a server to a lower priority, and back.
+// Load reports with failures move a server to a lower priority, and reports without failures move it back.
 func TestLoadReportsChangePriorities(t *testing.T) {
 	f := newFixture(t, testEntries(4), func(c *control.Config) { c.Evidence.ReportMs, c.Evidence.EjectionMs = 100, 200 })
 	var mu sync.Mutex
@@ -56,10 +56,10 @@
 	var proxies []*xdsproxy.Proxy
 	for i := range 3 {
 		p := f.dial(xdsproxy.Options{Node: fmt.Sprint("p-", i), Zone: "east", Delta: true, LEDS: i == 1})
-		f.ready(p)
-		f.await(p, "all", holds(4))
+		f.awaitReady(p)
+		f.await(p, "all", hasServers(4))
 		proxies = append(proxies, p)
-		f.lrs(t, fmt.Sprint("p-", i), 50*time.Millisecond, func() []*endpointv3.UpstreamEndpointStats {
+		f.reportLoads(t, fmt.Sprint("p-", i), 50*time.Millisecond, func() []*endpointv3.UpstreamEndpointStats {
 			mu.Lock()
 			defer mu.Unlock()
 			var out []*endpointv3.UpstreamEndpointStats
@@ -74,7 +74,7 @@
 		})
 	}
 	for _, p := range proxies {
-		f.await(p, "the failing server in the next priority", func(t *xdsproxy.Table) bool {
+		f.await(p, "the failing server at the next priority", func(t *xdsproxy.Table) bool {
 			e, ok := t.Find("s-002")
 			return ok && e.Priority == 1 && len(t.Shares()) == 3
 		})
@@ -83,7 +83,7 @@
 	failing = false
 	mu.Unlock()
 	for _, p := range proxies {
-		f.await(p, "its return", func(t *xdsproxy.Table) bool {
+		f.await(p, "the recovered server at the first priority", func(t *xdsproxy.Table) bool {
 			e, ok := t.Find("s-002")
 			return ok && e.Priority == 0 && len(t.Shares()) == 4
 		})
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -21,33 +21,33 @@
 func TestMembershipLostOrEmpty(t *testing.T) {
 	f := newFixture(t, testEntries(6), func(c *control.Config) { c.Discovery.StaleAfterMs = 1000 })
 	p := f.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true})
-	f.ready(p)
-	f.await(p, "all", holds(6))
+	f.awaitReady(p)
+	f.await(p, "all", hasServers(6))
 	f.drain(1)
 	f.await(p, "the drain", usable("s-001", false))
 	n := p.ResponseCount.Load()
-	f.roster.Replace()
-	f.eventually("the empty list reported", func(r *control.Report) bool { return strings.Contains(r.Membership[0].Reason, "not believed") })
-	f.eventually("the list reported stale", func(r *control.Report) bool { return r.Membership[0].Stale })
-	f.roster.SetDown(true)
-	f.eventually("discovery reported lost", func(r *control.Report) bool { return r.Membership[0].Stale && r.Membership[0].Entries == 6 })
+	f.discovery.Replace()
+	f.eventually("the rejected empty list in the report", func(r *control.Report) bool { return strings.Contains(r.Membership[0].Reason, "not believed") })
+	f.eventually("a stale list in the report", func(r *control.Report) bool { return r.Membership[0].Stale })
+	f.discovery.SetDown(true)
+	f.eventually("a stale list with all entries in the report", func(r *control.Report) bool { return r.Membership[0].Stale && r.Membership[0].Entries == 6 })
 	if tab, _ := p.Table(); len(tab.Shares()) != 5 || tab.Usable("s-001") {
 		t.Errorf("holds %+v", tab.Endpoints)
 	}
 	if p.ResponseCount.Load() != n {
-		t.Errorf("%d responses arrived", p.ResponseCount.Load()-n)
+		t.Errorf("%d responses were sent although nothing changed", p.ResponseCount.Load()-n)
 	}
-	f.roster.SetDown(false)
-	f.roster.Replace(testEntries(4)...)
-	f.await(p, "the new list", holds(4))
-	f.eventually("the list fresh", func(r *control.Report) bool { return !r.Membership[0].Stale })
+	f.discovery.SetDown(false)
+	f.discovery.Replace(testEntries(4)...)
+	f.await(p, "the new list", hasServers(4))
+	f.eventually("a current list in the report", func(r *control.Report) bool { return !r.Membership[0].Stale })
 }
 
 // The service restarts empty while discovery is down: proxies keep their resources, and get what they miss
 // once discovery is back.
 func TestProxiesSurviveARestart(t *testing.T) {
 	f := newFixture(t, testEntries(6), nil)
-	s, err := service.Start("", f.roster.Addr, nil, nil)
+	s, err := service.Start("", f.discovery.Addr, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,15 +59,15 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(p.Close)
-		f.ready(p)
-		f.await(p, "all", holds(6))
+		f.awaitReady(p)
+		f.await(p, "all", hasServers(6))
 		proxies = append(proxies, p)
 	}
-	f.roster.SetDown(true)
+	f.discovery.SetDown(true)
 	if err := s.Close(); err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	restarted, err := service.Start(s.Addr, f.roster.Addr, nil, nil)
+	restarted, err := service.Start(s.Addr, f.discovery.Addr, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,8 +84,8 @@
 	}
 	e := testEntries(6)[3]
 	e.State = membership.Draining
-	f.roster.Set(e)
-	f.roster.SetDown(false)
+	f.discovery.Set(e)
+	f.discovery.SetDown(false)
 	for _, p := range proxies {
 		f.await(p, "the missed drain", usable("s-003", false))
 		if tab, _ := p.Table(); len(tab.Endpoints) != 6 {
@@ -94,16 +94,16 @@
 	}
 }
 
-// Two replicas with one endpoint list serve the same bytes.
+// Replicas with the same endpoint list serve the same bytes.
 func TestReplicasAgree(t *testing.T) {
 	f := newFixture(t, testEntries(9), nil)
 	f.drain(4)
-	other, err := service.StartWith(f.roster, nil)
+	other, err := service.StartWith(f.discovery, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Close()
-	full := func(addr string) [][]byte {
+	fetchAll := func(addr string) [][]byte {
 		r := openSotW(t, connect(t, addr, nil))
 		var out [][]byte
 		for _, typeURL := range []string{resource.Endpoints, resource.Cluster, resource.Listener, resource.Route} {
@@ -121,15 +121,15 @@
 		}
 		return out
 	}
-	both := func(r *control.Report) bool {
+	drained := func(r *control.Report) bool {
 		a := r.Assignments["east"]
 		return a == nil || a.Endpoints[4].Draining
 	}
-	f.eventually("the drain", both)
-	x := full(f.Addr)
+	f.eventually("the drain", drained)
+	x := fetchAll(f.Addr)
 	var y [][]byte
-	for end := time.Now().Add(testTimeout); time.Now().Before(end); { // the other may not have its endpoint list yet
-		if y = full(other.Addr); slices.EqualFunc(x, y, bytes.Equal) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); { // the other replica may not have received its endpoint list yet
+		if y = fetchAll(other.Addr); slices.EqualFunc(x, y, bytes.Equal) {
 			return
 		}
 	}
--- a/internal/control/proxy_test.go
+++ b/internal/control/proxy_test.go
@@ -10,41 +10,42 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// Rule 2 as a proxy reads it from its routes: each class against each outcome of an attempt.
+// The routes permit a retry only if the request cannot be executed twice, for each class and each outcome of
+// an attempt.
 func TestProxiesRetryOnlyWhatIsSafe(t *testing.T) {
 	f := newFixture(t, testEntries(3), nil)
 	p := f.dial(xdsproxy.Options{Node: "p", Zone: "east"})
-	f.ready(p)
+	f.awaitReady(p)
 	tab, _ := p.Table()
 	mayRun := map[xdsproxy.Outcome]bool{xdsproxy.Answer5xx: true, xdsproxy.NotStarted: false, xdsproxy.ConnectFailed: false,
 		xdsproxy.RefusedStream: false, xdsproxy.Reset: true, xdsproxy.TimedOut: true}
-	for class, repeatable := range map[string]bool{"read": true, "send": true, "order": false, "unknown class": false} {
+	for class, idempotent := range map[string]bool{"read": true, "send": true, "order": false, "unknown class": false} {
 		r := tab.Route(class)
 		if r == nil || r.Hedged || r.PerTryTimeout != 0 || r.Timeout <= 0 || r.Timeout >= 1200*time.Millisecond {
 			t.Fatalf("%s: route %+v", class, r)
 		}
-		for end, ran := range mayRun {
-			retried := r.MayRetry(end, 1)
+		for outcome, ran := range mayRun {
+			retried := r.MayRetry(outcome, 1)
 			switch {
-			case retried && ran && !repeatable:
-				t.Errorf("%s is retried after outcome %d", class, end)
+			case retried && ran && !idempotent:
+				t.Errorf("%s is retried after outcome %d", class, outcome)
 			case !retried && !ran:
-				t.Errorf("%s is not retried after outcome %d, after which it cannot have run", class, end)
+				t.Errorf("%s is not retried after outcome %d, after which it cannot have run", class, outcome)
 			}
-			if r.MayRetry(end, 3) {
-				t.Errorf("%s has a fourth attempt", class)
+			if r.MayRetry(outcome, 3) {
+				t.Errorf("%s permits a fourth attempt", class)
 			}
 		}
 	}
 }
 
-// The same over sockets, with the executions counted at the servers.
+// As TestProxiesRetryOnlyWhatIsSafe, but over sockets, with the executions counted at the servers.
 func TestServersSeeOnlySafeRetries(t *testing.T) {
 	classes := map[string]lab.Effect{"read": lab.Safe, "send": lab.Keyed, "order": lab.Unsafe}
 	for name, c := range map[string]struct {
 		mode       lab.Mode
-		unsafe     int // attempts of a request that is not idempotent
-		repeatable int
+		unsafe     int // attempts for a request that is not idempotent
+		idempotent int // attempts for an idempotent request
 	}{
 		"serving": {lab.Serving, 1, 1}, "failing": {lab.Failing, 1, 3}, "breaking": {lab.Breaking, 1, 3},
 		"rejecting": {lab.Full, 3, 3}, "silent": {lab.Silent, 1, 1},
@@ -64,14 +65,14 @@
 			}
 			f := newFixture(t, entries, nil)
 			p := f.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true})
-			f.ready(p)
-			f.await(p, "all", holds(4))
+			f.awaitReady(p)
+			f.await(p, "all", hasServers(4))
 			for class, effect := range classes {
 				for i := range 5 {
 					id := fmt.Sprint(class, "-", i)
 					ledger.Asked(id, effect, id, time.Now().Add(3*time.Second))
 					res := p.Call(t.Context(), class, id, id+" ")
-					want := c.repeatable
+					want := c.idempotent
 					if effect == lab.Unsafe {
 						want = c.unsafe
 					}
@@ -88,7 +89,7 @@
 				}
 			}
 			if broken, texts := ledger.Breaches(time.Now()); len(broken) > 0 {
-				t.Errorf("broken %v: %q", broken, texts)
+				t.Errorf("violated rules %v: %q", broken, texts)
 			}
 		})
 	}
@@ -101,10 +102,10 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newFixture(t, testEntries(n), nil)
 			p := f.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true, LEDS: n%2 == 0})
-			f.ready(p)
-			f.await(p, "all", holds(n))
+			f.awaitReady(p)
+			f.await(p, "all", hasServers(n))
 			const keys = 3000
-			place := func() []string {
+			selectServers := func() []string {
 				tab, _ := p.Table()
 				out := make([]string, keys)
 				for k := range out {
@@ -112,14 +113,14 @@
 				}
 				return out
 			}
-			before := place()
+			before := selectServers()
 			tab, _ := p.Table()
 			share := tab.Shares()[fmt.Sprintf("s-%03d", n/2)]
-			for _, remove := range []func(){func() { f.drain(n / 2) }, func() { f.roster.Remove(fmt.Sprintf("s-%03d", n/2)) }} {
+			for _, remove := range []func(){func() { f.drain(n / 2) }, func() { f.discovery.Remove(fmt.Sprintf("s-%03d", n/2)) }} {
 				remove()
-				f.await(p, "the server's end", usable(fmt.Sprintf("s-%03d", n/2), false))
+				f.await(p, "the server out of use", usable(fmt.Sprintf("s-%03d", n/2), false))
 				moved := 0
-				for k, at := range place() {
+				for k, at := range selectServers() {
 					if at != before[k] {
 						moved++
 					}
--- a/internal/control/recover_test.go
+++ b/internal/control/recover_test.go
@@ -19,7 +19,7 @@
 
 func (s contextStream) Context() context.Context { return s.ctx }
 
-// A panic in the code that serves one stream ends that stream, not the process.
+// A panic while a stream is served ends that stream, not the process.
 func TestPanicEndsItsStreamOnly(t *testing.T) {
 	before := panics.Recovered()
 	err := recoverStream(nil, contextStream{ctx: t.Context()}, &grpc.StreamServerInfo{FullMethod: "test"},
--- a/internal/control/reload_test.go
+++ b/internal/control/reload_test.go
@@ -19,8 +19,8 @@
 func TestReload(t *testing.T) {
 	f := newFixture(t, testEntries(3), nil)
 	p := f.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true})
-	f.ready(p)
-	next, remove, err := service.Config(f.roster.Addr, func(c *control.Config) {
+	f.awaitReady(p)
+	next, remove, err := service.Config(f.discovery.Addr, func(c *control.Config) {
 		text := bytes.ReplaceAll(service.Settings, []byte(`"order"`), []byte(`"booking"`))
 		if err := os.WriteFile(c.Settings, text, 0o600); err != nil {
 			t.Fatal(err)
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	defer remove()
-	f.await(p, "all", holds(3))
+	f.await(p, "all", hasServers(3))
 	d := openDelta(t, connect(t, f.Addr, nil))
 	d.sendDelta(&discoveryv3.DeltaDiscoveryRequest{Node: node("d"), TypeUrl: resource.Cluster})
 	d.sendDelta(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: resource.Route, ResourceNamesSubscribe: []string{"orders"}})
@@ -47,14 +47,14 @@
 	if m.TypeUrl != resource.Cluster || len(m.Resources) != 1 || m.Resources[0].Name != "orders/booking" || len(m.RemovedResources) > 0 {
 		t.Fatalf("%s: %d resources, %q removed", m.TypeUrl, len(m.Resources), m.RemovedResources)
 	}
-	d.expectNone(settleTime) // the routes wait until their cluster is acknowledged
+	d.expectNone(settleTime) // the routes are not sent until their cluster is acknowledged
 	ack(m)
 	if m = d.receiveDelta(); m.TypeUrl != resource.Route {
-		t.Fatalf("%s came", m.TypeUrl)
+		t.Fatalf("got %s, want the routes", m.TypeUrl)
 	}
 	ack(m)
 	if m = d.receiveDelta(); m.TypeUrl != resource.Cluster || !slices.Equal(m.RemovedResources, []string{"orders/order"}) {
-		t.Errorf("%s: %q removed", m.TypeUrl, m.RemovedResources)
+		t.Errorf("got %s with %q removed, want the old cluster removed", m.TypeUrl, m.RemovedResources)
 	}
 	f.await(p, "the new class", func(t *xdsproxy.Table) bool {
 		r := t.Route("booking")
--- a/internal/control/report_test.go
+++ b/internal/control/report_test.go
@@ -8,7 +8,8 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// Operators and the lab read the keys of the admin report: they do not change with the names of fields.
+// The JSON keys of the admin report, which operators and the lab read, do not depend on the names of Go
+// fields.
 func TestReportKeysAreStable(t *testing.T) {
 	r := &Report{NowMs: 1, Membership: []membership.Status{}, Problems: []string{"p"},
 		Servers: []ServerReport{{ID: "s", State: "unknown", SinceMs: 2, Usable: true, Capacity: 0.5, ConsecutiveFailures: 3}},
--- a/internal/control/stream_test.go
+++ b/internal/control/stream_test.go
@@ -15,18 +15,18 @@
 	"ringtrack.example/ringtrack/internal/lab/xdsproxy"
 )
 
-// A proxy that reads nothing: the others are notified at once, its stream is closed, and once it reads it
-// reconnects and gets the drain.
+// A proxy that stops reading does not delay updates to the others. Its stream is closed, and it reconnects
+// and receives the drain once it reads again.
 func TestStalledProxy(t *testing.T) {
-	f := newFixture(t, testEntries(300), nil) // more than its flow-control window takes at once
+	f := newFixture(t, testEntries(300), nil) // more than fits in the flow-control window
 	var others []*xdsproxy.Proxy
 	for i := range 5 {
-		p := f.dial(xdsproxy.Options{Node: fmt.Sprint("well-", i), Zone: "east", Delta: i%2 == 0})
-		f.ready(p)
+		p := f.dial(xdsproxy.Options{Node: fmt.Sprint("healthy-", i), Zone: "east", Delta: i%2 == 0})
+		f.awaitReady(p)
 		others = append(others, p)
 	}
 	stalled := f.dial(xdsproxy.Options{Node: "stalled", Zone: "west"})
-	f.ready(stalled)
+	f.awaitReady(stalled)
 	stalled.Pause(true)
 	f.drain(0)
 	f.await(others[0], "the first drain", usable("s-000", false)) // one more response may be read before the pause takes effect
@@ -37,7 +37,7 @@
 			f.await(p, "a drain", usable(fmt.Sprintf("s-%03d", i), false))
 		}
 		if took := time.Since(published); took > 250*time.Millisecond {
-			t.Errorf("a drain took %v beside a stalled proxy", took)
+			t.Errorf("a drain took %v while another proxy was stalled", took)
 		}
 	}
 	f.eventually("the stalled stream closed", func(r *control.Report) bool { return r.Counts["stalled"] >= 1 && r.Counts["ended"] >= 1 })
@@ -51,8 +51,8 @@
 	})
 }
 
-// While a response is not acknowledged, other updates wait and are batched; a drain does not wait, and no
-// later response undoes it.
+// While a response is not acknowledged, non-urgent updates are batched, but a drain is sent at once. No later
+// response undoes the drain.
 func TestDrainDoesNotWaitForAcknowledgements(t *testing.T) {
 	f := newFixture(t, testEntries(6), func(c *control.Config) { c.Proxies.AckTimeoutMs = 60_000 })
 	r := openSotW(t, connect(t, f.Addr, nil))
@@ -61,7 +61,7 @@
 	for i := range 5 {
 		e := testEntries(6)[i]
 		e.Weight = 2 + float64(i)
-		f.roster.Set(e)
+		f.discovery.Set(e)
 	}
 	f.eventually("the changes published", func(rep *control.Report) bool {
 		return rep.Assignments["east"].Endpoints[4].Weight > 5000
@@ -77,7 +77,7 @@
 	for i := range 5 {
 		e := testEntries(6)[i]
 		e.Weight = 10 + float64(i)
-		f.roster.Set(e)
+		f.discovery.Set(e)
 	}
 	r.ack(second, "orders")
 	third := r.receive()
@@ -89,12 +89,12 @@
 	r.expectNone(settleTime)
 }
 
-// Garbage, a message of 60 MB, an unknown type, a changed or missing node ID: each ends its own stream with a
-// specific code, and no other.
+// An invalid request (malformed, 60 MB, of an unknown type, with a changed or missing node ID) ends its own
+// stream with a specific status code, and no other stream.
 func TestBadRequests(t *testing.T) {
 	f := newFixture(t, testEntries(6), nil)
-	p := f.dial(xdsproxy.Options{Node: "well", Zone: "east"})
-	f.ready(p)
+	p := f.dial(xdsproxy.Options{Node: "healthy", Zone: "east"})
+	f.awaitReady(p)
 	for name, c := range map[string]struct {
 		reqs []*discoveryv3.DiscoveryRequest
 		code codes.Code
@@ -116,7 +116,7 @@
 			r.expectEnd(c.code)
 		})
 	}
-	t.Run("garbage", func(t *testing.T) { sendGarbage(t, f.Addr) })
+	t.Run("malformed", func(t *testing.T) { sendMalformed(t, f.Addr) })
 	f.drain(0)
 	f.await(p, "the drain", usable("s-000", false))
 	if p.Streams.Load() != 1 {
@@ -124,7 +124,7 @@
 	}
 }
 
-// One proxy more than allowed is rejected with ResourceExhausted.
+// A proxy beyond the allowed number is rejected with ResourceExhausted.
 func TestTooManyProxiesAreRejected(t *testing.T) {
 	f := newFixture(t, testEntries(6), func(c *control.Config) { c.Proxies.MaxStreams = 2 })
 	for i := range 2 {
--- a/internal/control/subscription_test.go
+++ b/internal/control/subscription_test.go
@@ -14,7 +14,7 @@
 	"ringtrack.example/ringtrack/internal/control/resource"
 )
 
-// After a NACK the reason is reported, and the same version is not sent a second time, only newer ones.
+// After a NACK the reason is reported, and the rejected version is not sent again, only newer ones.
 func TestNackIsReportedAndNotResent(t *testing.T) {
 	f := newFixture(t, testEntries(6), nil)
 	for _, delta := range []bool{false, true} {
@@ -50,7 +50,7 @@
 	}
 }
 
-// A proxy reconnects with versions and nonces of an earlier process.
+// A proxy that reconnects with versions and nonces of an earlier process is sent the current resources.
 func TestReconnectWithOldVersions(t *testing.T) {
 	f := newFixture(t, testEntries(6), nil)
 	r := openSotW(t, connect(t, f.Addr, nil))
@@ -70,7 +70,7 @@
 	if len(dm.Resources) != 1 {
 		t.Errorf("%+v", dm)
 	}
-	// With the current version there is nothing to send until something changes.
+	// A proxy that already has the current version is sent nothing until something changes.
 	e := openDelta(t, connect(t, f.Addr, nil))
 	q = deltaRequest("e", "orders")
 	q.InitialResourceVersions = map[string]string{"orders": dm.Resources[0].Version}
@@ -82,7 +82,8 @@
 	}
 }
 
-// A name that does not exist is reported as removed, where the protocol can express that.
+// The incremental variant reports a name that does not exist as removed; state of the world cannot express
+// that.
 func TestNamesThatDoNotExist(t *testing.T) {
 	f := newFixture(t, testEntries(6), nil)
 	r := openSotW(t, connect(t, f.Addr, nil))
@@ -95,7 +96,7 @@
 	}
 }
 
-// 10,000 names are served; more end the stream, and no other.
+// A subscription to 10,000 names is served. One more name ends its stream and no other.
 func TestManyNames(t *testing.T) {
 	f := newFixture(t, testEntries(6), nil)
 	names := []string{"orders"}
@@ -108,7 +109,7 @@
 	d := openDelta(t, connect(t, f.Addr, nil))
 	d.sendDelta(deltaRequest("d", names...))
 	if m := d.receiveDelta(); len(m.RemovedResources) != 9999 {
-		t.Errorf("%d names are reported not to exist", len(m.RemovedResources))
+		t.Errorf("%d names are reported as removed, want 9999", len(m.RemovedResources))
 	}
 	d.sendDelta(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: resource.Endpoints, ResourceNamesSubscribe: []string{"one more"}})
 	d.expectEnd(codes.ResourceExhausted)
