--- a/internal/control/assign/assignment.go
+++ b/internal/control/assign/assignment.go
@@ -102,7 +102,7 @@
 		slices.Equal(a.Endpoints, b.Endpoints)
 }
 
-// baseEndpoint holds the properties of an endpoint that are the same for all groups.
+// baseEndpoint contains the properties of an endpoint that are the same for all groups.
 type baseEndpoint struct {
 	Endpoint
 	fullWeight float64 // weight outside slow start, in units of the constant fullWeight
--- a/internal/control/certificates.go
+++ b/internal/control/certificates.go
@@ -20,7 +20,7 @@
 
 var errNoCertificate = errors.New("tls: no certificate is loaded")
 
-// certificates holds the service's certificate and the authority that issues the certificates of proxies.
+// certificates contains the service's certificate and the authority that issues the certificates of proxies.
 // read must not be called concurrently; the other methods may.
 type certificates struct {
 	cfg     TLSConfig
@@ -52,7 +52,7 @@
 	if c.cfg.ClientCA != "" {
 		cfg.ClientCAs = x509.NewCertPool()
 		if !cfg.ClientCAs.AppendCertsFromPEM(files[2]) {
-			return false, fmt.Errorf("tls.client_ca: %s holds no certificate", c.cfg.ClientCA)
+			return false, fmt.Errorf("tls.client_ca: %s contains no PEM certificate", c.cfg.ClientCA)
 		}
 		cfg.ClientAuth = tls.RequireAndVerifyClientCert
 	}
@@ -104,7 +104,7 @@
 	case err != nil:
 		s.log.Error("certificates not used, the last ones stay in use", "err", err)
 	case left <= 0:
-		s.log.Error("the service's certificate HAS EXPIRED: proxies will not connect", "since", -left)
+		s.log.Error("the service's certificate has expired; proxies cannot open new connections", "since", -left)
 	case left < expiryWarning:
 		s.log.Warn("the service's certificate expires soon", "in", left)
 	case changed:
--- a/internal/control/grpc_test.go
+++ b/internal/control/grpc_test.go
@@ -39,8 +39,8 @@
 	os.Exit(m.Run())
 }
 
-// runClient reads lines "CLASS FIRSTKEY CALLS" from standard input, makes the calls of each and writes how
-// many each server answered; "" counts those that failed.
+// runClient reads lines "CLASS FIRSTKEY CALLS" from standard input, makes the calls of each line and writes
+// the number of calls that each server answered; "" counts the failed calls.
 func runClient() error {
 	conn, err := grpc.NewClient("xds:///orders", grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -16,8 +16,8 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// Discovery fails, or lists nothing: proxies keep their resources, and the admin report says that the list is
-// stale.
+// If discovery fails or returns an empty list, proxies keep their resources and the admin report marks the
+// list as stale.
 func TestMembershipLostOrEmpty(t *testing.T) {
 	f := newFixture(t, testEntries(6), func(c *control.Config) { c.Discovery.StaleAfterMs = 1000 })
 	p := f.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true})
@@ -32,7 +32,7 @@
 	f.discovery.SetDown(true)
 	f.eventually("a stale list with all entries in the report", func(r *control.Report) bool { return r.Membership[0].Stale && r.Membership[0].Entries == 6 })
 	if tab, _ := p.Table(); len(tab.Shares()) != 5 || tab.Usable("s-001") {
-		t.Errorf("holds %+v", tab.Endpoints)
+		t.Errorf("the proxy has %+v", tab.Endpoints)
 	}
 	if p.ResponseCount.Load() != n {
 		t.Errorf("%d responses were sent although nothing changed", p.ResponseCount.Load()-n)
@@ -43,8 +43,8 @@
 	f.eventually("a current list in the report", func(r *control.Report) bool { return !r.Membership[0].Stale })
 }
 
-// The service restarts empty while discovery is down: proxies keep their resources, and get what they miss
-// once discovery is back.
+// If the service restarts without an endpoint list while discovery is down, proxies keep their resources and
+// receive the missed changes once discovery is up again.
 func TestProxiesSurviveARestart(t *testing.T) {
 	f := newFixture(t, testEntries(6), nil)
 	s, err := service.Start("", f.discovery.Addr, nil, nil)
@@ -89,7 +89,7 @@
 	for _, p := range proxies {
 		f.await(p, "the missed drain", usable("s-003", false))
 		if tab, _ := p.Table(); len(tab.Endpoints) != 6 {
-			t.Errorf("holds %+v", tab.Endpoints)
+			t.Errorf("the proxy has %+v", tab.Endpoints)
 		}
 	}
 }
--- a/internal/control/proxy_test.go
+++ b/internal/control/proxy_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// When a server drains or is removed, its own keys migrate, and about as many others, since the remaining
-// servers get more points on the ring. Package assign tests the assignment's part of this.
+// When a server drains or is removed, its own keys migrate and about as many others, since the remaining
+// servers get more entries on the ring. Package assign tests that the assignment itself moves no other keys.
 func TestMostKeysStay(t *testing.T) {
 	for _, n := range []int{3, 9, 30, 120} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
--- a/internal/control/reload_test.go
+++ b/internal/control/reload_test.go
@@ -14,8 +14,8 @@
 	"ringtrack.example/ringtrack/internal/lab/xdsproxy"
 )
 
-// A reload changes classes: routes are sent after their clusters, and the clusters of older routes stay for a
-// while.
+// After a reload that changes classes, routes are sent after their new clusters, and the clusters of the
+// previous routes are removed later.
 func TestReload(t *testing.T) {
 	f := newFixture(t, testEntries(3), nil)
 	p := f.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true})
@@ -61,6 +61,6 @@
 		return r != nil && r.Cluster == "orders/booking"
 	})
 	if tab, _ := p.Table(); len(tab.Shares()) != 3 {
-		t.Errorf("holds %+v", tab.Endpoints)
+		t.Errorf("the proxy has %+v", tab.Endpoints)
 	}
 }
--- a/internal/control/resource/endpoints.go
+++ b/internal/control/resource/endpoints.go
@@ -46,8 +46,8 @@
 	zone     string
 }
 
-// cachedLocality is the last rendering of a locality. All groups share it, and a drain changes the one of
-// only one zone.
+// cachedLocality is the last rendering of a locality. All groups share it, and a drain invalidates only that
+// of the server's own zone.
 type cachedLocality struct {
 	members    []assign.Endpoint
 	body       []byte // the endpoints, encoded as fields of a LocalityLbEndpoints
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -153,7 +153,7 @@
 func (s *Server) watchRegistry(ctx context.Context, cfg *ephemeral.Config) {
 	ephemeral.NewSource(cfg).Run(ctx, func(u ephemeral.Update) {
 		if u.Err != nil {
-			s.log.Warn("registry failed", "err", u.Err)
+			s.log.Warn("instance registry failed", "err", u.Err)
 		}
 		for _, problem := range u.Problems {
 			s.log.Warn("registry entry not used", "problem", problem)
