--- a/internal/control/reload_test.go
+++ b/internal/control/reload_test.go
@@ -14,12 +14,13 @@
 	"ringtrack.example/ringtrack/internal/lab/xdsproxy"
 )
 
-// A reload changes classes: routes are sent after their clusters, and the clusters of older routes stay for a while.
+// After a reload that changes classes, routes are sent after their new clusters, and the clusters of the
+// previous routes are removed later.
 func TestReload(t *testing.T) {
 	f := newFixture(t, testEntries(3), nil)
 	p := f.dial(xdsproxy.Options{Node: "p", Zone: "east", Delta: true})
-	f.ready(p)
-	next, remove, err := service.Config(f.roster.Addr, func(c *control.Config) {
+	f.awaitReady(p)
+	next, remove, err := service.Config(f.discovery.Addr, func(c *control.Config) {
 		text := bytes.ReplaceAll(service.Settings, []byte(`"order"`), []byte(`"booking"`))
 		if err := os.WriteFile(c.Settings, text, 0o600); err != nil {
 			t.Fatal(err)
@@ -29,7 +30,7 @@
 		t.Fatal(err)
 	}
 	defer remove()
-	f.await(p, "all", holds(3))
+	f.await(p, "all", hasServers(3))
 	d := openDelta(t, connect(t, f.Addr, nil))
 	d.sendDelta(&discoveryv3.DeltaDiscoveryRequest{Node: node("d"), TypeUrl: resource.Cluster})
 	d.sendDelta(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: resource.Route, ResourceNamesSubscribe: []string{"orders"}})
@@ -46,20 +47,20 @@
 	if m.TypeUrl != resource.Cluster || len(m.Resources) != 1 || m.Resources[0].Name != "orders/booking" || len(m.RemovedResources) > 0 {
 		t.Fatalf("%s: %d resources, %q removed", m.TypeUrl, len(m.Resources), m.RemovedResources)
 	}
-	d.expectNone(settleTime) // the routes wait until their cluster is acknowledged
+	d.expectNone(settleTime) // the routes are not sent until their cluster is acknowledged
 	ack(m)
 	if m = d.receiveDelta(); m.TypeUrl != resource.Route {
-		t.Fatalf("%s came", m.TypeUrl)
+		t.Fatalf("got %s, want the routes", m.TypeUrl)
 	}
 	ack(m)
 	if m = d.receiveDelta(); m.TypeUrl != resource.Cluster || !slices.Equal(m.RemovedResources, []string{"orders/order"}) {
-		t.Errorf("%s: %q removed", m.TypeUrl, m.RemovedResources)
+		t.Errorf("got %s with %q removed, want the old cluster removed", m.TypeUrl, m.RemovedResources)
 	}
 	f.await(p, "the new class", func(t *xdsproxy.Table) bool {
 		r := t.Route("booking")
 		return r != nil && r.Cluster == "orders/booking"
 	})
 	if tab, _ := p.Table(); len(tab.Shares()) != 3 {
-		t.Errorf("holds %+v", tab.Endpoints)
+		t.Errorf("the proxy has %+v", tab.Endpoints)
 	}
 }
