--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin serves the agent's admin endpoint: health, statistics, and cordons of backends. It has a listener of
-// its own, and holds a bounded number of connections: beyond the bound the one that has waited longest for a complete
-// request is closed.
+// Package admin serves the agent's admin endpoint: health, statistics, and cordoning of backends. It has its
+// own listener and limits the number of connections: above the limit, the connection that has waited longest
+// for a complete request is closed.
 package admin
 
 import (
@@ -18,29 +18,29 @@
 )
 
 const (
-	// MaxConnections bounds the connections of any Server.
+	// MaxConnections is the highest connection limit of a Server.
 	MaxConnections = 48
-	// requestTimeout bounds the arrival of a complete request.
+	// requestTimeout is the time limit for receiving a complete request.
 	requestTimeout = 5 * time.Second
-	// responseTimeout bounds the time in which a client reads the response.
+	// responseTimeout is the time limit for the client to read the response.
 	responseTimeout = 2 * time.Second
 	maxHeaderBytes  = 4 << 10
-	// maxIDBytes bounds the id of a backend.
+	// maxIDBytes is the maximum length of a backend's id.
 	maxIDBytes = 256
 )
 
 // ErrBackendNotFound is returned by Agent.Cordon for an id that was never listed.
 var ErrBackendNotFound = errors.New("no backend of this id was ever listed")
 
-// Agent is the agent that a Server administers. Its methods may be called from any goroutine and take well under a
+// Agent is the agent that a Server administers. Its methods are safe for concurrent use and take well under a
 // second.
 type Agent interface {
 	// Serving reports whether the agent can serve requests.
 	Serving() bool
-	// Stats returns the agent's figures.
+	// Stats returns the agent's metrics.
 	Stats() Stats
-	// Cordon stops new attempts to a backend, or permits them again, and returns once that holds. It returns
-	// ErrBackendNotFound if there was never such a backend.
+	// Cordon stops new attempts to a backend, or allows them again, and returns once that is in effect. It
+	// returns ErrBackendNotFound if no backend of this id was ever listed.
 	Cordon(id string, cordoned bool) error
 }
 
@@ -51,11 +51,11 @@
 	maxConnections int
 
 	mu          sync.Mutex
-	connections map[net.Conn]*list.Element // all open connections; nil: not in waiting
-	waiting     list.List                  // connections without a complete request, the oldest first
+	connections map[net.Conn]*list.Element // all open connections; nil: not in the waiting list
+	waiting     list.List                  // connections without a complete request, oldest first
 }
 
-// New returns a server for an agent. maxConnections is limited to 1 to MaxConnections.
+// New returns a server for an agent. maxConnections is clamped to the range 1 to MaxConnections.
 func New(agent Agent, maxConnections int) *Server {
 	s := &Server{
 		agent:          agent,
@@ -71,7 +71,7 @@
 		ErrorLog:                     slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 		DisableGeneralOptionsHandler: true,
 	}
-	s.server.SetKeepAlivesEnabled(false) // one request a connection
+	s.server.SetKeepAlivesEnabled(false) // one request per connection
 	return s
 }
 
@@ -86,8 +86,8 @@
 // Close closes the listener and all connections.
 func (s *Server) Close() { s.server.Close() }
 
-// trackConnection keeps the number of connections within its bound. A connection waits from its accept until it is
-// closed: one whose request never becomes complete is as idle as one without a byte.
+// trackConnection enforces the connection limit. A connection counts as waiting from its accept until it is
+// closed, because one with an incomplete request is as idle as one that has sent nothing.
 func (s *Server) trackConnection(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// removeWaiting removes a connection from the waiting ones. The lock is held.
+// removeWaiting removes a connection from the waiting list. s.mu must be held.
 func (s *Server) removeWaiting(conn net.Conn) {
 	if e := s.connections[conn]; e != nil {
 		s.waiting.Remove(e)
@@ -115,7 +115,7 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	endpoints := map[string]struct {
+	routes := map[string]struct {
 		method string
 		handle func(w http.ResponseWriter, query url.Values)
 	}{
@@ -124,14 +124,14 @@
 		"/admin/cordon":   {http.MethodPut, func(w http.ResponseWriter, q url.Values) { s.cordon(w, q, true) }},
 		"/admin/uncordon": {http.MethodPut, func(w http.ResponseWriter, q url.Values) { s.cordon(w, q, false) }},
 	}
-	endpoint, ok := endpoints[req.URL.Path]
+	route, ok := routes[req.URL.Path]
 	if !ok {
 		http.Error(w, "no such call", http.StatusNotFound)
 		return
 	}
-	if req.Method != endpoint.method {
-		w.Header().Set("Allow", endpoint.method)
-		http.Error(w, "this call is a "+endpoint.method, http.StatusMethodNotAllowed)
+	if req.Method != route.method {
+		w.Header().Set("Allow", route.method)
+		http.Error(w, "this call is a "+route.method, http.StatusMethodNotAllowed)
 		return
 	}
 	query, err := url.ParseQuery(req.URL.RawQuery)
@@ -139,7 +139,7 @@
 		http.Error(w, "query: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	endpoint.handle(w, query)
+	route.handle(w, query)
 }
 
 func (s *Server) health(w http.ResponseWriter, _ url.Values) {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -15,17 +15,17 @@
 
 const testTimeout = 20 * time.Second
 
-// fakeAgent knows the backends s-1 and s-2.
+// fakeAgent knows the backends "s-1" and "s 2&x". A cordon of "s-busy" fails.
 type fakeAgent struct {
 	mu       sync.Mutex
-	serves   bool
+	serving  bool
 	cordoned map[string]bool
 }
 
 func (a *fakeAgent) Serving() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.serves
+	return a.serving
 }
 
 func (a *fakeAgent) Stats() Stats {
@@ -64,7 +64,8 @@
 	return a, ln.Addr().String()
 }
 
-// call sends one request as bytes and returns the status and the body. The server must close the connection then.
+// call sends one request as raw bytes and returns the status and the body. It checks that the server then
+// closes the connection.
 func call(t *testing.T, addr, method, target string) (int, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -89,7 +90,7 @@
 	return resp.StatusCode, string(body)
 }
 
-func TestServerAnswersCalls(t *testing.T) {
+func TestServerHandlesRequests(t *testing.T) {
 	a, addr := startServer(t)
 	for _, c := range []struct {
 		method, target string
@@ -118,7 +119,7 @@
 		}
 	}
 	a.mu.Lock()
-	if a.serves = true; !a.cordoned["s-1"] || a.cordoned["s 2&x"] {
+	if a.serving = true; !a.cordoned["s-1"] || a.cordoned["s 2&x"] {
 		t.Errorf("cordoned: %v", a.cordoned)
 	}
 	a.mu.Unlock()
@@ -133,8 +134,8 @@
 	}
 }
 
-// Connections without a complete request, more than MaxConnections of them, do not block a new one: the oldest are
-// closed.
+// More than MaxConnections connections without a complete request do not block a new connection: the oldest
+// ones are closed.
 func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
 	_, addr := startServer(t)
 	var idle []net.Conn
@@ -150,11 +151,11 @@
 		idle = append(idle, c)
 	}
 	if status, _ := call(t, addr, "GET", "/admin/stats"); status != 200 {
-		t.Errorf("beside idle connections: %d", status)
+		t.Errorf("with idle connections open: status %d", status)
 	}
 	idle[0].SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := idle[0].Read(make([]byte, 1)); err == nil || timedOut(err) {
-		t.Errorf("the oldest connection: %v", err)
+		t.Errorf("the oldest connection was not closed: %v", err)
 	}
 }
 
--- a/internal/admin/stats.go
+++ b/internal/admin/stats.go
@@ -5,45 +5,46 @@
 	"strings"
 )
 
-// Stats are the agent's figures for operators.
+// Stats holds the agent's metrics.
 type Stats struct {
 	Classes      []Class       // in the order of the settings
 	Written      int64         // attempts completely written to backends
-	Open         int64         // requests without an answer
+	Open         int64         // requests not yet answered
 	Listed       int           // backends in the endpoint list
-	Unavailable  int           // those of them that get no requests
-	Panics       int64         // that the process has recovered from
+	Unavailable  int           // listed backends that get no requests
+	Panics       int64         // panics that the process has recovered from
 	Unserved     []RuleCount   // requests not served, by the rule that ended them
-	SharedConfig *SharedConfig // nil: there is no shared configuration
+	SharedConfig *SharedConfig // nil: no shared configuration is used
 }
 
-// RuleCount counts the requests that one rule of admission, queue or retry has ended.
+// RuleCount counts the requests that one admission, queue or retry rule has ended.
 type RuleCount struct {
 	Rule  string
 	Count int64
 }
 
-// Class counts the answers to the requests of one class since the start of the process.
+// Class counts the answers to requests of one class since the process started.
 type Class struct {
 	Name                     string
 	Served, Rejected, Failed int64
 }
 
-// SharedConfig is the agent's state of the shared configuration.
+// SharedConfig holds the metrics of the shared configuration.
 type SharedConfig struct {
-	Epoch       uint64 // 2n: version n is in force; 2n+1: what versions n and n+1 both permit
-	LeaseMs     int64  // for how long its lease holds; 0: nothing is retried
-	Strict      bool   // it acts by the strictest form of its settings
-	Rejecting   bool   // it rejects requests
-	Expirations int64  // of leases
+	Epoch       uint64 // 2n: version n is in force; 2n+1: transition to n+1, what versions n and n+1 both permit
+	LeaseMs     int64  // remaining time of the lease; 0: nothing is retried
+	Strict      bool   // the strictest form of the settings applies
+	Rejecting   bool   // requests are rejected, since the endpoint list has expired
+	Expirations int64  // leases that have expired
 	Renewals    int64  // calls to the configuration store
-	Failed      int64  // those of them that failed
-	Relayed     int64  // calls of peers that it relayed
-	NotAdopted  int64  // configurations that it could not apply
-	Adopted     int64  // configurations that it has applied
+	Failed      int64  // of these, the calls that failed
+	Relayed     int64  // calls that were relayed for peers
+	NotAdopted  int64  // configurations that could not be applied
+	Adopted     int64  // configurations that were applied
 }
 
-// String returns the figures as text, a line "name=value" for each. The names are an interface to the outside.
+// String formats the metrics as text, one line "name=value" each. The names are part of the external
+// interface.
 func (s *Stats) String() string {
 	var out strings.Builder
 	for _, c := range s.Classes {
@@ -68,8 +69,8 @@
 func (c *SharedConfig) write(out *strings.Builder) {
 	writeMetric(out, "agreed.stage", int64(c.Epoch))
 	writeMetric(out, "agreed.lease_ms", c.LeaseMs)
-	writeMetric(out, "agreed.strict", oneIf(c.Strict))
-	writeMetric(out, "agreed.shut", oneIf(c.Rejecting))
+	writeMetric(out, "agreed.strict", boolToInt(c.Strict))
+	writeMetric(out, "agreed.shut", boolToInt(c.Rejecting))
 	writeMetric(out, "agreed.lapses", c.Expirations)
 	writeMetric(out, "agreed.asks", c.Renewals)
 	writeMetric(out, "agreed.asks_failed", c.Failed)
@@ -82,7 +83,7 @@
 	out.WriteString("app." + name + "=" + strconv.FormatInt(value, 10) + "\n")
 }
 
-func oneIf(b bool) int64 {
+func boolToInt(b bool) int64 {
 	if b {
 		return 1
 	}
--- a/internal/panics/panics.go
+++ b/internal/panics/panics.go
@@ -1,7 +1,9 @@
-// Package panics keeps a defect in the code that serves one peer from ending the process for all others. The goroutine
-// recovers: its peer loses a connection, a call or an attempt, the log gets the stack, and the metrics a count.
+// Package panics recovers from panics in code that serves a single peer, so that a defect there does not end
+// the process for all others. The peer loses its connection, call or attempt; the stack is logged and the
+// panic is counted.
 //
-// It is for goroutines whose state belongs to one peer. One that owns the state of all must not go on after a panic.
+// It is for goroutines whose state belongs to one peer. A goroutine that owns shared state must not continue
+// after a panic.
 package panics
 
 import (
@@ -12,7 +14,7 @@
 	"sync/atomic"
 )
 
-// ErrRecovered is what a peer's connection or call ends with after a panic.
+// ErrRecovered is the error with which a peer's connection or call ends after a panic.
 var ErrRecovered = errors.New("a defect of this program, see its log")
 
 var recovered atomic.Int64
@@ -20,9 +22,9 @@
 // Recovered returns how many panics this process has recovered from, for its metrics.
 func Recovered() int64 { return recovered.Load() }
 
-// Recover recovers from a panic of the goroutine that defers it, logs and counts it. Then it calls end, unless that is
-// nil, to end what the peer waits for. It has to be deferred itself, not called by a deferred function. serving names
-// what the goroutine does, and peer whom it serves.
+// Recover recovers from a panic in the goroutine that defers it, and logs and counts the panic. It then calls
+// end, unless that is nil, to end whatever the peer waits for. It must be deferred directly, not called by a
+// deferred function. serving describes what the goroutine does, and peer identifies whom it serves.
 func Recover(serving, peer string, end func()) {
 	value := recover()
 	if value == nil {
@@ -39,8 +41,8 @@
 	slog.Error("recovered from a panic", "serving", serving, "peer", peer, "panic", value, "stack", string(debug.Stack()))
 }
 
-// Handler returns a handler that logs and counts the panics of another, and aborts their connections. http.ErrAbortHandler
-// is no defect: it passes.
+// Handler wraps a handler: it logs and counts panics and aborts the connection. A panic with
+// http.ErrAbortHandler is intended, and is only passed on.
 func Handler(serving string, handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		defer func() {
