--- a/internal/upgrade/compatibility_test.go
+++ b/internal/upgrade/compatibility_test.go
@@ -14,8 +14,8 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// The files in testdata were written by commit 5a7ac45. A process of this version may run beside one of that version,
-// so that it reads what that one has written, and writes the same bytes.
+// The files in testdata were written by commit 5a7ac45. A process of this version may run beside one of that
+// version, so it must read the files of that version and write the same bytes.
 
 // wantSavedEndpoints and wantCordoned are the content of the files in testdata.
 var (
@@ -100,15 +100,15 @@
 	}
 	t.Run("writes", func(t *testing.T) {
 		tmp := t.TempDir()
-		synctest.Test(t, func(t *testing.T) { writesIDTable(t, tmp, want) })
+		synctest.Test(t, func(t *testing.T) { testWriteIDTable(t, tmp, want) })
 	})
 	t.Run("reads", func(t *testing.T) {
 		tmp := t.TempDir()
-		synctest.Test(t, func(t *testing.T) { readsIDTable(t, tmp, want) })
+		synctest.Test(t, func(t *testing.T) { testReadIDTable(t, tmp, want) })
 	})
 }
 
-func writesIDTable(t *testing.T, tmp string, want []idSlot) {
+func testWriteIDTable(t *testing.T, tmp string, want []idSlot) {
 	written := mapTable(t, tmp)
 	written.startSeconds, written.startTime = 1000, time.Now()
 	for _, id := range []string{"claimed", "kept", "released"} {
@@ -130,7 +130,7 @@
 	}
 }
 
-func readsIDTable(t *testing.T, tmp string, slots []idSlot) {
+func testReadIDTable(t *testing.T, tmp string, slots []idSlot) {
 	read := mapTable(t, tmp)
 	for _, s := range slots {
 		read.slots[s.Slot] = s.Value
--- a/internal/upgrade/cordon.go
+++ b/internal/upgrade/cordon.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// MaxCordoned bounds the cordoned backends.
+// MaxCordoned is the maximum number of cordoned backends.
 const MaxCordoned = 4096
 
-// ErrTooManyCordoned is returned by Cordon for a backend beyond MaxCordoned.
+// ErrTooManyCordoned is returned by Cordon if MaxCordoned backends are cordoned already.
 var ErrTooManyCordoned = fmt.Errorf("more than %d bans", MaxCordoned)
 
 // Cordoned returns the ids of the backends that operators have cordoned, sorted.
@@ -18,8 +18,9 @@
 	return ids, err
 }
 
-// Cordon saves whether an operator has cordoned a backend. The other process notices within PollInterval: a process
-// that has just joined another one first waits until that one has noticed it, for at most settleTime.
+// Cordon saves whether an operator has cordoned a backend. The other process applies it within PollInterval
+// after Cordon has returned. For that, a process that has just joined another one first waits, for at most
+// settleTime, until the other one has noticed it.
 func (d *Dir) Cordon(id string, cordoned bool) error {
 	if !d.first {
 		time.Sleep(settleTime - time.Since(d.joinedAt))
--- a/internal/upgrade/dir.go
+++ b/internal/upgrade/dir.go
@@ -1,9 +1,12 @@
-// Package upgrade lets two processes be one agent for a while: the old version that ends, and the new one that starts
-// beside it. They share a folder that outlives them, and nothing else. It holds a file for each process, whose lock
-// shows that the process lives and whose text that it serves; the backends that operators have cordoned; the last
-// endpoint list; and the ids of requests that must not run twice. Files are written completely and then renamed.
+// Package upgrade lets two processes act as one agent during an upgrade: the old version, which shuts down,
+// and the new one, which starts beside it. They share nothing but a folder that outlives them. It holds a
+// file for each process, whose lock shows that the process is alive and whose content shows that it serves;
+// the backends that operators have cordoned; the last endpoint list; whether the last call to discovery had
+// no answer; and the ids of requests that must not run twice. The JSON files are written completely and then
+// renamed.
 //
-// Processes of different versions share the folder: its file names, texts, hash and layout never change.
+// Processes of different versions share the folder, so its file names, file contents, hash and table layout
+// must not change.
 package upgrade
 
 import (
@@ -20,18 +23,19 @@
 )
 
 const (
-	// agentFolder is the agent's own folder within the one that Join is given.
+	// agentFolder is the agent's folder within the one that is passed to Join.
 	agentFolder = "ringtrack-agent"
 
 	lockFile      = "lock"
-	processPrefix = "process-" // of a process's file; its sequence number follows
+	processPrefix = "process-" // of a process's file, followed by its sequence number
 	servingText   = "serving"  // content of the file of a process that serves
 )
 
-// errNoFolder is returned by Join without a folder.
-var errNoFolder = errors.New("upgrade: no folder that two processes share")
+// errNoFolder is returned by Join for an empty path.
+var errNoFolder = errors.New("upgrade: the path of the shared folder is empty")
 
-// Dir is the shared folder of one process. Its methods may be called from any goroutine, except for Close.
+// Dir is the handle of one process on the shared folder. Its methods, except Close, are safe for concurrent
+// use.
 type Dir struct {
 	path        string
 	processFile *os.File // locked for as long as the process lives
@@ -40,8 +44,8 @@
 	joinedAt    time.Time
 }
 
-// Join makes the calling process one of the agent's processes, which share a folder in tmp. The kernel releases the
-// process's lock however the process ends.
+// Join makes the calling process one of the agent's processes, which share a folder in tmp. The kernel
+// releases the process's lock no matter how the process ends.
 func Join(tmp string) (*Dir, error) {
 	if tmp == "" {
 		return nil, errNoFolder
@@ -57,7 +61,7 @@
 	return d, nil
 }
 
-// register creates and locks the file of this process. The folder's lock is held.
+// register creates and locks the file of this process. The caller holds the folder's lock.
 func (d *Dir) register() error {
 	peers, err := d.peers()
 	if err != nil {
@@ -66,7 +70,7 @@
 	for _, p := range peers {
 		d.seq = max(d.seq, p.Seq)
 		if !p.Alive {
-			_ = os.Remove(d.file(p.Seq)) // a file that stays does no harm
+			_ = os.Remove(d.file(p.Seq)) // a leftover file is harmless
 		}
 	}
 	d.seq++
@@ -81,7 +85,7 @@
 // First reports whether no other process was alive when this one joined.
 func (d *Dir) First() bool { return d.first }
 
-// MarkServing shows the other processes that this one serves.
+// MarkServing records for the other processes that this one serves.
 func (d *Dir) MarkServing() error {
 	_, err := d.processFile.WriteAt([]byte(servingText), 0)
 	return err
@@ -93,7 +97,7 @@
 	return err == nil && HasSuccessor(d.seq, peers)
 }
 
-// remaining returns which process remains once this one has ended.
+// remaining returns which process remains on the address after this one has ended.
 func (d *Dir) remaining() Age {
 	peers, err := d.peers()
 	if err != nil {
@@ -110,13 +114,13 @@
 
 // Close removes this process from the folder.
 func (d *Dir) Close() error {
-	_ = os.Remove(d.file(d.seq)) // a file that stays does no harm
+	_ = os.Remove(d.file(d.seq)) // a leftover file is harmless
 	return d.processFile.Close()
 }
 
 func (d *Dir) file(seq int) string { return filepath.Join(d.path, processPrefix+strconv.Itoa(seq)) }
 
-// peers reads the files of all processes but this one.
+// peers reads the files of all processes except this one.
 func (d *Dir) peers() (peers []Peer, err error) {
 	entries, err := os.ReadDir(d.path)
 	if err != nil {
@@ -152,7 +156,7 @@
 	return Peer{Seq: seq, Alive: alive, Serving: string(text) == servingText}, nil
 }
 
-// locked calls a function while no other process holds the folder's lock.
+// locked calls do while holding the folder's lock.
 func (d *Dir) locked(do func() error) error {
 	f, err := os.OpenFile(filepath.Join(d.path, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/upgrade/dir_test.go
+++ b/internal/upgrade/dir_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Of two processes either may end first, and the other one remains on the address.
+// Either of two processes may end first; the other one remains on the address.
 func TestRemainingProcess(t *testing.T) {
 	for _, c := range []struct {
 		peers []Peer
@@ -105,7 +105,7 @@
 	tmp := t.TempDir()
 	a, b := join(t, tmp), join(t, tmp)
 	var both sync.WaitGroup
-	for i, d := range []*Dir{a, b} { // concurrently, and none is lost
+	for i, d := range []*Dir{a, b} { // concurrently; no cordon may be lost
 		both.Go(func() {
 			for n := range 50 {
 				if err := d.Cordon(fmt.Sprintf("s-%d-%d", i, n), true); err != nil {
@@ -163,14 +163,14 @@
 	}
 }
 
-// follow has a process follow, and returns the times at which its cordons changed and the numbers of processes.
+// follow runs Follow in the background and returns the times of cordon changes and the process counts.
 func follow(ctx context.Context, d *Dir) (changed chan time.Time, processes chan int) {
 	changed, processes = make(chan time.Time, 100), make(chan int, 100)
 	go d.Follow(ctx, func() { changed <- time.Now() }, func(n int) { processes <- n })
 	return changed, processes
 }
 
-// A single process looks for others and for changed cordons four times a second and no more.
+// A single process checks for others and for changed cordons four times a second and not more often.
 func TestSingleProcessPollsAtLongInterval(t *testing.T) {
 	tmp := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -179,7 +179,7 @@
 		start, d := time.Now(), join(t, tmp)
 		changed, processes := follow(ctx, d)
 		for i := range 8 {
-			time.Sleep(10 * time.Millisecond) // just after a poll; a poll that is too early would notice
+			time.Sleep(10 * time.Millisecond) // just after a poll, so that an extra poll would be noticed
 			if err := d.Cordon(fmt.Sprintf("s-%d", i), true); err != nil {
 				t.Fatal(err)
 			}
@@ -193,8 +193,9 @@
 	})
 }
 
-// Whenever another process joins: the first one notices its cordons within 50 ms after Cordon has returned, which is
-// within a second. It notices those of the first one as soon, and both know the number of processes.
+// Whenever a second process joins, the first one notices its cordons within 50 ms after Cordon has returned,
+// and Cordon returns within a second. The second one notices the first one's cordons as soon, and both know
+// the number of processes.
 func TestCordonReachesOtherProcessInTime(t *testing.T) {
 	for after := time.Duration(0); after <= 250*time.Millisecond; after += 10 * time.Millisecond {
 		tmp := t.TempDir()
@@ -230,7 +231,7 @@
 			}
 			next.Close()
 			if n := <-oldProcesses; n != 1 {
-				t.Errorf("the other process has ended, and %d are counted", n)
+				t.Errorf("after the other process has ended, %d are counted", n)
 			}
 		})
 	}
@@ -284,8 +285,8 @@
 	}
 }
 
-// Connections in the accept queue of a listener that stops are answered; later ones reach the other listener. None is
-// reset.
+// When a listener stops, connections in its accept queue are answered, and later ones reach the other
+// listener. None is reset.
 func TestStopListeningAnswersQueuedConnections(t *testing.T) {
 	old, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -350,8 +351,9 @@
 	}
 }
 
-// Once the older listener steers, connections reach the newer one whatever the kernel's hash, so that none arrives
-// between the older one's last accept and its close. This holds after the next listener has joined, too.
+// After PreferSuccessor connections reach the newer listener regardless of the kernel's hash, so that none
+// arrives between the older one's last accept and its close. This still holds after another listener has
+// joined.
 func TestPreferSuccessorSteersConnections(t *testing.T) {
 	old, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -366,7 +368,7 @@
 		if err := old.PreferSuccessor(); err != nil {
 			t.Fatal(err)
 		}
-		const clients = 64 // by the hash half of them would go to either
+		const clients = 64 // by the hash half of them would reach each listener
 		for range clients {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
--- a/internal/upgrade/follow.go
+++ b/internal/upgrade/follow.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// PollInterval is how often one of two processes looks for changes of the other: well within the shortest drain
-	// grace, 250 ms.
+	// PollInterval is how often each of two processes checks for changes made by the other. It is well below
+	// the shortest drain grace, 250 ms.
 	PollInterval = 50 * time.Millisecond
-	// aloneInterval is how often a single process looks for another. Each look wakes an idle process.
-	aloneInterval = 250 * time.Millisecond
-	// settleTime is how long after its join a process can be sure that the other one has noticed it, and polls at
-	// PollInterval from then on.
-	settleTime = aloneInterval + PollInterval
+	// singlePollInterval is how often a single process checks whether another one has joined. It is longer,
+	// since each check wakes an idle process.
+	singlePollInterval = 250 * time.Millisecond
+	// settleTime is how long after a process has joined the other one has certainly noticed it, and polls at
+	// PollInterval.
+	settleTime = singlePollInterval + PollInterval
 )
 
-// Follow polls the folder until ctx ends. It calls cordonsChanged when any process of the agent may have changed the
-// cordoned backends, and processesChanged when the number of the agent's processes has changed.
+// Follow polls the folder until ctx ends. It calls cordonsChanged when any process of the agent may have
+// changed the cordoned backends, and processesChanged when the number of the agent's processes has changed.
 func (d *Dir) Follow(ctx context.Context, cordonsChanged func(), processesChanged func(processes int)) {
 	var last fs.FileInfo
 	processes := 1
-	untilCount := time.Duration(0) // until the processes are counted again
+	countIn := time.Duration(0) // time until the processes are counted again
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -33,18 +34,18 @@
 			return
 		case <-timer.C:
 		}
-		if untilCount <= 0 {
+		if countIn <= 0 {
 			if n, ok := d.Processes(); ok && n != processes {
 				processes = n
 				processesChanged(n)
 			}
-			untilCount = aloneInterval
+			countIn = singlePollInterval
 		}
 		interval := PollInterval
 		if processes == 1 {
-			interval = aloneInterval
+			interval = singlePollInterval
 		}
-		untilCount -= interval
+		countIn -= interval
 		timer.Reset(interval)
 		info, err := os.Stat(filepath.Join(d.path, cordonedFile))
 		if err != nil || last != nil && os.SameFile(info, last) && info.ModTime().Equal(last.ModTime()) {
--- a/internal/upgrade/ids.go
+++ b/internal/upgrade/ids.go
@@ -15,36 +15,39 @@
 
 const (
 	idsFile = "ids"
-	// idSlotCount is how many ids are known at once.
+	// idSlotCount is the capacity of the table, in ids.
 	idSlotCount = 1 << 16
-	// bucketSlots is how many slots share a bucket; in a full one the oldest id is replaced. At 32,768 ids within
-	// idLifetimeSeconds a bucket has 16 ids in the mean, and more than bucketSlots about once in 10,000.
+	// bucketSlots is the number of slots of a bucket; in a full bucket the oldest id is replaced. With 32,768
+	// ids within idLifetimeSeconds a bucket has 16 ids on average, and about one in 10,000 has more than
+	// bucketSlots.
 	bucketSlots = 32
 	bucketCount = idSlotCount / bucketSlots
 	// slotBytes is the size of a slot.
 	slotBytes = 8
-	// idLifetimeSeconds is for how long an id is known: a minute, the longest deadline that a client may set, and the
-	// second by which a stamp may be off.
+	// idLifetimeSeconds is how long an id is kept: one minute, the longest deadline that a client may set,
+	// plus one second, by which a time stamp may be off.
 	idLifetimeSeconds = 61
-	// stampBits are the bits of a slot for the time of its id, in seconds. The others are for its hash.
+	// stampBits is the number of bits of a slot that hold the time stamp of its id, in seconds. The others
+	// hold its hash.
 	stampBits = 20
 	stampMask = 1<<stampBits - 1
-	// clockSkewSeconds is by how much the clocks of two processes may differ.
+	// clockSkewSeconds is the maximum difference between the time stamps of two processes.
 	clockSkewSeconds = 5
 	// emptySlotAge is the age of an empty slot.
 	emptySlotAge = stampMask
 )
 
-// IDs are the ids of requests that the agent's processes have accepted and that must not run twice: a table in a file
-// of the folder, which all of them map. A slot holds the hash of an id and the time at which it was claimed or
-// retained. It is changed by compare-and-swap alone, so that no process waits for another, even for a stopped one.
+// IDs is the table of the ids of requests that the agent's processes have accepted and that must not run
+// twice. It is a file of the folder, which all processes map. A slot holds the hash of an id and the time at
+// which it was claimed or retained. Slots are changed by compare-and-swap only, so that no process waits for
+// another, not even for a stopped one.
 type IDs struct {
-	slots        []uint64  // mapped for as long as the process lives
-	startSeconds uint64    // the kernel's monotonic time, which is the same for all processes, at startTime
-	startTime    time.Time // of this process's clock
+	slots        []uint64  // mapped until the process ends
+	startSeconds uint64    // the kernel's monotonic clock, which all processes share, at startTime
+	startTime    time.Time // the same moment on this process's clock
 }
 
-// IDs maps the folder's table, and creates it where there is none.
+// IDs maps the folder's table, and creates it if there is none.
 func (d *Dir) IDs() (*IDs, error) {
 	var ids *IDs
 	err := d.locked(func() (err error) {
@@ -57,7 +60,7 @@
 	return ids, nil
 }
 
-// mapIDs maps the table in a file. The folder's lock is held.
+// mapIDs maps the table in a file. The caller holds the folder's lock.
 func mapIDs(path string) (*IDs, error) {
 	const size = idSlotCount * slotBytes
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
@@ -70,7 +73,8 @@
 		return nil, err
 	}
 	if info.Size() < size {
-		// Written, not only extended: access to a mapped page without space on the disk would end the process.
+		// Written, not just extended: access to a mapped page for which the disk has no space would kill the
+		// process.
 		if _, err := f.WriteAt(make([]byte, size-info.Size()), info.Size()); err != nil {
 			return nil, err
 		}
@@ -87,8 +91,9 @@
 	return &IDs{slots: slots, startSeconds: uint64(now.Sec), startTime: time.Now()}, nil
 }
 
-// Claim takes an id for a request of this process. It returns false if another request, of any process, has it or had
-// it within the last minute. If two processes claim an id at the same time, it may return false for both.
+// Claim claims an id for a request of this process. It returns false if another request, of any process,
+// holds the id or held it within the last minute. If two processes claim an id at the same time, it may
+// return false to both.
 func (t *IDs) Claim(id string) bool {
 	bucket, tag := t.lookup(id)
 	for {
@@ -111,8 +116,8 @@
 	}
 }
 
-// claimedConcurrently reports whether another process has claimed the same id in another slot meanwhile. It then
-// releases the own slot; the other process was first, or does the same.
+// claimedConcurrently reports whether another process has claimed the same id in another slot meanwhile. If
+// so, it releases its own slot; the other process was first, or does the same.
 func (t *IDs) claimedConcurrently(bucket []uint64, own int, tag, now uint64) bool {
 	for i := range bucket {
 		slot := atomic.LoadUint64(&bucket[i])
@@ -124,13 +129,13 @@
 	return false
 }
 
-// Release gives back an id whose request has not run.
+// Release releases an id whose request has not run.
 func (t *IDs) Release(id string) { t.replace(id, func(_, _ uint64) uint64 { return 0 }) }
 
-// Retain has the id of a completed request that may have run known for a minute from now on.
+// Retain keeps the id of a completed request that may have run for another minute from now on.
 func (t *IDs) Retain(id string) { t.replace(id, newSlot) }
 
-// replace changes the slot of an id that this process has claimed, unless another id has replaced it.
+// replace changes the slot of an id that this process has claimed, unless the id has been evicted.
 func (t *IDs) replace(id string, content func(tag, now uint64) uint64) {
 	bucket, tag := t.lookup(id)
 	now := t.now()
@@ -148,7 +153,8 @@
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	sum := h.Sum64()
-	// The finalizer of MurmurHash3: FNV spreads the last bytes of an id, in which ids differ, over too few bits.
+	// The finalizer of MurmurHash3: FNV spreads the last bytes of an id, in which ids differ, over too few
+	// bits.
 	sum ^= sum >> 33
 	sum *= 0xff51afd7ed558ccd
 	sum ^= sum >> 33
@@ -156,8 +162,8 @@
 	return t.slots[first : first+bucketSlots], sum >> stampBits
 }
 
-// now returns the stamp of the time that all processes of the machine share. It is never 0, the stamp of an empty
-// slot.
+// now returns the current time stamp, by the clock that all processes of the machine share. It is never 0,
+// the stamp of an empty slot.
 func (t *IDs) now() uint64 {
 	seconds := uint64(time.Since(t.startTime) / time.Second)
 	return (t.startSeconds+seconds)%stampMask + 1
--- a/internal/upgrade/ids_test.go
+++ b/internal/upgrade/ids_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// mapTable maps the id table of a folder as one more process.
+// mapTable joins the folder as another process and maps its id table.
 func mapTable(t *testing.T, tmp string) *IDs {
 	t.Helper()
 	ids, err := join(t, tmp).IDs()
@@ -20,9 +20,9 @@
 	return ids
 }
 
-// An id that one process has claimed belongs to it while its request is open and for a minute afterwards. One whose
-// request never ran is released. The table outlives its processes.
-func TestIDBelongsToOneProcess(t *testing.T) {
+// An id that one process has claimed cannot be claimed again while its request is open and for a minute
+// afterwards. An id whose request never ran is released. The table outlives its processes.
+func TestIDIsClaimedByOneProcess(t *testing.T) {
 	tmp := t.TempDir()
 	a, b := mapTable(t, tmp), mapTable(t, tmp)
 	if !a.Claim("1") || b.Claim("1") || a.Claim("1") {
@@ -30,16 +30,16 @@
 	}
 	a.Release("1")
 	if !b.Claim("1") || a.Claim("1") {
-		t.Error("a released id")
+		t.Error("a released id cannot be claimed, or is claimed twice")
 	}
 	b.Retain("1")
 	if a.Claim("1") || mapTable(t, tmp).Claim("1") {
-		t.Error("a retained id")
+		t.Error("a retained id was claimed")
 	}
 }
 
-// Ids are known for at least a minute and forgotten later, also where processes round their clocks differently or the
-// count of seconds wraps around.
+// Ids are kept for at least a minute and expire later, even if processes round their clocks differently or
+// the time stamp wraps around.
 func TestIDsExpire(t *testing.T) {
 	tmp := t.TempDir()
 	a, b := mapTable(t, tmp), mapTable(t, tmp)
@@ -63,8 +63,8 @@
 	}
 }
 
-// As many ids as the event loop knows within a minute are all known, except for one in some thousands. The oldest are
-// replaced.
+// The table keeps as many ids as the event loop keeps for a minute, except for at most one in 1,000. The
+// oldest are replaced.
 func TestIDTableIsBounded(t *testing.T) {
 	ids := mapTable(t, t.TempDir())
 	const known = idSlotCount / 2
@@ -82,11 +82,11 @@
 		}
 	}
 	if lost > known/1000 {
-		t.Errorf("%d of the last %d ids are forgotten", lost, known)
+		t.Errorf("%d of the last %d ids are lost", lost, known)
 	}
 }
 
-// Of processes that claim the same ids at the same time at most one gets each id.
+// If processes claim the same ids at the same time, at most one of them gets each id.
 func TestConcurrentClaimsHaveAtMostOneWinner(t *testing.T) {
 	tmp := t.TempDir()
 	processes := []*IDs{mapTable(t, tmp), mapTable(t, tmp), mapTable(t, tmp)}
--- a/internal/upgrade/listener.go
+++ b/internal/upgrade/listener.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// handshakeTime bounds the rest of a handshake whose SYN arrived before new connections were refused: microseconds
-	// on one machine, or a few ms where its threads wait for a core.
+	// handshakeTime is the time allowed for the rest of a handshake whose SYN arrived before new connections
+	// were refused. It takes microseconds on one machine, or a few ms if its threads wait for a CPU.
 	handshakeTime = 10 * time.Millisecond
 	// noInterface is the index of a network interface that does not exist: the kernel counts them from 1.
 	noInterface = math.MaxInt32
@@ -25,7 +25,7 @@
 // Listen listens on an address that another process of the same user may share.
 func Listen(addr string) (*Listener, error) {
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-		// Without it the address is not shared.
+		// If this fails, the address is not shared.
 		return c.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 	}}
 	lc.SetMultipathTCP(false) // an MPTCP listener does not support steering
@@ -37,7 +37,8 @@
 	return &Listener{TCPListener: tcp, closeSocket: tcp.Close}, nil
 }
 
-// Listen listens on an address that other processes of the folder may share. A nil Dir shares with none.
+// Listen listens on an address that other processes of the folder may share. With a nil Dir no other process
+// does.
 func (d *Dir) Listen(addr string) (*Listener, error) {
 	l, err := Listen(addr)
 	if err == nil {
@@ -46,15 +47,16 @@
 	return l, err
 }
 
-// Listener is a listener that ends without a reset of connections: those in its accept queue are accepted first. Each
-// listener of a shared address has a queue of its own, and the kernel resets the connections in a closed one.
+// Listener is a listener that closes without resetting connections: those in its accept queue are accepted
+// first. Each listener on a shared address has a queue of its own, and the kernel resets the connections in
+// the queue of a closed listener.
 type Listener struct {
 	*net.TCPListener
 	dir         *Dir // nil: no other process listens on the address
 	closeSocket func() error
 	stopOnce    sync.Once
 	mu          sync.Mutex
-	queued      []net.Conn // taken from the accept queue by StopListening
+	queued      []net.Conn // accepted by StopListening, to be returned by Accept
 }
 
 // Accept returns the next connection, including those that StopListening has taken from the accept queue.
@@ -72,19 +74,20 @@
 	return c, nil
 }
 
-// PreferSuccessor has the kernel give new connections to the listener that joined this address after this one. Without
-// it the kernel distributes them by a hash, also between the last accept of StopListening and its close, which would
-// reset them. The kernel numbers the listeners of an address in the order in which they join, and the last one takes
-// the number of one that closes: of two the newer is always 1. Without a listener 1 the hash applies again.
+// PreferSuccessor makes the kernel direct new connections to the listener that joined this address after this
+// one. Without it the kernel distributes them by a hash, also between the last accept of StopListening and
+// its close, which would reset them. The kernel numbers the listeners on an address in the order in which
+// they join, and the last one takes the number of one that closes: with two listeners, the newer one is
+// always number 1. While there is no listener 1 the hash applies again.
 func (l *Listener) PreferSuccessor() error { return l.steer(newerListener) }
 
-// The kernel's numbers of the two listeners of an address.
+// The kernel's numbers of the two listeners on an address.
 const (
 	olderListener = 0
 	newerListener = 1
 )
 
-// steer has the kernel give new connections to the listener of this number.
+// steer makes the kernel direct new connections to the listener with this number.
 func (l *Listener) steer(number uint32) error {
 	filter := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: number}}
 	prog := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
@@ -93,7 +96,7 @@
 	})
 }
 
-// steerToPeer steers to the process that remains on the address, if there is one.
+// steerToPeer directs new connections to the process that remains on the address, if there is one.
 func (l *Listener) steerToPeer() error {
 	if l.dir == nil {
 		return nil
@@ -119,14 +122,15 @@
 	return os.NewSyscallError("setsockopt", err)
 }
 
-// StopListening stops listening without a reset of connections. New connections go to the process that remains on the
-// address, or are refused as by a closed socket. Handshakes in progress have handshakeTime to end. Then the connections
-// in the accept queue are left for Accept, and the socket is closed. It waits for no call of Accept: net/http closes a
-// listener under a lock that the goroutine which accepts needs.
+// StopListening stops listening without resetting connections. New connections go to the process that remains
+// on the address, or are refused as by a closed socket. Handshakes in progress have handshakeTime to
+// complete. Then the connections in the accept queue are accepted, to be returned by later calls of Accept,
+// and the socket is closed. It does not wait for a call of Accept: net/http closes a listener while holding a
+// lock that the accepting goroutine needs.
 func (l *Listener) StopListening() {
 	l.stopOnce.Do(func() {
 		if err := errors.Join(l.steerToPeer(), l.rejectNewConnections()); err != nil {
-			slog.Warn("stop listening: connections may be reset", "err", err)
+			slog.Warn("cannot stop listening cleanly; connections may be reset", "err", err)
 		}
 		time.Sleep(handshakeTime)
 		l.mu.Lock()
@@ -136,16 +140,17 @@
 	})
 }
 
-// rejectNewConnections has the kernel refuse new connections, and leave established ones and handshakes in progress
-// alone. It binds the listener to an interface that does not exist, so that each SYN is answered with RST, as where
-// nothing listens. A SYN that the kernel processes at that moment is dropped, and retransmitted after 1 s.
+// rejectNewConnections makes the kernel refuse new connections, without affecting established ones and
+// handshakes in progress. It binds the listener to an interface that does not exist, so that each SYN is
+// answered with RST, as if nothing listened. A SYN that the kernel processes at that moment is dropped, and
+// retransmitted after 1 s.
 func (l *Listener) rejectNewConnections() error {
 	return l.control(func(fd int) error {
 		return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, noInterface)
 	})
 }
 
-// acceptQueued takes the connections from the accept queue. The lock is held.
+// acceptQueued accepts the connections in the accept queue. l.mu must be held.
 func (l *Listener) acceptQueued() {
 	_ = l.control(func(listener int) error {
 		for {
--- a/internal/upgrade/listener_test.go
+++ b/internal/upgrade/listener_test.go
@@ -14,17 +14,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clients connect in a loop while a listener ends that no other process shares. Each established connection is
-// answered, and later ones are refused. A SYN that the kernel processes at the moment of the end may be dropped; its
-// client waits for the retransmission after 1 s.
+// Clients connect in a loop while a listener closes whose address no other process shares. Each established
+// connection is answered, and later ones are refused. A SYN that the kernel processes at the moment of the
+// close may be dropped; its client waits for the retransmission after 1 s.
 func TestConnectionsDuringCloseAreNotReset(t *testing.T) {
 	const (
-		ends    = 60
+		closes  = 60
 		clients = 6
 		slow    = 500 * time.Millisecond // a dropped SYN is retransmitted after 1 s
 	)
-	var resets, waits atomic.Int64
-	for range ends {
+	var resets, slowConnects atomic.Int64
+	for range closes {
 		ln, err := Listen("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -41,14 +41,14 @@
 						started.Done()
 					}
 					if took > slow {
-						waits.Add(1)
+						slowConnects.Add(1)
 					}
 					if errors.Is(err, syscall.ECONNREFUSED) {
 						return
 					}
 					if err != nil {
 						resets.Add(1)
-						t.Logf("a client during the end of the listener: %v", err)
+						t.Logf("a client while the listener closed: %v", err)
 						return
 					}
 				}
@@ -60,15 +60,15 @@
 		served.Wait()
 	}
 	if n := resets.Load(); n != 0 {
-		t.Errorf("%d clients lost their connection in %d ends", n, ends)
+		t.Errorf("%d clients lost their connection in %d closes", n, closes)
 	}
-	if n := waits.Load(); n > ends/10 { // most are refused at once, as by a closed socket
-		t.Errorf("%d clients waited for over %v in %d ends", n, slow, ends)
+	if n := slowConnects.Load(); n > closes/10 { // most are refused at once, as by a closed socket
+		t.Errorf("%d clients waited for over %v in %d closes", n, slow, closes)
 	}
 }
 
-// A client that connects after the last accept of the listener, and before its socket is closed, is refused at once: its
-// connection is not reset, and it does not wait for a retransmission.
+// A client that connects after the listener's last accept and before its socket is closed is refused at once:
+// its connection is not reset later, and it does not wait for a retransmission.
 func TestConnectionsBeforeSocketCloseAreRefused(t *testing.T) {
 	ln, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -91,8 +91,9 @@
 	ln.Close()
 }
 
-// A handshake that began before the listener refused new connections, and ends later, is answered like any other. The
-// client's socket drops the answer to its SYN, so that the handshake ends with the retransmission after 1 s.
+// A handshake that began before the listener refused new connections, and completes later, is served like any
+// other. The client's socket drops the SYN-ACK, so that the handshake completes with the retransmission after
+// 1 s.
 func TestHandshakeInProgressIsAnswered(t *testing.T) {
 	ln, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -135,8 +136,8 @@
 	served.Wait()
 }
 
-// Of two processes that listen on an address either may end first. Connections between its last accept and its close
-// reach the process that remains.
+// Either of two processes that listen on an address may end first. Connections between its last accept and
+// its close reach the process that remains.
 func TestConnectionsBeforeSocketCloseReachRemainingProcess(t *testing.T) {
 	for _, ending := range []Age{Older, Newer} {
 		tmp := t.TempDir()
@@ -159,7 +160,7 @@
 		var connections []net.Conn
 		closeSocket := endingListener.closeSocket
 		endingListener.closeSocket = func() error {
-			for range 64 { // by the hash half of them would go to either
+			for range 64 { // by the hash half of them would reach each listener
 				c, err := net.DialTimeout("tcp", addr, testTimeout/10)
 				if err != nil {
 					t.Errorf("ending %v: %v", ending, err)
@@ -181,7 +182,7 @@
 	}
 }
 
-// echoAll answers each connection with the byte that it has sent, until the listener has ended.
+// echoAll sends the first byte of each connection back, until the listener is closed.
 func echoAll(ln net.Listener) {
 	var open sync.WaitGroup
 	defer open.Wait()
--- a/internal/upgrade/roles.go
+++ b/internal/upgrade/roles.go
@@ -7,7 +7,7 @@
 	Serving bool
 }
 
-// HasPredecessor reports whether a process joins beside an older one that is alive, serving or not.
+// HasPredecessor reports whether an older process is alive, serving or not.
 func HasPredecessor(seq int, peers []Peer) bool {
 	for _, p := range peers {
 		if p.Alive && p.Seq < seq {
@@ -17,7 +17,7 @@
 	return false
 }
 
-// CountProcesses returns how many processes share the agent's limits: the caller, and at most one more.
+// CountProcesses returns how many processes share the agent's limits: the caller and at most one other.
 func CountProcesses(peers []Peer) int {
 	for _, p := range peers {
 		if p.Alive {
@@ -27,8 +27,8 @@
 	return 1
 }
 
-// HasSuccessor reports whether a newer process takes the requests: one that is alive and serves. One that has only
-// started may never serve.
+// HasSuccessor reports whether a newer process takes over the requests: one that is alive and serves. A
+// process that has only started may never serve.
 func HasSuccessor(seq int, peers []Peer) bool {
 	for _, p := range peers {
 		if p.Alive && p.Serving && p.Seq > seq {
@@ -41,14 +41,15 @@
 // Age tells whether another process of the agent joined before or after the caller.
 type Age int
 
-// The ages. None: there is no other process.
+// None: there is no other process.
 const (
 	None Age = iota
 	Older
 	Newer
 )
 
-// Remaining returns which process remains once the caller has ended: of two others that are alive the newer one.
+// Remaining returns which process remains after the caller has ended. If both an older and a newer one are
+// alive, it is the newer one.
 func Remaining(seq int, peers []Peer) Age {
 	age := None
 	for _, p := range peers {
--- a/internal/upgrade/saved.go
+++ b/internal/upgrade/saved.go
@@ -18,20 +18,20 @@
 	discoveryStaleFile = "stale.json"
 	cordonedFile       = "bans.json"
 
-	// maxFileBytes bounds what is read of a file.
+	// maxFileBytes limits how much of a file is read.
 	maxFileBytes = 16 << 20
 )
 
 // SavedEndpoints is the last endpoint list of a process.
 type SavedEndpoints struct {
 	List membership.List `json:"list"`
-	Seen []string        `json:"seen"` // ids that were listed before, and are not now
+	Seen []string        `json:"seen"` // ids that were listed before but no longer are
 }
 
 // SaveEndpoints saves the endpoint list for a later process.
 func (d *Dir) SaveEndpoints(s *SavedEndpoints) error { return d.write(endpointsFile, s) }
 
-// SavedEndpoints returns what was saved last; nil if nothing was.
+// SavedEndpoints returns the endpoint list that was saved last; nil if none was.
 func (d *Dir) SavedEndpoints() (*SavedEndpoints, error) {
 	s := &SavedEndpoints{}
 	found, err := d.read(endpointsFile, s)
@@ -41,17 +41,17 @@
 	return s, err
 }
 
-// SetDiscoveryStale saves whether the last call to discovery had no answer, for a later process. Of two processes the
-// last write holds.
+// SetDiscoveryStale saves for a later process whether the last call to discovery had no answer. If two
+// processes write, the last write wins.
 func (d *Dir) SetDiscoveryStale(stale bool) error { return d.write(discoveryStaleFile, stale) }
 
-// DiscoveryStale returns what SetDiscoveryStale saved last; found is false if it saved nothing.
+// DiscoveryStale returns the value that SetDiscoveryStale saved last; found is false if there is none.
 func (d *Dir) DiscoveryStale() (stale, found bool, err error) {
 	found, err = d.read(discoveryStaleFile, &stale)
 	return stale, found, err
 }
 
-// read decodes a file of the folder; found is false if there is none, or if it cannot be read.
+// read decodes a JSON file of the folder; found is false if it does not exist or cannot be read.
 func (d *Dir) read(name string, into any) (found bool, err error) {
 	f, err := os.Open(filepath.Join(d.path, name))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -71,7 +71,7 @@
 	return true, nil
 }
 
-// write replaces a file of the folder. A reader finds either the old or the new content.
+// write replaces a JSON file of the folder atomically: a reader finds either the old or the new content.
 func (d *Dir) write(name string, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
