--- a/internal/agent/admin.go
+++ b/internal/agent/admin.go
@@ -11,8 +11,8 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// loopTimeout bounds how long a call of the admin endpoint, which has to be answered within a second, waits for the
-// event loop. Nothing else waits for it.
+// loopTimeout limits how long a call of the admin endpoint, which has to be answered within a second, waits
+// for the event loop. Nothing else waits for the event loop.
 const loopTimeout = 600 * time.Millisecond
 
 var (
@@ -88,7 +88,7 @@
 	return s.cordonLocally(id, cordoned)
 }
 
-// cordonLocally saves and applies a cordon at this agent alone. The lock is held.
+// cordonLocally saves and applies a cordon at this agent alone. s.cordonLock must be held.
 func (s *sharedState) cordonLocally(id string, cordoned bool) error {
 	if s.dir != nil {
 		if err := s.dir.Cordon(id, cordoned); err != nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/semaphore"
 
 	"ringtrack.example/ringtrack/internal/core"
-	httpfront "ringtrack.example/ringtrack/internal/downstream/http"
+	httpdown "ringtrack.example/ringtrack/internal/downstream/http"
 	"ringtrack.example/ringtrack/internal/downstream/thrift"
 	"ringtrack.example/ringtrack/internal/thriftwire"
 	"ringtrack.example/ringtrack/internal/upstream/conns"
@@ -21,9 +21,10 @@
 	thriftup "ringtrack.example/ringtrack/internal/upstream/thrift"
 )
 
-// Run serves until stop is done, and then shuts down gracefully. It returns nil once every request has its answer. At
-// each signal of reloadSignals it applies, of the configuration that reread returns, what can change without a
-// restart. A nil ln means that another process of this agent serves: Run then listens itself, once it can serve.
+// Run serves until stop is done, and then shuts down gracefully. It returns nil once every request is
+// answered. At each signal from reloadSignals it calls reread and applies those parts of the configuration
+// that can change without a restart. A nil ln means that another process of this agent serves: Run then opens
+// the listener itself, once it can serve.
 func Run(stop context.Context, reloadSignals <-chan os.Signal, reread func() (*Config, error), cfg *Config, ln net.Listener) error {
 	return run(stop, cfg, ln, func(loop *core.EventLoop, _ *semaphore.Weighted) {
 		useDiscovery := func(addr string) { loop.Post(func() { loop.SwitchDiscovery(addr) }) }
@@ -31,10 +32,11 @@
 	})
 }
 
-// run is Run without reloads. It calls created with the loop, before that starts, and the memory for bodies.
+// run is Run without reloads. Before the loop starts, it calls created with the loop and the memory budget
+// for bodies.
 func run(stop context.Context, cfg *Config, ln net.Listener, created func(*core.EventLoop, *semaphore.Weighted)) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel() // last: open requests need the loop until the downstreams have shut down
+	defer cancel() // runs last: open requests need the loop until the downstreams have shut down
 	p, err := newProcess(ctx, cfg)
 	if err != nil {
 		return fmt.Errorf("agent: %w", err)
@@ -74,7 +76,7 @@
 	return nil
 }
 
-// process holds the parts of an agent process.
+// process holds the components of an agent process.
 type process struct {
 	cfg        *Config
 	bodyBudget *semaphore.Weighted // bytes
@@ -83,7 +85,7 @@
 	state      *sharedState
 	ready      chan struct{} // closed once requests can be served
 
-	http           *httpfront.Server
+	http           *httpdown.Server
 	thrift         *thrift.Server // nil: there is none
 	thriftListener net.Listener
 
@@ -91,12 +93,12 @@
 	answerWithin time.Duration
 }
 
-// newProcess creates the parts of a process, of which none runs yet.
+// newProcess creates the components of a process without starting them.
 func newProcess(ctx context.Context, cfg *Config) (*process, error) {
 	p := &process{cfg: cfg, bodyBudget: semaphore.NewWeighted(cfg.bodyBudget()), pool: newPool(cfg), ready: make(chan struct{})}
 	p.serveFor, p.answerWithin = cfg.shutdownPlan()
 	upstream := &httpup.Upstream{Pool: p.pool, Budget: p.bodyBudget, ReportFields: cfg.loadReportNames()}
-	p.http = httpfront.New(&cfg.Settings, p.bodyBudget, upstream, cfg.maxIdleClients(), cfg.maxClientConnections())
+	p.http = httpdown.New(&cfg.Settings, p.bodyBudget, upstream, cfg.maxIdleClients(), cfg.maxClientConnections())
 	upstreams := []core.Upstream{upstream}
 	if err := p.newThrift(); err != nil {
 		return nil, err
@@ -126,7 +128,8 @@
 	return p, nil
 }
 
-// divideLimits gives each of the agent's processes an equal part of the memory and of the connections to backends.
+// divideLimits gives each of the agent's processes an equal part of the memory and of the connections to
+// backends.
 func (p *process) divideLimits(processes int) {
 	debug.SetMemoryLimit(p.cfg.MemoryLimit() / int64(processes))
 	p.pool.SetMax(p.cfg.maxBackendConnections() / processes)
@@ -162,7 +165,7 @@
 	return nil
 }
 
-// serve starts the downstreams. A downstream that fails sends its error.
+// serve starts the downstreams. A downstream that fails sends its error to failed.
 func (p *process) serve(ln net.Listener) (failed chan error) {
 	failed = make(chan error, 2)
 	go func() { failed <- p.http.Serve(ln) }()
@@ -179,7 +182,7 @@
 	return failed
 }
 
-// drain shuts the downstreams down by shutdownPlan, and returns once every request is answered.
+// drain shuts down the downstreams according to shutdownPlan, and returns once every request is answered.
 func (p *process) drain(ln net.Listener) {
 	deadline := time.Now().Add(p.answerWithin)
 	slog.Info("ending", "serves_for", p.serveFor, "answers_within", p.answerWithin)
@@ -193,10 +196,10 @@
 		thriftDone.Go(func() { p.thrift.Shutdown(p.thriftListener, timeout) })
 	}
 	if err := p.http.Shutdown(timeout); err != nil {
-		slog.Warn("shutdown", "err", err) // of connections that never sent a request
+		slog.Warn("HTTP downstream ended with open connections", "err", err) // connections that never sent a request
 	}
 	thriftDone.Wait()
 }
 
-// durationFromMs converts a time of the settings, in ms.
+// durationFromMs converts a time of the settings, which is in ms.
 func durationFromMs(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -27,28 +27,28 @@
 	Name            string
 	Listen          string  // host:port for clients
 	Discovery       string  // host:port of the discovery server
-	Seed            uint64  // of the balancer's random source
+	Seed            uint64  // of the balancer's random numbers
 	Cores           float64 // CPU limit
 	MemoryMB        int     // limit beyond which the process is killed
-	Sockets         int     // limit of descriptors
+	Sockets         int     // descriptor limit
 	CachedEndpoints membership.List
 	Settings        policy.Settings
-	Zones           []string // names of zones, by the balancer's number
-	MachineTypes    []string // names of machine types, by the balancer's number
+	Zones           []string // names of zones, indexed by the balancer's number
+	MachineTypes    []string // names of machine types, indexed by the balancer's number
 	AdminAddr       string   // host:port of the admin endpoint; "": none
 	ThriftFile      string   // configuration of the Thrift downstream; "": none
 
 	// Registry is the registry of running servers; nil: the discovery server alone lists the backends.
 	Registry *ephemeral.Config
-	// SharedConfig names the configuration store; nil: the agent acts by its own file alone.
+	// SharedConfig names the configuration store; nil: the agent uses only its own file.
 	SharedConfig *client.Config
 	// UpgradeDir is the folder that two processes of this agent share; nil: there is only this process.
 	UpgradeDir *upgrade.Dir
 
-	serveAfterSignal time.Duration // for tests: replaces the first time of shutdownPlan, if not 0
+	serveAfterSignal time.Duration // for tests: if not 0, replaces the first duration of shutdownPlan
 }
 
-// configFile is the form of the file that PROXY_CONFIG names.
+// configFile is the content of the file that PROXY_CONFIG names.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -77,30 +77,31 @@
 )
 
 const (
-	// StartTimeout is how long a start waits for a configuration file that is missing or no JSON, since it may just be
-	// written.
+	// StartTimeout is how long a start waits for a configuration file that is missing or not valid JSON,
+	// since the file may just be being written.
 	StartTimeout = 3 * time.Second
-	// incompletePollInterval is how often a start reads such a file.
+	// incompletePollInterval is how often a start reads such a file again.
 	incompletePollInterval = 50 * time.Millisecond
 )
 
-// errIncompleteFile marks a file that is missing or no JSON. A JSON text that is cut off anywhere is none.
+// errIncompleteFile marks a file that is missing or not valid JSON. A JSON object that is truncated anywhere
+// is not valid.
 var errIncompleteFile = errors.New("the file is missing or not whole")
 
-// LoadConfig reads the configuration from the environment, and from the file that PROXY_CONFIG names. The environment
-// takes precedence, as the platform sets it for this very start.
+// LoadConfig reads the configuration from the environment and from the file that PROXY_CONFIG names. The
+// environment takes precedence, since the platform sets it for this start of the process.
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	return loadConfig(getenv, envName, envListen, envDiscovery, envAdminAddr)
 }
 
-// ReloadConfig reads the file again. Its discovery server takes precedence over the environment's, which is as old as
-// the process.
+// ReloadConfig reads the configuration again. The discovery server in the file takes precedence over the one
+// in the environment, which dates from the start of the process.
 func ReloadConfig(getenv func(string) string) (*Config, error) {
 	return loadConfig(getenv, envName, envListen, envAdminAddr)
 }
 
-// StartConfig is LoadConfig for a start: an incomplete file is read repeatedly, until StartTimeout is over or ctx ends.
-// A complete file that is invalid is an error at once.
+// StartConfig is LoadConfig for the start of the process: it reads an incomplete file repeatedly, until
+// StartTimeout is over or ctx ends. A complete but invalid file is an error at once.
 func StartConfig(ctx context.Context, getenv func(string) string) (*Config, error) {
 	timeout := time.NewTimer(StartTimeout)
 	defer timeout.Stop()
@@ -119,7 +120,7 @@
 	}
 }
 
-// loadConfig reads the configuration. The variables that overrides names take precedence over the file.
+// loadConfig reads the configuration. The environment variables in overrides take precedence over the file.
 func loadConfig(getenv func(string) string, overrides ...string) (*Config, error) {
 	f, err := readConfigFile(getenv(envConfig))
 	if err != nil {
@@ -164,7 +165,7 @@
 	return f, nil
 }
 
-// loadOtherFiles reads the files that other variables of the environment name.
+// loadOtherFiles reads the files that other environment variables name.
 func (c *Config) loadOtherFiles(getenv func(string) string) (err error) {
 	if c.ThriftFile = getenv(envThrift); c.ThriftFile != "" {
 		t, err := thrift.Load(c.ThriftFile)
@@ -208,7 +209,7 @@
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("config: seed: %q is no hexadecimal number of 64 bits", f.Seed)
+		return nil, fmt.Errorf("config: seed: %q is not a 64-bit hexadecimal number", f.Seed)
 	}
 	if err := c.parseSettings(f.Settings); err != nil {
 		return nil, err
@@ -223,7 +224,7 @@
 	}
 	for _, a := range addresses {
 		if _, port, err := net.SplitHostPort(a.value); err != nil || port == "" {
-			return fmt.Errorf("config: %s: %q is no host:port", a.key, a.value)
+			return fmt.Errorf("config: %s: %q is not host:port", a.key, a.value)
 		}
 	}
 	return nil
@@ -232,20 +233,20 @@
 func (c *Config) checkLimits() error {
 	switch {
 	case !(c.Cores > 0) || math.IsInf(c.Cores, 0):
-		return fmt.Errorf("config: limits.cores: must be above 0, is %v", c.Cores)
+		return fmt.Errorf("config: limits.cores: must be above 0, not %v", c.Cores)
 	case c.MemoryMB < minMemoryMB:
-		return fmt.Errorf("config: limits.memory_mb: must be %d at least, is %d", minMemoryMB, c.MemoryMB)
+		return fmt.Errorf("config: limits.memory_mb: must be at least %d, not %d", minMemoryMB, c.MemoryMB)
 	case c.Sockets < minSockets:
-		return fmt.Errorf("config: limits.sockets: must be %d at least, is %d", minSockets, c.Sockets)
+		return fmt.Errorf("config: limits.sockets: must be at least %d, not %d", minSockets, c.Sockets)
 	}
 	return nil
 }
 
-// parseSettings parses the settings, with the names of the zones and machine types, which the balancer knows by number
-// only.
+// parseSettings parses the settings, including the names of the zones and machine types, which the balancer
+// knows only by number.
 func (c *Config) parseSettings(text json.RawMessage) (err error) {
 	if len(text) == 0 {
-		return errors.New("config: settings: none given")
+		return errors.New("config: settings: missing")
 	}
 	if c.Settings, err = wire.ParseSettings(text); err != nil {
 		return fmt.Errorf("config: %w", err)
@@ -281,16 +282,16 @@
 	}
 	if c.Registry != nil {
 		loop.Merge = c.Registry.Merge()
-		logProblem := func(problem string) { slog.Warn("registry", "problem", problem) }
+		logProblem := func(problem string) { slog.Warn("problem with the registry", "problem", problem) }
 		loop.WatchNodes = ephemeral.NewSource(c.Registry).Feed(logProblem)
 	}
 	return loop
 }
 
-// reportInline is the Report.Delivery with which load reports come with the answers.
+// reportInline is the value of Report.Delivery for load reports that come with the responses.
 const reportInline = "inline"
 
-// loadReportNames returns the names of the values that backends report with their answers.
+// loadReportNames returns the names of the values that backends report with their responses.
 func (c *Config) loadReportNames() []string {
 	if c.Settings.Report.Delivery != reportInline {
 		return nil
--- a/internal/agent/limits.go
+++ b/internal/agent/limits.go
@@ -9,35 +9,40 @@
 	"ringtrack.example/ringtrack/internal/upstream/conns"
 )
 
-// minSockets is the least descriptor limit of a configuration: it leaves a few connections to each side.
+// minSockets is the lowest descriptor limit that a configuration may set: it leaves a few connections for
+// each side.
 const minSockets = 64
 
-// minMemoryMB is the least memory limit of a configuration.
+// minMemoryMB is the lowest memory limit that a configuration may set.
 const minMemoryMB = 16
 
-// Descriptors of the process beside the connections to backends and of clients. Their number does not grow with the
-// limit, so that of a small limit more than a fraction is reserved.
+// Descriptors of the process other than connections to backends and of clients. Their number does not grow
+// with the limit, so a small limit has to reserve more than a fixed fraction.
 const (
-	// processDescriptors are the three standard streams, two of the runtime's poller, the lock of the folder that two
-	// processes share, four that are open while that folder is read, and two while a configuration is read.
+	// processDescriptors are the three standard streams, two of the runtime's poller, the lock of the folder
+	// that two processes share, four that are open while that folder is read, and two that are open while a
+	// configuration is read.
 	processDescriptors = 12
-	// discoveryConns are those of a discovery client, and one of the client that replaces it at a reload.
+	// discoveryConns are the connections of a discovery client, and one of the client that replaces it at a
+	// reload.
 	discoveryConns = discovery.MaxConns + 1
-	// listenerDescriptors are a listener, and a connection that was accepted and is closed at once.
+	// listenerDescriptors are a listener, and a connection that is accepted and closed at once.
 	listenerDescriptors = 2
-	// configStoreConns are those to replicas of the configuration store, and the listener for peers.
+	// configStoreConns are the connections to replicas of the configuration store, and the listener for
+	// peers.
 	configStoreConns = client.MaxConns + 1
-	// registryConns are those to the registry.
+	// registryConns are the connections to the registry.
 	registryConns = 2
-	// minConnections is what each side has however low the limit is.
+	// minConnections is the minimum number of connections of each side, however low the limit is.
 	minConnections = 4
-	// minClientConnections is the same for each downstream, and the least number of idle clients.
+	// minClientConnections is the minimum for each downstream, and the minimum number of idle clients.
 	minClientConnections = 2
-	// minAdminConnections is the same for the admin endpoint.
+	// minAdminConnections is the minimum for the admin endpoint.
 	minAdminConnections = 2
 )
 
-// reservedDescriptors returns how many descriptors are neither for backends nor for clients of the downstreams.
+// reservedDescriptors returns how many descriptors are used for neither backends nor clients of the
+// downstreams.
 func (c *Config) reservedDescriptors() int {
 	n := processDescriptors + discoveryConns + listenerDescriptors*c.downstreams()
 	if c.AdminAddr != "" {
@@ -60,26 +65,28 @@
 	return 1
 }
 
-// connectionsPerSide returns how many connections backends have, and as many the clients of all downstreams.
+// connectionsPerSide returns the limit of connections to backends, which is also that of all downstreams
+// together.
 func (c *Config) connectionsPerSide() int {
 	return max(min(c.Sockets*7/16, (c.Sockets-c.reservedDescriptors())/2), minConnections)
 }
 
-// maxBackendConnections bounds the connections to backends.
+// maxBackendConnections returns the limit of connections to backends.
 func (c *Config) maxBackendConnections() int { return c.connectionsPerSide() }
 
-// maxClientConnections bounds the connections of each downstream.
+// maxClientConnections returns the limit of client connections of each downstream.
 func (c *Config) maxClientConnections() int {
 	return max(c.connectionsPerSide()/c.downstreams(), minClientConnections)
 }
 
 // maxIdleClients returns how many clients of a downstream may be connected before idle ones are closed. The
-// application has a limit of its own, and idle connections leave it none for the next request.
+// application has a connection limit of its own, and idle connections could leave it none for its next
+// request.
 func (c *Config) maxIdleClients() int {
 	return min(max(c.Sockets/4/c.downstreams(), minClientConnections), c.maxClientConnections())
 }
 
-// maxAdminConnections bounds the connections of the admin endpoint.
+// maxAdminConnections returns the limit of connections to the admin endpoint.
 func (c *Config) maxAdminConnections() int {
 	return min(max(c.Sockets/16, minAdminConnections), admin.MaxConnections)
 }
@@ -87,22 +94,22 @@
 // limitDescriptors lowers the configured number of descriptors to the limit of the process.
 func (c *Config) limitDescriptors(limit uint64) {
 	if limit < uint64(c.Sockets) {
-		slog.Warn("descriptor limit below the configuration", "limit", limit, "sockets", c.Sockets)
+		slog.Warn("the descriptor limit of the process is below the configured one", "limit", limit, "sockets", c.Sockets)
 		c.Sockets = int(limit)
 	}
 }
 
-// newPool returns the pool of connections to backends that all upstreams share. Backends close idle connections after
-// keepalive; the pool closes them after half of that.
+// newPool returns the pool of connections to backends that all upstreams share. Backends close idle
+// connections after the keep-alive time; the pool closes them after half of that.
 func newPool(c *Config) *conns.Pool {
 	limits := &c.Settings.Limits
 	return conns.New(durationFromMs(limits.ConnectTimeoutMs), durationFromMs(limits.KeepaliveMs/2), c.maxBackendConnections())
 }
 
-// MemoryLimit returns the soft memory limit of the runtime, in bytes: three quarters of the limit beyond which the
-// process is killed.
+// MemoryLimit returns the soft memory limit of the runtime, in bytes: three quarters of the limit beyond
+// which the process is killed.
 func (c *Config) MemoryLimit() int64 { return int64(c.MemoryMB) << 20 * 3 / 4 }
 
-// bodyBudget returns the memory for bodies of requests and replies, in bytes, beside small ones. The rest is for
-// connections, the balancer and the runtime.
+// bodyBudget returns the memory for bodies of requests and responses, except small ones, in bytes. The rest
+// is for connections, the balancer and the runtime.
 func (c *Config) bodyBudget() int64 { return int64(c.MemoryMB) << 20 / 5 }
--- a/internal/agent/main.go
+++ b/internal/agent/main.go
@@ -15,17 +15,18 @@
 	"ringtrack.example/ringtrack/internal/upgrade"
 )
 
-// gcPercent lets the heap grow to twice its live size between collections: the heap is small, so that this costs
-// little memory.
+// gcPercent lets the heap grow to twice its live size between collections. Since the heap is small, this
+// costs little memory.
 const gcPercent = 100
 
-// Main is the program. It reads the configuration that the environment names, serves until SIGTERM or SIGINT, and
-// returns nil once every request has its answer.
+// Main runs the program. It reads the configuration that the environment names, serves until SIGTERM or
+// SIGINT, and returns nil once every request is answered.
 func Main() error {
-	// First of all: by default these signals end the program.
+	// First, since by default these signals end the program.
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
-	// Never stopped: a second signal would end the program without a graceful shutdown.
+	// The stop function is never called: a second signal would then end the program without a graceful
+	// shutdown.
 	stop, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	cfg, err := StartConfig(stop, os.Getenv)
@@ -52,7 +53,8 @@
 	return Run(stop, reloadSignals, reread, cfg, ln)
 }
 
-// limitProcess applies the configured limits to the process, and the process's own limit to the configuration.
+// limitProcess applies the configured limits to the process, and lowers the configured number of descriptors
+// to the limit of the process.
 func limitProcess(cfg *Config) {
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil {
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// reloadRetryInterval and maxReloadAttempts bound how often an unusable file is read: the signal may arrive while it
-	// is written.
+	// reloadRetryInterval and maxReloadAttempts limit how often an invalid file is read again: the signal may
+	// arrive while the file is being written.
 	reloadRetryInterval = 100 * time.Millisecond
 	maxReloadAttempts   = 100
 )
 
-// reload reads the configuration at each signal and calls useDiscovery with the address of its discovery server. The
-// old configuration holds until a new one is valid. Other changes need a restart, and are only logged.
+// reload reads the configuration at each signal and calls useDiscovery with the address of its discovery
+// server. The old configuration stays in use until a new one is valid. Other changes need a restart and are
+// only logged.
 func reload(ctx context.Context, signals <-chan os.Signal, reread func() (*Config, error), old *Config, useDiscovery func(addr string)) {
 	retry := time.NewTimer(0)
 	<-retry.C
@@ -41,14 +42,14 @@
 			continue
 		}
 		retry.Stop()
-		warnOfRestart(old, c)
+		logNeedsRestart(old, c)
 		slog.Info("configuration read again", "discovery", c.Discovery)
 		useDiscovery(c.Discovery)
 	}
 }
 
-// warnOfRestart logs the changed fields that are used only after a restart.
-func warnOfRestart(old, c *Config) {
+// logNeedsRestart logs the changed fields that take effect only after a restart.
+func logNeedsRestart(old, c *Config) {
 	unchanged := map[string]bool{
 		"name":   c.Name == old.Name,
 		"listen": c.Listen == old.Listen,
--- a/internal/agent/sharedconfig.go
+++ b/internal/agent/sharedconfig.go
@@ -14,27 +14,27 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// publishTimeout bounds how long a cordon waits for the configuration store. With loopTimeout it is under the second
-// within which the admin endpoint answers.
+// publishTimeout limits how long a cordon waits for the configuration store. Together with loopTimeout it is
+// below the second within which the admin endpoint has to answer.
 const publishTimeout = 350 * time.Millisecond
 
-// holdLease holds a lease on the shared configuration, where there is one, until stop is called.
+// holdLease holds a lease on the shared configuration, if one is configured, until stop is called.
 func (s *sharedState) holdLease(ctx context.Context, cfg *Config) (stop func(), err error) {
 	if cfg.SharedConfig == nil {
 		return func() {}, nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	s.renewer = client.New(cfg.SharedConfig, cfg.Name, leaseTarget{s.loop})
+	s.renewer = client.New(cfg.SharedConfig, cfg.Name, loopApplier{s.loop})
 	var ended sync.WaitGroup
 	if cfg.SharedConfig.Listen != "" {
 		ln, err := net.Listen("tcp", cfg.SharedConfig.Listen)
 		if err != nil {
-			// Another process of this agent may still listen, which relays the calls of peers as well.
-			slog.Warn("calls of peers are not relayed", "err", err)
+			// Another process of this agent may still be listening, and then relays the calls of peers.
+			slog.Warn("cannot listen for peers; their calls to the configuration store are not relayed", "err", err)
 		} else {
 			ended.Go(func() {
 				if err := s.renewer.Serve(ctx, ln); err != nil {
-					slog.Error("relay of calls of peers failed", "err", err)
+					slog.Error("relaying the calls of peers failed", "err", err)
 				}
 			})
 		}
@@ -43,11 +43,11 @@
 	return func() { cancel(); ended.Wait() }, nil
 }
 
-// leaseTarget applies the lease and the shared configuration to the event loop. It implements client.Applier.
-type leaseTarget struct{ loop *core.EventLoop }
+// loopApplier applies the lease and the shared configuration to the event loop. It implements client.Applier.
+type loopApplier struct{ loop *core.EventLoop }
 
-// call runs a function in the loop and waits until it has returned, or ctx ends.
-func (t leaseTarget) call(ctx context.Context, f func()) error {
+// call runs a function in the loop and waits until it has returned or ctx ends.
+func (t loopApplier) call(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	t.loop.Post(func() { f(); close(done) })
 	select {
@@ -59,17 +59,18 @@
 }
 
 // Adopt implements client.Applier.
-func (t leaseTarget) Adopt(ctx context.Context, epoch uint64, config *sharedconfig.Config, leaseExpiry, endpointsExpiry time.Time) error {
+func (t loopApplier) Adopt(ctx context.Context, epoch uint64, config *sharedconfig.Config, leaseExpiry, endpointsExpiry time.Time) error {
 	return t.call(ctx, func() { t.loop.AdoptConfig(epoch, config, leaseExpiry, endpointsExpiry) })
 }
 
 // Renew implements client.Applier.
-func (t leaseTarget) Renew(ctx context.Context, leaseExpiry, endpointsExpiry time.Time) {
+func (t loopApplier) Renew(ctx context.Context, leaseExpiry, endpointsExpiry time.Time) {
 	_ = t.call(ctx, func() { t.loop.RenewLease(leaseExpiry, endpointsExpiry) }) // fails only with ctx
 }
 
-// publishCordon publishes a cordon, or its end. A cordon holds at this agent at once, whether or not the configuration
-// store answers. Once the published configuration is in force it holds in place of this agent's own cordon.
+// publishCordon publishes a cordon or its removal. A cordon takes effect at this agent at once, whether or
+// not the configuration store answers. Once the published configuration is in force, it replaces this agent's
+// own cordon.
 func (s *sharedState) publishCordon(id string, cordoned bool) error {
 	if cordoned {
 		if err := s.cordonLocally(id, true); err != nil {
@@ -91,13 +92,13 @@
 	}
 	epoch := sharedconfig.EpochOf(version)
 	if cordoned {
-		epoch-- // the transition to the version has its cordons already
+		epoch-- // the transition to the version already includes its cordons
 	}
 	s.loop.Post(func() { s.loop.ReleaseCordon(id, epoch) })
 	return nil
 }
 
-// sharedConfigStats returns the figures of the shared configuration; nil if there is none.
+// sharedConfigStats returns the metrics of the shared configuration; nil if there is none.
 func (s *sharedState) sharedConfigStats() *admin.SharedConfig {
 	if s.renewer == nil {
 		return nil
--- a/internal/agent/sharedstate.go
+++ b/internal/agent/sharedstate.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	// readyTimeout is how long a process waits for a backend before it takes requests beside another process all the
-	// same: it has to be ready within 6 s.
+	// readyTimeout is how long a process that starts beside another one waits until it knows a backend. Then
+	// it takes requests anyway, since it has to be ready within 6 s.
 	readyTimeout = 4 * time.Second
-	// saveInterval bounds how often the endpoint list is saved.
+	// saveInterval is the minimum time between two saves of the endpoint list.
 	saveInterval = 100 * time.Millisecond
 )
 
-// sharedState is what this process shares with operators, with another process of the agent, and with the
-// configuration store.
+// sharedState is the state that this process shares with operators, with another process of the agent, and
+// with the configuration store.
 type sharedState struct {
 	dir     *upgrade.Dir // nil: there is only this process
 	loop    *core.EventLoop
-	renewer *client.Renewer // of the lease on the shared configuration; nil: there is none
+	renewer *client.Renewer // renews the lease on the shared configuration; nil: there is none
 	serving atomic.Bool
 
-	endpointsChanged chan struct{} // capacity 1: the endpoint list has changed since it was saved
-	stale            atomic.Bool   // the last value of core.Config.DiscoveryStale
-	staleChanged     chan struct{} // capacity 1: stale has changed since it was saved
+	endpointsChanged chan struct{} // capacity 1; a value: the endpoint list has changed since it was saved
+	stale            atomic.Bool   // the last value passed to core.Config.DiscoveryStale
+	staleChanged     chan struct{} // capacity 1; a value: stale has changed since it was saved
 
 	useLimits  func(processes int) // divides the agent's limits among its processes
-	cordonLock sync.Mutex          // orders the saved cordons and those of the loop
+	cordonLock sync.Mutex          // keeps the saved cordons and those of the loop in the same order
 }
 
-// newSharedState returns the state of this process. It adds to the loop's configuration what another process has
-// saved.
-func newSharedState(cfg *Config, loop *core.Config) (*sharedState, error) {
+// newSharedState returns the state of this process. It adds the state that another process has saved to the
+// loop's configuration.
+func newSharedState(cfg *Config, loopConfig *core.Config) (*sharedState, error) {
 	s := &sharedState{
 		dir:              cfg.UpgradeDir,
 		endpointsChanged: make(chan struct{}, 1),
@@ -51,51 +51,51 @@
 		return s, nil
 	}
 	var err error
-	if loop.Cordoned, err = s.dir.Cordoned(); err != nil {
-		return nil, err // without it requests would go to cordoned backends
+	if loopConfig.Cordoned, err = s.dir.Cordoned(); err != nil {
+		return nil, err // without the saved cordons requests would go to cordoned backends
 	}
 	if ids, err := s.dir.IDs(); err != nil {
 		slog.Warn("an id that comes to two processes of this agent is not noticed", "err", err)
 	} else {
-		loop.SharedIDs = ids
+		loopConfig.SharedIDs = ids
 	}
-	s.useSavedStaleness(loop)
-	loop.DiscoveryStale = func(stale bool) {
+	s.loadDiscoveryStale(loopConfig)
+	loopConfig.DiscoveryStale = func(stale bool) {
 		s.stale.Store(stale)
 		notify(s.staleChanged)
 	}
-	if loop.WatchNodes != nil {
-		return s, nil // the saved list lacks the registry, which each process reads itself
+	if loopConfig.WatchNodes != nil {
+		return s, nil // a saved list would lack the registry, which each process reads itself
 	}
-	loop.OnEndpointUpdate = func() { notify(s.endpointsChanged) }
+	loopConfig.OnEndpointUpdate = func() { notify(s.endpointsChanged) }
 	if s.dir.First() {
-		return s, nil // a saved list is of a process that was killed
+		return s, nil // a saved list is from a process that was killed
 	}
 	saved, err := s.dir.SavedEndpoints()
 	if err != nil {
 		slog.Warn("saved endpoint list not used", "err", err)
 	} else if saved != nil {
-		loop.CachedEndpoints = saved.List
-		loop.SeenIDs = saved.Seen
+		loopConfig.CachedEndpoints = saved.List
+		loopConfig.SeenIDs = saved.Seen
 	}
 	return s, nil
 }
 
-// useSavedStaleness has the balancer start with whether the last process had an answer of discovery.
-func (s *sharedState) useSavedStaleness(loop *core.Config) {
+// loadDiscoveryStale passes to the balancer whether the last poll of the previous process had an answer.
+func (s *sharedState) loadDiscoveryStale(loopConfig *core.Config) {
 	stale, found, err := s.dir.DiscoveryStale()
 	switch {
 	case err != nil:
 		slog.Warn("saved discovery state not used", "err", err)
-		loop.Settings.LastPoll = policy.PollUnanswered // to poll early does the least harm
+		loopConfig.Settings.LastPoll = policy.PollUnanswered // the least harmful choice is an early poll
 	case stale:
-		loop.Settings.LastPoll = policy.PollUnanswered
+		loopConfig.Settings.LastPoll = policy.PollUnanswered
 	case found:
-		loop.Settings.LastPoll = policy.PollAnswered
+		loopConfig.Settings.LastPoll = policy.PollAnswered
 	}
 }
 
-// notify sends on a channel of capacity 1, unless a value is there already.
+// notify sends on a channel of capacity 1, unless it already holds a value.
 func notify(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -103,7 +103,7 @@
 	}
 }
 
-// run follows and saves what the agent's processes share, until ctx ends.
+// run follows and saves the state that the agent's processes share, until ctx ends.
 func (s *sharedState) run(ctx context.Context) {
 	if s.dir == nil {
 		return
@@ -113,7 +113,7 @@
 	go s.saveDiscoveryStale(ctx)
 }
 
-// applySavedCordons has the loop use the saved cordons, which another process may have changed.
+// applySavedCordons applies the saved cordons, which another process may have changed, to the loop.
 func (s *sharedState) applySavedCordons() {
 	s.cordonLock.Lock()
 	defer s.cordonLock.Unlock()
@@ -125,15 +125,15 @@
 	s.loop.Post(func() { s.loop.SetCordoned(ids) })
 }
 
-// shareLimits divides the agent's limits among its processes: memory and connections to backends. The connections of
-// clients are not divided, since the descriptors suffice for those of both processes.
+// shareLimits divides the agent's limits for memory and for connections to backends among its processes. The
+// limit for connections of clients is not divided, since the descriptors suffice for those of both processes.
 func (s *sharedState) shareLimits(processes int) {
 	slog.Info("processes of this agent", "number", processes)
 	s.useLimits(processes)
 }
 
-// saveDiscoveryStale saves each change of whether the last call to discovery had an answer. A process that starts
-// after this one was killed polls at once if it had none.
+// saveDiscoveryStale saves, at each change, whether the last call to discovery had an answer. If it had none,
+// a process that starts after this one was killed polls at once.
 func (s *sharedState) saveDiscoveryStale(ctx context.Context) {
 	for failed := false; ; {
 		select {
@@ -148,7 +148,7 @@
 	}
 }
 
-// saveEndpoints saves the endpoint list after each change, at most once in saveInterval.
+// saveEndpoints saves the endpoint list after each change, at most once per saveInterval.
 func (s *sharedState) saveEndpoints(ctx context.Context) {
 	for failed := false; ; {
 		select {
@@ -178,12 +178,13 @@
 	}
 }
 
-// listenBesidePredecessor waits until this process can serve, and then listens on the address of the other one.
+// listenBesidePredecessor waits until this process can serve, but at most for readyTimeout, and then listens
+// on the address that the other process listens on.
 func (s *sharedState) listenBesidePredecessor(stop context.Context, addr string, ready <-chan struct{}) (net.Listener, error) {
 	select {
 	case <-ready:
 	case <-time.After(readyTimeout):
-		slog.Warn("no backend is known yet, serving all the same")
+		slog.Warn("no backend is known yet; serving anyway")
 	case <-stop.Done():
 	}
 	ln, err := s.dir.Listen(addr)
@@ -194,18 +195,18 @@
 	return ln, nil
 }
 
-// markServing shows operators and the other process that this one serves, once it is ready.
+// markServing shows operators and the other process that this one serves, as soon as it is ready.
 func (s *sharedState) markServing(ready <-chan struct{}) {
 	go func() {
 		<-ready
 		if s.dir != nil {
 			if err := s.dir.MarkServing(); err != nil {
-				slog.Warn("the other process is not notified of this one", "err", err)
+				slog.Warn("cannot notify the other process that this one serves", "err", err)
 			}
 		}
 		s.serving.Store(true)
 	}()
 }
 
-// hasSuccessor reports whether another process takes the requests from now on.
+// hasSuccessor reports whether a newer process takes over the requests.
 func (s *sharedState) hasSuccessor() bool { return s.dir != nil && s.dir.HasSuccessor() }
