--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
 // Command adapter runs many independent balancers for the simulator: it reads batches of events from standard
-// input and writes one frame of actions for each to standard output.
+// input and writes one frame of actions for each batch to standard output.
 package main
 
 import (
@@ -30,7 +30,7 @@
 	for {
 		a.encoder.Reset()
 		if err := decoder.Next(a.handle); err != nil {
-			if err == io.EOF { // bare: a truncated batch wraps it
+			if err == io.EOF { // compared by value: the error of a truncated batch wraps it
 				return nil
 			}
 			return err
@@ -44,19 +44,19 @@
 	}
 }
 
-// adapter holds the running balancers, by the number of their instance. They share nothing but the process.
+// adapter holds the running balancers by instance number. They share no state.
 type adapter struct {
 	balancers map[uint32]*policy.Balancer
 	encoder   wire.Encoder
-	actions   []policy.Action // buffer
+	actions   []policy.Action // reused buffer
 }
 
-// handle applies one record of a batch. A record of an instance that does not run is ignored. An instance
-// whose settings are not valid is reported as crashed.
+// handle applies one record of a batch. Records of an instance that is not running are ignored. An instance
+// whose settings are invalid is reported as crashed.
 func (a *adapter) handle(now float64, rec *wire.Record) error {
 	switch rec.Kind {
 	case wire.Boot:
-		balancer, err := boot(rec)
+		balancer, err := newBalancer(rec)
 		if err != nil {
 			a.encoder.Crash(rec.Instance, err.Error())
 			delete(a.balancers, rec.Instance)
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// boot returns the balancer of a boot record.
-func boot(rec *wire.Record) (*policy.Balancer, error) {
+// newBalancer returns the balancer of a boot record.
+func newBalancer(rec *wire.Record) (*policy.Balancer, error) {
 	settings, err := wire.ParseSettings(rec.Settings)
 	if err != nil {
 		return nil, err
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -11,7 +11,7 @@
 const settings = `{"classes":[{"name":"a","aimMs":100,"giveUpMs":500,"effect":"free","credit":1}],
 "limits":{"maxAttempts":2},"membershipMode":"pushed","roundMs":5}`
 
-// batch frames records of 48 bytes, given by their first bytes, with a tail.
+// batch encodes a batch of records of 48 bytes, of which the first bytes are given, followed by tail.
 func batch(clock float64, tail string, records ...[]byte) []byte {
 	be := binary.BigEndian
 	out := be.AppendUint32(nil, uint32(len(records)))
@@ -61,9 +61,9 @@
 }
 
 func TestInvalidSettingsAreReportedAsCrash(t *testing.T) {
-	bad := strings.Replace(settings, "free", "maybe", 1)
+	invalid := strings.Replace(settings, "free", "maybe", 1)
 	var out bytes.Buffer
-	if err := run(bytes.NewReader(batch(1000, bad, bootRecord(3, len(bad)))), &out); err != nil {
+	if err := run(bytes.NewReader(batch(1000, invalid, bootRecord(3, len(invalid)))), &out); err != nil {
 		t.Fatal(err)
 	}
 	if reply := out.Bytes(); reply[8] != 87 || !strings.Contains(string(reply), "classes[0].effect") {
@@ -78,6 +78,6 @@
 		t.Errorf("error %v, want one line", err)
 	}
 	if err := run(bytes.NewReader(nil), &out); err != nil {
-		t.Errorf("a clean end of input: %v", err)
+		t.Errorf("end of input between batches: %v", err)
 	}
 }
--- a/cmd/ringtrack/descriptors_test.go
+++ b/cmd/ringtrack/descriptors_test.go
@@ -24,8 +24,9 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// gate is a proxy before a discovery server. While it is blocked it closes each connection.
-type gate struct {
+// blockableProxy is a TCP proxy in front of a discovery server. While it is blocked it closes every
+// connection.
+type blockableProxy struct {
 	ln net.Listener
 	to string
 
@@ -34,37 +35,37 @@
 	conns   map[net.Conn]bool
 }
 
-func newGate(t *testing.T, to string) *gate {
+func newBlockableProxy(t *testing.T, to string) *blockableProxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &gate{ln: ln, to: to, conns: map[net.Conn]bool{}}
-	t.Cleanup(func() { ln.Close(); g.setBlocked(true) })
+	p := &blockableProxy{ln: ln, to: to, conns: map[net.Conn]bool{}}
+	t.Cleanup(func() { ln.Close(); p.setBlocked(true) })
 	go func() {
 		for {
 			in, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go g.pass(in)
+			go p.forward(in)
 		}
 	}()
-	return g
+	return p
 }
 
-func (g *gate) pass(in net.Conn) {
+func (p *blockableProxy) forward(in net.Conn) {
 	defer in.Close()
-	out, err := net.Dial("tcp", g.to)
+	out, err := net.Dial("tcp", p.to)
 	if err != nil {
 		return
 	}
 	defer out.Close()
-	g.mu.Lock()
-	blocked := g.blocked
-	g.conns[in] = true
-	g.mu.Unlock()
+	p.mu.Lock()
+	blocked := p.blocked
+	p.conns[in] = true
+	p.mu.Unlock()
 	if blocked {
 		return
 	}
@@ -73,24 +74,25 @@
 		out.Close()
 	}()
 	io.Copy(in, out)
-	g.mu.Lock()
-	delete(g.conns, in)
-	g.mu.Unlock()
+	p.mu.Lock()
+	delete(p.conns, in)
+	p.mu.Unlock()
 }
 
-// setBlocked blocks or opens the gate, and closes all connections.
-func (g *gate) setBlocked(blocked bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.blocked = blocked
-	for c := range g.conns {
+// setBlocked blocks or unblocks the proxy, and closes all connections.
+func (p *blockableProxy) setBlocked(blocked bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.blocked = blocked
+	for c := range p.conns {
 		c.Close()
-		delete(g.conns, c)
+		delete(p.conns, c)
 	}
 }
 
-// connectIdle opens up to maxConnections connections that stay open. Each sends a text and reads the first byte of the
-// answer. It returns how many were accepted: one that is neither answered nor closed found no descriptor left.
+// connectIdle opens up to maxConnections connections that stay open. Each sends a text and reads the first
+// byte of the answer. It returns how many were accepted, and stops at a connection that is neither answered
+// nor closed, since the agent had no descriptor left for it.
 func connectIdle(t *testing.T, addr, text string, maxConnections int) (accepted int) {
 	t.Helper()
 	for ; accepted < maxConnections; accepted++ {
@@ -108,7 +110,8 @@
 	return accepted
 }
 
-// unlistedThriftCall is a Thrift call, framed and binary, of a method that is not listed. The answer is an exception.
+// unlistedThriftCall returns a framed, binary Thrift call of a method that is not listed. Its answer is an
+// exception.
 func unlistedThriftCall() string {
 	msg := binary.BigEndian.AppendUint32(nil, 0x80010001)
 	msg = binary.BigEndian.AppendUint32(msg, 4)
@@ -118,21 +121,22 @@
 	return string(binary.BigEndian.AppendUint32(nil, uint32(len(msg)))) + string(msg)
 }
 
-// Idle clients on every listener of the agent use up its descriptors while discovery is down, with as many connections to
-// backends as there may be. Once discovery is back it is called, a change arrives within 6 s, and requests are served
-// all the time, whether the configuration has the limit of the process or a higher one.
+// While discovery is down, idle clients on every listener use up the agent's descriptors, and the agent has
+// as many connections to backends as its limit allows. Once discovery is back it is called, a change arrives
+// within 6 s, and requests are served all the time, whether the configured limit is that of the process or
+// higher.
 func TestIdleClientsDoNotStarveDiscovery(t *testing.T) {
 	for _, sockets := range []int{64, 1024} {
-		for _, listeners := range []int{2, 3} { // clients over HTTP and operators, and over Thrift
-			t.Run(fmt.Sprintf("%d of %d", listeners, sockets), func(t *testing.T) {
+		for _, listeners := range []int{2, 3} { // for HTTP clients and operators, and also for Thrift clients
+			t.Run(fmt.Sprintf("%d listeners, %d descriptors", listeners, sockets), func(t *testing.T) {
 				t.Parallel()
-				idleClients(t, sockets, listeners)
+				testIdleClients(t, sockets, listeners)
 			})
 		}
 	}
 }
 
-func idleClients(t *testing.T, sockets, listeners int) {
+func testIdleClients(t *testing.T, sockets, listeners int) {
 	const limit, backends = 64, 48
 	server := func(name string) (membership.Entry, *httptest.Server) {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, name) }))
@@ -150,7 +154,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(discovery.Close)
-	g := newGate(t, discovery.Addr)
+	proxy := newBlockableProxy(t, discovery.Addr)
 
 	dir := t.TempDir()
 	thrift := filepath.Join(dir, "thrift.toml")
@@ -158,7 +162,7 @@
 		t.Fatal(err)
 	}
 	config, err := json.Marshal(map[string]any{"name": "n1", "listen": "127.0.0.1:0", "admin_addr": "127.0.0.1:0",
-		"discovery": g.ln.Addr().String(), "seed": "1", "known": discovery.List(),
+		"discovery": proxy.ln.Addr().String(), "seed": "1", "known": discovery.List(),
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets}, "settings": json.RawMessage(settings)})
 	if err != nil {
 		t.Fatal(err)
@@ -232,15 +236,15 @@
 		t.Fatal("discovery is not watched")
 	}
 	used := map[string]bool{}
-	for range 6 * backends { // to leave a connection to each backend that the pool has capacity for
+	for range 6 * backends { // to open a connection to as many backends as the pool has capacity for
 		name, err := request()
 		if err != nil {
 			t.Fatal(err)
 		}
 		used[name] = true
 	}
-	g.setBlocked(true)
-	for range limit { // half a request each
+	proxy.setBlocked(true)
+	for range limit { // each sends a partial request
 		c, err := net.Dial("tcp", addr["admin"])
 		if err != nil {
 			t.Fatal(err)
@@ -248,15 +252,16 @@
 		defer c.Close()
 		io.WriteString(c, "GET /admin/health HTTP/1.1\r\nHo")
 	}
-	admins := connectIdle(t, addr["admin"], "GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n", 1) // after all of them
-	thrifts := 0
+	// A complete request, after all the idle connections.
+	adminConns := connectIdle(t, addr["admin"], "GET /admin/health HTTP/1.1\r\nHost: x\r\n\r\n", 1)
+	thriftConns := 0
 	if listeners > 2 {
-		thrifts = connectIdle(t, addr[`Thrift" addr`], unlistedThriftCall(), 2*limit)
+		thriftConns = connectIdle(t, addr[`Thrift" addr`], unlistedThriftCall(), 2*limit)
 	}
-	clients := connectIdle(t, addr["addr"], "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n", 2*limit)
+	clientConns := connectIdle(t, addr["addr"], "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n", 2*limit)
 	open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
-	t.Logf("%d backends used; accepted: %d clients, %d over Thrift, and the last of the admin endpoint: %d; %d descriptors of %d", len(used), clients, thrifts, admins, len(open), limit)
-	if admins != 1 {
+	t.Logf("%d backends used; accepted: %d clients, %d over Thrift, and the last of the admin endpoint: %d; %d descriptors of %d", len(used), clientConns, thriftConns, adminConns, len(open), limit)
+	if adminConns != 1 {
 		t.Error("a request to the admin endpoint after idle connections is not answered")
 	}
 	if _, err := request(); err != nil {
@@ -268,17 +273,18 @@
 		e.State = "draining"
 		version = discovery.Set(e)
 	}
-	g.setBlocked(false)
-	back := time.Now()
+	proxy.setBlocked(false)
+	unblocked := time.Now()
 	if !waitFor(version) {
 		t.Fatal("discovery was never called with the revision of the change")
 	}
-	if took := time.Since(back); took > 6*time.Second {
+	if took := time.Since(unblocked); took > 6*time.Second {
 		t.Errorf("the change arrived %v after discovery was back", took)
 	} else {
 		t.Logf("arrived after %v", took)
 	}
-	// A watch makes its next call before it passes a change on: after one more change the first one is applied.
+	// A watch makes its next call before it passes a change on: once there is a call after one more change,
+	// the first change is applied.
 	if !waitFor(discovery.Set(fresh)) {
 		t.Fatal("discovery was not called once more")
 	}
--- a/cmd/ringtrack/main.go
+++ b/cmd/ringtrack/main.go
@@ -1,5 +1,5 @@
-// Command ringtrack is an agent: it accepts the requests of the application beside it and forwards them to backends.
-// It is configured by the environment; see internal/agent.
+// Command ringtrack is an agent: it accepts the requests of the application beside it and forwards them to
+// backends. Environment variables name its configuration; see internal/agent.
 package main
 
 import (
--- a/cmd/ringtrack/main_test.go
+++ b/cmd/ringtrack/main_test.go
@@ -22,7 +22,7 @@
 
 const testTimeout = 20 * time.Second
 
-// The test binary is the program itself when it is started with this variable.
+// TestMain runs the program itself instead of the tests if RINGTRACK_AS_PROGRAM is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("RINGTRACK_AS_PROGRAM") == "1" {
 		main()
@@ -31,6 +31,7 @@
 	os.Exit(m.Run())
 }
 
+// newProgram returns a command that runs the program with a configuration.
 func newProgram(t *testing.T, config string) *exec.Cmd {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -39,7 +40,7 @@
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "RINGTRACK_AS_PROGRAM=1", "PROXY_CONFIG="+path,
 		"PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY=",
-		"GORACE=atexit_sleep_ms=0") // without it the race detector's sleep of 1 s counts as the program's
+		"GORACE=atexit_sleep_ms=0") // otherwise the race detector sleeps for 1 s at exit
 	return cmd
 }
 
@@ -62,19 +63,19 @@
 	}
 }
 
-// After SIGTERM under traffic new connections are accepted for a while and open ones stay in use. Each request on an
-// accepted connection is answered, and the program exits without error before SIGKILL.
+// After SIGTERM under load new connections are accepted for a while and open ones stay in use. Each request
+// on an accepted connection is answered, and the program exits without error before SIGKILL.
 func TestSIGTERMAnswersAcceptedRequests(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/api/long" {
-			time.Sleep(time.Second) // longer than the time in which connections are accepted
+			time.Sleep(time.Second) // longer than new connections are accepted
 		}
 		if r.URL.Path == "/api/never" {
-			io.Copy(io.Discard, r.Body) // else the server would not notice a disconnect
+			io.Copy(io.Discard, r.Body) // otherwise the server would not notice a disconnect
 			<-r.Context().Done()
 			return
 		}
-		time.Sleep(20 * time.Millisecond) // work, so that requests are in flight at the signal
+		time.Sleep(20 * time.Millisecond) // so that requests are in flight at the signal
 		fmt.Fprint(w, "done")
 	}))
 	defer backend.Close()
@@ -112,7 +113,7 @@
 	}
 	addr := found[1]
 
-	var answered, lost, afterSignal atomic.Int64
+	var answered, lost, answeredAfterSignal atomic.Int64
 	var signalled atomic.Bool
 	var ids atomic.Int64
 	request := func(path string) string {
@@ -134,15 +135,15 @@
 			c.SetDeadline(time.Now().Add(testTimeout))
 			br := bufio.NewReader(c)
 			for first := true; ; first = false {
-				late := signalled.Load()
+				sentAfterSignal := signalled.Load()
 				_, err := c.Write([]byte(request("/api/a1")))
 				var resp *http.Response
 				if err == nil {
 					resp, err = http.ReadResponse(br, nil)
 				}
 				if err != nil {
-					// An open connection may be closed between requests; the first
-					// request on a new one must be answered.
+					// An open connection may be closed between requests, but the first request on a new
+					// connection must be answered.
 					if first {
 						lost.Add(1)
 					}
@@ -150,8 +151,8 @@
 				}
 				resp.Body.Close()
 				answered.Add(1)
-				if late {
-					afterSignal.Add(1)
+				if sentAfterSignal {
+					answeredAfterSignal.Add(1)
 				}
 				if resp.Close {
 					break
@@ -171,11 +172,12 @@
 	for end := time.Now().Add(testTimeout); answered.Load() < 50 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	// One client reuses its connection; near the end of service it sends a request that takes too long.
-	type ending struct {
-		served time.Duration // of the last one, after the signal
-		status int           // of the request that took too long
-		at     time.Duration
+	// One client reuses its connection; shortly before its connection would be closed it sends a request that
+	// is never answered by the backend.
+	type reuseResult struct {
+		served time.Duration // when the last request was served, after the signal
+		status int           // of the request that the backend never answered
+		at     time.Duration // when that request was answered, after the signal
 		err    error
 	}
 	conn, err := net.Dial("tcp", addr)
@@ -184,9 +186,9 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	signal, went := make(chan time.Time, 1), make(chan ending, 1)
+	signal, reused := make(chan time.Time, 1), make(chan reuseResult, 1)
 	go func() {
-		var e ending
+		var e reuseResult
 		br, from := bufio.NewReader(conn), <-signal
 		for path := "/api/a1"; e.status == 0 && e.err == nil; {
 			if time.Since(from) > 2*time.Second {
@@ -205,7 +207,7 @@
 				e.served = time.Since(from)
 			}
 		}
-		went <- e
+		reused <- e
 	}()
 	signalled.Store(true)
 	from := time.Now()
@@ -241,10 +243,10 @@
 	if err := <-long; err != nil {
 		t.Errorf("a request in flight at the end: %v", err)
 	}
-	if lost.Load() > 0 || afterSignal.Load() == 0 {
-		t.Errorf("%d requests lost; %d answered, %d of them sent after the signal", lost.Load(), answered.Load(), afterSignal.Load())
+	if lost.Load() > 0 || answeredAfterSignal.Load() == 0 {
+		t.Errorf("%d requests lost; %d answered, %d of them sent after the signal", lost.Load(), answered.Load(), answeredAfterSignal.Load())
 	}
-	if e := <-went; e.err != nil || e.served < 1900*time.Millisecond || e.status < 500 || e.at > 3600*time.Millisecond {
+	if e := <-reused; e.err != nil || e.served < 1900*time.Millisecond || e.status < 500 || e.at > 3600*time.Millisecond {
 		t.Errorf("on an open connection: served until %v, then %d at %v, %v", e.served, e.status, e.at, e.err)
 	}
 	if took > 3700*time.Millisecond {
@@ -252,8 +254,8 @@
 	}
 }
 
-// SIGHUP never ends the program, whatever the file holds. The discovery server that the file names then is used, although
-// the environment named another at the start.
+// SIGHUP never ends the program, whatever the configuration file contains. The discovery server that the file
+// names then is used, even if the environment named another one at the start.
 func TestSIGHUPSwitchesDiscovery(t *testing.T) {
 	discovery := func(called chan struct{}) string {
 		d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -345,7 +347,7 @@
 	cmd.Process.Signal(syscall.SIGTERM)
 	cmd.Process.Signal(syscall.SIGHUP)
 	logged("stopped")
-	for range lines { // to the end, before Wait closes the pipe
+	for range lines { // read to the end before Wait closes the pipe
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Errorf("the program ended with %v", err)
--- a/cmd/ringtrack/ready_test.go
+++ b/cmd/ringtrack/ready_test.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// A process is ready within its bound, whatever discovery does: at once where its configuration has a backend, else once
-// discovery has answered.
+// A process is ready within its time limit, however discovery behaves: at once if its configuration lists a
+// backend, otherwise once discovery has answered.
 func TestStartIsReadyInTime(t *testing.T) {
 	const list = `{"version":7,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:9","zone":"east","kind":"big","state":"up","weight":1}]}`
 	const none = `{"version":0,"full":true,"servers":[]}`
 	silent := func(http.ResponseWriter, *http.Request) bool { return false }
-	unable := func(w http.ResponseWriter, _ *http.Request) bool { w.WriteHeader(503); return true }
+	unavailable := func(w http.ResponseWriter, _ *http.Request) bool { w.WriteHeader(503); return true }
 	slow := func(w http.ResponseWriter, r *http.Request) bool {
 		select {
 		case <-time.After(8 * time.Second):
@@ -29,28 +29,28 @@
 			return true
 		}
 	}
-	for name, x := range map[string]struct {
-		known  string
-		bad    int64 // calls that fail before discovery answers; -1: all
-		how    func(http.ResponseWriter, *http.Request) bool
-		late   bool // the configuration is written after the start
+	for name, test := range map[string]struct {
+		known  string                                        // the endpoint list in the configuration
+		fails  int64                                         // calls that fail before discovery answers; -1: all
+		fail   func(http.ResponseWriter, *http.Request) bool // false: the call is to stay open
+		late   bool                                          // the configuration is complete only after 2 s
 		agents int
 		index  int
 		within time.Duration
 	}{
-		"known, silent":            {list, -1, silent, false, 1, 0, 2 * time.Second},
-		"known, 503":               {list, -1, unable, false, 30, 29, 2 * time.Second},
-		"known, late, silent":      {list, -1, silent, true, 30, 29, 4 * time.Second},
-		"none":                     {none, 0, silent, false, 30, 29, 6 * time.Second},
-		"none, late":               {none, 0, silent, true, 30, 29, 6 * time.Second},
-		"none, 503 thrice":         {none, 3, unable, false, 1, 0, 10 * time.Second},
-		"none, 503 thrice, 30":     {none, 3, unable, false, 30, 29, 10 * time.Second},
-		"none, 503 four times":     {none, 4, unable, false, 1, 0, 10 * time.Second},
-		"none, silent once":        {none, 1, silent, false, 1, 0, 6 * time.Second},
-		"none, silent once, last":  {none, 1, silent, false, 30, 29, 10 * time.Second},
-		"none, slow":               {none, -1, slow, false, 1, 0, 10 * time.Second},
-		"none, slow, middle of 30": {none, -1, slow, false, 30, 15, 10 * time.Second},
-		"none, slow, last of 30":   {none, -1, slow, false, 30, 29, 11 * time.Second},
+		"known, silent":                     {list, -1, silent, false, 1, 0, 2 * time.Second},
+		"known, 503":                        {list, -1, unavailable, false, 30, 29, 2 * time.Second},
+		"known, late, silent":               {list, -1, silent, true, 30, 29, 4 * time.Second},
+		"none":                              {none, 0, silent, false, 30, 29, 6 * time.Second},
+		"none, late":                        {none, 0, silent, true, 30, 29, 6 * time.Second},
+		"none, 503 three times":             {none, 3, unavailable, false, 1, 0, 10 * time.Second},
+		"none, 503 three times, last of 30": {none, 3, unavailable, false, 30, 29, 10 * time.Second},
+		"none, 503 four times":              {none, 4, unavailable, false, 1, 0, 10 * time.Second},
+		"none, silent once":                 {none, 1, silent, false, 1, 0, 6 * time.Second},
+		"none, silent once, last of 30":     {none, 1, silent, false, 30, 29, 10 * time.Second},
+		"none, slow":                        {none, -1, slow, false, 1, 0, 10 * time.Second},
+		"none, slow, middle of 30":          {none, -1, slow, false, 30, 15, 10 * time.Second},
+		"none, slow, last of 30":            {none, -1, slow, false, 30, 29, 11 * time.Second},
 	} {
 		for _, mode := range []string{"on_request", "pushed"} {
 			t.Run(name+", "+mode, func(t *testing.T) {
@@ -60,8 +60,8 @@
 				discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					n := calls.Add(1)
 					switch {
-					case x.bad < 0 || n <= x.bad:
-						if !x.how(w, r) {
+					case test.fails < 0 || n <= test.fails:
+						if !test.fail(w, r) {
 							select {
 							case <-r.Context().Done():
 							case <-testEnded:
@@ -78,10 +78,10 @@
 				}))
 				defer discovery.Close()
 				defer close(testEnded)
-				set := strings.NewReplacer(`"askWithinMs":1600`, `"askWithinMs":10000`, `"on_request"`, `"`+mode+`"`,
-					`"replicasOfMe":1`, fmt.Sprintf(`"replicasOfMe":%d,"index":%d`, x.agents, x.index)).Replace(settings)
+				testSettings := strings.NewReplacer(`"askWithinMs":1600`, `"askWithinMs":10000`, `"on_request"`, `"`+mode+`"`,
+					`"replicasOfMe":1`, fmt.Sprintf(`"replicasOfMe":%d,"index":%d`, test.agents, test.index)).Replace(settings)
 				text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
-"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`, discovery.Listener.Addr().String(), x.known, set)
+"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`, discovery.Listener.Addr().String(), test.known, testSettings)
 				cmd := newProgram(t, text)
 				path := ""
 				for _, v := range cmd.Env {
@@ -89,7 +89,7 @@
 						path = value
 					}
 				}
-				if x.late { // cut off in the middle of a write
+				if test.late { // truncated, as in the middle of a write
 					if err := os.WriteFile(path, []byte(text[:len(text)/2]), 0o600); err != nil {
 						t.Fatal(err)
 					}
@@ -103,7 +103,7 @@
 					t.Fatal(err)
 				}
 				defer func() { cmd.Process.Kill(); cmd.Wait() }()
-				if x.late {
+				if test.late {
 					time.AfterFunc(2*time.Second, func() { os.WriteFile(path, []byte(text), 0o600) })
 				}
 				addrs := make(chan string, 1)
@@ -118,16 +118,16 @@
 				select {
 				case addr = <-addrs:
 				case <-time.After(testTimeout):
-					t.Fatal("it does not listen")
+					t.Fatal("the process does not listen")
 				}
-				waitUntil(t, "it was never ready", func() bool {
+				waitUntil(t, "the process was never ready", func() bool {
 					status, _ := adminCall(addr, "GET", "/-/ready")
 					return status == 200
 				})
 				took := time.Since(from)
 				t.Logf("ready after %v, %d calls", took.Round(10*time.Millisecond), calls.Load())
-				if took > x.within {
-					t.Errorf("ready after %v, the bound is %v", took, x.within)
+				if took > test.within {
+					t.Errorf("ready after %v, want at most %v", took, test.within)
 				}
 			})
 		}
--- a/cmd/ringtrack/signals_test.go
+++ b/cmd/ringtrack/signals_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// Signals that repeat until the process has ended do not kill it: it ends gracefully, with exit code 0.
+// Signals that are repeated until the process has ended do not kill it: it shuts down gracefully, with exit
+// code 0.
 func TestRepeatedSignalsDoNotKillProcess(t *testing.T) {
 	discovery := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer discovery.Close()
--- a/cmd/ringtrack/upgrade_test.go
+++ b/cmd/ringtrack/upgrade_test.go
@@ -18,7 +18,8 @@
 	"time"
 )
 
-// startProcess starts a process of the agent whose processes share tmp, and returns the address of its admin endpoint.
+// startProcess starts a process of the agent whose processes share the folder tmp, and returns the address of
+// its admin endpoint.
 func startProcess(t *testing.T, config map[string]any, tmp string) (*exec.Cmd, string) {
 	t.Helper()
 	text, err := json.Marshal(config)
@@ -78,9 +79,9 @@
 	}
 }
 
-// A new process takes over from the one that serves, twice, under load: no connection is refused, no request is lost, the
-// old process exits, and a backend that was cordoned at either process gets no requests from both until it is
-// uncordoned.
+// Under load a new process takes over from the one that serves, twice: no connection is refused, no request
+// is lost, the old process exits, and a backend that was cordoned at either process gets no requests from any
+// until it is uncordoned.
 func TestUpgradeUnderLoad(t *testing.T) {
 	var used [2]atomic.Int64
 	var servers []any
@@ -163,12 +164,12 @@
 			}
 		})
 	}
-	more := func() {
+	waitForTraffic := func() {
 		t.Helper()
 		from := served.Load()
-		waitUntil(t, "nothing is served", func() bool { return served.Load() > from+100 })
+		waitUntil(t, "no more requests are served", func() bool { return served.Load() > from+100 })
 	}
-	more()
+	waitForTraffic()
 	if status, body := adminCall(admin, "PUT", "/admin/cordon?name=s-0"); status != 200 {
 		t.Fatalf("cordon: %d %s", status, body)
 	}
@@ -177,9 +178,9 @@
 	}
 	wantNoRequests := func(i int, what string) {
 		t.Helper()
-		time.Sleep(250 * time.Millisecond) // the shortest grace of a drain
+		time.Sleep(250 * time.Millisecond) // the shortest drain grace
 		before := used[i].Load()
-		more()
+		waitForTraffic()
 		if n := used[i].Load() - before; n > 0 {
 			t.Errorf("%s: %d requests to the cordoned backend", what, n)
 		}
@@ -189,7 +190,7 @@
 		next, nextAdmin := startProcess(t, config, tmp)
 		waitUntil(t, "the next process never serves", healthy(nextAdmin))
 		wantNoRequests(0, "beside the new process")
-		// The cordons of the new process reach the old one.
+		// Cordons at the new process reach the old one.
 		if status, _ := adminCall(nextAdmin, "PUT", "/admin/uncordon?name=s-0"); status != 200 {
 			t.Errorf("uncordon: %d", status)
 		}
@@ -198,7 +199,7 @@
 		}
 		wantNoRequests(1, "cordoned at the other process")
 		before := used[0].Load()
-		more()
+		waitForTraffic()
 		if used[0].Load() == before {
 			t.Error("the uncordoned backend is not used")
 		}
@@ -211,7 +212,7 @@
 		if err := old.Wait(); err != nil || time.Since(from) > 1700*time.Millisecond {
 			t.Errorf("round %d: the old process ended after %v with %v", round, time.Since(from), err)
 		}
-		more()
+		waitForTraffic()
 		old, admin = next, nextAdmin
 	}
 	close(stop)
@@ -219,9 +220,10 @@
 	if lost.Load() > 0 || refused.Load() > 1 {
 		t.Errorf("%d requests lost, %d refused or closed, of %d", lost.Load(), refused.Load(), ids.Load())
 	}
-	// The counters of the last process are those of its answers, no request is open, and only the cordoned backend is out
-	// of the rotation. On a busy machine the balancer may take the other one for silent, after eight response times, some ms
-	// here. Requests end that, and without one in flight no backend is silent: so they are sent one at a time.
+	// The counters of the last process match its answers, no request is open, and only the cordoned backend
+	// is out of the rotation. On a busy machine the balancer may also consider the other one silent, after
+	// eight response times, which are a few ms here. Further requests end that, and without a request in
+	// flight no backend is silent, so they are sent one at a time.
 	var status int
 	var body string
 	for end := time.Now().Add(testTimeout); ; {
@@ -239,17 +241,17 @@
 		}
 		resp.Body.Close()
 		status, body = adminCall(admin, "GET", "/admin/stats")
-		figures := map[string]int64{}
+		metrics := map[string]int64{}
 		for line := range strings.Lines(body) {
 			name, value, _ := strings.Cut(strings.TrimSpace(line), "=")
-			figures[name], _ = strconv.ParseInt(value, 10, 64)
+			metrics[name], _ = strconv.ParseInt(value, 10, 64)
 		}
-		if status == 200 && figures["app.fulfilled.order"] >= 100 && figures["app.relayed"] >= figures["app.fulfilled.order"] &&
-			figures["app.open_requests"] == 0 && figures["app.registry_entries"] == 2 && figures["app.out_of_rotation"] == 1 {
+		if status == 200 && metrics["app.fulfilled.order"] >= 100 && metrics["app.relayed"] >= metrics["app.fulfilled.order"] &&
+			metrics["app.open_requests"] == 0 && metrics["app.registry_entries"] == 2 && metrics["app.out_of_rotation"] == 1 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("figures: %d %s", status, body)
+			t.Fatalf("metrics: status %d, %s", status, body)
 		}
 	}
 }
