--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -78,7 +78,7 @@
 
 const (
 	// StartTimeout is how long a start waits for a configuration file that is missing or not valid JSON,
-	// since the file may just be being written.
+	// since the file may be in the middle of a write.
 	StartTimeout = 3 * time.Second
 	// incompletePollInterval is how often a start reads such a file again.
 	incompletePollInterval = 50 * time.Millisecond
@@ -268,7 +268,7 @@
 
 // eventLoopConfig returns the event loop's part of the configuration.
 func (c *Config) eventLoopConfig() core.Config {
-	loop := core.Config{
+	loopConfig := core.Config{
 		Discovery:       c.Discovery,
 		CachedEndpoints: c.CachedEndpoints,
 		Settings:        c.Settings,
@@ -278,14 +278,14 @@
 		PublishRotation: c.AdminAddr != "",
 	}
 	if c.SharedConfig != nil {
-		loop.SharedConfig = &core.SharedConfig{RejectOnExpiry: c.SharedConfig.OnExpiry == client.OnExpiryReject}
+		loopConfig.SharedConfig = &core.SharedConfig{RejectOnExpiry: c.SharedConfig.OnExpiry == client.OnExpiryReject}
 	}
 	if c.Registry != nil {
-		loop.Merge = c.Registry.Merge()
+		loopConfig.Merge = c.Registry.Merge()
 		logProblem := func(problem string) { slog.Warn("problem with the registry", "problem", problem) }
-		loop.WatchNodes = ephemeral.NewSource(c.Registry).Feed(logProblem)
+		loopConfig.WatchNodes = ephemeral.NewSource(c.Registry).Feed(logProblem)
 	}
-	return loop
+	return loopConfig
 }
 
 // reportInline is the value of Report.Delivery for load reports that come with the responses.
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -146,11 +146,11 @@
 func TestUnansweredPollOutlivesProcess(t *testing.T) {
 	tmp := t.TempDir()
 	lastPoll := func() policy.LastPoll {
-		loop := core.Config{}
-		if _, err := newSharedState(&Config{UpgradeDir: join(t, tmp)}, &loop); err != nil {
+		loopConfig := core.Config{}
+		if _, err := newSharedState(&Config{UpgradeDir: join(t, tmp)}, &loopConfig); err != nil {
 			t.Fatal(err)
 		}
-		return loop.Settings.LastPoll
+		return loopConfig.Settings.LastPoll
 	}
 	until := func(want policy.LastPoll, when string) {
 		t.Helper()
