--- a/internal/upgrade/cordon.go
+++ b/internal/upgrade/cordon.go
@@ -18,7 +18,7 @@
 	return ids, err
 }
 
-// Cordon saves whether an operator has cordoned a backend. The other process applies it within PollInterval
+// Cordon saves whether an operator has cordoned a backend. The other process notices it within PollInterval
 // after Cordon has returned. For that, a process that has just joined another one first waits, for at most
 // settleTime, until the other one has noticed it.
 func (d *Dir) Cordon(id string, cordoned bool) error {
