--- a/cmd/ringtrack-control/main_test.go
+++ b/cmd/ringtrack-control/main_test.go
@@ -67,7 +67,7 @@
 // The program serves, reloads its configuration on SIGHUP, keeps the last one where the new one is invalid, and shuts
 // down on SIGTERM.
 func TestReloadAndShutdownBySignal(t *testing.T) {
-	roster, err := lab.NewRoster(membership.Entry{ID: "s-1", Addr: "127.0.0.1:80", Zone: "east", State: membership.Up, Weight: 1})
+	roster, err := lab.NewDiscoveryService(membership.Entry{ID: "s-1", Addr: "127.0.0.1:80", Zone: "east", State: membership.Up, Weight: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/ringtrack/descriptors_test.go
+++ b/cmd/ringtrack/descriptors_test.go
@@ -145,7 +145,7 @@
 		entries = append(entries, e)
 	}
 	fresh, _ := server("fresh")
-	discovery, err := lab.NewRoster(entries...)
+	discovery, err := lab.NewDiscoveryService(entries...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,7 +219,7 @@
 	waitFor := func(version uint64) bool {
 		for timeout := time.After(testTimeout); ; {
 			select {
-			case index := <-discovery.Asked:
+			case index := <-discovery.WatchIndexes:
 				if index >= version {
 					return true
 				}
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -128,11 +128,11 @@
 }
 
 // fakeDiscovery is the lab's discovery server, with the waits of tests.
-type fakeDiscovery struct{ *lab.Roster }
+type fakeDiscovery struct{ *lab.DiscoveryService }
 
 func newDiscoveryServer(t *testing.T, servers ...membership.Entry) *fakeDiscovery {
 	t.Helper()
-	r, err := lab.NewRoster(servers...)
+	r, err := lab.NewDiscoveryService(servers...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,7 +154,7 @@
 	timeout := time.After(testTimeout)
 	for {
 		select {
-		case index := <-d.Asked:
+		case index := <-d.WatchIndexes:
 			if index >= version {
 				return
 			}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -28,13 +28,13 @@
 // fixture is service discovery and a replica of the control service.
 type fixture struct {
 	t      *testing.T
-	roster *lab.Roster
+	roster *lab.DiscoveryService
 	*service.Service
 }
 
 func newFixture(t *testing.T, entries []membership.Entry, change func(*control.Config)) *fixture {
 	t.Helper()
-	r, err := lab.NewRoster(entries...)
+	r, err := lab.NewDiscoveryService(entries...)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/proxy_test.go
+++ b/internal/control/proxy_test.go
@@ -40,7 +40,7 @@
 
 // The same over sockets, with the executions counted at the servers.
 func TestServersSeeOnlySafeRetries(t *testing.T) {
-	classes := map[string]lab.Effect{"read": lab.Safe, "send": lab.Keyed, "order": lab.Unsafe}
+	classes := map[string]lab.Effect{"read": lab.Idempotent, "send": lab.IdempotentByKey, "order": lab.NonIdempotent}
 	for name, c := range map[string]struct {
 		mode       lab.Mode
 		unsafe     int // attempts of a request that is not idempotent
@@ -54,7 +54,7 @@
 			ledger := lab.NewLedger(lab.DefaultRules())
 			var entries []membership.Entry
 			for i := range 4 {
-				s, err := lab.NewOrderServer(fmt.Sprint("s-", i), "east", 0, ledger)
+				s, err := lab.NewBackend(fmt.Sprint("s-", i), "east", 0, ledger)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -69,10 +69,10 @@
 			for class, effect := range classes {
 				for i := range 5 {
 					id := fmt.Sprint(class, "-", i)
-					ledger.Asked(id, effect, id, time.Now().Add(3*time.Second))
+					ledger.AttemptStarted(id, effect, id, time.Now().Add(3*time.Second))
 					res := p.Call(t.Context(), class, id, id+" ")
 					want := c.repeatable
-					if effect == lab.Unsafe {
+					if effect == lab.NonIdempotent {
 						want = c.unsafe
 					}
 					if res.Attempts != want {
@@ -82,12 +82,12 @@
 					if res.Status == 200 {
 						v = lab.Served
 					} else if !res.MayHaveRun {
-						v = lab.Refused
+						v = lab.Rejected
 					}
 					ledger.Answered(id, v, time.Now())
 				}
 			}
-			if broken, texts := ledger.Breaches(time.Now()); len(broken) > 0 {
+			if broken, texts := ledger.Violations(time.Now()); len(broken) > 0 {
 				t.Errorf("broken %v: %q", broken, texts)
 			}
 		})
--- a/internal/downstream/answerrules_test.go
+++ b/internal/downstream/answerrules_test.go
@@ -16,7 +16,7 @@
 		w.Set(lab.Failing)
 		call(t, w, "order", long, lab.Failed)
 		w.Set(lab.Full)
-		if a := call(t, w, "order", long, lab.Refused); a.After != 600*time.Millisecond {
+		if a := call(t, w, "order", long, lab.Rejected); a.After != 600*time.Millisecond {
 			t.Errorf("Retry-After %v", a.After)
 		}
 	}},
--- a/internal/downstream/clientrules_test.go
+++ b/internal/downstream/clientrules_test.go
@@ -22,7 +22,7 @@
 		var all []byte
 		for range 20 {
 			r := w.Request("order", waitTimeout)
-			w.Ledger.Asked(r.Op, r.Effect, r.Op, time.Now().Add(r.Within))
+			w.Ledger.AttemptStarted(r.Op, r.Effect, r.Op, time.Now().Add(r.Within))
 			sent, all = append(sent, r), append(all, w.Protocol.Encode(r)...)
 		}
 		go c.Write(all)
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -63,7 +63,7 @@
 }
 
 // call makes one call and checks that its verdict is one of these.
-func call(t *testing.T, w *world.World, method string, within time.Duration, want ...lab.Verdict) world.Answer {
+func call(t *testing.T, w *world.World, method string, within time.Duration, want ...lab.Outcome) world.Answer {
 	t.Helper()
 	a, err := w.Call(method, within)
 	if err != nil {
--- a/internal/downstream/membershiprules_test.go
+++ b/internal/downstream/membershiprules_test.go
@@ -35,7 +35,7 @@
 		for _, s := range w.Servers {
 			e := s.Entry
 			e.State = membership.Draining
-			w.Ledger.Told(e.ID, time.Now())
+			w.Ledger.NotifiedDraining(e.ID, time.Now())
 			w.Roster.Set(e)
 		}
 		<-done
@@ -92,7 +92,7 @@
 	}
 	draining := w.Servers[:2]
 	for _, s := range draining {
-		w.Ledger.Told(s.Entry.ID, time.Now())
+		w.Ledger.NotifiedDraining(s.Entry.ID, time.Now())
 		drain(s)
 	}
 	time.Sleep(250 * time.Millisecond)
--- a/internal/downstream/retryrules_test.go
+++ b/internal/downstream/retryrules_test.go
@@ -47,7 +47,7 @@
 		w.Set(lab.Breaking)
 		for _, method := range []string{"send", "read"} {
 			n := w.Begun()
-			call(t, w, method, long, lab.Refused, lab.Failed)
+			call(t, w, method, long, lab.Rejected, lab.Failed)
 			if got := w.Begun() - n; got < 2 || got > 3 {
 				t.Errorf("%s: %d attempts", method, got)
 			}
--- a/internal/downstream/rules_test.go
+++ b/internal/downstream/rules_test.go
@@ -55,7 +55,7 @@
 							r.run(t, w)
 						}
 						errs := []error{wrong, w.Stop()}
-						switch broken, words := w.Ledger.Breaches(time.Now().Add(time.Hour)); {
+						switch broken, words := w.Ledger.Violations(time.Now().Add(time.Hour)); {
 						case r.timed != nil && w.Ledger.Totals.Late > 0 && len(broken) == 1 && broken[1] == w.Ledger.Totals.Late:
 							late = errors.Join(late, fmt.Errorf("late: %q", words))
 						case len(broken) > 0:
--- a/internal/lab/acceptance/cold.go
+++ b/internal/lab/acceptance/cold.go
@@ -22,7 +22,7 @@
 	const servers, load = 10, 1.5
 	proxies := o.scaled(100, 20)
 	entries := paper(servers)
-	roster, err := lab.NewRoster(entries...)
+	roster, err := lab.NewDiscoveryService(entries...)
 	if err != nil {
 		return nil, err
 	}
@@ -75,7 +75,7 @@
 				tab, _ := p.Table()
 				if addr := tab.Pick(fmt.Sprint(seed, n%5000), nil, nil); addr != "" {
 					p.RecordServed(addr)
-					ledger.Began(ids[addr], time.Now())
+					ledger.RequestReceived(ids[addr], time.Now())
 				}
 			}
 		})
@@ -118,7 +118,7 @@
 	}
 	cancel()
 	running.Wait()
-	worst := ledger.Coldest()
+	worst := ledger.MaxOverload()
 	r.add("proxies", float64(proxies), "")
 	r.add("deaf", float64(deaf), "")
 	r.add("requests_per_s", total, "")
--- a/internal/lab/acceptance/crowd.go
+++ b/internal/lab/acceptance/crowd.go
@@ -24,10 +24,10 @@
 func drainsOf(ctx context.Context, ours bool, k kind, proxies, servers, drains int, quiet time.Duration) (cost, error) {
 	var c cost
 	spec := fmt.Sprint("peer ", servers)
-	var roster *lab.Roster
+	var roster *lab.DiscoveryService
 	if ours {
 		var err error
-		if roster, err = lab.NewRoster(paper(servers)...); err != nil {
+		if roster, err = lab.NewDiscoveryService(paper(servers)...); err != nil {
 			return c, err
 		}
 		defer roster.Close()
--- a/internal/lab/acceptance/drains.go
+++ b/internal/lab/acceptance/drains.go
@@ -38,7 +38,7 @@
 func drains(ctx context.Context, o *Options, r *Report, nodes bool) (*Report, error) {
 	rng := o.rng()
 	ledger := lab.NewLedger(lab.DefaultRules())
-	var servers []*lab.OrderServer
+	var servers []*lab.Backend
 	var entries []membership.Entry
 	defer func() {
 		for _, s := range servers {
@@ -46,24 +46,24 @@
 		}
 	}()
 	for i := range drainServers {
-		s, err := lab.NewOrderServer(fmt.Sprintf("s-%02d", i), zones[i%3], time.Millisecond, ledger)
+		s, err := lab.NewBackend(fmt.Sprintf("s-%02d", i), zones[i%3], time.Millisecond, ledger)
 		if err != nil {
 			return nil, err
 		}
 		servers, entries = append(servers, s), append(entries, s.Entry)
 	}
-	roster, err := lab.NewRoster(entries...)
+	roster, err := lab.NewDiscoveryService(entries...)
 	if err != nil {
 		return nil, err
 	}
 	defer roster.Close()
 	// away and back tell of a server in the one way or in the other.
-	away := func(s *lab.OrderServer) {
+	away := func(s *lab.Backend) {
 		e := s.Entry
 		e.State = membership.Draining
 		roster.Set(e)
 	}
-	back := func(s *lab.OrderServer) { roster.Set(s.Entry) }
+	back := func(s *lab.Backend) { roster.Set(s.Entry) }
 	change := func(*control.Config) {}
 	if nodes {
 		reg, err := newRegistry(3, o.Seed, "[flap]\nsettle_ms = 0\nmost_ms = 0\n")
@@ -74,8 +74,8 @@
 		for _, s := range servers {
 			reg.put(&s.Entry)
 		}
-		away = func(s *lab.OrderServer) { reg.remove(s.ID) }
-		back = func(s *lab.OrderServer) { reg.put(&s.Entry) }
+		away = func(s *lab.Backend) { reg.remove(s.ID) }
+		back = func(s *lab.Backend) { reg.put(&s.Entry) }
 		change = func(c *control.Config) { c.Ephemeral = reg.file }
 	}
 	svc, err := service.StartWith(roster, change)
@@ -143,7 +143,7 @@
 			}
 		}
 		told, waited := time.Now(), queue.waited()
-		ledger.Told(s.ID, told)
+		ledger.NotifiedDraining(s.ID, told)
 		away(s)
 		gone.Go(func() {
 			var each sync.WaitGroup
@@ -165,7 +165,7 @@
 			}
 			each.Wait()
 			time.Sleep(time.Until(told.Add(drainFor)))
-			ledger.Up(s.ID)
+			ledger.InService(s.ID)
 			back(s)
 			free <- i
 		})
@@ -182,7 +182,7 @@
 	gone.Wait()
 	cancel()
 	running.Wait()
-	broken, words := ledger.Breaches(time.Now())
+	broken, words := ledger.Violations(time.Now())
 	slices.Sort(lag)
 	t := ledger.Totals
 	r.add("drains", float64(drains), "")
@@ -215,7 +215,7 @@
 	classes := []struct {
 		name   string
 		effect lab.Effect
-	}{{"read", lab.Safe}, {"send", lab.Keyed}, {"order", lab.Unsafe}}
+	}{{"read", lab.Idempotent}, {"send", lab.IdempotentByKey}, {"order", lab.NonIdempotent}}
 	for n := 0; ; n++ {
 		select {
 		case <-t.C:
@@ -224,14 +224,14 @@
 		}
 		id := fmt.Sprintf("%s-%d", name, n)
 		c := classes[n%3]
-		ledger.Asked(id, c.effect, id, time.Now().Add(2*time.Second))
+		ledger.AttemptStarted(id, c.effect, id, time.Now().Add(2*time.Second))
 		res := p.Call(context.WithoutCancel(ctx), c.name, fmt.Sprint(n%97), id+" ")
 		v := lab.Failed
 		switch {
 		case res.Status == 200:
 			v = lab.Served
 		case !res.MayHaveRun && (res.Status == 429 || res.Status == 503):
-			v = lab.Refused
+			v = lab.Rejected
 		}
 		ledger.Answered(id, v, time.Now())
 	}
--- a/internal/lab/acceptance/ephemeral.go
+++ b/internal/lab/acceptance/ephemeral.go
@@ -40,12 +40,12 @@
 				case <-ctx.Done():
 					return
 				}
-				name, effect, within := "order", lab.Unsafe, 1200*time.Millisecond
+				name, effect, within := "order", lab.NonIdempotent, 1200*time.Millisecond
 				switch k % 4 {
 				case 0:
-					name, effect, within = "read", lab.Safe, 800*time.Millisecond
+					name, effect, within = "read", lab.Idempotent, 800*time.Millisecond
 				case 1:
-					name, effect, within = "send", lab.Keyed, 600*time.Millisecond
+					name, effect, within = "send", lab.IdempotentByKey, 600*time.Millisecond
 				}
 				c.Do(context.WithoutCancel(ctx), fmt.Sprintf("%s-%d-%d", name, i, k), name, effect, fmt.Sprintf("%016x", (k*7+i)%997+1), within)
 			}
@@ -104,9 +104,9 @@
 		id := strings.TrimPrefix(c.Path, "/fleet/")
 		switch c.Event {
 		case zkwire.NodeDeleted:
-			w.Ledger.Told(id, c.At)
+			w.Ledger.NotifiedDraining(id, c.At)
 		case zkwire.NodeCreated:
-			w.Ledger.Up(id)
+			w.Ledger.InService(id)
 		}
 	})
 	for _, s := range w.Servers {
@@ -183,7 +183,7 @@
 		return ctx.Err()
 	}
 	slices.Sort(lag)
-	broken, words := w.Ledger.Breaches(time.Now().Add(time.Minute))
+	broken, words := w.Ledger.Violations(time.Now().Add(time.Minute))
 	t := w.Ledger.Totals
 	r.add("deletes", float64(n), "")
 	r.add("requests", float64(t.Received), "")
@@ -274,7 +274,7 @@
 	if ctx.Err() != nil {
 		return 0, 0, ctx.Err()
 	}
-	if broken, words := w.Ledger.Breaches(time.Now().Add(time.Minute)); broken[1]+broken[2]+broken[3] > 0 {
+	if broken, words := w.Ledger.Violations(time.Now().Add(time.Minute)); broken[1]+broken[2]+broken[3] > 0 {
 		return 0, 0, fmt.Errorf("rules broken %v: %v", broken, words)
 	}
 	t := w.Ledger.Totals
@@ -375,13 +375,13 @@
 	if err := wait(settled + time.Second); err != nil {
 		return nil, err
 	}
-	coldest := w.Ledger.Coldest()
+	coldest := w.Ledger.MaxOverload()
 	stop()
 	clients.Wait()
 	if err := w.Stop(); err != nil {
 		return nil, err
 	}
-	broken, words := w.Ledger.Breaches(time.Now().Add(time.Minute))
+	broken, words := w.Ledger.Violations(time.Now().Add(time.Minute))
 	r.add("flaps", float64(flaps), "")
 	r.add("steady_share_after", warm, "")
 	r.add("restarted_of_cold_capacity", coldest, "")
--- a/internal/lab/acceptance/ephemeralfaults.go
+++ b/internal/lab/acceptance/ephemeralfaults.go
@@ -95,7 +95,7 @@
 			drains++
 			e := s.Entry
 			e.State = membership.Draining
-			w.Ledger.Told(e.ID, time.Now())
+			w.Ledger.NotifiedDraining(e.ID, time.Now())
 			if o.Defect {
 				late.Go(func() { time.Sleep(400 * time.Millisecond); w.Roster.Set(e) })
 			} else {
@@ -103,7 +103,7 @@
 			}
 		case x < 6 && drained[s]:
 			delete(drained, s)
-			w.Ledger.Up(s.Entry.ID)
+			w.Ledger.InService(s.Entry.ID)
 			w.Roster.Set(s.Entry)
 		case x < 9 && len(missing) < 4 && !missing[s]:
 			missing[s] = true
@@ -133,7 +133,7 @@
 	late.Wait()
 	heal()
 	for _, s := range w.Servers {
-		w.Ledger.Up(s.Entry.ID)
+		w.Ledger.InService(s.Entry.ID)
 		w.Roster.Set(s.Entry)
 		reg.put(&s.Entry)
 	}
@@ -159,7 +159,7 @@
 	if err := w.Stop(); err != nil {
 		return nil, err
 	}
-	broken, words := w.Ledger.Breaches(time.Now().Add(time.Minute))
+	broken, words := w.Ledger.Violations(time.Now().Add(time.Minute))
 	t := w.Ledger.Totals
 	share := float64(t.Served) / float64(max(t.Served+t.Failed+t.Rejected, 1))
 	r.add("steps", float64(n), "")
@@ -167,7 +167,7 @@
 	r.add("restarts", float64(restarts), "")
 	r.add("requests", float64(t.Received), "")
 	r.add("served_share", share, "")
-	r.add("cold_of_capacity", w.Ledger.Coldest(), "")
+	r.add("cold_of_capacity", w.Ledger.MaxOverload(), "")
 	r.add("idle_once_well", float64(idle), "")
 	r.add("rules_broken", float64(len(broken)), "")
 	if len(broken) > 0 {
--- a/internal/lab/acceptance/flat.go
+++ b/internal/lab/acceptance/flat.go
@@ -65,7 +65,7 @@
 	for ; next < flatServers; next++ {
 		entries = append(entries, entry(next))
 	}
-	roster, err := lab.NewRoster(entries...)
+	roster, err := lab.NewDiscoveryService(entries...)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/acceptance/fleetclient.go
+++ b/internal/lab/acceptance/fleetclient.go
@@ -19,10 +19,10 @@
 // hold brings a request with far more time than an end leaves, to a server that says nothing, and returns once it
 // is there. Its answer has to come before the process ends.
 func (f *fleet) hold(ctx context.Context, a *fleetAgent) {
-	c := fleetClient{f: f, a: a, name: lab.HeldOp + filepath.Base(a.dir), rng: f.o.rng()}
+	c := fleetClient{f: f, a: a, name: lab.UnansweredPrefix + filepath.Base(a.dir), rng: f.o.rng()}
 	sent := make(chan struct{})
 	f.held.Go(func() {
-		c.ask(ctx, c.name, "order", lab.Unsafe, fmt.Sprintf("%s-%d", c.name, time.Now().UnixNano()), heldFor, sent)
+		c.ask(ctx, c.name, "order", lab.NonIdempotent, fmt.Sprintf("%s-%d", c.name, time.Now().UnixNano()), heldFor, sent)
 		c.drop()
 	})
 	<-sent
@@ -44,18 +44,18 @@
 	classes := []struct {
 		name   string
 		effect lab.Effect
-	}{{"read", lab.Safe}, {"send", lab.Keyed}, {"order", lab.Unsafe}}
+	}{{"read", lab.Idempotent}, {"send", lab.IdempotentByKey}, {"order", lab.NonIdempotent}}
 	defer c.drop()
 	for n := 0; ctx.Err() == nil; n++ {
 		class := classes[n%3]
 		op := fmt.Sprintf("%s-%d", c.name, n)
 		var id string
-		v := lab.Refused
-		for try := 0; try < 3 && v == lab.Refused; try++ { // refused, it comes back at once, under a new id
+		v := lab.Rejected
+		for try := 0; try < 3 && v == lab.Rejected; try++ { // refused, it comes back at once, under a new id
 			id = fmt.Sprintf("%s-%d", op, try)
 			v = c.ask(ctx, op, class.name, class.effect, id, c.f.deadline, nil)
 		}
-		if v != lab.Refused && class.effect == lab.Unsafe && c.rng.IntN(4) == 0 {
+		if v != lab.Rejected && class.effect == lab.NonIdempotent && c.rng.IntN(4) == 0 {
 			c.again(op, class.name, id)
 		}
 		time.Sleep(time.Duration(c.rng.IntN(10)) * time.Millisecond)
@@ -96,7 +96,7 @@
 }
 
 // read reads an answer; begun tells whether a byte of one came.
-func (c *fleetClient) read(until time.Time) (v lab.Verdict, begun bool, err error) {
+func (c *fleetClient) read(until time.Time) (v lab.Outcome, begun bool, err error) {
 	c.cn.SetReadDeadline(until.Add(2 * time.Second))
 	if _, err := c.br.Peek(1); err != nil {
 		return lab.Failed, false, err
@@ -115,16 +115,16 @@
 	case http.StatusOK:
 		return lab.Served, true, nil
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return lab.Refused, true, nil
+		return lab.Rejected, true, nil
 	}
 	return lab.Failed, true, nil
 }
 
 // ask brings one request and tells the ledger how it ended. sent, where it is set, is closed once it is written.
-func (c *fleetClient) ask(ctx context.Context, op, class string, effect lab.Effect, id string, within time.Duration, sent chan struct{}) lab.Verdict {
+func (c *fleetClient) ask(ctx context.Context, op, class string, effect lab.Effect, id string, within time.Duration, sent chan struct{}) lab.Outcome {
 	from := time.Now()
 	until := from.Add(within)
-	c.f.ledger.Asked(op, effect, op, until)
+	c.f.ledger.AttemptStarted(op, effect, op, until)
 	for again := false; ; again = true {
 		reused := c.used
 		err := c.send(op, class, id, within)
@@ -141,7 +141,7 @@
 		}
 		begun := false
 		if err == nil {
-			var v lab.Verdict
+			var v lab.Outcome
 			if v, begun, err = c.read(until); err == nil {
 				c.f.ledger.Answered(op, v, time.Now())
 				return v
--- a/internal/lab/acceptance/latency.go
+++ b/internal/lab/acceptance/latency.go
@@ -136,7 +136,7 @@
 				r := s.w.Request("order", 1200*time.Millisecond)
 				r.Key = r.Op
 				b := s.w.Protocol.Encode(r)
-				s.w.Ledger.Asked(r.Op, r.Effect, r.Op, time.Now().Add(r.Within))
+				s.w.Ledger.AttemptStarted(r.Op, r.Effect, r.Op, time.Now().Add(r.Within))
 				waited := s.queue.waited()
 				from := time.Now()
 				if _, err := c.Write(b); err != nil {
--- a/internal/lab/acceptance/soak.go
+++ b/internal/lab/acceptance/soak.go
@@ -127,7 +127,7 @@
 
 // report puts what was seen into the report, and judges it.
 func (s *soak) report(r *Report) {
-	broken, words := s.ledger.Breaches(time.Now().Add(heldFor))
+	broken, words := s.ledger.Violations(time.Now().Add(heldFor))
 	t := s.ledger.Totals
 	r.Short = s.short
 	r.add("deadline", millis(s.plan.deadline), "ms")
@@ -183,12 +183,12 @@
 		}
 	}
 	for i := range servers {
-		s, err := lab.NewOrderServer(fmt.Sprintf("s-%02d", i), zones[i%len(zones)], time.Millisecond, f.ledger)
+		s, err := lab.NewBackend(fmt.Sprintf("s-%02d", i), zones[i%len(zones)], time.Millisecond, f.ledger)
 		if err != nil {
 			closeAll()
 			return nil, err
 		}
-		f.ledger.Placed(s.ID, s.Entry.Zone)
+		f.ledger.SetZone(s.ID, s.Entry.Zone)
 		if f.defect == misplaced {
 			s.Entry.Zone = zones[i/len(zones)%len(zones)]
 		}
@@ -198,7 +198,7 @@
 		f.servers, entries = append(f.servers, s), append(entries, s.Entry)
 	}
 	for i := range f.rosters {
-		if f.rosters[i], err = lab.NewRoster(entries...); err != nil {
+		if f.rosters[i], err = lab.NewDiscoveryService(entries...); err != nil {
 			closeAll()
 			return nil, err
 		}
--- a/internal/lab/acceptance/stall.go
+++ b/internal/lab/acceptance/stall.go
@@ -16,7 +16,7 @@
 
 // stallSide is one control service with its own crowd.
 type stallSide struct {
-	roster *lab.Roster
+	roster *lab.DiscoveryService
 	svc    *service.Service
 	crowd  *crowd
 }
@@ -25,7 +25,7 @@
 func startStallSide(ctx context.Context, servers, proxies int, turns bool) (*stallSide, error) {
 	s := &stallSide{}
 	var err error
-	if s.roster, err = lab.NewRoster(paper(servers)...); err != nil {
+	if s.roster, err = lab.NewDiscoveryService(paper(servers)...); err != nil {
 		return nil, err
 	}
 	if s.svc, err = service.StartWith(s.roster, nil); err != nil {
--- a/internal/lab/acceptance/storm.go
+++ b/internal/lab/acceptance/storm.go
@@ -22,7 +22,7 @@
 	r := &Report{Proof: "storm", Seed: o.Seed, Scale: o.Scale}
 	proxies, servers := o.scaled(1000, 50), o.scaled(1000, 100)
 	entries := paper(servers)
-	roster, err := lab.NewRoster(entries...)
+	roster, err := lab.NewDiscoveryService(entries...)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/acceptance/thriftkill.go
+++ b/internal/lab/acceptance/thriftkill.go
@@ -100,7 +100,7 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	broken, words := w.Ledger.Breaches(time.Now().Add(time.Minute))
+	broken, words := w.Ledger.Violations(time.Now().Add(time.Minute))
 	t := w.Ledger.Totals
 	r.add("calls", float64(calls), "")
 	r.add("resets", float64(kills.Load()), "")
--- a/internal/lab/acceptance/wholefleet.go
+++ b/internal/lab/acceptance/wholefleet.go
@@ -56,9 +56,9 @@
 	o       *Options
 	defect  fleetDefect
 	ledger  *lab.Ledger
-	rosters [2]*lab.Roster // of which the second takes over
-	now     atomic.Int32   // the one that new configurations name
-	servers []*lab.OrderServer
+	rosters [2]*lab.DiscoveryService // of which the second takes over
+	now     atomic.Int32             // the one that new configurations name
+	servers []*lab.Backend
 	agents  []*fleetAgent
 	// endWithin is how long an end may take.
 	endWithin time.Duration
@@ -88,21 +88,21 @@
 }
 
 // told changes an entry at both rosters.
-func (f *fleet) told(change func(*lab.Roster)) {
+func (f *fleet) told(change func(*lab.DiscoveryService)) {
 	for _, r := range f.rosters {
 		change(r)
 	}
 }
 
 // replace replaces a server: it drains, and then another id is at its address, or its id in another cell.
-func (f *fleet) replace(s *lab.OrderServer, newID bool) {
-	f.ledger.Told(s.ID, time.Now())
+func (f *fleet) replace(s *lab.Backend, newID bool) {
+	f.ledger.NotifiedDraining(s.ID, time.Now())
 	e := s.Entry
 	e.State = membership.Draining
-	f.told(func(r *lab.Roster) { r.Set(e) })
+	f.told(func(r *lab.DiscoveryService) { r.Set(e) })
 	time.Sleep(400 * time.Millisecond)
 	old := s.Entry.ID
-	f.told(func(r *lab.Roster) { r.Remove(old) })
+	f.told(func(r *lab.DiscoveryService) { r.Remove(old) })
 	s.Cut()
 	if newID {
 		s.Entry.ID += "'"
@@ -110,8 +110,8 @@
 		s.Entry.Cell++
 	}
 	s.Entry.StartedMs = float64(time.Now().UnixMilli())
-	f.ledger.Up(s.ID)
-	f.told(func(r *lab.Roster) { r.Set(s.Entry) })
+	f.ledger.InService(s.ID)
+	f.told(func(r *lab.DiscoveryService) { r.Set(s.Entry) })
 }
 
 // trouble gives servers a mode each for a moment, and breaks connections, until ctx ends.
@@ -236,7 +236,7 @@
 	running.Wait()
 	all(f.agents, func(a *fleetAgent) error { f.hold(ctx, a); a.end(false); return nil })
 	f.held.Wait()
-	broken, words := f.ledger.Breaches(time.Now().Add(heldFor))
+	broken, words := f.ledger.Violations(time.Now().Add(heldFor))
 	t := f.ledger.Totals
 	r.Short = f.short
 	r.add("agents", float64(len(f.agents)), "")
--- a/internal/lab/cluster/traffic.go
+++ b/internal/lab/cluster/traffic.go
@@ -56,8 +56,8 @@
 
 // Traffic is a set of test servers, their discovery and a client for each agent.
 type Traffic struct {
-	Servers   []*lab.OrderServer
-	Discovery *lab.Roster
+	Servers   []*lab.Backend
+	Discovery *lab.DiscoveryService
 	Attempts  *AttemptLog
 
 	Served, Rejected, Failed, Unanswered, Late atomic.Int64
@@ -80,16 +80,16 @@
 	for i := range n {
 		id := serverName(i)
 		zone := zones[i%len(zones)]
-		s, err := lab.NewOrderServer(id, zone, serverLatency, nil)
+		s, err := lab.NewBackend(id, zone, serverLatency, nil)
 		if err != nil {
 			return nil, err
 		}
-		s.Saw(func(op string, at time.Time) { t.Attempts.Record(id, op, at) })
+		s.OnRequest(func(op string, at time.Time) { t.Attempts.Record(id, op, at) })
 		t.Attempts.Zone[id] = zone
 		t.Servers = append(t.Servers, s)
 		entries = append(entries, s.Entry)
 	}
-	t.Discovery, err = lab.NewRoster(entries...)
+	t.Discovery, err = lab.NewDiscoveryService(entries...)
 	return t, err
 }
 
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -36,7 +36,7 @@
 // run is Run with phases of this length.
 func run(ctx context.Context, w io.Writer, long time.Duration) error {
 	ledger := lab.NewLedger(lab.DefaultRules())
-	var servers []*lab.OrderServer
+	var servers []*lab.Backend
 	var entries []membership.Entry
 	defer func() {
 		for _, s := range servers {
@@ -44,13 +44,13 @@
 		}
 	}()
 	for i := range 6 {
-		s, err := lab.NewOrderServer(fmt.Sprintf("s-%d", i+1), []string{"east", "west", "south"}[i%3], 15*time.Millisecond, ledger)
+		s, err := lab.NewBackend(fmt.Sprintf("s-%d", i+1), []string{"east", "west", "south"}[i%3], 15*time.Millisecond, ledger)
 		if err != nil {
 			return err
 		}
 		servers, entries = append(servers, s), append(entries, s.Entry)
 	}
-	roster, err := lab.NewRoster(entries...)
+	roster, err := lab.NewDiscoveryService(entries...)
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 	// The agent calls the roster a moment after its start, which differs from agent to agent; until then
 	// it has been told nothing.
 	select {
-	case <-roster.Asked:
+	case <-roster.WatchIndexes:
 	case <-time.After(10 * time.Second):
 		return fmt.Errorf("demo: the agent does not follow the roster")
 	case <-ctx.Done():
@@ -93,7 +93,7 @@
 		{"s-2 is told to drain", "it finishes what it has and gets nothing new", long, func() {
 			e := servers[1].Entry
 			e.State = membership.Draining
-			ledger.Told("s-2", time.Now())
+			ledger.NotifiedDraining("s-2", time.Now())
 			roster.Set(e)
 		}},
 		{"s-4 goes silent", "nobody tells; the agent finds out by itself", long, func() { servers[3].Set(lab.Silent) }},
@@ -105,7 +105,7 @@
 			roster.Set(e)
 		}},
 		{"s-2 serves again", "", long, func() {
-			ledger.Up("s-2")
+			ledger.InService("s-2")
 			roster.Set(servers[1].Entry)
 		}},
 	}
@@ -136,7 +136,7 @@
 	}
 	cancel()
 	running.Wait()
-	broken, words := ledger.Breaches(time.Now())
+	broken, words := ledger.Violations(time.Now())
 	fmt.Fprintf(w, "\nThe ledger, kept by the stand-ins, over %d requests:\n", ledger.Totals.Attempts)
 	for rule, what := range []string{"", "every request has one answer, in time", "nothing takes effect twice",
 		"nothing new later than 250 ms after a drain was told", "no cold server is pushed over"} {
@@ -161,7 +161,7 @@
 	n  [3]int
 }
 
-func (t *tally) add(v lab.Verdict) {
+func (t *tally) add(v lab.Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.n[v]++
@@ -176,7 +176,7 @@
 func (t *tally) read() (served, refused, failed int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.n[lab.Served], t.n[lab.Refused], t.n[lab.Failed]
+	return t.n[lab.Served], t.n[lab.Rejected], t.n[lab.Failed]
 }
 
 // portal is one thread of the application: an operation every 25 ms or so.
@@ -187,7 +187,7 @@
 		name   string
 		effect lab.Effect
 		within time.Duration
-	}{{"read", lab.Safe, 800 * time.Millisecond}, {"send", lab.Keyed, 600 * time.Millisecond}, {"order", lab.Unsafe, 1200 * time.Millisecond}}
+	}{{"read", lab.Idempotent, 800 * time.Millisecond}, {"send", lab.IdempotentByKey, 600 * time.Millisecond}, {"order", lab.NonIdempotent, 1200 * time.Millisecond}}
 	for n := 0; ; n++ {
 		select {
 		case <-t.C:
@@ -200,7 +200,7 @@
 }
 
 // startAgent starts the product's agent in this process.
-func startAgent(roster *lab.Roster, known []membership.Entry) (addr string, stop func(), err error) {
+func startAgent(roster *lab.DiscoveryService, known []membership.Entry) (addr string, stop func(), err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
--- a/internal/lab/ledger.go
+++ b/internal/lab/ledger.go
@@ -10,19 +10,19 @@
 // What the book knows, by the lab's names.
 type (
 	Effect  = invariant.Effect
-	Verdict = invariant.Outcome
+	Outcome = invariant.Outcome
 	Rules   = invariant.Rules
 )
 
 // The effects and verdicts.
 const (
-	Safe   = invariant.Idempotent
-	Keyed  = invariant.IdempotentByKey
-	Unsafe = invariant.NonIdempotent
+	Idempotent      = invariant.Idempotent
+	IdempotentByKey = invariant.IdempotentByKey
+	NonIdempotent   = invariant.NonIdempotent
 
-	Served  = invariant.Served
-	Refused = invariant.Rejected
-	Failed  = invariant.Failed
+	Served   = invariant.Served
+	Rejected = invariant.Rejected
+	Failed   = invariant.Failed
 )
 
 // DefaultRules are those of the brief.
@@ -58,8 +58,8 @@
 	return &invariant.Operation{Name: id} // that nobody asked for
 }
 
-// Asked notes a client's try of an operation, and when its time is over.
-func (l *Ledger) Asked(id string, effect Effect, key string, until time.Time) {
+// AttemptStarted notes a client's try of an operation, and when its time is over.
+func (l *Ledger) AttemptStarted(id string, effect Effect, key string, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o := l.ops[id]
@@ -71,7 +71,7 @@
 }
 
 // Answered notes the answer of the try that is open.
-func (l *Ledger) Answered(id string, v Verdict, at time.Time) {
+func (l *Ledger) Answered(id string, v Outcome, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Checker.Answered(l.op(id), v, at)
@@ -84,15 +84,15 @@
 	l.Checker.Unanswered(l.op(id))
 }
 
-// Began notes that the first byte of a request came to a server.
-func (l *Ledger) Began(server string, at time.Time) {
+// RequestReceived notes that the first byte of a request came to a server.
+func (l *Ledger) RequestReceived(server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Checker.RequestReceived(l.server(server), at)
 }
 
-// Ran notes that an operation took effect at a server.
-func (l *Ledger) Ran(server, id string, at time.Time) {
+// Executed notes that an operation took effect at a server.
+func (l *Ledger) Executed(server, id string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o := l.ops[id]; o != nil {
@@ -102,22 +102,22 @@
 	}
 }
 
-// Placed notes the zone that a server is in.
-func (l *Ledger) Placed(server, zone string) {
+// SetZone notes the zone that a server is in.
+func (l *Ledger) SetZone(server, zone string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.server(server).Zone = zone
 }
 
-// Told notes that a server was told to drain or gone; Up that it is in service again.
-func (l *Ledger) Told(server string, at time.Time) {
+// NotifiedDraining notes that a server was told to drain or gone; Up that it is in service again.
+func (l *Ledger) NotifiedDraining(server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.server(server).NotifiedDraining(at)
 }
 
-// Up notes that a server is in service.
-func (l *Ledger) Up(server string) {
+// InService notes that a server is in service.
+func (l *Ledger) InService(server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.server(server).InService()
@@ -130,9 +130,9 @@
 	l.Checker.Started(l.server(server), at, capacity)
 }
 
-// Coldest returns the most that was begun at a started server in any window, as a multiple of what it
+// MaxOverload returns the most that was begun at a started server in any window, as a multiple of what it
 // could do then.
-func (l *Ledger) Coldest() float64 {
+func (l *Ledger) MaxOverload() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	worst := 0.0
@@ -142,9 +142,9 @@
 	return worst
 }
 
-// Breaches closes the ledger: it returns the number of breaches of each rule, by its number, and the
+// Violations closes the ledger: it returns the number of breaches of each rule, by its number, and the
 // first of them in words. Tries that are open and past their time count as lost.
-func (l *Ledger) Breaches(now time.Time) (map[int]int, []string) {
+func (l *Ledger) Violations(now time.Time) (map[int]int, []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, o := range l.ops {
--- a/internal/lab/ledger_test.go
+++ b/internal/lab/ledger_test.go
@@ -14,87 +14,87 @@
 		play func(*Ledger)
 	}{
 		"all well": {0, func(l *Ledger) {
-			l.Asked("a", Unsafe, "", at(100))
-			l.Began("s", at(1))
-			l.Ran("s", "a", at(2))
+			l.AttemptStarted("a", NonIdempotent, "", at(100))
+			l.RequestReceived("s", at(1))
+			l.Executed("s", "a", at(2))
 			l.Answered("a", Served, at(3))
 		}},
-		"never answered": {1, func(l *Ledger) { l.Asked("a", Safe, "", at(100)) }},
+		"never answered": {1, func(l *Ledger) { l.AttemptStarted("a", Idempotent, "", at(100)) }},
 		"answered late": {1, func(l *Ledger) {
-			l.Asked("a", Safe, "", at(100))
+			l.AttemptStarted("a", Idempotent, "", at(100))
 			l.Answered("a", Failed, at(171))
 		}},
 		"answered twice": {1, func(l *Ledger) {
-			l.Asked("a", Safe, "", at(100))
+			l.AttemptStarted("a", Idempotent, "", at(100))
 			l.Answered("a", Failed, at(1))
 			l.Answered("a", Failed, at(2))
 		}},
 		"cut off": {1, func(l *Ledger) {
-			l.Asked("a", Safe, "", at(100))
+			l.AttemptStarted("a", Idempotent, "", at(100))
 			l.Unanswered("a")
 		}},
 		"served by nobody": {1, func(l *Ledger) {
-			l.Asked("a", Safe, "", at(100))
+			l.AttemptStarted("a", Idempotent, "", at(100))
 			l.Answered("a", Served, at(1))
 		}},
 		"unsafe twice": {2, func(l *Ledger) {
-			l.Asked("a", Unsafe, "", at(100))
-			l.Ran("s", "a", at(1))
-			l.Ran("t", "a", at(2))
+			l.AttemptStarted("a", NonIdempotent, "", at(100))
+			l.Executed("s", "a", at(1))
+			l.Executed("t", "a", at(2))
 			l.Answered("a", Served, at(3))
 		}},
 		"refused though it ran": {2, func(l *Ledger) {
-			l.Asked("a", Unsafe, "", at(100))
-			l.Ran("s", "a", at(1))
-			l.Answered("a", Refused, at(3))
+			l.AttemptStarted("a", NonIdempotent, "", at(100))
+			l.Executed("s", "a", at(1))
+			l.Answered("a", Rejected, at(3))
 		}},
 		"ran after it was refused": {2, func(l *Ledger) {
-			l.Asked("a", Unsafe, "", at(100))
-			l.Answered("a", Refused, at(3))
-			l.Ran("s", "a", at(4))
+			l.AttemptStarted("a", NonIdempotent, "", at(100))
+			l.Answered("a", Rejected, at(3))
+			l.Executed("s", "a", at(4))
 		}},
 		"a key inside its window": {0, func(l *Ledger) {
-			l.Asked("a", Keyed, "a", at(9000))
-			l.Ran("s", "a", at(1))
-			l.Ran("t", "a", at(1200))
+			l.AttemptStarted("a", IdempotentByKey, "a", at(9000))
+			l.Executed("s", "a", at(1))
+			l.Executed("t", "a", at(1200))
 			l.Answered("a", Served, at(1201))
 		}},
 		"a key outside its window": {2, func(l *Ledger) {
-			l.Asked("a", Keyed, "a", at(9000))
-			l.Ran("s", "a", at(1))
-			l.Ran("t", "a", at(1300))
+			l.AttemptStarted("a", IdempotentByKey, "a", at(9000))
+			l.Executed("s", "a", at(1))
+			l.Executed("t", "a", at(1300))
 			l.Answered("a", Served, at(1301))
 		}},
 		"within the grace": {0, func(l *Ledger) {
-			l.Told("s", at(0))
-			l.Began("s", at(250))
+			l.NotifiedDraining("s", at(0))
+			l.RequestReceived("s", at(250))
 		}},
 		"after the grace": {3, func(l *Ledger) {
-			l.Told("s", at(0))
-			l.Began("s", at(251))
+			l.NotifiedDraining("s", at(0))
+			l.RequestReceived("s", at(251))
 		}},
 		"back in service": {0, func(l *Ledger) {
-			l.Told("s", at(0))
-			l.Up("s")
-			l.Began("s", at(9000))
+			l.NotifiedDraining("s", at(0))
+			l.InService("s")
+			l.RequestReceived("s", at(9000))
 		}},
 		"a cold server pushed over": {4, func(l *Ledger) {
 			l.Started("s", at(0), 100)
 			for i := range 100 { // 0.31 to 0.39 of 100 a second, times 2.5: under 100
-				l.Began("s", at(500+i))
+				l.RequestReceived("s", at(500+i))
 			}
 		}},
 		"a cold server spared": {0, func(l *Ledger) {
 			l.Started("s", at(0), 100)
 			for i := range 70 {
-				l.Began("s", at(500+i))
+				l.RequestReceived("s", at(500+i))
 			}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := NewLedger(DefaultRules())
 			c.play(l)
-			broken, words := l.Breaches(at(60_000))
+			broken, words := l.Violations(at(60_000))
 			if c.rule == 0 && len(broken) != 0 || c.rule != 0 && (len(broken) != 1 || broken[c.rule] == 0) {
 				t.Errorf("broken %v, want rule %d: %q", broken, c.rule, words)
 			}
--- a/internal/lab/roster.go
+++ b/internal/lab/roster.go
@@ -16,12 +16,12 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// Roster is a stand-in for the platform's roster: it holds a list and answers fetches and watches as
+// DiscoveryService is a stand-in for the platform's roster: it holds a list and answers fetches and watches as
 // the protocol page says.
-type Roster struct {
+type DiscoveryService struct {
 	Addr string
-	// Asked has the index of each watch call, as long as somebody takes it; it holds 1,000.
-	Asked chan uint64
+	// WatchIndexes has the index of each watch call, as long as somebody takes it; it holds 1,000.
+	WatchIndexes chan uint64
 
 	server  *http.Server
 	ended   chan struct{}
@@ -34,13 +34,13 @@
 	whole   uint64 // watches from before it get the whole list
 }
 
-// NewRoster starts a roster that lists these servers at revision 1.
-func NewRoster(entries ...membership.Entry) (*Roster, error) {
+// NewDiscoveryService starts a roster that lists these servers at revision 1.
+func NewDiscoveryService(entries ...membership.Entry) (*DiscoveryService, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Roster{Addr: ln.Addr().String(), Asked: make(chan uint64, 1000), ended: make(chan struct{}),
+	r := &DiscoveryService{Addr: ln.Addr().String(), WatchIndexes: make(chan uint64, 1000), ended: make(chan struct{}),
 		list: membership.List{Revision: 1, Full: true, Entries: slices.Clone(entries)}, changed: map[string]uint64{}, wake: make(chan struct{})}
 	r.server = &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go func() {
@@ -51,12 +51,12 @@
 }
 
 // Close ends the roster and all its connections.
-func (r *Roster) Close() {
+func (r *DiscoveryService) Close() {
 	r.server.Close()
 	<-r.ended
 }
 
-func (r *Roster) serve(w http.ResponseWriter, req *http.Request) {
+func (r *DiscoveryService) serve(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
 	r.calls++
 	down := r.down
@@ -73,7 +73,7 @@
 	index, _ := strconv.ParseUint(q.Get("index"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("wait"))
 	select {
-	case r.Asked <- index:
+	case r.WatchIndexes <- index:
 	default:
 	}
 	over := time.After(time.Duration(wait) * time.Millisecond)
@@ -117,7 +117,7 @@
 	}
 }
 
-func (r *Roster) lists(id string) bool {
+func (r *DiscoveryService) lists(id string) bool {
 	for i := range r.list.Entries {
 		if r.list.Entries[i].ID == id {
 			return true
@@ -126,13 +126,13 @@
 	return false
 }
 
-func (r *Roster) stir() {
+func (r *DiscoveryService) stir() {
 	close(r.wake)
 	r.wake = make(chan struct{})
 }
 
 // List returns the list as it is.
-func (r *Roster) List() membership.List {
+func (r *DiscoveryService) List() membership.List {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.list
@@ -141,7 +141,7 @@
 }
 
 // SetRevision makes the roster count on from a revision.
-func (r *Roster) SetRevision(revision uint64) {
+func (r *DiscoveryService) SetRevision(revision uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list.Revision = revision
@@ -149,7 +149,7 @@
 
 // Set changes or adds an entry and returns the new revision. It is told when Set returns, or at the
 // next call of those who do not wait in one.
-func (r *Roster) Set(e membership.Entry) uint64 {
+func (r *DiscoveryService) Set(e membership.Entry) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list.Revision++
@@ -168,7 +168,7 @@
 }
 
 // Remove takes an entry out; watches are told that it is gone.
-func (r *Roster) Remove(id string) {
+func (r *DiscoveryService) Remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list.Revision++
@@ -183,8 +183,8 @@
 	r.stir()
 }
 
-// Tell changes, adds or (those with the state Removed) takes out many entries at once, and returns the new revision.
-func (r *Roster) Tell(entries ...membership.Entry) uint64 {
+// Update changes, adds or (those with the state Removed) takes out many entries at once, and returns the new revision.
+func (r *DiscoveryService) Update(entries ...membership.Entry) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list.Revision++
@@ -205,7 +205,7 @@
 }
 
 // Replace makes another list of it, told whole.
-func (r *Roster) Replace(entries ...membership.Entry) {
+func (r *DiscoveryService) Replace(entries ...membership.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list.Revision++
@@ -215,7 +215,7 @@
 }
 
 // SetDown makes all calls fail, those that wait too, or answers them again.
-func (r *Roster) SetDown(down bool) {
+func (r *DiscoveryService) SetDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = down
@@ -223,7 +223,7 @@
 }
 
 // Calls is the number of calls so far.
-func (r *Roster) Calls() int {
+func (r *DiscoveryService) Calls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls
--- a/internal/lab/scale/admin.go
+++ b/internal/lab/scale/admin.go
@@ -82,7 +82,7 @@
 		e.Zone = []string{"east", "west", "south"}[i%3] // those of the settings
 		entries = append(entries, e)
 	}
-	roster, err := lab.NewRoster(entries...)
+	roster, err := lab.NewDiscoveryService(entries...)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/controlphases.go
+++ b/internal/lab/scale/controlphases.go
@@ -87,7 +87,7 @@
 	for _, p := range reals {
 		p.Kill()
 	}
-	r.roster.Tell(out...)
+	r.roster.Update(out...)
 	took, err := r.changes(ctx, 2, r.Replicas, rest)
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 			return err
 		}
 	}
-	r.roster.Tell(back...)
+	r.roster.Update(back...)
 	times, err := r.held(ctx, names, sharedconfig.EpochOf(r.version), before.at, 60*time.Second)
 	if err != nil {
 		return err
--- a/internal/lab/scale/controlrig.go
+++ b/internal/lab/scale/controlrig.go
@@ -181,7 +181,7 @@
 	*cluster.Cluster
 	o       *Options
 	dir     string
-	roster  *lab.Roster
+	roster  *lab.DiscoveryService
 	asks    *askWitness
 	told    map[string]string // by keeper: the time of the last election that it told of
 	zones   []*hollowZone
@@ -228,7 +228,7 @@
 			rig.end()
 		}
 	}()
-	if r.roster, err = lab.NewRoster(); err != nil {
+	if r.roster, err = lab.NewDiscoveryService(); err != nil {
 		return nil, err
 	}
 	if err := r.AddReplicas(5); err != nil {
@@ -352,7 +352,7 @@
 	for i := r.n; i < n; i++ {
 		more = append(more, entry(i))
 	}
-	r.roster.Tell(more...)
+	r.roster.Update(more...)
 	known := r.roster.List()
 	from := time.Now()
 	if len(r.reals) == 0 {
@@ -403,7 +403,7 @@
 	e := entry(r.n + r.extra)
 	e.ID, e.State = fmt.Sprintf("more-%d", r.extra), membership.Draining
 	r.extra++
-	r.roster.Tell(e)
+	r.roster.Update(e)
 	for _, z := range r.zones {
 		if len(z.names) == 0 {
 			continue
--- a/internal/lab/scale/datapath.go
+++ b/internal/lab/scale/datapath.go
@@ -78,7 +78,7 @@
 
 	c       *cluster.Cluster
 	rng     *rand.Rand
-	servers []*lab.OrderServer
+	servers []*lab.Backend
 	figures series
 }
 
@@ -122,7 +122,7 @@
 	classes := []struct {
 		name   string
 		effect lab.Effect
-	}{{"read", lab.Safe}, {"send", lab.Keyed}, {"order", lab.Unsafe}}
+	}{{"read", lab.Idempotent}, {"send", lab.IdempotentByKey}, {"order", lab.NonIdempotent}}
 	class := classes[i%len(classes)]
 	return &world.Request{Op: fmt.Sprintf("%s-%d", wayNames[way], lastOp.Add(1)), Method: class.name, Effect: class.effect, Key: key, Within: callTime}
 }
@@ -304,12 +304,12 @@
 func (d *dataPath) serve(n int) error {
 	for range n {
 		i := len(d.servers)
-		s, err := lab.NewOrderServer(fmt.Sprintf("s-%04d", i), []string{"east", "west", "south"}[i%3], 0, nil)
+		s, err := lab.NewBackend(fmt.Sprintf("s-%04d", i), []string{"east", "west", "south"}[i%3], 0, nil)
 		if err != nil {
 			return err
 		}
 		if d.late > 0 {
-			s.Saw(func(op string, _ time.Time) {
+			s.OnRequest(func(op string, _ time.Time) {
 				if strings.HasPrefix(op, wayNames[byAgent]) {
 					time.Sleep(d.late)
 				}
@@ -338,12 +338,12 @@
 }
 
 // agent starts an agent that follows a roster.
-func (d *dataPath) agent(name, addr string, roster *lab.Roster) (*cluster.Process, error) {
+func (d *dataPath) agent(name, addr string, roster *lab.DiscoveryService) (*cluster.Process, error) {
 	return startAgent(d.c, name, addr, "", d.o.Seed, roster)
 }
 
 // startAgent starts an agent that follows a roster and has its admin endpoint at door; "": none.
-func startAgent(c *cluster.Cluster, name, addr, door string, seed uint64, roster *lab.Roster) (*cluster.Process, error) {
+func startAgent(c *cluster.Cluster, name, addr, door string, seed uint64, roster *lab.DiscoveryService) (*cluster.Process, error) {
 	p, err := c.Process(name, addr, false, nil, "ringtrack")
 	if err != nil {
 		return nil, err
@@ -425,7 +425,7 @@
 		entries = append(entries, s.Entry)
 		direct = append(direct, s.Entry.Addr)
 	}
-	roster, err := lab.NewRoster(entries...)
+	roster, err := lab.NewDiscoveryService(entries...)
 	if err != nil {
 		return err
 	}
@@ -503,9 +503,9 @@
 }
 
 // change changes the list, an entry at a time, and returns once the agent has asked for what comes after the last.
-func (d *dataPath) change(ctx context.Context, roster *lab.Roster, entries []membership.Entry, n int) error {
-	for len(roster.Asked) > 0 {
-		<-roster.Asked
+func (d *dataPath) change(ctx context.Context, roster *lab.DiscoveryService, entries []membership.Entry, n int) error {
+	for len(roster.WatchIndexes) > 0 {
+		<-roster.WatchIndexes
 	}
 	var revision uint64
 	began := time.Now()
@@ -520,7 +520,7 @@
 	over := time.After(readyTime)
 	for {
 		select {
-		case index := <-roster.Asked:
+		case index := <-roster.WatchIndexes:
 			if index >= revision {
 				return nil
 			}
@@ -602,12 +602,12 @@
 			if hop+1 < chained {
 				to = [ways]string{addrs[hop+1], addrs[chained+hop+1], d.servers[first+(hop+1)*each+i].Entry.Addr}
 			}
-			s.Saw(func(op string, _ time.Time) { next.call(op, &to, d.late) })
+			s.OnRequest(func(op string, _ time.Time) { next.call(op, &to, d.late) })
 		}
 		if hop == 0 {
 			all = [ways]*way{byAgent: {addrs: addrs[:1]}, byPlain: {addrs: addrs[chained : chained+1]}, byItself: {addrs: backends}}
 		}
-		roster, err := lab.NewRoster(entries...)
+		roster, err := lab.NewDiscoveryService(entries...)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -36,12 +36,12 @@
 	Declaring // runs, and answers a declared exception
 )
 
-// HeldOp begins the names of operations that no server answers, whatever its mode.
-const HeldOp = "held-"
+// UnansweredPrefix begins the names of operations that no server answers, whatever its mode.
+const UnansweredPrefix = "held-"
 
-// OrderServer is a stand-in for an order server, on HTTP/1.1 as the protocol page has it. Bodies name
+// Backend is a stand-in for an order server, on HTTP/1.1 as the protocol page has it. Bodies name
 // the operation, which is how the ledger knows it again over tries.
-type OrderServer struct {
+type Backend struct {
 	*Acceptor
 	Work
 	ID     string
@@ -53,15 +53,15 @@
 	saw    atomic.Pointer[func(op string, began time.Time)]
 }
 
-// Saw has f called with the operation of each request that came whole, and when its first byte did.
-func (s *OrderServer) Saw(f func(op string, began time.Time)) { s.saw.Store(&f) }
+// OnRequest has f called with the operation of each request that came whole, and when its first byte did.
+func (s *Backend) OnRequest(f func(op string, began time.Time)) { s.saw.Store(&f) }
 
 // severedHead is the part of a request in which it is severed, in bytes: less than any has, so that none is whole.
 const severedHead = 120
 
-// NewOrderServer starts one; ledger may be nil.
-func NewOrderServer(id, zone string, work time.Duration, ledger *Ledger) (*OrderServer, error) {
-	s := &OrderServer{ID: id, ledger: ledger}
+// NewBackend starts one; ledger may be nil.
+func NewBackend(id, zone string, work time.Duration, ledger *Ledger) (*Backend, error) {
+	s := &Backend{ID: id, ledger: ledger}
 	s.SetWork(work)
 	var err error
 	if s.Acceptor, err = Accept(s.serve); err != nil {
@@ -72,12 +72,12 @@
 }
 
 // Set changes the mode.
-func (s *OrderServer) Set(m Mode) { s.mode.Store(int32(m)) }
+func (s *Backend) Set(m Mode) { s.mode.Store(int32(m)) }
 
 // Begun is the number of requests that began here.
-func (s *OrderServer) Begun() int64 { return s.begun.Load() }
+func (s *Backend) Begun() int64 { return s.begun.Load() }
 
-func (s *OrderServer) serve(c net.Conn) {
+func (s *Backend) serve(c net.Conn) {
 	br := bufio.NewReader(c)
 	for {
 		if _, err := br.Peek(1); err != nil {
@@ -102,7 +102,7 @@
 		}
 		s.begun.Add(1)
 		if s.ledger != nil {
-			s.ledger.Began(s.ID, began)
+			s.ledger.RequestReceived(s.ID, began)
 		}
 		id, _, _ := strings.Cut(string(body), " ")
 		if id == "" {
@@ -112,7 +112,7 @@
 			(*f)(id, began)
 		}
 		mode := Mode(s.mode.Load())
-		if strings.HasPrefix(id, HeldOp) {
+		if strings.HasPrefix(id, UnansweredPrefix) {
 			mode = Silent
 		}
 		switch mode {
@@ -177,8 +177,8 @@
 	return err == nil
 }
 
-func (s *OrderServer) ran(id string) {
+func (s *Backend) ran(id string) {
 	if s.ledger != nil && id != "" {
-		s.ledger.Ran(s.ID, id, time.Now())
+		s.ledger.Executed(s.ID, id, time.Now())
 	}
 }
--- a/internal/lab/service/service.go
+++ b/internal/lab/service/service.go
@@ -99,7 +99,7 @@
 }
 
 // StartWith is Start beside a roster of the lab.
-func StartWith(r *lab.Roster, change func(*control.Config)) (*Service, error) {
+func StartWith(r *lab.DiscoveryService, change func(*control.Config)) (*Service, error) {
 	return Start("", r.Addr, nil, change)
 }
 
--- a/internal/lab/thriftlab/thriftlab.go
+++ b/internal/lab/thriftlab/thriftlab.go
@@ -208,12 +208,12 @@
 		}
 		s.begun.Add(1)
 		if s.ledger != nil {
-			s.ledger.Began(s.ID, began)
+			s.ledger.RequestReceived(s.ID, began)
 		}
 		mode := lab.Mode(s.mode.Load())
 		ran := func() {
 			if s.ledger != nil && o.Op != "" {
-				s.ledger.Ran(s.ID, o.Op, time.Now())
+				s.ledger.Executed(s.ID, o.Op, time.Now())
 			}
 		}
 		if kind == thrift.ONEWAY || name == "tell" {
--- a/internal/lab/world/protocol.go
+++ b/internal/lab/world/protocol.go
@@ -52,7 +52,7 @@
 
 // Answer is one that a client got.
 type Answer struct {
-	Verdict  lab.Verdict
+	Verdict  lab.Outcome
 	After    time.Duration // refused: when to come back
 	Code     int           // an application exception's type, or an HTTP status; 0 of what was served
 	Receipt  string
@@ -71,7 +71,7 @@
 	}
 	var b bytes.Buffer
 	target, body := "/api/"+r.Key, r.Op+" a b"
-	if r.Effect == lab.Safe {
+	if r.Effect == lab.Idempotent {
 		fmt.Fprintf(&b, "GET %s?op=%s HTTP/1.1\r\n", target, r.Op)
 		body = ""
 	} else {
@@ -79,7 +79,7 @@
 	}
 	fmt.Fprintf(&b, "Host: agent\r\nRequest-Id: %016x\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: %d\r\n",
 		lastID.Add(1), r.Method, r.Within.Milliseconds())
-	if r.Effect == lab.Keyed {
+	if r.Effect == lab.IdempotentByKey {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", r.Op)
 	}
 	b.WriteString("\r\n" + body)
@@ -116,7 +116,7 @@
 			a.Verdict, a.Code = lab.Failed, int(code)
 		}
 		if code == thrift.CodeRejected {
-			a.Verdict = lab.Refused
+			a.Verdict = lab.Rejected
 			if _, rest, ok := strings.Cut(res.Text, "come back after "); ok {
 				ms, _ := strconv.ParseFloat(strings.TrimSuffix(rest, " ms"), 64)
 				a.After = time.Duration(ms * float64(time.Millisecond))
@@ -134,7 +134,7 @@
 	case http.StatusOK:
 		a.Verdict, a.Code, a.Receipt = lab.Served, 0, string(body)
 	case http.StatusServiceUnavailable:
-		a.Verdict = lab.Refused
+		a.Verdict = lab.Rejected
 		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 		a.After = time.Duration(s * float64(time.Second))
 	}
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -49,8 +49,8 @@
 
 // effects are what methods do; over HTTP they are classes. "stamp" is an order whose exceptions prove
 // nothing, "tell" one that nobody answers, "nobody" is not listed.
-var effects = map[string]lab.Effect{"read": lab.Safe, "send": lab.Keyed, "order": lab.Unsafe, "stamp": lab.Unsafe,
-	"tell": lab.Unsafe, "nobody": lab.Unsafe}
+var effects = map[string]lab.Effect{"read": lab.Idempotent, "send": lab.IdempotentByKey, "order": lab.NonIdempotent, "stamp": lab.NonIdempotent,
+	"tell": lab.NonIdempotent, "nobody": lab.NonIdempotent}
 
 // Server is a stand-in order server of the world's protocol.
 type Server struct {
@@ -77,7 +77,7 @@
 		}
 		return &Server{s, s.Entry}, nil
 	}
-	s, err := lab.NewOrderServer(id, "east", 0, ledger)
+	s, err := lab.NewBackend(id, "east", 0, ledger)
 	if err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 	Addr     string // of the front
 	Loop     *core.EventLoop
 	Ledger   *lab.Ledger
-	Roster   *lab.Roster
+	Roster   *lab.DiscoveryService
 	Servers  []*Server
 	Pool     *conns.Pool
 
@@ -132,7 +132,7 @@
 			w.Servers, entries = append(w.Servers, s), append(entries, s.Entry)
 		}
 	}
-	if w.Roster, err = lab.NewRoster(entries...); err != nil {
+	if w.Roster, err = lab.NewDiscoveryService(entries...); err != nil {
 		return w, err
 	}
 	settings, zones := Settings(), o.Zones
@@ -275,7 +275,7 @@
 // Followed waits until the roster has been asked for changes.
 func (w *World) Followed(ctx context.Context) error {
 	select {
-	case <-w.Roster.Asked:
+	case <-w.Roster.WatchIndexes:
 		return nil
 	case <-time.After(patience):
 		return errors.New("world: the roster is not followed")
@@ -295,7 +295,7 @@
 
 // Send sends a request and notes it in the ledger.
 func (w *World) Send(c *Client, r *Request) error {
-	w.Ledger.Asked(r.Op, r.Effect, r.Op, time.Now().Add(r.Within))
+	w.Ledger.AttemptStarted(r.Op, r.Effect, r.Op, time.Now().Add(r.Within))
 	_, err := c.Write(w.Protocol.Encode(r))
 	return err
 }
--- a/internal/upstream/http/upstream_test.go
+++ b/internal/upstream/http/upstream_test.go
@@ -35,9 +35,9 @@
 	return &core.Call{Payload: &Call{Method: "POST", Target: "/api/a1", Host: "x", Header: http.Header{"Request-Id": {"1"}}, Body: body}}
 }
 
-func startServer(t *testing.T) *lab.OrderServer {
+func startServer(t *testing.T) *lab.Backend {
 	t.Helper()
-	s, err := lab.NewOrderServer("s-1", "east", 0, nil)
+	s, err := lab.NewBackend("s-1", "east", 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
