--- a/internal/control/proxy_test.go
+++ b/internal/control/proxy_test.go
@@ -46,8 +46,8 @@
 		unsafe     int // attempts of a request that is not idempotent
 		repeatable int
 	}{
-		"serving": {lab.Serving, 1, 1}, "failing": {lab.Failing, 1, 3}, "breaking": {lab.Breaking, 1, 3},
-		"rejecting": {lab.Full, 3, 3}, "silent": {lab.Silent, 1, 1},
+		"serving": {lab.Serving, 1, 1}, "failing": {lab.Failing, 1, 3}, "breaking": {lab.ResetAfterRun, 1, 3},
+		"rejecting": {lab.Rejecting, 3, 3}, "silent": {lab.Silent, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/downstream/answerrules_test.go
+++ b/internal/downstream/answerrules_test.go
@@ -15,15 +15,15 @@
 		call(t, w, "order", long, lab.Served)
 		w.Set(lab.Failing)
 		call(t, w, "order", long, lab.Failed)
-		w.Set(lab.Full)
+		w.Set(lab.Rejecting)
 		if a := call(t, w, "order", long, lab.Rejected); a.After != 600*time.Millisecond {
 			t.Errorf("Retry-After %v", a.After)
 		}
 	}},
 	{name: "1 a silent server: answered within the deadline", timed: failedIn(400*time.Millisecond, lab.Silent)},
-	{name: "1 half a reply and silence", timed: failedIn(400*time.Millisecond, lab.Half)},
+	{name: "1 half a reply and silence", timed: failedIn(400*time.Millisecond, lab.TruncatedAnswer)},
 	{name: "1 a reply one byte at a time", run: func(t *testing.T, w *world.World) {
-		w.Set(lab.Slow)
+		w.Set(lab.ByteByByte)
 		call(t, w, "order", long, lab.Served)
 	}},
 	{name: "1 a deadline that passes while the reply arrives", timed: failedIn(300*time.Millisecond, lab.Trickle)},
--- a/internal/downstream/retryrules_test.go
+++ b/internal/downstream/retryrules_test.go
@@ -10,9 +10,9 @@
 // retryRules are about when another attempt is permitted.
 var retryRules = []rule{
 	{name: "2 not idempotent: no retry after it may have run", run: func(t *testing.T, w *world.World) {
-		modes := []lab.Mode{lab.Breaking, lab.Failing, lab.Foreign}
+		modes := []lab.Mode{lab.ResetAfterRun, lab.Failing, lab.WrongProtocol}
 		if w.Protocol.Thrift() {
-			modes = append(modes, lab.WrongSeq, lab.OtherName)
+			modes = append(modes, lab.WrongSequenceID, lab.WrongMethodName)
 		}
 		for _, m := range modes {
 			w.Set(m)
@@ -37,14 +37,14 @@
 		}
 	}},
 	{name: "2 not idempotent: retry where it was rejected", run: func(t *testing.T, w *world.World) {
-		w.Servers[0].Set(lab.Full)
-		w.Servers[1].Set(lab.Full)
+		w.Servers[0].Set(lab.Rejecting)
+		w.Servers[1].Set(lab.Rejecting)
 		for range 6 {
 			call(t, w, "order", long, lab.Served)
 		}
 	}},
 	{name: "2 with a key, and idempotent: retry after a reset", run: func(t *testing.T, w *world.World) {
-		w.Set(lab.Breaking)
+		w.Set(lab.ResetAfterRun)
 		for _, method := range []string{"send", "read"} {
 			n := w.Begun()
 			call(t, w, method, long, lab.Rejected, lab.Failed)
@@ -54,7 +54,7 @@
 		}
 	}},
 	{name: "2 two responses: the second is ignored", run: func(t *testing.T, w *world.World) {
-		w.Set(lab.Twice)
+		w.Set(lab.AnswerTwice)
 		for range 4 {
 			call(t, w, "read", long, lab.Served) // the receipt is checked
 		}
--- a/internal/downstream/thriftrules_test.go
+++ b/internal/downstream/thriftrules_test.go
@@ -40,7 +40,7 @@
 		clients.Wait()
 	}},
 	{name: "a declared exception is an answer", thrift: true, run: func(t *testing.T, w *world.World) {
-		w.Set(lab.Declaring)
+		w.Set(lab.DeclaredException)
 		if a := call(t, w, "stamp", long, lab.Served); a.Declared != 2 || a.Text != "full" {
 			t.Errorf("answered %+v", a)
 		}
@@ -107,7 +107,7 @@
 		}
 	}},
 	{name: "an unlisted method is not idempotent", thrift: true, run: func(t *testing.T, w *world.World) {
-		w.Set(lab.Breaking)
+		w.Set(lab.ResetAfterRun)
 		if call(t, w, "nobody", long, lab.Failed); w.Begun() != 1 {
 			t.Errorf("%d attempts", w.Begun())
 		}
--- a/internal/lab/acceptance/wholefleet.go
+++ b/internal/lab/acceptance/wholefleet.go
@@ -116,9 +116,9 @@
 
 // trouble gives servers a mode each for a moment, and breaks connections, until ctx ends.
 func (f *fleet) trouble(ctx context.Context, rng *rand.Rand) {
-	modes := []lab.Mode{lab.Failing, lab.Full, lab.Breaking, lab.Half, lab.Twice, lab.Slow, lab.Silent, lab.Foreign, lab.Severing, lab.Severing}
+	modes := []lab.Mode{lab.Failing, lab.Rejecting, lab.ResetAfterRun, lab.TruncatedAnswer, lab.AnswerTwice, lab.ByteByByte, lab.Silent, lab.WrongProtocol, lab.ResetAtEachByte, lab.ResetAtEachByte}
 	if f.defect == lying {
-		modes = []lab.Mode{lab.Lying}
+		modes = []lab.Mode{lab.FalseNotStarted}
 	}
 	for ctx.Err() == nil {
 		s := f.servers[rng.IntN(len(f.servers))]
--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -30,7 +30,7 @@
 	diskLies  = "lie"
 )
 
-var serverModes = map[string]lab.Mode{"failing": lab.Failing, "breaking": lab.Breaking, "silent": lab.Silent}
+var serverModes = map[string]lab.Mode{"failing": lab.Failing, "breaking": lab.ResetAfterRun, "silent": lab.Silent}
 
 // injectFaults injects the plan's faults at their times, and returns when run has ended and all faults are undone.
 func (r *runner) injectFaults(ctx, run context.Context) {
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -194,7 +194,7 @@
 	rng := rand.New(rand.NewPCG(r.plan.Seed, serverSeedStream))
 	for ctx.Err() == nil {
 		s := pick(rng, r.traffic.Servers)
-		s.Set(pick(rng, []lab.Mode{lab.Failing, lab.Breaking}))
+		s.Set(pick(rng, []lab.Mode{lab.Failing, lab.ResetAfterRun}))
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration(100+rng.IntN(200)) * time.Millisecond):
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -18,22 +18,22 @@
 
 // The modes. Servers of every protocol know the first part; the rest is Thrift's.
 const (
-	Serving  Mode = iota
-	Silent        // reads, and answers nothing
-	Failing       // answers that it has failed, after running
-	Full          // turns away, saying that nothing ran
-	Breaking      // runs, then breaks the connection
-	Twice         // runs, and answers twice
-	Half          // runs, answers half, and nothing more
-	Slow          // runs, and answers a byte at a time
-	Trickle       // runs, and answers so slowly that no deadline holds
-	Foreign       // runs, and answers in another protocol
-	Severing      // breaks the connection, in turn at each byte of a request's head and at each byte of an answer
-	Lying         // runs, and says that nothing ran: no server may, and a checker has to find it
+	Serving         Mode = iota
+	Silent               // reads, and answers nothing
+	Failing              // answers that it has failed, after running
+	Rejecting            // turns away, saying that nothing ran
+	ResetAfterRun        // runs, then breaks the connection
+	AnswerTwice          // runs, and answers twice
+	TruncatedAnswer      // runs, answers half, and nothing more
+	ByteByByte           // runs, and answers a byte at a time
+	Trickle              // runs, and answers so slowly that no deadline holds
+	WrongProtocol        // runs, and answers in another protocol
+	ResetAtEachByte      // breaks the connection, in turn at each byte of a request's head and at each byte of an answer
+	FalseNotStarted      // runs, and says that nothing ran: no server may, and a checker has to find it
 
-	WrongSeq  // runs, and answers under another sequence id
-	OtherName // runs, and answers for another method
-	Declaring // runs, and answers a declared exception
+	WrongSequenceID   // runs, and answers under another sequence id
+	WrongMethodName   // runs, and answers for another method
+	DeclaredException // runs, and answers a declared exception
 )
 
 // UnansweredPrefix begins the names of operations that no server answers, whatever its mode.
@@ -85,7 +85,7 @@
 		}
 		began := time.Now()
 		severed := int64(-1)
-		if Mode(s.mode.Load()) == Severing {
+		if Mode(s.mode.Load()) == ResetAtEachByte {
 			if severed = s.sever.Add(1); severed%2 == 0 {
 				io.CopyN(io.Discard, br, severed/2%severedHead)
 				c.(*net.TCPConn).SetLinger(0)
@@ -119,14 +119,14 @@
 		case Silent:
 			io.Copy(io.Discard, br) // until the other side gives up
 			return
-		case Full:
+		case Rejecting:
 			io.WriteString(c, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 			continue
-		case Lying:
+		case FalseNotStarted:
 			s.ran(id)
 			io.WriteString(c, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 			continue
-		case Breaking:
+		case ResetAfterRun:
 			s.ran(id)
 			c.(*net.TCPConn).SetLinger(0)
 			return
@@ -139,7 +139,7 @@
 		s.ran(id)
 		text := s.ID + " " + id
 		answer := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-		if mode == Foreign {
+		if mode == WrongProtocol {
 			answer = []byte("\x80\x01\x00\x02\x00\x00\x00\x05order\x00\x00\x00\x01\x00")
 		}
 		if severed >= 0 {
@@ -156,13 +156,13 @@
 // Write writes an answer as the mode has it, and returns false where the connection is of no more use.
 func (m Mode) Write(c net.Conn, answer []byte) bool {
 	switch m {
-	case Twice:
+	case AnswerTwice:
 		answer = append(answer[:len(answer):len(answer)], answer...)
-	case Half:
+	case TruncatedAnswer:
 		c.Write(answer[:len(answer)/2])
 		io.Copy(io.Discard, c)
 		return false
-	case Slow, Trickle:
+	case ByteByByte, Trickle:
 		for i := range answer {
 			if _, err := c.Write(answer[i : i+1]); err != nil {
 				return false
--- a/internal/lab/thriftlab/thriftlab.go
+++ b/internal/lab/thriftlab/thriftlab.go
@@ -226,24 +226,24 @@
 		case lab.Silent:
 			io.Copy(io.Discard, c)
 			return
-		case lab.Breaking:
+		case lab.ResetAfterRun:
 			ran()
 			c.(*net.TCPConn).SetLinger(0)
 			return
-		case lab.Full:
+		case lab.Rejecting:
 			reply = Placed{Declared: 2, Text: "full"}
-		case lab.Declaring:
+		case lab.DeclaredException:
 			reply = Placed{Declared: 2, Text: "full"}
-		case lab.WrongSeq:
+		case lab.WrongSequenceID:
 			seq++
-		case lab.OtherName:
+		case lab.WrongMethodName:
 			name = "other"
-		case lab.Foreign:
+		case lab.WrongProtocol:
 			ran()
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			continue
 		}
-		if mode != lab.Full {
+		if mode != lab.Rejecting {
 			ran()
 		}
 		out := thrift.NewTMemoryBuffer()
