--- a/internal/downstream/answerrules_test.go
+++ b/internal/downstream/answerrules_test.go
@@ -16,8 +16,8 @@
 		w.Set(lab.Failing)
 		call(t, w, "order", long, lab.Failed)
 		w.Set(lab.Rejecting)
-		if a := call(t, w, "order", long, lab.Rejected); a.After != 600*time.Millisecond {
-			t.Errorf("Retry-After %v", a.After)
+		if a := call(t, w, "order", long, lab.Rejected); a.RetryAfter != 600*time.Millisecond {
+			t.Errorf("Retry-After %v", a.RetryAfter)
 		}
 	}},
 	{name: "1 a silent server: answered within the deadline", timed: failedIn(400*time.Millisecond, lab.Silent)},
@@ -38,7 +38,7 @@
 		if took := time.Since(from); took > within+20*time.Millisecond {
 			late = fmt.Errorf("took %v of %v", took, within)
 		}
-		if wrong == nil && a.Verdict != lab.Failed {
+		if wrong == nil && a.Outcome != lab.Failed {
 			wrong = fmt.Errorf("answered %+v, want %v", a, lab.Failed)
 		}
 		return late, wrong
--- a/internal/downstream/clientrules_test.go
+++ b/internal/downstream/clientrules_test.go
@@ -22,12 +22,12 @@
 		var all []byte
 		for range 20 {
 			r := w.Request("order", waitTimeout)
-			w.Ledger.AttemptStarted(r.Op, r.Effect, r.Op, time.Now().Add(r.Within))
+			w.Ledger.AttemptStarted(r.Op, r.Effect, r.Op, time.Now().Add(r.Timeout))
 			sent, all = append(sent, r), append(all, w.Protocol.Encode(r)...)
 		}
 		go c.Write(all)
 		for _, r := range sent {
-			if a, err := w.Answered(c, r); err != nil || a.Verdict != lab.Served {
+			if a, err := w.Receive(c, r); err != nil || a.Outcome != lab.Served {
 				t.Fatalf("%+v, %v", a, err)
 			}
 		}
@@ -39,10 +39,10 @@
 		if err := w.Send(c, r); err != nil {
 			t.Fatal(err)
 		}
-		waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
+		waitFor(t, "no call arrived", func() bool { return w.RequestCount() > 0 })
 		c.Close()
 		w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // it disconnected by itself
-		waitFor(t, "the disconnect is not detected", func() bool { return w.Figures().Disconnected == 1 })
+		waitFor(t, "the disconnect is not detected", func() bool { return w.Stats().Disconnected == 1 })
 	}},
 	{name: "a client that disconnects after pipelined calls", run: func(t *testing.T, w *world.World) {
 		w.Set(lab.Silent)
@@ -51,18 +51,18 @@
 		if err := w.Send(c, r); err != nil {
 			t.Fatal(err)
 		}
-		waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
+		waitFor(t, "no call arrived", func() bool { return w.RequestCount() > 0 })
 		for range 2 { // complete calls, which are never handled
 			c.Write(w.Protocol.Encode(w.Request("order", long)))
 		}
 		from := time.Now()
 		c.Close()
 		w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // it disconnected by itself
-		waitFor(t, "the disconnect is not detected", func() bool { f := w.Figures(); return f.Disconnected+f.Failed == 1 })
-		if f := w.Figures(); f.Disconnected != 1 || f.Accepted != 1 {
+		waitFor(t, "the disconnect is not detected", func() bool { f := w.Stats(); return f.Disconnected+f.Failed == 1 })
+		if f := w.Stats(); f.Disconnected != 1 || f.Accepted != 1 {
 			t.Errorf("detected only at its deadline, %v later: %+v", time.Since(from), f)
 		}
-		if n := w.Begun(); n != 1 {
+		if n := w.RequestCount(); n != 1 {
 			t.Errorf("%d calls were forwarded", n)
 		}
 	}},
@@ -77,7 +77,7 @@
 				t.Errorf("truncated at %d: answered %x, %v", n, b, err)
 			}
 		}
-		if n := w.Begun(); n != 0 {
+		if n := w.RequestCount(); n != 0 {
 			t.Errorf("%d calls were forwarded", n)
 		}
 	}},
@@ -87,7 +87,7 @@
 		}
 		done := make(chan struct{})
 		go func() { defer close(done); call(t, w, "order", long, lab.Served) }()
-		waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
+		waitFor(t, "no call arrived", func() bool { return w.RequestCount() > 0 })
 		w.Stop()
 		<-done
 	}},
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -28,7 +28,7 @@
 				w.Set(lab.Silent) // until the shutdown has begun
 				c := dial(t, w)
 				c.Write(p.Encode(w.Request("order", long)))
-				waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
+				waitFor(t, "no call arrived", func() bool { return w.RequestCount() > 0 })
 				if _, err := io.WriteString(c, extra(w)); err != nil {
 					t.Fatal(err)
 				}
@@ -36,7 +36,7 @@
 				go func() { ended <- w.Stop() }()
 				waitForClosedListener(t, w)
 				for _, s := range w.Servers {
-					s.Cut() // the request fails, which is its answer
+					s.ResetConnections() // the request fails, which is its answer
 				}
 				got, err := io.ReadAll(c.Conn)
 				if err != nil || len(got) == 0 {
@@ -45,7 +45,7 @@
 				if err := <-ended; err != nil {
 					t.Error(err)
 				}
-				if n := w.Begun(); n != 1 {
+				if n := w.RequestCount(); n != 1 {
 					t.Errorf("%d were forwarded", n)
 				}
 			})
@@ -66,7 +66,7 @@
 			w.Set(lab.Silent)
 			open, late := dial(t, w), dial(t, w)
 			open.Write(p.Encode(w.Request("order", long)))
-			waitFor(t, "no call arrived", func() bool { return w.Begun() == 1 })
+			waitFor(t, "no call arrived", func() bool { return w.RequestCount() == 1 })
 			r := w.Request("order", long)
 			message := p.Encode(r)
 			late.Write(message[:len(message)/2])
@@ -75,11 +75,11 @@
 			waitForClosedListener(t, w)
 			w.Set(lab.Serving)
 			late.Write(message[len(message)/2:])
-			if a, err := w.Answered(late, r); err != nil || a.Verdict != lab.Served {
+			if a, err := w.Receive(late, r); err != nil || a.Outcome != lab.Served {
 				t.Errorf("%+v, %v", a, err)
 			}
 			for _, s := range w.Servers {
-				s.Cut()
+				s.ResetConnections()
 			}
 			if _, err := open.Read(); err != nil {
 				t.Errorf("the open call: %v", err)
@@ -107,7 +107,7 @@
 			waitForClosedListener(t, w)
 			r := w.Request("order", long)
 			c.Write(p.Encode(r))
-			if a, err := w.Answered(c, r); err != nil || a.Verdict != lab.Served {
+			if a, err := w.Receive(c, r); err != nil || a.Outcome != lab.Served {
 				t.Errorf("%+v, %v", a, err)
 			}
 			if err := <-ended; err != nil {
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -121,7 +121,7 @@
 				close(b.gate)
 				waitFor(t, "the request stays open", func() bool { return w.Loop.Counters().Open.Load() == 0 })
 				noticed := time.Since(disconnectedAt)
-				f := w.Figures()
+				f := w.Stats()
 				w.Stop() // nothing is in flight any longer
 				if n := b.began.Load(); n != 1 {
 					t.Errorf("%d attempts began, want the first one only (%v until detected)", n, noticed)
@@ -149,7 +149,7 @@
 					t.Fatal(err)
 				}
 				defer w.Close()
-				if err := w.Followed(t.Context()); err != nil {
+				if err := w.AwaitWatch(t.Context()); err != nil {
 					t.Fatal(err)
 				}
 				c := dial(t, w)
@@ -164,7 +164,7 @@
 						return <-answer
 					})
 				}
-				w.Roster.Remove("s-0") // the attempt in flight goes on, and no other may begin
+				w.Discovery.Remove("s-0") // the attempt in flight goes on, and no other may begin
 				inLoop("the removal of s-0 is not known", func() bool {
 					list, _ := w.Loop.Endpoints()
 					return len(list.Entries) == 0
@@ -175,9 +175,9 @@
 					t.Fatalf("%d requests are open during the backoff, want 1", n)
 				}
 				disconnect(t, w, c, way)
-				w.Roster.Set(entry("s-1", next))
+				w.Discovery.Set(entry("s-1", next))
 				waitFor(t, "the request stays open", func() bool { return w.Loop.Counters().Open.Load() == 0 })
-				f := w.Figures()
+				f := w.Stats()
 				w.Stop() // nothing is in flight any longer
 				if n := next.began.Load(); n != 0 {
 					t.Errorf("%d retries began", n)
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -68,7 +68,7 @@
 	a, err := w.Call(method, within)
 	if err != nil {
 		t.Errorf("%s: %v", method, err)
-	} else if !slices.Contains(want, a.Verdict) {
+	} else if !slices.Contains(want, a.Outcome) {
 		t.Errorf("%s: answered %+v, want %v", method, a, want)
 	}
 	return a
--- a/internal/downstream/membershiprules_test.go
+++ b/internal/downstream/membershiprules_test.go
@@ -16,14 +16,14 @@
 		testNothingNewAfter(t, w, func(s *world.Server) {
 			e := s.Entry
 			e.State = membership.Draining
-			w.Roster.Set(e)
+			w.Discovery.Set(e)
 		})
 	}},
 	{name: "3 nothing new to a removed server", run: func(t *testing.T, w *world.World) {
-		testNothingNewAfter(t, w, func(s *world.Server) { w.Roster.Remove(s.Entry.ID) })
+		testNothingNewAfter(t, w, func(s *world.Server) { w.Discovery.Remove(s.Entry.ID) })
 	}},
 	{name: "3 a draining server completes the call in flight", run: func(t *testing.T, w *world.World) {
-		if err := w.Followed(t.Context()); err != nil {
+		if err := w.AwaitWatch(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		for _, s := range w.Servers {
@@ -31,17 +31,17 @@
 		}
 		done := make(chan struct{})
 		go func() { defer close(done); call(t, w, "order", long, lab.Served) }()
-		waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
+		waitFor(t, "no call arrived", func() bool { return w.RequestCount() > 0 })
 		for _, s := range w.Servers {
 			e := s.Entry
 			e.State = membership.Draining
 			w.Ledger.NotifiedDraining(e.ID, time.Now())
-			w.Roster.Set(e)
+			w.Discovery.Set(e)
 		}
 		<-done
 	}},
 	{name: "4 a warming server is not overloaded", run: func(t *testing.T, w *world.World) {
-		if err := w.Followed(t.Context()); err != nil {
+		if err := w.AwaitWatch(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		// Four clients send as fast as they are answered; an even load would be several times what the ledger permits.
@@ -50,7 +50,7 @@
 		e := w.Servers[0].Entry
 		e.StartedMs = float64(from.UnixMilli())
 		w.Ledger.Started(e.ID, from, capacity)
-		w.Roster.Set(e)
+		w.Discovery.Set(e)
 		for _, s := range w.Servers {
 			s.SetWork(5 * time.Millisecond)
 		}
@@ -67,7 +67,7 @@
 				for time.Since(from) < time.Second {
 					r := w.Request("order", long)
 					r.Key = r.Op
-					if a, err := w.CallOn(c, r); err != nil || a.Verdict == lab.Failed {
+					if a, err := w.CallOn(c, r); err != nil || a.Outcome == lab.Failed {
 						t.Errorf("%+v, %v", a, err)
 						return
 					}
@@ -75,16 +75,16 @@
 			})
 		}
 		clients.Wait()
-		if w.Servers[1].Begun() < 2*capacity {
-			t.Skipf("this host is too slow to overload a server: %d", w.Servers[1].Begun())
+		if w.Servers[1].RequestCount() < 2*capacity {
+			t.Skipf("this host is too slow to overload a server: %d", w.Servers[1].RequestCount())
 		}
-		t.Logf("the warming server got %d, another %d", w.Servers[0].Begun(), w.Servers[1].Begun())
+		t.Logf("the warming server got %d, another %d", w.Servers[0].RequestCount(), w.Servers[1].RequestCount())
 	}},
 }
 
 // testNothingNewAfter drains or removes two servers and checks that nothing new is sent there 250 ms later.
 func testNothingNewAfter(t *testing.T, w *world.World, drain func(*world.Server)) {
-	if err := w.Followed(t.Context()); err != nil {
+	if err := w.AwaitWatch(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	for range 10 {
@@ -96,11 +96,11 @@
 		drain(s)
 	}
 	time.Sleep(250 * time.Millisecond)
-	n := draining[0].Begun() + draining[1].Begun()
+	n := draining[0].RequestCount() + draining[1].RequestCount()
 	for range 20 {
 		call(t, w, "order", long, lab.Served)
 	}
-	if got := draining[0].Begun() + draining[1].Begun() - n; got != 0 {
+	if got := draining[0].RequestCount() + draining[1].RequestCount() - n; got != 0 {
 		t.Errorf("%d calls to servers that drain or are removed", got)
 	}
 }
--- a/internal/downstream/otherclients_test.go
+++ b/internal/downstream/otherclients_test.go
@@ -48,7 +48,7 @@
 				t.Errorf("disconnected after %v", took)
 			}
 			call(t, w, "order", long, lab.Served)
-			if f := w.Figures(); f != (core.Stats{Accepted: 1, Served: 1}) {
+			if f := w.Stats(); f != (core.Stats{Accepted: 1, Served: 1}) {
 				t.Errorf("figures %+v", f)
 			}
 		})
--- a/internal/downstream/retryrules_test.go
+++ b/internal/downstream/retryrules_test.go
@@ -16,9 +16,9 @@
 		}
 		for _, m := range modes {
 			w.Set(m)
-			n := w.Begun()
+			n := w.RequestCount()
 			call(t, w, "order", long, lab.Failed)
-			if got := w.Begun() - n; got != 1 {
+			if got := w.RequestCount() - n; got != 1 {
 				t.Errorf("mode %d: %d attempts", m, got)
 			}
 		}
@@ -46,9 +46,9 @@
 	{name: "2 with a key, and idempotent: retry after a reset", run: func(t *testing.T, w *world.World) {
 		w.Set(lab.ResetAfterRun)
 		for _, method := range []string{"send", "read"} {
-			n := w.Begun()
+			n := w.RequestCount()
 			call(t, w, method, long, lab.Rejected, lab.Failed)
-			if got := w.Begun() - n; got < 2 || got > 3 {
+			if got := w.RequestCount() - n; got < 2 || got > 3 {
 				t.Errorf("%s: %d attempts", method, got)
 			}
 		}
--- a/internal/downstream/thriftrules_test.go
+++ b/internal/downstream/thriftrules_test.go
@@ -31,7 +31,7 @@
 				for i := range int32(5) {
 					r := w.Request("order", long)
 					r.Seq = i
-					if a, err := w.CallOn(c, r); err != nil || a.Verdict != lab.Served {
+					if a, err := w.CallOn(c, r); err != nil || a.Outcome != lab.Served {
 						t.Errorf("%+v, %v", a, err)
 					}
 				}
@@ -41,7 +41,7 @@
 	}},
 	{name: "a declared exception is an answer", thrift: true, run: func(t *testing.T, w *world.World) {
 		w.Set(lab.DeclaredException)
-		if a := call(t, w, "stamp", long, lab.Served); a.Declared != 2 || a.Text != "full" {
+		if a := call(t, w, "stamp", long, lab.Served); a.ExceptionID != 2 || a.Text != "full" {
 			t.Errorf("answered %+v", a)
 		}
 	}},
@@ -58,7 +58,7 @@
 			if err := w.Send(c, r); err != nil {
 				t.Fatal(err)
 			}
-			waitFor(t, "a one-way call is lost", func() bool { return w.Begun() == i+1 })
+			waitFor(t, "a one-way call is lost", func() bool { return w.RequestCount() == i+1 })
 			w.Ledger.Answered(r.Op, lab.Failed, time.Now())
 		}
 	}},
@@ -66,8 +66,8 @@
 		c, r := dial(t, w), w.Request("order", long)
 		r.Kind = thriftlab.Reply
 		c.Write(w.Protocol.Encode(r))
-		if a, err := c.Read(); err != nil || a.Code != thrift.CodeInvalidMessageType || a.Seq != r.Seq || w.Begun() != 0 {
-			t.Errorf("answered %+v, %v; %d calls were forwarded", a, err, w.Begun())
+		if a, err := c.Read(); err != nil || a.Code != thrift.CodeInvalidMessageType || a.Seq != r.Seq || w.RequestCount() != 0 {
+			t.Errorf("answered %+v, %v; %d calls were forwarded", a, err, w.RequestCount())
 		}
 	}},
 	{name: "the error of a malformed call speaks of a call", thrift: true, run: func(t *testing.T, w *world.World) {
@@ -82,8 +82,8 @@
 		if err != nil || a.Code != thrift.CodeMalformed || a.Seq != r.Seq || strings.Contains(a.Text, "reply") || !strings.Contains(a.Text, "call") {
 			t.Errorf("answered %+v, %v", a, err)
 		}
-		if w.Begun() != 0 {
-			t.Errorf("%d calls were forwarded", w.Begun())
+		if w.RequestCount() != 0 {
+			t.Errorf("%d calls were forwarded", w.RequestCount())
 		}
 	}},
 	{name: "a frame longer or shorter than its message", thrift: true, run: func(t *testing.T, w *world.World) {
@@ -102,19 +102,19 @@
 				t.Errorf("%+d bytes: the connection stays open", more)
 			}
 		}
-		if n := w.Begun(); n != 0 {
+		if n := w.RequestCount(); n != 0 {
 			t.Errorf("%d calls were forwarded", n)
 		}
 	}},
 	{name: "an unlisted method is not idempotent", thrift: true, run: func(t *testing.T, w *world.World) {
 		w.Set(lab.ResetAfterRun)
-		if call(t, w, "nobody", long, lab.Failed); w.Begun() != 1 {
-			t.Errorf("%d attempts", w.Begun())
+		if call(t, w, "nobody", long, lab.Failed); w.RequestCount() != 1 {
+			t.Errorf("%d attempts", w.RequestCount())
 		}
 	}},
-	{name: "an unlisted method that is rejected", thrift: true, opts: world.Options{Refuse: true}, run: func(t *testing.T, w *world.World) {
-		if a := call(t, w, "nobody", long, lab.Failed); a.Code != thrift.CodeUnknownMethod || w.Begun() != 0 {
-			t.Errorf("answered %+v, %d attempts", a, w.Begun())
+	{name: "an unlisted method that is rejected", thrift: true, opts: world.Options{RejectUnlisted: true}, run: func(t *testing.T, w *world.World) {
+		if a := call(t, w, "nobody", long, lab.Failed); a.Code != thrift.CodeUnknownMethod || w.RequestCount() != 0 {
+			t.Errorf("answered %+v, %d attempts", a, w.RequestCount())
 		}
 	}},
 }
@@ -130,13 +130,13 @@
 				t.Fatal(err)
 			}
 			// The next answer is that of the next call.
-			if a, err := w.CallOn(c, w.Request("order", long)); err != nil || a.Verdict != lab.Served {
+			if a, err := w.CallOn(c, w.Request("order", long)); err != nil || a.Outcome != lab.Served {
 				t.Errorf("call %d: %+v, %v", i, a, err)
 			}
-			waitFor(t, "a one-way call is lost", func() bool { return w.Begun() >= 2*(i+1) })
+			waitFor(t, "a one-way call is lost", func() bool { return w.RequestCount() >= 2*(i+1) })
 			w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // there is no answer, which promises nothing
 		}
-		if n := w.Begun(); n != 20 {
+		if n := w.RequestCount(); n != 20 {
 			t.Errorf("%d calls arrived, want 20", n)
 		}
 	}
--- a/internal/lab/acceptance/ephemeral.go
+++ b/internal/lab/acceptance/ephemeral.go
@@ -119,7 +119,7 @@
 			s.SetLag(400 * time.Millisecond)
 		}
 	}
-	if err := w.Followed(ctx); err != nil {
+	if err := w.AwaitWatch(ctx); err != nil {
 		return err
 	}
 	running, stop := context.WithCancel(ctx)
@@ -142,16 +142,16 @@
 		mu.Unlock()
 		s := w.Servers[i]
 		if k%50 == 25 {
-			reg.Servers[rng.IntN(3)].Cut() // a connection breaks meanwhile
+			reg.Servers[rng.IntN(3)].ResetConnections() // a connection breaks meanwhile
 		}
-		began := s.Begun()
+		began := s.RequestCount()
 		from := time.Now()
 		reg.remove(s.Entry.ID)
 		away.Go(func() {
 			// The last that began there, to a millisecond.
 			last := time.Duration(0)
 			for time.Since(from) < awayFor {
-				if b := s.Begun(); b != began {
+				if b := s.RequestCount(); b != began {
 					began, last = b, time.Since(from)
 				}
 				time.Sleep(time.Millisecond)
@@ -226,7 +226,7 @@
 		s.Entry.StartedMs = longAgo()
 		reg.put(&s.Entry)
 	}
-	if err := w.Followed(ctx); err != nil {
+	if err := w.AwaitWatch(ctx); err != nil {
 		return 0, 0, err
 	}
 	running, stop := context.WithCancel(ctx)
@@ -252,13 +252,13 @@
 		after(rosterLate, func() {
 			d := e
 			d.State = membership.Draining
-			w.Roster.Set(d)
+			w.Discovery.Set(d)
 		})
 		after(darkFor, func() {
 			s.Set(lab.Serving)
 			e.StartedMs = float64(time.Now().UnixMilli())
 			reg.put(&e)
-			w.Roster.Set(e)
+			w.Discovery.Set(e)
 		})
 		select {
 		case <-time.After(800 * time.Millisecond):
@@ -312,7 +312,7 @@
 		s.Entry.StartedMs = old
 		reg.put(&s.Entry)
 	}
-	if err := w.Followed(ctx); err != nil {
+	if err := w.AwaitWatch(ctx); err != nil {
 		return nil, err
 	}
 	running, stop := context.WithCancel(ctx)
@@ -329,9 +329,9 @@
 		}
 	}
 	share := func(s *world.Server, d time.Duration) (float64, error) {
-		mine, all := s.Begun(), w.Begun()
+		mine, all := s.RequestCount(), w.RequestCount()
 		err := wait(d)
-		return float64(s.Begun()-mine) / max(float64(w.Begun()-all), 1) * float64(len(w.Servers)), err
+		return float64(s.RequestCount()-mine) / max(float64(w.RequestCount()-all), 1) * float64(len(w.Servers)), err
 	}
 	flaps := o.scaled(600, 15)
 	settled := settle + 300*time.Millisecond // and its first answers
@@ -346,7 +346,7 @@
 			return nil, err
 		}
 	}
-	during := steady.Begun()
+	during := steady.RequestCount()
 	if err := wait(settled); err != nil {
 		return nil, err
 	}
--- a/internal/lab/acceptance/ephemeralfaults.go
+++ b/internal/lab/acceptance/ephemeralfaults.go
@@ -42,9 +42,9 @@
 		s.SetWork(2 * time.Millisecond)
 		s.Entry.StartedMs = longAgo()
 		reg.put(&s.Entry)
-		w.Roster.Set(s.Entry)
+		w.Discovery.Set(s.Entry)
 	}
-	if err := w.Followed(ctx); err != nil {
+	if err := w.AwaitWatch(ctx); err != nil {
 		return nil, err
 	}
 	running, stop := context.WithCancel(ctx)
@@ -65,7 +65,7 @@
 	server := func() *zk.Server { return reg.Servers[rng.IntN(len(reg.Servers))] }
 	ms := func(n int) time.Duration { return time.Duration(rng.IntN(n)) * time.Millisecond }
 	faults := []func(){heal, heal, heal,
-		func() { server().Cut() }, func() { server().SetDown(true) }, func() { server().SetLag(ms(800)) }, func() { server().SetSlow(ms(100)) },
+		func() { server().ResetConnections() }, func() { server().SetDown(true) }, func() { server().SetLag(ms(800)) }, func() { server().SetSlow(ms(100)) },
 		func() { server().SetHang(true) }, func() { server().Corrupt(3) }, func() { reg.LoseLeader(); reg.FindLeader() },
 		func() {
 			if ids := reg.Sessions(); len(ids) > 0 {
@@ -97,14 +97,14 @@
 			e.State = membership.Draining
 			w.Ledger.NotifiedDraining(e.ID, time.Now())
 			if o.Defect {
-				late.Go(func() { time.Sleep(400 * time.Millisecond); w.Roster.Set(e) })
+				late.Go(func() { time.Sleep(400 * time.Millisecond); w.Discovery.Set(e) })
 			} else {
-				w.Roster.Set(e)
+				w.Discovery.Set(e)
 			}
 		case x < 6 && drained[s]:
 			delete(drained, s)
 			w.Ledger.InService(s.Entry.ID)
-			w.Roster.Set(s.Entry)
+			w.Discovery.Set(s.Entry)
 		case x < 9 && len(missing) < 4 && !missing[s]:
 			missing[s] = true
 			reg.remove(s.Entry.ID)
@@ -117,7 +117,7 @@
 			w.Ledger.Started(s.Entry.ID, restarted, capacity)
 			s.Entry.StartedMs = float64(restarted.UnixMilli())
 			if !drained[s] {
-				w.Roster.Set(s.Entry)
+				w.Discovery.Set(s.Entry)
 			}
 			if reg.remove(s.Entry.ID); !missing[s] {
 				reg.put(&s.Entry)
@@ -134,7 +134,7 @@
 	heal()
 	for _, s := range w.Servers {
 		w.Ledger.InService(s.Entry.ID)
-		w.Roster.Set(s.Entry)
+		w.Discovery.Set(s.Entry)
 		reg.put(&s.Entry)
 	}
 	// Once all is well all are used again.
@@ -144,9 +144,9 @@
 		idle = 0
 		for _, s := range w.Servers {
 			if at[s] == 0 {
-				at[s] = s.Begun() + 1
+				at[s] = s.RequestCount() + 1
 			}
-			if s.Begun() < at[s]+5 {
+			if s.RequestCount() < at[s]+5 {
 				idle++
 			}
 		}
--- a/internal/lab/acceptance/latency.go
+++ b/internal/lab/acceptance/latency.go
@@ -136,7 +136,7 @@
 				r := s.w.Request("order", 1200*time.Millisecond)
 				r.Key = r.Op
 				b := s.w.Protocol.Encode(r)
-				s.w.Ledger.AttemptStarted(r.Op, r.Effect, r.Op, time.Now().Add(r.Within))
+				s.w.Ledger.AttemptStarted(r.Op, r.Effect, r.Op, time.Now().Add(r.Timeout))
 				waited := s.queue.waited()
 				from := time.Now()
 				if _, err := c.Write(b); err != nil {
@@ -146,7 +146,7 @@
 				a, err := c.Read()
 				calls[i].took = time.Since(from)
 				calls[i].waited = s.queue.waited() - waited
-				if err == nil && a.Verdict != lab.Served && !calls[i].starved(r.Within) {
+				if err == nil && a.Outcome != lab.Served && !calls[i].starved(r.Timeout) {
 					err = errNotServed
 				}
 				if err != nil {
@@ -154,7 +154,7 @@
 						r.Op, err, a, calls[i].took, calls[i].waited, s.w.Unserved())
 					return
 				}
-				s.w.Ledger.Answered(r.Op, a.Verdict, time.Now())
+				s.w.Ledger.Answered(r.Op, a.Outcome, time.Now())
 			}
 		})
 	}
--- a/internal/lab/acceptance/thriftkill.go
+++ b/internal/lab/acceptance/thriftkill.go
@@ -56,7 +56,7 @@
 	killer.Go(func() {
 		for killing.Err() == nil {
 			time.Sleep(time.Duration(rng.IntN(20_000)) * time.Microsecond)
-			w.Servers[rng.IntN(len(w.Servers))].Cut()
+			w.Servers[rng.IntN(len(w.Servers))].ResetConnections()
 			kills.Add(1)
 		}
 	})
@@ -84,7 +84,7 @@
 						c.Close()
 						c = nil
 					}
-					if !o.Defect || err == nil && a.Verdict == lab.Served || try > 0 {
+					if !o.Defect || err == nil && a.Outcome == lab.Served || try > 0 {
 						break
 					}
 				}
--- a/internal/lab/acceptance/wholefleet.go
+++ b/internal/lab/acceptance/wholefleet.go
@@ -103,7 +103,7 @@
 	time.Sleep(400 * time.Millisecond)
 	old := s.Entry.ID
 	f.told(func(r *lab.DiscoveryService) { r.Remove(old) })
-	s.Cut()
+	s.ResetConnections()
 	if newID {
 		s.Entry.ID += "'"
 	} else {
@@ -128,7 +128,7 @@
 		case <-ctx.Done():
 		}
 		s.Set(lab.Serving)
-		f.servers[rng.IntN(len(f.servers))].Cut()
+		f.servers[rng.IntN(len(f.servers))].ResetConnections()
 	}
 }
 
--- a/internal/lab/acceptor.go
+++ b/internal/lab/acceptor.go
@@ -54,8 +54,8 @@
 // Accepted is the number of connections so far.
 func (a *Acceptor) Accepted() int64 { return a.accepted.Load() }
 
-// Cut resets all connections.
-func (a *Acceptor) Cut() {
+// ResetConnections resets all connections.
+func (a *Acceptor) ResetConnections() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for c := range a.conns {
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -116,7 +116,7 @@
 			time.Sleep(250 * time.Millisecond) // the grace that the rule gives
 		}
 		for i, s := range servers {
-			before[i] = s.Begun()
+			before[i] = s.RequestCount()
 		}
 		count.reset()
 		select {
@@ -127,7 +127,7 @@
 		served, refused, failed := count.read()
 		fmt.Fprintf(w, "%-24s %7d %7d %7d  ", p.name, served, refused, failed)
 		for i, s := range servers {
-			fmt.Fprintf(w, "%6d", s.Begun()-before[i])
+			fmt.Fprintf(w, "%6d", s.RequestCount()-before[i])
 		}
 		fmt.Fprintln(w)
 		if p.about != "" {
--- a/internal/lab/scale/datapath.go
+++ b/internal/lab/scale/datapath.go
@@ -124,7 +124,7 @@
 		effect lab.Effect
 	}{{"read", lab.Idempotent}, {"send", lab.IdempotentByKey}, {"order", lab.NonIdempotent}}
 	class := classes[i%len(classes)]
-	return &world.Request{Op: fmt.Sprintf("%s-%d", wayNames[way], lastOp.Add(1)), Method: class.name, Effect: class.effect, Key: key, Within: callTime}
+	return &world.Request{Op: fmt.Sprintf("%s-%d", wayNames[way], lastOp.Add(1)), Method: class.name, Effect: class.effect, Key: key, Timeout: callTime}
 }
 
 // lastOp numbers operations.
@@ -214,7 +214,7 @@
 						errs[i*wayClients+k] = fmt.Errorf("scale: %s: %w", r.Op, err)
 						return
 					}
-					if a.Verdict != lab.Served {
+					if a.Outcome != lab.Served {
 						w.mu.Lock()
 						w.failed = append(w.failed, fmt.Sprintf("%s: %d %q", r.Op, a.Code, a.Text))
 						w.mu.Unlock()
@@ -411,7 +411,7 @@
 
 func (d *dataPath) begun() (n int64) {
 	for _, s := range d.servers {
-		n += s.Begun()
+		n += s.RequestCount()
 	}
 	return n
 }
@@ -715,7 +715,7 @@
 	h.mu.Lock()
 	h.idle[addr] = append(h.idle[addr], c)
 	h.mu.Unlock()
-	if a.Verdict != lab.Served {
+	if a.Outcome != lab.Served {
 		return fmt.Errorf("answered %d %q", a.Code, a.Text)
 	}
 	return nil
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -74,8 +74,8 @@
 // Set changes the mode.
 func (s *Backend) Set(m Mode) { s.mode.Store(int32(m)) }
 
-// Begun is the number of requests that began here.
-func (s *Backend) Begun() int64 { return s.begun.Load() }
+// RequestCount is the number of requests that began here.
+func (s *Backend) RequestCount() int64 { return s.begun.Load() }
 
 func (s *Backend) serve(c net.Conn) {
 	br := bufio.NewReader(c)
--- a/internal/lab/thriftlab/thriftlab.go
+++ b/internal/lab/thriftlab/thriftlab.go
@@ -117,17 +117,17 @@
 	}
 }
 
-// Placed is a call's result: the receipt, or a declared exception by its field's id.
-type Placed struct {
-	Receipt  string
-	Declared int16 // 0: none
-	Text     string
+// Result is a call's result: the receipt, or a declared exception by its field's id.
+type Result struct {
+	Receipt     string
+	ExceptionID int16 // 0: none
+	Text        string
 }
 
-func (r *Placed) Write(ctx context.Context, p thrift.TProtocol) error {
+func (r *Result) Write(ctx context.Context, p thrift.TProtocol) error {
 	p.WriteStructBegin(ctx, "result")
-	if r.Declared != 0 {
-		p.WriteFieldBegin(ctx, "x", thrift.STRUCT, r.Declared)
+	if r.ExceptionID != 0 {
+		p.WriteFieldBegin(ctx, "x", thrift.STRUCT, r.ExceptionID)
 		p.WriteStructBegin(ctx, "X")
 		p.WriteFieldBegin(ctx, "why", thrift.STRING, 1)
 		p.WriteString(ctx, r.Text)
@@ -139,13 +139,13 @@
 	return p.WriteFieldStop(ctx)
 }
 
-func (r *Placed) Read(ctx context.Context, p thrift.TProtocol) error {
+func (r *Result) Read(ctx context.Context, p thrift.TProtocol) error {
 	return fields(ctx, p, func(t thrift.TType, id int16) (err error) {
 		switch {
 		case id == 0 && t == thrift.STRING:
 			r.Receipt, err = p.ReadString(ctx)
 		case t == thrift.STRUCT:
-			r.Declared = id
+			r.ExceptionID = id
 			err = fields(ctx, p, func(t thrift.TType, id int16) (err error) {
 				if id == 1 && t == thrift.STRING {
 					r.Text, err = p.ReadString(ctx)
@@ -183,8 +183,8 @@
 	return s, nil
 }
 
-// Begun is the number of calls that began here.
-func (s *Server) Begun() int64 { return s.begun.Load() }
+// RequestCount is the number of calls that began here.
+func (s *Server) RequestCount() int64 { return s.begun.Load() }
 
 // Set changes the mode.
 func (s *Server) Set(m lab.Mode) { s.mode.Store(int32(m)) }
@@ -221,7 +221,7 @@
 			continue
 		}
 		s.Do()
-		reply := Placed{Receipt: s.ID + " " + o.Op}
+		reply := Result{Receipt: s.ID + " " + o.Op}
 		switch mode {
 		case lab.Silent:
 			io.Copy(io.Discard, c)
@@ -231,9 +231,9 @@
 			c.(*net.TCPConn).SetLinger(0)
 			return
 		case lab.Rejecting:
-			reply = Placed{Declared: 2, Text: "full"}
+			reply = Result{ExceptionID: 2, Text: "full"}
 		case lab.DeclaredException:
-			reply = Placed{Declared: 2, Text: "full"}
+			reply = Result{ExceptionID: 2, Text: "full"}
 		case lab.WrongSequenceID:
 			seq++
 		case lab.WrongMethodName:
@@ -298,7 +298,7 @@
 }
 
 // Read reads a reply. The code is that of an application exception, or -1 where there was none.
-func (r *Reader) Read() (res Placed, seq, code int32, err error) {
+func (r *Reader) Read() (res Result, seq, code int32, err error) {
 	ctx := context.Background()
 	_, kind, seq, err := r.p.ReadMessageBegin(ctx)
 	if err != nil {
--- a/internal/lab/world/protocol.go
+++ b/internal/lab/world/protocol.go
@@ -41,24 +41,24 @@
 
 // Request is one that a client sends.
 type Request struct {
-	Op     string // what the ledger knows it by
-	Method string // over HTTP its class
-	Effect lab.Effect
-	Key    string
-	Within time.Duration
-	Kind   thriftlab.Kind // Thrift only
-	Seq    int32          // Thrift only
+	Op      string // what the ledger knows it by
+	Method  string // over HTTP its class
+	Effect  lab.Effect
+	Key     string
+	Timeout time.Duration
+	Kind    thriftlab.Kind // Thrift only
+	Seq     int32          // Thrift only
 }
 
 // Answer is one that a client got.
 type Answer struct {
-	Verdict  lab.Outcome
-	After    time.Duration // refused: when to come back
-	Code     int           // an application exception's type, or an HTTP status; 0 of what was served
-	Receipt  string
-	Declared int16 // id of the declared exception
-	Text     string
-	Seq      int32
+	Outcome     lab.Outcome
+	RetryAfter  time.Duration // refused: when to come back
+	Code        int           // an application exception's type, or an HTTP status; 0 of what was served
+	Receipt     string
+	ExceptionID int16 // id of the declared exception
+	Text        string
+	Seq         int32
 }
 
 var lastID atomic.Uint64
@@ -67,7 +67,7 @@
 func (p Protocol) Encode(r *Request) []byte {
 	if p.Thrift() {
 		return p.Encoding.Encode(r.Method, r.Kind, r.Seq,
-			&thriftlab.Order{Op: r.Op, Key: r.Key, Ms: int32(r.Within.Milliseconds()), Lines: []string{"a", "b"}})
+			&thriftlab.Order{Op: r.Op, Key: r.Key, Ms: int32(r.Timeout.Milliseconds()), Lines: []string{"a", "b"}})
 	}
 	var b bytes.Buffer
 	target, body := "/api/"+r.Key, r.Op+" a b"
@@ -78,7 +78,7 @@
 		fmt.Fprintf(&b, "POST %s HTTP/1.1\r\nContent-Length: %d\r\n", target, len(body))
 	}
 	fmt.Fprintf(&b, "Host: agent\r\nRequest-Id: %016x\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: %d\r\n",
-		lastID.Add(1), r.Method, r.Within.Milliseconds())
+		lastID.Add(1), r.Method, r.Timeout.Milliseconds())
 	if r.Effect == lab.IdempotentByKey {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", r.Op)
 	}
@@ -111,15 +111,15 @@
 func (c *Client) Read() (a Answer, err error) {
 	if c.thrift != nil {
 		res, seq, code, err := c.thrift.Read()
-		a = Answer{Verdict: lab.Served, Receipt: res.Receipt, Declared: res.Declared, Text: res.Text, Seq: seq}
+		a = Answer{Outcome: lab.Served, Receipt: res.Receipt, ExceptionID: res.ExceptionID, Text: res.Text, Seq: seq}
 		if code >= 0 {
-			a.Verdict, a.Code = lab.Failed, int(code)
+			a.Outcome, a.Code = lab.Failed, int(code)
 		}
 		if code == thrift.CodeRejected {
-			a.Verdict = lab.Rejected
+			a.Outcome = lab.Rejected
 			if _, rest, ok := strings.Cut(res.Text, "come back after "); ok {
 				ms, _ := strconv.ParseFloat(strings.TrimSuffix(rest, " ms"), 64)
-				a.After = time.Duration(ms * float64(time.Millisecond))
+				a.RetryAfter = time.Duration(ms * float64(time.Millisecond))
 			}
 		}
 		return a, err
@@ -129,14 +129,14 @@
 		return a, err
 	}
 	body, err := io.ReadAll(resp.Body)
-	a = Answer{Verdict: lab.Failed, Code: resp.StatusCode, Text: string(body)}
+	a = Answer{Outcome: lab.Failed, Code: resp.StatusCode, Text: string(body)}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		a.Verdict, a.Code, a.Receipt = lab.Served, 0, string(body)
+		a.Outcome, a.Code, a.Receipt = lab.Served, 0, string(body)
 	case http.StatusServiceUnavailable:
-		a.Verdict = lab.Rejected
+		a.Outcome = lab.Rejected
 		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-		a.After = time.Duration(s * float64(time.Second))
+		a.RetryAfter = time.Duration(s * float64(time.Second))
 	}
 	return a, err
 }
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -63,8 +63,8 @@
 	Set(lab.Mode)
 	SetWork(time.Duration)
 	SetTail(every int64, more time.Duration)
-	Begun() int64
-	Cut()
+	RequestCount() int64
+	ResetConnections()
 	Close()
 }
 
@@ -86,25 +86,25 @@
 
 // Options say what is in a world. The zero value has three servers.
 type Options struct {
-	Servers  int
-	Entries  []membership.Entry // in place of servers of the world's own
-	Settings *policy.Settings   // nil: Settings()
-	Zones    []string           // nil: "east"
-	Seed     uint64
-	Refuse   bool // Thrift: methods that are not listed
+	Servers        int
+	Entries        []membership.Entry // in place of servers of the world's own
+	Settings       *policy.Settings   // nil: Settings()
+	Zones          []string           // nil: "east"
+	Seed           uint64
+	RejectUnlisted bool // Thrift: methods that are not listed
 	// Registry is the file of a registry of what runs, as the agent is given it; "": there is none.
 	Registry string
 }
 
 // World is one.
 type World struct {
-	Protocol Protocol
-	Addr     string // of the front
-	Loop     *core.EventLoop
-	Ledger   *lab.Ledger
-	Roster   *lab.DiscoveryService
-	Servers  []*Server
-	Pool     *conns.Pool
+	Protocol  Protocol
+	Addr      string // of the front
+	Loop      *core.EventLoop
+	Ledger    *lab.Ledger
+	Discovery *lab.DiscoveryService
+	Servers   []*Server
+	Pool      *conns.Pool
 
 	budget *semaphore.Weighted
 	down   func() error
@@ -132,7 +132,7 @@
 			w.Servers, entries = append(w.Servers, s), append(entries, s.Entry)
 		}
 	}
-	if w.Roster, err = lab.NewDiscoveryService(entries...); err != nil {
+	if w.Discovery, err = lab.NewDiscoveryService(entries...); err != nil {
 		return w, err
 	}
 	settings, zones := Settings(), o.Zones
@@ -142,7 +142,7 @@
 	if zones == nil {
 		zones = []string{"east"}
 	}
-	cfg := core.Config{Discovery: w.Roster.Addr, CachedEndpoints: w.Roster.List(), Settings: settings, Seed: o.Seed, Zones: zones}
+	cfg := core.Config{Discovery: w.Discovery.Addr, CachedEndpoints: w.Discovery.List(), Settings: settings, Seed: o.Seed, Zones: zones}
 	if o.Registry != "" {
 		c, err := ephemeral.Load(o.Registry)
 		if err != nil {
@@ -150,7 +150,7 @@
 		}
 		cfg.Merge, cfg.WatchNodes = c.Merge(), ephemeral.NewSource(c).Feed(nil)
 	}
-	return w, w.start(cfg, o.Refuse)
+	return w, w.start(cfg, o.RejectUnlisted)
 }
 
 // start starts core and front.
@@ -227,8 +227,8 @@
 // Close ends all of it.
 func (w *World) Close() error {
 	err := w.Stop()
-	if w.Roster != nil {
-		w.Roster.Close()
+	if w.Discovery != nil {
+		w.Discovery.Close()
 	}
 	for _, s := range w.Servers {
 		s.Close()
@@ -246,16 +246,16 @@
 	}
 }
 
-// Begun is the number of requests that began at any server.
-func (w *World) Begun() (n int64) {
+// RequestCount is the number of requests that began at any server.
+func (w *World) RequestCount() (n int64) {
 	for _, s := range w.Servers {
-		n += s.Begun()
+		n += s.RequestCount()
 	}
 	return n
 }
 
-// Figures are the core's.
-func (w *World) Figures() core.Stats {
+// Stats are the core's.
+func (w *World) Stats() core.Stats {
 	got := make(chan core.Stats, 1)
 	w.Loop.Post(func() { got <- w.Loop.Stats() })
 	return <-got
@@ -272,10 +272,10 @@
 	return strings.Join(rules, ", ")
 }
 
-// Followed waits until the roster has been asked for changes.
-func (w *World) Followed(ctx context.Context) error {
+// AwaitWatch waits until the roster has been asked for changes.
+func (w *World) AwaitWatch(ctx context.Context) error {
 	select {
-	case <-w.Roster.WatchIndexes:
+	case <-w.Discovery.WatchIndexes:
 		return nil
 	case <-time.After(patience):
 		return errors.New("world: the roster is not followed")
@@ -290,18 +290,18 @@
 // Request is a new operation.
 func (w *World) Request(method string, within time.Duration) *Request {
 	n := w.lastOp.Add(1)
-	return &Request{Op: fmt.Sprint(method, "-", n), Method: method, Effect: effects[method], Key: "key", Within: within, Seq: int32(n)}
+	return &Request{Op: fmt.Sprint(method, "-", n), Method: method, Effect: effects[method], Key: "key", Timeout: within, Seq: int32(n)}
 }
 
 // Send sends a request and notes it in the ledger.
 func (w *World) Send(c *Client, r *Request) error {
-	w.Ledger.AttemptStarted(r.Op, r.Effect, r.Op, time.Now().Add(r.Within))
+	w.Ledger.AttemptStarted(r.Op, r.Effect, r.Op, time.Now().Add(r.Timeout))
 	_, err := c.Write(w.Protocol.Encode(r))
 	return err
 }
 
-// Answered reads the answer to a request and notes it in the ledger.
-func (w *World) Answered(c *Client, r *Request) (Answer, error) {
+// Receive reads the answer to a request and notes it in the ledger.
+func (w *World) Receive(c *Client, r *Request) (Answer, error) {
 	a, err := c.Read()
 	switch {
 	case err != nil:
@@ -309,10 +309,10 @@
 		return a, fmt.Errorf("%s: no answer: %w", r.Op, err)
 	case w.Protocol.Thrift() && a.Seq != r.Seq:
 		err = fmt.Errorf("%s: sequence id %d, sent %d", r.Op, a.Seq, r.Seq)
-	case a.Verdict == lab.Served && a.Declared == 0 && (len(a.Receipt) <= len(r.Op) || a.Receipt[len(a.Receipt)-len(r.Op)-1:] != " "+r.Op):
+	case a.Outcome == lab.Served && a.ExceptionID == 0 && (len(a.Receipt) <= len(r.Op) || a.Receipt[len(a.Receipt)-len(r.Op)-1:] != " "+r.Op):
 		err = fmt.Errorf("%s: answered with %q", r.Op, a.Receipt)
 	}
-	w.Ledger.Answered(r.Op, a.Verdict, time.Now())
+	w.Ledger.Answered(r.Op, a.Outcome, time.Now())
 	return a, err
 }
 
@@ -332,5 +332,5 @@
 		w.Ledger.Unanswered(r.Op)
 		return Answer{}, err
 	}
-	return w.Answered(c, r)
+	return w.Receive(c, r)
 }
--- a/internal/lab/zk/server.go
+++ b/internal/lab/zk/server.go
@@ -99,8 +99,8 @@
 // Corrupt makes the next n frames that go out unreadable.
 func (s *Server) Corrupt(n int) { s.corrupt.Store(int64(n)) }
 
-// Cut resets all connections; sessions live on.
-func (s *Server) Cut() { s.locked(s.cut) }
+// ResetConnections resets all connections; sessions live on.
+func (s *Server) ResetConnections() { s.locked(s.cut) }
 
 // Bytes is what has gone out, Reads the number of requests that read.
 func (s *Server) Bytes() int64 { return s.bytes.Load() }
--- a/internal/membership/ephemeral/registrar_test.go
+++ b/internal/membership/ephemeral/registrar_test.go
@@ -68,8 +68,8 @@
 	r, _, stop := startRegistrar(t, e, func(c *Config) { c.Auth = "user:secret" })
 	waitFor(t, "no node", exists)
 	// The connection is lost and the session stays alive: the node stays as it is.
-	e.Servers[0].Cut()
-	e.Servers[1].Cut()
+	e.Servers[0].ResetConnections()
+	e.Servers[1].ResetConnections()
 	r.Set(func(e *membership.Entry) { e.State = membership.Draining })
 	waitFor(t, "the change is not written", func() bool { return strings.Contains(e.Children("/fleet")["me"], `"draining"`) })
 	if creations, deletions := counts(); creations != 1 || deletions != 0 {
--- a/internal/membership/ephemeral/session_test.go
+++ b/internal/membership/ephemeral/session_test.go
@@ -27,7 +27,7 @@
 			v.waitFor(what+": not synced again", func() bool { return v.synced > n })
 			v.waitFor(what+": a node expired", func() bool { return v.expired == 0 && v.changes == changesBefore })
 		}
-		reconnect("cut", func() { e.Servers[0].Cut(); e.Servers[1].Cut() })
+		reconnect("cut", func() { e.Servers[0].ResetConnections(); e.Servers[1].ResetConnections() })
 		reconnect("expired", func() { e.Expire(e.Sessions()[0], false) })
 		reconnect("expired with its connection up", func() { e.Expire(e.Sessions()[0], true) })
 		reconnect("a new leader epoch", func() { e.LoseLeader(); e.FindLeader() })
--- a/internal/membership/ephemeral/walk_test.go
+++ b/internal/membership/ephemeral/walk_test.go
@@ -169,7 +169,7 @@
 	server := func() *zk.Server { return e.Servers[rng.IntN(3)] }
 	clearAll := func() { clearFaults(e) }
 	return []func(){
-		func() { server().Cut() },
+		func() { server().ResetConnections() },
 		func() { server().SetDown(rng.IntN(2) == 0) },
 		func() { server().SetLag(time.Duration(rng.IntN(30)) * time.Millisecond) },
 		func() { server().SetSlow(time.Duration(rng.IntN(3)) * time.Millisecond) },
--- a/internal/upstream/http/upstream_test.go
+++ b/internal/upstream/http/upstream_test.go
@@ -104,8 +104,8 @@
 	if res := s.Do(t.Context(), &core.Backend{}, b.Addr, c, now, now.Add(waitTimeout)); res.Status != policy.OK {
 		t.Errorf("ended as %d, want %d", res.Status, policy.OK)
 	}
-	if b.Begun() != 1 {
-		t.Errorf("%d requests arrived, want 1", b.Begun())
+	if b.RequestCount() != 1 {
+		t.Errorf("%d requests arrived, want 1", b.RequestCount())
 	}
 }
 
