--- a/internal/lab/acceptance/ephemeralfaults.go
+++ b/internal/lab/acceptance/ephemeralfaults.go
@@ -56,7 +56,7 @@
 	heal := func() {
 		for _, s := range reg.Servers {
 			s.SetDown(false)
-			s.SetHang(false)
+			s.SetHalfOpen(false)
 			s.SetLag(0)
 			s.SetSlow(0)
 			s.Corrupt(0)
@@ -66,7 +66,7 @@
 	ms := func(n int) time.Duration { return time.Duration(rng.IntN(n)) * time.Millisecond }
 	faults := []func(){heal, heal, heal,
 		func() { server().ResetConnections() }, func() { server().SetDown(true) }, func() { server().SetLag(ms(800)) }, func() { server().SetSlow(ms(100)) },
-		func() { server().SetHang(true) }, func() { server().Corrupt(3) }, func() { reg.LoseLeader(); reg.FindLeader() },
+		func() { server().SetHalfOpen(true) }, func() { server().Corrupt(3) }, func() { reg.LoseLeader(); reg.ElectLeader() },
 		func() {
 			if ids := reg.Sessions(); len(ids) > 0 {
 				reg.Expire(ids[rng.IntN(len(ids))], rng.IntN(2) == 0)
--- a/internal/lab/acceptance/ephemeralsize.go
+++ b/internal/lab/acceptance/ephemeralsize.go
@@ -171,7 +171,7 @@
 func EphemeralSize(ctx context.Context, o *Options) (*Report, error) {
 	r := &Report{Proof: "ephemeral-size", Seed: o.Seed, Scale: o.Scale}
 	n := o.scaled(10_000, 200)
-	e, err := zk.New(zk.Options{Servers: 1, Seed: o.Seed, Most: time.Minute, Old: o.Defect})
+	e, err := zk.New(zk.Options{Servers: 1, Seed: o.Seed, MaxSessionTimeout: time.Minute, Before35: o.Defect})
 	if err != nil {
 		return nil, err
 	}
@@ -251,7 +251,7 @@
 // watchers has many followers told of one end.
 func watchers(ctx context.Context, o *Options, r *Report) error {
 	const nodes = 100
-	e, err := zk.New(zk.Options{Servers: 3, Seed: o.Seed, Most: time.Minute, Old: o.Defect})
+	e, err := zk.New(zk.Options{Servers: 3, Seed: o.Seed, MaxSessionTimeout: time.Minute, Before35: o.Defect})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/zk/ensemble.go
+++ b/internal/lab/zk/ensemble.go
@@ -21,10 +21,10 @@
 type Options struct {
 	Servers int // 1 to 5
 	Seed    uint64
-	// Least and Most bound a session's time-out; 0: 100 ms and 10 s.
-	Least, Most time.Duration
-	// Old servers know no OpAddWatch, OpSetWatches2 and OpCreate2, as before 3.5.
-	Old bool
+	// MinSessionTimeout and MaxSessionTimeout bound a session's time-out; 0: 100 ms and 10 s.
+	MinSessionTimeout, MaxSessionTimeout time.Duration
+	// Before35 servers know no OpAddWatch, OpSetWatches2 and OpCreate2, as before 3.5.
+	Before35 bool
 }
 
 // Ensemble is a registry.
@@ -57,11 +57,11 @@
 // New starts an ensemble.
 func New(o Options) (*Ensemble, error) {
 	o.Servers = min(max(o.Servers, 1), 5)
-	if o.Least <= 0 {
-		o.Least = 100 * time.Millisecond
+	if o.MinSessionTimeout <= 0 {
+		o.MinSessionTimeout = 100 * time.Millisecond
 	}
-	if o.Most <= 0 {
-		o.Most = 10 * time.Second
+	if o.MaxSessionTimeout <= 0 {
+		o.MaxSessionTimeout = 10 * time.Second
 	}
 	e := &Ensemble{opts: o, history: newTree(), sessions: map[int64]*session{}, leader: true, rng: rand.New(rand.NewPCG(o.Seed, 1)),
 		stop: make(chan struct{}), nextID: 0x100000000}
@@ -224,8 +224,8 @@
 	}
 }
 
-// FindLeader ends LoseLeader.
-func (e *Ensemble) FindLeader() {
+// ElectLeader ends LoseLeader.
+func (e *Ensemble) ElectLeader() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leader = true
@@ -331,7 +331,7 @@
 	}
 	e.nextID++
 	s := &session{id: e.nextID, password: binary.BigEndian.AppendUint64(make([]byte, 8), e.rng.Uint64()), conn: nc, heard: time.Now(),
-		timeout: min(max(time.Duration(c.TimeoutMs)*time.Millisecond, e.opts.Least), e.opts.Most)}
+		timeout: min(max(time.Duration(c.TimeoutMs)*time.Millisecond, e.opts.MinSessionTimeout), e.opts.MaxSessionTimeout)}
 	e.sessions[s.id] = s
 	return s
 }
--- a/internal/lab/zk/ops.go
+++ b/internal/lab/zk/ops.go
@@ -65,7 +65,7 @@
 		s.reads.Add(1)
 		return c.read(r, op, reply)
 	case zkwire.OpSetWatches, zkwire.OpSetWatches2:
-		if op == zkwire.OpSetWatches2 && e.opts.Old {
+		if op == zkwire.OpSetWatches2 && e.opts.Before35 {
 			return reply(zkwire.Unimplemented, nil)
 		}
 		w := r.SetWatches(op == zkwire.OpSetWatches2)
@@ -77,7 +77,7 @@
 	case zkwire.OpAddWatch:
 		path, mode := r.String(), r.Int()
 		switch {
-		case e.opts.Old:
+		case e.opts.Before35:
 			return reply(zkwire.Unimplemented, nil)
 		case r.Err() != nil || !valid(path) || mode != zkwire.WatchPersistent && mode != zkwire.WatchPersistentRecursive:
 			return reply(zkwire.BadArguments, nil)
@@ -91,7 +91,7 @@
 	if op == zkwire.OpMulti {
 		return c.multi(r, reply)
 	}
-	if op == zkwire.OpCreate2 && e.opts.Old {
+	if op == zkwire.OpCreate2 && e.opts.Before35 {
 		return reply(zkwire.Unimplemented, nil)
 	}
 	w := &writing{c: c, t: e.history}
--- a/internal/lab/zk/server.go
+++ b/internal/lab/zk/server.go
@@ -85,12 +85,12 @@
 // SetReadOnly makes the server one that lost the others: it serves reads to clients that allow it.
 func (s *Server) SetReadOnly(ro bool) { s.locked(func() { s.ro = ro; s.cut() }) }
 
-// SetTrusting makes the server take clients that have seen more than it has, which a sound one refuses, and
+// SetAcceptsNewerClients makes the server take clients that have seen more than it has, which a sound one refuses, and
 // answer a sync without having caught up.
-func (s *Server) SetTrusting(on bool) { s.locked(func() { s.trusts = on }) }
+func (s *Server) SetAcceptsNewerClients(on bool) { s.locked(func() { s.trusts = on }) }
 
-// SetHang makes connections half-open: nothing more is read or written, and none is closed.
-func (s *Server) SetHang(on bool) { s.hang.Store(on) }
+// SetHalfOpen makes connections half-open: nothing more is read or written, and none is closed.
+func (s *Server) SetHalfOpen(on bool) { s.hang.Store(on) }
 
 // SetSlow delays each frame that goes out by up to twice d; each connection keeps its order, connections
 // among each other do not.
--- a/internal/lab/zk/witness_test.go
+++ b/internal/lab/zk/witness_test.go
@@ -64,7 +64,7 @@
 
 // The library that nobody here wrote works against the stand-in, in all that the stand-in claims.
 func TestWitness(t *testing.T) {
-	e := ensemble(t, Options{Servers: 3, Most: 2 * time.Second})
+	e := ensemble(t, Options{Servers: 3, MaxSessionTimeout: 2 * time.Second})
 	a, b := witness(t, e), witness(t, e)
 	must := func(what string, err error) {
 		t.Helper()
@@ -215,7 +215,7 @@
 	}
 	before := e.Zxid()
 	e.LoseLeader()
-	e.FindLeader()
+	e.ElectLeader()
 	if e.Zxid()>>32 <= before>>32 {
 		t.Errorf("zxid %#x after %#x: no new epoch", e.Zxid(), before)
 	}
--- a/internal/membership/ephemeral/registrar_test.go
+++ b/internal/membership/ephemeral/registrar_test.go
@@ -93,7 +93,7 @@
 // A node from an older session of this process is replaced in one transaction. A node of another process is
 // left unchanged; once it is deleted, this process creates its own.
 func TestRegistrarWithExistingNode(t *testing.T) {
-	e := newEnsemble(t, zk.Options{Least: time.Minute, Most: time.Minute})
+	e := newEnsemble(t, zk.Options{MinSessionTimeout: time.Minute, MaxSessionTimeout: time.Minute})
 	e.Put("/fleet/me", []byte(`{"id":"me","instance":"another"}`), 77)
 	_, problems, _ := startRegistrar(t, e, nil)
 	waitFor(t, "it is not reported that the name is taken", func() bool { return strings.Contains(problems(), "another process") })
--- a/internal/membership/ephemeral/session_test.go
+++ b/internal/membership/ephemeral/session_test.go
@@ -15,7 +15,7 @@
 // are detected, including a node that expired and was created again.
 func TestOwnSessionExpiryExpiresNoNode(t *testing.T) {
 	forEachWatchMode(t, func(t *testing.T, old bool, watch string) {
-		e := newEnsemble(t, zk.Options{Servers: 2, Old: old})
+		e := newEnsemble(t, zk.Options{Servers: 2, Before35: old})
 		for i := range 20 {
 			e.Put(fmt.Sprint("/fleet/s-", i), nil, 0)
 		}
@@ -30,7 +30,7 @@
 		reconnect("cut", func() { e.Servers[0].ResetConnections(); e.Servers[1].ResetConnections() })
 		reconnect("expired", func() { e.Expire(e.Sessions()[0], false) })
 		reconnect("expired with its connection up", func() { e.Expire(e.Sessions()[0], true) })
-		reconnect("a new leader epoch", func() { e.LoseLeader(); e.FindLeader() })
+		reconnect("a new leader epoch", func() { e.LoseLeader(); e.ElectLeader() })
 		for what, end := range map[string]func(){"cut": func() {}, "expired": func() { e.Expire(e.Sessions()[0], false) }} {
 			n, _ := v.counts()
 			first := v.node("s-3").Czxid
@@ -64,8 +64,8 @@
 
 // A server that is behind does not bring expired nodes back, even if it accepts the session.
 func TestServerBehindIsNotUsed(t *testing.T) {
-	e := newEnsemble(t, zk.Options{Servers: 2, Least: 300 * time.Millisecond})
-	e.Servers[1].SetTrusting(true)
+	e := newEnsemble(t, zk.Options{Servers: 2, MinSessionTimeout: 300 * time.Millisecond})
+	e.Servers[1].SetAcceptsNewerClients(true)
 	e.Put("/fleet/s-1", nil, 0)
 	e.Put("/fleet/s-2", nil, 0)
 	e.Servers[1].SetDown(true)
@@ -115,20 +115,20 @@
 
 // The source leaves a server that does not answer for another one before the session expires.
 func TestSilentServerIsLeftBeforeSessionExpires(t *testing.T) {
-	e := newEnsemble(t, zk.Options{Servers: 2, Least: time.Second})
+	e := newEnsemble(t, zk.Options{Servers: 2, MinSessionTimeout: time.Second})
 	e.Put("/fleet/s-1", nil, 0)
 	e.Servers[1].SetDown(true)
 	v := startSource(t, testConfig(e, func(c *Config) { c.SessionMs = 1000 }))
 	v.waitForNodes("s-1")
 	id := e.Sessions()[0]
-	e.Servers[0].SetHang(true)
+	e.Servers[0].SetHalfOpen(true)
 	e.Servers[1].SetDown(false)
 	e.Put("/fleet/s-2", nil, 0)
 	v.waitForNodes("s-1", "s-2")
 	if ids := e.Sessions(); len(ids) != 1 || ids[0] != id {
 		t.Errorf("session %#x became %#x", id, ids)
 	}
-	e.Servers[0].SetHang(false)
+	e.Servers[0].SetHalfOpen(false)
 }
 
 // A malformed frame ends the connection and causes no expiry.
--- a/internal/membership/ephemeral/source_test.go
+++ b/internal/membership/ephemeral/source_test.go
@@ -11,7 +11,7 @@
 
 func TestSourceFollowsNodes(t *testing.T) {
 	forEachWatchMode(t, func(t *testing.T, old bool, watch string) {
-		e := newEnsemble(t, zk.Options{Servers: 3, Old: old})
+		e := newEnsemble(t, zk.Options{Servers: 3, Before35: old})
 		v := startSource(t, testConfig(e, func(c *Config) { c.Watch, c.Chroot, c.Path = watch, "/realm", "/fleet" }))
 		v.waitFor("not synced", func() bool { return v.synced == 1 })
 		v.waitForText("/realm/fleet does not exist") // the directory is created later
@@ -37,7 +37,7 @@
 
 func TestSourceFollowsDirectories(t *testing.T) {
 	forEachWatchMode(t, func(t *testing.T, old bool, watch string) {
-		e := newEnsemble(t, zk.Options{Old: old})
+		e := newEnsemble(t, zk.Options{Before35: old})
 		e.Put("/fleet/a/s-1", nil, 0)
 		e.Put("/fleet/b/s-2", nil, 0)
 		v := startSource(t, testConfig(e, func(c *Config) { c.Watch, c.Depth = watch, 2 }))
@@ -75,7 +75,7 @@
 
 // 10,000 nodes are followed; nodes beyond MaxNodes and a reply beyond FrameLimit are reported.
 func TestTenThousandNodes(t *testing.T) {
-	e := newEnsemble(t, zk.Options{Most: time.Minute})
+	e := newEnsemble(t, zk.Options{MaxSessionTimeout: time.Minute})
 	const n = 10_000
 	for i := range n {
 		e.Put(longPath(i), []byte(`{"addr":"h:1"}`), 0)
--- a/internal/membership/ephemeral/walk_test.go
+++ b/internal/membership/ephemeral/walk_test.go
@@ -157,7 +157,7 @@
 func clearFaults(e *zk.Ensemble) {
 	for _, s := range e.Servers {
 		s.SetDown(false)
-		s.SetHang(false)
+		s.SetHalfOpen(false)
 		s.SetLag(0)
 		s.SetSlow(0)
 		s.Corrupt(0)
@@ -173,8 +173,8 @@
 		func() { server().SetDown(rng.IntN(2) == 0) },
 		func() { server().SetLag(time.Duration(rng.IntN(30)) * time.Millisecond) },
 		func() { server().SetSlow(time.Duration(rng.IntN(3)) * time.Millisecond) },
-		func() { server().SetHang(rng.IntN(3) == 0) },
-		func() { server().SetTrusting(rng.IntN(2) == 0) },
+		func() { server().SetHalfOpen(rng.IntN(3) == 0) },
+		func() { server().SetAcceptsNewerClients(rng.IntN(2) == 0) },
 		func() { server().Corrupt(rng.IntN(2)) },
 		func() {
 			if ids := e.Sessions(); len(ids) > 0 {
@@ -182,7 +182,7 @@
 			}
 		},
 		clearAll, clearAll, clearAll, clearAll,
-		func() { e.LoseLeader(); time.Sleep(time.Duration(rng.IntN(5)) * time.Millisecond); e.FindLeader() },
+		func() { e.LoseLeader(); time.Sleep(time.Duration(rng.IntN(5)) * time.Millisecond); e.ElectLeader() },
 	}
 }
 
@@ -215,7 +215,7 @@
 	forEachWatchMode(t, func(t *testing.T, old bool, watch string) {
 		const seed = 11
 		rng := rand.New(rand.NewPCG(seed, 0))
-		e := newEnsemble(t, zk.Options{Servers: 3, Seed: seed, Old: old})
+		e := newEnsemble(t, zk.Options{Servers: 3, Seed: seed, Before35: old})
 		w := &walkChecker{
 			t:         t,
 			seed:      seed,
