--- a/internal/lab/acceptor.go
+++ b/internal/lab/acceptor.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// Acceptor is the listener of a stand-in: it serves each connection in a goroutine and owns them all.
+// Acceptor is the listener of a stand-in server. It owns all connections and serves each in its own goroutine.
 type Acceptor struct {
 	Addr string
 
@@ -14,11 +14,11 @@
 	accepted atomic.Int64
 	mu       sync.Mutex
 	conns    map[net.Conn]bool
-	over     bool
+	closed   bool
 	wg       sync.WaitGroup
 }
 
-// Accept listens on a port that the kernel chooses; serve need not close its connection.
+// Accept listens on a port that the kernel chooses. The connection is closed when serve returns.
 func Accept(serve func(net.Conn)) (*Acceptor, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +33,7 @@
 			}
 			a.accepted.Add(1)
 			a.mu.Lock()
-			if a.over {
+			if a.closed {
 				c.Close()
 			} else {
 				a.conns[c] = true
@@ -51,10 +51,10 @@
 	return a, nil
 }
 
-// Accepted is the number of connections so far.
+// Accepted returns the number of connections accepted so far.
 func (a *Acceptor) Accepted() int64 { return a.accepted.Load() }
 
-// ResetConnections resets all connections.
+// ResetConnections resets all open connections.
 func (a *Acceptor) ResetConnections() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -64,11 +64,11 @@
 	}
 }
 
-// Close ends the listener and its connections, and waits for them.
+// Close closes the listener and its connections and waits until all of them have been served.
 func (a *Acceptor) Close() {
 	a.ln.Close()
 	a.mu.Lock()
-	a.over = true
+	a.closed = true
 	for c := range a.conns {
 		c.Close()
 	}
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -14,17 +14,17 @@
 	"time"
 )
 
-// Client is a scripted client of an agent, as the protocol page has it: it sends operations, comes
-// back where it is told that this is harmless, and tells the ledger.
+// Client is a scripted client of an agent that follows the HTTP protocol: it sends operations, retries
+// where the answer says that this is safe, and records every attempt in the ledger.
 type Client struct {
 	Agent       string // host:port
 	Ledger      *Ledger
-	MaxAttempts int // of an operation at the most
+	MaxAttempts int // per operation
 
 	http *http.Client
 }
 
-// NewClient returns a client of the agent at addr. Close its connections with Close.
+// NewClient returns a client of the agent at addr. The caller closes it with Close.
 func NewClient(addr string, ledger *Ledger) *Client {
 	return &Client{Agent: addr, Ledger: ledger, MaxAttempts: 3, http: &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 64, DisableCompression: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}}
@@ -33,35 +33,36 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-var lastID atomic.Uint64
+var lastRequestID atomic.Uint64
 
-// Do carries out one operation of a class and returns how it ended at last.
-func (c *Client) Do(ctx context.Context, op, class string, effect Effect, key string, within time.Duration) Outcome {
-	until := time.Now().Add(within)
-	v := Failed
-	for try := range c.MaxAttempts {
-		left := time.Until(until)
-		if left < 20*time.Millisecond {
+// Do sends one operation of a class, with retries, and returns the outcome of the last attempt.
+func (c *Client) Do(ctx context.Context, op, class string, effect Effect, key string, timeout time.Duration) Outcome {
+	deadline := time.Now().Add(timeout)
+	outcome := Failed
+	for attempt := range c.MaxAttempts {
+		remaining := time.Until(deadline)
+		if remaining < 20*time.Millisecond {
 			break
 		}
-		var after time.Duration
-		v, after = c.try(ctx, op, class, effect, key, left, try > 0)
+		var retryAfter time.Duration
+		outcome, retryAfter = c.attempt(ctx, op, class, effect, key, remaining, attempt > 0)
 		switch {
-		case v == Served, v == Failed && effect == NonIdempotent:
-			return v // a failed unsafe one may have run
-		case v == Failed && effect == IdempotentByKey:
-			after = 10 * time.Millisecond // servers drop the repeat
+		case outcome == Served, outcome == Failed && effect == NonIdempotent:
+			return outcome // a failed operation that is not idempotent may have run
+		case outcome == Failed && effect == IdempotentByKey:
+			retryAfter = 10 * time.Millisecond // servers deduplicate by the key
 		}
 		select {
-		case <-time.After(after/2 + rand.N(after/2+time.Millisecond)):
+		case <-time.After(retryAfter/2 + rand.N(retryAfter/2+time.Millisecond)):
 		case <-ctx.Done():
-			return v
+			return outcome
 		}
 	}
-	return v
+	return outcome
 }
 
-func (c *Client) try(ctx context.Context, op, class string, effect Effect, key string, left time.Duration, again bool) (Outcome, time.Duration) {
+// attempt sends one attempt and returns its outcome and how long to wait before a retry.
+func (c *Client) attempt(ctx context.Context, op, class string, effect Effect, key string, remaining time.Duration, isRetry bool) (Outcome, time.Duration) {
 	method, body, query := http.MethodPost, op+" ", ""
 	if effect == Idempotent {
 		method, body, query = http.MethodGet, "", "?op="+op
@@ -73,20 +74,20 @@
 	if body == "" {
 		req.Body = nil
 	}
-	req.Header.Set("Request-Id", fmt.Sprintf("%016x", lastID.Add(1)))
+	req.Header.Set("Request-Id", fmt.Sprintf("%016x", lastRequestID.Add(1)))
 	req.Header.Set("Request-Class", class)
-	req.Header.Set("Request-Timeout-Ms", strconv.FormatInt(left.Milliseconds(), 10))
+	req.Header.Set("Request-Timeout-Ms", strconv.FormatInt(remaining.Milliseconds(), 10))
 	if effect == IdempotentByKey {
 		req.Header.Set("Idempotency-Key", op)
 	}
-	if again {
+	if isRetry {
 		req.Header.Set("Client-Retry", "1")
 	}
-	c.Ledger.AttemptStarted(op, effect, op, time.Now().Add(left))
+	c.Ledger.AttemptStarted(op, effect, op, time.Now().Add(remaining))
 	resp, err := c.http.Do(req)
 	if err != nil {
 		if errors.Is(err, context.Canceled) {
-			c.Ledger.Answered(op, Failed, time.Now()) // it left by itself
+			c.Ledger.Answered(op, Failed, time.Now()) // the client canceled the request itself
 		} else {
 			c.Ledger.Unanswered(op)
 		}
@@ -97,16 +98,16 @@
 		c.Ledger.Unanswered(op)
 		return Failed, 0
 	}
-	v, after := Failed, 10*time.Millisecond
+	outcome, retryAfter := Failed, 10*time.Millisecond
 	switch resp.StatusCode {
 	case http.StatusOK:
-		v = Served
+		outcome = Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		v = Rejected
+		outcome = Rejected
 		if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-			after = time.Duration(s * float64(time.Second))
+			retryAfter = time.Duration(s * float64(time.Second))
 		}
 	}
-	c.Ledger.Answered(op, v, time.Now())
-	return v, after
+	c.Ledger.Answered(op, outcome, time.Now())
+	return outcome, retryAfter
 }
--- a/internal/lab/ledger.go
+++ b/internal/lab/ledger.go
@@ -7,14 +7,14 @@
 	"ringtrack.example/ringtrack/internal/invariant"
 )
 
-// What the book knows, by the lab's names.
+// The types of the invariant checker that users of the ledger need.
 type (
 	Effect  = invariant.Effect
 	Outcome = invariant.Outcome
 	Rules   = invariant.Rules
 )
 
-// The effects and verdicts.
+// The effects and outcomes.
 const (
 	Idempotent      = invariant.Idempotent
 	IdempotentByKey = invariant.IdempotentByKey
@@ -25,11 +25,11 @@
 	Failed   = invariant.Failed
 )
 
-// DefaultRules are those of the brief.
+// DefaultRules returns the limits that the invariants are checked against by default.
 func DefaultRules() Rules { return invariant.DefaultRules() }
 
-// Ledger keeps what clients and servers saw, by their names, and checks the four rules on it. It knows
-// nothing of the system between them. It may be used from any goroutine.
+// Ledger records what stand-in clients and servers observe, by operation and server name, and checks the
+// four invariants on it. It takes no data from the system under test. It is safe for concurrent use.
 type Ledger struct {
 	mu sync.Mutex
 	invariant.Checker
@@ -37,29 +37,29 @@
 	servers map[string]*invariant.Server
 }
 
-// NewLedger returns a ledger for these rules.
+// NewLedger returns an empty ledger that checks against these rules.
 func NewLedger(rules Rules) *Ledger {
 	return &Ledger{Checker: invariant.Checker{Rules: rules}, ops: map[string]*invariant.Operation{}, servers: map[string]*invariant.Server{}}
 }
 
 func (l *Ledger) server(id string) *invariant.Server {
-	a := l.servers[id]
-	if a == nil {
-		a = &invariant.Server{Name: id}
-		l.servers[id] = a
+	s := l.servers[id]
+	if s == nil {
+		s = &invariant.Server{Name: id}
+		l.servers[id] = s
 	}
-	return a
+	return s
 }
 
 func (l *Ledger) op(id string) *invariant.Operation {
 	if o := l.ops[id]; o != nil {
 		return o
 	}
-	return &invariant.Operation{Name: id} // that nobody asked for
+	return &invariant.Operation{Name: id} // an operation that no client sent
 }
 
-// AttemptStarted notes a client's try of an operation, and when its time is over.
-func (l *Ledger) AttemptStarted(id string, effect Effect, key string, until time.Time) {
+// AttemptStarted records a client's attempt of an operation and the attempt's deadline.
+func (l *Ledger) AttemptStarted(id string, effect Effect, key string, deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o := l.ops[id]
@@ -67,31 +67,31 @@
 		o = &invariant.Operation{Name: id, Effect: effect}
 		l.ops[id] = o
 	}
-	l.Checker.AttemptStarted(o, until)
+	l.Checker.AttemptStarted(o, deadline)
 }
 
-// Answered notes the answer of the try that is open.
-func (l *Ledger) Answered(id string, v Outcome, at time.Time) {
+// Answered records the answer to the open attempt of an operation.
+func (l *Ledger) Answered(id string, outcome Outcome, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Checker.Answered(l.op(id), v, at)
+	l.Checker.Answered(l.op(id), outcome, at)
 }
 
-// Unanswered notes that a try's connection ended without an answer.
+// Unanswered records that the connection of an attempt ended without an answer.
 func (l *Ledger) Unanswered(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Checker.Unanswered(l.op(id))
 }
 
-// RequestReceived notes that the first byte of a request came to a server.
+// RequestReceived records that the first byte of a request arrived at a server.
 func (l *Ledger) RequestReceived(server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Checker.RequestReceived(l.server(server), at)
 }
 
-// Executed notes that an operation took effect at a server.
+// Executed records that an operation took effect at a server.
 func (l *Ledger) Executed(server, id string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,56 +102,57 @@
 	}
 }
 
-// SetZone notes the zone that a server is in.
+// SetZone sets the zone of a server.
 func (l *Ledger) SetZone(server, zone string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.server(server).Zone = zone
 }
 
-// NotifiedDraining notes that a server was told to drain or gone; Up that it is in service again.
+// NotifiedDraining records that the proxies were notified that a server is draining or gone. InService reverts
+// it.
 func (l *Ledger) NotifiedDraining(server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.server(server).NotifiedDraining(at)
 }
 
-// InService notes that a server is in service.
+// InService records that a server is in service.
 func (l *Ledger) InService(server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.server(server).InService()
 }
 
-// Started notes that a server's process started cold.
+// Started records that a server's process started, which begins its slow start, and its full capacity.
 func (l *Ledger) Started(server string, at time.Time, capacity float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Checker.Started(l.server(server), at, capacity)
 }
 
-// MaxOverload returns the most that was begun at a started server in any window, as a multiple of what it
-// could do then.
+// MaxOverload returns the maximum over all servers in slow start and all windows of the requests received
+// in a window, as a multiple of the server's capacity at that time.
 func (l *Ledger) MaxOverload() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	worst := 0.0
-	for _, a := range l.servers {
-		worst = max(worst, l.Overload(a))
+	most := 0.0
+	for _, s := range l.servers {
+		most = max(most, l.Overload(s))
 	}
-	return worst
+	return most
 }
 
-// Violations closes the ledger: it returns the number of breaches of each rule, by its number, and the
-// first of them in words. Tries that are open and past their time count as lost.
+// Violations closes the ledger and returns the number of violations by rule number, with descriptions of the
+// first of them. Attempts that are open and past their deadline count as never answered.
 func (l *Ledger) Violations(now time.Time) (map[int]int, []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, o := range l.ops {
 		l.Close(o, now)
 	}
-	for _, a := range l.servers {
-		l.CheckSlowStart(a)
+	for _, s := range l.servers {
+		l.CheckSlowStart(s)
 	}
 	return l.Checker.Violations()
 }
--- a/internal/lab/roster.go
+++ b/internal/lab/roster.go
@@ -1,7 +1,7 @@
-// Package lab is the stand-in world of the tests, the demo and the long proofs: a roster, a fleet of
-// order servers, scripted clients, an xDS proxy, and the ledger of the four rules. All of it is on
-// loopback, on ports that the kernel chooses. It is never part of the product, and it never asks the
-// product whether it did well: the ledger counts at the stand-ins.
+// Package lab has the stand-ins of the tests, the demo and the acceptance tests: a discovery service, backends,
+// scripted clients and an xDS proxy, and the ledger that checks the four invariants. All of them listen on
+// loopback, on ports that the kernel chooses. The package is not part of the product, and results never come
+// from the product's own counters: the ledger counts at the stand-ins.
 package lab
 
 import (
@@ -16,44 +16,44 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// DiscoveryService is a stand-in for the platform's roster: it holds a list and answers fetches and watches as
-// the protocol page says.
+// DiscoveryService is a stand-in for the platform's discovery service: it has an endpoint list and answers
+// fetches and watches of it.
 type DiscoveryService struct {
 	Addr string
-	// WatchIndexes has the index of each watch call, as long as somebody takes it; it holds 1,000.
+	// WatchIndexes receives the index of each watch call. It buffers 1,000; further ones are dropped.
 	WatchIndexes chan uint64
 
-	server  *http.Server
-	ended   chan struct{}
-	mu      sync.Mutex
-	list    membership.List
-	changed map[string]uint64 // revision of each entry's last change
-	down    bool
-	calls   int
-	wake    chan struct{}
-	whole   uint64 // watches from before it get the whole list
+	server       *http.Server
+	stopped      chan struct{}
+	mu           sync.Mutex
+	list         membership.List
+	changed      map[string]uint64 // revision of each entry's last change
+	down         bool
+	calls        int
+	wake         chan struct{} // closed at the next change
+	fullRevision uint64        // watches from an index before it get the full list
 }
 
-// NewDiscoveryService starts a roster that lists these servers at revision 1.
+// NewDiscoveryService starts a discovery service that lists these servers at revision 1.
 func NewDiscoveryService(entries ...membership.Entry) (*DiscoveryService, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &DiscoveryService{Addr: ln.Addr().String(), WatchIndexes: make(chan uint64, 1000), ended: make(chan struct{}),
+	r := &DiscoveryService{Addr: ln.Addr().String(), WatchIndexes: make(chan uint64, 1000), stopped: make(chan struct{}),
 		list: membership.List{Revision: 1, Full: true, Entries: slices.Clone(entries)}, changed: map[string]uint64{}, wake: make(chan struct{})}
 	r.server = &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go func() {
-		defer close(r.ended)
+		defer close(r.stopped)
 		r.server.Serve(ln)
 	}()
 	return r, nil
 }
 
-// Close ends the roster and all its connections.
+// Close stops the server and closes all connections.
 func (r *DiscoveryService) Close() {
 	r.server.Close()
-	<-r.ended
+	<-r.stopped
 }
 
 func (r *DiscoveryService) serve(w http.ResponseWriter, req *http.Request) {
@@ -76,13 +76,13 @@
 	case r.WatchIndexes <- index:
 	default:
 	}
-	over := time.After(time.Duration(wait) * time.Millisecond)
+	expired := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		r.mu.Lock()
 		revision, wake, down := r.list.Revision, r.wake, r.down
 		answer := membership.List{Revision: revision}
 		switch {
-		case index < r.whole:
+		case index < r.fullRevision:
 			answer.Full = true
 			answer.Entries = append(answer.Entries, r.list.Entries...)
 		case revision > index:
@@ -92,7 +92,7 @@
 				}
 			}
 			for id, at := range r.changed {
-				if at > index && !r.lists(id) {
+				if at > index && !r.isListed(id) {
 					answer.Entries = append(answer.Entries, membership.Entry{ID: id, State: membership.Removed})
 				}
 			}
@@ -108,7 +108,7 @@
 		}
 		select {
 		case <-wake:
-		case <-over:
+		case <-expired:
 			json.NewEncoder(w).Encode(membership.List{Revision: revision})
 			return
 		case <-req.Context().Done():
@@ -117,7 +117,8 @@
 	}
 }
 
-func (r *DiscoveryService) lists(id string) bool {
+// isListed reports whether the list has a server. The caller holds r.mu.
+func (r *DiscoveryService) isListed(id string) bool {
 	for i := range r.list.Entries {
 		if r.list.Entries[i].ID == id {
 			return true
@@ -126,12 +127,13 @@
 	return false
 }
 
-func (r *DiscoveryService) stir() {
+// wakeWatches makes waiting watch calls look at the list again. The caller holds r.mu.
+func (r *DiscoveryService) wakeWatches() {
 	close(r.wake)
 	r.wake = make(chan struct{})
 }
 
-// List returns the list as it is.
+// List returns a copy of the current list.
 func (r *DiscoveryService) List() membership.List {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,15 +142,15 @@
 	return l
 }
 
-// SetRevision makes the roster count on from a revision.
+// SetRevision sets the revision that the next change increments.
 func (r *DiscoveryService) SetRevision(revision uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list.Revision = revision
 }
 
-// Set changes or adds an entry and returns the new revision. It is told when Set returns, or at the
-// next call of those who do not wait in one.
+// Set changes or adds an entry and returns the new revision. Waiting watch calls are answered at once; other
+// clients get the change with their next call.
 func (r *DiscoveryService) Set(e membership.Entry) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,66 +165,66 @@
 	if !found {
 		r.list.Entries = append(r.list.Entries, e)
 	}
-	r.stir()
+	r.wakeWatches()
 	return r.list.Revision
 }
 
-// Remove takes an entry out; watches are told that it is gone.
+// Remove removes an entry; watches receive it with the state Removed.
 func (r *DiscoveryService) Remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list.Revision++
 	r.changed[id] = r.list.Revision
-	kept := make([]membership.Entry, 0, len(r.list.Entries))
+	remaining := make([]membership.Entry, 0, len(r.list.Entries))
 	for _, e := range r.list.Entries {
 		if e.ID != id {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 		}
 	}
-	r.list.Entries = kept
-	r.stir()
+	r.list.Entries = remaining
+	r.wakeWatches()
 }
 
-// Update changes, adds or (those with the state Removed) takes out many entries at once, and returns the new revision.
+// Update changes, adds or (those with the state Removed) removes several entries in one revision, and returns it.
 func (r *DiscoveryService) Update(entries ...membership.Entry) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list.Revision++
-	told := make(map[string]bool, len(entries))
+	updated := make(map[string]bool, len(entries))
 	for _, e := range entries {
-		told[e.ID] = true
+		updated[e.ID] = true
 		r.changed[e.ID] = r.list.Revision
 	}
-	kept := slices.DeleteFunc(slices.Clone(r.list.Entries), func(e membership.Entry) bool { return told[e.ID] })
+	remaining := slices.DeleteFunc(slices.Clone(r.list.Entries), func(e membership.Entry) bool { return updated[e.ID] })
 	for _, e := range entries {
 		if e.State != membership.Removed {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 		}
 	}
-	r.list.Entries = kept
-	r.stir()
+	r.list.Entries = remaining
+	r.wakeWatches()
 	return r.list.Revision
 }
 
-// Replace makes another list of it, told whole.
+// Replace replaces the list; watches receive the new one as a full list.
 func (r *DiscoveryService) Replace(entries ...membership.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list.Revision++
-	r.whole = r.list.Revision
+	r.fullRevision = r.list.Revision
 	r.list.Entries = slices.Clone(entries)
-	r.stir()
+	r.wakeWatches()
 }
 
-// SetDown makes all calls fail, those that wait too, or answers them again.
+// SetDown makes all calls fail, including waiting ones, or ends that.
 func (r *DiscoveryService) SetDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = down
-	r.stir()
+	r.wakeWatches()
 }
 
-// Calls is the number of calls so far.
+// Calls returns the number of calls received so far.
 func (r *DiscoveryService) Calls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -16,50 +16,52 @@
 // Mode is how a stand-in server behaves.
 type Mode int32
 
-// The modes. Servers of every protocol know the first part; the rest is Thrift's.
+// The modes. Servers of all protocols implement the first group; the second is for Thrift only.
 const (
 	Serving         Mode = iota
-	Silent               // reads, and answers nothing
-	Failing              // answers that it has failed, after running
-	Rejecting            // turns away, saying that nothing ran
-	ResetAfterRun        // runs, then breaks the connection
-	AnswerTwice          // runs, and answers twice
-	TruncatedAnswer      // runs, answers half, and nothing more
-	ByteByByte           // runs, and answers a byte at a time
-	Trickle              // runs, and answers so slowly that no deadline holds
-	WrongProtocol        // runs, and answers in another protocol
-	ResetAtEachByte      // breaks the connection, in turn at each byte of a request's head and at each byte of an answer
-	FalseNotStarted      // runs, and says that nothing ran: no server may, and a checker has to find it
+	Silent               // reads requests and never answers
+	Failing              // runs the request and answers that it failed
+	Rejecting            // rejects requests, stating that nothing ran
+	ResetAfterRun        // runs the request and resets the connection
+	AnswerTwice          // runs the request and answers twice
+	TruncatedAnswer      // runs the request and sends only half of the answer
+	ByteByByte           // runs the request and writes the answer a byte at a time
+	Trickle              // runs the request and writes the answer so slowly that it misses every deadline
+	WrongProtocol        // runs the request and answers in another protocol
+	ResetAtEachByte      // resets connections: in turn at each byte of a request's head and at each byte of an answer
+	FalseNotStarted      // runs the request and states that nothing ran: a defect, which the checker has to detect
 
-	WrongSequenceID   // runs, and answers under another sequence id
-	WrongMethodName   // runs, and answers for another method
-	DeclaredException // runs, and answers a declared exception
+	WrongSequenceID   // runs the call and answers with another sequence ID
+	WrongMethodName   // runs the call and answers with another method name
+	DeclaredException // runs the call and answers with a declared exception
 )
 
-// UnansweredPrefix begins the names of operations that no server answers, whatever its mode.
+// UnansweredPrefix is the name prefix of operations that no server answers, whatever its mode.
 const UnansweredPrefix = "held-"
 
-// Backend is a stand-in for an order server, on HTTP/1.1 as the protocol page has it. Bodies name
-// the operation, which is how the ledger knows it again over tries.
+// Backend is a stand-in for a backend server that speaks HTTP/1.1. Request bodies name the operation, by
+// which the ledger identifies it across attempts.
 type Backend struct {
 	*Acceptor
 	Work
-	ID     string
-	Entry  membership.Entry
-	ledger *Ledger
-	mode   atomic.Int32
-	begun  atomic.Int64
-	sever  atomic.Int64 // counts what was severed
-	saw    atomic.Pointer[func(op string, began time.Time)]
+	ID        string
+	Entry     membership.Entry
+	ledger    *Ledger
+	mode      atomic.Int32
+	requests  atomic.Int64
+	resets    atomic.Int64 // connections in the mode ResetAtEachByte
+	onRequest atomic.Pointer[func(op string, received time.Time)]
 }
 
-// OnRequest has f called with the operation of each request that came whole, and when its first byte did.
-func (s *Backend) OnRequest(f func(op string, began time.Time)) { s.saw.Store(&f) }
+// OnRequest sets a function that is called for each complete request, with its operation and the time at which
+// its first byte arrived.
+func (s *Backend) OnRequest(f func(op string, received time.Time)) { s.onRequest.Store(&f) }
 
-// severedHead is the part of a request in which it is severed, in bytes: less than any has, so that none is whole.
-const severedHead = 120
+// maxHeadBytesBeforeReset bounds after how many bytes of a request ResetAtEachByte resets the connection. Every
+// request is longer, so that none is complete.
+const maxHeadBytesBeforeReset = 120
 
-// NewBackend starts one; ledger may be nil.
+// NewBackend starts a server that takes the time work for each request; ledger may be nil.
 func NewBackend(id, zone string, work time.Duration, ledger *Ledger) (*Backend, error) {
 	s := &Backend{ID: id, ledger: ledger}
 	s.SetWork(work)
@@ -74,8 +76,8 @@
 // Set changes the mode.
 func (s *Backend) Set(m Mode) { s.mode.Store(int32(m)) }
 
-// RequestCount is the number of requests that began here.
-func (s *Backend) RequestCount() int64 { return s.begun.Load() }
+// RequestCount returns the number of requests received.
+func (s *Backend) RequestCount() int64 { return s.requests.Load() }
 
 func (s *Backend) serve(c net.Conn) {
 	br := bufio.NewReader(c)
@@ -83,11 +85,11 @@
 		if _, err := br.Peek(1); err != nil {
 			return
 		}
-		began := time.Now()
-		severed := int64(-1)
+		received := time.Now()
+		resetNumber := int64(-1) // odd: resets the answer; even: resets the request
 		if Mode(s.mode.Load()) == ResetAtEachByte {
-			if severed = s.sever.Add(1); severed%2 == 0 {
-				io.CopyN(io.Discard, br, severed/2%severedHead)
+			if resetNumber = s.resets.Add(1); resetNumber%2 == 0 {
+				io.CopyN(io.Discard, br, resetNumber/2%maxHeadBytesBeforeReset)
 				c.(*net.TCPConn).SetLinger(0)
 				return
 			}
@@ -100,16 +102,16 @@
 		if err != nil {
 			return
 		}
-		s.begun.Add(1)
+		s.requests.Add(1)
 		if s.ledger != nil {
-			s.ledger.RequestReceived(s.ID, began)
+			s.ledger.RequestReceived(s.ID, received)
 		}
 		id, _, _ := strings.Cut(string(body), " ")
 		if id == "" {
-			id = req.URL.Query().Get("op") // of a request without a body
+			id = req.URL.Query().Get("op") // requests without a body
 		}
-		if f := s.saw.Load(); f != nil {
-			(*f)(id, began)
+		if f := s.onRequest.Load(); f != nil {
+			(*f)(id, received)
 		}
 		mode := Mode(s.mode.Load())
 		if strings.HasPrefix(id, UnansweredPrefix) {
@@ -117,33 +119,33 @@
 		}
 		switch mode {
 		case Silent:
-			io.Copy(io.Discard, br) // until the other side gives up
+			io.Copy(io.Discard, br) // until the peer closes the connection
 			return
 		case Rejecting:
 			io.WriteString(c, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 			continue
 		case FalseNotStarted:
-			s.ran(id)
+			s.recordExecution(id)
 			io.WriteString(c, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 			continue
 		case ResetAfterRun:
-			s.ran(id)
+			s.recordExecution(id)
 			c.(*net.TCPConn).SetLinger(0)
 			return
 		case Failing:
-			s.ran(id)
+			s.recordExecution(id)
 			io.WriteString(c, "HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n")
 			continue
 		}
 		s.Do()
-		s.ran(id)
+		s.recordExecution(id)
 		text := s.ID + " " + id
 		answer := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		if mode == WrongProtocol {
 			answer = []byte("\x80\x01\x00\x02\x00\x00\x00\x05order\x00\x00\x00\x01\x00")
 		}
-		if severed >= 0 {
-			c.Write(answer[:severed/2%int64(len(answer))])
+		if resetNumber >= 0 {
+			c.Write(answer[:resetNumber/2%int64(len(answer))])
 			c.(*net.TCPConn).SetLinger(0)
 			return
 		}
@@ -153,7 +155,7 @@
 	}
 }
 
-// Write writes an answer as the mode has it, and returns false where the connection is of no more use.
+// Write writes an answer in the way of the mode. It returns false if the connection can't be used any more.
 func (m Mode) Write(c net.Conn, answer []byte) bool {
 	switch m {
 	case AnswerTwice:
@@ -177,7 +179,7 @@
 	return err == nil
 }
 
-func (s *Backend) ran(id string) {
+func (s *Backend) recordExecution(id string) {
 	if s.ledger != nil && id != "" {
 		s.ledger.Executed(s.ID, id, time.Now())
 	}
--- a/internal/lab/work.go
+++ b/internal/lab/work.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Work is how long a stand-in server takes for a request. The zero value takes no time.
+// Work simulates the time that a stand-in server takes for a request. The zero value takes no time.
 type Work struct {
-	each, every, more, begun atomic.Int64 // each and more in ns
+	base, tailEvery, tailExtra, count atomic.Int64 // base and tailExtra in nanoseconds
 }
 
-// SetWork changes how long each request takes.
-func (w *Work) SetWork(d time.Duration) { w.each.Store(int64(d)) }
+// SetWork sets how long each request takes.
+func (w *Work) SetWork(d time.Duration) { w.base.Store(int64(d)) }
 
-// SetTail has every nth request take more; 0: none does.
-func (w *Work) SetTail(every int64, more time.Duration) {
-	w.more.Store(int64(more))
-	w.every.Store(every)
+// SetTail makes every nth request, by the value of every, take extra time; 0 turns this off.
+func (w *Work) SetTail(every int64, extra time.Duration) {
+	w.tailExtra.Store(int64(extra))
+	w.tailEvery.Store(every)
 }
 
-// Do takes one request's time.
+// Do sleeps for the time of one request.
 func (w *Work) Do() {
-	d := time.Duration(w.each.Load())
-	if every := w.every.Load(); every > 0 && w.begun.Add(1)%every == 0 {
-		d += time.Duration(w.more.Load())
+	d := time.Duration(w.base.Load())
+	if every := w.tailEvery.Load(); every > 0 && w.count.Add(1)%every == 0 {
+		d += time.Duration(w.tailExtra.Load())
 	}
 	if d > 0 {
 		time.Sleep(d)
