--- a/internal/lab/zk/ensemble.go
+++ b/internal/lab/zk/ensemble.go
@@ -1,9 +1,10 @@
 // Package zk is a stand-in for a registry that speaks ZooKeeper's client protocol: an ensemble of scripted
 // servers in one process, on loopback, written from the public protocol and not from the product's client.
-// It keeps one committed history; each server has applied it up to some point, and answers from that. Faults
-// are scripted: lags, slow or corrupt answers, half-open servers, lost leaders, sessions that end at will.
+// The ensemble has one committed history; each server has applied it up to some zxid and answers from that.
+// Faults are injected by calls: lag, slow or corrupt answers, half-open connections, loss of the leader, expiry
+// of sessions.
 //
-// Not built: quorum elections (a leader is lost and found by script), SASL, reconfiguration, containers, TTLs.
+// Not implemented: quorum elections (calls remove and elect the leader), SASL, reconfiguration, containers, TTLs.
 package zk
 
 import (
@@ -17,40 +18,40 @@
 	"ringtrack.example/ringtrack/internal/zkwire"
 )
 
-// Options are an ensemble's. The zero value has one server.
+// Options configure an ensemble. The zero value has one server.
 type Options struct {
 	Servers int // 1 to 5
 	Seed    uint64
-	// MinSessionTimeout and MaxSessionTimeout bound a session's time-out; 0: 100 ms and 10 s.
+	// MinSessionTimeout and MaxSessionTimeout bound the session timeout; 0: 100 ms and 10 s.
 	MinSessionTimeout, MaxSessionTimeout time.Duration
-	// Before35 servers know no OpAddWatch, OpSetWatches2 and OpCreate2, as before 3.5.
+	// Before35 makes the servers support no OpAddWatch, OpSetWatches2 and OpCreate2, as before ZooKeeper 3.5.
 	Before35 bool
 }
 
-// Ensemble is a registry.
+// Ensemble is a registry of one or more servers.
 type Ensemble struct {
 	Servers []*Server
 
-	opts     Options
-	mu       sync.Mutex
-	history  *tree
-	log      []*txn // what some server has still to apply
-	sessions map[int64]*session
-	nextID   int64
-	leader   bool
-	rng      *rand.Rand
-	changes  func(Change)
-	stop     chan struct{}
-	wg       sync.WaitGroup
+	opts      Options
+	mu        sync.Mutex
+	history   *tree
+	log       []*txn // transactions that some server has not applied yet
+	sessions  map[int64]*session
+	nextID    int64
+	hasLeader bool
+	rng       *rand.Rand
+	onChange  func(Change)
+	stop      chan struct{}
+	wg        sync.WaitGroup
 }
 
-// session is a client's.
+// session is a client session.
 type session struct {
 	id       int64
 	password []byte
 	timeout  time.Duration
-	heard    time.Time
-	conn     *conn // the last it came by
+	lastSeen time.Time
+	conn     *conn // that the client used last
 	auth     []string
 }
 
@@ -63,7 +64,7 @@
 	if o.MaxSessionTimeout <= 0 {
 		o.MaxSessionTimeout = 10 * time.Second
 	}
-	e := &Ensemble{opts: o, history: newTree(), sessions: map[int64]*session{}, leader: true, rng: rand.New(rand.NewPCG(o.Seed, 1)),
+	e := &Ensemble{opts: o, history: newTree(), sessions: map[int64]*session{}, hasLeader: true, rng: rand.New(rand.NewPCG(o.Seed, 1)),
 		stop: make(chan struct{}), nextID: 0x100000000}
 	e.history.zxid = 1 << 32 // the first epoch
 	for i := range o.Servers {
@@ -78,7 +79,7 @@
 	return e, nil
 }
 
-// Close ends all of it.
+// Close stops all servers.
 func (e *Ensemble) Close() {
 	close(e.stop)
 	e.wg.Wait()
@@ -87,7 +88,7 @@
 	}
 }
 
-// Addrs are the servers' addresses.
+// Addrs returns the servers' addresses.
 func (e *Ensemble) Addrs() []string {
 	var out []string
 	for _, s := range e.Servers {
@@ -96,19 +97,19 @@
 	return out
 }
 
-// tick ends sessions that were silent for too long, and lets lagging servers apply.
+// tick expires sessions whose timeout has passed, and applies transactions at lagging servers.
 func (e *Ensemble) tick() {
-	every := time.NewTicker(5 * time.Millisecond)
-	defer every.Stop()
+	ticker := time.NewTicker(5 * time.Millisecond)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-e.stop:
 			return
-		case now := <-every.C:
+		case now := <-ticker.C:
 			e.mu.Lock()
-			if e.leader {
+			if e.hasLeader {
 				for _, s := range e.sessions {
-					if now.Sub(s.heard) > s.timeout {
+					if now.Sub(s.lastSeen) > s.timeout {
 						e.end(s, false)
 					}
 				}
@@ -122,30 +123,30 @@
 	}
 }
 
-// trim forgets what all have applied. The lock is held.
+// trim drops the transactions that all servers have applied. The caller holds e.mu.
 func (e *Ensemble) trim() {
-	least := e.history.zxid
+	applied := e.history.zxid
 	for _, s := range e.Servers {
-		least = min(least, s.tree.zxid)
+		applied = min(applied, s.tree.zxid)
 	}
 	i := 0
-	for i < len(e.log) && e.log[i].zxid <= least {
+	for i < len(e.log) && e.log[i].zxid <= applied {
 		i++
 	}
 	e.log = slices.Delete(e.log, 0, i)
 }
 
-// commit makes a transaction of changes and gives it to the servers. The lock is held.
+// commit commits changes as one transaction and returns its zxid. The caller holds e.mu.
 func (e *Ensemble) commit(changes []change) int64 {
 	now := time.Now()
 	x := &txn{zxid: e.history.zxid + 1, ms: now.UnixMilli(), changes: changes}
 	e.history.apply(x)
 	e.log = append(e.log, x)
-	if e.changes != nil {
+	if e.onChange != nil {
 		for i := range changes {
 			if c := &changes[i]; c.kind != aclSet {
-				ev := map[kind]zkwire.Event{created: zkwire.NodeCreated, deleted: zkwire.NodeDeleted, changed: zkwire.NodeDataChanged}[c.kind]
-				e.changes(Change{ev, c.path, x.zxid, now, c.data})
+				ev := map[changeKind]zkwire.Event{created: zkwire.NodeCreated, deleted: zkwire.NodeDeleted, changed: zkwire.NodeDataChanged}[c.kind]
+				e.onChange(Change{ev, c.path, x.zxid, now, c.data})
 			}
 		}
 	}
@@ -155,9 +156,9 @@
 	return x.zxid
 }
 
-// end ends a session: its ephemeral nodes go in one transaction. keep leaves its connection up. The lock
-// is held.
-func (e *Ensemble) end(s *session, keep bool) {
+// end ends a session and deletes its ephemeral nodes in one transaction. keepConn leaves its connection open. The
+// caller holds e.mu.
+func (e *Ensemble) end(s *session, keepConn bool) {
 	delete(e.sessions, s.id)
 	var changes []change
 	for path, n := range e.history.nodes {
@@ -169,29 +170,29 @@
 	if len(changes) > 0 {
 		e.commit(changes)
 	}
-	if s.conn != nil && !keep {
+	if s.conn != nil && !keepConn {
 		s.conn.close()
 	}
 }
 
-// Change is what was committed of one node.
+// Change is a committed change of one node.
 type Change struct {
 	Event zkwire.Event
 	Path  string
 	Zxid  int64
 	At    time.Time
-	Data  []byte // as it is since; not to be changed
+	Data  []byte // after the change; must not be modified
 }
 
-// OnChange is called, with the ensemble's lock held, for each change at the moment at which it is
-// committed: before any server shows it.
+// OnChange sets a function that is called for each change when it is committed, before any server shows it. The
+// ensemble's lock is held during the call.
 func (e *Ensemble) OnChange(f func(Change)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.changes = f
+	e.onChange = f
 }
 
-// Sessions are the ids of those that live.
+// Sessions returns the IDs of the open sessions, sorted.
 func (e *Ensemble) Sessions() []int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -203,59 +204,60 @@
 	return out
 }
 
-// Expire ends a session at will; keep leaves its connection up, on which each request is then answered
-// that the session has expired.
-func (e *Ensemble) Expire(id int64, keep bool) {
+// Expire expires a session. keepConn leaves its connection open, on which each request is then answered with
+// SessionExpired.
+func (e *Ensemble) Expire(id int64, keepConn bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s := e.sessions[id]; s != nil {
-		e.end(s, keep)
+		e.end(s, keepConn)
 	}
 }
 
-// LoseLeader makes all servers hang up on their clients and take none, but for read-only ones; sessions do
-// not age. FindLeader begins a new epoch, in which each session has its whole time again.
+// LoseLeader closes all connections and makes the servers accept only read-only clients; sessions do not
+// expire. ElectLeader begins a new epoch, in which the timeout of each session starts again.
 func (e *Ensemble) LoseLeader() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leader = false
+	e.hasLeader = false
 	for _, s := range e.Servers {
-		s.cut()
+		s.closeConns()
 	}
 }
 
-// ElectLeader ends LoseLeader.
+// ElectLeader ends the effect of LoseLeader.
 func (e *Ensemble) ElectLeader() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.leader = true
+	e.hasLeader = true
 	e.history.zxid = (e.history.zxid>>32 + 1) << 32
 	now := time.Now()
 	for _, s := range e.Servers {
-		s.cut()
+		s.closeConns()
 		s.catchUp(now, e.history.zxid)
 		s.tree.zxid = e.history.zxid
 	}
 	for _, s := range e.sessions {
-		s.heard = now
+		s.lastSeen = now
 	}
 }
 
-// Reset makes a registry that begins anew, from nothing: no nodes, no sessions, the first epoch.
+// Reset loses all data, like a registry that is installed again: no nodes, no sessions, the first epoch.
 func (e *Ensemble) Reset() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.history, e.log, e.sessions = newTree(), nil, map[int64]*session{}
 	e.history.zxid = 1 << 32
 	for _, s := range e.Servers {
-		s.cut()
+		s.closeConns()
 		s.tree = e.history.copyOf()
 	}
 }
 
-// ---- the tree, by script ----
+// ---- changes of the tree without a client ----
 
-// Put makes a node, or changes its data; its parents are made. owner 0 is a persistent one.
+// Put creates a node and its parents, or changes its data. owner is the session of an ephemeral node; 0:
+// persistent.
 func (e *Ensemble) Put(path string, data []byte, owner int64) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -267,17 +269,17 @@
 		changes = append(changes, change{kind: created, path: p, acl: zkwire.OpenACL})
 	}
 	slices.Reverse(changes)
-	return e.commit(append(changes, change{kind: created, path: path, data: data, acl: zkwire.OpenACL, own: owner}))
+	return e.commit(append(changes, change{kind: created, path: path, data: data, acl: zkwire.OpenACL, owner: owner}))
 }
 
-// Protect makes a node that only who knows "user:password" may read.
+// Protect restricts a node to clients that authenticate with "user:password".
 func (e *Ensemble) Protect(path, auth string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.commit([]change{{kind: aclSet, path: path, acl: []zkwire.ACL{{Perms: zkwire.PermAll, Scheme: "digest", ID: Digest(auth)}}}})
 }
 
-// Remove deletes a node and all below it, in one transaction.
+// Remove deletes a node and all its descendants in one transaction.
 func (e *Ensemble) Remove(path string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -293,7 +295,7 @@
 	}
 }
 
-// Children are the names below a node, as committed, with their data; nil where there is no node.
+// Children returns the names and data of a node's committed children; nil if the node does not exist.
 func (e *Ensemble) Children(path string) map[string]string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -308,15 +310,15 @@
 	return out
 }
 
-// Zxid is the last change committed.
+// Zxid returns the zxid of the last committed transaction.
 func (e *Ensemble) Zxid() int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.history.zxid
 }
 
-// open begins or takes up a session for a connection. The lock is held. It returns nil for one that has
-// expired.
+// open opens or resumes a session for a connection. It returns nil if the session has expired. The caller holds
+// e.mu.
 func (e *Ensemble) open(c *zkwire.Connect, nc *conn) *session {
 	if c.Session != 0 {
 		s := e.sessions[c.Session]
@@ -324,16 +326,17 @@
 			return nil
 		}
 		if s.conn != nil && s.conn != nc {
-			s.conn.close() // it has moved
+			s.conn.close() // the session has moved to the new connection
 		}
-		s.conn, s.heard = nc, time.Now()
+		s.conn, s.lastSeen = nc, time.Now()
 		return s
 	}
 	e.nextID++
-	s := &session{id: e.nextID, password: binary.BigEndian.AppendUint64(make([]byte, 8), e.rng.Uint64()), conn: nc, heard: time.Now(),
+	s := &session{id: e.nextID, password: binary.BigEndian.AppendUint64(make([]byte, 8), e.rng.Uint64()), conn: nc, lastSeen: time.Now(),
 		timeout: min(max(time.Duration(c.TimeoutMs)*time.Millisecond, e.opts.MinSessionTimeout), e.opts.MaxSessionTimeout)}
 	e.sessions[s.id] = s
 	return s
 }
 
+// sequence returns the name of a sequential node.
 func sequence(path string, n int32) string { return fmt.Sprintf("%s%010d", path, n) }
--- a/internal/lab/zk/ops.go
+++ b/internal/lab/zk/ops.go
@@ -6,13 +6,13 @@
 	"ringtrack.example/ringtrack/internal/zkwire"
 )
 
-// request carries out one request and answers it; false closes the connection.
+// request handles and answers one request. false closes the connection.
 func (c *conn) request(r *zkwire.Reader) bool {
 	xid, op := r.Int(), zkwire.Op(r.Int())
 	if r.Err() != nil {
 		return false
 	}
-	s, e := c.s, c.s.e
+	s, e := c.server, c.server.ensemble
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	reply := func(code zkwire.Code, body func([]byte) []byte) bool {
@@ -29,8 +29,8 @@
 		if e.sessions[c.session.id] != c.session {
 			return reply(zkwire.SessionExpired, nil)
 		}
-		c.session.heard = time.Now()
-	} else if !c.ro {
+		c.session.lastSeen = time.Now()
+	} else if !c.readOnly {
 		return false
 	}
 	switch op {
@@ -41,7 +41,7 @@
 			e.end(c.session, true)
 		}
 		reply(zkwire.OK, nil)
-		// What is queued goes out; the client closes.
+		// Queued frames are still sent; the client closes the connection.
 		return true
 	case zkwire.OpAuth:
 		r.Int()
@@ -57,7 +57,7 @@
 		return reply(zkwire.OK, nil)
 	case zkwire.OpSync:
 		path := r.String()
-		if !s.trusts {
+		if !s.acceptsNewerClients {
 			s.catchUp(time.Now(), e.history.zxid)
 		}
 		return reply(zkwire.OK, func(b []byte) []byte { return zkwire.AppendString(b, path) })
@@ -82,10 +82,10 @@
 		case r.Err() != nil || !valid(path) || mode != zkwire.WatchPersistent && mode != zkwire.WatchPersistentRecursive:
 			return reply(zkwire.BadArguments, nil)
 		}
-		s.persist.add(path, c, mode == zkwire.WatchPersistentRecursive)
+		s.persistent.add(path, c, mode == zkwire.WatchPersistentRecursive)
 		return reply(zkwire.OK, func(b []byte) []byte { return zkwire.AppendInt(b, 0) })
 	}
-	if c.ro {
+	if c.readOnly {
 		return reply(zkwire.NotReadOnly, nil)
 	}
 	if op == zkwire.OpMulti {
@@ -94,7 +94,7 @@
 	if op == zkwire.OpCreate2 && e.opts.Before35 {
 		return reply(zkwire.Unimplemented, nil)
 	}
-	w := &writing{c: c, t: e.history}
+	w := &changeSet{c: c, t: e.history}
 	body, code := w.do(r, op)
 	if r.Err() != nil {
 		return false
@@ -105,31 +105,31 @@
 	return reply(code, body)
 }
 
-// read answers what reads one node.
+// read answers a request that reads one node.
 func (c *conn) read(r *zkwire.Reader, op zkwire.Op, reply func(zkwire.Code, func([]byte) []byte) bool) bool {
 	path := r.String()
 	watch := op != zkwire.OpGetACL && r.Bool()
 	if r.Err() != nil || !valid(path) {
 		return reply(zkwire.BadArguments, nil)
 	}
-	n := c.s.tree.nodes[path]
+	n := c.server.tree.nodes[path]
 	if n == nil {
 		if watch && op == zkwire.OpExists {
-			c.s.data.add(path, c, false)
+			c.server.data.add(path, c, false)
 		}
 		return reply(zkwire.NoNode, nil)
 	}
-	if op != zkwire.OpExists && !may(n.acl, c.auth, zkwire.PermRead) {
+	if op != zkwire.OpExists && !allows(n.acl, c.auth, zkwire.PermRead) {
 		return reply(zkwire.NoAuth, nil)
 	}
 	switch op {
 	case zkwire.OpExists, zkwire.OpGetData:
 		if watch {
-			c.s.data.add(path, c, false)
+			c.server.data.add(path, c, false)
 		}
 	case zkwire.OpGetChildren, zkwire.OpGetChildren2:
 		if watch {
-			c.s.child.add(path, c, false)
+			c.server.child.add(path, c, false)
 		}
 	}
 	return reply(zkwire.OK, func(b []byte) []byte {
@@ -147,9 +147,9 @@
 	})
 }
 
-// setWatches takes watches up again, and tells what has changed since at once.
+// setWatches restores watches after a reconnect and sends events for what changed since the zxid of the request.
 func (c *conn) setWatches(w *zkwire.SetWatches) {
-	t := c.s.tree
+	t := c.server.tree
 	for _, p := range w.Data {
 		switch n := t.nodes[p]; {
 		case n == nil:
@@ -157,14 +157,14 @@
 		case n.stat.Mzxid > w.Zxid:
 			c.event(zkwire.NodeDataChanged, p)
 		default:
-			c.s.data.add(p, c, false)
+			c.server.data.add(p, c, false)
 		}
 	}
 	for _, p := range w.Exist {
 		if t.nodes[p] != nil {
 			c.event(zkwire.NodeCreated, p)
 		} else {
-			c.s.data.add(p, c, false)
+			c.server.data.add(p, c, false)
 		}
 	}
 	for _, p := range w.Child {
@@ -174,45 +174,46 @@
 		case n.stat.Pzxid > w.Zxid:
 			c.event(zkwire.NodeChildrenChanged, p)
 		default:
-			c.s.child.add(p, c, false)
+			c.server.child.add(p, c, false)
 		}
 	}
 	for _, p := range w.Persistent {
-		c.s.persist.add(p, c, false)
+		c.server.persistent.add(p, c, false)
 	}
 	for _, p := range w.Recursive {
-		c.s.persist.add(p, c, true)
+		c.server.persistent.add(p, c, true)
 	}
 }
 
-// writing checks operations on a tree and notes what they change. Of several the later see what the
-// earlier do.
-type writing struct {
+// changeSet checks operations on a tree and collects their changes. Within a multi, later operations see the
+// changes of earlier ones.
+type changeSet struct {
 	c       *conn
 	t       *tree
 	changes []change
 }
 
-func (w *writing) do(r *zkwire.Reader, op zkwire.Op) (func([]byte) []byte, zkwire.Code) {
+// do checks an operation and returns the body of its reply.
+func (w *changeSet) do(r *zkwire.Reader, op zkwire.Op) (func([]byte) []byte, zkwire.Code) {
 	path := r.String()
 	if !valid(path) {
 		return nil, zkwire.BadArguments
 	}
-	may := func(path string, perm int32) bool { return may(w.t.nodes[path].acl, w.c.auth, perm) }
+	allowed := func(path string, perm int32) bool { return allows(w.t.nodes[path].acl, w.c.auth, perm) }
 	switch op {
 	case zkwire.OpCreate, zkwire.OpCreate2:
 		data, acl, flags := append([]byte{}, r.Buffer()...), r.ACLs(), r.Int()
-		up := w.t.nodes[parent(path)]
+		parentNode := w.t.nodes[parent(path)]
 		switch {
 		case r.Err() != nil:
 			return nil, zkwire.MarshallingError
 		case len(acl) == 0:
 			return nil, zkwire.InvalidACL
-		case up == nil:
+		case parentNode == nil:
 			return nil, zkwire.NoNode
-		case up.stat.EphemeralOwner != 0:
+		case parentNode.stat.EphemeralOwner != 0:
 			return nil, zkwire.EphemeralChildren
-		case !may(parent(path), zkwire.PermCreate):
+		case !allowed(parent(path), zkwire.PermCreate):
 			return nil, zkwire.NoAuth
 		}
 		for i := range acl {
@@ -224,19 +225,19 @@
 			}
 		}
 		if flags&zkwire.FlagSequential != 0 {
-			path = sequence(path, up.next)
+			path = sequence(path, parentNode.nextSequence)
 		}
 		if w.t.nodes[path] != nil {
 			return nil, zkwire.NodeExists
 		}
-		own := int64(0)
+		owner := int64(0)
 		if flags&zkwire.FlagEphemeral != 0 {
-			own = w.c.session.id
+			owner = w.c.session.id
 		}
-		w.note(change{kind: created, path: path, data: data, acl: acl, own: own})
+		w.add(change{kind: created, path: path, data: data, acl: acl, owner: owner})
 		return func(b []byte) []byte {
 			if b = zkwire.AppendString(b, path); op == zkwire.OpCreate2 {
-				b = w.c.s.tree.nodes[path].stat.Append(b)
+				b = w.c.server.tree.nodes[path].stat.Append(b)
 			}
 			return b
 		}, zkwire.OK
@@ -261,36 +262,36 @@
 		}
 		switch op {
 		case zkwire.OpDelete:
-			if !may(parent(path), zkwire.PermDelete) {
+			if !allowed(parent(path), zkwire.PermDelete) {
 				return nil, zkwire.NoAuth
 			}
 			if len(n.children) > 0 {
 				return nil, zkwire.NotEmpty
 			}
-			w.note(change{kind: deleted, path: path})
+			w.add(change{kind: deleted, path: path})
 			return nil, zkwire.OK
 		case zkwire.OpCheck:
 			return nil, zkwire.OK
 		}
-		perm, k := int32(zkwire.PermWrite), changed
+		perm, kind := int32(zkwire.PermWrite), changed
 		if op == zkwire.OpSetACL {
-			perm, k = zkwire.PermAdmin, aclSet
+			perm, kind = zkwire.PermAdmin, aclSet
 		}
-		if !may(path, perm) {
+		if !allowed(path, perm) {
 			return nil, zkwire.NoAuth
 		}
-		w.note(change{kind: k, path: path, data: data, acl: acl})
-		return func(b []byte) []byte { return w.c.s.tree.nodes[path].stat.Append(b) }, zkwire.OK
+		w.add(change{kind: kind, path: path, data: data, acl: acl})
+		return func(b []byte) []byte { return w.c.server.tree.nodes[path].stat.Append(b) }, zkwire.OK
 	}
 	return nil, zkwire.Unimplemented
 }
 
-func (w *writing) note(c change) { w.changes = append(w.changes, c) }
+func (w *changeSet) add(c change) { w.changes = append(w.changes, c) }
 
-// multi carries out all of several operations, or none.
+// multi applies all operations of a request, or none if one fails.
 func (c *conn) multi(r *zkwire.Reader, reply func(zkwire.Code, func([]byte) []byte) bool) bool {
-	trial := c.s.e.history.copyOf()
-	w := &writing{c: c, t: trial}
+	scratch := c.server.ensemble.history.copyOf()
+	w := &changeSet{c: c, t: scratch}
 	type result struct {
 		op   zkwire.Op
 		body func([]byte) []byte
@@ -312,10 +313,10 @@
 			failed = len(results)
 		}
 		results = append(results, result{h.Type, body, code})
-		trial.apply(&txn{zxid: trial.zxid + 1, ms: time.Now().UnixMilli(), changes: w.changes[before:]})
+		scratch.apply(&txn{zxid: scratch.zxid + 1, ms: time.Now().UnixMilli(), changes: w.changes[before:]})
 	}
 	if failed < 0 && len(w.changes) > 0 {
-		c.s.catchUp(time.Now(), c.s.e.commit(w.changes))
+		c.server.catchUp(time.Now(), c.server.ensemble.commit(w.changes))
 	}
 	return reply(zkwire.OK, func(b []byte) []byte {
 		for i, x := range results {
--- a/internal/lab/zk/server.go
+++ b/internal/lab/zk/server.go
@@ -12,33 +12,33 @@
 	"ringtrack.example/ringtrack/internal/zkwire"
 )
 
-// outbox bounds what a connection may have unread; one with more is closed.
-const outbox = 1 << 15
+// maxQueuedFrames bounds the frames that wait to be written to a connection; at more it is closed.
+const maxQueuedFrames = 1 << 15
 
-// Server is one of an ensemble.
+// Server is one server of an ensemble.
 type Server struct {
 	Addr  string
 	Index int
 
-	e       *Ensemble
-	a       *lab.Acceptor
-	tree    *tree
-	conns   map[*conn]struct{}
-	data    watches // of getData and exists
-	child   watches
-	persist watches // each also in recursive or not
-	lag     time.Duration
-	trusts  bool // takes clients that have seen more than it has
-	down    bool
-	ro      bool
-	slow    atomic.Int64 // ns before each frame that goes out, drawn evenly up to twice that
-	hang    atomic.Bool
-	corrupt atomic.Int64 // frames that go out corrupt
-	bytes   atomic.Int64 // gone out
-	reads   atomic.Int64 // requests that read
+	ensemble            *Ensemble
+	acceptor            *lab.Acceptor
+	tree                *tree
+	conns               map[*conn]struct{}
+	data                watches // of getData and exists
+	child               watches
+	persistent          watches // the value tells recursive ones
+	lag                 time.Duration
+	acceptsNewerClients bool // whose last zxid is above the server's
+	down                bool
+	readOnly            bool
+	slow                atomic.Int64 // mean delay of outgoing frames in nanoseconds, uniformly distributed from 0 to twice that
+	halfOpen            atomic.Bool
+	corrupt             atomic.Int64 // number of outgoing frames still to be corrupted
+	bytes               atomic.Int64 // sent
+	reads               atomic.Int64 // read requests
 }
 
-// watches are connections by the path that they watch.
+// watches has the connections that watch a path, by path.
 type watches map[string]map[*conn]bool // true: recursive
 
 func (w watches) add(path string, c *conn, recursive bool) {
@@ -57,78 +57,83 @@
 }
 
 func newServer(e *Ensemble, i int) (*Server, error) {
-	s := &Server{Index: i, e: e, tree: e.history.copyOf(), conns: map[*conn]struct{}{}, data: watches{}, child: watches{}, persist: watches{}}
+	s := &Server{Index: i, ensemble: e, tree: e.history.copyOf(), conns: map[*conn]struct{}{}, data: watches{}, child: watches{}, persistent: watches{}}
 	var err error
-	if s.a, err = lab.Accept(s.serve); err != nil {
+	if s.acceptor, err = lab.Accept(s.serve); err != nil {
 		return nil, err
 	}
-	s.Addr = s.a.Addr
+	s.Addr = s.acceptor.Addr
 	return s, nil
 }
 
-func (s *Server) close() { s.a.Close() }
+func (s *Server) close() { s.acceptor.Close() }
 
 // ---- faults ----
 
-// SetLag makes the server apply what is committed so much later; its clients may read the past.
+// SetLag delays applying of committed transactions; clients of the server may read stale data.
 func (s *Server) SetLag(d time.Duration) { s.locked(func() { s.lag = d }) }
 
-// SetDown hangs up on all clients and takes none.
+// SetDown closes all connections and accepts none, or ends that.
 func (s *Server) SetDown(down bool) {
 	s.locked(func() {
 		if s.down = down; down {
-			s.cut()
+			s.closeConns()
 		}
 	})
 }
 
-// SetReadOnly makes the server one that lost the others: it serves reads to clients that allow it.
-func (s *Server) SetReadOnly(ro bool) { s.locked(func() { s.ro = ro; s.cut() }) }
+// SetReadOnly makes the server act as if it were partitioned from the others: it serves reads to clients that
+// allow it.
+func (s *Server) SetReadOnly(readOnly bool) {
+	s.locked(func() { s.readOnly = readOnly; s.closeConns() })
+}
 
-// SetAcceptsNewerClients makes the server take clients that have seen more than it has, which a sound one refuses, and
-// answer a sync without having caught up.
-func (s *Server) SetAcceptsNewerClients(on bool) { s.locked(func() { s.trusts = on }) }
+// SetAcceptsNewerClients makes the server accept clients that have seen a later zxid than it has, which a correct
+// server rejects, and answer a sync without having caught up.
+func (s *Server) SetAcceptsNewerClients(on bool) { s.locked(func() { s.acceptsNewerClients = on }) }
 
-// SetHalfOpen makes connections half-open: nothing more is read or written, and none is closed.
-func (s *Server) SetHalfOpen(on bool) { s.hang.Store(on) }
+// SetHalfOpen makes connections half-open: nothing is read or written any more, and none is closed.
+func (s *Server) SetHalfOpen(on bool) { s.halfOpen.Store(on) }
 
-// SetSlow delays each frame that goes out by up to twice d; each connection keeps its order, connections
-// among each other do not.
+// SetSlow delays each outgoing frame by a random time up to twice d. Frames of one connection stay in order;
+// those of different connections may not.
 func (s *Server) SetSlow(d time.Duration) { s.slow.Store(int64(d)) }
 
-// Corrupt makes the next n frames that go out unreadable.
+// Corrupt corrupts the bodies of the next n outgoing frames.
 func (s *Server) Corrupt(n int) { s.corrupt.Store(int64(n)) }
 
-// ResetConnections resets all connections; sessions live on.
-func (s *Server) ResetConnections() { s.locked(s.cut) }
+// ResetConnections closes all connections; sessions stay open.
+func (s *Server) ResetConnections() { s.locked(s.closeConns) }
 
-// Bytes is what has gone out, Reads the number of requests that read.
+// Bytes returns the number of bytes sent.
 func (s *Server) Bytes() int64 { return s.bytes.Load() }
 
-// Reads is the number of requests that read.
+// Reads returns the number of read requests.
 func (s *Server) Reads() int64 { return s.reads.Load() }
 
-// Conns is the number of connections with a session.
+// Conns returns the number of accepted connections.
 func (s *Server) Conns() (n int) {
 	s.locked(func() { n = len(s.conns) })
 	return n
 }
 
+// locked calls f with the lock of the ensemble held.
 func (s *Server) locked(f func()) {
-	s.e.mu.Lock()
-	defer s.e.mu.Unlock()
+	s.ensemble.mu.Lock()
+	defer s.ensemble.mu.Unlock()
 	f()
 }
 
-func (s *Server) cut() {
+func (s *Server) closeConns() {
 	for c := range s.conns {
 		c.close()
 	}
 }
 
-// catchUp applies what is old enough, and all up to a zxid. The lock is held.
+// catchUp applies the transactions that are older than the lag, and all up to the zxid upTo. The caller holds the
+// lock of the ensemble.
 func (s *Server) catchUp(now time.Time, upTo int64) {
-	for _, x := range s.e.log {
+	for _, x := range s.ensemble.log {
 		if x.zxid <= s.tree.zxid {
 			continue
 		}
@@ -137,74 +142,76 @@
 		}
 		for i := range x.changes {
 			s.tree.applyOne(x, &x.changes[i])
-			s.fire(&x.changes[i])
+			s.notifyWatches(&x.changes[i])
 		}
 		s.tree.zxid = x.zxid
 	}
 }
 
-// fire tells the watches of a change.
-func (s *Server) fire(c *change) {
+// notifyWatches sends the events of a change.
+func (s *Server) notifyWatches(c *change) {
 	switch c.kind {
 	case created:
-		s.tell(zkwire.NodeCreated, c.path, s.data)
+		s.sendEvents(zkwire.NodeCreated, c.path, s.data)
 	case deleted:
-		s.tell(zkwire.NodeDeleted, c.path, s.data, s.child)
+		s.sendEvents(zkwire.NodeDeleted, c.path, s.data, s.child)
 	case changed:
-		s.tell(zkwire.NodeDataChanged, c.path, s.data)
+		s.sendEvents(zkwire.NodeDataChanged, c.path, s.data)
 		return
 	default:
 		return
 	}
-	s.tell(zkwire.NodeChildrenChanged, parent(c.path), s.child)
+	s.sendEvents(zkwire.NodeChildrenChanged, parent(c.path), s.child)
 }
 
-func (s *Server) tell(ev zkwire.Event, path string, tables ...watches) {
-	told := map[*conn]bool{}
+// sendEvents sends an event to the connections that watch a path: in the tables, which removes their watches, or
+// with persistent watches.
+func (s *Server) sendEvents(ev zkwire.Event, path string, tables ...watches) {
+	receivers := map[*conn]bool{}
 	for _, w := range tables {
 		for c := range w[path] {
-			told[c] = true
+			receivers[c] = true
 		}
 		delete(w, path)
 	}
 	for p := path; ; p = parent(p) {
-		for c, recursive := range s.persist[p] {
-			// A recursive one hears of each node below it, and so needs no word of children.
+		for c, recursive := range s.persistent[p] {
+			// A recursive watch gets the events of each descendant, and therefore none about children.
 			if recursive && ev != zkwire.NodeChildrenChanged || !recursive && p == path {
-				told[c] = true
+				receivers[c] = true
 			}
 		}
 		if p == "/" {
 			break
 		}
 	}
-	for c := range told {
+	for c := range receivers {
 		c.event(ev, path)
 	}
 }
 
 // ---- connections ----
 
-// conn is a client's connection.
+// conn is a client connection.
 type conn struct {
-	s       *Server
-	nc      net.Conn
-	out     chan []byte
-	session *session
-	ro      bool
-	auth    []string
-	once    sync.Once
-	over    chan struct{}
+	server   *Server
+	nc       net.Conn
+	out      chan []byte
+	session  *session
+	readOnly bool
+	auth     []string
+	once     sync.Once
+	closed   chan struct{}
 }
 
 func (c *conn) close() {
 	c.once.Do(func() {
-		close(c.over)
+		close(c.closed)
 		c.nc.Close()
 	})
 }
 
-// send queues a frame. The lock is held, which keeps replies and events in their order.
+// send queues a frame. The caller holds the lock of the ensemble, which keeps replies and events in order.
 func (c *conn) send(write func([]byte) []byte) {
 	select {
 	case c.out <- zkwire.Frame(write):
@@ -218,45 +225,45 @@
 	c.send(func(b []byte) []byte { return e.Append(zkwire.ReplyHeader{Xid: zkwire.XidEvent, Zxid: -1}.Append(b)) })
 }
 
-// write writes what is queued.
+// write writes queued frames until the connection is closed.
 func (c *conn) write() {
 	for {
 		select {
 		case b := <-c.out:
-			if d := c.s.slow.Load(); d > 0 {
-				c.s.e.mu.Lock()
-				d = c.s.e.rng.Int64N(2 * d)
-				c.s.e.mu.Unlock()
+			if d := c.server.slow.Load(); d > 0 {
+				c.server.ensemble.mu.Lock()
+				d = c.server.ensemble.rng.Int64N(2 * d)
+				c.server.ensemble.mu.Unlock()
 				select {
 				case <-time.After(time.Duration(d)):
-				case <-c.over:
+				case <-c.closed:
 					return
 				}
 			}
-			for c.s.hang.Load() {
+			for c.server.halfOpen.Load() {
 				select {
 				case <-time.After(time.Millisecond):
-				case <-c.over:
+				case <-c.closed:
 					return
 				}
 			}
-			if c.s.corrupt.Load() > 0 && c.s.corrupt.Add(-1) >= 0 {
-				for i := 4 + 16; i < len(b); i++ { // all behind a reply's header
+			if c.server.corrupt.Load() > 0 && c.server.corrupt.Add(-1) >= 0 {
+				for i := 4 + 16; i < len(b); i++ { // everything after the reply header
 					b[i] = 0x7f
 				}
 			}
-			c.s.bytes.Add(int64(len(b)))
+			c.server.bytes.Add(int64(len(b)))
 			if _, err := c.nc.Write(b); err != nil {
 				c.close()
 				return
 			}
-		case <-c.over:
+		case <-c.closed:
 			return
 		}
 	}
 }
 
-// frame reads one, or says that there is none.
+// frame reads a frame; false means that the connection has ended.
 func (c *conn) frame() ([]byte, bool) {
 	var head [4]byte
 	if _, err := io.ReadFull(c.nc, head[:]); err != nil {
@@ -270,10 +277,10 @@
 	if _, err := io.ReadFull(c.nc, b); err != nil {
 		return nil, false
 	}
-	for c.s.hang.Load() {
+	for c.server.halfOpen.Load() {
 		select {
 		case <-time.After(time.Millisecond):
-		case <-c.over:
+		case <-c.closed:
 			return nil, false
 		}
 	}
@@ -281,7 +288,7 @@
 }
 
 func (s *Server) serve(nc net.Conn) {
-	c := &conn{s: s, nc: nc, out: make(chan []byte, outbox), over: make(chan struct{})}
+	c := &conn{server: s, nc: nc, out: make(chan []byte, maxQueuedFrames), closed: make(chan struct{})}
 	var writer sync.WaitGroup
 	defer func() {
 		c.close()
@@ -290,7 +297,7 @@
 			delete(s.conns, c)
 			s.data.drop(c)
 			s.child.drop(c)
-			s.persist.drop(c)
+			s.persistent.drop(c)
 			if c.session != nil && c.session.conn == c {
 				c.session.conn = nil
 			}
@@ -301,30 +308,30 @@
 		return
 	}
 	r := zkwire.NewReader(b)
-	hello := r.Connect(true)
+	connect := r.Connect(true)
 	if r.Err() != nil {
 		return
 	}
-	taken := false
+	accepted := false
 	s.locked(func() {
-		alone := s.ro || !s.e.leader
+		partitioned := s.readOnly || !s.ensemble.hasLeader
 		switch {
-		case s.down, alone && !hello.ReadOnly, hello.LastZxid > s.tree.zxid && !s.trusts:
-			return // hangs up
+		case s.down, partitioned && !connect.ReadOnly, connect.LastZxid > s.tree.zxid && !s.acceptsNewerClients:
+			return // closes the connection
 		}
-		taken = true
+		accepted = true
 		s.conns[c] = struct{}{}
-		answer := zkwire.Connect{Password: make([]byte, 16), HasReadOnly: hello.HasReadOnly, ReadOnly: alone}
-		if c.ro = alone; alone && hello.Session == 0 {
-			// A session of this server's own, which no other knows.
-			answer.TimeoutMs, answer.Session = hello.TimeoutMs, -1
-		} else if c.session = s.e.open(&hello, c); c.session != nil {
+		answer := zkwire.Connect{Password: make([]byte, 16), HasReadOnly: connect.HasReadOnly, ReadOnly: partitioned}
+		if c.readOnly = partitioned; partitioned && connect.Session == 0 {
+			// A session that only this server knows.
+			answer.TimeoutMs, answer.Session = connect.TimeoutMs, -1
+		} else if c.session = s.ensemble.open(&connect, c); c.session != nil {
 			answer.TimeoutMs, answer.Session, answer.Password = int32(c.session.timeout.Milliseconds()), c.session.id, c.session.password
 			c.auth = c.session.auth
 		}
 		c.send(answer.AppendResponse)
 	})
-	if !taken {
+	if !accepted {
 		return
 	}
 	writer.Go(c.write)
--- a/internal/lab/zk/tree.go
+++ b/internal/lab/zk/tree.go
@@ -9,16 +9,16 @@
 	"ringtrack.example/ringtrack/internal/zkwire"
 )
 
-// node is one of a tree.
+// node is a node of a tree.
 type node struct {
-	data     []byte
-	acl      []zkwire.ACL
-	stat     zkwire.Stat
-	children map[string]struct{}
-	next     int32 // of sequential children
+	data         []byte
+	acl          []zkwire.ACL
+	stat         zkwire.Stat
+	children     map[string]struct{}
+	nextSequence int32 // of sequential children
 }
 
-// tree is what one server has applied, or what is committed.
+// tree is the state that a server has applied, or the committed state.
 type tree struct {
 	nodes map[string]*node
 	zxid  int64
@@ -28,26 +28,26 @@
 	return &tree{nodes: map[string]*node{"/": {acl: zkwire.OpenACL, children: map[string]struct{}{}}}}
 }
 
-// kind is what a change does.
-type kind uint8
+// changeKind is what a change does to its node.
+type changeKind uint8
 
 const (
-	created kind = iota
+	created changeKind = iota
 	deleted
 	changed
 	aclSet
 )
 
-// change is one node's part of a transaction.
+// change is a change of one node in a transaction.
 type change struct {
-	kind kind
-	path string
-	data []byte
-	acl  []zkwire.ACL
-	own  int64
+	kind  changeKind
+	path  string
+	data  []byte
+	acl   []zkwire.ACL
+	owner int64 // session of an ephemeral node; 0: persistent
 }
 
-// txn is a committed transaction; a session's end deletes many nodes in one.
+// txn is a committed transaction. The end of a session deletes all its ephemeral nodes in one.
 type txn struct {
 	zxid    int64
 	ms      int64
@@ -63,7 +63,7 @@
 
 func base(path string) string { return path[strings.LastIndexByte(path, '/')+1:] }
 
-// apply carries out a transaction that was checked. It is the same on every server.
+// apply applies a committed transaction. The result is the same on every server.
 func (t *tree) apply(x *txn) {
 	for i := range x.changes {
 		t.applyOne(x, &x.changes[i])
@@ -76,9 +76,9 @@
 	switch c.kind {
 	case created:
 		t.nodes[c.path] = &node{data: c.data, acl: c.acl, children: map[string]struct{}{}, stat: zkwire.Stat{Czxid: x.zxid, Mzxid: x.zxid,
-			Pzxid: x.zxid, Ctime: x.ms, Mtime: x.ms, EphemeralOwner: c.own, DataLength: int32(len(c.data))}}
+			Pzxid: x.zxid, Ctime: x.ms, Mtime: x.ms, EphemeralOwner: c.owner, DataLength: int32(len(c.data))}}
 		p.children[base(c.path)] = struct{}{}
-		p.next++
+		p.nextSequence++
 		p.stat.Cversion++
 		p.stat.Pzxid, p.stat.NumChildren = x.zxid, int32(len(p.children))
 	case deleted:
@@ -98,7 +98,7 @@
 	}
 }
 
-// copyOf is a tree of its own, with the same nodes.
+// copyOf returns an independent copy.
 func (t *tree) copyOf() *tree {
 	out := &tree{nodes: make(map[string]*node, len(t.nodes)), zxid: t.zxid}
 	for path, n := range t.nodes {
@@ -121,21 +121,21 @@
 	return out
 }
 
-// valid tells whether a path is one.
+// valid reports whether a path is valid.
 func valid(path string) bool {
 	return path == "/" || strings.HasPrefix(path, "/") && !strings.HasSuffix(path, "/") && !strings.Contains(path, "//") &&
 		!strings.ContainsRune(path, 0)
 }
 
-// Digest is the id under the scheme "digest" of who knows "user:password".
+// Digest returns the ACL ID of "user:password" for the scheme "digest".
 func Digest(auth string) string {
 	user, _, _ := strings.Cut(auth, ":")
 	sum := sha1.Sum([]byte(auth))
 	return user + ":" + base64.StdEncoding.EncodeToString(sum[:])
 }
 
-// may tells whether one with these digest ids has a permission.
-func may(acl []zkwire.ACL, ids []string, perm int32) bool {
+// allows reports whether an ACL grants a permission to a client with these digest IDs.
+func allows(acl []zkwire.ACL, ids []string, perm int32) bool {
 	for _, a := range acl {
 		if a.Perms&perm == 0 {
 			continue
--- a/internal/lab/zk/witness_test.go
+++ b/internal/lab/zk/witness_test.go
@@ -14,12 +14,12 @@
 	"ringtrack.example/ringtrack/internal/zkwire"
 )
 
-// patience bounds every wait of the tests.
-const patience = 20 * time.Second
+// waitTimeout bounds every wait of the tests.
+const waitTimeout = 20 * time.Second
 
-type silent struct{}
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 func ensemble(t *testing.T, o Options) *Ensemble {
 	t.Helper()
@@ -31,41 +31,43 @@
 	return e
 }
 
-func witness(t *testing.T, e *Ensemble) *gozk.Conn {
+// connect returns a connected client of an independent ZooKeeper library.
+func connect(t *testing.T, e *Ensemble) *gozk.Conn {
 	t.Helper()
-	c, events, err := gozk.Connect(e.Addrs(), time.Second, gozk.WithLogger(silent{}))
+	c, events, err := gozk.Connect(e.Addrs(), time.Second, gozk.WithLogger(discardLogger{}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Close)
-	for over := time.After(patience); ; {
+	for expired := time.After(waitTimeout); ; {
 		select {
 		case ev := <-events:
 			if ev.State == gozk.StateHasSession {
 				return c
 			}
-		case <-over:
+		case <-expired:
 			t.Fatal("the library has no session")
 		}
 	}
 }
 
-func await(t *testing.T, what string, ch <-chan gozk.Event, want gozk.EventType) {
+func awaitEvent(t *testing.T, what string, ch <-chan gozk.Event, want gozk.EventType) {
 	t.Helper()
 	select {
 	case ev := <-ch:
 		if ev.Type != want {
 			t.Errorf("%s: event %v (%v), want %v", what, ev.Type, ev.Err, want)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatalf("%s: no event", what)
 	}
 }
 
-// The library that nobody here wrote works against the stand-in, in all that the stand-in claims.
-func TestWitness(t *testing.T) {
+// Guards against a stand-in that deviates from the protocol: an independent client library must work against
+// everything that it implements.
+func TestIndependentClient(t *testing.T) {
 	e := ensemble(t, Options{Servers: 3, MaxSessionTimeout: 2 * time.Second})
-	a, b := witness(t, e), witness(t, e)
+	a, b := connect(t, e), connect(t, e)
 	must := func(what string, err error) {
 		t.Helper()
 		if err != nil {
@@ -93,8 +95,8 @@
 	must("exists with a watch", err)
 	_, err = a.Create("/fleet/s-1", []byte("one"), gozk.FlagEphemeral, open)
 	must("ephemeral", err)
-	await(t, "child", kids, gozk.EventNodeChildrenChanged)
-	await(t, "made", exist, gozk.EventNodeCreated)
+	awaitEvent(t, "child", kids, gozk.EventNodeChildrenChanged)
+	awaitEvent(t, "created", exist, gozk.EventNodeCreated)
 	must("sync", func() error { _, err := b.Sync("/fleet"); return err }())
 	data, stat, changed, err := b.GetW("/fleet/s-1")
 	must("get with a watch", err)
@@ -105,7 +107,7 @@
 	want("set of another version", err, gozk.ErrBadVersion)
 	stat, err = a.Set("/fleet/s-1", []byte("two"), 0)
 	must("set", err)
-	await(t, "changed", changed, gozk.EventNodeDataChanged)
+	awaitEvent(t, "changed", changed, gozk.EventNodeDataChanged)
 	if stat.Version != 1 || stat.Mzxid <= stat.Czxid {
 		t.Errorf("%+v", stat)
 	}
@@ -123,17 +125,17 @@
 	must("protected", err)
 	must("delete", a.Delete(name, -1))
 
-	// Several as one: all or none.
+	// Multi: all operations or none.
 	_, err = a.Multi(&gozk.CreateRequest{Path: "/m", Acl: open}, &gozk.CreateRequest{Path: "/m/n", Acl: open},
 		&gozk.SetDataRequest{Path: "/m", Data: []byte("d"), Version: 0}, &gozk.CheckVersionRequest{Path: "/m/n", Version: 0})
 	must("multi", err)
 	_, err = a.Multi(&gozk.CreateRequest{Path: "/m/o", Acl: open}, &gozk.DeleteRequest{Path: "/m/none", Version: -1})
 	want("multi that fails", err, gozk.ErrNoNode)
 	if ok, _, err := a.Exists("/m/o"); ok || err != nil {
-		t.Errorf("half a multi stands: %v, %v", ok, err)
+		t.Errorf("a failed multi was applied in part: %v, %v", ok, err)
 	}
 
-	// Who may do what.
+	// Access control.
 	must("auth", a.AddAuth("digest", []byte("user:secret")))
 	_, err = a.Create("/closed", []byte("s"), 0, gozk.DigestACL(gozk.PermAll, "user", "secret"))
 	must("closed", err)
@@ -151,7 +153,7 @@
 		t.Error(err)
 	}
 
-	// The connection breaks, the session lives: watches are taken up, and what changed meanwhile is told.
+	// Reconnect within the session: watches are restored, and changes in the meantime are reported.
 	_, _, gone, err := b.GetW("/fleet/s-1")
 	must("watch", err)
 	for _, s := range e.Servers {
@@ -161,9 +163,9 @@
 	for _, s := range e.Servers {
 		s.SetDown(false)
 	}
-	await(t, "gone while away", gone, gozk.EventNodeDeleted)
+	awaitEvent(t, "deleted while disconnected", gone, gozk.EventNodeDeleted)
 
-	// A session's end takes its nodes with it.
+	// The end of a session deletes its ephemeral nodes.
 	must("sync", func() error { _, err := b.Sync("/fleet"); return err }())
 	left, _, ends, err := b.ChildrenW("/fleet")
 	must("children", err)
@@ -171,22 +173,22 @@
 		t.Errorf("children %v", left)
 	}
 	e.Expire(a.SessionID(), false)
-	await(t, "nodes of an expired session", ends, gozk.EventNodeChildrenChanged)
+	awaitEvent(t, "nodes of an expired session", ends, gozk.EventNodeChildrenChanged)
 	if n := e.Children("/fleet"); len(n) != 0 {
 		t.Errorf("children %v", n)
 	}
 }
 
-// A server that lags shows the past until it is told to sync; one that has seen less than a client refuses
-// it; a lost leader takes nobody.
+// A lagging server shows stale data until a sync, and rejects a client that has seen a later zxid. A new leader
+// begins a new epoch.
 func TestLagAndLeader(t *testing.T) {
 	e := ensemble(t, Options{Servers: 2})
 	e.Servers[0].SetLag(time.Hour)
 	e.Put("/a", []byte("1"), 0)
 	e.Servers[1].SetDown(true)
-	c := witness(t, e)
+	c := connect(t, e)
 	if ok, _, err := c.Exists("/a"); ok || err != nil {
-		t.Errorf("a server that lags shows %v, %v", ok, err)
+		t.Errorf("a lagging server shows %v, %v", ok, err)
 	}
 	if _, err := c.Sync("/a"); err != nil {
 		t.Fatal(err)
@@ -194,7 +196,7 @@
 	if ok, _, err := c.Exists("/a"); !ok || err != nil {
 		t.Errorf("after sync %v, %v", ok, err)
 	}
-	// A server that lags hangs up on a client that has seen more, and takes one that has not, with its zxid.
+	// A lagging server closes the connection of a client that has seen a later zxid, and accepts one that has not.
 	e.Servers[1].SetDown(false)
 	e.Servers[1].SetLag(time.Hour)
 	behind := e.Zxid()
@@ -204,12 +206,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nc.SetDeadline(time.Now().Add(patience))
-		hello := zkwire.Connect{LastZxid: seen, TimeoutMs: 1000, Password: make([]byte, 16)}
-		nc.Write(zkwire.Frame(hello.AppendRequest))
+		nc.SetDeadline(time.Now().Add(waitTimeout))
+		connectRequest := zkwire.Connect{LastZxid: seen, TimeoutMs: 1000, Password: make([]byte, 16)}
+		nc.Write(zkwire.Frame(connectRequest.AppendRequest))
 		_, err = io.ReadFull(nc, make([]byte, 4))
-		if taken := err == nil; taken != (seen == behind) {
-			t.Errorf("a server at %#x and a client that has seen %#x: taken %v", behind, seen, taken)
+		if accepted := err == nil; accepted != (seen == behind) {
+			t.Errorf("a server at %#x and a client that has seen %#x: accepted %v", behind, seen, accepted)
 		}
 		nc.Close()
 	}
