--- a/internal/control/proxy_test.go
+++ b/internal/control/proxy_test.go
@@ -41,21 +41,21 @@
 
 // As TestProxiesRetryOnlyWhatIsSafe, but over sockets, with the executions counted at the servers.
 func TestServersSeeOnlySafeRetries(t *testing.T) {
-	classes := map[string]lab.Effect{"read": lab.Safe, "send": lab.Keyed, "order": lab.Unsafe}
+	classes := map[string]lab.Effect{"read": lab.Idempotent, "send": lab.IdempotentByKey, "order": lab.NonIdempotent}
 	for name, c := range map[string]struct {
 		mode       lab.Mode
 		unsafe     int // attempts for a request that is not idempotent
 		idempotent int // attempts for an idempotent request
 	}{
-		"serving": {lab.Serving, 1, 1}, "failing": {lab.Failing, 1, 3}, "breaking": {lab.Breaking, 1, 3},
-		"rejecting": {lab.Full, 3, 3}, "silent": {lab.Silent, 1, 1},
+		"serving": {lab.Serving, 1, 1}, "failing": {lab.Failing, 1, 3}, "breaking": {lab.ResetAfterRun, 1, 3},
+		"rejecting": {lab.Rejecting, 3, 3}, "silent": {lab.Silent, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			ledger := lab.NewLedger(lab.DefaultRules())
 			var entries []membership.Entry
 			for i := range 4 {
-				s, err := lab.NewOrderServer(fmt.Sprint("s-", i), "east", 0, ledger)
+				s, err := lab.NewBackend(fmt.Sprint("s-", i), "east", 0, ledger)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -70,10 +70,10 @@
 			for class, effect := range classes {
 				for i := range 5 {
 					id := fmt.Sprint(class, "-", i)
-					ledger.Asked(id, effect, id, time.Now().Add(3*time.Second))
+					ledger.AttemptStarted(id, effect, id, time.Now().Add(3*time.Second))
 					res := p.Call(t.Context(), class, id, id+" ")
 					want := c.idempotent
-					if effect == lab.Unsafe {
+					if effect == lab.NonIdempotent {
 						want = c.unsafe
 					}
 					if res.Attempts != want {
@@ -83,12 +83,12 @@
 					if res.Status == 200 {
 						v = lab.Served
 					} else if !res.MayHaveRun {
-						v = lab.Refused
+						v = lab.Rejected
 					}
 					ledger.Answered(id, v, time.Now())
 				}
 			}
-			if broken, texts := ledger.Breaches(time.Now()); len(broken) > 0 {
+			if broken, texts := ledger.Violations(time.Now()); len(broken) > 0 {
 				t.Errorf("violated rules %v: %q", broken, texts)
 			}
 		})
--- a/internal/lab/acceptance/ephemeralfaults.go
+++ b/internal/lab/acceptance/ephemeralfaults.go
@@ -42,9 +42,9 @@
 		s.SetWork(2 * time.Millisecond)
 		s.Entry.StartedMs = longAgo()
 		reg.put(&s.Entry)
-		w.Roster.Set(s.Entry)
+		w.Discovery.Set(s.Entry)
 	}
-	if err := w.Followed(ctx); err != nil {
+	if err := w.AwaitWatch(ctx); err != nil {
 		return nil, err
 	}
 	running, stop := context.WithCancel(ctx)
@@ -56,7 +56,7 @@
 	heal := func() {
 		for _, s := range reg.Servers {
 			s.SetDown(false)
-			s.SetHang(false)
+			s.SetHalfOpen(false)
 			s.SetLag(0)
 			s.SetSlow(0)
 			s.Corrupt(0)
@@ -65,8 +65,8 @@
 	server := func() *zk.Server { return reg.Servers[rng.IntN(len(reg.Servers))] }
 	ms := func(n int) time.Duration { return time.Duration(rng.IntN(n)) * time.Millisecond }
 	faults := []func(){heal, heal, heal,
-		func() { server().Cut() }, func() { server().SetDown(true) }, func() { server().SetLag(ms(800)) }, func() { server().SetSlow(ms(100)) },
-		func() { server().SetHang(true) }, func() { server().Corrupt(3) }, func() { reg.LoseLeader(); reg.FindLeader() },
+		func() { server().ResetConnections() }, func() { server().SetDown(true) }, func() { server().SetLag(ms(800)) }, func() { server().SetSlow(ms(100)) },
+		func() { server().SetHalfOpen(true) }, func() { server().Corrupt(3) }, func() { reg.LoseLeader(); reg.ElectLeader() },
 		func() {
 			if ids := reg.Sessions(); len(ids) > 0 {
 				reg.Expire(ids[rng.IntN(len(ids))], rng.IntN(2) == 0)
@@ -95,16 +95,16 @@
 			drains++
 			e := s.Entry
 			e.State = membership.Draining
-			w.Ledger.Told(e.ID, time.Now())
+			w.Ledger.NotifiedDraining(e.ID, time.Now())
 			if o.Defect {
-				late.Go(func() { time.Sleep(400 * time.Millisecond); w.Roster.Set(e) })
+				late.Go(func() { time.Sleep(400 * time.Millisecond); w.Discovery.Set(e) })
 			} else {
-				w.Roster.Set(e)
+				w.Discovery.Set(e)
 			}
 		case x < 6 && drained[s]:
 			delete(drained, s)
-			w.Ledger.Up(s.Entry.ID)
-			w.Roster.Set(s.Entry)
+			w.Ledger.InService(s.Entry.ID)
+			w.Discovery.Set(s.Entry)
 		case x < 9 && len(missing) < 4 && !missing[s]:
 			missing[s] = true
 			reg.remove(s.Entry.ID)
@@ -117,7 +117,7 @@
 			w.Ledger.Started(s.Entry.ID, restarted, capacity)
 			s.Entry.StartedMs = float64(restarted.UnixMilli())
 			if !drained[s] {
-				w.Roster.Set(s.Entry)
+				w.Discovery.Set(s.Entry)
 			}
 			if reg.remove(s.Entry.ID); !missing[s] {
 				reg.put(&s.Entry)
@@ -133,8 +133,8 @@
 	late.Wait()
 	heal()
 	for _, s := range w.Servers {
-		w.Ledger.Up(s.Entry.ID)
-		w.Roster.Set(s.Entry)
+		w.Ledger.InService(s.Entry.ID)
+		w.Discovery.Set(s.Entry)
 		reg.put(&s.Entry)
 	}
 	// Once all is well all are used again.
@@ -144,9 +144,9 @@
 		idle = 0
 		for _, s := range w.Servers {
 			if at[s] == 0 {
-				at[s] = s.Begun() + 1
+				at[s] = s.RequestCount() + 1
 			}
-			if s.Begun() < at[s]+5 {
+			if s.RequestCount() < at[s]+5 {
 				idle++
 			}
 		}
@@ -159,7 +159,7 @@
 	if err := w.Stop(); err != nil {
 		return nil, err
 	}
-	broken, words := w.Ledger.Breaches(time.Now().Add(time.Minute))
+	broken, words := w.Ledger.Violations(time.Now().Add(time.Minute))
 	t := w.Ledger.Totals
 	share := float64(t.Served) / float64(max(t.Served+t.Failed+t.Rejected, 1))
 	r.add("steps", float64(n), "")
@@ -167,7 +167,7 @@
 	r.add("restarts", float64(restarts), "")
 	r.add("requests", float64(t.Received), "")
 	r.add("served_share", share, "")
-	r.add("cold_of_capacity", w.Ledger.Coldest(), "")
+	r.add("cold_of_capacity", w.Ledger.MaxOverload(), "")
 	r.add("idle_once_well", float64(idle), "")
 	r.add("rules_broken", float64(len(broken)), "")
 	if len(broken) > 0 {
--- a/internal/lab/acceptance/wholefleet.go
+++ b/internal/lab/acceptance/wholefleet.go
@@ -56,9 +56,9 @@
 	o       *Options
 	defect  fleetDefect
 	ledger  *lab.Ledger
-	rosters [2]*lab.Roster // of which the second takes over
-	now     atomic.Int32   // the one that new configurations name
-	servers []*lab.OrderServer
+	rosters [2]*lab.DiscoveryService // of which the second takes over
+	now     atomic.Int32             // the one that new configurations name
+	servers []*lab.Backend
 	agents  []*fleetAgent
 	// endWithin is how long an end may take.
 	endWithin time.Duration
@@ -88,37 +88,37 @@
 }
 
 // told changes an entry at both rosters.
-func (f *fleet) told(change func(*lab.Roster)) {
+func (f *fleet) told(change func(*lab.DiscoveryService)) {
 	for _, r := range f.rosters {
 		change(r)
 	}
 }
 
 // replace replaces a server: it drains, and then another id is at its address, or its id in another cell.
-func (f *fleet) replace(s *lab.OrderServer, newID bool) {
-	f.ledger.Told(s.ID, time.Now())
+func (f *fleet) replace(s *lab.Backend, newID bool) {
+	f.ledger.NotifiedDraining(s.ID, time.Now())
 	e := s.Entry
 	e.State = membership.Draining
-	f.told(func(r *lab.Roster) { r.Set(e) })
+	f.told(func(r *lab.DiscoveryService) { r.Set(e) })
 	time.Sleep(400 * time.Millisecond)
 	old := s.Entry.ID
-	f.told(func(r *lab.Roster) { r.Remove(old) })
-	s.Cut()
+	f.told(func(r *lab.DiscoveryService) { r.Remove(old) })
+	s.ResetConnections()
 	if newID {
 		s.Entry.ID += "'"
 	} else {
 		s.Entry.Cell++
 	}
 	s.Entry.StartedMs = float64(time.Now().UnixMilli())
-	f.ledger.Up(s.ID)
-	f.told(func(r *lab.Roster) { r.Set(s.Entry) })
+	f.ledger.InService(s.ID)
+	f.told(func(r *lab.DiscoveryService) { r.Set(s.Entry) })
 }
 
 // trouble gives servers a mode each for a moment, and breaks connections, until ctx ends.
 func (f *fleet) trouble(ctx context.Context, rng *rand.Rand) {
-	modes := []lab.Mode{lab.Failing, lab.Full, lab.Breaking, lab.Half, lab.Twice, lab.Slow, lab.Silent, lab.Foreign, lab.Severing, lab.Severing}
+	modes := []lab.Mode{lab.Failing, lab.Rejecting, lab.ResetAfterRun, lab.TruncatedAnswer, lab.AnswerTwice, lab.ByteByByte, lab.Silent, lab.WrongProtocol, lab.ResetAtEachByte, lab.ResetAtEachByte}
 	if f.defect == lying {
-		modes = []lab.Mode{lab.Lying}
+		modes = []lab.Mode{lab.FalseNotStarted}
 	}
 	for ctx.Err() == nil {
 		s := f.servers[rng.IntN(len(f.servers))]
@@ -128,7 +128,7 @@
 		case <-ctx.Done():
 		}
 		s.Set(lab.Serving)
-		f.servers[rng.IntN(len(f.servers))].Cut()
+		f.servers[rng.IntN(len(f.servers))].ResetConnections()
 	}
 }
 
@@ -236,7 +236,7 @@
 	running.Wait()
 	all(f.agents, func(a *fleetAgent) error { f.hold(ctx, a); a.end(false); return nil })
 	f.held.Wait()
-	broken, words := f.ledger.Breaches(time.Now().Add(heldFor))
+	broken, words := f.ledger.Violations(time.Now().Add(heldFor))
 	t := f.ledger.Totals
 	r.Short = f.short
 	r.add("agents", float64(len(f.agents)), "")
--- a/internal/membership/ephemeral/registrar_test.go
+++ b/internal/membership/ephemeral/registrar_test.go
@@ -68,8 +68,8 @@
 	r, _, stop := startRegistrar(t, e, func(c *Config) { c.Auth = "user:secret" })
 	waitFor(t, "no node", exists)
 	// The connection is lost and the session stays alive: the node stays as it is.
-	e.Servers[0].Cut()
-	e.Servers[1].Cut()
+	e.Servers[0].ResetConnections()
+	e.Servers[1].ResetConnections()
 	r.Set(func(e *membership.Entry) { e.State = membership.Draining })
 	waitFor(t, "the change is not written", func() bool { return strings.Contains(e.Children("/fleet")["me"], `"draining"`) })
 	if creations, deletions := counts(); creations != 1 || deletions != 0 {
@@ -93,7 +93,7 @@
 // A node from an older session of this process is replaced in one transaction. A node of another process is
 // left unchanged; once it is deleted, this process creates its own.
 func TestRegistrarWithExistingNode(t *testing.T) {
-	e := newEnsemble(t, zk.Options{Least: time.Minute, Most: time.Minute})
+	e := newEnsemble(t, zk.Options{MinSessionTimeout: time.Minute, MaxSessionTimeout: time.Minute})
 	e.Put("/fleet/me", []byte(`{"id":"me","instance":"another"}`), 77)
 	_, problems, _ := startRegistrar(t, e, nil)
 	waitFor(t, "it is not reported that the name is taken", func() bool { return strings.Contains(problems(), "another process") })
--- a/internal/upstream/http/upstream_test.go
+++ b/internal/upstream/http/upstream_test.go
@@ -35,9 +35,9 @@
 	return &core.Call{Payload: &Call{Method: "POST", Target: "/api/a1", Host: "x", Header: http.Header{"Request-Id": {"1"}}, Body: body}}
 }
 
-func startServer(t *testing.T) *lab.OrderServer {
+func startServer(t *testing.T) *lab.Backend {
 	t.Helper()
-	s, err := lab.NewOrderServer("s-1", "east", 0, nil)
+	s, err := lab.NewBackend("s-1", "east", 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,8 +104,8 @@
 	if res := s.Do(t.Context(), &core.Backend{}, b.Addr, c, now, now.Add(waitTimeout)); res.Status != policy.OK {
 		t.Errorf("ended as %d, want %d", res.Status, policy.OK)
 	}
-	if b.Begun() != 1 {
-		t.Errorf("%d requests arrived, want 1", b.Begun())
+	if b.RequestCount() != 1 {
+		t.Errorf("%d requests arrived, want 1", b.RequestCount())
 	}
 }
 
