--- a/internal/lab/cluster/agent.go
+++ b/internal/lab/cluster/agent.go
@@ -52,7 +52,7 @@
 }
 
 func (c *Cluster) addAgent(i int, addrs agentAddrs, cfg *AgentConfig) error {
-	p, err := c.Process(agentName(i), addrs.requests[i], false, nil, "ringtrack")
+	p, err := c.AddProcess(agentName(i), addrs.requests[i], false, nil, "ringtrack")
 	if err != nil {
 		return err
 	}
@@ -126,8 +126,8 @@
 	fmt.Fprintf(text, "%s = %s\n", key, value)
 }
 
-// Ready waits until an agent reports to be ready.
-func Ready(ctx context.Context, agent *Process, timeout time.Duration) error {
+// AwaitReady waits until an agent reports to be ready.
+func AwaitReady(ctx context.Context, agent *Process, timeout time.Duration) error {
 	return Until(ctx, agent.Name+" is ready", timeout, func() bool {
 		resp, err := http.Get("http://" + agent.Addr + "/-/ready")
 		if err != nil {
--- a/internal/lab/cluster/agent_test.go
+++ b/internal/lab/cluster/agent_test.go
@@ -36,7 +36,7 @@
 		}
 	}
 	for _, a := range c.Agents {
-		if err := Ready(ctx, a, 15*time.Second); err != nil {
+		if err := AwaitReady(ctx, a, 15*time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -27,11 +27,11 @@
 // Cluster is a set of processes and the links between them. Its methods may be called from any goroutine, except those
 // that add processes.
 type Cluster struct {
-	Dir     string
-	Bin     string // directory of the programs
-	LeaseMs float64
-	ListMs  float64 // beyond a lease, for which its endpoints may be used
-	TickMs  float64 // of replicas; 0: their default
+	Dir           string
+	Bin           string // directory of the programs
+	LeaseMs       float64
+	ServerRulesMs float64 // beyond a lease, for which its endpoints may be used
+	TickMs        float64 // of replicas; 0: their default
 
 	host    string
 	mu      sync.Mutex
@@ -48,15 +48,15 @@
 // New returns a cluster in a directory, without processes.
 func New(dir, bin string, leaseMs float64) *Cluster {
 	return &Cluster{
-		host:    uniqueLoopback(),
-		Dir:     dir,
-		Bin:     bin,
-		LeaseMs: leaseMs,
-		ListMs:  leaseMs / 2,
-		all:     map[string]*Process{},
-		links:   map[direction]*link{},
-		proxies: map[direction]*proxy{},
-		caller:  client.NewCaller(),
+		host:          uniqueLoopback(),
+		Dir:           dir,
+		Bin:           bin,
+		LeaseMs:       leaseMs,
+		ServerRulesMs: leaseMs / 2,
+		all:           map[string]*Process{},
+		links:         map[direction]*link{},
+		proxies:       map[direction]*proxy{},
+		caller:        client.NewCaller(),
 	}
 }
 
@@ -83,8 +83,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", 64+n>>14&127, n>>7&127+1, n&127+1)
 }
 
-// Process adds a process, which is not started. The first of args is the program's name in Bin.
-func (c *Cluster) Process(name, addr string, data bool, env []string, args ...string) (*Process, error) {
+// AddProcess adds a process, which is not started. The first of args is the program's name in Bin.
+func (c *Cluster) AddProcess(name, addr string, data bool, env []string, args ...string) (*Process, error) {
 	p := &Process{
 		Name: name,
 		Dir:  filepath.Join(c.Dir, name),
--- a/internal/lab/cluster/replica.go
+++ b/internal/lab/cluster/replica.go
@@ -63,7 +63,7 @@
 }
 
 func (c *Cluster) addReplica(name, addr string, members map[string]string, join bool) (*Process, error) {
-	p, err := c.Process(name, addr, true, nil, "ringtrack-configstore", "run", "--config", replicaConfigFile)
+	p, err := c.AddProcess(name, addr, true, nil, "ringtrack-configstore", "run", "--config", replicaConfigFile)
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	fmt.Fprintf(&text, "data = %q\n", p.Data)
 	fmt.Fprintf(&text, "join = %v\n", join)
 	fmt.Fprintf(&text, "lease_ms = %v\n", c.LeaseMs)
-	fmt.Fprintf(&text, "list_ms = %v\n", c.ListMs)
+	fmt.Fprintf(&text, "list_ms = %v\n", c.ServerRulesMs)
 	if c.TickMs > 0 {
 		fmt.Fprintf(&text, "tick_ms = %v\n", c.TickMs)
 	}
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -152,7 +152,7 @@
 		}
 	}
 	for _, agent := range r.cluster.Agents {
-		if err := Ready(ctx, agent, agentStartTimeout); err != nil {
+		if err := AwaitReady(ctx, agent, agentStartTimeout); err != nil {
 			r.outcome.Logs = r.logs()
 			return err
 		}
--- a/internal/lab/leasemodel/events.go
+++ b/internal/lab/leasemodel/events.go
@@ -35,7 +35,7 @@
 
 func (w *world) holderEvents(i int) (events []event) {
 	h := &w.holders[i]
-	if len(w.messages) < w.left.Msg && h.requests < maxRequestsPerHolder {
+	if len(w.messages) < w.left.Messages && h.requests < maxRequestsPerHolder {
 		events = append(events, event{fmt.Sprintf("request %d", i), func(w *world) { w.request(i) }})
 	}
 	if w.left.Crashes > 0 && (h.lease.Epoch > 0 || h.requests > 0) {
--- a/internal/lab/leasemodel/log.go
+++ b/internal/lab/leasemodel/log.go
@@ -81,5 +81,5 @@
 
 // endpointsChanged reports to a lessor whether endpoints change.
 func (l *replicatedLog) endpointsChanged(d Defect) lease.ServerRulesDiffer {
-	return func(from, to uint64) bool { return d != IgnoreEndpoints && l.history.ServerRulesDiffer(from, to) }
+	return func(from, to uint64) bool { return d != IgnoreServerRules && l.history.ServerRulesDiffer(from, to) }
 }
--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -23,7 +23,7 @@
 	NoInheritedWait          // a new leader does not wait for the leases of its predecessor
 	ResumeOnRestart          // a holder that restarts acts on what it had, without a lease
 	AssumeAdopted            // an epoch counts as adopted once it is granted
-	IgnoreEndpoints          // nobody waits for a holder that uses older endpoints
+	IgnoreServerRules        // nobody waits for a holder that uses older endpoints
 )
 
 // Defects are all defects by name.
@@ -33,7 +33,7 @@
 	"no-quiet":      NoInheritedWait,
 	"back-on-start": ResumeOnRestart,
 	"word-for-it":   AssumeAdopted,
-	"no-word":       IgnoreEndpoints,
+	"no-word":       IgnoreServerRules,
 }
 
 // Durations of a lease; a tick of the model is 1 ms.
@@ -53,17 +53,17 @@
 	Elections int
 	Crashes   int
 	Repeats   int
-	Msg       int  // messages under way
+	Messages  int  // messages under way
 	Drift     bool // holders' clocks run as fast and as slow as is tolerated
 }
 
 // Bounds of the runs: Exhaust visits all states of Small in CI, and of Pairs and Complete in the long proof; Long is for
 // random walks.
 var (
-	Small    = Bounds{Holders: 2, Versions: 2, Ticks: 2, Msg: 1}
-	Pairs    = Bounds{Holders: 2, Versions: 1, Ticks: 3, Msg: 2}
-	Complete = Bounds{Holders: 2, Versions: 3, Ticks: 3, Elections: 1, Crashes: 1, Msg: 1}
-	Long     = Bounds{Holders: 3, Versions: 12, Ticks: 60, Elections: 6, Crashes: 6, Repeats: 10, Msg: 6, Drift: true}
+	Small    = Bounds{Holders: 2, Versions: 2, Ticks: 2, Messages: 1}
+	Pairs    = Bounds{Holders: 2, Versions: 1, Ticks: 3, Messages: 2}
+	Complete = Bounds{Holders: 2, Versions: 3, Ticks: 3, Elections: 1, Crashes: 1, Messages: 1}
+	Long     = Bounds{Holders: 3, Versions: 12, Ticks: 60, Elections: 6, Crashes: 6, Repeats: 10, Messages: 6, Drift: true}
 )
 
 // messageKind is how far a renewal has come.
--- a/internal/lab/scale/controlrig.go
+++ b/internal/lab/scale/controlrig.go
@@ -221,7 +221,7 @@
 	}
 	r = &controlRig{Cluster: cluster.New(dir, bin, times.leaseMs), o: o, dir: dir, asks: newAskWitness(), told: map[string]string{}, times: times, defect: defect,
 		client: &http.Client{Timeout: 10 * time.Second}}
-	r.ListMs, r.TickMs = times.listMs, times.tickMs
+	r.ServerRulesMs, r.TickMs = times.listMs, times.tickMs
 	rig := r // r is nil where an error is returned
 	defer func() {
 		if err != nil {
@@ -252,7 +252,7 @@
 	}
 	for i, name := range zoneNames {
 		z := &hollowZone{spec: hollowSpec{Listen: addrs[i], AskWithinMs: times.askWithinMs, Defect: defect}}
-		if z.p, err = r.Process("zone-"+name, addrs[i], false, []string{hollowEnv + "=spec.json"}, "hollow"); err != nil {
+		if z.p, err = r.AddProcess("zone-"+name, addrs[i], false, []string{hollowEnv + "=spec.json"}, "hollow"); err != nil {
 			return nil, err
 		}
 		z.p.Args = []string{self}
--- a/internal/lab/scale/datapath.go
+++ b/internal/lab/scale/datapath.go
@@ -344,7 +344,7 @@
 
 // startAgent starts an agent that follows a roster and has its admin endpoint at door; "": none.
 func startAgent(c *cluster.Cluster, name, addr, door string, seed uint64, roster *lab.Roster) (*cluster.Process, error) {
-	p, err := c.Process(name, addr, false, nil, "ringtrack")
+	p, err := c.AddProcess(name, addr, false, nil, "ringtrack")
 	if err != nil {
 		return nil, err
 	}
@@ -380,7 +380,7 @@
 // ready waits until all of these serve.
 func ready(ctx context.Context, all ...*cluster.Process) error {
 	for _, p := range all {
-		if err := cluster.Ready(ctx, p, readyTime); err != nil {
+		if err := cluster.AwaitReady(ctx, p, readyTime); err != nil {
 			return err
 		}
 	}
