--- a/internal/lab/leasemodel/check.go
+++ b/internal/lab/leasemodel/check.go
@@ -7,26 +7,27 @@
 	"slices"
 )
 
-// Violation is a run that broke an invariant.
+// Violation describes a run that violated an invariant.
 type Violation struct {
 	Reason string
-	Steps  []string
+	Steps  []string // names of the events that led to it
 }
 
-// check returns the invariant of package lease that does not hold, "" if all do, and records what holders act on.
+// check returns how an invariant of package lease is violated, or "" if all hold. It records the highest
+// epoch that each holder acted on.
 func (w *world) check() string {
 	if w.indexDiff != "" {
 		return w.indexDiff
 	}
-	log := w.currentLeader().log // has every epoch there ever was
+	log := w.currentLeader().log // contains every epoch so far
 	first, last := len(log.epochs), 0
-	minEndpoints, maxEndpoints := uint64(1<<62), uint64(0)
+	minRules, maxRules := uint64(1<<62), uint64(0)
 	for i := range w.holders {
 		h := &w.holders[i]
 		epoch := h.lease.Epoch
 		if h.lease.HoldsServerRules(w.clock(i)) {
-			minEndpoints = min(minEndpoints, log.endpointsOf(epoch))
-			maxEndpoints = max(maxEndpoints, log.endpointsOf(epoch))
+			minRules = min(minRules, log.serverRulesOf(epoch))
+			maxRules = max(maxRules, log.serverRulesOf(epoch))
 		}
 		if !h.lease.Holds(w.clock(i)) {
 			continue
@@ -34,15 +35,15 @@
 		first = min(first, log.position(epoch))
 		last = max(last, log.position(epoch))
 		if epoch < h.highest {
-			return fmt.Sprintf("invariant 2: holder %d acts on epoch %d and did on %d", i, epoch, h.highest)
+			return fmt.Sprintf("invariant 2: holder %d acts on epoch %d after epoch %d", i, epoch, h.highest)
 		}
 		h.highest = epoch
 	}
 	if first < last && last-first > 1 {
-		return fmt.Sprintf("invariant 1: epochs %d and %d are acted on", log.epochs[first], log.epochs[last])
+		return fmt.Sprintf("invariant 1: epochs %d and %d are acted on at the same time", log.epochs[first], log.epochs[last])
 	}
-	if minEndpoints < maxEndpoints && maxEndpoints-minEndpoints > 1 {
-		return fmt.Sprintf("invariant 1: endpoints %d and %d are in use", minEndpoints, maxEndpoints)
+	if minRules < maxRules && maxRules-minRules > 1 {
+		return fmt.Sprintf("invariant 1: server rules %d and %d are in use at the same time", minRules, maxRules)
 	}
 	return ""
 }
@@ -55,8 +56,8 @@
 	return stateHash(sum[:16])
 }
 
-// Exhaust visits every state within the bounds, up to limit. It returns how many there were, whether these are all, and
-// the first violation.
+// Exhaust visits the states that can be reached within the bounds, at most limit of them. It returns the
+// number of states visited, whether that is all of them, and the first violation.
 func Exhaust(b Bounds, d Defect, limit int) (states int, complete bool, violation *Violation) {
 	type node struct {
 		w     *world
@@ -89,8 +90,9 @@
 	return len(seen), true, nil
 }
 
-// Random walks runs of steps each, drawn from a seed. It returns how many steps were made and the first violation.
-func Random(b Bounds, d Defect, runs, steps int, seed uint64) (made int, violation *Violation) {
+// Random makes random walks through the model: runs of them, with at most steps events each, drawn from a
+// seed. It returns the number of events applied and the first violation.
+func Random(b Bounds, d Defect, runs, steps int, seed uint64) (applied int, violation *Violation) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for range runs {
 		w := newWorld(b, d)
@@ -103,14 +105,14 @@
 			e := events[rng.IntN(len(events))]
 			e.apply(w)
 			if e.name == tickEvent {
-				w.now += rng.Float64() - 0.5 // times that are no multiples of a tick
+				w.now += rng.Float64() - 0.5 // so that times are not multiples of a tick
 			}
 			names = append(names, e.name)
-			made++
+			applied++
 			if reason := w.check(); reason != "" {
-				return made, &Violation{Reason: reason, Steps: names}
+				return applied, &Violation{Reason: reason, Steps: names}
 			}
 		}
 	}
-	return made, nil
+	return applied, nil
 }
--- a/internal/lab/leasemodel/events.go
+++ b/internal/lab/leasemodel/events.go
@@ -7,7 +7,7 @@
 	"ringtrack.example/ringtrack/internal/lease"
 )
 
-// event is something that can happen next.
+// event is a possible transition of the model.
 type event struct {
 	name  string
 	apply func(w *world)
@@ -15,12 +15,13 @@
 
 const tickEvent = "tick"
 
-// events are all that can happen in a state. Their order is part of what a seed of Random means.
+// events returns the events that are possible in a state. The walk that a seed of Random yields depends on
+// their order.
 func (w *world) events() []event {
 	var events []event
-	if w.left.Ticks > 0 {
+	if w.remaining.Ticks > 0 {
 		events = append(events, event{tickEvent, func(w *world) {
-			w.left.Ticks--
+			w.remaining.Ticks--
 			w.now++
 		}})
 	}
@@ -35,10 +36,10 @@
 
 func (w *world) holderEvents(i int) (events []event) {
 	h := &w.holders[i]
-	if len(w.messages) < w.left.Messages && h.requests < maxRequestsPerHolder {
+	if len(w.messages) < w.remaining.Messages && h.requests < maxRequestsPerHolder {
 		events = append(events, event{fmt.Sprintf("request %d", i), func(w *world) { w.request(i) }})
 	}
-	if w.left.Crashes > 0 && (h.lease.Epoch > 0 || h.requests > 0) {
+	if w.remaining.Crashes > 0 && (h.lease.Epoch > 0 || h.requests > 0) {
 		events = append(events, event{fmt.Sprintf("crash %d", i), func(w *world) { w.crash(i) }})
 	}
 	return events
@@ -51,17 +52,17 @@
 	w.messages = append(w.messages, m)
 }
 
-// crash restarts a holder, which has forgotten its lease.
+// crash restarts a holder, which loses its lease.
 func (w *world) crash(i int) {
-	w.left.Crashes--
+	w.remaining.Crashes--
 	h := &w.holders[i]
-	before := h.lease
+	previous := h.lease
 	h.incarnation++
 	h.lease = lease.Lease{}
 	h.requests = 0
 	if w.defect == ResumeOnRestart {
 		until := w.clock(i) + leaseMs
-		h.lease = lease.Lease{Epoch: before.Epoch - before.Epoch%2, Until: until, ServerRulesUntil: until, Granted: true}
+		h.lease = lease.Lease{Epoch: previous.Epoch - previous.Epoch%2, Until: until, ServerRulesUntil: until, Granted: true}
 	}
 }
 
@@ -76,9 +77,9 @@
 		return []event{deliver}
 	}
 	events := []event{deliver}
-	if w.left.Repeats > 0 {
+	if w.remaining.Repeats > 0 {
 		events = append(events, event{"repeat " + name, func(w *world) {
-			w.left.Repeats--
+			w.remaining.Repeats--
 			w.deliver(m)
 		}})
 	}
@@ -90,24 +91,25 @@
 
 func (w *world) remove(i int) { w.messages = slices.Delete(w.messages, i, i+1) }
 
-// requestEnded notes that a request gets no answer.
+// requestEnded records that a request gets no answer.
 func (w *world) requestEnded(m message) {
 	if h := &w.holders[m.holder]; m.incarnation == h.incarnation {
 		h.requests--
 	}
 }
 
-// leaderEvents are those of the leader, whose commands are committed and applied at once. Former leaders may not know.
+// leaderEvents returns the events of the leader. Its commands are committed and applied at once; former
+// leaders may not have received them.
 func (w *world) leaderEvents() (events []event) {
-	if w.left.Elections > 0 {
+	if w.remaining.Elections > 0 {
 		events = append(events, event{"elect", func(w *world) {
-			w.left.Elections--
+			w.remaining.Elections--
 			w.leaders = append(w.leaders, leader{lessor: w.newLessor(), log: w.currentLeader().log})
 		}})
 	}
-	if w.left.Versions > 0 {
+	if w.remaining.Versions > 0 {
 		events = append(events, event{"publish", func(w *world) {
-			w.left.Versions--
+			w.remaining.Versions--
 			l := w.currentLeader()
 			l.log = l.log.publish()
 		}})
@@ -121,14 +123,15 @@
 	return events
 }
 
-// mayAdvance asks the leader's lessor, and notes if its index and its holders disagree.
+// mayAdvance reports whether the leader's lessor permits the next epoch. It records a case in which the
+// lessor's index and its list of holders disagree.
 func (w *world) mayAdvance() bool {
 	l := w.currentLeader()
 	epoch := l.log.history.Epoch
-	changed := l.log.endpointsChanged(w.defect)
-	may := l.lessor.MayAdvance(w.now, epoch, changed)
-	if blockers := l.lessor.Next(w.now, epoch, changed); blockers.None() != may && w.indexDiff == "" {
-		w.indexDiff = fmt.Sprintf("whether epoch %d may end: %v by the index, blocked by %v", epoch, may, blockers.Holders)
+	differ := l.log.serverRulesDiffer(w.defect)
+	may := l.lessor.MayAdvance(w.now, epoch, differ)
+	if blockers := l.lessor.Next(w.now, epoch, differ); blockers.None() != may && w.indexDiff == "" {
+		w.indexDiff = fmt.Sprintf("epoch %d: MayAdvance is %v, but Next is blocked by %v", epoch, may, blockers.Holders)
 	}
 	return may
 }
@@ -149,8 +152,8 @@
 	return lease.Request{Holder: id, Epoch: m.epoch}
 }
 
-// deliverRequest brings a request to the leader. A majority confirms the leadership at that moment; the grant may follow
-// much later.
+// deliverRequest delivers a request to the leader. A majority confirms the leadership at that time; the grant
+// may follow much later, when another replica may lead.
 func (w *world) deliverRequest(m message) {
 	w.currentLeader().lessor.Observe(w.now, m.request())
 	m.kind = confirmed
--- a/internal/lab/leasemodel/log.go
+++ b/internal/lab/leasemodel/log.go
@@ -9,33 +9,33 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig/history"
 )
 
-// replicatedLog is the replicas' history, and the epochs that there were in order. It is not changed but copied, as
-// worlds share it.
+// replicatedLog is the replicas' history and all its epochs in order. It is immutable, as several worlds
+// share it: changes are made to a copy.
 type replicatedLog struct {
-	history   history.History
-	epochs    []uint64
-	endpoints []uint64 // of each epoch a number that grows when the endpoints change
+	history     history.History
+	epochs      []uint64
+	serverRules []uint64 // for each epoch, a number that increases when the server rules change
 }
 
 func newReplicatedLog() *replicatedLog {
-	return &replicatedLog{epochs: []uint64{0}, endpoints: []uint64{0}}
+	return &replicatedLog{epochs: []uint64{0}, serverRules: []uint64{0}}
 }
 
 func (l *replicatedLog) clone() *replicatedLog {
 	c := *l
 	c.history.Versions = slices.Clone(l.history.Versions)
 	c.epochs = slices.Clone(l.epochs)
-	c.endpoints = slices.Clone(l.endpoints)
+	c.serverRules = slices.Clone(l.serverRules)
 	return &c
 }
 
-// position is where an epoch stands in the order of all.
+// position returns the index of an epoch in the order of all.
 func (l *replicatedLog) position(epoch uint64) int { return slices.Index(l.epochs, epoch) }
 
-// endpointsOf is the number of an epoch's endpoints.
-func (l *replicatedLog) endpointsOf(epoch uint64) uint64 { return l.endpoints[l.position(epoch)] }
+// serverRulesOf returns the number of an epoch's server rules.
+func (l *replicatedLog) serverRulesOf(epoch uint64) uint64 { return l.serverRules[l.position(epoch)] }
 
-// publish returns the log with one more version; each third has the endpoints of the one before.
+// publish returns the log with one more version. Every third version has the server rules of the one before.
 func (l *replicatedLog) publish() *replicatedLog {
 	c := l.clone()
 	number := c.history.Last() + 1
@@ -71,15 +71,15 @@
 	}
 	epoch := l.history.Epoch
 	l.history.Apply(&history.Command{Advance: &epoch})
-	endpoints := l.endpoints[len(l.endpoints)-1]
+	serverRules := l.serverRules[len(l.serverRules)-1]
 	if previous == nil || !previous.SameServerRules(l.history.Transition().Config) {
-		endpoints++
+		serverRules++
 	}
 	l.epochs = append(l.epochs, l.history.Epoch)
-	l.endpoints = append(l.endpoints, endpoints)
+	l.serverRules = append(l.serverRules, serverRules)
 }
 
-// endpointsChanged reports to a lessor whether endpoints change.
-func (l *replicatedLog) endpointsChanged(d Defect) lease.ServerRulesDiffer {
+// serverRulesDiffer returns the function by which a lessor learns whether server rules differ between epochs.
+func (l *replicatedLog) serverRulesDiffer(d Defect) lease.ServerRulesDiffer {
 	return func(from, to uint64) bool { return d != IgnoreServerRules && l.history.ServerRulesDiffer(from, to) }
 }
--- a/internal/lab/leasemodel/model.go
+++ b/internal/lab/leasemodel/model.go
@@ -1,7 +1,7 @@
-// Package leasemodel checks the invariants of package lease on a model of the world around it: holders that request leases,
-// crash and pause; messages that are lost, repeated and reordered; leaders that succeed one another, of which a former
-// one may still grant what was confirmed for it. The lessor, the leases and the history are the product's own; the
-// world and the checks are here.
+// Package leasemodel checks the invariants of package lease on a model of its environment: holders request
+// leases, crash and pause; messages are lost, duplicated and reordered; leaders succeed one another, and a
+// former leader may still grant a request for which its leadership was confirmed. The lessor, the leases and
+// the history are the production code; the environment and the checks are modelled here.
 package leasemodel
 
 import (
@@ -12,21 +12,21 @@
 	"ringtrack.example/ringtrack/internal/lease"
 )
 
-// Defect is a wrong use of the product's packages that the lab seeds.
+// Defect is a deliberate misuse of the production packages, by which a test shows that the checks detect it.
 type Defect int
 
 // The defects.
 const (
 	None              Defect = iota
-	NoIntersection           // a change goes from version to version, without the epoch between
-	CountFromResponse        // leases are counted from the response
+	NoIntersection           // versions follow each other without the transition epoch between them
+	CountFromResponse        // a lease starts when the response arrives, not when the request was sent
 	NoInheritedWait          // a new leader does not wait for the leases of its predecessor
-	ResumeOnRestart          // a holder that restarts acts on what it had, without a lease
-	AssumeAdopted            // an epoch counts as adopted once it is granted
-	IgnoreServerRules        // nobody waits for a holder that uses older endpoints
+	ResumeOnRestart          // a restarted holder acts on its last version without a lease
+	AssumeAdopted            // an epoch counts as adopted as soon as it is granted
+	IgnoreServerRules        // the lessor does not wait for holders that use older server rules
 )
 
-// Defects are all defects by name.
+// Defects maps the names of all defects to them.
 var Defects = map[string]Defect{
 	"no-meet":       NoIntersection,
 	"from-answer":   CountFromResponse,
@@ -38,14 +38,14 @@
 
 // Durations of a lease; a tick of the model is 1 ms.
 const (
-	leaseMs     = 2
-	endpointsMs = 1
+	leaseMs       = 2
+	serverRulesMs = 1
 )
 
-// maxRequestsPerHolder bounds the requests of a holder that are under way.
+// maxRequestsPerHolder bounds the requests of a holder that are in flight.
 const maxRequestsPerHolder = 2
 
-// Bounds limit what may happen in one run.
+// Bounds limit the events of one run.
 type Bounds struct {
 	Holders   int
 	Versions  int
@@ -53,12 +53,12 @@
 	Elections int
 	Crashes   int
 	Repeats   int
-	Messages  int  // messages under way
-	Drift     bool // holders' clocks run as fast and as slow as is tolerated
+	Messages  int  // in flight at a time
+	Drift     bool // holders' clocks are fast or slow by almost MaxClockDrift
 }
 
-// Bounds of the runs: Exhaust visits all states of Small in CI, and of Pairs and Complete in the long proof; Long is for
-// random walks.
+// The bounds in use: CI visits all states of Small with Exhaust, the long proof those of Pairs and Complete
+// too; Long is for random walks.
 var (
 	Small    = Bounds{Holders: 2, Versions: 2, Ticks: 2, Messages: 1}
 	Pairs    = Bounds{Holders: 2, Versions: 1, Ticks: 3, Messages: 2}
@@ -66,16 +66,16 @@
 	Long     = Bounds{Holders: 3, Versions: 12, Ticks: 60, Elections: 6, Crashes: 6, Repeats: 10, Messages: 6, Drift: true}
 )
 
-// messageKind is how far a renewal has come.
+// messageKind is the stage of a renewal.
 type messageKind byte
 
 const (
 	requested messageKind = 'a' // on its way to the leader
-	confirmed messageKind = 'c' // at a lessor, with the leadership confirmed by a majority
+	confirmed messageKind = 'c' // at a lessor whose leadership a majority has confirmed
 	granted   messageKind = 'g' // on its way back
 )
 
-// message is a renewal under way.
+// message is a renewal in flight.
 type message struct {
 	kind        messageKind
 	holder      int
@@ -86,43 +86,43 @@
 	grant       lease.Grant
 }
 
-// holder is one name.
+// holder is a lease holder, over all incarnations of its name.
 type holder struct {
 	incarnation int
 	lease       lease.Lease
-	highest     uint64 // epoch that any incarnation of it acted on
-	requests    int    // under way
+	highest     uint64 // epoch that any incarnation acted on
+	requests    int    // in flight
 }
 
-// leader is a lessor and the log as its replica has applied it. The log of a former leader does not change any more.
+// leader is a lessor and the log that its replica has applied. The log of a former leader no longer changes.
 type leader struct {
 	lessor *lease.Lessor
 	log    *replicatedLog
 }
 
-// world is one state of the model. The last leader leads.
+// world is one state of the model. The last of the leaders is the current one.
 type world struct {
 	now       float64
 	leaders   []leader
 	holders   []holder
 	messages  []message
-	left      Bounds // what may still happen
+	remaining Bounds // events that may still happen
 	defect    Defect
-	indexDiff string // a case in which the lessor's index and its holders disagreed; "": none
+	indexDiff string // a case in which the lessor's index and its list of holders disagreed; "": none
 }
 
 func newWorld(b Bounds, d Defect) *world {
-	w := &world{left: b, defect: d, holders: make([]holder, b.Holders)}
-	w.now = -1000 // a clock may begin anywhere
+	w := &world{remaining: b, defect: d, holders: make([]holder, b.Holders)}
+	w.now = -1000 // a clock may start at any value
 	w.leaders = []leader{{lessor: w.newLessor(), log: newReplicatedLog()}}
 	return w
 }
 
 func (w *world) newLessor() *lease.Lessor {
 	if w.defect == NoInheritedWait {
-		return lease.NewLessor(w.now-100*leaseMs, leaseMs, endpointsMs)
+		return lease.NewLessor(w.now-100*leaseMs, leaseMs, serverRulesMs)
 	}
-	return lease.NewLessor(w.now, leaseMs, endpointsMs)
+	return lease.NewLessor(w.now, leaseMs, serverRulesMs)
 }
 
 func (w *world) clone() *world {
@@ -138,19 +138,20 @@
 
 func (w *world) currentLeader() *leader { return &w.leaders[len(w.leaders)-1] }
 
-// clock is a holder's own: one is fast, the next slow, and each began elsewhere.
+// clock returns the time by a holder's own clock. Clocks are fast and slow in turn, and differ in offset.
 func (w *world) clock(i int) float64 {
 	rate := 1.0
-	if w.left.Drift {
+	if w.remaining.Drift {
 		rate += lease.MaxClockDrift * 0.99 * float64(1-2*(i%2))
 	}
 	return w.now*rate + float64(i)*3600
 }
 
-// fingerprint is equal for states that have the same future.
+// fingerprint returns a text that is equal for states from which the same runs are possible.
 func (w *world) fingerprint() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d,%d,%d,%d,%d|", w.left.Versions, w.left.Ticks, w.left.Elections, w.left.Crashes, w.left.Repeats)
+	fmt.Fprintf(&b, "%d,%d,%d,%d,%d|", w.remaining.Versions, w.remaining.Ticks, w.remaining.Elections,
+		w.remaining.Crashes, w.remaining.Repeats)
 	for i, l := range w.leaders {
 		if i == len(w.leaders)-1 || w.hasConfirmedAt(i) {
 			fmt.Fprintf(&b, "L%d:%v %d %s|", i, l.log.epochs, l.log.history.Last(), l.lessor.Fingerprint(w.now))
--- a/internal/lab/leasemodel/model_test.go
+++ b/internal/lab/leasemodel/model_test.go
@@ -5,7 +5,7 @@
 func TestInvariantsHoldInAllSmallStates(t *testing.T) {
 	states, complete, violation := Exhaust(Small, None, 3_000_000)
 	if !complete && violation == nil {
-		t.Errorf("%d states are not all", states)
+		t.Errorf("stopped after %d states, before all were visited", states)
 	}
 	if violation != nil {
 		t.Fatalf("%s: %v", violation.Reason, violation.Steps)
@@ -24,7 +24,7 @@
 func TestSeededDefectsAreFound(t *testing.T) {
 	for name, defect := range Defects {
 		if _, violation := Random(Long, defect, 20_000, 150, 1); violation == nil {
-			t.Errorf("%s is not found", name)
+			t.Errorf("defect %s is not found", name)
 		} else {
 			t.Logf("%s: %s after %d steps", name, violation.Reason, len(violation.Steps))
 		}
