--- a/internal/lab/cluster/agent.go
+++ b/internal/lab/cluster/agent.go
@@ -12,31 +12,31 @@
 	"time"
 )
 
-// File names of an agent's configuration in its directory.
+// Names of the configuration files in an agent's directory.
 const (
 	agentConfigFile       = "config.json"
 	agentSharedConfigFile = "agreed.toml"
 )
 
-// AgentConfig is what differs between the agents of one cluster and those of another.
+// AgentConfig configures the agents of a cluster.
 type AgentConfig struct {
 	Settings         json.RawMessage
 	SettingsOf       func(i int) json.RawMessage // settings of the i-th agent; nil: Settings
-	Discovery        string
-	InitialEndpoints any
-	Peers            int // number of other agents that may relay its lease renewals
-	OnExpiry         string
-	Env              []string
+	Discovery        string                      // address of the discovery service
+	InitialEndpoints any                         // endpoint list in the configuration file
+	Peers            int                         // number of other agents that may relay its lease renewals
+	OnExpiry         string                      // what an agent does when its lease has expired
+	Env              []string                    // additional environment
 }
 
-// agentAddrs are the addresses of n agents, by index.
+// agentAddrs holds the listen addresses of all agents, by index.
 type agentAddrs struct {
 	requests, admin, renewals []string
 }
 
 func agentName(i int) string { return fmt.Sprintf("a%d", i+1) }
 
-// AddAgents adds n agents that reach the replicas, and some of each other, through proxies.
+// AddAgents adds n agents. They reach the replicas, and the peers that relay their renewals, through proxies.
 func (c *Cluster) AddAgents(n int, cfg *AgentConfig) error {
 	all, err := c.Addrs(3 * n)
 	if err != nil {
@@ -64,7 +64,7 @@
 	if cfg.SettingsOf != nil {
 		settings = cfg.SettingsOf(i)
 	}
-	own, err := json.Marshal(map[string]any{
+	local, err := json.Marshal(map[string]any{
 		"name":       p.Name,
 		"listen":     p.Addr,
 		"discovery":  cfg.Discovery,
@@ -79,7 +79,7 @@
 	}
 	err = errors.Join(
 		os.WriteFile(filepath.Join(p.Dir, agentSharedConfigFile), []byte(shared), 0o600),
-		os.WriteFile(filepath.Join(p.Dir, agentConfigFile), own, 0o600),
+		os.WriteFile(filepath.Join(p.Dir, agentConfigFile), local, 0o600),
 	)
 	if err != nil {
 		return err
@@ -91,7 +91,8 @@
 	return nil
 }
 
-// agentSharedConfig returns the text of the file that tells an agent where the configuration store is.
+// agentSharedConfig returns the text of the file from which an agent learns the addresses of the replicas and
+// its peers.
 func (c *Cluster) agentSharedConfig(i int, addrs agentAddrs, cfg *AgentConfig) (string, error) {
 	name := agentName(i)
 	replicas := []string{}
@@ -120,13 +121,13 @@
 	return text.String(), nil
 }
 
-// writeList writes a TOML key with a list of strings.
+// writeList writes a TOML array of strings under a key.
 func writeList(text *strings.Builder, key string, list []string) {
 	value, _ := json.Marshal(list)
 	fmt.Fprintf(text, "%s = %s\n", key, value)
 }
 
-// AwaitReady waits until an agent reports to be ready.
+// AwaitReady waits until an agent's readiness endpoint reports that it is ready.
 func AwaitReady(ctx context.Context, agent *Process, timeout time.Duration) error {
 	return Until(ctx, agent.Name+" is ready", timeout, func() bool {
 		resp, err := http.Get("http://" + agent.Addr + "/-/ready")
--- a/internal/lab/cluster/agent_test.go
+++ b/internal/lab/cluster/agent_test.go
@@ -15,7 +15,7 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// inFlightTime is the time in which requests that were sent before a change arrive.
+// inFlightTime is the time within which requests sent before a change reach their server.
 const inFlightTime = 250 * time.Millisecond
 
 // startAgents starts three replicas, agents and traffic.
@@ -44,7 +44,7 @@
 	return c, tr, ctx
 }
 
-// requireInForce waits until an epoch is in force, and records it.
+// requireInForce waits until the leader reports an epoch in force, and records the report.
 func (c *Cluster) requireInForce(t *testing.T, ctx context.Context, tr *Traffic, epoch uint64) {
 	t.Helper()
 	if err := c.awaitInForce(ctx, tr.Attempts, epoch, 20*time.Second); err != nil {
@@ -52,7 +52,8 @@
 	}
 }
 
-// No agent makes an attempt that the versions in force forbid, also one whose lease has to expire because it is cut off.
+// No agent may make an attempt that the versions in force forbid. One agent is partitioned during a publish:
+// the next epoch has to wait until its lease has expired.
 func TestAgentsFollowVersionInForce(t *testing.T) {
 	c, tr, ctx := startAgents(t, 4, 0)
 	tr.Servers[1].Set(lab.Failing)
@@ -65,7 +66,8 @@
 	configs := []*sharedconfig.Config{{}, nonIdempotent, sameZone, {Cordoned: []string{"s-00"}}, nonIdempotent, {}}
 	for i, config := range configs {
 		if i == 4 {
-			c.SetLinks("a1", c.Replicas, Stall, Pass) // it is not notified, and its lease has to expire first
+			// It receives no update, so its lease has to expire first.
+			c.SetLinks("a1", c.Replicas, Stall, Pass)
 		}
 		sent := time.Now()
 		number := c.publish(t, ctx, uint64(i), config)
@@ -80,14 +82,14 @@
 	tr.Attempts.SetHistory(history.Versions)
 	verdict := tr.Attempts.Check()
 	latencies, notInForce := tr.Attempts.PublishLatencies()
-	t.Logf("%d attempts, %d retries, in force after %v, %d not; served %d, rejected %d, failed %d, unanswered %d",
+	t.Logf("%d attempts, %d retries, in force after %v, %d never; served %d, rejected %d, failed %d, unanswered %d",
 		verdict.Attempts, verdict.Retries, latencies, notInForce,
 		tr.Served.Load(), tr.Rejected.Load(), tr.Failed.Load(), tr.Unanswered.Load())
 	for _, v := range verdict.Violations {
 		t.Error(v.Text, v.Late)
 	}
 	if verdict.Attempts < 500 || verdict.Retries < 20 || notInForce > 0 || tr.Rejected.Load() == 0 {
-		t.Error("too little happened")
+		t.Error("too few attempts, retries or rejections to judge, or a version that never came into force")
 	}
 }
 
@@ -102,11 +104,11 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != wantStatus {
-		t.Errorf("%s at %s: %d, not %d", action, agent.Name, resp.StatusCode, wantStatus)
+		t.Errorf("%s at %s: status %d, want %d", action, agent.Name, resp.StatusCode, wantStatus)
 	}
 }
 
-// expectTraffic expects that each of the agents sends to the server s-02 from now on.
+// expectTraffic reports an error unless each of the agents sends requests to the server s-02 from now on.
 func expectTraffic(t *testing.T, ctx context.Context, tr *Traffic, what string, agents ...*Process) {
 	t.Helper()
 	time.Sleep(inFlightTime)
@@ -124,7 +126,7 @@
 	}
 }
 
-// expectNoTraffic expects that none of the agents sends to the server s-02 from now on.
+// expectNoTraffic reports an error if any of the agents sends requests to the server s-02 from now on.
 func expectNoTraffic(t *testing.T, tr *Traffic, what string, agents ...*Process) {
 	t.Helper()
 	time.Sleep(inFlightTime)
@@ -138,11 +140,11 @@
 	}
 }
 
-// A cordon at one agent's admin endpoint is in force at all agents, and can be ended at another's. Without replicas it
-// holds at that agent only, and the response says so.
+// A cordon that is set at one agent's admin endpoint applies at all agents, and can be removed at another's.
+// If no replica can be reached it applies at that agent only, and the response is an error.
 func TestCordonHoldsAtAllAgents(t *testing.T) {
 	c, tr, ctx := startAgents(t, 3, 0)
-	expectTraffic(t, ctx, tr, "at first", c.Agents...)
+	expectTraffic(t, ctx, tr, "before the cordon", c.Agents...)
 	setCordon(t, ctx, c.Agents[0], "cordon", http.StatusOK)
 	c.requireInForce(t, ctx, tr, sharedconfig.EpochOf(1))
 	expectNoTraffic(t, tr, "cordoned at one agent", c.Agents...)
@@ -162,11 +164,12 @@
 	c.awaitLeader(t, ctx)
 	setCordon(t, ctx, c.Agents[0], "cordon", http.StatusOK)
 	c.requireInForce(t, ctx, tr, sharedconfig.EpochOf(3))
-	expectNoTraffic(t, tr, "cordoned when they are back", c.Agents...)
+	expectNoTraffic(t, tr, "cordoned after the replicas restarted", c.Agents...)
 }
 
-// An agent that reaches no replica renews its lease through a peer. Without one it follows the strictest rules, rejects
-// requests once its endpoints have expired, and recovers when it reaches a replica.
+// An agent that reaches no replica renews its lease through a peer. If it reaches no peer either, it applies
+// the strictest settings, rejects requests once its server rules have expired, and recovers when it reaches a
+// replica.
 func TestRenewalIsRelayedByPeer(t *testing.T) {
 	c, tr, ctx := startAgents(t, 3, 2)
 	metric := func(a *Process, name string) int {
@@ -183,26 +186,26 @@
 	}
 	a := c.Agents[0]
 	c.SetLinks(a.Name, c.Replicas, Stall, Stall)
-	if err := Until(ctx, "it holds a lease through a peer", 10*time.Second, func() bool {
+	if err := Until(ctx, "the agent holds a lease that a peer relayed", 10*time.Second, func() bool {
 		relayed := metric(c.Agents[1], "agreed.asks_relayed") + metric(c.Agents[2], "agreed.asks_relayed")
 		return relayed > 2 && metric(a, "agreed.lease_ms") > 0
 	}); err != nil {
 		t.Fatal(err)
 	}
 	c.SetLinks(a.Name, c.Agents, Stall, Stall)
-	if err := Until(ctx, "it rejects requests, cut off from all", 10*time.Second, func() bool {
+	if err := Until(ctx, "the partitioned agent rejects requests", 10*time.Second, func() bool {
 		return metric(a, "agreed.strict") == 1 && metric(a, "agreed.shut") == 1
 	}); err != nil {
 		t.Fatal(err)
 	}
 	rejected := tr.Rejected.Load()
-	if err := Until(ctx, "its clients are rejected", 5*time.Second, func() bool {
+	if err := Until(ctx, "the agent's clients are rejected", 5*time.Second, func() bool {
 		return tr.Rejected.Load() > rejected
 	}); err != nil {
 		t.Error(err)
 	}
 	c.SetLinks(a.Name, c.Replicas, Pass, Pass)
-	if err := Until(ctx, "it has recovered", 10*time.Second, func() bool {
+	if err := Until(ctx, "the agent has recovered", 10*time.Second, func() bool {
 		return metric(a, "agreed.strict") == 0 && metric(a, "agreed.shut") == 0
 	}); err != nil {
 		t.Error(err)
--- a/internal/lab/cluster/attempts.go
+++ b/internal/lab/cluster/attempts.go
@@ -10,12 +10,12 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// maxAttempts bounds the attempts that are recorded; later ones are not checked.
+// maxAttempts bounds the recorded attempts; later ones are not checked.
 const maxAttempts = 4 << 20
 
-// AttemptLog records the attempts that reached the test servers, the versions that were published and the epochs that
-// were reported in force. Check finds the attempts that no configuration permitted at their time. It is safe for
-// concurrent use.
+// AttemptLog records the attempts that reached the test servers, the versions that were published and the
+// epochs that were reported in force. Check finds the attempts that no configuration permitted at their time.
+// It is safe for concurrent use.
 type AttemptLog struct {
 	// Slack is the time allowed between an agent's last check and the first byte at the server.
 	Slack time.Duration
@@ -52,7 +52,8 @@
 	at    time.Time
 }
 
-// SetHistory takes the history of the configuration store. Versions without a transition were never in force.
+// SetHistory sets the versions that the configuration store reports. Versions without a transition were never
+// in force.
 func (a *AttemptLog) SetHistory(versions []sharedconfig.Version) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -103,7 +104,8 @@
 	slices.SortFunc(a.versions, func(x, y publishedVersion) int { return int(x.number) - int(y.number) })
 }
 
-// InForce records a replica's report, requested at the given time, that no agent acts on an epoch before this one.
+// InForce records a replica's report, requested at the given time, that no agent acts on an epoch before this
+// one.
 func (a *AttemptLog) InForce(epoch uint64, at time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -131,8 +133,8 @@
 	return n > 0 && a.inForce[n-1].epoch >= epoch
 }
 
-// PublishLatencies returns, sorted, the time of each version from its publish until it was reported in force, and the
-// number of versions that never were.
+// PublishLatencies returns, sorted, the time of each version from its publish until it was reported in force,
+// and the number of versions that never were.
 func (a *AttemptLog) PublishLatencies() (latencies []time.Duration, notInForce int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/lab/cluster/build.go
+++ b/internal/lab/cluster/build.go
@@ -13,7 +13,7 @@
 	replicaPackage = "ringtrack.example/ringtrack/cmd/ringtrack-configstore"
 )
 
-// binaries is a directory of programs that were built in one way, once in this process.
+// binaries is a directory of programs built with the same arguments, once per process.
 type binaries struct {
 	sync.Mutex
 	args []string
@@ -23,13 +23,15 @@
 
 var (
 	labBinaries     = binaries{args: []string{"-tags", "lab"}}
-	productBinaries = binaries{args: []string{"-ldflags=-linkmode=external"}} // as README has it
+	productBinaries = binaries{args: []string{"-ldflags=-linkmode=external"}} // as README documents the build
 )
 
-// Build builds the programs with the tag lab, once in this process, and returns their directory. Clean removes it.
+// Build builds the programs with the tag lab, once per process, and returns their directory. Clean removes
+// it.
 func Build(ctx context.Context) (string, error) { return labBinaries.build(ctx) }
 
-// BuildProduct builds the programs as they are delivered, without faults of disks and clocks. Otherwise it is Build.
+// BuildProduct is like Build, but builds the programs as they are released, without injected faults of disks
+// and clocks.
 func BuildProduct(ctx context.Context) (string, error) { return productBinaries.build(ctx) }
 
 func (b *binaries) build(ctx context.Context) (string, error) {
@@ -53,7 +55,7 @@
 	return dir, nil
 }
 
-// Clean removes what Build and BuildProduct built.
+// Clean removes the directories of Build and BuildProduct.
 func Clean() {
 	for _, b := range []*binaries{&labBinaries, &productBinaries} {
 		b.Lock()
--- a/internal/lab/cluster/check.go
+++ b/internal/lab/cluster/check.go
@@ -10,12 +10,13 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// Violation is an attempt that no epoch permitted which may have been in force.
+// Violation is an attempt that none of the epochs that may have been in force permitted.
 type Violation struct {
 	At   time.Time
 	Op   string
 	Text string
-	// Late is the time from the end of the last epoch that permits the attempt until the attempt; 0: no epoch permits it.
+	// Late is the time between the end of the last epoch that permits the attempt and the attempt; 0: no
+	// epoch permits it.
 	Late time.Duration
 }
 
@@ -23,12 +24,12 @@
 type Verdict struct {
 	Attempts, Retries int
 	Violations        []Violation
-	// Staleness has, sorted, for each version that had any, the time from its publish until the last attempt that it
-	// forbids.
+	// Staleness lists, sorted, the time from the publish of a version until the last attempt that the version
+	// forbids, for each version with such attempts.
 	Staleness []time.Duration
 }
 
-// epochBound is the lowest epoch that an attempt proves to have been acted on.
+// epochBound is a lower bound of the epoch in use, proved by an attempt.
 type epochBound struct {
 	at    time.Time
 	epoch uint64
@@ -40,15 +41,16 @@
 	*AttemptLog
 	verdict   Verdict
 	configs   map[uint64]*sharedconfig.Config // by epoch
-	earlier   map[string][]attempt            // by operation, before the one being checked
+	earlier   map[string][]attempt            // by operation, the attempts already checked
 	lastStale map[uint64]time.Duration        // by version number
-	proven    epochBound                      // older than the slack: later attempts may not act on an earlier epoch
-	recent    []epochBound                    // within the slack
+	proven    epochBound                      // older than the slack, binding for later attempts
+	recent    []epochBound                    // within the slack, not binding yet
 }
 
-// Check checks all attempts recorded so far. At each time there has to be an epoch E, never falling, so that every
-// attempt is permitted by E or E+1 and E is at least the epoch reported in force: then no two agents acted on rules
-// that contradict each other. Slack is granted between the sending of an attempt and its arrival.
+// Check checks all attempts recorded so far. At each time there has to be an epoch E, which never decreases
+// and is at least the epoch reported in force, such that E or E+1 permits every attempt: then no two agents
+// acted on configurations that contradict each other. Slack allows for the time between the sending of an
+// attempt and its arrival.
 func (a *AttemptLog) Check() Verdict {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -69,7 +71,7 @@
 	return c.verdict
 }
 
-// check checks one attempt; attempts come in the order of their time.
+// check checks one attempt. Attempts are passed in the order of their times.
 func (c *checker) check(x attempt) {
 	c.verdict.Attempts++
 	earlier := c.earlier[x.op]
@@ -90,7 +92,7 @@
 	}
 }
 
-// expireSlack makes the bounds binding that are older than the slack.
+// expireSlack makes those bounds binding that are older than the slack.
 func (c *checker) expireSlack(now time.Time) {
 	for len(c.recent) > 0 && c.recent[0].at.Add(c.Slack).Before(now) {
 		if c.recent[0].epoch > c.proven.epoch {
@@ -100,8 +102,8 @@
 	}
 }
 
-// lowestPermitting returns the lowest epoch E from low to high, no lower than the proven one, for which E or its
-// successor permits the attempt.
+// lowestPermitting returns the lowest epoch E from low to high, no lower than the proven one, for which E or
+// its successor permits the attempt.
 func (c *checker) lowestPermitting(low, high uint64, earlier []attempt, x attempt) (epoch uint64, ok bool) {
 	for i, e := range c.epochs {
 		if e < max(low, c.proven.epoch) || e > high {
@@ -126,7 +128,8 @@
 	return c.denial(config, earlier, x) == ""
 }
 
-// noteStale notes the attempt if the version published last before it forbids it.
+// noteStale records the age of the version published last before the attempt if that version forbids the
+// attempt.
 func (c *checker) noteStale(earlier []attempt, x attempt) {
 	for i := range c.versions {
 		v := &c.versions[i]
@@ -140,13 +143,14 @@
 func (c *checker) violation(low, high uint64, earlier []attempt, x attempt) Violation {
 	reason := c.denial(c.configAt(max(low, c.proven.epoch)), earlier, x)
 	cause := c.proven.cause
-	text := fmt.Sprintf("%s at %s, attempt %d: %s; epochs %d to %d were in force, acted on from %d on (%s at %s %v before)",
+	text := fmt.Sprintf("%s at %s, attempt %d: %s; epochs %d to %d may be in force, epoch %d or later is in use (%s at %s %v earlier)",
 		x.op, x.server, len(earlier)+1, reason, low, high, c.proven.epoch,
 		cause.op, cause.server, x.at.Sub(cause.at).Round(time.Millisecond))
 	return Violation{At: x.at, Op: x.op, Text: text, Late: c.lateness(low, earlier, x)}
 }
 
-// lateness returns the time since the last epoch before low that permits the attempt was replaced; 0: there is none.
+// lateness returns the time since the end of the last epoch before low that permits the attempt; 0: there is
+// none.
 func (c *checker) lateness(low uint64, earlier []attempt, x attempt) time.Duration {
 	for _, e := range slices.Backward(c.epochs) {
 		if e >= low || c.denial(c.configAt(e), earlier, x) != "" {
@@ -162,7 +166,7 @@
 	return 0
 }
 
-// epochsAt returns the lowest and the highest epoch that may have been acted on at a time.
+// epochsAt returns the lowest and the highest epoch that agents may have acted on at a time.
 func (a *AttemptLog) epochsAt(t time.Time) (low, high uint64) {
 	for _, report := range a.inForce {
 		if report.at.Add(a.Slack).Before(t) {
@@ -177,7 +181,7 @@
 	return low, max(low, high)
 }
 
-// incomplete reports whether an epoch needs a version that was not published.
+// incomplete reports whether the configuration of an epoch depends on a version that was not published.
 func (a *AttemptLog) incomplete(epoch uint64) bool { return a.configOf((epoch+1)/2) == nil }
 
 // configOf returns the configuration of a version; nil: it was not published.
@@ -199,8 +203,9 @@
 	return intersect.Intersect(a.configOf(a.predecessors[next]), a.configOf(next))
 }
 
-// denial returns why a configuration forbids an attempt after earlier ones of its operation; "": it permits it. It
-// shares no code with the agents.
+// denial returns why a configuration forbids an attempt that follows earlier attempts of the same operation,
+// or "" if it permits the attempt. It shares no code with the agents, so that a fault of theirs is not
+// repeated here.
 func (a *AttemptLog) denial(config *sharedconfig.Config, earlier []attempt, x attempt) string {
 	if config == nil {
 		config = &sharedconfig.Config{}
@@ -209,7 +214,7 @@
 		return "server is cordoned"
 	}
 	if _, listed := config.Servers[x.server]; config.Listed && !listed {
-		return "not in service"
+		return "server is not in service"
 	}
 	if len(earlier) == 0 {
 		return ""
@@ -218,9 +223,9 @@
 	if config.MaxAttempts > 0 && number > config.MaxAttempts || number > a.AgentSettings.Limits.MaxAttempts {
 		return "too many attempts"
 	}
-	own := a.classSettings(Class(x.op))
-	ownClass := sharedconfig.Class{Effect: own.Effect, DedupScope: own.DedupScope, IdempotencyWindowMs: own.IdempotencyWindowMs}
-	for _, class := range []sharedconfig.Class{ownClass, config.Classes[own.Name]} {
+	local := a.classSettings(Class(x.op))
+	localClass := sharedconfig.Class{Effect: local.Effect, DedupScope: local.DedupScope, IdempotencyWindowMs: local.IdempotencyWindowMs}
+	for _, class := range []sharedconfig.Class{localClass, config.Classes[local.Name]} {
 		if reason := a.retryDenial(class, earlier[0], x); reason != "" {
 			return reason
 		}
@@ -238,7 +243,7 @@
 	return class
 }
 
-// retryDenial returns why a class forbids a retry of an operation; "": it permits it.
+// retryDenial returns why a class forbids a retry of an operation, or "" if it permits the retry.
 func (a *AttemptLog) retryDenial(class sharedconfig.Class, first, retry attempt) string {
 	switch class.Effect {
 	case policy.NonIdempotent:
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -1,7 +1,7 @@
-// Package cluster runs several processes of the product on loopback under one seeded schedule of faults, which can be
-// replayed and shrunk. The programs are built with the tag lab, which only adds faults of disks and clocks. Every
-// connection between two processes passes through a proxy of this package. Results are checked at the test servers,
-// never by what the processes report of themselves.
+// Package cluster runs agents and replicas as separate processes on loopback and injects faults by a seeded
+// plan, which can be replayed and shrunk. The programs are built with the tag lab, which only adds faults of
+// disks and clocks. Every connection between two processes passes through a proxy of this package. Results
+// are checked by what arrives at the test servers, not by what the processes report about themselves.
 package cluster
 
 import (
@@ -21,28 +21,28 @@
 // untilInterval is the time between two checks of Until.
 const untilInterval = 5 * time.Millisecond
 
-// direction names a direction between two processes.
+// direction identifies one direction of the traffic between two processes.
 type direction struct{ from, to string }
 
-// Cluster is a set of processes and the links between them. Its methods may be called from any goroutine, except those
-// that add processes.
+// Cluster is a set of processes and the links between them. Its methods may be called from any goroutine,
+// except those that add processes.
 type Cluster struct {
-	Dir           string
+	Dir           string // parent of the processes' directories
 	Bin           string // directory of the programs
 	LeaseMs       float64
-	ServerRulesMs float64 // beyond a lease, for which its endpoints may be used
-	TickMs        float64 // of replicas; 0: their default
+	ServerRulesMs float64 // how long server rules may be used after the lease has expired
+	TickMs        float64 // tick of the replicas; 0: the default
 
-	host    string
+	host    string // loopback address of this cluster
 	mu      sync.Mutex
-	all     map[string]*Process
+	all     map[string]*Process // by name
 	links   map[direction]*link
 	proxies map[direction]*proxy
-	caller  *client.Caller // calls of the test itself, past all faults
+	caller  *client.Caller // for the test's own calls, which bypass the proxies
 
 	Replicas, Agents []*Process
 
-	replacing sync.Mutex // held while a replica is replaced: one at a time
+	replacing sync.Mutex // held while a replica is replaced, so that only one is at a time
 }
 
 // New returns a cluster in a directory, without processes.
@@ -60,30 +60,32 @@
 	}
 }
 
-// Addrs returns n free addresses chosen by the kernel. They are on a loopback address of this cluster's own, so that
-// nothing else is given one of them until its process listens there.
+// Addrs returns n free addresses with ports chosen by the kernel. They are on a loopback address that only
+// this cluster uses, so that nothing else is assigned one of them before its process listens there.
 func (c *Cluster) Addrs(n int) (addrs []string, err error) {
 	for range n {
 		ln, err := net.Listen("tcp", c.host+":0")
 		if err != nil {
 			return nil, err
 		}
-		defer ln.Close() // after all are chosen, so that they differ
+		defer ln.Close() // only after all are chosen, so that the ports differ
 		addrs = append(addrs, ln.Addr().String())
 	}
 	return addrs, nil
 }
 
-// clusterCount counts the clusters of this process.
+// clusterCount is the number of clusters created in this process.
 var clusterCount atomic.Uint32
 
-// uniqueLoopback returns a loopback address that no other cluster of this process has, nor, likely, of another.
+// uniqueLoopback returns a loopback address that no other cluster of this process uses, and that clusters of
+// other processes are unlikely to use.
 func uniqueLoopback() string {
 	n := uint32(os.Getpid())*31 + clusterCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 64+n>>14&127, n>>7&127+1, n&127+1)
 }
 
-// AddProcess adds a process, which is not started. The first of args is the program's name in Bin.
+// AddProcess adds a process without starting it. args are the name of a program in Bin and its arguments;
+// data says whether the process has a data directory.
 func (c *Cluster) AddProcess(name, addr string, data bool, env []string, args ...string) (*Process, error) {
 	p := &Process{
 		Name: name,
@@ -107,7 +109,7 @@
 	return p, nil
 }
 
-// link returns the link of one direction between two processes.
+// link returns the link from one process to another.
 func (c *Cluster) link(from, to string) *link {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,14 +142,14 @@
 // SetLink sets the mode of the link from one process to another.
 func (c *Cluster) SetLink(from, to string, m Mode) { c.link(from, to).setMode(m) }
 
-// BytesSent returns the number of payload bytes that were sent on a link.
+// BytesSent returns the number of payload bytes sent on a link.
 func (c *Cluster) BytesSent(from, to string) int64 { return c.link(from, to).bytes.Load() }
 
-// Observe has f called with the payload sent on a link, in pieces as they come and from several goroutines. f must not
-// retain them.
+// Observe registers a function that is called with each chunk of the payload sent on a link, from several
+// goroutines. It must not retain the chunks.
 func (c *Cluster) Observe(from, to string, f func([]byte)) { c.link(from, to).observer.Store(&f) }
 
-// SetLinks sets the mode of the links from a process to others, and of those from the others to it.
+// SetLinks sets the modes of the links from a process to others and from the others to it.
 func (c *Cluster) SetLinks(name string, others []*Process, out, in Mode) {
 	for _, o := range others {
 		if o.Name != name {
@@ -157,7 +159,7 @@
 	}
 }
 
-// Heal ends all faults: links pass, disks work, and all processes run.
+// Heal undoes all faults: links pass, disks work, and all processes run.
 func (c *Cluster) Heal() error {
 	c.mu.Lock()
 	links := make([]*link, 0, len(c.links))
@@ -203,8 +205,8 @@
 	c.caller.Client.CloseIdleConnections()
 }
 
-// Until calls condition every untilInterval until it is true. If that takes longer than timeout, the error names what was
-// waited for.
+// Until calls condition every untilInterval until it returns true. After the timeout it returns an error that
+// contains what, the description of the condition.
 func Until(ctx context.Context, what string, timeout time.Duration, condition func() bool) error {
 	deadline := time.Now().Add(timeout)
 	for !condition() {
@@ -212,7 +214,7 @@
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("cluster: not within %v: %s", timeout, what)
+			return fmt.Errorf("cluster: timed out after %v waiting for: %s", timeout, what)
 		}
 		time.Sleep(untilInterval)
 	}
--- a/internal/lab/cluster/faults.go
+++ b/internal/lab/cluster/faults.go
@@ -14,15 +14,15 @@
 	terminateTimeout    = 8 * time.Second
 	restartLoopInterval = 100 * time.Millisecond
 
-	// lateAnswerLeases is the part of a lease for which FaultLateAnswer delays answers.
+	// lateAnswerLeases is the time for which FaultLateAnswer delays answers, as a fraction of a lease.
 	lateAnswerLeases = 0.6
-	// lateAnswerWindow is the time in which the delayed answers arrive.
+	// lateAnswerWindow is the time during which the delayed answers may arrive.
 	lateAnswerWindow = 10 * time.Millisecond
-	// lateAnswerMinLeases is the shortest partition after that, in leases.
+	// lateAnswerMinLeases is the minimum duration of the partition that follows, in leases.
 	lateAnswerMinLeases = 2
 )
 
-// Faults of a process's disk, in the syntax of the lab build of the disk package.
+// Disk faults of a process, in the syntax of the disk package's lab build.
 const (
 	diskSlow  = "sync-ms 200"
 	diskError = "sync-error"
@@ -32,7 +32,8 @@
 
 var serverModes = map[string]lab.Mode{"failing": lab.Failing, "breaking": lab.Breaking, "silent": lab.Silent}
 
-// injectFaults injects the plan's faults at their times, and returns when run has ended and all faults are undone.
+// injectFaults injects the faults of the plan at their times. It returns when run has ended and all faults
+// are undone.
 func (r *runner) injectFaults(ctx, run context.Context) {
 	start := time.Now()
 	var faults sync.WaitGroup
@@ -50,7 +51,7 @@
 	faults.Wait()
 }
 
-// sleep waits for a time or until ctx ends.
+// sleep waits for a duration or until ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -110,8 +111,8 @@
 	case FaultKill:
 		p.Kill()
 	case FaultTerminate:
-		if err := p.Terminate(terminateTimeout); err != nil && !excusedExit(p, err) {
-			r.fail("%s: ended with %v", p.Name, err)
+		if err := p.Terminate(terminateTimeout); err != nil && !expectedExit(p, err) {
+			r.fail("%s: exited after SIGTERM with: %v", p.Name, err)
 		}
 	case FaultFreeze:
 		p.Freeze()
@@ -138,19 +139,20 @@
 	}
 }
 
-// excusedExit reports whether another fault may have caused the error with which a process ended on SIGTERM: agents
-// may end with any, replicas with an error of their disk or by SIGKILL.
-func excusedExit(p *Process, err error) bool {
+// expectedExit reports whether a concurrent fault may have caused the error with which a process exited after
+// SIGTERM: an agent may exit with any error, a replica with an error of its disk or by SIGKILL.
+func expectedExit(p *Process, err error) bool {
 	return p.Data == "" || reportedError(p.Log()) || strings.Contains(err.Error(), "signal: killed")
 }
 
-// reportedError reports whether a replica's log says that the replica ended with an error of its own: as the program
-// prefixes it, or as the package does.
+// reportedError reports whether a replica's log contains an error by which the replica ended itself. Both the
+// program and the package prefix these errors.
 func reportedError(log string) bool {
 	return strings.Contains(log, "configstore:")
 }
 
-// linkFault breaks the links of a process: an agent's to the replicas, a replica's to all others.
+// linkFault injects a fault of a process's links: those between an agent and the replicas, or between a
+// replica and all other processes.
 func (r *runner) linkFault(ctx context.Context, f Fault, p *Process, duration time.Duration) {
 	others := r.cluster.Replicas
 	if p.Data != "" {
@@ -185,6 +187,6 @@
 	sleep(ctx, duration)
 	p.SetDiskFault("")
 	if kind != FaultSlowDisk {
-		p.Start() // a replica that could not write has ended
+		p.Start() // a replica exits when it can't write
 	}
 }
--- a/internal/lab/cluster/link.go
+++ b/internal/lab/cluster/link.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Mode is what a link does with the bytes sent on it.
+// Mode determines what a link does with the bytes sent on it.
 type Mode int
 
 // The modes of a link.
 const (
 	Pass    Mode = iota
-	Stall        // nothing passes; connections stay open and the sender feels back-pressure
-	Drop         // bytes are read and never arrive
+	Stall        // nothing passes; connections stay open, with back-pressure on the sender
+	Drop         // bytes are read and discarded
 	Delay        // bytes arrive linkDelay later, in order
 	Trickle      // one byte every trickleInterval
 	Reset        // connections are reset, open ones and new ones
@@ -42,7 +42,7 @@
 // errLinkReset ends the copying on a link that resets its connections.
 var errLinkReset = errors.New("link reset")
 
-// link is one direction between two processes, over all connections that either of them opened.
+// link is one direction between two processes. It covers all connections, whichever of the two opened them.
 type link struct {
 	mu       sync.Mutex
 	mode     Mode
@@ -87,7 +87,7 @@
 	delete(l.conns, c)
 }
 
-// awaitUnstalled waits while the link stalls and returns its mode then, or false when done is closed.
+// awaitUnstalled waits until the link does not stall and returns its mode, or false if done is closed first.
 func (l *link) awaitUnstalled(done <-chan struct{}) (Mode, bool) {
 	for {
 		mode, changed := l.current()
@@ -102,7 +102,8 @@
 	}
 }
 
-// copy copies bytes from one connection to another in the link's mode, until one ends. It closes both.
+// copy copies bytes from one connection to another, as the link's mode says, until one of them ends. It
+// closes both.
 func (l *link) copy(from, to *net.TCPConn, done <-chan struct{}) {
 	defer to.Close()
 	defer from.Close()
@@ -117,7 +118,7 @@
 			if observer := l.observer.Load(); observer != nil {
 				(*observer)(buf[:n])
 			}
-			// A mode that is set during the read applies to these bytes.
+			// The mode may have changed during the read; the new one applies to these bytes.
 			mode, ok := l.awaitUnstalled(done)
 			if !ok || deliver(mode, to, buf[:n], done) != nil {
 				return
@@ -132,7 +133,7 @@
 	}
 }
 
-// deliver writes bytes as the mode says. An error ends the connection.
+// deliver writes bytes as the mode says. After an error the connection has to be closed.
 func deliver(mode Mode, to io.Writer, payload []byte, done <-chan struct{}) error {
 	switch mode {
 	case Drop:
--- a/internal/lab/cluster/plan.go
+++ b/internal/lab/cluster/plan.go
@@ -11,28 +11,28 @@
 // FaultKind names a kind of fault in a plan.
 type FaultKind string
 
-// The kinds of faults. Those by which a replica loses what it acknowledged end with its replacement.
+// The kinds of faults. After a fault in which a replica loses acknowledged data, the replica is replaced.
 const (
 	FaultKill        FaultKind = "kill"    // SIGKILL, then a restart
 	FaultTerminate   FaultKind = "term"    // SIGTERM, then a restart
 	FaultFreeze      FaultKind = "freeze"  // SIGSTOP, then SIGCONT
-	FaultOneWay      FaultKind = "one-way" // Detail: out or in, and a mode
+	FaultOneWay      FaultKind = "one-way" // Detail: the direction, out or in, and a mode
 	FaultBothWays    FaultKind = "both-ways"
-	FaultLateAnswer  FaultKind = "tardy" // answers are delayed, then both ways stall right after them
+	FaultLateAnswer  FaultKind = "tardy" // answers are delayed; as soon as they arrive, both directions stall
 	FaultSlowDisk    FaultKind = "slow-disk"
 	FaultDiskError   FaultKind = "disk-error"
 	FaultDiskFull    FaultKind = "disk-full"
 	FaultPowerCut    FaultKind = "power-cut" // unsynced writes are lost
-	FaultLyingDisk   FaultKind = "lie"       // syncs do nothing, then a power cut; replaced
-	FaultWipe        FaultKind = "wipe"      // an empty data directory; replaced
-	FaultStaleData   FaultKind = "back"      // the data directory as at the start of the schedule; replaced
-	FaultBitFlip     FaultKind = "bit"       // Detail: the file; replaced
+	FaultLyingDisk   FaultKind = "lie"       // syncs have no effect, then a power cut; replaced
+	FaultWipe        FaultKind = "wipe"      // the data directory is emptied; replaced
+	FaultStaleData   FaultKind = "back"      // the data directory as at the start; replaced
+	FaultBitFlip     FaultKind = "bit"       // a bit flips in a file, Detail; replaced
 	FaultRestartLoop FaultKind = "loop"      // a restart every restartLoopInterval
-	FaultKillAll     FaultKind = "all"       // every replica is killed at once
+	FaultKillAll     FaultKind = "all"       // SIGKILL to all replicas, then a restart
 	FaultServer      FaultKind = "server"    // Detail: the mode of a test server
 )
 
-// Fault is one fault. Times are ms from the start of the schedule.
+// Fault is one fault. Times are in ms, from the start of the schedule.
 type Fault struct {
 	AtMs       int       `json:"at"`
 	DurationMs int       `json:"for"`
@@ -41,7 +41,7 @@
 	Detail     string    `json:"with,omitempty"`
 }
 
-// Plan describes one run completely: the same plan injects the same faults at the same times.
+// Plan describes one run: runs of the same plan inject the same faults at the same times.
 type Plan struct {
 	Seed     uint64  `json:"seed"`
 	Replicas int     `json:"keepers"`
@@ -56,11 +56,13 @@
 }
 
 const (
-	// planSeedStream is the second word of the generator's seed, so that other generators of a run differ.
+	// planSeedStream is the second word of the generator's seed, by which it differs from the other
+	// generators of a run.
 	planSeedStream = 0xa9ee
-	// quietEndMs is the time before the end in which no fault begins.
-	quietEndMs = 600
-	// minDataLossRunMs is the shortest run with faults that lose data: replacements take their time.
+	// faultFreeEndMs is the time before the end of a run in which no fault begins.
+	faultFreeEndMs = 600
+	// minDataLossRunMs is the shortest run for which faults that lose data are drawn, as replacing a replica
+	// takes seconds.
 	minDataLossRunMs = 16_000
 )
 
@@ -83,8 +85,8 @@
 	serverFaults      = []string{"failing", "breaking", "silent"}
 )
 
-// DrawFaults draws the faults of a plan from its seed. Never more than a minority of the replicas has lost what it
-// acknowledged and is not replaced yet; any number may be unreachable at the same time.
+// DrawFaults draws the faults of a plan from its seed. At any time only a minority of the replicas has lost
+// acknowledged data without having been replaced since; any number of replicas may be unreachable at once.
 func (p *Plan) DrawFaults() {
 	d := &faultDrawer{Plan: p, rng: rand.New(rand.NewPCG(p.Seed, planSeedStream))}
 	p.Faults = nil
@@ -96,7 +98,7 @@
 	slices.SortStableFunc(p.Faults, func(a, b Fault) int { return a.AtMs - b.AtMs })
 }
 
-// faultDrawer adds random faults to a plan. A plan depends on the order of the draws.
+// faultDrawer adds random faults to a plan. The order of the draws determines the plan.
 type faultDrawer struct {
 	*Plan
 	rng *rand.Rand
@@ -113,10 +115,10 @@
 // pick returns a random element of a list.
 func pick[T any](rng *rand.Rand, list []T) T { return list[rng.IntN(len(list))] }
 
-// replicaFaults adds faults of one replica after another, so that there is a majority most of the time.
+// replicaFaults adds faults of one replica after another, so that a majority works most of the time.
 func (d *faultDrawer) replicaFaults() {
 	rng := d.rng
-	for at := 400 + rng.IntN(600); at < d.RunMs-quietEndMs; at += 1200 + rng.IntN(1200) {
+	for at := 400 + rng.IntN(600); at < d.RunMs-faultFreeEndMs; at += 1200 + rng.IntN(1200) {
 		duration := 200 + rng.IntN(1000)
 		switch rng.IntN(6) {
 		case 0:
@@ -133,10 +135,10 @@
 	}
 }
 
-// agentFaults adds faults of agents and servers, several at a time.
+// agentFaults adds faults of agents and servers, which may overlap.
 func (d *faultDrawer) agentFaults() {
 	rng := d.rng
-	for at := 300 + rng.IntN(400); at < d.RunMs-quietEndMs; at += 200 + rng.IntN(400) {
+	for at := 300 + rng.IntN(400); at < d.RunMs-faultFreeEndMs; at += 200 + rng.IntN(400) {
 		duration := 200 + rng.IntN(1500)
 		switch rng.IntN(8) {
 		case 0, 1:
@@ -153,7 +155,7 @@
 	}
 }
 
-// dataLoss adds each fault that loses data once, with the time between them that a replacement takes.
+// dataLoss adds each of dataLossFaults once, far enough apart for the replacement of a replica.
 func (d *faultDrawer) dataLoss() {
 	const faultDurationMs = 300
 	for i, kind := range dataLossFaults {
@@ -184,8 +186,9 @@
 	return os.WriteFile(path, append(text, '\n'), 0o600)
 }
 
-// Shrink removes faults from a plan while the rest still fails, in at most maxRuns runs, and returns the smallest plan
-// that failed. Processes do not run in lockstep: a run may miss what another found.
+// Shrink removes faults from a plan as long as the remaining ones still fail, in at most maxRuns runs, and
+// returns the smallest plan that failed. As processes do not run in lockstep, a run may pass although the
+// same plan failed before.
 func Shrink(p *Plan, maxRuns int, fails func(*Plan) bool) *Plan {
 	smallest := p
 	for size := len(smallest.Faults) / 2; size > 0 && maxRuns > 0; size /= 2 {
--- a/internal/lab/cluster/process.go
+++ b/internal/lab/cluster/process.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// maxLogBytes bounds the log that is retained of a process.
+	// maxLogBytes bounds the output that is retained of a process.
 	maxLogBytes = 1 << 20
-	// outputTimeout is the time for which output is read after a process has ended.
+	// outputTimeout is how long output is still read after a process has ended.
 	outputTimeout = time.Second
 )
 
-// Process is one process of the product, with a directory that outlives its restarts. Its methods may be called from any
-// goroutine.
+// Process is an agent, a replica or another program, with a directory that persists over restarts. Its
+// methods may be called from any goroutine.
 type Process struct {
 	Name      string
-	Dir       string   // configuration, and working directory
+	Dir       string   // working directory, with the configuration files
 	Data      string   // data directory; "": none
 	Args      []string // program and arguments
 	Env       []string
@@ -29,16 +29,16 @@
 	AdminAddr string // admin endpoint; "": none
 
 	mu      sync.Mutex
-	cmd     *exec.Cmd     // nil: it does not run
+	cmd     *exec.Cmd     // nil: not running
 	ended   chan struct{} // closed when cmd has ended
-	err     error
+	err     error         // of the last exit
 	log     bytes.Buffer
-	stopped bool
-	Starts  int
-	resumed []time.Time // when it was continued after a stop
+	stopped bool        // by SIGSTOP
+	Starts  int         // number of starts
+	resumed []time.Time // times of SIGCONT after a SIGSTOP
 }
 
-// logWriter appends to the log of a process.
+// logWriter appends to the log of a process. A write that exceeds maxLogBytes clears the log first.
 type logWriter struct{ p *Process }
 
 func (w logWriter) Write(b []byte) (int, error) {
@@ -50,7 +50,7 @@
 	return w.p.log.Write(b)
 }
 
-// Start starts the process unless it runs.
+// Start starts the process if it is not running.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,14 +81,14 @@
 	return nil
 }
 
-// Runs reports whether the process runs, also while it is stopped.
+// Runs reports whether the process is running or stopped by SIGSTOP.
 func (p *Process) Runs() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
 }
 
-// PID returns the process id; 0: it does not run.
+// PID returns the process id; 0: not running.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,21 +98,22 @@
 	return p.cmd.Process.Pid
 }
 
-// Log returns the latest output, at most maxLogBytes of it.
+// Log returns the most recent output, at most maxLogBytes.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// Err returns how the process ended last.
+// Err returns the error of the process's last exit.
 func (p *Process) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
 }
 
-// signal sends a signal if the process runs, and returns a channel that is closed when it has ended.
+// signal sends a signal if the process is running, and returns a channel that is closed when the process has
+// ended.
 func (p *Process) signal(s syscall.Signal) chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +135,7 @@
 	return p.ended
 }
 
-// sinceResumed returns the time from the last continuation until t; negative: there was none.
+// sinceResumed returns the time from the last SIGCONT before t until t; negative: there was none.
 func (p *Process) sinceResumed(t time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,10 +153,11 @@
 // Thaw continues a stopped process with SIGCONT.
 func (p *Process) Thaw() { p.signal(syscall.SIGCONT) }
 
-// Kill ends the process with SIGKILL and waits until it has ended.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() { <-p.signal(syscall.SIGKILL) }
 
-// Terminate ends the process with SIGTERM and returns how it ended. After the timeout it kills it and returns an error.
+// Terminate sends SIGTERM and returns the error of the exit. After the timeout it kills the process and
+// returns an error.
 func (p *Process) Terminate(timeout time.Duration) error {
 	p.Thaw()
 	ended := p.signal(syscall.SIGTERM)
@@ -163,7 +165,7 @@
 	case <-ended:
 	case <-time.After(timeout):
 		p.Kill()
-		return fmt.Errorf("cluster: %s: still there %v after SIGTERM", p.Name, timeout)
+		return fmt.Errorf("cluster: %s: still running %v after SIGTERM", p.Name, timeout)
 	}
 	return p.Err()
 }
--- a/internal/lab/cluster/processdisk.go
+++ b/internal/lab/cluster/processdisk.go
@@ -10,14 +10,14 @@
 	"strings"
 )
 
-// Files in a data directory that the lab build of the disk package writes and reads.
+// Files in a data directory that the disk package's lab build writes and reads.
 const (
-	syncedSizeSuffix = ".lasts" // size in bytes of a file that is synced
+	syncedSizeSuffix = ".lasts" // the synced size of a file in bytes
 	diskFaultFile    = "faults" // the faults to inject
 )
 
-// PowerCut kills the process and removes what was not synced to its disk. With rng, a random part of that may remain in
-// a file, as sectors that were written on their own.
+// PowerCut kills the process and discards the data that was not synced to its disk. With rng, a random prefix
+// of a file's unsynced data may remain, as after a torn write.
 func (p *Process) PowerCut(rng *rand.Rand) error {
 	p.Kill()
 	files, err := filepath.Glob(filepath.Join(p.Data, "*"+syncedSizeSuffix))
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// truncateUnsynced truncates the file whose synced size is in sizeFile.
+// truncateUnsynced truncates a file to its synced size, which sizeFile contains.
 func truncateUnsynced(sizeFile string, rng *rand.Rand) error {
 	text, err := os.ReadFile(sizeFile)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return os.MkdirAll(p.Data, 0o700)
 }
 
-// Backup copies the data directory to another, which it replaces.
+// Backup replaces a directory by a copy of the data directory.
 func (p *Process) Backup(to string) error {
 	if err := os.RemoveAll(to); err != nil {
 		return err
@@ -86,15 +86,15 @@
 // FlipBit flips one random bit of a file in the data directory. The process must not run.
 func (p *Process) FlipBit(name string, rng *rand.Rand) error {
 	path := filepath.Join(p.Data, name)
-	text, err := os.ReadFile(path)
-	if err != nil || len(text) == 0 {
+	content, err := os.ReadFile(path)
+	if err != nil || len(content) == 0 {
 		return err
 	}
-	text[rng.IntN(len(text))] ^= 1 << rng.IntN(8)
-	return os.WriteFile(path, text, 0o600)
+	content[rng.IntN(len(content))] ^= 1 << rng.IntN(8)
+	return os.WriteFile(path, content, 0o600)
 }
 
-// SetDiskFault sets the fault of the process's disk, in the syntax of the lab build of the disk package; "": none.
+// SetDiskFault sets the fault of the process's disk, in the syntax of the disk package's lab build; "": none.
 func (p *Process) SetDiskFault(fault string) error {
 	path := filepath.Join(p.Data, diskFaultFile)
 	if fault == "" {
--- a/internal/lab/cluster/processstats.go
+++ b/internal/lab/cluster/processstats.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Fields of /proc/PID/stat behind the program's name, from 0, as proc_pid_stat(5) has them.
+// Indexes of fields in /proc/PID/stat, counted from 0 after the program's name; see proc_pid_stat(5).
 const (
 	userTimeField   = 11
 	systemTimeField = 12
@@ -17,7 +17,7 @@
 // clockTick is the unit of times in /proc: USER_HZ is 100 on Linux.
 const clockTick = 10 * time.Millisecond
 
-// CPU returns the processor time that the process has used since its last start; 0: it does not run.
+// CPU returns the processor time used since the last start; 0: not running.
 func (p *Process) CPU() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,7 +38,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// RSS returns the resident memory of the process in bytes; 0: it does not run.
+// RSS returns the resident memory in bytes; 0: not running.
 func (p *Process) RSS() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/cluster/proxy.go
+++ b/internal/lab/cluster/proxy.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// acceptBackoff is the pause after a connection that could not be accepted.
+	// acceptBackoff is the pause after an error of accept.
 	acceptBackoff = 10 * time.Millisecond
 	dialTimeout   = time.Second
 )
 
-// proxy is where one process reaches another: a listener whose connections pass over the links between the two.
+// proxy forwards the connections of one process to another over the links between the two.
 type proxy struct {
 	addr             string
 	listener         *net.TCPListener
@@ -40,7 +40,8 @@
 	return p, nil
 }
 
-// accept serves connections until the listener is closed. Other errors, such as no descriptor left, do not end it.
+// accept serves connections until the listener is closed. It retries after other errors, such as a lack of
+// file descriptors.
 func (p *proxy) accept(next func() (*net.TCPConn, error)) {
 	for {
 		c, err := next()
@@ -55,7 +56,7 @@
 	}
 }
 
-// serve connects a connection to the target and copies both ways until both have ended.
+// serve connects to the target and copies in both directions until both have ended.
 func (p *proxy) serve(c *net.TCPConn) {
 	defer c.Close()
 	if mode, _ := p.forward.current(); mode == Reset {
@@ -64,7 +65,7 @@
 	}
 	conn, err := net.DialTimeout("tcp", p.target, dialTimeout)
 	if err != nil {
-		c.SetLinger(0) // nobody listens there
+		c.SetLinger(0) // resets the connection, as the target would
 		return
 	}
 	target := conn.(*net.TCPConn)
--- a/internal/lab/cluster/proxy_test.go
+++ b/internal/lab/cluster/proxy_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A proxy that could not accept a connection accepts the next, until its listener is closed.
+// An error of accept, such as too many open files, must not end the proxy: it accepts until its listener is
+// closed.
 func TestProxyContinuesAfterFailedAccept(t *testing.T) {
 	p := &proxy{}
 	calls := 0
--- a/internal/lab/cluster/publish.go
+++ b/internal/lab/cluster/publish.go
@@ -20,7 +20,7 @@
 	historyTimeout = time.Second
 )
 
-// publication is a publish and what was acknowledged of it.
+// publication is a published version and its acknowledgement.
 type publication struct {
 	id     string
 	number uint64 // 0: never acknowledged
@@ -35,7 +35,7 @@
 	p.digest = response.Digest
 }
 
-// drawConfig returns a random configuration; each differs from others in what an agent may do.
+// drawConfig returns a random configuration. Configurations differ in which attempts they permit.
 func drawConfig(rng *rand.Rand, servers int) *sharedconfig.Config {
 	config := &sharedconfig.Config{Classes: map[string]sharedconfig.Class{}}
 	switch rng.IntN(4) {
@@ -65,7 +65,7 @@
 	return config
 }
 
-// publish publishes one version after another until the run ends or a replica rejects one.
+// publish publishes versions one after another until the run ends or a replica rejects one.
 func (r *runner) publish(run context.Context) (all []publication) {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, publishSeedStream))
 	for n := 0; n < r.plan.Versions && run.Err() == nil; n++ {
@@ -78,7 +78,7 @@
 		parent := uint64(n)
 		r.traffic.Attempts.Published(parent+1, p.config, p.sent)
 		if err := r.publishUntilAnswered(run, rng, &p, parent); err != nil {
-			r.lost("publish %s behind %d was rejected: %v", p.id, parent, err)
+			r.lost("publish %s with parent %d was rejected: %v", p.id, parent, err)
 			return all
 		}
 		all = append(all, p)
@@ -87,8 +87,8 @@
 	return all
 }
 
-// publishUntilAnswered publishes at random replicas under one id until one acknowledges it or the run ends. It returns
-// the error of a replica that rejects it for good.
+// publishUntilAnswered publishes a version under one id at random replicas until one acknowledges it or the
+// run ends. It returns an error if a replica rejects the version permanently.
 func (r *runner) publishUntilAnswered(run context.Context, rng *rand.Rand, p *publication, parent uint64) error {
 	for retries := 0; run.Err() == nil; retries++ {
 		replica := pick(rng, r.cluster.Replicas)
@@ -110,14 +110,15 @@
 	return nil
 }
 
-// rejected reports whether a replica rejected a call for another reason than too many of them.
+// rejected reports whether a replica rejected a call permanently: with a status below 500 other than 429.
 func rejected(err error) bool {
 	var status *client.StatusError
 	return errors.As(err, &status) && status.Status < http.StatusInternalServerError &&
 		status.Status != http.StatusTooManyRequests
 }
 
-// pauseAfterPublish waits before the next publish: mostly until this one is in force, now and then not.
+// pauseAfterPublish waits before the next publish, until this one is in force or a random time has passed,
+// and then for another short random time.
 func (r *runner) pauseAfterPublish(run context.Context, rng *rand.Rand, number uint64) {
 	deadline := time.Now().Add(time.Duration(rng.IntN(3)) * 150 * time.Millisecond)
 	epoch := sharedconfig.EpochOf(number)
@@ -127,14 +128,14 @@
 	time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
 }
 
-// lost records a version that was acknowledged and is missing or changed, or a publish that was rejected.
+// lost records that an acknowledged version is missing or changed, or that a publish was rejected.
 func (r *runner) lost(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outcome.Lost = append(r.outcome.Lost, fmt.Sprintf(format, args...))
 }
 
-// settle waits until the last version is in force, and compares what was acknowledged with the history.
+// settle waits until the last version is in force and checks the history against the acknowledged publishes.
 func (r *runner) settle(ctx context.Context, all []publication) {
 	var history client.HistoryResponse
 	var lastStatus *client.Status
@@ -162,12 +163,12 @@
 	r.checkHistory(&history, all)
 }
 
-// checkHistory checks that every acknowledged version is in the history, unchanged, and that no publish is there twice.
+// checkHistory checks that the history contains every acknowledged version unchanged, and no publish twice.
 func (r *runner) checkHistory(history *client.HistoryResponse, all []publication) {
 	seen := map[string]bool{}
 	for _, v := range history.Versions {
 		if seen[v.ID] {
-			r.lost("publish %s has two numbers, one is %d", v.ID, v.Number)
+			r.lost("publish %s has two version numbers, one of them %d", v.ID, v.Number)
 		}
 		seen[v.ID] = true
 	}
@@ -177,11 +178,12 @@
 		}
 		i := int(p.number - history.Dropped - 1)
 		if i >= len(history.Versions) {
-			r.lost("version %d was acknowledged and is gone", p.number)
+			r.lost("version %d was acknowledged and is missing from the history", p.number)
 			continue
 		}
 		if v := history.Versions[i]; v.ID != p.id || v.Digest != p.digest {
-			r.lost("version %d was acknowledged as %s %s and is %s %s", p.number, p.id, p.digest, v.ID, v.Digest)
+			r.lost("version %d was acknowledged as %s with digest %s and is %s with digest %s in the history",
+				p.number, p.id, p.digest, v.ID, v.Digest)
 		}
 	}
 }
--- a/internal/lab/cluster/replace.go
+++ b/internal/lab/cluster/replace.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	replaceTimeout    = 8 * time.Second // of each step
-	membersTimeout    = 2 * time.Second // of one call
-	lyingDiskTime     = 500 * time.Millisecond
-	minorityWriteTime = 500 * time.Millisecond
-	electionTime      = 1500 * time.Millisecond // in which a majority would elect a leader
+	replaceTimeout        = 8 * time.Second // of each step
+	membersTimeout        = 2 * time.Second // of one call
+	lyingDiskTime         = 500 * time.Millisecond
+	bareMajorityWriteTime = 500 * time.Millisecond
+	electionTime          = 1500 * time.Millisecond // within which a majority would elect a leader
 
-	// unknownReplicaText is in the response to the removal of a replica that is no member.
+	// unknownReplicaText is part of the response to a request to remove a replica that is not a member.
 	unknownReplicaText = "there is no replica"
 )
 
-// memberState is what the leader reports of a replica.
+// memberState is the state of a replica's membership as the leader reports it.
 type memberState string
 
 const (
@@ -33,8 +33,9 @@
 	member    memberState = "in"
 )
 
-// loseData does what the fault says to a replica's data directory, restarts the replica as if nothing had happened, and
-// then follows the operators' procedure: remove it and add it again with an empty directory.
+// loseData damages a replica's data directory as the fault says, and restarts the replica on the damaged
+// data. Then it follows the documented procedure: remove the replica and add it again with an empty
+// directory.
 func (r *runner) loseData(ctx context.Context, f Fault, p *Process, duration time.Duration) {
 	r.cluster.replacing.Lock()
 	defer r.cluster.replacing.Unlock()
@@ -49,7 +50,7 @@
 		return
 	}
 	if err := r.cluster.Replace(ctx, p); err != nil {
-		r.fail("%s: replaced after %s: %v", p.Name, f.Kind, err)
+		r.fail("%s: replacing the replica after %s: %v", p.Name, f.Kind, err)
 		r.abort()
 		return
 	}
@@ -81,20 +82,21 @@
 	return nil
 }
 
-// wipe has a bare majority, the replica among it, acknowledge versions that the others never received. It wipes the
-// replica and lets it meet the others while the rest of that majority is down: these must not elect a leader.
+// wipe isolates some replicas, so that only a bare majority, which includes p, has the versions acknowledged
+// meanwhile. Then it wipes p and connects it to the isolated replicas while the rest of that majority is
+// down: these must not elect a leader. If p is the leader or none is known, it only wipes p.
 func (r *runner) wipe(ctx context.Context, p *Process) error {
 	leader, _ := r.cluster.Leader(ctx)
 	if leader == nil || leader == p {
 		p.Kill()
 		return p.Wipe()
 	}
-	informed, isolated := r.splitReplicas(leader, p)
+	upToDate, isolated := r.splitReplicas(leader, p)
 	for _, replica := range isolated {
 		r.cluster.SetLinks(replica.Name, r.cluster.Replicas, Stall, Stall)
 	}
-	time.Sleep(minorityWriteTime)
-	for _, replica := range informed {
+	time.Sleep(bareMajorityWriteTime)
+	for _, replica := range upToDate {
 		replica.Kill()
 	}
 	p.Kill()
@@ -104,32 +106,32 @@
 	}
 	p.Start()
 	time.Sleep(electionTime)
-	for _, replica := range informed {
+	for _, replica := range upToDate {
 		err = errors.Join(err, replica.Start())
 	}
 	return err
 }
 
-// splitReplicas splits the replicas beside p: those that form a bare majority with it, and the others.
-func (r *runner) splitReplicas(leader, p *Process) (informed, isolated []*Process) {
+// splitReplicas splits the replicas other than p into those that form a bare majority with it and the rest.
+func (r *runner) splitReplicas(leader, p *Process) (upToDate, isolated []*Process) {
 	majority := len(r.cluster.Replicas)/2 + 1
-	informed = []*Process{leader}
+	upToDate = []*Process{leader}
 	for _, replica := range r.cluster.Replicas {
 		switch {
 		case replica == p || replica == leader:
-		case len(informed)+1 < majority:
-			informed = append(informed, replica)
+		case len(upToDate)+1 < majority:
+			upToDate = append(upToDate, replica)
 		default:
 			isolated = append(isolated, replica)
 		}
 	}
-	return informed, isolated
+	return upToDate, isolated
 }
 
-// Replace removes a replica from the members and adds it again with an empty data directory.
+// Replace removes a replica from the cluster's members and adds it again with an empty data directory.
 func (c *Cluster) Replace(ctx context.Context, p *Process) error {
 	remove := &configstore.MembersRequest{Remove: p.Name}
-	err := errors.Join(c.changeMembers(ctx, p, "it is removed", remove), c.awaitMember(ctx, p, notMember))
+	err := errors.Join(c.changeMembers(ctx, p, "the replica is removed", remove), c.awaitMember(ctx, p, notMember))
 	if err != nil {
 		return err
 	}
@@ -144,10 +146,11 @@
 		return err
 	}
 	add := &configstore.MembersRequest{Add: p.Name, Addr: p.Addr}
-	return errors.Join(c.changeMembers(ctx, p, "it is added", add), c.awaitMember(ctx, p, member))
+	return errors.Join(c.changeMembers(ctx, p, "the replica is added", add), c.awaitMember(ctx, p, member))
 }
 
-// changeMembers makes a call at the replicas other than p until one succeeds, or says that it has no such member.
+// changeMembers sends a request to the replicas other than p until it succeeds at one, or one responds that p
+// is not a member.
 func (c *Cluster) changeMembers(ctx context.Context, p *Process, what string, request *configstore.MembersRequest) error {
 	var lastErr error
 	err := Until(ctx, what, replaceTimeout, func() bool {
@@ -170,7 +173,7 @@
 	return nil
 }
 
-// awaitMember waits until the leader reports a state of a replica.
+// awaitMember waits until the leader reports a replica in the wanted state.
 func (c *Cluster) awaitMember(ctx context.Context, p *Process, want memberState) error {
 	return Until(ctx, fmt.Sprintf("%s is %s", p.Name, want), replaceTimeout, func() bool {
 		_, status := c.Leader(ctx)
@@ -178,7 +181,7 @@
 	})
 }
 
-// memberStateOf finds a replica among the members of a status, each a name and what else is known of it.
+// memberStateOf returns the state of a replica from the members of a status, each a name followed by details.
 func memberStateOf(name string, members []string) memberState {
 	state := notMember
 	for _, m := range members {
@@ -194,7 +197,7 @@
 	return state
 }
 
-// setJoin changes a replica's configuration file so that it waits to be made a member.
+// setJoin changes a replica's configuration file so that the replica waits until it is added as a member.
 func setJoin(p *Process) error {
 	file := filepath.Join(p.Dir, replicaConfigFile)
 	text, err := os.ReadFile(file)
--- a/internal/lab/cluster/replace_test.go
+++ b/internal/lab/cluster/replace_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A replica does not vote under its old name if its data directory was wiped or is stale, or if its disk lied: versions
-// that were acknowledged remain when the others are lost as well. Each comes back as a new member.
+// A replica whose data directory was wiped or is stale, or whose disk lost synced writes, must not vote as
+// the member that it was: it could elect a leader that lacks acknowledged versions. It takes part again after
+// it is replaced.
 func TestReplicaWithLostDataIsReplaced(t *testing.T) {
 	for _, kind := range []FaultKind{FaultWipe, FaultStaleData, FaultLyingDisk} {
 		t.Run(string(kind), func(t *testing.T) {
@@ -28,7 +29,7 @@
 	if err := victim.Backup(backup); err != nil {
 		t.Fatal(err)
 	}
-	// Only the leader and the victim have what is acknowledged now.
+	// From here on only the leader and the victim have the acknowledged versions.
 	c.SetLinks(other.Name, c.Replicas, Stall, Stall)
 	if kind == FaultLyingDisk {
 		victim.SetDiskFault(diskLies)
@@ -36,7 +37,7 @@
 	for n := range 3 {
 		c.publish(t, ctx, uint64(n), cordon("s-1"))
 	}
-	c.SetLinks(other.Name, c.Replicas, Pass, Stall) // it receives nothing, and may call others
+	c.SetLinks(other.Name, c.Replicas, Pass, Stall) // it can send requests and receives none
 	loseData(t, kind, victim, backup)
 	if err := victim.Start(); err != nil {
 		t.Fatal(err)
@@ -46,19 +47,19 @@
 		c.requireNoLeaderWithout(t, ctx, leader)
 	}
 	if n := c.publish(t, ctx, 3, cordon("s-2")); n != 4 {
-		t.Fatalf("the next version has number %d", n)
+		t.Fatalf("the next version has number %d, want 4", n)
 	}
 	if err := c.Replace(ctx, victim); err != nil {
 		t.Fatal(err)
 	}
-	// The new member counts: without the other there is still a majority, and it has all versions.
+	// The new member has all versions and counts for the majority, which it forms with the leader.
 	other.Kill()
 	if n := c.publish(t, ctx, 4, cordon("s-3")); n != 5 {
-		t.Fatalf("with the new member the version has number %d", n)
+		t.Fatalf("with the new member the version has number %d, want 5", n)
 	}
 }
 
-// awaitAllStarted waits until every replica has logged that it takes part.
+// awaitAllStarted waits until every replica has logged that it takes part in the Raft group.
 func (c *Cluster) awaitAllStarted(t *testing.T, ctx context.Context) {
 	t.Helper()
 	if err := Until(ctx, "all replicas have started", 10*time.Second, func() bool {
@@ -73,7 +74,7 @@
 	}
 }
 
-// followers returns the two replicas of three that do not lead.
+// followers returns the two of three replicas that are not the leader.
 func (c *Cluster) followers(leader *Process) (first, second *Process) {
 	for _, replica := range c.Replicas {
 		if replica != leader && first == nil {
@@ -85,7 +86,7 @@
 	return first, second
 }
 
-// loseData stops a replica and has it lose what it acknowledged.
+// loseData stops a replica and removes acknowledged versions from its disk.
 func loseData(t *testing.T, kind FaultKind, victim *Process, backup string) {
 	t.Helper()
 	switch kind {
@@ -107,14 +108,14 @@
 	}
 }
 
-// requireNoLeaderWithout restarts the only running replica that has all acknowledged versions. The others must not elect a
-// leader meanwhile.
+// requireNoLeaderWithout stops the only replica that has all acknowledged versions, checks that the others
+// elect no leader without it, and restarts it.
 func (c *Cluster) requireNoLeaderWithout(t *testing.T, ctx context.Context, leader *Process) {
 	t.Helper()
-	// No running replica has what was acknowledged, so none may lead until the old leader is back.
+	// The running replicas lack acknowledged versions, so none may lead until the old leader is back.
 	leader.Kill()
 	if Until(ctx, "a replica leads", 1500*time.Millisecond, func() bool { p, _ := c.Leader(ctx); return p != nil }) == nil {
-		t.Error("a replica leads that lacks what was acknowledged")
+		t.Error("a replica without the acknowledged versions became the leader")
 	}
 	if err := leader.Start(); err != nil {
 		t.Fatal(err)
--- a/internal/lab/cluster/replica.go
+++ b/internal/lab/cluster/replica.go
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// AddJoiner adds a replica that waits to be made a member.
+// AddJoiner adds a replica that waits until it is added as a member.
 func (c *Cluster) AddJoiner(name string) (*Process, error) {
 	addrs, err := c.Addrs(1)
 	if err != nil {
@@ -94,12 +94,13 @@
 	return text.String()
 }
 
-// Call calls a replica directly, past all faults of links.
+// Call calls a replica directly, without a proxy, so that faults of links do not apply.
 func (c *Cluster) Call(ctx context.Context, replica *Process, path string, in, out any) error {
 	return c.caller.Call(ctx, replica.Addr, path, http.Header{}, in, out)
 }
 
-// Leader returns the replica that reports to lead in the highest term, and its status; nil: none does.
+// Leader returns the replica that reports itself as the leader of the highest term, and its status; nil: none
+// does.
 func (c *Cluster) Leader(ctx context.Context) (leader *Process, status *client.Status) {
 	for _, replica := range c.Replicas {
 		s := &client.Status{}
--- a/internal/lab/cluster/replica_test.go
+++ b/internal/lab/cluster/replica_test.go
@@ -16,7 +16,8 @@
 	os.Exit(code)
 }
 
-// startReplicas starts n replicas that end with the test. Their logs are shown if it failed.
+// startReplicas starts n replicas, which are killed at the end of the test. If the test failed, it prints
+// their logs.
 func startReplicas(t *testing.T, n int) (*Cluster, context.Context) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -38,7 +39,7 @@
 		t.Fatal(err)
 	}
 	for _, replica := range c.Replicas {
-		if defect := os.Getenv("RINGTRACK_TEST_DEFECT"); defect != "" { // shows that a test finds it
+		if defect := os.Getenv("RINGTRACK_TEST_DEFECT"); defect != "" { // to show that the tests detect it
 			replica.Env = append(replica.Env, "RINGTRACK_LAB_DEFECT="+defect)
 		}
 		if err := replica.Start(); err != nil {
@@ -59,7 +60,8 @@
 	return p
 }
 
-// publish publishes a version under one id until a replica acknowledges it, and returns its number.
+// publish publishes a version, always under the same id, until a replica acknowledges it. It returns the
+// version's number.
 func (c *Cluster) publish(t *testing.T, ctx context.Context, parent uint64, config *sharedconfig.Config) uint64 {
 	t.Helper()
 	var n uint64
@@ -83,24 +85,25 @@
 
 func cordon(ids ...string) *sharedconfig.Config { return &sharedconfig.Config{Cordoned: ids} }
 
-// Replicas elect a leader, survive its loss, and retain what was published over a restart of all of them.
+// Replicas elect another leader when theirs is killed, number a repeated publish once, and retain published
+// versions when all of them are killed and restarted.
 func TestReplicasRetainPublishedVersions(t *testing.T) {
 	c, ctx := startReplicas(t, 3)
 	leader := c.awaitLeader(t, ctx)
 	for n := range 5 {
 		if got := c.publish(t, ctx, uint64(n), cordon(fmt.Sprint("s-", n))); got != uint64(n+1) {
-			t.Fatalf("publish %d has number %d", n+1, got)
+			t.Fatalf("publish %d was assigned number %d", n+1, got)
 		}
 	}
 	leader.Kill()
 	if next := c.awaitLeader(t, ctx); next == leader {
-		t.Fatal("a killed replica leads")
+		t.Fatal("the killed replica is the leader")
 	}
 	if got := c.publish(t, ctx, 5, cordon("s-9")); got != 6 {
-		t.Fatalf("after the loss of the leader: number %d", got)
+		t.Fatalf("after the loss of the leader: number %d, want 6", got)
 	}
 	if got := c.publish(t, ctx, 5, cordon("s-9")); got != 6 {
-		t.Fatalf("a repeated publish: number %d", got)
+		t.Fatalf("a repeated publish: number %d, want 6", got)
 	}
 	for _, replica := range c.Replicas {
 		replica.Kill()
@@ -112,6 +115,6 @@
 	}
 	c.awaitLeader(t, ctx)
 	if got := c.publish(t, ctx, 6, cordon("s-10")); got != 7 {
-		t.Fatalf("after the loss of all: number %d", got)
+		t.Fatalf("after the loss of all replicas: number %d, want 7", got)
 	}
 }
--- a/internal/lab/cluster/run.go
+++ b/internal/lab/cluster/run.go
@@ -13,35 +13,37 @@
 	"ringtrack.example/ringtrack/internal/lab"
 )
 
-// Second words of the seeds of a run's generators.
 const (
-	bitFlipSeedStream  = 7
-	serverSeedStream   = 5
-	publishSeedStream  = 99
-	relayingAgents     = 2 // other agents that may relay an agent's renewals
-	maxErrors          = 20
-	agentStartTimeout  = 30 * time.Second
-	runMargin          = time.Minute // for start and end of a run
-	watchInterval      = 10 * time.Millisecond
-	resumedSendingTime = 50 * time.Millisecond // in which a resumed agent may still send what it checked before
+	// Second words of the seeds of a run's generators, by which these differ.
+	bitFlipSeedStream = 7
+	serverSeedStream  = 5
+	publishSeedStream = 99
+
+	relayingAgents    = 2 // peers that may relay an agent's renewals
+	maxErrors         = 20
+	agentStartTimeout = 30 * time.Second
+	runMargin         = time.Minute // beyond the run time, for the start and the end of a run
+	watchInterval     = 10 * time.Millisecond
+	// resumedSendingTime is the time within which a resumed agent may send what it checked before the stop.
+	resumedSendingTime = 50 * time.Millisecond
 
 	clockOffsetMs = 3_600_000
-	clockDrift    = 0.019
+	clockDrift    = 0.019 // just below lease.MaxClockDrift
 )
 
 // Outcome is the result of a run.
 type Outcome struct {
 	Verdict
-	PausedSenders                              int      // violations of agents that were stopped between check and send
-	Lost                                       []string // versions that were acknowledged and are missing or changed
+	PausedSenders                              int      // violations by agents stopped between check and send
+	Lost                                       []string // acknowledged versions that are missing or changed
 	Versions                                   int
-	PublishLatencies                           []time.Duration // from a publish until it is in force, sorted
-	NotInForce                                 int
-	RetriedPublishes                           int // publishes whose first attempt had no answer
+	PublishLatencies                           []time.Duration // from publish until in force, sorted
+	NotInForce                                 int             // versions that were never in force
+	RetriedPublishes                           int             // publishes whose first attempt failed
 	Served, Rejected, Failed, Unanswered, Late int64
-	Replaced                                   int
-	Errors                                     []string // of the run, and unexpected exits of processes
-	Logs                                       map[string]string
+	Replaced                                   int               // replicas
+	Errors                                     []string          // including unexpected exits of processes
+	Logs                                       map[string]string // by process
 }
 
 // Failing reports whether the run violated an invariant or had an error.
@@ -60,7 +62,7 @@
 	mu      sync.Mutex
 	outcome *Outcome
 
-	abort context.CancelFunc // ends the schedule: after a failed replacement later results mean nothing
+	abort context.CancelFunc // ends the schedule early: results after a failed replacement have no meaning
 }
 
 // fail records an error of the run.
@@ -72,7 +74,8 @@
 	}
 }
 
-// Run runs a plan in a directory. The outcome may be set beside an error, for its logs.
+// Run runs a plan in a directory. The outcome may be non-nil even if there is an error: then it contains the
+// logs.
 func Run(ctx context.Context, dir string, p *Plan) (*Outcome, error) {
 	runTime := time.Duration(p.RunMs) * time.Millisecond
 	ctx, cancelAll := context.WithTimeout(ctx, runTime+runMargin)
@@ -97,7 +100,7 @@
 	r.wg.Go(func() { published <- r.publish(run) })
 	r.injectFaults(ctx, run)
 	if err := r.cluster.Heal(); err != nil {
-		r.fail("heal: %v", err)
+		r.fail("undoing all faults: %v", err)
 	}
 	r.wg.Wait()
 	r.settle(ctx, <-published)
@@ -106,7 +109,8 @@
 	return r.outcome, nil
 }
 
-// start starts a plan's cluster and waits until its agents are ready. The caller calls end, also after an error.
+// start starts the cluster of a plan and waits until its agents are ready. The caller has to call end, also
+// after an error.
 func start(ctx context.Context, dir string, p *Plan) (r *runner, end func(), err error) {
 	r = &runner{
 		plan:    p,
@@ -144,7 +148,7 @@
 		if r.plan.Defect != "" {
 			p.Env = append(p.Env, "RINGTRACK_LAB_DEFECT="+r.plan.Defect)
 		}
-		// Clocks differ by hours, and by the greatest drift that is permitted.
+		// Clocks differ by hours, and drift by almost the permitted maximum.
 		skew := i%3 - 1
 		p.Env = append(p.Env, fmt.Sprintf("RINGTRACK_LAB_CLOCK=%d %v", skew*clockOffsetMs, 1+clockDrift*float64(skew)))
 		if err := p.Start(); err != nil {
@@ -165,7 +169,7 @@
 	r.traffic.StartClients(ctx, r.cluster.Agents, pause, r.plan.Seed)
 }
 
-// backupDir is where a replica's data directory is copied at the start.
+// backupDir returns the directory to which a replica's data directory is copied at the start.
 func (r *runner) backupDir(replica *Process) string {
 	return filepath.Join(r.cluster.Dir, "start-"+replica.Name)
 }
@@ -178,7 +182,7 @@
 	return logs
 }
 
-// watchInForce records which epochs the leader reports in force.
+// watchInForce records the epochs that the leader reports in force until ctx is done.
 func (r *runner) watchInForce(ctx context.Context) {
 	for ctx.Err() == nil {
 		at := time.Now()
@@ -189,7 +193,7 @@
 	}
 }
 
-// failServers has one server after another fail, so that there are retries.
+// failServers makes one server after another fail, so that agents retry requests.
 func (r *runner) failServers(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(r.plan.Seed, serverSeedStream))
 	for ctx.Err() == nil {
@@ -203,12 +207,12 @@
 	}
 }
 
-// finish checks the attempts and completes the outcome.
+// finish checks the recorded attempts and completes the outcome.
 func (r *runner) finish() {
 	o, t := r.outcome, r.traffic
 	o.Verdict = t.Attempts.Check()
 	o.PublishLatencies, o.NotInForce = t.Attempts.PublishLatencies()
-	r.excusePausedSenders()
+	r.separatePausedSenders()
 	o.Served = t.Served.Load()
 	o.Rejected = t.Rejected.Load()
 	o.Failed = t.Failed.Load()
@@ -219,19 +223,20 @@
 	}
 }
 
-// excusePausedSenders counts violations of agents that had just been resumed apart from the others. An agent that is
-// stopped between its last check and the write sends when it is resumed; no clock of its own can prevent that.
-func (r *runner) excusePausedSenders() {
+// separatePausedSenders counts violations by agents that had just been resumed apart from the others. An
+// agent that is stopped between its last check and the write sends the request when it is resumed; checking
+// its clock can't prevent that.
+func (r *runner) separatePausedSenders() {
 	agents := map[string]*Process{}
 	for _, agent := range r.cluster.Agents {
 		agents[agent.Name] = agent
 	}
 	r.outcome.Violations = slices.DeleteFunc(r.outcome.Violations, func(v Violation) bool {
 		since := agents[agentOf(v.Op)].sinceResumed(v.At)
-		excused := since >= 0 && since < resumedSendingTime
-		if excused {
+		justResumed := since >= 0 && since < resumedSendingTime
+		if justResumed {
 			r.outcome.PausedSenders++
 		}
-		return excused
+		return justResumed
 	})
 }
--- a/internal/lab/cluster/script.go
+++ b/internal/lab/cluster/script.go
@@ -9,7 +9,7 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// The size of a script's cluster.
+// The cluster of a script.
 const (
 	scriptReplicas = 3
 	scriptAgents   = 6
@@ -22,22 +22,23 @@
 	scriptTimeout        = time.Minute
 	scriptStepTimeout    = 10 * time.Second
 	scriptPublishTimeout = time.Second
-	scriptTrafficTime    = 700 * time.Millisecond // traffic with each version
+	scriptTrafficTime    = 700 * time.Millisecond // of traffic under each version
 	scriptLateAnswerTime = 650 * time.Millisecond // longer than a lease
 	scriptRestartTime    = 900 * time.Millisecond
 )
 
-// errNoLeader is the error of a step that needs a leader.
-var errNoLeader = errors.New("cluster: no keeper leads")
+// errNoLeader is returned by a step that needs a leader if there is none.
+var errNoLeader = errors.New("cluster: no replica is the leader")
 
-// script is a run with given steps instead of drawn faults.
+// script is a run with fixed steps instead of random faults.
 type script struct {
 	*runner
 	published []publication
 }
 
-// RunScript runs the smallest cluster that shows a wrong lease, a missing transition between versions, or a start with
-// old rules. Each step has the one fault that shows one of them.
+// RunScript runs the smallest cluster that detects a lease that is counted wrongly, a missing transition
+// between versions, or an agent that starts with an old configuration. Each step injects the fault that
+// reveals one of these defects.
 func RunScript(ctx context.Context, dir, defect string, seed uint64) (*Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, scriptTimeout)
 	defer cancel()
@@ -81,7 +82,8 @@
 	}
 }
 
-// publishCordoning publishes a version that cordons servers, waits until it is in force and then for some traffic.
+// publishCordoning publishes a version that cordons servers, waits until it is in force, and lets traffic run
+// under it.
 func (s *script) publishCordoning(ctx context.Context, cordoned ...string) error {
 	parent := uint64(len(s.published))
 	p := publication{
@@ -119,8 +121,8 @@
 	s.cluster.SetLinks(agent.Name, s.cluster.Replicas, out, in)
 }
 
-// publishToPartitionedAgent publishes while one agent is cut off: until its lease expires, no other may do what that
-// agent's version forbids.
+// publishToPartitionedAgent publishes while one agent is partitioned: until its lease expires, no other agent
+// may make attempts that its version forbids.
 func (s *script) publishToPartitionedAgent(ctx context.Context) error {
 	agent := s.cluster.Agents[0]
 	s.setReplicaLinks(agent, Stall, Stall)
@@ -128,8 +130,8 @@
 	return s.publishCordoning(ctx, serverName(1))
 }
 
-// publishAfterLateAnswer publishes after an agent received a late renewal and was cut off: its lease counts from the
-// request.
+// publishAfterLateAnswer publishes after an agent received a delayed grant and was then partitioned. The
+// agent's lease has to count from its request, not from the answer.
 func (s *script) publishAfterLateAnswer(ctx context.Context) error {
 	agent := s.cluster.Agents[1]
 	s.setReplicaLinks(agent, Pass, Stall)
@@ -141,7 +143,8 @@
 	return s.publishCordoning(ctx, serverName(2))
 }
 
-// restartPartitionedAgent restarts an agent that is cut off: it must not act on what it knew before.
+// restartPartitionedAgent restarts an agent that is partitioned: it must not act on the configuration that it
+// had before.
 func (s *script) restartPartitionedAgent(context.Context) error {
 	agent := s.cluster.Agents[2]
 	s.setReplicaLinks(agent, Stall, Stall)
@@ -154,7 +157,8 @@
 	return nil
 }
 
-// publishWithFrozenLeader publishes while the leader is stopped, and resumes it when another leads.
+// publishWithFrozenLeader publishes while the leader is stopped by SIGSTOP, and resumes it once the version
+// is in force under another leader.
 func (s *script) publishWithFrozenLeader(ctx context.Context) error {
 	leader, _ := s.cluster.Leader(ctx)
 	if leader == nil {
--- a/internal/lab/cluster/script_test.go
+++ b/internal/lab/cluster/script_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// The script finds each of the defects that its steps are for.
+// The script detects each of the defects that its steps are designed for.
 func TestScriptFindsDefects(t *testing.T) {
 	for _, defect := range []string{"no-meet", "from-answer", "back-on-start"} {
 		t.Run(defect, func(t *testing.T) {
-			// Timing depends on the machine; a defect has to be found within three seeds.
+			// Timing depends on the machine, so a defect may need up to three seeds.
 			for seed := range uint64(3) {
 				out, err := RunScript(t.Context(), t.TempDir(), defect, seed)
 				if err != nil {
--- a/internal/lab/cluster/traffic.go
+++ b/internal/lab/cluster/traffic.go
@@ -18,7 +18,8 @@
 	"ringtrack.example/ringtrack/internal/wire"
 )
 
-// Settings are the agents' settings: three attempts, idempotency keys for 1.2 s in all zones.
+// Settings are the agents' settings: at most three attempts; the class send has idempotency keys that are
+// valid for 1.2 s in all zones.
 const Settings = `{"classes":[{"name":"read","aimMs":200,"giveUpMs":600,"effect":"free","credit":1},` +
 	`{"name":"send","aimMs":200,"giveUpMs":600,"effect":"guarded","group":"all","keyTtlMs":1200,"credit":2},` +
 	`{"name":"order","aimMs":200,"giveUpMs":600,"effect":"single_shot","credit":5}],` +
@@ -29,7 +30,7 @@
 var zones = []string{"east", "west", "south"}
 
 const (
-	// requestTimeout is the deadline that each request carries.
+	// requestTimeout is the timeout that each request carries in its header.
 	requestTimeout = 600 * time.Millisecond
 	// lateAfter is the time beyond the deadline at which a response counts as late.
 	lateAfter = 250 * time.Millisecond
@@ -38,28 +39,29 @@
 	clientDialTimeout = 100 * time.Millisecond
 	clientIdleConns   = 4
 	serverLatency     = 2 * time.Millisecond
-	// trafficSlack is the slack of the attempt log.
+	// trafficSlack is the Slack of the attempt log.
 	trafficSlack = 250 * time.Millisecond
 	// requestKeys is the number of different request paths.
 	requestKeys = 211
 )
 
-// The request classes in Settings.
+// Names of the request classes in Settings.
 const (
 	classRead  = "read"
 	classSend  = "send"
 	classOrder = "order"
 )
 
-// clientClasses is the sequence of classes that each client repeats.
+// clientClasses is the sequence of classes that each client cycles through.
 var clientClasses = []string{classSend, classOrder, classSend, classRead}
 
-// Traffic is a set of test servers, their discovery and a client for each agent.
+// Traffic consists of test servers, a discovery service that lists them, and a client for each agent.
 type Traffic struct {
 	Servers   []*lab.OrderServer
 	Discovery *lab.Roster
 	Attempts  *AttemptLog
 
+	// Numbers of requests by result.
 	Served, Rejected, Failed, Unanswered, Late atomic.Int64
 
 	wg     sync.WaitGroup
@@ -69,7 +71,7 @@
 
 func serverName(i int) string { return fmt.Sprintf("s-%02d", i) }
 
-// NewTraffic starts n servers and their discovery. StartClients starts the clients.
+// NewTraffic starts n servers and their discovery service. StartClients starts the clients.
 func NewTraffic(n int) (*Traffic, error) {
 	t := &Traffic{Attempts: &AttemptLog{Slack: trafficSlack, Zone: map[string]string{}}}
 	var err error
@@ -93,7 +95,8 @@
 	return t, err
 }
 
-// StartClients starts a client for each agent, with a request about every pause, until Close.
+// StartClients starts a client for each agent, which runs until Close. Its pauses between requests average
+// pause.
 func (t *Traffic) StartClients(ctx context.Context, agents []*Process, pause time.Duration, seed uint64) {
 	ctx, t.cancel = context.WithCancel(ctx)
 	for i, a := range agents {
@@ -102,7 +105,7 @@
 	}
 }
 
-// Close stops the clients, the servers and discovery. Further calls do nothing.
+// Close stops the clients, the servers and the discovery service. Further calls do nothing.
 func (t *Traffic) Close() {
 	t.closed.Do(func() {
 		if t.cancel != nil {
@@ -134,7 +137,7 @@
 	}
 }
 
-// request makes the n-th request of a client and counts its result.
+// request sends the n-th request of a client and counts the result.
 func (t *Traffic) request(client *http.Client, agent *Process, n int) {
 	start := time.Now()
 	resp, err := client.Do(newRequest(agent, n))
@@ -169,7 +172,7 @@
 	}
 	if class == classSend {
 		req.Header.Set("Idempotency-Key", op)
-		req.GetBody = nil // or net/http would retry it on a broken connection
+		req.GetBody = nil // otherwise net/http retries the request on a broken connection
 	}
 	req.Header.Set("Request-Id", op)
 	req.Header.Set("Request-Class", class)
@@ -177,7 +180,7 @@
 	return req
 }
 
-// AddAgents adds agents of the traffic's servers to a cluster.
+// AddAgents adds agents that forward to the servers of the traffic.
 func (t *Traffic) AddAgents(c *Cluster, n, peers int, onExpiry string) error {
 	return c.AddAgents(n, &AgentConfig{
 		Settings:         json.RawMessage(Settings),
