--- a/internal/thriftwire/message.go
+++ b/internal/thriftwire/message.go
@@ -90,10 +90,10 @@
 	Seq      int32
 	Body     int // where the struct begins
 	Size     int // of the whole message
-	// First is the id of the struct's first field, which tells a result from a declared exception;
+	// FirstFieldID is the id of the struct's first field, which tells a result from a declared exception;
 	// -1 where it has none.
-	First  int32
-	Fields [MaxFields]Field
+	FirstFieldID int32
+	Fields       [MaxFields]Field
 
 	seqAt, seqEnd int
 }
--- a/internal/thriftwire/reader.go
+++ b/internal/thriftwire/reader.go
@@ -58,7 +58,7 @@
 		limits.Depth = defaultDepth
 	}
 	*r = Reader{limits: limits, paths: r.paths, stack: r.stack[:0], want: -1}
-	r.First = -1
+	r.FirstFieldID = -1
 }
 
 // Read goes on reading. b is the message from its first byte on, with all that has come of it so far,
@@ -395,8 +395,8 @@
 		depth--
 	}
 	r.stack[depth].last = id
-	if depth == 0 && r.First < 0 {
-		r.First = int32(uint16(id))
+	if depth == 0 && r.FirstFieldID < 0 {
+		r.FirstFieldID = int32(uint16(id))
 	}
 	return true, nil
 }
--- a/internal/thriftwire/reader_test.go
+++ b/internal/thriftwire/reader_test.go
@@ -140,7 +140,7 @@
 				if !ok || err != nil || r.Size != len(msg) {
 					t.Fatalf("seed %d: %v, %v, %d of %d bytes", seed, ok, err, r.Size, len(msg))
 				}
-				if r.Protocol != proto || r.Kind != Kind(kind) || string(r.Name) != "Orders:place" || r.Seq != seq || r.First != 1 {
+				if r.Protocol != proto || r.Kind != Kind(kind) || string(r.Name) != "Orders:place" || r.Seq != seq || r.FirstFieldID != 1 {
 					t.Fatalf("seed %d: %+v", seed, r.Message)
 				}
 				k, n, b := r.Fields[0], r.Fields[1], r.Fields[2]
--- a/internal/upstream/thrift/upstream.go
+++ b/internal/upstream/thrift/upstream.go
@@ -114,7 +114,7 @@
 		code := reply.Head.Fields[0] // of exceptionCodePath
 		result.Status = c.exceptionStatus(int32(code.Int))
 		result.BadRequest = result.Status == policy.Cancelled
-	case reply.Head.First > 0 && slices.Contains(c.NeverRan.Exceptions, int16(reply.Head.First)):
+	case reply.Head.FirstFieldID > 0 && slices.Contains(c.NeverRan.Exceptions, int16(reply.Head.FirstFieldID)):
 		result.Status = policy.Rejected
 	}
 	return result
