--- a/internal/thriftwire/detect.go
+++ b/internal/thriftwire/detect.go
@@ -6,13 +6,13 @@
 	"fmt"
 )
 
-// Transport is how messages stand on a connection.
+// Transport is how messages are delimited on a connection.
 type Transport uint8
 
 // The transports.
 const (
-	Framed   Transport = iota + 1 // each behind its length, four bytes, big-endian
-	Unframed                      // one behind the other ("buffered")
+	Framed   Transport = iota + 1 // each is preceded by its length, four bytes, big-endian
+	Unframed                      // each directly follows the one before ("buffered")
 )
 
 func (t Transport) String() string {
@@ -22,23 +22,23 @@
 	return "unframed"
 }
 
-// What is told apart and not spoken.
+// Errors of protocols that Detect recognizes and that are not supported.
 var (
 	ErrHTTP    = errors.New("thrift: the client speaks HTTP")
 	ErrTHeader = errors.New("thrift: the client speaks THeader, which is not served")
 )
 
-// DetectBytes is the number of bytes by which Detect always knows.
+// DetectBytes is the number of bytes that always suffice for Detect.
 const DetectBytes = 6
 
-// Detect tells a connection's transport and protocol by its first bytes. ok is false where there are
-// too few yet. The first message tells the protocol again; this is to tell transports apart:
+// Detect detects the transport and protocol of a connection by its first bytes. ok is false if more bytes
+// are needed. Its purpose is the transport, as each message shows its protocol by itself:
 //
 //	80 01            unframed, strict binary
 //	82               unframed, compact
-//	00 00 00 00      an empty frame, or a method without a name: nothing
-//	00..7f LLLLLL    a length: framed, if what follows begins a message; else the length of an old
-//	                 binary message's name, which begins with a letter
+//	00 00 00 00      an empty frame, or a method with an empty name: malformed
+//	00..7f LLLLLL    a length: of a frame if a message follows, else of the name of an old binary
+//	                 message, whose first byte is printable
 func Detect(b []byte) (t Transport, p Protocol, ok bool, err error) {
 	if len(b) == 0 {
 		return 0, 0, false, nil
@@ -59,7 +59,7 @@
 		return 0, 0, false, malformed("no message begins with %#x", c)
 	}
 	if len(b) >= 4 && string(b[:4]) == "\x00\x00\x00\x00" {
-		// Who sends it may wait for an answer, and never send more.
+		// Rejected without the next byte: the client may wait for an answer and send nothing more.
 		return 0, 0, false, malformed("neither a frame nor a message begins with % x", b[:4])
 	}
 	if len(b) < 5 {
@@ -94,14 +94,14 @@
 	return false
 }
 
-// FrameSize reads the length of a frame. A frame holds one message, so that none is empty.
-func FrameSize(b []byte, most int) (int, error) {
+// FrameSize reads the length of a frame. An empty one is malformed, as a frame holds one message.
+func FrameSize(b []byte, maxSize int) (int, error) {
 	n := int32(binary.BigEndian.Uint32(b))
 	switch {
 	case n <= 0:
 		return 0, malformed("a frame of %d bytes", n)
-	case int(n) > most:
-		return 0, fmt.Errorf("%w: a frame of %d bytes, at most %d", ErrTooLarge, n, most)
+	case int(n) > maxSize:
+		return 0, fmt.Errorf("%w: a frame of %d bytes, at most %d", ErrTooLarge, n, maxSize)
 	}
 	return int(n), nil
 }
--- a/internal/thriftwire/message.go
+++ b/internal/thriftwire/message.go
@@ -1,9 +1,10 @@
-// Package thriftwire reads Thrift messages without knowing their IDL: the envelope, the end of the
-// struct behind it, and a few fields that are asked for. It passes all else by. It does no I/O, builds
-// no values and never recurses; what it reads costs time linear in the bytes and memory by the depth.
+// Package thriftwire parses Thrift messages without their IDL. It reads the header, a few selected fields
+// and the end of the struct that follows, and skips everything else. It does no I/O, decodes no other
+// values and does not recurse. Parsing takes time linear in the size of the message, and memory in
+// proportion to its nesting depth.
 //
-// Source: the Thrift project's "Thrift Binary protocol encoding", "Thrift Compact protocol encoding"
-// and "Thrift Remote Procedure Call" specifications.
+// The encodings are those of the Thrift project's "Thrift Binary protocol encoding", "Thrift Compact
+// protocol encoding" and "Thrift Remote Procedure Call" specifications.
 package thriftwire
 
 import (
@@ -11,13 +12,13 @@
 	"fmt"
 )
 
-// Protocol is how values are written.
+// Protocol is the encoding of a message and its values.
 type Protocol uint8
 
 // The protocols.
 const (
-	Binary    Protocol = iota + 1 // strict: the message begins with its version
-	OldBinary                     // without one
+	Binary    Protocol = iota + 1 // strict: the message begins with a version
+	OldBinary                     // the binary protocol without a version
 	Compact
 )
 
@@ -36,7 +37,7 @@
 // Kind is the type of a message.
 type Kind uint8
 
-// The kinds.
+// The kinds, with the numbers that all protocols use.
 const (
 	Call Kind = iota + 1
 	Reply
@@ -44,21 +45,21 @@
 	Oneway
 )
 
-// Limits bound what is read.
+// Limits bound the messages that are accepted.
 type Limits struct {
-	Size  int // bytes of a message, 16 MiB where it is 0
-	Depth int // nested structs and containers, 64 where it is 0
+	Size  int // bytes of a message; 0: 16 MiB
+	Depth int // nested structs and containers; 0: 64
 }
 
 const (
 	defaultSize, defaultDepth = 16 << 20, 64
-	// MaxName bounds the name of a method, with that of its service.
+	// MaxName bounds the name of a method in bytes, including that of its service.
 	MaxName = 1024
-	// MaxPath bounds the path of a field that is asked for, MaxFields their number.
+	// MaxPath bounds the length of the path of a selected field, MaxFields the number of such fields.
 	MaxPath, MaxFields = 8, 4
 )
 
-// Errors of messages. All are final: more bytes do not mend them.
+// Errors of messages. All are final: a message does not become valid by further bytes.
 var (
 	ErrMalformed = errors.New("thrift: malformed")
 	ErrTooLarge  = errors.New("thrift: larger than allowed")
@@ -69,33 +70,33 @@
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// Path names a field by the ids of the structs around it, from the arguments' struct on: {1, 3} is
-// field 3 of the struct in field 1. It does not lead into containers.
+// Path selects a field by field ids, starting at the outermost struct: {1, 3} is field 3 of the struct in
+// field 1. A path does not lead into containers.
 type Path []int16
 
-// Field is where the value of a field that was asked for stands.
+// Field is the position and value of a selected field.
 type Field struct {
 	Found      bool
-	Start, End int    // of the value in the message; of a string without its length
-	Type       Type   // its type, in the terms of this package
-	Bool       bool   // the value of a bool, which compact keeps in the header
+	Start, End int    // of the value in the message; a string's length prefix is not included
+	Type       Type   // the same in all protocols
+	Bool       bool   // the value of a bool; the compact protocol encodes it in the field's header
 	Int        uint64 // the value of an integer, sign-extended
 }
 
-// Message is what was read of a message.
+// Message describes a message.
 type Message struct {
 	Protocol Protocol
 	Kind     Kind
-	Name     []byte // of the method, perhaps "Service:method"; part of the buffer
+	Name     []byte // of the method, or "Service:method"; a slice of the buffer
 	Seq      int32
-	Body     int // where the struct begins
-	Size     int // of the whole message
-	// FirstFieldID is the id of the struct's first field, which tells a result from a declared exception;
-	// -1 where it has none.
+	Body     int // offset of the struct that follows the header
+	Size     int // of the complete message
+	// FirstFieldID is the id of the struct's first field, -1 if the struct is empty. In a reply it
+	// distinguishes a result from a declared exception.
 	FirstFieldID int32
 	Fields       [MaxFields]Field
 
-	seqAt, seqEnd int
+	seqStart, seqEnd int
 }
 
 // Type is the type of a value.
@@ -118,11 +119,11 @@
 	UUID   Type = 16
 )
 
-// compactTypes are the compact protocol's numbers; 1 and 2 are both bools.
+// compactTypes maps the type numbers of the compact protocol; 1 and 2 are the bools true and false.
 var compactTypes = [16]Type{1: Bool, 2: Bool, 3: Byte, 4: I16, 5: I32, 6: I64, 7: Double, 8: String, 9: List, 10: Set, 11: Map, 12: Struct, 13: UUID}
 
-// fixed is the size of a type's value where it has one, in the binary protocol.
-func (t Type) fixed() int {
+// fixedSize returns the size of a value of the type in the binary protocol; 0: it varies.
+func (t Type) fixedSize() int {
 	switch t {
 	case Bool, Byte:
 		return 1
@@ -138,7 +139,7 @@
 	return 0
 }
 
-func (t Type) known() bool {
+func (t Type) isKnown() bool {
 	switch t {
 	case Bool, Byte, Double, I16, I32, I64, String, Struct, Map, Set, List, UUID:
 		return true
--- a/internal/thriftwire/reader.go
+++ b/internal/thriftwire/reader.go
@@ -4,52 +4,53 @@
 	"encoding/binary"
 )
 
-// Reader finds the end of one message in bytes that come bit by bit. Each byte is looked at once,
-// however they are cut: it goes on where it stood. A Reader is used again after Reset.
+// Reader is an incremental parser that finds the end of one message. The bytes may arrive in pieces of
+// any size: each call of Read continues where the last one stopped, and parses only an incomplete header
+// or number again, so that the time stays linear. A Reader is reusable after Reset.
 type Reader struct {
 	Message
 	limits Limits
 	paths  []Path
 
-	pos    int // what is before it has been read
-	skip   int // bytes of a value that are passed by
-	stage  stage
-	stack  []level
-	name   int // length of the name, once known
-	header int // bytes of the header before the name
-	cur    [MaxPath]int16
-	want   int // the field whose string is passed by; -1: none
+	pos         int // offset of the first byte that is not parsed yet
+	skipBytes   int // bytes of the current value that are still to be skipped
+	state       state
+	stack       []level
+	nameLength  int            // length of the name, once known
+	nameStart   int            // offset of the name
+	currentPath [MaxPath]int16 // ids of the open structs' current fields
+	fieldIndex  int            // index in Fields of the string that is being skipped; -1: none
 }
 
-type stage uint8
+type state uint8
 
 const (
-	atStart stage = iota
+	beforeName state = iota
 	inName
-	inTail // of the header, behind the name
+	afterName // the part of the header that follows the name
 	inBody
-	done
+	complete
 )
 
-// level is a struct or container that is open.
+// level is a struct or container whose end has not been reached.
 type level struct {
-	kind       Type
-	last       int16 // struct: the id of the last field
-	key, value Type  // map: both; list and set: value
-	left       int   // container: elements, of a map keys and values
-	outer      bool  // struct: nothing but structs around it
-	path       int   // struct: its place in paths
+	kind        Type
+	lastID      int16 // struct: the id of the last field
+	key, value  Type  // map: both; list and set: value
+	remaining   int   // container: elements that remain; a map's keys and values count separately
+	onlyStructs bool  // struct: it is nested in structs only, so that a path may lead into it
+	depth       int   // struct: how many structs it is nested in
 }
 
-// NewReader returns a reader for messages of this protocol; 0 tells it from the first bytes. It notes
-// the fields that paths name, MaxFields of them at the most.
+// NewReader returns a reader, which detects the protocol of a message by its first bytes. It records the
+// fields that the first MaxFields of paths select.
 func NewReader(limits Limits, paths ...Path) *Reader {
 	r := &Reader{paths: paths[:min(len(paths), MaxFields)]}
 	r.Reset(limits)
 	return r
 }
 
-// Reset makes the reader ready for another message.
+// Reset prepares the reader for another message.
 func (r *Reader) Reset(limits Limits) {
 	if limits.Size <= 0 {
 		limits.Size = defaultSize
@@ -57,42 +58,42 @@
 	if limits.Depth <= 0 {
 		limits.Depth = defaultDepth
 	}
-	*r = Reader{limits: limits, paths: r.paths, stack: r.stack[:0], want: -1}
+	*r = Reader{limits: limits, paths: r.paths, stack: r.stack[:0], fieldIndex: -1}
 	r.FirstFieldID = -1
 }
 
-// Read goes on reading. b is the message from its first byte on, with all that has come of it so far,
-// and perhaps what comes behind. It returns true once the message is whole: then Size is its length,
-// and Message describes it, with Name as part of b. An error is final.
+// Read continues parsing. b holds the message from its first byte on, as far as it has arrived, and may
+// hold bytes after its end. It returns true once the message is complete: then Size is its length, and
+// Message describes it, with Name as a slice of b. An error is final.
 func (r *Reader) Read(b []byte) (bool, error) {
 	for {
-		if r.skip > 0 {
-			n := min(r.skip, len(b)-r.pos)
-			r.pos, r.skip = r.pos+n, r.skip-n
-			if r.skip > 0 {
-				return false, r.sized(r.pos + r.skip)
+		if r.skipBytes > 0 {
+			n := min(r.skipBytes, len(b)-r.pos)
+			r.pos, r.skipBytes = r.pos+n, r.skipBytes-n
+			if r.skipBytes > 0 {
+				return false, r.checkSize(r.pos + r.skipBytes)
 			}
-			if r.want >= 0 {
-				r.Fields[r.want].End, r.want = r.pos, -1
+			if r.fieldIndex >= 0 {
+				r.Fields[r.fieldIndex].End, r.fieldIndex = r.pos, -1
 			}
 		}
 		var ok bool
 		var err error
-		switch r.stage {
-		case atStart:
-			ok, err = r.start(b)
+		switch r.state {
+		case beforeName:
+			ok, err = r.readBeforeName(b)
 		case inName:
-			ok, err = r.named(b)
-		case inTail:
-			ok, err = r.tail(b)
+			ok, err = r.setName(b)
+		case afterName:
+			ok, err = r.readAfterName(b)
 		case inBody:
-			ok, err = r.body(b)
-		case done:
+			ok, err = r.readBody(b)
+		case complete:
 			r.Size = r.pos
 			return true, nil
 		}
 		if err == nil {
-			err = r.sized(r.pos)
+			err = r.checkSize(r.pos)
 		}
 		if err != nil {
 			return false, err
@@ -103,15 +104,15 @@
 	}
 }
 
-func (r *Reader) sized(n int) error {
+func (r *Reader) checkSize(n int) error {
 	if n > r.limits.Size {
 		return ErrTooLarge
 	}
 	return nil
 }
 
-// start reads what stands before the name.
-func (r *Reader) start(b []byte) (bool, error) {
+// readBeforeName reads the header up to the length of the name.
+func (r *Reader) readBeforeName(b []byte) (bool, error) {
 	if len(b) == 0 {
 		return false, nil
 	}
@@ -124,20 +125,20 @@
 			return false, malformed("compact version %d", b[1]&0x1f)
 		}
 		r.Protocol = Compact
-		if err := r.kind(b[1] >> 5); err != nil {
+		if err := r.setKind(b[1] >> 5); err != nil {
 			return false, err
 		}
 		seq, n, err := varint(b[2:], 32)
 		if n == 0 || err != nil {
 			return false, err
 		}
-		r.Seq, r.seqAt, r.seqEnd = int32(uint32(seq)), 2, 2+n
+		r.Seq, r.seqStart, r.seqEnd = int32(uint32(seq)), 2, 2+n
 		size, m, err := varint(b[2+n:], 32)
 		if m == 0 || err != nil {
 			return false, err
 		}
 		r.pos = 2 + n + m
-		return true, r.setName(int64(size))
+		return true, r.setNameLength(int64(size))
 	case b[0] == 0x80:
 		if len(b) < 8 {
 			return false, nil
@@ -146,73 +147,73 @@
 			return false, malformed("binary version %#x", b[:3])
 		}
 		r.Protocol = Binary
-		if err := r.kind(b[3]); err != nil {
+		if err := r.setKind(b[3]); err != nil {
 			return false, err
 		}
 		r.pos = 8
-		return true, r.setName(int64(int32(binary.BigEndian.Uint32(b[4:]))))
+		return true, r.setNameLength(int64(int32(binary.BigEndian.Uint32(b[4:]))))
 	case b[0] == 0:
 		if len(b) < 4 {
 			return false, nil
 		}
 		r.Protocol = OldBinary
 		r.pos = 4
-		return true, r.setName(int64(int32(binary.BigEndian.Uint32(b))))
+		return true, r.setNameLength(int64(int32(binary.BigEndian.Uint32(b))))
 	}
 	return false, malformed("no message begins with %#x", b[0])
 }
 
-func (r *Reader) kind(k byte) error {
+func (r *Reader) setKind(k byte) error {
 	if r.Kind = Kind(k); r.Kind < Call || r.Kind > Oneway {
 		return malformed("message type %d", k)
 	}
 	return nil
 }
 
-func (r *Reader) setName(n int64) error {
+func (r *Reader) setNameLength(n int64) error {
 	if n < 0 || n > MaxName {
 		return malformed("a name of %d bytes", n)
 	}
-	r.name, r.header, r.stage = int(n), r.pos, inName
-	r.skip = r.name
+	r.nameLength, r.nameStart, r.state = int(n), r.pos, inName
+	r.skipBytes = r.nameLength
 	return nil
 }
 
-// named is reached once the name has been passed.
-func (r *Reader) named(b []byte) (bool, error) {
-	r.Name = b[r.header : r.header+r.name]
-	r.stage = inTail
+// setName runs once the name has arrived.
+func (r *Reader) setName(b []byte) (bool, error) {
+	r.Name = b[r.nameStart : r.nameStart+r.nameLength]
+	r.state = afterName
 	return true, nil
 }
 
-// tail reads what stands behind the name.
-func (r *Reader) tail(b []byte) (bool, error) {
+// readAfterName reads the rest of the header, which follows the name.
+func (r *Reader) readAfterName(b []byte) (bool, error) {
 	rest := b[r.pos:]
 	switch r.Protocol {
 	case Binary:
 		if len(rest) < 4 {
 			return false, nil
 		}
-		r.seqAt = r.pos
+		r.seqStart = r.pos
 	case OldBinary:
 		if len(rest) < 5 {
 			return false, nil
 		}
-		if err := r.kind(rest[0]); err != nil {
+		if err := r.setKind(rest[0]); err != nil {
 			return false, err
 		}
-		r.seqAt = r.pos + 1
+		r.seqStart = r.pos + 1
 	}
 	if r.Protocol != Compact {
-		r.seqEnd = r.seqAt + 4
-		r.Seq = int32(binary.BigEndian.Uint32(b[r.seqAt:]))
+		r.seqEnd = r.seqStart + 4
+		r.Seq = int32(binary.BigEndian.Uint32(b[r.seqStart:]))
 		r.pos = r.seqEnd
 	}
-	r.Body, r.stage = r.pos, inBody
-	return true, r.open(level{kind: Struct, outer: true})
+	r.Body, r.state = r.pos, inBody
+	return true, r.push(level{kind: Struct, onlyStructs: true})
 }
 
-func (r *Reader) open(l level) error {
+func (r *Reader) push(l level) error {
 	if len(r.stack) >= r.limits.Depth {
 		return ErrTooDeep
 	}
@@ -220,49 +221,49 @@
 	return nil
 }
 
-// body reads one field's header, one element or one value's header.
-func (r *Reader) body(b []byte) (bool, error) {
+// readBody reads one field, or one or more elements of a container; of those with parts, the header.
+func (r *Reader) readBody(b []byte) (bool, error) {
 	if len(r.stack) == 0 {
-		r.stage = done
+		r.state = complete
 		return true, nil
 	}
 	top := &r.stack[len(r.stack)-1]
 	if top.kind == Struct {
-		return r.field(b, top)
+		return r.readField(b, top)
 	}
-	if top.left == 0 {
+	if top.remaining == 0 {
 		r.stack = r.stack[:len(r.stack)-1]
 		return true, nil
 	}
 	t := top.value
-	if top.kind == Map && top.left%2 == 0 {
+	if top.kind == Map && top.remaining%2 == 0 {
 		t = top.key
 	}
-	if n := t.fixed(); n > 0 && (r.Protocol != Compact || n == 1 || t == Double || t == UUID) && (top.kind != Map || top.key == top.value) {
-		// All elements at once: their number is bounded by the bytes there may be.
-		r.skip, top.left = n*top.left, 0
+	if n := t.fixedSize(); n > 0 && (r.Protocol != Compact || n == 1 || t == Double || t == UUID) && (top.kind != Map || top.key == top.value) {
+		// All elements are skipped at once; readContainer has bounded their number by the size limit.
+		r.skipBytes, top.remaining = n*top.remaining, 0
 		return true, nil
 	}
 	before := r.pos
-	if err := r.run(b, top); err != nil || r.pos > before {
+	if err := r.skipElements(b, top); err != nil || r.pos > before {
 		return err == nil, err
 	}
-	ok, err := r.value(b, t, -1, level{})
+	ok, err := r.readValue(b, t, -1, level{})
 	if ok && err == nil {
-		// value may have grown the stack; the level is where it was.
-		r.at(t).left--
+		// readValue may have pushed a level, and moved the stack: top is not valid any longer.
+		r.containerOf(t).remaining--
 	}
 	return ok, err
 }
 
-// run passes elements without parts by, as long as all of one is there.
-func (r *Reader) run(b []byte, top *level) error {
-	for top.left > 0 {
+// skipElements skips elements that are not nested, as long as the next one has arrived completely.
+func (r *Reader) skipElements(b []byte, top *level) error {
+	for top.remaining > 0 {
 		t, rest := top.value, b[r.pos:]
-		if top.kind == Map && top.left%2 == 0 {
+		if top.kind == Map && top.remaining%2 == 0 {
 			t = top.key
 		}
-		n := t.fixed()
+		n := t.fixedSize()
 		switch {
 		case r.Protocol == Compact && (t == I16 || t == I32 || t == I64):
 			var err error
@@ -270,7 +271,7 @@
 				return err
 			}
 		case t == String:
-			size, m, err := r.length(rest)
+			size, m, err := r.readStringLength(rest)
 			if m == 0 || err != nil {
 				return err
 			}
@@ -282,40 +283,41 @@
 			return nil
 		}
 		r.pos += n
-		top.left--
-		if err := r.sized(r.pos); err != nil {
+		top.remaining--
+		if err := r.checkSize(r.pos); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// length reads a string's. n is the bytes that it takes, 0 where they are not all there yet.
-func (r *Reader) length(rest []byte) (size, n int, err error) {
-	long := int64(0)
+// readStringLength reads the length of a string. n is the size of its encoding, 0 if that is incomplete.
+func (r *Reader) readStringLength(rest []byte) (size, n int, err error) {
+	size64 := int64(0)
 	if r.Protocol == Compact {
 		v, m, err := varint(rest, 32)
 		if m == 0 || err != nil {
 			return 0, 0, err
 		}
-		long, n = int64(int32(uint32(v))), m
+		size64, n = int64(int32(uint32(v))), m
 	} else {
 		if len(rest) < 4 {
 			return 0, 0, nil
 		}
-		long, n = int64(int32(binary.BigEndian.Uint32(rest))), 4
+		size64, n = int64(int32(binary.BigEndian.Uint32(rest))), 4
 	}
 	switch {
-	case long < 0:
-		return 0, 0, malformed("a string of %d bytes", long)
-	case long > int64(r.limits.Size-r.pos):
+	case size64 < 0:
+		return 0, 0, malformed("a string of %d bytes", size64)
+	case size64 > int64(r.limits.Size-r.pos):
 		return 0, 0, ErrTooLarge
 	}
-	return int(long), n, nil
+	return int(size64), n, nil
 }
 
-// at is the level that an element of type t belongs to, after its value was begun.
-func (r *Reader) at(t Type) *level {
+// containerOf returns the container of an element of type t, once readValue has read the element, which
+// has pushed a level of its own if it has parts.
+func (r *Reader) containerOf(t Type) *level {
 	switch t {
 	case Struct, Map, Set, List:
 		return &r.stack[len(r.stack)-2]
@@ -323,8 +325,8 @@
 	return &r.stack[len(r.stack)-1]
 }
 
-// field reads a field's header and begins its value.
-func (r *Reader) field(b []byte, top *level) (bool, error) {
+// readField reads the header of a field, and its value, or the beginning of one that has parts.
+func (r *Reader) readField(b []byte, top *level) (bool, error) {
 	rest := b[r.pos:]
 	if len(rest) == 0 {
 		return false, nil
@@ -345,9 +347,9 @@
 		}
 		isTrue, n = code == 1, 1
 		if delta != 0 {
-			id = top.last + int16(delta)
-			if id < top.last {
-				return false, malformed("field id over %d", top.last)
+			id = top.lastID + int16(delta)
+			if id < top.lastID {
+				return false, malformed("field id over %d", top.lastID)
 			}
 		} else {
 			v, m, err := varint(rest[1:], 16)
@@ -362,7 +364,7 @@
 			r.stack = r.stack[:len(r.stack)-1]
 			return true, nil
 		}
-		if t = Type(rest[0]); !t.known() {
+		if t = Type(rest[0]); !t.isKnown() {
 			return false, malformed("field type %d", rest[0])
 		}
 		if len(rest) < 3 {
@@ -370,84 +372,84 @@
 		}
 		id, n = int16(binary.BigEndian.Uint16(rest[1:])), 3
 	}
-	want, path := -1, top.path
-	if top.outer && path < MaxPath {
-		r.cur[path] = id
-		want = r.wanted(path)
+	fieldIndex, depth := -1, top.depth
+	if top.onlyStructs && depth < MaxPath {
+		r.currentPath[depth] = id
+		fieldIndex = r.findPath(depth)
 	}
-	inner := level{kind: Struct, outer: top.outer, path: path + 1}
-	at := r.pos
+	inner := level{kind: Struct, onlyStructs: top.onlyStructs, depth: depth + 1}
+	fieldStart := r.pos
 	r.pos += n
 	if r.Protocol == Compact && t == Bool {
-		if want >= 0 {
-			r.Fields[want] = Field{Found: true, Start: r.pos, End: r.pos, Type: Bool, Bool: isTrue}
+		if fieldIndex >= 0 {
+			r.Fields[fieldIndex] = Field{Found: true, Start: r.pos, End: r.pos, Type: Bool, Bool: isTrue}
 		}
 	} else {
-		ok, err := r.value(b, t, want, inner)
+		ok, err := r.readValue(b, t, fieldIndex, inner)
 		if !ok || err != nil {
-			r.pos = at // the header is read again with its value's
+			r.pos = fieldStart // the field's header is read again once more has arrived
 			return ok, err
 		}
 	}
-	// The stack may have moved.
-	depth := len(r.stack) - 1
-	if (t == Struct || t == Map || t == Set || t == List) && depth > 0 {
-		depth--
+	// top is not valid any longer if the value pushed a level.
+	parent := len(r.stack) - 1
+	if (t == Struct || t == Map || t == Set || t == List) && parent > 0 {
+		parent--
 	}
-	r.stack[depth].last = id
-	if depth == 0 && r.FirstFieldID < 0 {
+	r.stack[parent].lastID = id
+	if parent == 0 && r.FirstFieldID < 0 {
 		r.FirstFieldID = int32(uint16(id))
 	}
 	return true, nil
 }
 
-// wanted finds the path that the field just begun is at the end of.
-func (r *Reader) wanted(depth int) int {
+// findPath returns the index of the path that selects the current field; -1: none does.
+func (r *Reader) findPath(depth int) int {
 	for i, p := range r.paths {
 		if len(p) != depth+1 {
 			continue
 		}
-		same := true
+		equal := true
 		for k := range p {
-			same = same && p[k] == r.cur[k]
+			equal = equal && p[k] == r.currentPath[k]
 		}
-		if same {
+		if equal {
 			return i
 		}
 	}
 	return -1
 }
 
-// value reads a value, or the beginning of one that has parts. want is the place of a field that was
-// asked for; inner is the level of a struct.
-func (r *Reader) value(b []byte, t Type, want int, inner level) (bool, error) {
+// readValue reads a value, or the beginning of one that has parts. fieldIndex is the index in Fields of a
+// selected field, else -1; inner is the level to push for a struct.
+func (r *Reader) readValue(b []byte, t Type, fieldIndex int, inner level) (bool, error) {
 	rest := b[r.pos:]
-	room := r.limits.Size - r.pos
+	available := r.limits.Size - r.pos
 	switch t {
 	case Struct:
 		inner.kind = Struct
-		return true, r.open(inner)
+		return true, r.push(inner)
 	case String:
-		size, n, err := r.length(rest)
+		size, n, err := r.readStringLength(rest)
 		if n == 0 || err != nil {
 			return false, err
 		}
 		r.pos += n
-		r.skip = size
-		if want >= 0 {
-			r.Fields[want] = Field{Found: true, Start: r.pos, End: r.pos, Type: String}
+		r.skipBytes = size
+		if fieldIndex >= 0 {
+			r.Fields[fieldIndex] = Field{Found: true, Start: r.pos, End: r.pos, Type: String}
 			if size > 0 {
-				r.want = want
+				r.fieldIndex = fieldIndex
 			}
 		}
 		return true, nil
 	case List, Set, Map:
-		return r.container(rest, t, room)
+		return r.readContainer(rest, t, available)
 	}
-	n := t.fixed()
+	n := t.fixedSize()
 	var bits uint64
 	if r.Protocol == Compact && (t == I16 || t == I32 || t == I64) {
-		v, m, err := varint(rest, 8*t.fixed())
+		v, m, err := varint(rest, 8*t.fixedSize())
 		if m == 0 || err != nil {
 			return false, err
 		}
@@ -467,15 +469,15 @@
 			bits = binary.BigEndian.Uint64(rest)
 		}
 	}
-	if want >= 0 {
-		r.Fields[want] = Field{Found: true, Start: r.pos, End: r.pos + n, Type: t, Int: bits, Bool: t == Bool && bits&0xff == 1}
+	if fieldIndex >= 0 {
+		r.Fields[fieldIndex] = Field{Found: true, Start: r.pos, End: r.pos + n, Type: t, Int: bits, Bool: t == Bool && bits&0xff == 1}
 	}
 	r.pos += n
 	return true, nil
 }
 
-// container reads the header of a list, set or map.
-func (r *Reader) container(rest []byte, t Type, room int) (bool, error) {
+// readContainer reads the header of a list, set or map and pushes its level.
+func (r *Reader) readContainer(rest []byte, t Type, available int) (bool, error) {
 	l := level{kind: t}
 	var size int64
 	var n int
@@ -519,37 +521,37 @@
 	if size < 0 {
 		return false, malformed("a container of %d elements", size)
 	}
-	least := int64(1) // no value takes less
+	minBytes := int64(1) // the shortest encoding of an element is one byte
 	if t == Map {
-		least = 2
+		minBytes = 2
 	}
-	if f := l.value.fixed(); f > 0 && r.Protocol != Compact && t != Map {
-		least = int64(f)
+	if f := l.value.fixedSize(); f > 0 && r.Protocol != Compact && t != Map {
+		minBytes = int64(f)
 	}
-	if size*least > int64(room) {
+	if size*minBytes > int64(available) {
 		return false, ErrTooLarge
 	}
-	if size > 0 && (!l.value.known() || t == Map && !l.key.known()) {
+	if size > 0 && (!l.value.isKnown() || t == Map && !l.key.isKnown()) {
 		return false, malformed("a container of type %d", l.value)
 	}
-	l.left = int(size)
+	l.remaining = int(size)
 	if t == Map {
-		l.left *= 2
+		l.remaining *= 2
 	}
 	r.pos += n
-	return true, r.open(l)
+	return true, r.push(l)
 }
 
-// varint reads an unsigned varint of so many bits. n is 0 where there is not all of it yet. One that is
-// longer than its bits need is malformed.
+// varint reads an unsigned varint. n is 0 if it is incomplete. One that takes more bytes than the given
+// number of bits needs, or whose value does not fit them, is malformed.
 func varint(b []byte, bits int) (v uint64, n int, err error) {
 	if len(b) > 0 && b[0] < 0x80 {
 		return uint64(b[0]), 1, nil
 	}
-	most := (bits + 6) / 7
+	maxBytes := (bits + 6) / 7
 	for i := range b {
-		if i >= most {
-			return 0, 0, malformed("a varint of more than %d bytes", most)
+		if i >= maxBytes {
+			return 0, 0, malformed("a varint of more than %d bytes", maxBytes)
 		}
 		c := b[i]
 		v |= uint64(c&0x7f) << (7 * i)
@@ -560,24 +562,24 @@
 			return v, i + 1, nil
 		}
 	}
-	if len(b) >= most {
-		return 0, 0, malformed("a varint of more than %d bytes", most)
+	if len(b) >= maxBytes {
+		return 0, 0, malformed("a varint of more than %d bytes", maxBytes)
 	}
 	return 0, 0, nil
 }
 
-// varintSize is varint for one whose value nobody wants.
+// varintSize returns the size of a varint whose value is not needed.
 func varintSize(b []byte, bits int) (int, error) {
-	most := (bits + 6) / 7
-	for i, c := range b[:min(len(b), most)] {
+	maxBytes := (bits + 6) / 7
+	for i, c := range b[:min(len(b), maxBytes)] {
 		if c < 0x80 {
-			if i < most-1 || c>>(7-(7*most-bits)) == 0 {
+			if i < maxBytes-1 || c>>(7-(7*maxBytes-bits)) == 0 {
 				return i + 1, nil
 			}
 			break
 		}
 	}
-	_, n, err := varint(b, bits) // which says what is wrong
+	_, n, err := varint(b, bits) // returns the error of a malformed one
 	return n, err
 }
 
--- a/internal/thriftwire/reader_test.go
+++ b/internal/thriftwire/reader_test.go
@@ -14,7 +14,7 @@
 	"github.com/apache/thrift/lib/go/thrift"
 )
 
-// The apache library is the witness: it writes what is read here.
+// protocols are those of the Apache library, which is the reference implementation of these tests.
 func protocols() map[Protocol]thrift.TProtocolFactory {
 	return map[Protocol]thrift.TProtocolFactory{
 		Binary:    thrift.NewTBinaryProtocolFactoryConf(&thrift.TConfiguration{TBinaryStrictWrite: thrift.BoolPtr(true)}),
@@ -23,81 +23,81 @@
 	}
 }
 
-// author writes random values with the library.
-type author struct {
+// randomWriter writes random values with the library.
+type randomWriter struct {
 	p   thrift.TProtocol
 	rng *rand.Rand
 }
 
 var ctx = context.Background()
 
-func (a *author) value(t thrift.TType, depth int) {
+func (w *randomWriter) value(t thrift.TType, depth int) {
 	switch t {
 	case thrift.BOOL:
-		a.p.WriteBool(ctx, a.rng.IntN(2) == 0)
+		w.p.WriteBool(ctx, w.rng.IntN(2) == 0)
 	case thrift.BYTE:
-		a.p.WriteByte(ctx, int8(a.rng.Int()))
+		w.p.WriteByte(ctx, int8(w.rng.Int()))
 	case thrift.I16:
-		a.p.WriteI16(ctx, []int16{0, -1, math.MinInt16, math.MaxInt16, int16(a.rng.Int())}[a.rng.IntN(5)])
+		w.p.WriteI16(ctx, []int16{0, -1, math.MinInt16, math.MaxInt16, int16(w.rng.Int())}[w.rng.IntN(5)])
 	case thrift.I32:
-		a.p.WriteI32(ctx, []int32{0, -1, math.MinInt32, math.MaxInt32, int32(a.rng.Int())}[a.rng.IntN(5)])
+		w.p.WriteI32(ctx, []int32{0, -1, math.MinInt32, math.MaxInt32, int32(w.rng.Int())}[w.rng.IntN(5)])
 	case thrift.I64:
-		a.p.WriteI64(ctx, []int64{0, -1, math.MinInt64, math.MaxInt64, a.rng.Int64()}[a.rng.IntN(5)])
+		w.p.WriteI64(ctx, []int64{0, -1, math.MinInt64, math.MaxInt64, w.rng.Int64()}[w.rng.IntN(5)])
 	case thrift.DOUBLE:
-		a.p.WriteDouble(ctx, a.rng.Float64())
+		w.p.WriteDouble(ctx, w.rng.Float64())
 	case thrift.STRING:
-		a.p.WriteString(ctx, strings.Repeat("s", a.rng.IntN(200)))
+		w.p.WriteString(ctx, strings.Repeat("s", w.rng.IntN(200)))
 	case thrift.UUID:
-		a.p.WriteUUID(ctx, thrift.Tuuid{byte(a.rng.Int())})
+		w.p.WriteUUID(ctx, thrift.Tuuid{byte(w.rng.Int())})
 	case thrift.STRUCT:
-		a.fields(a.rng.IntN(5), depth+1)
+		w.fields(w.rng.IntN(5), depth+1)
 	case thrift.LIST, thrift.SET:
-		e, n := a.some(depth), a.rng.IntN(20)
+		e, n := w.randomType(depth), w.rng.IntN(20)
 		if t == thrift.LIST {
-			a.p.WriteListBegin(ctx, e, n)
+			w.p.WriteListBegin(ctx, e, n)
 		} else {
-			a.p.WriteSetBegin(ctx, e, n)
+			w.p.WriteSetBegin(ctx, e, n)
 		}
 		for range n {
-			a.value(e, depth+1)
+			w.value(e, depth+1)
 		}
 	case thrift.MAP:
-		k, v, n := a.some(depth), a.some(depth), a.rng.IntN(20)
-		a.p.WriteMapBegin(ctx, k, v, n)
+		k, v, n := w.randomType(depth), w.randomType(depth), w.rng.IntN(20)
+		w.p.WriteMapBegin(ctx, k, v, n)
 		for range n {
-			a.value(k, depth+1)
-			a.value(v, depth+1)
+			w.value(k, depth+1)
+			w.value(v, depth+1)
 		}
 	}
 }
 
-func (a *author) some(depth int) thrift.TType {
+func (w *randomWriter) randomType(depth int) thrift.TType {
 	all := []thrift.TType{thrift.BOOL, thrift.BYTE, thrift.I16, thrift.I32, thrift.I64, thrift.DOUBLE, thrift.STRING, thrift.UUID,
 		thrift.STRUCT, thrift.LIST, thrift.SET, thrift.MAP}
 	if depth > 3 {
 		all = all[:8]
 	}
-	return all[a.rng.IntN(len(all))]
+	return all[w.rng.IntN(len(all))]
 }
 
-func (a *author) fields(n, depth int) {
-	a.p.WriteStructBegin(ctx, "")
+func (w *randomWriter) fields(n, depth int) {
+	w.p.WriteStructBegin(ctx, "")
 	for range n {
-		t := a.some(depth)
-		a.p.WriteFieldBegin(ctx, "", t, []int16{1, 2, 3, 16, 500, -3, int16(a.rng.Int())}[a.rng.IntN(7)]) // ids may jump back
-		a.value(t, depth)
-		a.p.WriteFieldEnd(ctx)
+		t := w.randomType(depth)
+		w.p.WriteFieldBegin(ctx, "", t, []int16{1, 2, 3, 16, 500, -3, int16(w.rng.Int())}[w.rng.IntN(7)]) // ids need not ascend
+		w.value(t, depth)
+		w.p.WriteFieldEnd(ctx)
 	}
-	a.p.WriteFieldStop(ctx)
-	a.p.WriteStructEnd(ctx)
+	w.p.WriteFieldStop(ctx)
+	w.p.WriteStructEnd(ctx)
 }
 
-// compose writes a message whose struct holds field 1, a struct with field 3, a string and field 4, an
-// integer, and n random fields.
-func compose(f thrift.TProtocolFactory, seed uint64, kind thrift.TMessageType, seq int32, key string, num int64, n int) []byte {
+// encodeMessage encodes a message with n random fields after field 1, which is a struct with field 2, a bool,
+// field 3, a string, and field 4, an integer.
+func encodeMessage(f thrift.TProtocolFactory, seed uint64, kind thrift.TMessageType, seq int32, key string, num int64, n int) []byte {
 	buf := thrift.NewTMemoryBuffer()
 	p := f.GetProtocol(buf)
-	a := &author{p, rand.New(rand.NewPCG(seed, 3))}
+	w := &randomWriter{p, rand.New(rand.NewPCG(seed, 3))}
 	p.WriteMessageBegin(ctx, "Orders:place", kind, seq)
 	p.WriteStructBegin(ctx, "")
 	p.WriteFieldBegin(ctx, "", thrift.STRUCT, 1)
@@ -111,9 +111,9 @@
 	p.WriteFieldStop(ctx)
 	p.WriteStructEnd(ctx)
 	for range n {
-		t := a.some(0)
-		p.WriteFieldBegin(ctx, "", t, int16(2+a.rng.IntN(1000)))
-		a.value(t, 0)
+		t := w.randomType(0)
+		p.WriteFieldBegin(ctx, "", t, int16(2+w.rng.IntN(1000)))
+		w.value(t, 0)
 	}
 	p.WriteFieldStop(ctx)
 	p.WriteStructEnd(ctx)
@@ -124,8 +124,8 @@
 
 var testPaths = []Path{{1, 3}, {1, 4}, {1, 2}, {7, 7}}
 
-// Whatever the library writes is read to its end, with the fields that are asked for, in one piece,
-// byte by byte, and with more behind it; with another sequence id it is the same to the library.
+// Messages of the Apache library are read to their end, with the selected fields, in one piece that more
+// bytes follow as well as byte by byte. With another sequence id they equal what the library writes.
 func TestReaderAgainstTheLibrary(t *testing.T) {
 	for proto, f := range protocols() {
 		t.Run(proto.String(), func(t *testing.T) {
@@ -134,9 +134,9 @@
 				num := []int64{0, -1, math.MaxInt64, math.MinInt64, int64(seed)}[seed%5]
 				key := strings.Repeat("k", int(seed%300))
 				kind := []thrift.TMessageType{thrift.CALL, thrift.REPLY, thrift.EXCEPTION, thrift.ONEWAY}[seed%4]
-				msg := compose(f, seed, kind, seq, key, num, int(seed%12))
+				msg := encodeMessage(f, seed, kind, seq, key, num, int(seed%12))
 				r := NewReader(Limits{}, testPaths...)
-				ok, err := r.Read(append(bytes.Clone(msg), "what comes behind"...))
+				ok, err := r.Read(append(bytes.Clone(msg), "bytes after the message"...))
 				if !ok || err != nil || r.Size != len(msg) {
 					t.Fatalf("seed %d: %v, %v, %d of %d bytes", seed, ok, err, r.Size, len(msg))
 				}
@@ -158,7 +158,7 @@
 					t.Fatalf("seed %d: byte by byte %+v, at once %+v", seed, slow.Message, r.Message)
 				}
 				other := r.AppendWithSeq(nil, msg, 77)
-				if want := compose(f, seed, kind, 77, key, num, int(seed%12)); !bytes.Equal(other, want) {
+				if want := encodeMessage(f, seed, kind, 77, key, num, int(seed%12)); !bytes.Equal(other, want) {
 					t.Fatalf("seed %d: with another sequence id %x, want %x", seed, other, want)
 				}
 			}
@@ -166,7 +166,7 @@
 	}
 }
 
-// The exception that is written here is the library's.
+// The Apache library and the reader can read exceptions of AppendException.
 func TestExceptionAgainstTheLibrary(t *testing.T) {
 	for proto, f := range protocols() {
 		msg := AppendException(nil, proto, []byte("place"), -5, UnknownMethod, "no such thing")
@@ -188,7 +188,7 @@
 	}
 }
 
-// nested makes a message with this many structs in one another.
+// nested encodes a message with structs nested this deep.
 func nested(p Protocol, depth int) []byte {
 	b := AppendHeader(nil, p, Call, []byte("m"), 1)
 	for range depth {
@@ -201,8 +201,9 @@
 	return append(b, make([]byte, depth+1)...)
 }
 
-// What is broken is an error at once, however it is cut, and costs nothing.
-func TestBroken(t *testing.T) {
+// A malformed or oversized message is an error as soon as the offending bytes have arrived, in one piece as
+// well as byte by byte.
+func TestMalformedMessages(t *testing.T) {
 	field := func(p Protocol, t Type, compact byte, rest ...byte) []byte {
 		b := AppendHeader(nil, p, Call, []byte("m"), 1)
 		if p == Compact {
@@ -210,41 +211,41 @@
 		}
 		return append(append(b, byte(t), 0, 1), rest...)
 	}
-	eleven := bytes.Repeat([]byte{0xff}, 11)
+	elevenBytes := bytes.Repeat([]byte{0xff}, 11)
 	for name, c := range map[string]struct {
 		msg  []byte
 		want error
 	}{
-		"binary, version 2":                {[]byte{0x80, 2, 0, 1, 0, 0, 0, 0}, ErrMalformed},
-		"binary, message type 9":           {[]byte{0x80, 1, 0, 9, 0, 0, 0, 0}, ErrMalformed},
-		"binary, a name of 2 GB":           {[]byte{0x80, 1, 0, 1, 0x7f, 0xff, 0xff, 0xff}, ErrMalformed},
-		"binary, a negative name":          {[]byte{0x80, 1, 0, 1, 0xff, 0xff, 0xff, 0xff}, ErrMalformed},
-		"old binary, message type 0":       {append([]byte{0, 0, 0, 1, 'm', 0}, 0, 0, 0, 1), ErrMalformed},
-		"compact, version 2":               {[]byte{0x82, 0x22, 1, 0}, ErrMalformed},
-		"compact, message type 7":          {[]byte{0x82, 0xe1, 1, 0}, ErrMalformed},
-		"compact, a sequence id of 11":     {append([]byte{0x82, 0x21}, eleven...), ErrMalformed},
-		"compact, a sequence id over 32":   {[]byte{0x82, 0x21, 0xff, 0xff, 0xff, 0xff, 0x1f, 0}, ErrMalformed},
-		"compact, a name of 2 GB":          {[]byte{0x82, 0x21, 1, 0xff, 0xff, 0xff, 0xff, 0x07}, ErrMalformed},
-		"no message":                       {[]byte("hello"), ErrMalformed},
-		"binary, unknown type":             {field(Binary, 5, 0), ErrMalformed},
-		"compact, unknown type":            {field(Compact, 0, 14), ErrMalformed},
-		"binary, a string of 2 GB":         {field(Binary, String, 8, 0x7f, 0xff, 0xff, 0xff), ErrTooLarge},
-		"binary, a negative string":        {field(Binary, String, 8, 0x80, 0, 0, 0), ErrMalformed},
-		"compact, a string of 2 GB":        {field(Compact, String, 8, 0xff, 0xff, 0xff, 0xff, 0x07), ErrTooLarge},
-		"compact, a negative string":       {field(Compact, String, 8, 0xff, 0xff, 0xff, 0xff, 0x0f), ErrMalformed},
-		"compact, a varint of 11":          {field(Compact, I64, 6, eleven...), ErrMalformed},
-		"compact, an i16 of 4":             {field(Compact, I16, 4, 0x80, 0x80, 0x80, 1), ErrMalformed},
-		"compact, a field id of 4 bytes":   {append(AppendHeader(nil, Compact, Call, []byte("m"), 1), 8, 0x80, 0x80, 0x80, 1), ErrMalformed},
-		"binary, a list of 2^31-1 bytes":   {field(Binary, List, 9, 3, 0x7f, 0xff, 0xff, 0xff), ErrTooLarge},
-		"binary, a list of 2^31-1 structs": {field(Binary, List, 9, 12, 0x7f, 0xff, 0xff, 0xff), ErrTooLarge},
-		"binary, a list of -2^31":          {field(Binary, List, 9, 3, 0x80, 0, 0, 0), ErrMalformed},
-		"binary, a map of 2^31-1":          {field(Binary, Map, 11, 3, 3, 0x7f, 0xff, 0xff, 0xff), ErrTooLarge},
-		"binary, a list of nothing known":  {field(Binary, List, 9, 5, 0, 0, 0, 1), ErrMalformed},
-		"compact, a list of 2^31-1":        {field(Compact, List, 9, 0xf3, 0xff, 0xff, 0xff, 0xff, 0x07), ErrTooLarge},
-		"compact, a map of 2^31-1":         {field(Compact, Map, 11, 0xff, 0xff, 0xff, 0xff, 0x07, 0x33), ErrTooLarge},
-		"compact, a list of unknown type":  {field(Compact, List, 9, 0x1e), ErrMalformed},
-		"binary, 10,000 deep":              {nested(Binary, 10_000), ErrTooDeep},
-		"compact, 10,000 deep":             {nested(Compact, 10_000), ErrTooDeep},
+		"binary, version 2":                  {[]byte{0x80, 2, 0, 1, 0, 0, 0, 0}, ErrMalformed},
+		"binary, message type 9":             {[]byte{0x80, 1, 0, 9, 0, 0, 0, 0}, ErrMalformed},
+		"binary, a name of 2 GB":             {[]byte{0x80, 1, 0, 1, 0x7f, 0xff, 0xff, 0xff}, ErrMalformed},
+		"binary, a negative name":            {[]byte{0x80, 1, 0, 1, 0xff, 0xff, 0xff, 0xff}, ErrMalformed},
+		"old binary, message type 0":         {append([]byte{0, 0, 0, 1, 'm', 0}, 0, 0, 0, 1), ErrMalformed},
+		"compact, version 2":                 {[]byte{0x82, 0x22, 1, 0}, ErrMalformed},
+		"compact, message type 7":            {[]byte{0x82, 0xe1, 1, 0}, ErrMalformed},
+		"compact, a sequence id of 11 bytes": {append([]byte{0x82, 0x21}, elevenBytes...), ErrMalformed},
+		"compact, a sequence id over 32":     {[]byte{0x82, 0x21, 0xff, 0xff, 0xff, 0xff, 0x1f, 0}, ErrMalformed},
+		"compact, a name of 2 GB":            {[]byte{0x82, 0x21, 1, 0xff, 0xff, 0xff, 0xff, 0x07}, ErrMalformed},
+		"no message":                         {[]byte("hello"), ErrMalformed},
+		"binary, unknown type":               {field(Binary, 5, 0), ErrMalformed},
+		"compact, unknown type":              {field(Compact, 0, 14), ErrMalformed},
+		"binary, a string of 2 GB":           {field(Binary, String, 8, 0x7f, 0xff, 0xff, 0xff), ErrTooLarge},
+		"binary, a negative string":          {field(Binary, String, 8, 0x80, 0, 0, 0), ErrMalformed},
+		"compact, a string of 2 GB":          {field(Compact, String, 8, 0xff, 0xff, 0xff, 0xff, 0x07), ErrTooLarge},
+		"compact, a negative string":         {field(Compact, String, 8, 0xff, 0xff, 0xff, 0xff, 0x0f), ErrMalformed},
+		"compact, a varint of 11 bytes":      {field(Compact, I64, 6, elevenBytes...), ErrMalformed},
+		"compact, an i16 of 4 bytes":         {field(Compact, I16, 4, 0x80, 0x80, 0x80, 1), ErrMalformed},
+		"compact, a field id of 4 bytes":     {append(AppendHeader(nil, Compact, Call, []byte("m"), 1), 8, 0x80, 0x80, 0x80, 1), ErrMalformed},
+		"binary, a list of 2^31-1 bytes":     {field(Binary, List, 9, 3, 0x7f, 0xff, 0xff, 0xff), ErrTooLarge},
+		"binary, a list of 2^31-1 structs":   {field(Binary, List, 9, 12, 0x7f, 0xff, 0xff, 0xff), ErrTooLarge},
+		"binary, a list of -2^31":            {field(Binary, List, 9, 3, 0x80, 0, 0, 0), ErrMalformed},
+		"binary, a map of 2^31-1":            {field(Binary, Map, 11, 3, 3, 0x7f, 0xff, 0xff, 0xff), ErrTooLarge},
+		"binary, a list of unknown type":     {field(Binary, List, 9, 5, 0, 0, 0, 1), ErrMalformed},
+		"compact, a list of 2^31-1":          {field(Compact, List, 9, 0xf3, 0xff, 0xff, 0xff, 0xff, 0x07), ErrTooLarge},
+		"compact, a map of 2^31-1":           {field(Compact, Map, 11, 0xff, 0xff, 0xff, 0xff, 0x07, 0x33), ErrTooLarge},
+		"compact, a list of unknown type":    {field(Compact, List, 9, 0x1e), ErrMalformed},
+		"binary, 10,000 deep":                {nested(Binary, 10_000), ErrTooDeep},
+		"compact, 10,000 deep":               {nested(Compact, 10_000), ErrTooDeep},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewReader(Limits{})
@@ -256,7 +257,7 @@
 			for i := 0; i < len(c.msg) && err == nil; i++ {
 				var ok bool
 				if ok, err = r.Read(c.msg[:i+1]); ok {
-					t.Fatal("taken as whole")
+					t.Fatal("accepted as complete")
 				}
 			}
 			if !errors.Is(err, c.want) {
@@ -277,13 +278,13 @@
 	}
 }
 
-// A message that is cut off anywhere is not whole.
-func TestCutOff(t *testing.T) {
+// A message that is truncated anywhere is incomplete, and no error.
+func TestTruncatedMessage(t *testing.T) {
 	for proto, f := range protocols() {
-		msg := compose(f, 5, thrift.CALL, 9, "key", 5, 8)
+		msg := encodeMessage(f, 5, thrift.CALL, 9, "key", 5, 8)
 		for i := range msg {
 			if ok, err := NewReader(Limits{}).Read(msg[:i]); ok || err != nil {
-				t.Fatalf("%v, cut at %d of %d: %v, %v", proto, i, len(msg), ok, err)
+				t.Fatalf("%v, truncated at %d of %d: %v, %v", proto, i, len(msg), ok, err)
 			}
 		}
 	}
@@ -292,7 +293,7 @@
 func TestDetect(t *testing.T) {
 	frame := func(b []byte) []byte { return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...) }
 	for proto, f := range protocols() {
-		msg := compose(f, 1, thrift.CALL, 1, "k", 1, 1)
+		msg := encodeMessage(f, 1, thrift.CALL, 1, "k", 1, 1)
 		for transport, b := range map[Transport][]byte{Unframed: msg, Framed: frame(msg)} {
 			for n := range len(b) {
 				tr, p, ok, err := Detect(b[:n])
@@ -316,12 +317,12 @@
 	}
 }
 
-// Whatever comes: at once and byte by byte are the same, and what is whole here is whole, and as long,
-// to the library.
+// Any bytes give the same result in one piece and byte by byte. A message that the reader accepts and the
+// Apache library can read has the same header and length there.
 func FuzzReader(f *testing.F) {
 	for _, fac := range protocols() {
 		for seed := range uint64(8) {
-			f.Add(compose(fac, seed, thrift.CALL, int32(seed), "key", 7, int(seed)))
+			f.Add(encodeMessage(fac, seed, thrift.CALL, int32(seed), "key", 7, int(seed)))
 		}
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -335,13 +336,13 @@
 			t.Fatalf("a stack of %d", cap(r.stack))
 		}
 		slow := NewReader(limits, testPaths...)
-		var sok bool
-		var serr error
-		for i := 0; i < len(b) && !sok && serr == nil; i++ {
-			sok, serr = slow.Read(b[:i+1])
+		var slowOK bool
+		var slowErr error
+		for i := 0; i < len(b) && !slowOK && slowErr == nil; i++ {
+			slowOK, slowErr = slow.Read(b[:i+1])
 		}
-		if ok != sok || errors.Is(err, ErrMalformed) != errors.Is(serr, ErrMalformed) || ok && fmt.Sprintf("%+v", r.Message) != fmt.Sprintf("%+v", slow.Message) {
-			t.Fatalf("at once %v %v %+v, byte by byte %v %v %+v", ok, err, r.Message, sok, serr, slow.Message)
+		if ok != slowOK || errors.Is(err, ErrMalformed) != errors.Is(slowErr, ErrMalformed) || ok && fmt.Sprintf("%+v", r.Message) != fmt.Sprintf("%+v", slow.Message) {
+			t.Fatalf("at once %v %v %+v, byte by byte %v %v %+v", ok, err, r.Message, slowOK, slowErr, slow.Message)
 		}
 		if !ok {
 			return
@@ -367,8 +368,8 @@
 	})
 }
 
-// order is a call of about 1 KB: the pass-through's usual load.
-func order(f thrift.TProtocolFactory) []byte {
+// typicalCall encodes a call of about 1 KB, the usual size of forwarded calls.
+func typicalCall(f thrift.TProtocolFactory) []byte {
 	buf := thrift.NewTMemoryBuffer()
 	p := f.GetProtocol(buf)
 	p.WriteMessageBegin(ctx, "place", thrift.CALL, 5)
@@ -396,11 +397,11 @@
 	return bytes.Clone(buf.Bytes())
 }
 
-// Parse and forward of the envelope: the end of the call, its key, and another sequence id.
-func BenchmarkPass(b *testing.B) {
+// BenchmarkForward finds the end and the key of a call, and replaces its sequence id.
+func BenchmarkForward(b *testing.B) {
 	for proto, f := range protocols() {
 		b.Run(proto.String(), func(b *testing.B) {
-			msg := order(f)
+			msg := typicalCall(f)
 			r := NewReader(Limits{}, Path{1, 3})
 			var head []byte
 			b.SetBytes(int64(len(msg)))
@@ -416,11 +417,11 @@
 	}
 }
 
-// The apache library reads the same call and writes it again.
+// BenchmarkLibrary decodes and encodes the same call with the Apache library, for comparison.
 func BenchmarkLibrary(b *testing.B) {
 	for proto, f := range protocols() {
 		b.Run(proto.String(), func(b *testing.B) {
-			msg := order(f)
+			msg := typicalCall(f)
 			b.SetBytes(int64(len(msg)))
 			b.ReportAllocs()
 			in, out := thrift.NewTMemoryBufferLen(2048), thrift.NewTMemoryBufferLen(2048)
@@ -443,7 +444,7 @@
 	}
 }
 
-// copyValue reads a value and writes it, as generated code would, without its types.
+// copyValue reads a value and writes it, as generated code does, but without the generated types.
 func copyValue(r, w thrift.TProtocol, t thrift.TType) error {
 	switch t {
 	case thrift.STRUCT:
@@ -494,7 +495,7 @@
 	return fmt.Errorf("no copy of %v", t)
 }
 
-// Linear in size and depth, also where it comes byte by byte.
+// BenchmarkLinear shows that the time is linear in the size, byte by byte, and in the depth.
 func BenchmarkLinear(b *testing.B) {
 	for _, size := range []int{1 << 10, 1 << 14, 1 << 18} {
 		msg := AppendException(nil, Compact, []byte("m"), 1, 0, strings.Repeat("x", size))
--- a/internal/thriftwire/write.go
+++ b/internal/thriftwire/write.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 )
 
-// Application exception types, as the RPC specification numbers them.
+// Types of application exceptions, with the numbers of the RPC specification.
 const (
 	Unknown               = 0
 	UnknownMethod         = 1
@@ -19,23 +19,23 @@
 	UnsupportedClientType = 10
 )
 
-// AppendWithSeq appends the message with another sequence id, all else as it is. m describes msg.
+// AppendWithSeq appends a copy of the message with another sequence id. m describes msg.
 func (m *Message) AppendWithSeq(dst, msg []byte, seq int32) []byte {
 	dst = m.AppendHeadWithSeq(dst, msg, seq)
 	return append(dst, msg[m.seqEnd:m.Size]...)
 }
 
-// AppendHeadWithSeq appends what of the message stands up to its sequence id, with another one. What
-// follows is Rest.
+// AppendHeadWithSeq appends the part of the message that ends with the sequence id, which it replaces.
+// Rest returns what follows.
 func (m *Message) AppendHeadWithSeq(dst, msg []byte, seq int32) []byte {
-	dst = append(dst, msg[:m.seqAt]...)
+	dst = append(dst, msg[:m.seqStart]...)
 	if m.Protocol == Compact {
 		return binary.AppendUvarint(dst, uint64(uint32(seq)))
 	}
 	return binary.BigEndian.AppendUint32(dst, uint32(seq))
 }
 
-// Rest is the message behind its sequence id.
+// Rest returns the part of the message that follows the sequence id.
 func (m *Message) Rest(msg []byte) []byte { return msg[m.seqEnd:m.Size] }
 
 // AppendHeader appends the header of a message.
@@ -58,7 +58,7 @@
 	return binary.BigEndian.AppendUint32(dst, uint32(seq))
 }
 
-// AppendException appends an answer that is a TApplicationException: field 1 its message, field 2 its
+// AppendException appends a reply that is a TApplicationException: field 1 is its message, field 2 its
 // type.
 func AppendException(dst []byte, p Protocol, name []byte, seq int32, code int32, text string) []byte {
 	dst = AppendHeader(dst, p, Exception, name, seq)
