--- a/internal/downstream/http/body.go
+++ b/internal/downstream/http/body.go
@@ -13,57 +13,56 @@
 )
 
 const (
-	// MaxBodyBytes bounds the body of a request.
+	// MaxBodyBytes bounds the size of a request body.
 	MaxBodyBytes = 64 << 20
-	// maxBufferedBody is how much of a body is read before a server is selected, if there is memory for it.
+	// maxBufferedBody is how much of a body is buffered before a server is selected, if the budget permits.
 	maxBufferedBody = 1 << 20
-	// unreservedBytes are read before memory for the rest of a body is reserved, so that a client that only
-	// claims a long one occupies none.
+	// unreservedBytes are read without a reservation. Memory is reserved only for what exceeds them, so that
+	// a client that declares a long body and does not send it reserves none.
 	unreservedBytes = 4 << 10
-	// discardBufferBytes is how much is read at once of a body that nobody needs.
+	// discardBufferBytes is the size of the buffer for a body that is discarded.
 	discardBufferBytes = 4 << 10
 
-	// A body may take bodyGracePeriod, and a second more for each minBodyBytesPerSecond.
+	// The time limit of a body is bodyGracePeriod plus the time for its bytes at minBodyBytesPerSecond.
 	bodyGracePeriod       = 1500 * time.Millisecond
 	minBodyBytesPerSecond = 24 << 10
 )
 
-// errBodyTooLong is the error of a body over MaxBodyBytes.
+// errBodyTooLong is the error of a body that exceeds MaxBodyBytes.
 var errBodyTooLong = errors.New("body too long")
 
-// clientBody reads the body of a request from a client, which has a bounded time to send it. Only the time within
-// Read counts, not the time in between.
+// clientBody reads a request body, and limits how long the client may take to send it. Only the time within
+// Read counts, not the time between reads.
 type clientBody struct {
-	setDeadline func(time.Time) error // of the connection's reads
+	setReadDeadline func(time.Time) error // of the connection
 
 	mu         sync.Mutex
-	from       io.Reader
+	source     io.Reader
 	readTime   time.Duration
 	readBytes  int64
-	discarding bool // Read is over: discard reads the rest
-	ended      bool // nothing more will arrive
+	discarding bool // discard reads the rest, and Read returns an error
+	ended      bool // the end or an error was read
 }
 
-// newBody returns the body of a request.
 func newBody(w http.ResponseWriter, req *http.Request) *clientBody {
-	return &clientBody{from: req.Body, setDeadline: http.NewResponseController(w).SetReadDeadline}
+	return &clientBody{source: req.Body, setReadDeadline: http.NewResponseController(w).SetReadDeadline}
 }
 
-// Read reads the next bytes. An error other than io.EOF says that the body will not arrive completely.
+// Read implements io.Reader. An error other than io.EOF means that the body is incomplete.
 func (b *clientBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.discarding {
 		return 0, conns.ErrIncompleteRequest
 	}
-	return b.next(p)
+	return b.readLocked(p)
 }
 
-// next is Read with the lock held.
-func (b *clientBody) next(p []byte) (int, error) {
+// readLocked reads the next bytes. The lock is held.
+func (b *clientBody) readLocked(p []byte) (int, error) {
 	start := time.Now()
-	_ = b.setDeadline(start.Add(maxReadTime(b.readBytes) - b.readTime))
-	n, err := b.from.Read(p)
+	_ = b.setReadDeadline(start.Add(maxReadTime(b.readBytes) - b.readTime))
+	n, err := b.source.Read(p)
 	b.readTime += time.Since(start)
 	b.readBytes += int64(n)
 	if b.readBytes > MaxBodyBytes {
@@ -73,21 +72,21 @@
 	case nil:
 		return n, nil
 	case io.EOF:
-		_ = b.setDeadline(time.Time{}) // net/http reads on, to notice that the client disconnects
+		_ = b.setReadDeadline(time.Time{}) // net/http reads on, to detect that the client disconnects
 	default:
-		_ = b.setDeadline(start) // nobody waits for the rest
+		_ = b.setReadDeadline(start) // the rest is not read
 	}
 	b.ended = true
 	return n, err
 }
 
-// maxReadTime is how long n bytes may take to arrive.
+// maxReadTime returns how long n bytes of a body may take to arrive.
 func maxReadTime(n int64) time.Duration {
 	return bodyGracePeriod + time.Duration(n)*time.Second/minBodyBytesPerSecond
 }
 
-// discard reads the rest of the body after an answer that came before its end: some clients read the answer only
-// once they have sent everything.
+// discard reads and drops the rest of the body after an answer that was written before its end: some clients
+// read the answer only once they have sent the complete request.
 func (b *clientBody) discard(w http.ResponseWriter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -98,14 +97,15 @@
 	_ = http.NewResponseController(w).Flush()
 	buf := make([]byte, discardBufferBytes)
 	for {
-		if _, err := b.next(buf); err != nil {
+		if _, err := b.readLocked(buf); err != nil {
 			return
 		}
 	}
 }
 
-// buffer reads the complete body, as far as maxBufferedBody and the budget permit. length is -1 if unknown. The
-// caller releases the bytes reserved from the budget, with an error too. more says that the body continues.
+// buffer reads the body, up to maxBufferedBody and as far as the budget permits. length is -1 if unknown.
+// more reports that the body continues. The caller releases the bytes reserved from the budget, also after an
+// error.
 func (b *clientBody) buffer(length int64, budget *semaphore.Weighted) (body []byte, reserved int64, more bool, err error) {
 	limit := int64(maxBufferedBody)
 	if length >= 0 {
@@ -136,8 +136,8 @@
 	}
 }
 
-// readEnd reads the end of a body whose bytes have all arrived: only from there on net/http notices that a client
-// disconnects.
+// readEnd reads the end of a body whose bytes have all been read: net/http detects that a client disconnects
+// only after that.
 func (b *clientBody) readEnd() error {
 	_, err := b.Read(make([]byte, 1))
 	if err == io.EOF {
--- a/internal/downstream/http/conns.go
+++ b/internal/downstream/http/conns.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	// newConnGracePeriod is how long a connection may take to bring a request, with its body, before it is
-	// evicted ahead of all others.
+	// newConnGracePeriod is how long a connection may take to deliver a complete request before it is evicted
+	// ahead of all others.
 	newConnGracePeriod = 250 * time.Millisecond
-	// maxBusyFraction of the connections may have an open request; the others are for those that still bring one.
+	// maxBusyFraction is the part of hardLimit that may have an open request. The rest is for
+	// connections that have yet to deliver one.
 	maxBusyFraction = 7.0 / 8
-	// A burst is more than a part of the soft limit, 1/burstDivisor, of one kind.
+	// More connections of one kind than softLimit/burstDivisor are a burst.
 	burstDivisor = 4
 )
 
@@ -25,33 +26,34 @@
 type connKind int
 
 const (
-	noRequest   connKind = iota // nothing complete has arrived yet
+	noRequest   connKind = iota // no complete head has arrived yet
 	idle                        // between requests
-	readingBody                 // a head has arrived, its body is being read
+	readingBody                 // a head has arrived, and its body is being read
 	connKinds                   // the number of kinds
 )
 
-// clientConns evicts clients' connections when there are nearly as many as there may be. Every client is accepted:
-// one that waits in the accept queue gets neither an answer nor a close.
+// clientConns bounds the number of clients' connections by eviction. Every connection is accepted, as a
+// client in the accept queue would get neither an answer nor a close.
 //
-// Connections without an open request are evicted, the oldest of each kind first: those that have brought no
-// complete request for newConnGracePeriod, or that are part of a burst; then idle ones; then the others. So hundreds
-// of clients that connect and send nothing, or half a request, evict each other and not the clients that are served.
+// Only connections without an open request are evicted, the oldest of each kind first: those that have
+// delivered no complete request for newConnGracePeriod, or that are part of a burst; then idle ones; then the
+// others. So hundreds of clients that connect and send nothing, or half a request, evict each other and not
+// the clients that are served.
 //
-// Eviction begins at a soft limit, long before the descriptors run out: an application with a limit of its own may
-// have nothing but connections that it uses no more, and could not bring another request. Where nearly all
-// connections have an open request only new ones are left to evict, and their requests would be lost. They stay up
-// to the hard limit, and requests are rejected before that is reached.
+// Eviction begins at the soft limit, long before the descriptors run out: an application that limits its own
+// connections may have only stale ones open, and could not send another request. If nearly all connections
+// have an open request, only new ones remain to be evicted, and their requests would be lost. So new ones are
+// evicted only above the hard limit, and requests are rejected before that is reached.
 //
-// It evicts whenever a connection changes its state. A connection that is being closed does not count and is not
-// selected again: net/http notices the close only later.
+// Each change of a connection's state may evict others. A connection that is being closed is neither counted
+// nor selected again, as net/http reports the close only later.
 type clientConns struct {
-	softLimit int // above it idle connections and those that were silent for long are evicted
-	hardLimit int // above it new ones are, too
+	softLimit int // above it, idle connections and those without a request for too long are evicted
+	hardLimit int // above it, new ones are evicted too
 
 	mu        sync.Mutex
 	conns     map[net.Conn]*clientConn
-	closing   int                  // evicted and still in conns
+	closing   int                  // number of evicted connections that are still in conns
 	evictable [connKinds]list.List // connections without an open request, the oldest first
 }
 
@@ -59,20 +61,19 @@
 type clientConn struct {
 	element      *list.Element // in evictable; nil while a request is open
 	kind         connKind
-	since        time.Time // of that kind
+	since        time.Time // when it became of this kind
 	closing      bool
-	readDeadline time.Time // by limitReads; zero: none
+	readDeadline time.Time // set by limitReads; zero: none
 }
 
-// connKey is the key of the connection in the context of a request.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// newClientConns returns an empty clientConns with these limits.
 func newClientConns(softLimit, hardLimit int) *clientConns {
 	return &clientConns{softLimit: softLimit, hardLimit: hardLimit, conns: map[net.Conn]*clientConn{}}
 }
 
-// overloaded says whether too many connections have an open request for one more.
+// overloaded reports whether too many connections have an open request.
 func (c *clientConns) overloaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,19 +84,19 @@
 	return float64(busy) > maxBusyFraction*float64(c.hardLimit)
 }
 
-// empty says whether nobody is connected.
+// empty reports whether no client is connected.
 func (c *clientConns) empty() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns) == 0
 }
 
-// context puts the connection into the context of its requests.
-func (c *clientConns) context(ctx context.Context, nc net.Conn) context.Context {
+// connContext adds the connection to the context of its requests.
+func (c *clientConns) connContext(ctx context.Context, nc net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
-// track follows the states of net/http.
+// track is the ConnState callback of net/http.
 func (c *clientConns) track(nc net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,9 +124,9 @@
 	}
 }
 
-// requestRead notes that the connection of a handler has brought a complete request: it stays until that is
-// answered. It returns false for a connection that has just been evicted: it can't carry an answer any longer, and
-// its client sends the request again.
+// requestRead records that a handler's connection has delivered a complete request, and protects the
+// connection from eviction until the answer. It returns false if the connection has just been evicted: no
+// answer can be written any longer, and the client sends the request again.
 func (c *clientConns) requestRead(ctx context.Context) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,12 +141,12 @@
 	}
 	if !conn.readDeadline.IsZero() {
 		conn.readDeadline = time.Time{}
-		nc.SetReadDeadline(time.Time{}) // else its end would look like a disconnect
+		nc.SetReadDeadline(time.Time{}) // an expired deadline would look like a disconnect
 	}
 	return true
 }
 
-// limitReads sets a deadline for connections that have begun a request, or still have to bring their first.
+// limitReads sets a read deadline for connections whose request is incomplete or which have sent none yet.
 func (c *clientConns) limitReads(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,8 +159,8 @@
 	}
 }
 
-// closeIdle closes the connections between requests, except those on which a request has arrived that net/http has
-// not read yet: the close would lose it. Its answer closes the connection.
+// closeIdle closes idle connections, except those on which bytes have arrived that net/http has not read yet:
+// closing one would lose the request. Its answer closes the connection instead.
 func (c *clientConns) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,7 +190,7 @@
 	abort(nc) // net/http's read then fails, and it reports StateClosed
 }
 
-// abort closes a connection at once. No answer may be on its way.
+// abort closes a connection at once. An answer that is on its way may be lost.
 func abort(nc net.Conn) {
 	if conn, ok := nc.(*framedConn); ok {
 		conn.abort()
@@ -198,20 +199,20 @@
 	nc.Close()
 }
 
-// nextVictim is the connection to evict next; nil: there is none, or only new ones below the hard limit. The lock
-// is held.
+// nextVictim returns the connection to evict next; nil: there is none, or there are only new ones and the
+// hard limit is not exceeded. The lock is held.
 func (c *clientConns) nextVictim() net.Conn {
-	full := len(c.conns)-c.closing > c.hardLimit
+	overHardLimit := len(c.conns)-c.closing > c.hardLimit
 	burst := false
 	var oldest net.Conn
 	for _, kind := range []connKind{noRequest, readingBody} {
-		e := c.candidate(kind, full)
+		e := c.candidate(kind, overHardLimit)
 		if e == nil {
 			continue
 		}
 		nc := e.Value.(net.Conn)
 		many := c.evictable[kind].Len() > c.softLimit/burstDivisor
-		if many && full || time.Since(c.conns[nc].since) > newConnGracePeriod {
+		if many && overHardLimit || time.Since(c.conns[nc].since) > newConnGracePeriod {
 			return nc
 		}
 		burst = burst || many
@@ -219,27 +220,27 @@
 			oldest = nc
 		}
 	}
-	// The connections of a burst evict nobody but each other.
-	if e := c.candidate(idle, full); e != nil && !burst {
+	// The connections of a burst evict only each other.
+	if e := c.candidate(idle, overHardLimit); e != nil && !burst {
 		return e.Value.(net.Conn)
 	}
-	if !full {
+	if !overHardLimit {
 		return nil
 	}
 	return oldest
 }
 
-// candidate is the oldest connection of a kind that may be evicted. One that has brought bytes that nobody has read
-// yet may be only where the hard limit is exceeded. The lock is held.
-func (c *clientConns) candidate(kind connKind, full bool) *list.Element {
+// candidate returns the oldest connection of a kind that may be evicted. One with unread bytes may be evicted
+// only above the hard limit. The lock is held.
+func (c *clientConns) candidate(kind connKind, overHardLimit bool) *list.Element {
 	e := c.evictable[kind].Front()
-	for !full && e != nil && socket.Look(e.Value.(net.Conn)) == socket.Unread {
+	for !overHardLimit && e != nil && socket.Look(e.Value.(net.Conn)) == socket.Unread {
 		e = e.Next()
 	}
 	return e
 }
 
-// setEvictable notes that a connection has no open request and is the newest of its kind. The lock is held.
+// setEvictable makes a connection evictable, as the newest of its kind. The lock is held.
 func (c *clientConns) setEvictable(nc net.Conn, kind connKind) {
 	c.setBusy(nc)
 	if conn := c.conns[nc]; conn != nil && !conn.closing {
@@ -249,7 +250,7 @@
 	}
 }
 
-// setBusy takes a connection off those that may be evicted. The lock is held.
+// setBusy removes a connection from those that may be evicted. The lock is held.
 func (c *clientConns) setBusy(nc net.Conn) {
 	if conn := c.conns[nc]; conn != nil && conn.element != nil {
 		c.evictable[conn.kind].Remove(conn.element)
--- a/internal/downstream/http/disconnect.go
+++ b/internal/downstream/http/disconnect.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	// maxReadAheadBytes bounds what is read of what a client sends after its open request. Clients send one
-	// request at a time, so that there is little, and net/http reads none of it before the answer.
+	// maxReadAheadBytes bounds what is read ahead while a request is open. Clients usually do not pipeline,
+	// so that little arrives, and net/http reads none of it before the answer.
 	maxReadAheadBytes = 16 << 10
-	// readAheadBufferBytes is how much of it is read at once.
+	// readAheadBufferBytes is the size of the buffer of one read.
 	readAheadBufferBytes = 4 << 10
-	// disconnectPollInterval is how often the socket of a client that has sent more than that is checked.
+	// disconnectPollInterval is how often the socket is polled once maxReadAheadBytes have been read.
 	disconnectPollInterval = 25 * time.Millisecond
 )
 
-// disconnectDetector detects that a client disconnects while its request is open. net/http's own check ends with
-// the first byte that arrives after the request, and does not begin while a part of the body is still to arrive:
-// then the detector reads ahead, up to maxReadAheadBytes, and hands what it read to the next reader. It owns the
-// read deadline of the connection, as it has to end its own read without losing the deadline that net/http set.
+// disconnectDetector detects that a client disconnects while its request is open, in the cases in which
+// net/http does not: net/http's own check ends with the first byte that arrives after the request, and does
+// not begin before the body has arrived completely. The detector then reads ahead, up to maxReadAheadBytes,
+// and passes the bytes to the next read. It controls the read deadline of the connection, which it needs to
+// interrupt its own read, and restores the deadline that net/http set.
 type disconnectDetector struct {
 	conn         net.Conn
-	onRead       func(p []byte) // called with what was read ahead
+	onRead       func(p []byte) // called with the bytes of each read
 	disconnected chan struct{}  // closed once the client has disconnected
-	once         sync.Once      // closes it: the socket and the end of the bytes may both show it
+	once         sync.Once      // closes disconnected: both a poll and the end of the bytes may show it
 
 	mu           sync.Mutex
 	readAhead    []byte
-	err          error         // how reading ahead ended, after readAhead
-	readDeadline time.Time     // that net/http set
-	stop         chan struct{} // closed to stop the detector; nil: it does not run
+	err          error         // of reading ahead; it follows the bytes of readAhead
+	readDeadline time.Time     // the one that net/http set
+	stop         chan struct{} // closed to stop the detector; nil: it is not running
 	stopped      chan struct{} // closed once it has stopped
 }
 
-// notify notes that the client has disconnected.
+// notify marks the client as disconnected.
 func (d *disconnectDetector) notify() { d.once.Do(func() { close(d.disconnected) }) }
 
-// isDisconnected says whether the client has disconnected, by the present state of its socket.
+// isDisconnected reports whether the client has disconnected, and checks the current state of its socket.
 func (d *disconnectDetector) isDisconnected() bool {
 	select {
 	case <-d.disconnected:
@@ -55,7 +56,7 @@
 	return true
 }
 
-// start starts the detector, unless it runs or the client has disconnected.
+// start starts the detector, unless it is running or the client has disconnected.
 func (d *disconnectDetector) start() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,7 +68,7 @@
 	go d.run(d.stop, d.stopped)
 }
 
-// run reads ahead until stop, an error or the bound, and from there on polls the socket.
+// run reads ahead until stop or an error. From maxReadAheadBytes on it polls the socket instead.
 func (d *disconnectDetector) run(stop, stopped chan struct{}) {
 	defer close(stopped)
 	buf := make([]byte, readAheadBufferBytes)
@@ -94,7 +95,7 @@
 	}
 }
 
-// poll checks the socket until stop or the client has disconnected.
+// poll polls the socket until stop or until the client has disconnected.
 func (d *disconnectDetector) poll(stop chan struct{}) {
 	ticker := time.NewTicker(disconnectPollInterval)
 	defer ticker.Stop()
@@ -110,13 +111,14 @@
 	}
 }
 
-// stopAndRead stops the detector and reads what it has read ahead, or how that ended. 0 and nil: there is nothing.
+// stopAndRead stops the detector. It returns bytes that were read ahead, else the error of reading ahead. 0
+// and nil: there is neither.
 func (d *disconnectDetector) stopAndRead(p []byte) (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if stop, stopped := d.stop, d.stopped; stop != nil {
 		close(stop)
-		d.conn.SetReadDeadline(time.Unix(1, 0)) // ends its read
+		d.conn.SetReadDeadline(time.Unix(1, 0)) // interrupts its read
 		d.mu.Unlock()
 		<-stopped
 		d.mu.Lock()
@@ -134,7 +136,7 @@
 	return 0, d.err
 }
 
-// setReadDeadline sets the deadline of net/http's reads.
+// setReadDeadline sets the read deadline on behalf of net/http.
 func (d *disconnectDetector) setReadDeadline(t time.Time) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/downstream/http/disconnect_test.go
+++ b/internal/downstream/http/disconnect_test.go
@@ -10,8 +10,8 @@
 	"ringtrack.example/ringtrack/internal/socket"
 )
 
-// newWatchedConn returns both ends of a client's connection, whose disconnect detector runs.
-func newWatchedConn(t *testing.T) (client net.Conn, c *framedConn) {
+// newDetectedConn returns both ends of a client's connection, whose disconnect detector is running.
+func newDetectedConn(t *testing.T) (client net.Conn, c *framedConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,10 +32,10 @@
 	return client, c
 }
 
-// The disconnect of a client that sent more than is read ahead is notified once, even if the server reads on to the end
-// of the bytes, which shows it a second time.
+// The disconnect of a client that has sent more than is read ahead is notified once, although both the poll
+// of the socket and the end of the bytes show it. Closing the channel twice would panic.
 func TestDisconnectIsNotifiedOnce(t *testing.T) {
-	client, c := newWatchedConn(t)
+	client, c := newDetectedConn(t)
 	io.WriteString(client, strings.Repeat("x", maxReadAheadBytes+1))
 	client.(*net.TCPConn).CloseWrite()
 	select {
@@ -55,10 +55,10 @@
 	}
 }
 
-// A client that disconnects during the second of several pipelined requests is detected: net/http's own check then
-// finds a byte that was read ahead before.
+// The disconnect of a client during the second of several pipelined requests is detected, although net/http's
+// own check then ends with a byte that had been read ahead.
 func TestDisconnectDuringASecondPipelinedRequest(t *testing.T) {
-	client, c := newWatchedConn(t)
+	client, c := newDetectedConn(t)
 	io.WriteString(client, "three")
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		c.disconnect.mu.Lock()
@@ -82,8 +82,8 @@
 	}
 }
 
-// A request that arrives in the moment in which its connection is closed as idle is read; that gives one that has begun
-// to arrive no more time.
+// A request that arrives just as the idle timeout of its connection expires is read. An incomplete request
+// gets no more time by that.
 func TestRequestAtTheIdleTimeoutIsRead(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/downstream/http/framedconn.go
+++ b/internal/downstream/http/framedconn.go
@@ -11,10 +11,10 @@
 	"ringtrack.example/ringtrack/internal/socket"
 )
 
-// framedListener accepts connections whose framing is followed.
+// framedListener accepts connections as a framedConn each.
 type framedListener struct{ net.Listener }
 
-// Accept accepts one connection.
+// Accept implements net.Listener.
 func (l framedListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
@@ -23,33 +23,33 @@
 	return newFramedConn(nc), nil
 }
 
-// framedConn is a client's connection whose framing is followed, and whose disconnect is detected.
+// framedConn is a client's connection that checks the framing of requests and detects the disconnect.
 type framedConn struct {
 	net.Conn
 	disconnect disconnectDetector
 
-	mu       sync.Mutex // net/http reads ahead in the background
+	mu       sync.Mutex // net/http also reads in the background
 	framing  framingChecker
-	requests int // that the handler has seen
+	requests int // number of requests that the handler has been called for
 }
 
-// newFramedConn follows a new connection.
+// newFramedConn wraps a new connection.
 func newFramedConn(nc net.Conn) *framedConn {
-	c := &framedConn{Conn: nc, framing: framingChecker{length: -1}}
+	c := &framedConn{Conn: nc, framing: framingChecker{contentLength: -1}}
 	c.disconnect.conn = nc
-	c.disconnect.onRead = c.follow
+	c.disconnect.onRead = c.checkFraming
 	c.disconnect.disconnected = make(chan struct{})
 	return c
 }
 
-// Read reads from the connection, or what the detector has read ahead.
+// Read reads what the detector has read ahead, and then from the connection.
 func (c *framedConn) Read(p []byte) (int, error) {
 	n, err := c.disconnect.stopAndRead(p)
 	if n == 0 && err == nil {
 		n, err = c.read(p)
 	}
 	if n == 1 && len(p) == 1 {
-		c.disconnect.start() // this was net/http's own check for a disconnect, which has ended
+		c.disconnect.start() // net/http's own check for a disconnect has read this byte and thereby ended
 	}
 	return n, err
 }
@@ -57,31 +57,32 @@
 func (c *framedConn) read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if errors.Is(err, os.ErrDeadlineExceeded) && c.betweenRequests() {
-		// A request that arrives in the moment in which its connection is closed as idle is served.
+		// Serves a request that arrives just as the idle timeout of its connection expires.
 		if arrived := socket.ReadNow(c.Conn, p); arrived > 0 {
 			n = arrived
 			err = nil
 		}
 	}
-	c.follow(p[:n])
+	c.checkFraming(p[:n])
 	return n, err
 }
 
-func (c *framedConn) follow(p []byte) {
+func (c *framedConn) checkFraming(p []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.framing.feed(p)
 }
 
-// SetReadDeadline sets the deadline through the detector, which needs it to end its own reads.
+// SetReadDeadline goes through the detector, which sets a deadline of its own to end its reads.
 func (c *framedConn) SetReadDeadline(t time.Time) error { return c.disconnect.setReadDeadline(t) }
 
-// SetDeadline sets the deadline of reads and writes.
+// SetDeadline implements net.Conn.
 func (c *framedConn) SetDeadline(t time.Time) error {
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// CloseWrite lets net/http end its sending before it closes the connection, as it does on TCP connections.
+// CloseWrite lets net/http shut down writing before it closes the connection, as it does with a TCP
+// connection.
 func (c *framedConn) CloseWrite() error {
 	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return conn.CloseWrite()
@@ -89,14 +90,14 @@
 	return nil
 }
 
-// betweenRequests says whether nothing of a request has arrived after the last one.
+// betweenRequests reports whether no byte of the next request has arrived.
 func (c *framedConn) betweenRequests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.framing.state == inHead && !c.framing.headBegun && len(c.framing.line) == 0
 }
 
-// trustNextRequest counts a request and says whether its framing can be trusted.
+// trustNextRequest counts a request and reports whether its framing can be trusted.
 func (c *framedConn) trustNextRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +105,8 @@
 	return c.framing.firstUntrusted == 0 || c.requests < c.framing.firstUntrusted
 }
 
-// Close closes the connection without a reset that would take an answer with it, even if its client has sent more.
+// Close closes the connection without a reset, which could destroy the last answer, even if the client has
+// sent bytes that were not read.
 func (c *framedConn) Close() error {
 	c.disconnect.mu.Lock()
 	readAhead := len(c.disconnect.readAhead) > 0
@@ -112,10 +114,10 @@
 	return socket.LingeringClose(c.Conn, readAhead)
 }
 
-// abort closes the connection at once.
+// abort closes the connection at once, without regard to an answer.
 func (c *framedConn) abort() error { return c.Conn.Close() }
 
-// SyscallConn lets package socket check the connection beside its reader.
+// SyscallConn lets package socket check the connection while another goroutine reads from it.
 func (c *framedConn) SyscallConn() (syscall.RawConn, error) {
 	if conn, ok := c.Conn.(syscall.Conn); ok {
 		return conn.SyscallConn()
--- a/internal/downstream/http/framing.go
+++ b/internal/downstream/http/framing.go
@@ -6,19 +6,20 @@
 	"strings"
 )
 
-// framingChecker follows the raw bytes of a client's connection from message to message, to find what net/http
-// accepts silently: a Content-Length beside a Transfer-Encoding, of which it drops the first. A request whose length
-// can be read in two ways may hide another one (RFC 9112, sections 6 and 7). It decides only whether the framing of
-// a chunked request can be trusted; from the first message on that it can't follow, none is.
+// framingChecker tracks the message framing in the raw bytes of a client's connection. It detects what
+// net/http accepts silently: a request with both Content-Length and Transfer-Encoding, of which net/http
+// ignores the former. A request whose length is ambiguous may smuggle another one (RFC 9112, sections 6 and
+// 7). The checker only decides whether the framing of a chunked request can be trusted. Once it can't parse a
+// message, it trusts none from that one on.
 type framingChecker struct {
 	state            framingState
-	line             []byte // of a head, or the size of a chunk, as far as it has arrived; at most maxLine
-	length           int64  // of the body by Content-Length; -1: there is none
-	transferEncoding bool   // the head has one
-	headBegun        bool   // a line of the head has arrived
-	remaining        int64  // of the body or the chunk
-	heads            int    // complete heads
-	firstUntrusted   int    // the number of the first head that is not trusted, from 1; 0: there is none
+	line             []byte // the current line, as far as it has arrived, truncated to maxLine
+	contentLength    int64  // of the current head; -1: there is none
+	transferEncoding bool   // the current head has this field
+	headBegun        bool   // a line of the current head has arrived
+	remaining        int64  // bytes of the body or the chunk
+	heads            int    // number of complete heads
+	firstUntrusted   int    // number of the first head that is not trusted, counted from 1; 0: there is none
 }
 
 type framingState uint8
@@ -26,7 +27,7 @@
 const (
 	inHead framingState = iota
 	inBody
-	inSize
+	inChunkSize
 	inChunk
 	inChunkEnd
 	inTrailer
@@ -34,14 +35,14 @@
 )
 
 const (
-	// maxLine bounds the part of a line that is stored: a length or an encoding is far shorter, and of longer
-	// fields only the name matters.
+	// maxLine bounds the part of a line that is stored. A length is far shorter, and of all other fields only
+	// the name matters.
 	maxLine = 256
-	// maxLengthBits bounds the lengths that are followed.
+	// maxLengthBits bounds the lengths of bodies and chunks that are accepted.
 	maxLengthBits = 62
 )
 
-// feed takes bytes that were read from the connection.
+// feed processes bytes that were read from the connection.
 func (f *framingChecker) feed(p []byte) {
 	for len(p) > 0 && f.state != untrusted {
 		if f.state == inBody || f.state == inChunk {
@@ -59,7 +60,7 @@
 	}
 }
 
-// skip passes over bytes of a body or chunk, and returns what follows.
+// skip skips bytes of a body or chunk, and returns those that follow it.
 func (f *framingChecker) skip(p []byte) []byte {
 	n := min(int64(len(p)), f.remaining)
 	f.remaining -= n
@@ -73,31 +74,31 @@
 	return p[n:]
 }
 
-// nextMessage begins a message.
+// nextMessage prepares for the head of the next message.
 func (f *framingChecker) nextMessage() {
 	f.state = inHead
-	f.length = -1
+	f.contentLength = -1
 	f.transferEncoding = false
 	f.headBegun = false
 }
 
-// distrust gives up, from the head of this number on.
-func (f *framingChecker) distrust(head int) {
+// markUntrusted stops checking and trusts no head from this number on.
+func (f *framingChecker) markUntrusted(head int) {
 	f.state = untrusted
 	f.firstUntrusted = head
 }
 
-// endLine takes a complete line.
+// endLine processes a complete line.
 func (f *framingChecker) endLine(line string) {
 	switch f.state {
 	case inHead:
 		f.headLine(line)
-	case inSize:
-		f.sizeLine(line)
+	case inChunkSize:
+		f.chunkSizeLine(line)
 	case inChunkEnd:
-		f.state = inSize
+		f.state = inChunkSize
 		if line != "" {
-			f.distrust(f.heads + 1)
+			f.markUntrusted(f.heads + 1)
 		}
 	case inTrailer:
 		if line == "" {
@@ -106,13 +107,13 @@
 	}
 }
 
-// sizeLine takes the line before the data of a chunk.
-func (f *framingChecker) sizeLine(line string) {
+// chunkSizeLine processes the line before the data of a chunk.
+func (f *framingChecker) chunkSizeLine(line string) {
 	text, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(strings.TrimRight(text, " \t"), 16, maxLengthBits)
 	switch {
 	case err != nil:
-		f.distrust(f.heads + 1) // net/http rejects it too, and closes the connection
+		f.markUntrusted(f.heads + 1) // net/http rejects it too, and closes the connection
 	case size == 0:
 		f.state = inTrailer
 	default:
@@ -121,7 +122,7 @@
 	}
 }
 
-// headLine takes a line of a head.
+// headLine processes a line of a head.
 func (f *framingChecker) headLine(line string) {
 	if line == "" {
 		f.endHead()
@@ -132,30 +133,30 @@
 	switch strings.ToLower(strings.TrimRight(name, " \t")) {
 	case "content-length":
 		n, err := strconv.ParseUint(strings.Trim(value, " \t"), 10, maxLengthBits)
-		if err != nil || f.length >= 0 && f.length != int64(n) {
-			f.distrust(f.heads + 1)
+		if err != nil || f.contentLength >= 0 && f.contentLength != int64(n) {
+			f.markUntrusted(f.heads + 1)
 			return
 		}
-		f.length = int64(n)
+		f.contentLength = int64(n)
 	case "transfer-encoding":
 		f.transferEncoding = true
 	}
 }
 
-// endHead takes the empty line after a head. An empty line before a head is ignored.
+// endHead processes the empty line after a head. An empty line before a head is ignored.
 func (f *framingChecker) endHead() {
 	if !f.headBegun {
 		return
 	}
 	f.heads++
 	switch {
-	case f.transferEncoding && f.length >= 0:
-		f.distrust(f.heads)
+	case f.transferEncoding && f.contentLength >= 0:
+		f.markUntrusted(f.heads)
 	case f.transferEncoding:
-		f.state = inSize
-	case f.length > 0:
+		f.state = inChunkSize
+	case f.contentLength > 0:
 		f.state = inBody
-		f.remaining = f.length
+		f.remaining = f.contentLength
 	default:
 		f.nextMessage()
 	}
--- a/internal/downstream/http/framing_test.go
+++ b/internal/downstream/http/framing_test.go
@@ -11,7 +11,7 @@
 
 const plainHead = "POST /api/a HTTP/1.1\r\nHost: x\r\n"
 
-// Complete heads and the first untrusted one are found however the bytes are split.
+// Complete heads are counted, and the first untrusted one is found, however the bytes are split.
 func TestFramingChecker(t *testing.T) {
 	chunked := plainHead + "Transfer-Encoding: chunked\r\n\r\n5;x=y\r\nhello\r\n0\r\nT: x\r\n\r\n"
 	sized := plainHead + "Content-Length: 5\r\n\r\nhello"
@@ -26,8 +26,8 @@
 		{"in the other order and letter case", plainHead + "transfer-ENCODING: chunked\r\ncontent-length: 5\r\n\r\n", 1, 1},
 		{"a space before the colon", plainHead + "Transfer-Encoding: chunked\r\nContent-Length : 5\r\n\r\n", 1, 1},
 		{"a body that looks like a head", plainHead + "Content-Length: 39\r\n\r\nContent-Length: 1\r\nTransfer-Encoding: x" + chunked, 2, 0},
-		{"a chunk that looks like one", plainHead + "Transfer-Encoding: chunked\r\n\r\n13\r\nContent-Length: 1\r\n\r\n0\r\n\r\n" + sized, 2, 0},
-		{"a trailer that looks like one", plainHead + "Transfer-Encoding: chunked\r\n\r\n0\r\nContent-Length: 3\r\n\r\n" + sized, 2, 0},
+		{"a chunk that looks like a head", plainHead + "Transfer-Encoding: chunked\r\n\r\n13\r\nContent-Length: 1\r\n\r\n0\r\n\r\n" + sized, 2, 0},
+		{"a trailer that looks like a head", plainHead + "Transfer-Encoding: chunked\r\n\r\n0\r\nContent-Length: 3\r\n\r\n" + sized, 2, 0},
 		{"an empty line between", sized + "\r\n" + chunked, 2, 0},
 		{"bare LF", strings.ReplaceAll(sized+sized, "\r\n", "\n"), 2, 0},
 		{"two lengths", plainHead + "Content-Length: 5\r\nContent-Length: 6\r\n\r\n", 0, 1},
@@ -37,7 +37,7 @@
 		{"a line longer than is stored", plainHead + "X: " + strings.Repeat("p", 5*maxLine) + "\r\nContent-Length: 2\r\n\r\nab" + chunked, 2, 0},
 	} {
 		for _, step := range []int{1, 2, 3, 7, 64, len(c.text)} {
-			f := framingChecker{length: -1}
+			f := framingChecker{contentLength: -1}
 			for rest := []byte(c.text); len(rest) > 0; {
 				n := min(step, len(rest))
 				f.feed(rest[:n])
@@ -50,24 +50,24 @@
 	}
 }
 
-// Whatever arrives, a chunked request that net/http accepts and the framing checker trusts has no Content-Length, and
-// both find the next request at the same place.
+// For any bytes, a chunked request that net/http accepts and the framing checker trusts has no
+// Content-Length, and both find the next request at the same offset.
 func FuzzFramingChecker(f *testing.F) {
 	f.Add([]byte(plainHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n" + plainHead + "Content-Length: 1\r\n\r\nx"))
 	f.Add([]byte(plainHead + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Add([]byte(plainHead + "Content-Length: 2\r\n\r\nab\r\n\r\n" + plainHead + "\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		fr := framingChecker{length: -1}
-		fr.feed(text)
+		checker := framingChecker{contentLength: -1}
+		checker.feed(text)
 		br := bufio.NewReader(bytes.NewReader(text))
 		for n := 1; n < 10; n++ {
-			at := len(text) - br.Buffered() // all is buffered, or the rest is longer than that
+			start := len(text) - br.Buffered() // of the request, if all that remains of text is buffered
 			req, err := http.ReadRequest(br)
 			if err != nil || len(text) > 4000 {
 				return
 			}
-			if len(req.TransferEncoding) > 0 && (fr.firstUntrusted == 0 || n < fr.firstUntrusted) {
-				head, _, _ := strings.Cut(string(text[at:]), "\n\r\n")
+			if len(req.TransferEncoding) > 0 && (checker.firstUntrusted == 0 || n < checker.firstUntrusted) {
+				head, _, _ := strings.Cut(string(text[start:]), "\n\r\n")
 				if strings.Contains(strings.ToLower("\n"+head), "\ncontent-length:") && !strings.Contains(head, "\n\n") {
 					t.Fatalf("request %d of %q is trusted", n, text)
 				}
--- a/internal/downstream/http/handler.go
+++ b/internal/downstream/http/handler.go
@@ -12,17 +12,17 @@
 // readyPath is the readiness endpoint.
 const readyPath = "/-/ready"
 
-// ServeHTTP serves one request. It runs in a goroutine of its own.
+// ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	arrived := time.Now()
+	receivedAt := time.Now()
 	framingTrusted := false
-	var disconnected <-chan struct{} // closed once the client has disconnected where net/http does not notice
+	var disconnected <-chan struct{} // closed if the client disconnects and net/http does not detect that
 	conn, framed := req.Context().Value(connKey{}).(*framedConn)
 	if framed {
 		framingTrusted = conn.trustNextRequest()
 		disconnected = conn.disconnect.disconnected
 		select {
-		case <-disconnected: // after an earlier request, with which it had sent this one
+		case <-disconnected: // during an earlier request, after which this one was pipelined
 			panic(http.ErrAbortHandler)
 		default:
 		}
@@ -34,12 +34,12 @@
 		s.serveReady(w)
 		return
 	}
-	c, err := s.parseCall(req, arrived, framingTrusted)
+	c, err := s.parseCall(req, receivedAt, framingTrusted)
 	if err != nil {
 		reject(w, err)
 		return
 	}
-	var body *clientBody // if a part of it is still to arrive
+	var body *clientBody // not nil if a part is still to be read
 	if req.ContentLength != 0 {
 		var reserved int64
 		body, reserved, err = s.readBody(w, req, c)
@@ -56,7 +56,7 @@
 	if framed {
 		c.Disconnected = conn.disconnect.isDisconnected
 		if body != nil {
-			conn.disconnect.start() // until the body is read on
+			conn.disconnect.start() // runs until the next read of the body
 		}
 	}
 	submitted := make(chan *core.Request, 1)
@@ -76,12 +76,12 @@
 		w.WriteHeader(http.StatusOK)
 		return
 	}
-	// It is no request to a backend, so this is no rejection with Retry-After.
+	// There is no Retry-After, as this does not reject a request to a backend.
 	http.Error(w, "starting", http.StatusServiceUnavailable)
 }
 
-// readBody reads the body into the call, or the beginning of a long one; then it returns the rest. The caller
-// releases what it reserved from the budget, with an error too.
+// readBody reads the body into the call. Of a long one it reads the beginning and returns the rest. The
+// caller releases the bytes reserved from the budget, also after an error.
 func (s *Server) readBody(w http.ResponseWriter, req *http.Request, c *call) (rest *clientBody, reserved int64, err error) {
 	body := newBody(w, req)
 	var more bool
@@ -97,12 +97,12 @@
 	c.upstreamCall.Length = req.ContentLength
 	c.TimeAfterBody = c.timeout
 	c.Deadline = c.Deadline.Add(maxReadTime(MaxBodyBytes))
-	// An answer may come before the end of the body: it is written at once, and the body read to its end.
+	// Permits an answer before the end of the body, which is then still read to its end.
 	_ = http.NewResponseController(w).EnableFullDuplex()
 	return body, reserved, nil
 }
 
-// answer writes the answer, and reads the rest of the body.
+// answer writes the answer, and discards the rest of the body.
 func (s *Server) answer(w http.ResponseWriter, req *http.Request, c *call, a core.Answer, body *clientBody) {
 	defer s.budget.Release(a.ReservedBytes) // even if writing a stream panics
 	if stream, ok := a.Reply.(*upstream.Stream); ok {
@@ -114,9 +114,9 @@
 	}
 }
 
-// abandon ends a request whose client has disconnected.
+// abandon cancels a request whose client has disconnected.
 func (s *Server) abandon(submitted <-chan *core.Request) {
 	s.EventLoop.Post(func() { s.EventLoop.ClientDisconnected(<-submitted) })
-	// Returning would answer 200 without content, to a client that may only have ended its sending.
+	// Returning would answer 200 without content, and the client may only have shut down its sending side.
 	panic(http.ErrAbortHandler)
 }
--- a/internal/downstream/http/request.go
+++ b/internal/downstream/http/request.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// maxHeadBytes bounds a head.
+	// maxHeadBytes bounds the size of a head.
 	maxHeadBytes = 16 << 10
 	// maxTimeoutMs bounds the timeout that a client may set.
 	maxTimeoutMs = 60_000
-	// maxTokenBytes bounds an id and an idempotency key.
+	// maxTokenBytes bounds the length of a request id or idempotency key.
 	maxTokenBytes = 128
-	// maxWorkHintUs bounds a work hint.
+	// maxWorkHintUs bounds a work hint, in µs.
 	maxWorkHintUs = 1e12
 )
 
@@ -39,7 +39,7 @@
 	requestInfoHeader    = "Request-Info"
 )
 
-// singleValued are the fields with a meaning here: one that occurs twice is ambiguous.
+// singleValued are the fields that the agent evaluates. A request with two values of one is ambiguous.
 var singleValued = []string{
 	requestIDHeader,
 	requestClassHeader,
@@ -51,15 +51,15 @@
 	requestInfoHeader,
 }
 
-// call is the request of a client, and where its answer goes.
+// call is a client's request.
 type call struct {
 	core.Call
-	upstreamCall upstream.Call // what is forwarded
-	timeout      time.Duration // of the client, from the last byte of the request on
+	upstreamCall upstream.Call // the payload, which is forwarded
+	timeout      time.Duration // set by the client; it starts with the last byte of the request
 }
 
-// requestError says what is wrong with a request. Its status is never one that makes the client send the same
-// request again.
+// requestError is the error of an invalid request. Its status is never one that makes the client retry the
+// request.
 type requestError struct {
 	status int
 	text   string
@@ -75,9 +75,9 @@
 	return requestErrorf(http.StatusBadRequest, format, args...)
 }
 
-// parseCall turns the head of a request into a call. It accepts what usual clients send: a backend would reject
-// the rest or close the connection, and count as an outlier. framingTrusted says that the framing of a chunked
-// body is unambiguous. An error is a *requestError.
+// parseCall parses the head of a request into a call. It accepts only what common clients send: for anything
+// else a backend might return an error or close the connection, and be ejected as an outlier. framingTrusted
+// reports that the framing of a chunked body is unambiguous. An error is a *requestError.
 func (s *Server) parseCall(req *http.Request, now time.Time, framingTrusted bool) (*call, error) {
 	if err := checkMessage(req, framingTrusted); err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 	if err := checkEffect(req, s.settings.Classes[c.Class].Effect); err != nil {
 		return nil, err
 	}
-	timeoutMs, err := strconv.ParseUint(h.Get(timeoutHeader), 10, 32) // takes no sign
+	timeoutMs, err := strconv.ParseUint(h.Get(timeoutHeader), 10, 32) // rejects a sign
 	if err != nil || timeoutMs == 0 || timeoutMs > maxTimeoutMs {
 		return nil, badRequestf("Request-Timeout-Ms is no whole number from 1 to %d", maxTimeoutMs)
 	}
@@ -132,7 +132,7 @@
 	case req.ProtoMajor != 1 || req.ProtoMinor != 1:
 		return requestErrorf(http.StatusHTTPVersionNotSupported, "the protocol version is not spoken here")
 	case chunked && !framingTrusted || len(req.Header["Transfer-Encoding"]) > 0:
-		// What follows may be a request hidden in the body, and is never read.
+		// The bytes that follow may be a smuggled request, and are not read.
 		return requestErrorf(http.StatusLengthRequired, "a body needs one length: Content-Length, or Transfer-Encoding: chunked")
 	case req.ContentLength > MaxBodyBytes:
 		return requestErrorf(http.StatusRequestEntityTooLarge, "body over %d bytes", MaxBodyBytes)
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// setClass sets class and tenant of the call.
+// setClass sets the class and tenant of the call.
 func (s *Server) setClass(c *call, h http.Header) error {
 	var ok bool
 	if c.Class, ok = s.classes[h.Get(requestClassHeader)]; !ok {
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// checkEffect checks that method and idempotency key fit the effect of the class.
+// checkEffect checks the method and the idempotency key against the effect of the class.
 func checkEffect(req *http.Request, effect policy.Effect) error {
 	_, hasKey := req.Header[idempotencyKeyHeader]
 	switch {
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// parseWorkHint reads the client's estimate of the work, in µs. One that can't be read is ignored.
+// parseWorkHint parses the client's estimate of the work, in µs. An invalid one is ignored.
 func parseWorkHint(text string) (ms float64, ok bool) {
 	us, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(us > 0 && us < maxWorkHintUs) {
@@ -184,10 +184,10 @@
 	return us / 1000, true
 }
 
-// isToken says whether s may be an id or a key.
+// isToken reports whether s is valid as a request id or idempotency key.
 func isToken(s string) bool {
 	return len(s) <= maxTokenBytes && httpguts.ValidHeaderFieldName(s)
 }
 
-// isNotInTarget says whether a request target never contains r unescaped.
+// isNotInTarget reports whether r is invalid in a request target unless it is escaped.
 func isNotInTarget(r rune) bool { return r <= ' ' || r > '~' || r == '#' }
--- a/internal/downstream/http/response.go
+++ b/internal/downstream/http/response.go
@@ -14,13 +14,13 @@
 const (
 	// writeTimeout bounds how long a client may take to read its answer.
 	writeTimeout = 2 * time.Second
-	// streamWriteTimeout bounds the same for each piece of a stream, of streamBufferBytes at most.
+	// streamWriteTimeout bounds the same for each part of a stream, of streamBufferBytes at most.
 	streamWriteTimeout = 10 * time.Second
 	streamBufferBytes  = 16 << 10
 )
 
-// reject answers a request that can't be used, and closes the connection: a client that sends one such request
-// sends more, and what follows may be part of it.
+// reject answers an invalid request with an error, and closes the connection: a client that sends one invalid
+// request sends more, and the bytes that follow may belong to it.
 func reject(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	var requestErr *requestError
@@ -32,15 +32,15 @@
 	http.Error(w, err.Error(), status)
 }
 
-// rejectStatus is reject with the text of the status.
+// rejectStatus calls reject with the standard text of the status.
 func rejectStatus(w http.ResponseWriter, status int) {
 	reject(w, requestErrorf(status, "%s", http.StatusText(status)))
 }
 
-// write writes the final answer.
+// write writes the answer to a request.
 func (s *Server) write(w http.ResponseWriter, a core.Answer, class int) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
-	if s.draining.Load() { // it may have begun after the request arrived
+	if s.draining.Load() { // again, as the drain may have begun after the request arrived
 		w.Header().Set("Connection", "close")
 	}
 	switch {
@@ -73,10 +73,11 @@
 	r := reply.(*upstream.Reply)
 	setHeader(w, r, int64(len(r.Body)))
 	w.WriteHeader(http.StatusOK)
-	_, _ = w.Write(r.Body) // an error means that the client has disconnected
+	_, _ = w.Write(r.Body) // fails only if the client has disconnected
 }
 
-// setHeader sets the header of a backend's reply. length is that of the body; -1: unknown.
+// setHeader copies the end-to-end header fields of a backend's reply. length is that of the body, -1 if
+// unknown.
 func setHeader(w http.ResponseWriter, r *upstream.Reply, length int64) {
 	for name, values := range upstream.EndToEnd(r.Header) {
 		w.Header()[name] = values
@@ -86,8 +87,8 @@
 	}
 }
 
-// writeStream passes a long reply on as it arrives. If it breaks off, the connection ends before the end of the
-// answer, so that the client notices.
+// writeStream forwards a long reply as it arrives. If the reply is truncated, the connection is closed before
+// the end of the answer, so that the client detects that.
 func (s *Server) writeStream(w http.ResponseWriter, stream *upstream.Stream, class int) {
 	outcome := core.Failed
 	defer func() {
@@ -104,21 +105,21 @@
 	}
 }
 
-// copyStream writes a stream, each piece as soon as it has arrived.
+// copyStream writes a stream, each part as soon as it has arrived.
 func copyStream(w http.ResponseWriter, stream *upstream.Stream) error {
-	out := http.NewResponseController(w)
-	piece := stream.Body
+	controller := http.NewResponseController(w)
+	part := stream.Body
 	buf := make([]byte, streamBufferBytes)
 	for {
-		_ = out.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
-		if _, err := w.Write(piece); err != nil {
+		_ = controller.SetWriteDeadline(time.Now().Add(streamWriteTimeout))
+		if _, err := w.Write(part); err != nil {
 			return err
 		}
-		if err := out.Flush(); err != nil {
+		if err := controller.Flush(); err != nil {
 			return err
 		}
 		n, err := stream.Read(buf)
-		piece = buf[:n]
+		part = buf[:n]
 		if err == io.EOF && n == 0 {
 			return nil
 		} else if err != nil && err != io.EOF {
--- a/internal/downstream/http/server.go
+++ b/internal/downstream/http/server.go
@@ -1,6 +1,6 @@
-// Package http is the downstream for clients that speak HTTP/1.1 (RFC 9110, RFC 9112): it turns a request into a
-// call of the core, and the one answer to it back into bytes. It bounds what clients may hold open and send, and
-// decides nothing.
+// Package http is the downstream for HTTP/1.1 clients (RFC 9110, RFC 9112). It parses a request into a call
+// of the core, and writes the one answer to it. It limits the connections, sizes and times of clients. All
+// other decisions are those of the core.
 package http
 
 import (
@@ -19,12 +19,12 @@
 )
 
 const (
-	// headTimeout bounds how long a head may take to arrive: a client may need 2 s, and one that sends none gets
-	// its answer within 3 s. A body has bounds of its own.
+	// headTimeout bounds how long a head may take to arrive. A client may need 2 s, and one that sends no
+	// complete head must get its answer within 3 s. The limits of a body are in body.go.
 	headTimeout = 2700 * time.Millisecond
 	// idleTimeout is how long a connection may be idle between requests.
 	idleTimeout = 10 * time.Second
-	// firstWriteTimeout bounds the writing of net/http's own answers, from the head on.
+	// firstWriteTimeout bounds the writing of net/http's own answers, from the arrival of the head on.
 	firstWriteTimeout = 5 * time.Second
 )
 
@@ -35,20 +35,20 @@
 
 	settings    *policy.Settings
 	upstream    core.Upstream
-	budget      *semaphore.Weighted // memory for bodies over unreservedBytes
+	budget      *semaphore.Weighted // memory for the bytes of bodies after unreservedBytes
 	classes     map[string]int
 	tenants     map[string]int
 	httpServer  *http.Server
 	clientConns *clientConns
 
 	ready    atomic.Bool
-	draining atomic.Bool // each connection ends with its next answer
+	draining atomic.Bool // each connection is closed with its next answer
 	ln       atomic.Pointer[net.Listener]
-	served   chan struct{} // closed once nothing more is accepted and clientConns knows all that was
+	served   chan struct{} // closed once the listener is closed and clientConns has all accepted connections
 }
 
-// New returns a server whose calls go to this upstream. budget is the memory for bodies. Beyond softLimit
-// connections idle ones are closed; there are at most hardLimit.
+// New returns a server that forwards calls to an upstream. budget is the memory for bodies. softLimit and
+// hardLimit are the numbers of connections above which idle ones and new ones are evicted.
 func New(settings *policy.Settings, budget *semaphore.Weighted, upstream core.Upstream, softLimit, hardLimit int) *Server {
 	s := &Server{
 		settings:    settings,
@@ -72,9 +72,9 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeadBytes,
 		ConnState:         s.clientConns.track,
-		ConnContext:       s.clientConns.context,
+		ConnContext:       s.clientConns.connContext,
 		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn),
-		// net/http would answer OPTIONS * with 200 by itself.
+		// Otherwise net/http itself would answer OPTIONS * with 200.
 		DisableGeneralOptionsHandler: true,
 	}
 	return s
@@ -83,7 +83,7 @@
 // Ready makes the readiness endpoint answer 200.
 func (s *Server) Ready() { s.ready.Store(true) }
 
-// Serve accepts clients until the server is shut down; then it returns nil. It is called once.
+// Serve accepts connections until Shutdown or HandOver, and then returns nil. It may be called only once.
 func (s *Server) Serve(ln net.Listener) error {
 	defer close(s.served)
 	s.ln.Store(&ln)
--- a/internal/downstream/http/server_test.go
+++ b/internal/downstream/http/server_test.go
@@ -14,15 +14,15 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// rawOrder is a request that is not idempotent; lines are part of its head.
+// rawOrder encodes a request that is not idempotent, with additional lines of its head.
 func rawOrder(target, id, lines, body string) string {
 	return "POST " + target + " HTTP/1.1\r\nHost: x\r\nRequest-Id: " + id + "\r\nRequest-Class: order\r\n" +
 		"Request-Timeout-Ms: 4000\r\n" + lines + "\r\n" + body
 }
 
-// Connections that were silent for long are evicted first, then idle ones, and new ones or those whose request still
-// arrives only above the hard limit; one with an open request never is, and none is selected twice while it is being
-// closed.
+// Connections without a request for too long are evicted first, then idle ones; new ones and those with an
+// incomplete request only above the hard limit. One with an open request is never evicted, and none is
+// selected again while it is being closed.
 func TestEvictionOrder(t *testing.T) {
 	const softLimit, hardLimit = 16, 20
 	c := newClientConns(softLimit, hardLimit)
@@ -51,7 +51,7 @@
 	add("idle", http.StateActive, http.StateIdle)
 	busy := func() {
 		x := add("busy", http.StateActive)
-		c.requestRead(c.context(t.Context(), x))
+		c.requestRead(c.connContext(t.Context(), x))
 	}
 	for range softLimit - 4 {
 		busy()
@@ -73,7 +73,8 @@
 	}
 }
 
-// Whatever the bytes, parseCall accepts nothing that must not reach a backend.
+// For any bytes, parseCall accepts only requests that are forwarded unchanged, and rejects others with a
+// status that causes no retry.
 func FuzzParseCall(f *testing.F) {
 	server := New(&policy.Settings{Classes: []policy.Class{{Name: "read", Effect: policy.Idempotent}, {Name: "send", Effect: policy.IdempotentByKey},
 		{Name: "order", Effect: policy.NonIdempotent}}}, nil, nil, 16, 16)
@@ -94,7 +95,7 @@
 			return
 		}
 		c.upstreamCall.Body = make([]byte, max(req.ContentLength, 0))
-		// What is forwarded is the same request, and nothing after it.
+		// The forwarded bytes are the same request, and no more than that.
 		br := bufio.NewReader(strings.NewReader(string(c.upstreamCall.Head(time.Second)) + string(c.upstreamCall.Body)))
 		out, err := http.ReadRequest(br)
 		if err != nil {
@@ -107,26 +108,26 @@
 	})
 }
 
-// A request whose connection has just been evicted is not accepted: its client finds the connection closed and sends it
-// again, and it would be forwarded twice. A connection whose reads were limited has no deadline once its request is
-// accepted.
-func TestEvictedConnectionBringsNoRequest(t *testing.T) {
+// A request on a connection that has just been evicted is not accepted: the client finds the connection
+// closed and sends the request again, so that it would be forwarded twice. The read deadline of limitReads is
+// removed once a request is accepted.
+func TestRequestOnAnEvictedConnectionIsNotAccepted(t *testing.T) {
 	const limit = 8
 	c := newClientConns(limit, limit)
 	for range limit - 1 { // with an open request
 		x, _ := net.Pipe()
 		c.track(x, http.StateNew)
-		c.requestRead(c.context(t.Context(), x))
+		c.requestRead(c.connContext(t.Context(), x))
 	}
 	x, other := net.Pipe()
 	defer other.Close()
 	y, _ := net.Pipe()
-	ctx := c.context(t.Context(), x)
+	ctx := c.connContext(t.Context(), x)
 	c.track(x, http.StateNew)
 	c.track(x, http.StateActive) // its request has arrived, and is about to be accepted
 	c.track(y, http.StateNew)
 	c.track(y, http.StateActive)
-	if c.requestRead(ctx) || !c.requestRead(c.context(t.Context(), y)) {
+	if c.requestRead(ctx) || !c.requestRead(c.connContext(t.Context(), y)) {
 		t.Error("the evicted one is accepted, or the other is not")
 	}
 	c.track(x, http.StateClosed)
@@ -138,7 +139,7 @@
 	c.track(z, http.StateNew)
 	c.track(z, http.StateActive)
 	c.limitReads(time.Now().Add(-time.Second))
-	if !c.requestRead(c.context(t.Context(), z)) {
+	if !c.requestRead(c.connContext(t.Context(), z)) {
 		t.Fatal("not accepted")
 	}
 	go peer.Write([]byte("x"))
@@ -147,8 +148,8 @@
 	}
 }
 
-// In a shutdown an idle connection on which a request has arrived that the server has not read yet is not closed as
-// idle; one without is.
+// A shutdown does not close an idle connection on which a request has arrived that the server has not read
+// yet. It closes one without.
 func TestConnectionWithUnreadRequestIsNotIdle(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/downstream/http/shutdown.go
+++ b/internal/downstream/http/shutdown.go
@@ -7,24 +7,26 @@
 )
 
 const (
-	// defaultLinger is how long connections still arrive after the signal: 0.4 s at most, and what is in the
-	// accept queue by then.
+	// defaultLinger is how long Shutdown keeps serving as before. Clients still connect for up to 0.4 s after
+	// the signal, and their connections may wait in the accept queue for a while.
 	defaultLinger = 500 * time.Millisecond
 	// shutdownPollInterval is how often Shutdown checks whether any client is still connected.
 	shutdownPollInterval = 20 * time.Millisecond
-	// shutdownReadTime is how long a client that has begun a request may still take to send all of it.
+	// shutdownReadTime is how long a client whose request is incomplete when the drain begins may still take
+	// to send the rest.
 	shutdownReadTime = 400 * time.Millisecond
 )
 
-// Shutdown is a graceful shutdown: it loses no request. Connections still arrive for a while after the signal, and
-// closing the accept queue would reset them; clients use their open connections for as long as these stay open,
-// and one whose connection is closed may find no other server. So the server keeps serving as before for Linger,
-// or until nobody is connected. Then each answer closes its connection, idle ones are closed, and a moment later
-// the listener. It waits for requests in flight until drainTimeout after that, and for clients that have sent no
-// complete request for half of it at most. It returns an error if clients are still connected.
+// Shutdown shuts the server down without losing a request. Connections still arrive for a while after the
+// signal, and closing the listener would reset those in the accept queue. Clients use their connections for
+// as long as these stay open, and one whose connection is closed may find no other server. So the server
+// serves as before for Linger, or until no client is connected. Then it drains: each answer closes its
+// connection, idle connections are closed, and shortly after that the listener. Shutdown waits up to
+// drainTimeout for the requests in flight, and up to half of it for clients whose request is incomplete. It
+// returns an error if clients are still connected then.
 //
-// http.Server.Shutdown is not used: it silently closes each connection whose request it reads from then on, even
-// if that request is complete.
+// http.Server.Shutdown is not used: it silently closes each connection on which it reads a request from then
+// on, even a complete one.
 func (s *Server) Shutdown(drainTimeout time.Duration) error {
 	if s.Linger == 0 {
 		s.Linger = defaultLinger
@@ -43,9 +45,9 @@
 	deadline := earlier(drainStart, start.Add(s.Linger)).Add(drainTimeout) // a late poll does not extend it
 	readDeadline := drainStart.Add(min(drainTimeout/2, shutdownReadTime))
 	for {
-		<-poll.C // a client whose connection was closed may still return
+		<-poll.C // a client whose connection was closed may still connect again
 		s.closeListener()
-		// Each time: the last connections are known, and get their deadline, only after a moment.
+		// Repeated in each round, as connections that were accepted last are registered only later.
 		s.clientConns.limitReads(readDeadline)
 		s.clientConns.closeIdle()
 		if s.drained() {
@@ -54,12 +56,12 @@
 		if !time.Now().Before(deadline) {
 			s.clientConns.abortAll() // so that closing the server waits for nobody
 			defer s.httpServer.Close()
-			return fmt.Errorf("downstream http: clients are still connected %v after their last answers were due", time.Since(drainStart))
+			return fmt.Errorf("downstream http: clients are still connected %v after the drain began", time.Since(drainStart))
 		}
 	}
 }
 
-// drained says whether nothing more is accepted and nobody is connected.
+// drained reports whether the listener is closed and no client is connected.
 func (s *Server) drained() bool {
 	select {
 	case <-s.served:
@@ -82,9 +84,9 @@
 	return b
 }
 
-// HandOver leaves new clients to another process that listens on the same address: the listener is closed at once,
-// and each connection with its next answer. Connections without a request stay until Shutdown ends them: closing
-// one at once could cross a request on it.
+// HandOver leaves new clients to another process that listens on the same address. It closes the listener at
+// once, and each connection with its next answer. Connections without a request stay open until Shutdown
+// closes them, as a request may be on its way.
 func (s *Server) HandOver(ln net.Listener) {
 	s.draining.Store(true)
 	ln.Close()
