--- a/internal/downstream/thrift/accept_test.go
+++ b/internal/downstream/thrift/accept_test.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// failingListener is a listener whose accepts return these errors, one after the other.
+// failingListener is a listener whose accepts return the errors of errs in order.
 type failingListener struct {
 	net.Listener
 	errs []error
 }
 
-func (q *failingListener) Accept() (net.Conn, error) {
-	err := q.errs[0]
-	q.errs = q.errs[1:]
+func (l *failingListener) Accept() (net.Conn, error) {
+	err := l.errs[0]
+	l.errs = l.errs[1:]
 	return nil, err
 }
 
-// An accept for which there was no descriptor, or whose connection was reset in the queue, does not end Serve: the agent
-// would end with it.
+// An accept that fails for lack of descriptors, or because the connection was reset in the accept queue, does
+// not end Serve, which would end the agent.
 func TestTemporaryAcceptErrorIsRetried(t *testing.T) {
-	of := func(n syscall.Errno) error {
+	acceptError := func(n syscall.Errno) error {
 		return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", n)}
 	}
-	ln := &failingListener{errs: []error{of(syscall.EMFILE), of(syscall.ENFILE), of(syscall.ENOBUFS), of(syscall.ECONNABORTED), net.ErrClosed}}
+	ln := &failingListener{errs: []error{acceptError(syscall.EMFILE), acceptError(syscall.ENFILE), acceptError(syscall.ENOBUFS), acceptError(syscall.ECONNABORTED), net.ErrClosed}}
 	if err := (&Server{}).Serve(ln); err != nil {
 		t.Errorf("Serve ended: %v", err)
 	}
 	if len(ln.errs) > 0 {
 		t.Errorf("%d accepts were not made", len(ln.errs))
 	}
-	if err := (&Server{}).Serve(&failingListener{errs: []error{of(syscall.EINVAL)}}); err == nil {
-		t.Error("a listener that can't be used returns no error")
+	if err := (&Server{}).Serve(&failingListener{errs: []error{acceptError(syscall.EINVAL)}}); err == nil {
+		t.Error("a permanent error of the listener is not returned")
 	}
 }
 
-// lateListener is a listener whose last accept is still under way when Close returns, and ends a moment later.
+// lateListener is a listener whose Close returns while an accept is still running, which ends shortly after.
 type lateListener struct {
 	net.Listener
 	accepting, closed chan struct{}
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// Shutdown returns only once nothing more is accepted: a connection in the accept queue would be left to the end of the
-// process, which resets it.
+// Shutdown returns only after the last accept: otherwise a connection that is accepted last would not be
+// served, and the end of the process would reset it.
 func TestShutdownWaitsForTheLastAccept(t *testing.T) {
 	ln := &lateListener{accepting: make(chan struct{}), closed: make(chan struct{})}
 	s := &Server{Linger: time.Nanosecond}
--- a/internal/downstream/thrift/call.go
+++ b/internal/downstream/thrift/call.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// maxQueuedCalls is how many calls of a connection are read before an earlier one is answered.
+	// maxQueuedCalls is how many calls of a connection are read ahead while one is open.
 	maxQueuedCalls = 16
-	// disconnectPollInterval is how often the socket of a client that has sent more than that is checked.
+	// disconnectPollInterval is how often the socket is polled once no more calls are read ahead.
 	disconnectPollInterval = 25 * time.Millisecond
 )
 
-// handle takes one call through the core, and queues what the client sends meanwhile. It returns false if the
-// connection is to be closed.
+// handle submits one call to the core and writes the answer. It queues the messages that the client sends
+// meanwhile. It returns false if the connection is to be closed.
 func (s *Server) handle(c *clientConn, m *message, messages <-chan message, overloaded bool) bool {
 	oneWay := m.head.Kind == thriftwire.Oneway
 	if m.head.Kind != thriftwire.Call && !oneWay {
@@ -43,7 +43,7 @@
 	return s.answer(c, m, answer, oneWay)
 }
 
-// newCall turns a message into a call of the core.
+// newCall returns the call of the core for a message.
 func (s *Server) newCall(c *clientConn, m *message, method *method, oneWay bool) *core.Call {
 	timeoutMs := method.timeoutMs(&m.head)
 	call := &core.Call{
@@ -70,13 +70,13 @@
 	return call
 }
 
-// await waits for the answer; false: the client has disconnected, or sends what can't be read, so that nobody waits
-// for it.
+// await waits for the answer. It returns false if the client has disconnected, or has sent a malformed
+// message, after which the connection is closed.
 func (s *Server) await(c *clientConn, call *core.Call, oneWay bool, messages <-chan message) (core.Answer, bool) {
 	var poll <-chan time.Time
 	for {
 		if c.queueFull() {
-			messages = nil // the rest stays unread
+			messages = nil // further messages stay unread
 		}
 		if messages == nil && poll == nil && !oneWay {
 			ticker := time.NewTicker(disconnectPollInterval)
@@ -100,13 +100,14 @@
 	}
 }
 
-// queueFull says whether no more messages are read while a call is open: there are enough, or reading has ended.
+// queueFull reports whether reading ahead ends: maxQueuedCalls are queued, or the last message is an error.
 func (c *clientConn) queueFull() bool {
 	n := len(c.queued)
 	return n >= maxQueuedCalls || n > 0 && c.queued[n-1].err != nil
 }
 
-// affinityKey returns the key that the value of a field names: the same for the same text over all downstreams.
+// affinityKey returns the affinity key for the value of a field. The same text has the same key in all
+// downstreams.
 func affinityKey(msg []byte, field *thriftwire.Field) uint64 {
 	switch {
 	case !field.Found || field.Type == thriftwire.String && field.Start == field.End:
--- a/internal/downstream/thrift/config.go
+++ b/internal/downstream/thrift/config.go
@@ -1,6 +1,7 @@
-// Package thrift is the downstream for clients that speak Thrift: it turns their messages into calls of the core, and
-// the one answer to each call into a reply, framed or not, binary or compact. It knows no IDL: a table says how to
-// treat each method. It decides nothing.
+// Package thrift is the downstream for Thrift clients, with the framed and unframed transports and the binary
+// and compact protocols. It turns messages into calls of the core, and writes the one answer to each call. It
+// works without an IDL: a table configures how the calls of each method are handled. All other decisions are
+// those of the core.
 package thrift
 
 import (
@@ -19,24 +20,25 @@
 	defaultDepthLimit = 64
 )
 
-// How methods that are not listed are treated.
+// Values of Config.Unlisted: how methods that are not listed are handled.
 const (
-	unlistedUnsafe = "unsafe" // as not idempotent
+	unlistedUnsafe = "unsafe" // they are forwarded as not idempotent
 	unlistedRefuse = "refuse" // they are rejected
 )
 
-// Config is deploy/thrift.toml. docs/operators/thrift.md has units and defaults of all keys.
+// Config is a configuration file such as deploy/thrift.toml. docs/operators/thrift.md documents the units and
+// defaults of all keys.
 type Config struct {
 	Listen     string         `toml:"listen"`
 	FrameLimit int            `toml:"frame_limit"` // bytes
 	DepthLimit int            `toml:"depth_limit"`
 	Unlisted   string         `toml:"unlisted"`
-	Class      string         `toml:"class"` // of methods that are not listed; not an idempotent one
+	Class      string         `toml:"class"` // of methods that are not listed; it must not be idempotent
 	DeadlineMs float64        `toml:"deadline_ms"`
 	Method     []MethodConfig `toml:"method"`
 }
 
-// MethodConfig is one line of the table.
+// MethodConfig configures one method, or all methods of a service.
 type MethodConfig struct {
 	Name       string  `toml:"name"` // "method", "Service:method" or "Service:*"
 	Class      string  `toml:"class"`
@@ -50,7 +52,7 @@
 	} `toml:"never_ran"`
 }
 
-// Load reads a configuration file; an error names the key.
+// Load reads a configuration file. An error names the key.
 func Load(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/downstream/thrift/config_test.go
+++ b/internal/downstream/thrift/config_test.go
@@ -10,7 +10,7 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-const good = "listen = \"127.0.0.1:9090\"\nclass = \"order\"\n"
+const validConfig = "listen = \"127.0.0.1:9090\"\nclass = \"order\"\n"
 
 var testClasses = []policy.Class{
 	{Name: "read", LatencyObjectiveMs: 1000, ClientTimeoutMs: 2000, Effect: policy.Idempotent, PriorityWeight: 1},
@@ -30,21 +30,21 @@
 		}
 		return err
 	}
-	if err := load(good); err != nil {
+	if err := load(validConfig); err != nil {
 		t.Fatal(err)
 	}
-	method := func(rest string) string { return good + "[[method]]\nname = \"m\"\nclass = \"order\"\n" + rest }
+	method := func(rest string) string { return validConfig + "[[method]]\nname = \"m\"\nclass = \"order\"\n" + rest }
 	for key, text := range map[string]string{
 		"listen: ":                "class = \"order\"\n",
-		"frame_limit: ":           good + "frame_limit = 1\n",
-		"depth_limit: ":           good + "depth_limit = 0\n",
-		"unlisted: ":              good + "unlisted = \"maybe\"\n",
+		"frame_limit: ":           validConfig + "frame_limit = 1\n",
+		"depth_limit: ":           validConfig + "depth_limit = 0\n",
+		"unlisted: ":              validConfig + "unlisted = \"maybe\"\n",
 		"class: the settings":     "listen = \"127.0.0.1:9090\"\n",
-		"class: \"read\" may run": strings.Replace(good, "order", "read", 1),
-		"deadline_ms: ":           good + "deadline_ms = 70000\n",
-		"unknown: framelimit":     good + "framelimit = 1\n",
-		"method[0].name: ":        good + "[[method]]\nclass = \"order\"\n",
-		"method[0].class: ":       good + "[[method]]\nname = \"m\"\nclass = \"none\"\n",
+		"class: \"read\" may run": strings.Replace(validConfig, "order", "read", 1),
+		"deadline_ms: ":           validConfig + "deadline_ms = 70000\n",
+		"unknown: framelimit":     validConfig + "framelimit = 1\n",
+		"method[0].name: ":        validConfig + "[[method]]\nclass = \"order\"\n",
+		"method[0].class: ":       validConfig + "[[method]]\nname = \"m\"\nclass = \"none\"\n",
 		"method[0].key: ":         method("key = \"1.x\"\n"),
 		"longer than":             method("key = \"1.2.3.4.5.6.7.8.9\"\n"),
 		"method[0].deadline: ":    method("deadline = \"70000\"\n"),
@@ -59,7 +59,7 @@
 	}
 }
 
-// The shipped file is valid, and names find their lines.
+// The shipped file is valid, and methods are found by complete name, service and bare name.
 func TestShippedConfig(t *testing.T) {
 	c, err := Load("../../../deploy/thrift.toml")
 	if err != nil {
@@ -80,7 +80,8 @@
 	}
 }
 
-// One key is the same wherever it is in the message; different keys differ.
+// The affinity key depends on the value and not on its position in the message; different values have
+// different keys.
 func TestAffinityKey(t *testing.T) {
 	msg := []byte("xxkeyxx")
 	field := thriftwire.Field{Found: true, Start: 2, End: 5, Type: thriftwire.String}
@@ -89,6 +90,6 @@
 		t.Error("the same keys differ, or different ones are the same")
 	}
 	if affinityKey(msg, &thriftwire.Field{}) != 0 || affinityKey(msg, &thriftwire.Field{Found: true, Type: thriftwire.String}) != 0 {
-		t.Error("a key without a value")
+		t.Error("a field without a value has a key")
 	}
 }
--- a/internal/downstream/thrift/conn.go
+++ b/internal/downstream/thrift/conn.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// readTimeout bounds how long a message may take to arrive, from its first byte on.
+	// readTimeout bounds how long a message may take to arrive after its first byte.
 	readTimeout = 2500 * time.Millisecond
 	// idleTimeout is how long a connection may be idle between calls.
 	idleTimeout = 10 * time.Second
 )
 
-// errOverBudget says that there is no memory for a message.
+// errOverBudget is the error of a message for which the budget has no memory.
 var errOverBudget = errors.New("thrift: no memory for a message")
 
 // clientConn is one connection of a client.
@@ -28,26 +28,26 @@
 	net.Conn
 	reader    *bufio.Reader
 	transport thriftwire.Transport // 0: not detected yet
-	// queued are calls that arrived before an earlier one was answered, at most maxQueuedCalls. They are read
-	// early so that a client that disconnects after them is noticed.
+	// queued are messages that arrived while an earlier call was open, at most maxQueuedCalls. They are read
+	// ahead so that a disconnect that follows them is detected.
 	queued []message
 
-	// Under the server's lock:
+	// Guarded by the server's lock:
 	busy        bool // a call is open
-	readingCall bool // a call has begun to arrive and is not handled yet
-	noCallYet   bool // none has begun to arrive
+	readingCall bool // a call has begun to arrive and is not open yet
+	noCallYet   bool // no call has begun to arrive on this connection
 }
 
-// message is a message as it was read, or how reading ended.
+// message is a message that was read, or the error that ended reading.
 type message struct {
 	bytes      []byte
 	head       thriftwire.Message
 	receivedAt time.Time
-	reserved   int64 // from the budget
+	reserved   int64 // bytes reserved from the budget
 	err        error
 }
 
-// serve answers the calls of a connection one at a time, in the order of their arrival.
+// serve handles the calls of a connection one at a time, in order of arrival.
 func (s *Server) serve(c *clientConn) {
 	messages := make(chan message)
 	stop := make(chan struct{})
@@ -81,7 +81,7 @@
 	}
 }
 
-// serveCall answers one call, and returns whether the connection is to be served further.
+// serveCall handles one call, and returns false if the connection is to be closed.
 func (s *Server) serveCall(c *clientConn, m *message, messages <-chan message) (ok bool) {
 	overloaded := s.beginCall(c)
 	defer func() {
@@ -92,7 +92,7 @@
 	return s.handle(c, m, messages, overloaded)
 }
 
-// nextMessage returns the first queued message, or waits for the next; nil: the connection was idle for too long.
+// nextMessage returns the first queued message, else waits for one. It returns nil after idleTimeout.
 func (c *clientConn) nextMessage(messages <-chan message, idle *time.Timer) *message {
 	if len(c.queued) > 0 {
 		m := &c.queued[0]
@@ -108,7 +108,7 @@
 	}
 }
 
-// beginCall notes that the connection has an open call, and returns whether too many have.
+// beginCall records that the connection has an open call, and reports whether too many connections have one.
 func (s *Server) beginCall(c *clientConn) (overloaded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +118,7 @@
 	return float64(s.busy) > maxBusyFraction*float64(s.MaxConns)
 }
 
-// endCall notes that the call has been answered, and returns whether the server is draining.
+// endCall records that the call has been answered, and reports whether the server is draining.
 func (s *Server) endCall(c *clientConn) (draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +146,7 @@
 // readMessage reads the next message.
 func (s *Server) readMessage(c *clientConn) (m message) {
 	defer panics.Recover("reading Thrift", c.RemoteAddr().String(), func() { m.err = panics.ErrRecovered })
-	c.SetReadDeadline(time.Time{}) // serve closes idle connections
+	c.SetReadDeadline(time.Time{}) // serve has the idle timeout
 	if c.transport == 0 {
 		if err := c.detectTransport(); err != nil {
 			return message{err: err}
@@ -171,7 +171,7 @@
 	return m
 }
 
-// detectTransport detects the transport by the first bytes of a connection.
+// detectTransport detects the transport of a connection by its first bytes.
 func (c *clientConn) detectTransport() error {
 	for n := 1; ; n++ {
 		if _, err := c.reader.Peek(n); err != nil {
--- a/internal/downstream/thrift/interop_test.go
+++ b/internal/downstream/thrift/interop_test.go
@@ -18,18 +18,18 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// waitTimeout bounds each wait of the tests.
+// waitTimeout bounds each wait in the tests.
 const waitTimeout = 20 * time.Second
 
-// randomStruct is a struct of random fields, the same for the same seed; what is read is stored in a form that can be
-// compared.
+// randomStruct is a struct of random fields, which depend only on the seed. Read stores what it reads in the
+// binary protocol, for comparison.
 type randomStruct struct {
 	seed uint64
 	got  []byte
 }
 
-// dump encodes what write writes in the binary protocol.
-func dump(write func(thrift.TProtocol)) []byte {
+// encodeBinary returns what write writes, in the binary protocol.
+func encodeBinary(write func(thrift.TProtocol)) []byte {
 	buf := thrift.NewTMemoryBuffer()
 	p := thrift.NewTBinaryProtocolConf(buf, nil)
 	write(p)
@@ -38,7 +38,7 @@
 }
 
 func (t *randomStruct) want() []byte {
-	return dump(func(p thrift.TProtocol) { t.Write(context.Background(), p) })
+	return encodeBinary(func(p thrift.TProtocol) { t.Write(context.Background(), p) })
 }
 
 func (t *randomStruct) Write(ctx context.Context, p thrift.TProtocol) error {
@@ -47,14 +47,14 @@
 }
 
 func (t *randomStruct) Read(ctx context.Context, p thrift.TProtocol) (err error) {
-	t.got = dump(func(out thrift.TProtocol) { err = copyValue(ctx, p, out, thrift.STRUCT) })
+	t.got = encodeBinary(func(out thrift.TProtocol) { err = copyValue(ctx, p, out, thrift.STRUCT) })
 	return err
 }
 
 func writeStruct(ctx context.Context, p thrift.TProtocol, rng *rand.Rand, depth int) {
 	p.WriteStructBegin(ctx, "s")
 	for id := range int16(1 + rng.IntN(6)) { // a union is a struct with one field
-		t := someType(rng, depth)
+		t := randomType(rng, depth)
 		p.WriteFieldBegin(ctx, "f", t, id*int16(1+rng.IntN(40))+1)
 		writeValue(ctx, p, rng, t, depth+1)
 		p.WriteFieldEnd(ctx)
@@ -63,7 +63,7 @@
 	p.WriteStructEnd(ctx)
 }
 
-func someType(rng *rand.Rand, depth int) thrift.TType {
+func randomType(rng *rand.Rand, depth int) thrift.TType {
 	all := []thrift.TType{thrift.BOOL, thrift.BYTE, thrift.I16, thrift.I32, thrift.I64, thrift.DOUBLE, thrift.STRING, thrift.STRUCT, thrift.LIST, thrift.SET, thrift.MAP}
 	if depth > 3 {
 		all = all[:7]
@@ -90,7 +90,7 @@
 	case thrift.STRUCT:
 		writeStruct(ctx, p, rng, depth)
 	case thrift.LIST, thrift.SET:
-		e, n := someType(rng, depth), rng.IntN(5)
+		e, n := randomType(rng, depth), rng.IntN(5)
 		if t == thrift.LIST {
 			p.WriteListBegin(ctx, e, n)
 		} else {
@@ -100,7 +100,7 @@
 			writeValue(ctx, p, rng, e, depth+1)
 		}
 	case thrift.MAP:
-		k, v, n := someType(rng, depth), someType(rng, depth), 1+rng.IntN(4)
+		k, v, n := randomType(rng, depth), randomType(rng, depth), 1+rng.IntN(4)
 		p.WriteMapBegin(ctx, k, v, n)
 		for range n {
 			writeValue(ctx, p, rng, k, depth+1)
@@ -109,7 +109,7 @@
 	}
 }
 
-// copyValue reads a value in one protocol and writes it in another.
+// copyValue reads a value from in and writes it to out.
 func copyValue(ctx context.Context, in, out thrift.TProtocol, t thrift.TType) error {
 	switch t {
 	case thrift.BOOL:
@@ -224,7 +224,7 @@
 func (e *echoService) ProcessorMap() map[string]thrift.TProcessorFunction  { return nil }
 func (e *echoService) AddToProcessorMap(string, thrift.TProcessorFunction) {}
 
-// transportFactory is the Apache library's transport of an encoding.
+// transportFactory returns the Apache library's transport for an encoding.
 func transportFactory(enc *thriftlab.Encoding) thrift.TTransportFactory {
 	if enc.Framed {
 		return thrift.NewTFramedTransportFactoryConf(thrift.NewTTransportFactory(), &thrift.TConfiguration{})
@@ -259,8 +259,8 @@
 	return e, sock.Addr().String()
 }
 
-// connectClient connects a client of the Apache library, multiplexed if service is not "". It returns the client and
-// the protocol on which it writes.
+// connectClient connects a client of the Apache library, multiplexed if service is not "". It also returns
+// the protocol to which the client writes.
 func connectClient(t *testing.T, enc *thriftlab.Encoding, addr, service string) (*thrift.TStandardClient, thrift.TProtocol) {
 	t.Helper()
 	socket := thrift.NewTSocketConf(addr, &thrift.TConfiguration{ConnectTimeout: waitTimeout, SocketTimeout: waitTimeout})
@@ -280,7 +280,7 @@
 	return thrift.NewTStandardClient(in, out), out
 }
 
-// arguments waits for the arguments of call i; nil: they did not arrive.
+// arguments waits for the arguments of call i. It returns nil if they do not arrive.
 func (e *echoService) arguments(i int) []byte {
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(50 * time.Microsecond) {
 		e.mu.Lock()
@@ -293,8 +293,8 @@
 	return nil
 }
 
-// Clients and servers of the Apache library communicate through the server, in each transport and protocol, plain and
-// multiplexed, with all types of values.
+// Clients and servers of the Apache library communicate through the agent, in each transport and protocol,
+// plain and multiplexed, with values of all types.
 func TestApacheLibraryInterop(t *testing.T) {
 	for _, enc := range thriftlab.Encodings() {
 		for _, service := range []string{"", "Echo"} {
@@ -312,7 +312,7 @@
 				for i := range uint64(60) {
 					args, result := randomStruct{seed: 1000 + i}, randomStruct{}
 					oneWay := i%5 == 4
-					if oneWay { // as specified
+					if oneWay { // as a message of type ONEWAY, which the library's client does not send
 						out.WriteMessageBegin(ctx, "place", thrift.ONEWAY, int32(i))
 						args.Write(ctx, out)
 						out.WriteMessageEnd(ctx)
--- a/internal/downstream/thrift/panic_test.go
+++ b/internal/downstream/thrift/panic_test.go
@@ -12,8 +12,8 @@
 	"ringtrack.example/ringtrack/internal/thriftwire"
 )
 
-// A panic in the code that reads from one client closes that client's connection; the server goes on. Here that code
-// panics for want of a table of methods.
+// A panic in the goroutine that reads from a client closes only that client's connection. Here the missing
+// table of methods causes it.
 func TestPanicClosesItsConnectionOnly(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/downstream/thrift/reply.go
+++ b/internal/downstream/thrift/reply.go
@@ -17,27 +17,28 @@
 const (
 	// writeTimeout bounds how long a client may take to read its reply.
 	writeTimeout = 2 * time.Second
-	// frameLengthBytes is the size of the length before a framed message.
+	// frameLengthBytes is the size of the length prefix of a frame.
 	frameLengthBytes = 4
-	// replyHeadBytes fits the head of a reply, without the name of its method.
+	// replyHeadBytes is a capacity that suffices for the head of a reply, without the name of its method.
 	replyHeadBytes = 64
 )
 
-// httpAnswer is sent to a client that speaks HTTP.
+// httpAnswer is the answer to a client that speaks HTTP.
 const httpAnswer = "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Type: text/plain\r\nContent-Length: 30\r\n\r\nThis port speaks Thrift only.\n"
 
-// Codes of the application exceptions that end calls which no server replied to. The first two are those that other
-// implementations use for the same.
+// Codes of the application exceptions for calls to which no server replied. The first two are the codes that
+// other implementations use for the same conditions.
 const (
-	CodeRejected           = 11                            // it did not run: retry after the time in the text
+	CodeRejected           = 11                            // it did not run; retry after the time in the text
 	CodeDeadlineExceeded   = 12                            // it may have run
 	CodeFailed             = thriftwire.InternalError      // it may have run
 	CodeUnknownMethod      = thriftwire.UnknownMethod      // the method is not listed
-	CodeMalformed          = thriftwire.ProtocolError      // the message can't be read
+	CodeMalformed          = thriftwire.ProtocolError      // the message can't be parsed
 	CodeInvalidMessageType = thriftwire.InvalidMessageType // a message that is no call
 )
 
-// rejectUnreadable answers a message that can't be read, as far as possible. Nothing of it was forwarded.
+// rejectUnreadable answers a message that could not be read, if that is possible. Nothing of it was
+// forwarded.
 func (s *Server) rejectUnreadable(c *clientConn, m *message) {
 	s.Budget.Release(m.reserved)
 	switch {
@@ -45,9 +46,9 @@
 		c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		io.WriteString(c, httpAnswer)
 	case errors.Is(m.err, thriftwire.ErrTHeader):
-		slog.Warn("thrift", "peer", c.RemoteAddr().String(), "err", m.err)
+		slog.Warn("Thrift connection closed", "peer", c.RemoteAddr().String(), "err", m.err)
 	case m.head.Name == nil || m.head.Kind == thriftwire.Oneway:
-		// There is nothing to reply to.
+		// A reply needs the name of the method, and a one-way call has none.
 	case errors.Is(m.err, errOverBudget):
 		s.writeException(c, &m.head, CodeRejected, rejectionText(s.RetryAfterMs))
 	case upstream.IsUnreadable(m.err):
@@ -55,13 +56,13 @@
 	}
 }
 
-// rejectionText is the text of a CodeRejected. Clients read the time in it.
+// rejectionText returns the text of a CodeRejected exception. Clients parse the time in it.
 func rejectionText(retryAfterMs float64) string {
 	return "refused: nothing ran, come back after " + strconv.FormatFloat(retryAfterMs, 'f', 0, 64) + " ms"
 }
 
-// answer writes the one answer to a call. A one-way call has none. It returns false if the connection is to be
-// closed.
+// answer writes the one answer to a call; a one-way call has none. It returns false if the connection is to
+// be closed.
 func (s *Server) answer(c *clientConn, m *message, a core.Answer, oneWay bool) bool {
 	defer s.Budget.Release(a.ReservedBytes)
 	if oneWay {
@@ -84,7 +85,8 @@
 	return s.writeException(c, &m.head, CodeFailed, "failed: it may have run")
 }
 
-// newReplyBuffer returns the buffer that the head of a reply is appended to, with the place of a frame's length.
+// newReplyBuffer returns the buffer to which the head of a reply is appended. For the framed transport it
+// begins with a placeholder for the length.
 func newReplyBuffer(t thriftwire.Transport, size int) []byte {
 	if t == thriftwire.Framed {
 		return make([]byte, frameLengthBytes, replyHeadBytes+min(size, thriftwire.MaxName))
@@ -98,7 +100,7 @@
 	return s.write(c, thriftwire.AppendException(buf, head.Protocol, head.Name, head.Seq, code, text), nil)
 }
 
-// write sends a reply that consists of head and rest. head begins with the place of a frame's length.
+// write sends a reply that consists of head and rest. head was begun by newReplyBuffer.
 func (s *Server) write(c *clientConn, head, rest []byte) bool {
 	if c.transport == thriftwire.Framed {
 		binary.BigEndian.PutUint32(head, uint32(len(head)-frameLengthBytes+len(rest)))
--- a/internal/downstream/thrift/server.go
+++ b/internal/downstream/thrift/server.go
@@ -19,16 +19,17 @@
 )
 
 const (
-	// defaultLinger is how long connections still arrive after Shutdown was called.
+	// defaultLinger is how long Shutdown keeps serving as before, as clients still connect for a while.
 	defaultLinger = 500 * time.Millisecond
-	// shutdownReadTime is how long a client that has begun a call may still take to send all of it.
+	// shutdownReadTime is how long a client whose call is incomplete when the drain begins may still take to
+	// send the rest.
 	shutdownReadTime = 400 * time.Millisecond
 	// shutdownPollInterval is how often Shutdown checks the connections.
 	shutdownPollInterval = 10 * time.Millisecond
-	// acceptRetryDelay is the delay after an accept for which there was no descriptor.
+	// acceptRetryDelay is the delay after a temporary error of an accept.
 	acceptRetryDelay = 5 * time.Millisecond
-	// maxBusyFraction of the connections may have an open call; the others are for those that still bring one,
-	// and could get no answer if they were closed.
+	// maxBusyFraction is the part of MaxConns that may have an open call. The rest is for connections that
+	// have yet to deliver one, and would get no answer if they were closed.
 	maxBusyFraction = 7.0 / 8
 	// readBufferBytes is the size of a connection's read buffer.
 	readBufferBytes = 4 << 10
@@ -38,24 +39,24 @@
 type Server struct {
 	EventLoop    *core.EventLoop
 	Upstream     core.Upstream
-	Budget       *semaphore.Weighted // memory for messages over the first few KiB
+	Budget       *semaphore.Weighted // memory for the bytes of messages after the first few KiB
 	Table        *Table
 	Limits       thriftwire.Limits
 	MaxConns     int
 	Linger       time.Duration // how long Shutdown keeps serving as before; 0: defaultLinger
-	RetryAfterMs float64       // the advice in a rejection, where the core gives none
+	RetryAfterMs float64       // of a rejection for which the core gives no time
 
 	lastID atomic.Uint64 // of a call
 
 	mu       sync.Mutex
 	conns    map[*clientConn]struct{}
-	busy     int // connections with an open call
+	busy     int // number of connections with an open call
 	draining bool
-	served   chan struct{}  // closed once nothing more is accepted; nil before Serve
-	handlers sync.WaitGroup // of the connections
+	served   chan struct{}  // closed when Serve returns; nil before Serve
+	handlers sync.WaitGroup // goroutines of the connections
 }
 
-// Serve accepts clients until the listener is closed; then it returns nil.
+// Serve accepts connections until the listener is closed, and then returns nil.
 func (s *Server) Serve(ln net.Listener) error {
 	served := make(chan struct{})
 	defer close(served)
@@ -69,7 +70,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case isTemporary(err):
-			// Returning would end the agent, with all requests in flight.
+			// Returning would end the agent, and with it all requests in flight.
 			s.mu.Lock()
 			s.evict()
 			s.mu.Unlock()
@@ -82,7 +83,8 @@
 	}
 }
 
-// accept serves a connection in a goroutine of its own, or closes it where nobody can be evicted for it.
+// accept serves a connection in a new goroutine. It closes the connection if there are too many and none can
+// be evicted.
 func (s *Server) accept(nc net.Conn) {
 	c := &clientConn{Conn: nc, reader: bufio.NewReaderSize(nc, readBufferBytes), noCallYet: true}
 	s.mu.Lock()
@@ -99,8 +101,8 @@
 	})
 }
 
-// temporaryErrors are those of an accept for lack of descriptors or kernel memory, where the connection stays in the
-// queue, and that of a connection that was reset in the queue.
+// temporaryErrors are the errors of an accept for lack of descriptors or kernel memory, after which the
+// connection stays in the accept queue, and that of a connection that was reset in the queue.
 var temporaryErrors = []error{
 	syscall.EMFILE,
 	syscall.ENFILE,
@@ -109,7 +111,7 @@
 	syscall.ECONNABORTED,
 }
 
-// isTemporary says whether accepting may succeed after this error.
+// isTemporary reports whether a later accept may succeed.
 func isTemporary(err error) bool {
 	for _, temporary := range temporaryErrors {
 		if errors.Is(err, temporary) {
@@ -119,7 +121,7 @@
 	return false
 }
 
-// evict closes a connection without an open call; false: there is none. The lock is held.
+// evict closes a connection without an open call. It returns false if there is none. The lock is held.
 func (s *Server) evict() bool {
 	for c := range s.conns {
 		if !c.busy {
@@ -131,8 +133,9 @@
 	return false
 }
 
-// Shutdown is a graceful shutdown: it loses no call. It keeps serving for Linger, or until nobody is connected,
-// then waits for open calls, for drainTimeout at most, and closes each connection after its reply.
+// Shutdown shuts the server down without losing a call. It serves as before for Linger, or until no client is
+// connected. Then it closes the listener, waits up to drainTimeout for open calls, and closes each connection
+// after its reply.
 func (s *Server) Shutdown(ln net.Listener, drainTimeout time.Duration) {
 	if s.Linger == 0 {
 		s.Linger = defaultLinger
@@ -149,7 +152,7 @@
 	s.mu.Unlock()
 	ln.Close()
 	if served != nil {
-		<-served // all connections that were accepted are known from here on
+		<-served // from here on conns has all connections that were accepted
 	}
 	now := time.Now()
 	deadline := start.Add(s.Linger).Add(drainTimeout) // a late poll does not extend it
@@ -174,14 +177,14 @@
 	return len(s.conns) == 0
 }
 
-// closeUnused closes connections without a call and returns whether others remain. Closing one on which a call has
-// arrived, or has begun to, would lose it; until readDeadline that includes new connections, whose first call is
-// on its way.
+// closeUnused closes connections without an open call, and reports whether others remain. Until readDeadline
+// it spares those on which a call is arriving, and new ones, whose first call may be on its way: closing them
+// would lose the call.
 func (s *Server) closeUnused(readDeadline time.Time) (remain bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.busy || c.mayBringCall() && time.Now().Before(readDeadline) {
+		if c.busy || c.mayDeliverCall() && time.Now().Before(readDeadline) {
 			remain = true
 		} else {
 			c.Close()
@@ -190,7 +193,7 @@
 	return remain
 }
 
-// mayBringCall says whether a call is arriving or on its way. The server's lock is held.
-func (c *clientConn) mayBringCall() bool {
+// mayDeliverCall reports whether a call is arriving or may be on its way. The server's lock is held.
+func (c *clientConn) mayDeliverCall() bool {
 	return c.readingCall || c.noCallYet || socket.Look(c.Conn) == socket.Unread
 }
--- a/internal/downstream/thrift/table.go
+++ b/internal/downstream/thrift/table.go
@@ -16,7 +16,7 @@
 const (
 	// maxDeadlineMs bounds the timeout that a client may set.
 	maxDeadlineMs = 60_000
-	// maxMethods bounds the table.
+	// maxMethods bounds the number of methods in the table.
 	maxMethods = 10_000
 
 	minFrameLimit = 1024
@@ -25,27 +25,28 @@
 	maxDepthLimit = 1000
 )
 
-// noPath stands for the index of a path that is not configured.
+// noPath is the index of a path that is not configured.
 const noPath = -1
 
-// Table says how to treat each method. It is immutable.
+// Table maps methods to the way their calls are handled. It is immutable.
 type Table struct {
 	methods  map[string]*method
-	unlisted *method // nil: methods that are not listed are rejected
+	unlisted *method // for methods that are not listed; nil: they are rejected
 	paths    []thriftwire.Path
 }
 
-// method says how to treat the calls of a method.
+// method is how the calls of a method are handled.
 type method struct {
 	class      int
-	key        int // index of its path in Table.paths, or noPath
-	deadline   int // the same
+	key        int // index in Table.paths of the affinity key's path, or noPath
+	deadline   int // index in Table.paths of the path of the client's timeout, or noPath
 	deadlineMs float64
 	oneWay     bool
 	neverRan   upstream.NeverRan
 }
 
-// timeoutMs is the timeout of a call: the client's, where a field has a valid one, else the method's.
+// timeoutMs returns the timeout of a call: the value of the configured field if that is valid, else the
+// method's.
 func (m *method) timeoutMs(head *thriftwire.Message) float64 {
 	if m.deadline != noPath {
 		field := head.Fields[m.deadline]
@@ -56,8 +57,8 @@
 	return m.deadlineMs
 }
 
-// Table checks the configuration against the classes of the settings and returns the table. An error names the
-// key.
+// Table validates the configuration, also against the classes of the settings, and returns the table. An
+// error names the key.
 func (c *Config) Table(classes []policy.Class) (*Table, error) {
 	if err := c.checkLimits(); err != nil {
 		return nil, err
@@ -95,14 +96,14 @@
 	return nil
 }
 
-// unlistedMethod says how to treat methods that are not listed: as not idempotent.
+// unlistedMethod returns the entry for methods that are not listed, which are treated as not idempotent.
 func (c *Config) unlistedMethod(classes []policy.Class) (*method, error) {
 	class, err := findClass(classes, "class", c.Class)
 	if err != nil {
 		return nil, err
 	}
 	if classes[class].Effect != policy.NonIdempotent {
-		return nil, fmt.Errorf("thrift: class: %q may run twice: what is not listed is taken as unsafe", c.Class)
+		return nil, fmt.Errorf("thrift: class: %q may run twice, but methods that are not listed are treated as unsafe", c.Class)
 	}
 	deadlineMs, err := c.deadlineMs("deadline_ms", 0, &classes[class])
 	if err != nil {
@@ -111,36 +112,36 @@
 	return &method{class: class, key: noPath, deadline: noPath, deadlineMs: deadlineMs}, nil
 }
 
-// add adds line i of the configuration.
+// add adds the method with index i in the configuration.
 func (t *Table) add(c *Config, i int, classes []policy.Class) error {
-	line := &c.Method[i]
+	entry := &c.Method[i]
 	keyOf := func(key string) string { return fmt.Sprintf("method[%d].%s", i, key) }
-	if line.Name == "" || len(line.Name) > thriftwire.MaxName || t.methods[line.Name] != nil {
-		return fmt.Errorf("thrift: %s: %q is empty, too long or listed before", keyOf("name"), line.Name)
+	if entry.Name == "" || len(entry.Name) > thriftwire.MaxName || t.methods[entry.Name] != nil {
+		return fmt.Errorf("thrift: %s: %q is empty, too long or listed twice", keyOf("name"), entry.Name)
 	}
-	class, err := findClass(classes, keyOf("class"), line.Class)
+	class, err := findClass(classes, keyOf("class"), entry.Class)
 	if err != nil {
 		return err
 	}
 	m := &method{
 		class:    class,
-		oneWay:   line.OneWay,
-		neverRan: upstream.NeverRan{Exceptions: line.NeverRan.Exceptions, Codes: line.NeverRan.Codes},
+		oneWay:   entry.OneWay,
+		neverRan: upstream.NeverRan{Exceptions: entry.NeverRan.Exceptions, Codes: entry.NeverRan.Codes},
 	}
-	if m.deadlineMs, err = c.deadlineMs(keyOf("deadline_ms"), line.DeadlineMs, &classes[class]); err != nil {
+	if m.deadlineMs, err = c.deadlineMs(keyOf("deadline_ms"), entry.DeadlineMs, &classes[class]); err != nil {
 		return err
 	}
-	if m.key, err = t.pathIndex(keyOf("key"), line.Key); err != nil {
+	if m.key, err = t.pathIndex(keyOf("key"), entry.Key); err != nil {
 		return err
 	}
-	if m.deadline, err = t.pathIndex(keyOf("deadline"), line.Deadline); err != nil {
+	if m.deadline, err = t.pathIndex(keyOf("deadline"), entry.Deadline); err != nil {
 		return err
 	}
-	t.methods[line.Name] = m
+	t.methods[entry.Name] = m
 	return nil
 }
 
-// findClass returns the index of the class of a name.
+// findClass returns the index of the class with a name.
 func findClass(classes []policy.Class, key, name string) (int, error) {
 	i := slices.IndexFunc(classes, func(class policy.Class) bool { return class.Name == name })
 	if i < 0 {
@@ -149,7 +150,7 @@
 	return i, nil
 }
 
-// deadlineMs returns the timeout of a method: its own, else the configuration's, else the class's.
+// deadlineMs returns the timeout of a method: ms, else the configuration's default, else that of the class.
 func (c *Config) deadlineMs(key string, ms float64, class *policy.Class) (float64, error) {
 	if ms == 0 {
 		ms = c.DeadlineMs
@@ -163,7 +164,8 @@
 	return ms, nil
 }
 
-// pathIndex returns the index of a path of field ids in paths, to which it adds it where needed; noPath for "".
+// pathIndex parses a path of field ids and returns its index in paths, adding it if it is new. It returns
+// noPath for "".
 func (t *Table) pathIndex(key, text string) (int, error) {
 	if text == "" {
 		return noPath, nil
@@ -190,8 +192,8 @@
 	return len(t.paths) - 1, nil
 }
 
-// find returns how to treat a method: by its complete name, else by its service, else by its name without the
-// service, else as one that is not listed. nil: it is rejected.
+// find returns the entry for a method: that of its complete name, else of its service, else of its name
+// without the service, else the one for methods that are not listed. nil: the method is rejected.
 func (t *Table) find(name []byte) *method {
 	if m := t.methods[string(name)]; m != nil {
 		return m
