--- a/internal/downstream/answerrules_test.go
+++ b/internal/downstream/answerrules_test.go
@@ -9,34 +9,35 @@
 	"ringtrack.example/ringtrack/internal/lab/world"
 )
 
-// answerRules are about the one answer that each call has, within its time.
+// answerRules test that each call has exactly one answer, within its deadline.
 var answerRules = []rule{
 	{name: "1 served, failed and rejected have one answer each", run: func(t *testing.T, w *world.World) {
-		call(t, w, "order", long, lab.Served)
+		call(t, w, "order", callTimeout, lab.Served)
 		w.Set(lab.Failing)
-		call(t, w, "order", long, lab.Failed)
+		call(t, w, "order", callTimeout, lab.Failed)
 		w.Set(lab.Full)
-		if a := call(t, w, "order", long, lab.Refused); a.After != 600*time.Millisecond {
+		if a := call(t, w, "order", callTimeout, lab.Refused); a.After != 600*time.Millisecond {
 			t.Errorf("Retry-After %v", a.After)
 		}
 	}},
-	{name: "1 a silent server: answered within the deadline", timed: failedIn(400*time.Millisecond, lab.Silent)},
-	{name: "1 half a reply and silence", timed: failedIn(400*time.Millisecond, lab.Half)},
+	{name: "1 a silent server: answered within the deadline", timed: failsWithin(400*time.Millisecond, lab.Silent)},
+	{name: "1 half a reply and silence", timed: failsWithin(400*time.Millisecond, lab.Half)},
 	{name: "1 a reply one byte at a time", run: func(t *testing.T, w *world.World) {
 		w.Set(lab.Slow)
-		call(t, w, "order", long, lab.Served)
+		call(t, w, "order", callTimeout, lab.Served)
 	}},
-	{name: "1 a deadline that passes while the reply arrives", timed: failedIn(300*time.Millisecond, lab.Trickle)},
+	{name: "1 a deadline that passes while the reply arrives", timed: failsWithin(300*time.Millisecond, lab.Trickle)},
 }
 
-// failedIn makes a call to servers in this mode, which has to be answered as failed within its deadline.
-func failedIn(within time.Duration, m lab.Mode) func(*world.World) (late, wrong error) {
+// failsWithin makes a call to servers in this mode. It must be answered as failed, at most 20 ms after its
+// deadline.
+func failsWithin(timeout time.Duration, mode lab.Mode) func(*world.World) (late, wrong error) {
 	return func(w *world.World) (late, wrong error) {
-		w.Set(m)
-		from := time.Now()
-		a, wrong := w.Call("order", within)
-		if took := time.Since(from); took > within+20*time.Millisecond {
-			late = fmt.Errorf("took %v of %v", took, within)
+		w.Set(mode)
+		start := time.Now()
+		a, wrong := w.Call("order", timeout)
+		if took := time.Since(start); took > timeout+20*time.Millisecond {
+			late = fmt.Errorf("took %v of %v", took, timeout)
 		}
 		if wrong == nil && a.Verdict != lab.Failed {
 			wrong = fmt.Errorf("answered %+v, want %v", a, lab.Failed)
--- a/internal/downstream/clientrules_test.go
+++ b/internal/downstream/clientrules_test.go
@@ -11,7 +11,7 @@
 	"ringtrack.example/ringtrack/internal/lab/world"
 )
 
-// clientRules are about pipelining, disconnecting clients and graceful shutdown.
+// clientRules test pipelining, disconnecting clients and graceful shutdown.
 var clientRules = []rule{
 	{name: "pipelined calls are answered in order", run: func(t *testing.T, w *world.World) {
 		for i, s := range w.Servers {
@@ -35,39 +35,39 @@
 	{name: "a client that disconnects", run: func(t *testing.T, w *world.World) {
 		w.Set(lab.Silent)
 		c := dial(t, w)
-		r := w.Request("order", long)
+		r := w.Request("order", callTimeout)
 		if err := w.Send(c, r); err != nil {
 			t.Fatal(err)
 		}
 		waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
 		c.Close()
-		w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // it disconnected by itself
+		w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // for the ledger: it disconnected and expects no answer
 		waitFor(t, "the disconnect is not detected", func() bool { return w.Figures().Disconnected == 1 })
 	}},
 	{name: "a client that disconnects after pipelined calls", run: func(t *testing.T, w *world.World) {
 		w.Set(lab.Silent)
 		c := dial(t, w)
-		r := w.Request("order", long)
+		r := w.Request("order", callTimeout)
 		if err := w.Send(c, r); err != nil {
 			t.Fatal(err)
 		}
 		waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
-		for range 2 { // complete calls, which are never handled
-			c.Write(w.Protocol.Encode(w.Request("order", long)))
+		for range 2 { // complete calls, which must not be handled
+			c.Write(w.Protocol.Encode(w.Request("order", callTimeout)))
 		}
-		from := time.Now()
+		disconnectedAt := time.Now()
 		c.Close()
-		w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // it disconnected by itself
+		w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // for the ledger: it disconnected and expects no answer
 		waitFor(t, "the disconnect is not detected", func() bool { f := w.Figures(); return f.Disconnected+f.Failed == 1 })
 		if f := w.Figures(); f.Disconnected != 1 || f.Accepted != 1 {
-			t.Errorf("detected only at its deadline, %v later: %+v", time.Since(from), f)
+			t.Errorf("detected only at its deadline, %v later: %+v", time.Since(disconnectedAt), f)
 		}
 		if n := w.Begun(); n != 1 {
 			t.Errorf("%d calls were forwarded", n)
 		}
 	}},
 	{name: "a truncated call is never forwarded", run: func(t *testing.T, w *world.World) {
-		message := w.Protocol.Encode(w.Request("order", long))
+		message := w.Protocol.Encode(w.Request("order", callTimeout))
 		for _, n := range []int{1, 3, 5, len(message) / 2, len(message) - 1} {
 			c := dial(t, w)
 			c.Write(message[:n])
@@ -86,7 +86,7 @@
 			s.SetWork(300 * time.Millisecond)
 		}
 		done := make(chan struct{})
-		go func() { defer close(done); call(t, w, "order", long, lab.Served) }()
+		go func() { defer close(done); call(t, w, "order", callTimeout, lab.Served) }()
 		waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
 		w.Stop()
 		<-done
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -9,14 +9,15 @@
 	"ringtrack.example/ringtrack/internal/lab/world"
 )
 
-// The last answer on a connection is not lost in a reset because its client has sent more after the request: the client
-// reads it completely, and then the end of the connection. What it sent after the request is not forwarded.
+// A client that has sent more bytes after its request reads the last answer completely, and then the end of
+// the connection. Closing a connection with unread bytes would send a reset, which can destroy the answer.
+// The bytes after the request are not forwarded.
 func TestLastAnswerIsNotReset(t *testing.T) {
 	for _, p := range world.Protocols() {
 		for name, extra := range map[string]func(*world.World) string{
-			"a request": func(w *world.World) string { return string(p.Encode(w.Request("read", long))) },
+			"a request": func(w *world.World) string { return string(p.Encode(w.Request("read", callTimeout))) },
 			"more than is read ahead": func(w *world.World) string {
-				return strings.Repeat(string(p.Encode(w.Request("read", long))), 40) + strings.Repeat("x", 40<<10)
+				return strings.Repeat(string(p.Encode(w.Request("read", callTimeout))), 40) + strings.Repeat("x", 40<<10)
 			},
 		} {
 			t.Run(p.Name+"/"+name, func(t *testing.T) {
@@ -25,9 +26,9 @@
 					t.Fatal(err)
 				}
 				defer w.Close()
-				w.Set(lab.Silent) // until the shutdown has begun
+				w.Set(lab.Silent) // no answer until the shutdown has begun
 				c := dial(t, w)
-				c.Write(p.Encode(w.Request("order", long)))
+				c.Write(p.Encode(w.Request("order", callTimeout)))
 				waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
 				if _, err := io.WriteString(c, extra(w)); err != nil {
 					t.Fatal(err)
@@ -36,7 +37,7 @@
 				go func() { ended <- w.Stop() }()
 				waitForClosedListener(t, w)
 				for _, s := range w.Servers {
-					s.Cut() // the request fails, which is its answer
+					s.Cut() // the answer is that the request failed
 				}
 				got, err := io.ReadAll(c.Conn)
 				if err != nil || len(got) == 0 {
@@ -46,15 +47,15 @@
 					t.Error(err)
 				}
 				if n := w.Begun(); n != 1 {
-					t.Errorf("%d were forwarded", n)
+					t.Errorf("%d calls were forwarded, want 1", n)
 				}
 			})
 		}
 	}
 }
 
-// A call that has begun to arrive when a shutdown begins, and whose rest arrives once nothing more is accepted, is answered. An open
-// call keeps the downstream up.
+// A call that has begun to arrive when a shutdown begins, and whose rest arrives after the listener was
+// closed, is answered. Another call that stays open keeps the downstream running meanwhile.
 func TestCallThatArrivesDuringShutdownIsAnswered(t *testing.T) {
 	for _, p := range world.Protocols() {
 		t.Run(p.Name, func(t *testing.T) {
@@ -65,9 +66,9 @@
 			defer w.Close()
 			w.Set(lab.Silent)
 			open, late := dial(t, w), dial(t, w)
-			open.Write(p.Encode(w.Request("order", long)))
+			open.Write(p.Encode(w.Request("order", callTimeout)))
 			waitFor(t, "no call arrived", func() bool { return w.Begun() == 1 })
-			r := w.Request("order", long)
+			r := w.Request("order", callTimeout)
 			message := p.Encode(r)
 			late.Write(message[:len(message)/2])
 			ended := make(chan error, 1)
@@ -91,8 +92,8 @@
 	}
 }
 
-// A client that connected just before a shutdown, and whose first call arrives once nothing more is accepted, is
-// answered: closing such a connection at once would reset the call on its way.
+// A client that connected just before a shutdown, and whose first call arrives after the listener was closed,
+// is answered: closing its connection at once would lose the call that is on its way.
 func TestCallOnANewConnectionIsAnsweredDuringShutdown(t *testing.T) {
 	for _, p := range world.Protocols() {
 		t.Run(p.Name, func(t *testing.T) {
@@ -105,7 +106,7 @@
 			ended := make(chan error, 1)
 			go func() { ended <- w.Stop() }()
 			waitForClosedListener(t, w)
-			r := w.Request("order", long)
+			r := w.Request("order", callTimeout)
 			c.Write(p.Encode(r))
 			if a, err := w.Answered(c, r); err != nil || a.Verdict != lab.Served {
 				t.Errorf("%+v, %v", a, err)
@@ -117,7 +118,7 @@
 	}
 }
 
-// waitForClosedListener waits until no connection is accepted any longer.
+// waitForClosedListener waits until no more connections are accepted.
 func waitForClosedListener(t *testing.T, w *world.World) {
 	t.Helper()
 	waitFor(t, "the listener is still open", func() bool {
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -14,12 +14,12 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// resettingServer waits after the first byte of each connection until the gate opens, and resets the connection.
+// resettingServer resets each connection, once its first byte has arrived and reset is closed.
 type resettingServer struct {
 	net.Listener
-	began   atomic.Int64 // connections on which a first byte arrived
+	began   atomic.Int64 // number of connections on which a byte arrived
 	arrived chan struct{}
-	gate    chan struct{}
+	reset   chan struct{}
 }
 
 func newResettingServer(t *testing.T) *resettingServer {
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &resettingServer{Listener: ln, arrived: make(chan struct{}, 64), gate: make(chan struct{})}
+	b := &resettingServer{Listener: ln, arrived: make(chan struct{}, 64), reset: make(chan struct{})}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -42,7 +42,7 @@
 				}
 				b.began.Add(1)
 				b.arrived <- struct{}{}
-				<-b.gate
+				<-b.reset
 				c.(*net.TCPConn).SetLinger(0)
 			}()
 		}
@@ -50,7 +50,8 @@
 	return b
 }
 
-// closeWrite ends a client's sending, and returns once the peer's kernel has acknowledged that.
+// closeWrite shuts down the client's sending side, and returns once the peer's kernel has acknowledged the
+// FIN.
 func closeWrite(t *testing.T, c net.Conn) {
 	t.Helper()
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
@@ -60,8 +61,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const finWait1 = 4 // sent, and not acknowledged yet
-	waitFor(t, "the end was not acknowledged", func() (acknowledged bool) {
+	const finWait1 = 4 // the TCP state in which the FIN is not acknowledged yet
+	waitFor(t, "the FIN was not acknowledged", func() (acknowledged bool) {
 		raw.Control(func(fd uintptr) {
 			info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 			acknowledged = err == nil && info.State != finWait1
@@ -70,19 +71,19 @@
 	})
 }
 
-// disconnectWays are the ways to disconnect that the downstream does not notice at once.
+// disconnectWays are ways to disconnect that the downstream does not detect immediately.
 var disconnectWays = []string{"at once", "after pipelined calls", "after more than is read ahead", "reset after more than is read ahead"}
 
-// disconnect disconnects a client, and returns once the agent's kernel knows.
+// disconnect disconnects a client, and returns once the agent's kernel has received the FIN or the reset.
 func disconnect(t *testing.T, w *world.World, c *world.Client, way string) {
 	t.Helper()
 	switch p := w.Protocol; way {
 	case "after pipelined calls":
-		c.Write(p.Encode(w.Request("read", long)))
+		c.Write(p.Encode(w.Request("read", callTimeout)))
 	case "after more than is read ahead", "reset after more than is read ahead":
 		if p.Thrift() {
-			for range 40 { // of which 16 are read ahead
-				c.Write(p.Encode(w.Request("read", long)))
+			for range 40 { // 16 of them are read ahead
+				c.Write(p.Encode(w.Request("read", callTimeout)))
 			}
 		}
 		io.WriteString(c, strings.Repeat("x", 40<<10))
@@ -95,8 +96,8 @@
 	closeWrite(t, c.Conn)
 }
 
-// No retry begins once the client has disconnected, however little time there was to notice: here the first attempt is
-// reset in the moment in which the client disconnects.
+// No retry begins once the client has disconnected, even if there was hardly any time to detect that: here
+// the first attempt is reset just after the client has disconnected.
 func TestNoRetryForAClientThatHasJustDisconnected(t *testing.T) {
 	for _, p := range world.Protocols() {
 		for _, way := range disconnectWays {
@@ -112,19 +113,19 @@
 				}
 				defer w.Close()
 				c := dial(t, w)
-				if _, err := c.Write(p.Encode(w.Request("read", long))); err != nil {
+				if _, err := c.Write(p.Encode(w.Request("read", callTimeout))); err != nil {
 					t.Fatal(err)
 				}
 				<-b.arrived
 				disconnect(t, w, c, way)
 				disconnectedAt := time.Now()
-				close(b.gate)
+				close(b.reset)
 				waitFor(t, "the request stays open", func() bool { return w.Loop.Counters().Open.Load() == 0 })
-				noticed := time.Since(disconnectedAt)
+				detectedAfter := time.Since(disconnectedAt)
 				f := w.Figures()
-				w.Stop() // nothing is in flight any longer
+				w.Stop() // so that no attempt is in flight
 				if n := b.began.Load(); n != 1 {
-					t.Errorf("%d attempts began, want the first one only (%v until detected)", n, noticed)
+					t.Errorf("%d attempts began, want the first one only (%v until detected)", n, detectedAfter)
 				}
 				if f.Disconnected != 1 || f.Accepted != 1 || f.GuardViolations != 0 {
 					t.Errorf("figures %+v", f)
@@ -134,8 +135,8 @@
 	}
 }
 
-// Nor does one if the client disconnects during the backoff before it: the first attempt was reset, no server is listed
-// for the next one, the client disconnects, and a server is listed in that moment.
+// No retry begins if the client disconnects during the backoff: the first attempt was reset while no other
+// server was listed, the client disconnects, and immediately after that a server for the retry is listed.
 func TestNoRetryForAClientThatDisconnectedDuringBackoff(t *testing.T) {
 	for _, p := range world.Protocols() {
 		for _, way := range disconnectWays {
@@ -153,24 +154,24 @@
 					t.Fatal(err)
 				}
 				c := dial(t, w)
-				if _, err := c.Write(p.Encode(w.Request("read", long))); err != nil {
+				if _, err := c.Write(p.Encode(w.Request("read", callTimeout))); err != nil {
 					t.Fatal(err)
 				}
 				<-first.arrived
-				inLoop := func(what string, is func() bool) {
-					waitFor(t, what, func() bool {
+				waitInLoop := func(failure string, condition func() bool) {
+					waitFor(t, failure, func() bool {
 						answer := make(chan bool, 1)
-						w.Loop.Post(func() { answer <- is() })
+						w.Loop.Post(func() { answer <- condition() })
 						return <-answer
 					})
 				}
-				w.Roster.Remove("s-0") // the attempt in flight goes on, and no other may begin
-				inLoop("the removal of s-0 is not known", func() bool {
+				w.Roster.Remove("s-0") // the attempt in flight continues, and no other can begin
+				waitInLoop("the removal of s-0 is not applied", func() bool {
 					list, _ := w.Loop.Endpoints()
 					return len(list.Entries) == 0
 				})
-				close(first.gate)
-				inLoop("the first attempt does not end", func() bool { return !w.Loop.IsListed("s-0") })
+				close(first.reset)
+				waitInLoop("the first attempt does not end", func() bool { return !w.Loop.IsListed("s-0") })
 				if n := w.Loop.Counters().Open.Load(); n != 1 {
 					t.Fatalf("%d requests are open during the backoff, want 1", n)
 				}
@@ -178,7 +179,7 @@
 				w.Roster.Set(entry("s-1", next))
 				waitFor(t, "the request stays open", func() bool { return w.Loop.Counters().Open.Load() == 0 })
 				f := w.Figures()
-				w.Stop() // nothing is in flight any longer
+				w.Stop() // so that no attempt is in flight
 				if n := next.began.Load(); n != 0 {
 					t.Errorf("%d retries began", n)
 				}
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -1,5 +1,5 @@
-// Package downstream_test is one table of rules: each is tested unchanged in every protocol that the agent speaks, on
-// the core with that protocol's downstream, upstream and test servers.
+// Package downstream_test tests one table of rules. Each rule is tested unchanged with every protocol of the
+// agent, on the core with that protocol's downstream, upstream and test servers.
 package downstream_test
 
 import (
@@ -11,31 +11,32 @@
 	"ringtrack.example/ringtrack/internal/lab/world"
 )
 
-// waitTimeout bounds each wait of the tests; none of them needs more than a part of it.
+// waitTimeout bounds each wait in the tests. It is far longer than any of them needs.
 const waitTimeout = 20 * time.Second
 
-const long = 2 * time.Second
+// callTimeout is the timeout of calls in rules that do not test the deadline.
+const callTimeout = 2 * time.Second
 
-// rule is one line of the table.
+// rule is one row of the table.
 type rule struct {
 	name   string
-	thrift bool // not for HTTP
+	thrift bool // for Thrift only
 	opts   world.Options
 	run    func(*testing.T, *world.World)
-	timed  func(*world.World) (late, wrong error) // in place of run: it compares answers with real time, see retryWhenHostStalled
+	timed  func(*world.World) (late, wrong error) // instead of run, for a rule that compares answers with real time; see retryWhenHostStalled
 }
 
 const (
-	// maxSchedulingGap is how late a goroutine that sleeps 1 ms at a time may be while an answer is compared with real
-	// time.
+	// maxSchedulingGap is how late a goroutine that sleeps 1 ms at a time may wake up for a late answer to
+	// count.
 	maxSchedulingGap = 10 * time.Millisecond
 	// maxTimedAttempts is how often such a rule is run at most.
 	maxTimedAttempts = 6
 )
 
-// retryWhenHostStalled runs a rule that compares answers with real time, and repeats it if the host stalled meanwhile,
-// which it measures by a goroutine that only sleeps. Only late answers are repeated, no other error, and the last attempt
-// counts whatever the host did.
+// retryWhenHostStalled runs a rule that compares answers with real time, and repeats it if the host stalled
+// meanwhile, which it measures with a goroutine that only sleeps. It repeats only after late answers, not
+// after other errors. The result of the last attempt counts even if the host stalled.
 func retryWhenHostStalled(attempt func() (late, wrong error)) (late, wrong error) {
 	for range maxTimedAttempts {
 		stop, gap := make(chan struct{}), make(chan time.Duration)
@@ -62,10 +63,10 @@
 	return late, wrong
 }
 
-// call makes one call and checks that its verdict is one of these.
-func call(t *testing.T, w *world.World, method string, within time.Duration, want ...lab.Verdict) world.Answer {
+// call makes one call and checks that its verdict is one of want.
+func call(t *testing.T, w *world.World, method string, timeout time.Duration, want ...lab.Verdict) world.Answer {
 	t.Helper()
-	a, err := w.Call(method, within)
+	a, err := w.Call(method, timeout)
 	if err != nil {
 		t.Errorf("%s: %v", method, err)
 	} else if !slices.Contains(want, a.Verdict) {
@@ -74,12 +75,12 @@
 	return a
 }
 
-// waitFor waits until a condition holds.
-func waitFor(t *testing.T, what string, is func() bool) {
+// waitFor waits until a condition holds, else it fails the test with the message.
+func waitFor(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitTimeout); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
--- a/internal/downstream/membershiprules_test.go
+++ b/internal/downstream/membershiprules_test.go
@@ -10,7 +10,7 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// membershipRules are about draining, removed and warming servers.
+// membershipRules test draining and removed servers, and the slow start.
 var membershipRules = []rule{
 	{name: "3 nothing new to a draining server", run: func(t *testing.T, w *world.World) {
 		testNothingNewAfter(t, w, func(s *world.Server) {
@@ -30,7 +30,7 @@
 			s.SetWork(400 * time.Millisecond)
 		}
 		done := make(chan struct{})
-		go func() { defer close(done); call(t, w, "order", long, lab.Served) }()
+		go func() { defer close(done); call(t, w, "order", callTimeout, lab.Served) }()
 		waitFor(t, "no call arrived", func() bool { return w.Begun() > 0 })
 		for _, s := range w.Servers {
 			e := s.Entry
@@ -44,17 +44,18 @@
 		if err := w.Followed(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		// Four clients send as fast as they are answered; an even load would be several times what the ledger permits.
+		// Four clients send as fast as they are answered. An even share of that is several times the capacity
+		// that the ledger permits during the slow start.
 		const capacity = 60
-		from := time.Now()
+		startedAt := time.Now()
 		e := w.Servers[0].Entry
-		e.StartedMs = float64(from.UnixMilli())
-		w.Ledger.Started(e.ID, from, capacity)
+		e.StartedMs = float64(startedAt.UnixMilli())
+		w.Ledger.Started(e.ID, startedAt, capacity)
 		w.Roster.Set(e)
 		for _, s := range w.Servers {
 			s.SetWork(5 * time.Millisecond)
 		}
-		time.Sleep(50 * time.Millisecond) // until the agent is notified
+		time.Sleep(50 * time.Millisecond) // until the agent has the update
 		var clients sync.WaitGroup
 		for range 4 {
 			clients.Go(func() {
@@ -64,8 +65,8 @@
 					return
 				}
 				defer c.Close()
-				for time.Since(from) < time.Second {
-					r := w.Request("order", long)
+				for time.Since(startedAt) < time.Second {
+					r := w.Request("order", callTimeout)
 					r.Key = r.Op
 					if a, err := w.CallOn(c, r); err != nil || a.Verdict == lab.Failed {
 						t.Errorf("%+v, %v", a, err)
@@ -78,17 +79,18 @@
 		if w.Servers[1].Begun() < 2*capacity {
 			t.Skipf("this host is too slow to overload a server: %d", w.Servers[1].Begun())
 		}
-		t.Logf("the warming server got %d, another %d", w.Servers[0].Begun(), w.Servers[1].Begun())
+		t.Logf("calls begun: %d at the server in slow start, %d at another", w.Servers[0].Begun(), w.Servers[1].Begun())
 	}},
 }
 
-// testNothingNewAfter drains or removes two servers and checks that nothing new is sent there 250 ms later.
+// testNothingNewAfter drains or removes two servers, and checks that no call is sent to them from 250 ms
+// later on.
 func testNothingNewAfter(t *testing.T, w *world.World, drain func(*world.Server)) {
 	if err := w.Followed(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	for range 10 {
-		call(t, w, "order", long, lab.Served)
+		call(t, w, "order", callTimeout, lab.Served)
 	}
 	draining := w.Servers[:2]
 	for _, s := range draining {
@@ -98,7 +100,7 @@
 	time.Sleep(250 * time.Millisecond)
 	n := draining[0].Begun() + draining[1].Begun()
 	for range 20 {
-		call(t, w, "order", long, lab.Served)
+		call(t, w, "order", callTimeout, lab.Served)
 	}
 	if got := draining[0].Begun() + draining[1].Begun() - n; got != 0 {
 		t.Errorf("%d calls to servers that drain or are removed", got)
--- a/internal/downstream/otherclients_test.go
+++ b/internal/downstream/otherclients_test.go
@@ -12,13 +12,14 @@
 	"ringtrack.example/ringtrack/internal/lab/world"
 )
 
-// A client of another protocol gets an error or is disconnected at once, and no other client is affected.
+// A client that speaks another protocol gets an error or is disconnected, most of them at once. Other clients
+// are not affected.
 func TestClientsOfOtherProtocols(t *testing.T) {
 	for _, test := range []struct {
 		p       world.Protocol
 		text    string
 		want    string
-		instant bool // needs no end of the client's bytes
+		instant bool // the connection is closed at once, and not only after a timeout
 	}{
 		{world.Protocols()[1], "GET / HTTP/1.1\r\n\r\n", "HTTP/1.1 400", true},
 		{world.Protocols()[1], "\x00\x00\x00\x20\x0f\xff\x00\x00", "", true}, // THeader
@@ -38,16 +39,16 @@
 			}
 			defer w.Close()
 			c := dial(t, w)
-			from := time.Now()
+			start := time.Now()
 			io.WriteString(c, test.text)
 			b, err := io.ReadAll(c.Conn)
 			if !strings.HasPrefix(string(b), test.want) || test.want == "" && len(b) > 0 && !strings.HasPrefix(string(b), "HTTP/1.1 4") {
 				t.Errorf("answered %q, %v", b, err)
 			}
-			if took := time.Since(from); test.instant && took > time.Second {
+			if took := time.Since(start); test.instant && took > time.Second {
 				t.Errorf("disconnected after %v", took)
 			}
-			call(t, w, "order", long, lab.Served)
+			call(t, w, "order", callTimeout, lab.Served)
 			if f := w.Figures(); f != (core.Stats{Accepted: 1, Served: 1}) {
 				t.Errorf("figures %+v", f)
 			}
--- a/internal/downstream/retryrules_test.go
+++ b/internal/downstream/retryrules_test.go
@@ -7,7 +7,7 @@
 	"ringtrack.example/ringtrack/internal/lab/world"
 )
 
-// retryRules are about when another attempt is permitted.
+// retryRules test when a retry is permitted.
 var retryRules = []rule{
 	{name: "2 not idempotent: no retry after it may have run", run: func(t *testing.T, w *world.World) {
 		modes := []lab.Mode{lab.Breaking, lab.Failing, lab.Foreign}
@@ -17,37 +17,37 @@
 		for _, m := range modes {
 			w.Set(m)
 			n := w.Begun()
-			call(t, w, "order", long, lab.Failed)
+			call(t, w, "order", callTimeout, lab.Failed)
 			if got := w.Begun() - n; got != 1 {
 				t.Errorf("mode %d: %d attempts", m, got)
 			}
 		}
-		// Whatever arrived on a connection, the next call has its own answer.
+		// The next call gets its own answer, whatever arrived on a connection before.
 		w.Set(lab.Serving)
 		for range 5 {
-			call(t, w, "read", long, lab.Served)
+			call(t, w, "read", callTimeout, lab.Served)
 		}
 	}},
 	{name: "2 not idempotent: retry where it never ran", run: func(t *testing.T, w *world.World) {
 		for _, s := range w.Servers[1:] {
-			s.Close() // connections are rejected
+			s.Close() // the kernel rejects connections
 		}
 		for range 6 {
-			call(t, w, "order", long, lab.Served)
+			call(t, w, "order", callTimeout, lab.Served)
 		}
 	}},
 	{name: "2 not idempotent: retry where it was rejected", run: func(t *testing.T, w *world.World) {
 		w.Servers[0].Set(lab.Full)
 		w.Servers[1].Set(lab.Full)
 		for range 6 {
-			call(t, w, "order", long, lab.Served)
+			call(t, w, "order", callTimeout, lab.Served)
 		}
 	}},
 	{name: "2 with a key, and idempotent: retry after a reset", run: func(t *testing.T, w *world.World) {
 		w.Set(lab.Breaking)
 		for _, method := range []string{"send", "read"} {
 			n := w.Begun()
-			call(t, w, method, long, lab.Refused, lab.Failed)
+			call(t, w, method, callTimeout, lab.Refused, lab.Failed)
 			if got := w.Begun() - n; got < 2 || got > 3 {
 				t.Errorf("%s: %d attempts", method, got)
 			}
@@ -56,7 +56,7 @@
 	{name: "2 two responses: the second is ignored", run: func(t *testing.T, w *world.World) {
 		w.Set(lab.Twice)
 		for range 4 {
-			call(t, w, "read", long, lab.Served) // the receipt is checked
+			call(t, w, "read", callTimeout, lab.Served) // Call checks the receipt
 		}
 	}},
 }
--- a/internal/downstream/rules_test.go
+++ b/internal/downstream/rules_test.go
@@ -12,10 +12,10 @@
 	"ringtrack.example/ringtrack/internal/lab/world"
 )
 
-// rules is the table, in the order in which it is printed.
+// rules is the table, in the order of the printed results.
 var rules = slices.Concat(answerRules, retryRules, membershipRules, clientRules, thriftRules)
 
-// TestRules runs every rule in every protocol and prints the table.
+// TestRules tests every rule with every protocol and prints the results as a table.
 func TestRules(t *testing.T) {
 	protocols := world.Protocols()
 	results := make([][]string, len(rules))
@@ -41,10 +41,10 @@
 							results[i][j] = "FAIL"
 						}
 					}()
-					o := r.opts
-					o.Seed = 7
+					options := r.opts
+					options.Seed = 7
 					attempt := func() (late, wrong error) {
-						w, err := world.New(p, o)
+						w, err := world.New(p, options)
 						if err != nil {
 							t.Fatal(err)
 						}
@@ -55,11 +55,11 @@
 							r.run(t, w)
 						}
 						errs := []error{wrong, w.Stop()}
-						switch broken, words := w.Ledger.Breaches(time.Now().Add(time.Hour)); {
-						case r.timed != nil && w.Ledger.Totals.Late > 0 && len(broken) == 1 && broken[1] == w.Ledger.Totals.Late:
-							late = errors.Join(late, fmt.Errorf("late: %q", words))
-						case len(broken) > 0:
-							errs = append(errs, fmt.Errorf("rules broken %v: %q", broken, words))
+						switch breaches, texts := w.Ledger.Breaches(time.Now().Add(time.Hour)); {
+						case r.timed != nil && w.Ledger.Totals.Late > 0 && len(breaches) == 1 && breaches[1] == w.Ledger.Totals.Late:
+							late = errors.Join(late, fmt.Errorf("late: %q", texts))
+						case len(breaches) > 0:
+							errs = append(errs, fmt.Errorf("rules broken %v: %q", breaches, texts))
 						}
 						if w.Leaked() {
 							errs = append(errs, errors.New("memory for bodies is not released"))
--- a/internal/downstream/thriftrules_test.go
+++ b/internal/downstream/thriftrules_test.go
@@ -13,7 +13,7 @@
 	"ringtrack.example/ringtrack/internal/lab/world"
 )
 
-// thriftRules are about what only Thrift has.
+// thriftRules test what is specific to Thrift.
 var thriftRules = []rule{
 	{name: "equal sequence ids of two clients", thrift: true, run: func(t *testing.T, w *world.World) {
 		for _, s := range w.Servers {
@@ -29,7 +29,7 @@
 				}
 				defer c.Close()
 				for i := range int32(5) {
-					r := w.Request("order", long)
+					r := w.Request("order", callTimeout)
 					r.Seq = i
 					if a, err := w.CallOn(c, r); err != nil || a.Verdict != lab.Served {
 						t.Errorf("%+v, %v", a, err)
@@ -41,7 +41,7 @@
 	}},
 	{name: "a declared exception is an answer", thrift: true, run: func(t *testing.T, w *world.World) {
 		w.Set(lab.Declaring)
-		if a := call(t, w, "stamp", long, lab.Served); a.Declared != 2 || a.Text != "full" {
+		if a := call(t, w, "stamp", callTimeout, lab.Served); a.Declared != 2 || a.Text != "full" {
 			t.Errorf("answered %+v", a)
 		}
 	}},
@@ -53,7 +53,7 @@
 		}
 		c := dial(t, w)
 		for i := range int64(6) {
-			r := w.Request("order", long)
+			r := w.Request("order", callTimeout)
 			r.Kind = thriftlab.Oneway
 			if err := w.Send(c, r); err != nil {
 				t.Fatal(err)
@@ -63,7 +63,7 @@
 		}
 	}},
 	{name: "a message of type REPLY", thrift: true, run: func(t *testing.T, w *world.World) {
-		c, r := dial(t, w), w.Request("order", long)
+		c, r := dial(t, w), w.Request("order", callTimeout)
 		r.Kind = thriftlab.Reply
 		c.Write(w.Protocol.Encode(r))
 		if a, err := c.Read(); err != nil || a.Code != thrift.CodeInvalidMessageType || a.Seq != r.Seq || w.Begun() != 0 {
@@ -71,12 +71,12 @@
 		}
 	}},
 	{name: "the error of a malformed call speaks of a call", thrift: true, run: func(t *testing.T, w *world.World) {
-		c, r := dial(t, w), w.Request("order", long)
-		r.Key = "spoil" // the type of a field becomes invalid
+		c, r := dial(t, w), w.Request("order", callTimeout)
+		r.Key = "marker" // its position shows where the next field begins
 		b := w.Protocol.Encode(r)
-		i := strings.LastIndex(string(b), "spoil")
-		// The type of the field after the key.
-		b[i+len("spoil")] = 0x7f
+		i := strings.LastIndex(string(b), "marker")
+		// The type of the field that follows the key becomes invalid.
+		b[i+len("marker")] = 0x7f
 		c.Write(b)
 		a, err := c.Read()
 		if err != nil || a.Code != thrift.CodeMalformed || a.Seq != r.Seq || strings.Contains(a.Text, "reply") || !strings.Contains(a.Text, "call") {
@@ -91,7 +91,7 @@
 			t.Skip("there are no frames")
 		}
 		for _, more := range []int{1, -1, -4} {
-			c, r := dial(t, w), w.Request("order", long)
+			c, r := dial(t, w), w.Request("order", callTimeout)
 			b := append(w.Protocol.Encode(r), 0, 0)
 			binary.BigEndian.PutUint32(b, uint32(len(b)-2-4+more))
 			c.Write(b)
@@ -108,33 +108,33 @@
 	}},
 	{name: "an unlisted method is not idempotent", thrift: true, run: func(t *testing.T, w *world.World) {
 		w.Set(lab.Breaking)
-		if call(t, w, "nobody", long, lab.Failed); w.Begun() != 1 {
+		if call(t, w, "nobody", callTimeout, lab.Failed); w.Begun() != 1 {
 			t.Errorf("%d attempts", w.Begun())
 		}
 	}},
 	{name: "an unlisted method that is rejected", thrift: true, opts: world.Options{Refuse: true}, run: func(t *testing.T, w *world.World) {
-		if a := call(t, w, "nobody", long, lab.Failed); a.Code != thrift.CodeUnknownMethod || w.Begun() != 0 {
+		if a := call(t, w, "nobody", callTimeout, lab.Failed); a.Code != thrift.CodeUnknownMethod || w.Begun() != 0 {
 			t.Errorf("answered %+v, %d attempts", a, w.Begun())
 		}
 	}},
 }
 
-// testOneWay sends calls without an answer, each followed by one with an answer on the same connection.
+// testOneWay sends one-way calls, each followed by a call with an answer on the same connection.
 func testOneWay(kind thriftlab.Kind, method string) func(*testing.T, *world.World) {
 	return func(t *testing.T, w *world.World) {
 		c := dial(t, w)
 		for i := range int64(10) {
-			r := w.Request(method, long)
+			r := w.Request(method, callTimeout)
 			r.Kind = kind
 			if err := w.Send(c, r); err != nil {
 				t.Fatal(err)
 			}
-			// The next answer is that of the next call.
-			if a, err := w.CallOn(c, w.Request("order", long)); err != nil || a.Verdict != lab.Served {
+			// The next answer belongs to the next call.
+			if a, err := w.CallOn(c, w.Request("order", callTimeout)); err != nil || a.Verdict != lab.Served {
 				t.Errorf("call %d: %+v, %v", i, a, err)
 			}
 			waitFor(t, "a one-way call is lost", func() bool { return w.Begun() >= 2*(i+1) })
-			w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // there is no answer, which promises nothing
+			w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // for the ledger, as a one-way call has no answer
 		}
 		if n := w.Begun(); n != 20 {
 			t.Errorf("%d calls arrived, want 20", n)
