--- a/internal/lab/acceptor.go
+++ b/internal/lab/acceptor.go
@@ -6,7 +6,8 @@
 	"sync/atomic"
 )
 
-// Acceptor is the listener of a stand-in server. It owns all connections and serves each in its own goroutine.
+// Acceptor is the listener of a stand-in server. It owns all connections and serves each in its own
+// goroutine.
 type Acceptor struct {
 	Addr string
 
--- a/internal/lab/demo/demo.go
+++ b/internal/lab/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo shows the agent at work to somebody who has never seen it: a small fleet, a roster, the
-// agent and clients, all in this process and on loopback.
+// Package demo demonstrates the agent: a small fleet, a discovery service, the agent and clients, all in this
+// process and on loopback.
 package demo
 
 import (
@@ -21,20 +21,20 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// phase is one stretch of the demo.
+// phase is one phase of the demo.
 type phase struct {
-	name  string
-	about string
-	long  time.Duration
-	begin func()
+	name        string
+	explanation string
+	duration    time.Duration
+	start       func()
 }
 
-// Run runs the demo and prints a line a phase and the ledger's verdict. It returns an error where a
-// rule was broken.
+// Run runs the demo and prints a line per phase and the violations that the ledger found. It returns an error
+// if there are any.
 func Run(ctx context.Context, w io.Writer) error { return run(ctx, w, 3*time.Second) }
 
-// run is Run with phases of this length.
-func run(ctx context.Context, w io.Writer, long time.Duration) error {
+// run is Run with phases of the given duration.
+func run(ctx context.Context, w io.Writer, phaseDuration time.Duration) error {
 	ledger := lab.NewLedger(lab.DefaultRules())
 	var servers []*lab.Backend
 	var entries []membership.Entry
@@ -50,163 +50,162 @@
 		}
 		servers, entries = append(servers, s), append(entries, s.Entry)
 	}
-	roster, err := lab.NewDiscoveryService(entries...)
+	discovery, err := lab.NewDiscoveryService(entries...)
 	if err != nil {
 		return err
 	}
-	defer roster.Close()
-	addr, stop, err := startAgent(roster, entries)
+	defer discovery.Close()
+	addr, stop, err := startAgent(discovery, entries)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	// The agent calls the roster a moment after its start, which differs from agent to agent; until then
-	// it has been told nothing.
+	// The agent sends its first watch request after a random delay; until then it gets no changes.
 	select {
-	case <-roster.WatchIndexes:
+	case <-discovery.WatchIndexes:
 	case <-time.After(10 * time.Second):
-		return fmt.Errorf("demo: the agent does not follow the roster")
+		return fmt.Errorf("demo: the agent does not watch the endpoint list")
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 
 	ctx, cancel := context.WithCancel(ctx)
-	var running sync.WaitGroup
-	defer running.Wait()
+	var clients sync.WaitGroup
+	defer clients.Wait()
 	defer cancel()
 	client := lab.NewClient(addr, ledger)
 	defer client.Close()
-	var count tally
+	var counts outcomeCounts
 	for i := range 8 {
-		running.Go(func() { portal(ctx, client, i, &count) })
+		clients.Go(func() { runClient(ctx, client, i, &counts) })
 	}
 
-	fmt.Fprintf(w, "Six order servers, one agent, clients that send reads, keyed bulletins and orders that must never\n"+
-		"run twice. Columns s-1 to s-6: requests that each server got in the phase.\n\n")
-	fmt.Fprintf(w, "%-24s %7s %7s %7s  ", "phase", "served", "refused", "failed")
+	fmt.Fprintf(w, "Six backends, one agent, and clients that send reads, messages with an idempotency key and orders that\n"+
+		"must not run twice. Columns s-1 to s-6: requests that each backend received in the phase.\n\n")
+	fmt.Fprintf(w, "%-24s %7s %8s %7s  ", "phase", "served", "rejected", "failed")
 	for _, s := range servers {
 		fmt.Fprintf(w, "%6s", s.ID)
 	}
 	fmt.Fprintln(w)
 	phases := []phase{
-		{"all is well", "", long, func() {}},
-		{"s-2 is told to drain", "it finishes what it has and gets nothing new", long, func() {
+		{"no fault", "", phaseDuration, func() {}},
+		{"s-2 drains", "it completes its requests and receives no new ones", phaseDuration, func() {
 			e := servers[1].Entry
 			e.State = membership.Draining
 			ledger.NotifiedDraining("s-2", time.Now())
-			roster.Set(e)
+			discovery.Set(e)
 		}},
-		{"s-4 goes silent", "nobody tells; the agent finds out by itself", long, func() { servers[3].Set(lab.Silent) }},
-		{"s-4 is back, cold", "it gets little at first, and more as it warms up", long, func() {
+		{"s-4 stops answering", "the discovery service does not report it; the agent detects it", phaseDuration, func() { servers[3].Set(lab.Silent) }},
+		{"s-4 restarts", "slow start: its share of the requests grows as it warms up", phaseDuration, func() {
 			e := servers[3].Entry
 			e.StartedMs = float64(time.Now().UnixMilli())
 			ledger.Started("s-4", time.Now(), 200)
 			servers[3].Set(lab.Serving)
-			roster.Set(e)
+			discovery.Set(e)
 		}},
-		{"s-2 serves again", "", long, func() {
+		{"s-2 is back in service", "", phaseDuration, func() {
 			ledger.InService("s-2")
-			roster.Set(servers[1].Entry)
+			discovery.Set(servers[1].Entry)
 		}},
 	}
 	for _, p := range phases {
 		before := make([]int64, len(servers))
-		p.begin()
-		if p.name == "s-2 is told to drain" {
-			time.Sleep(250 * time.Millisecond) // the grace that the rule gives
+		p.start()
+		if p.name == "s-2 drains" {
+			time.Sleep(250 * time.Millisecond) // the drain grace
 		}
 		for i, s := range servers {
 			before[i] = s.RequestCount()
 		}
-		count.reset()
+		counts.reset()
 		select {
-		case <-time.After(p.long):
+		case <-time.After(p.duration):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		served, refused, failed := count.read()
-		fmt.Fprintf(w, "%-24s %7d %7d %7d  ", p.name, served, refused, failed)
+		served, rejected, failed := counts.read()
+		fmt.Fprintf(w, "%-24s %7d %8d %7d  ", p.name, served, rejected, failed)
 		for i, s := range servers {
 			fmt.Fprintf(w, "%6d", s.RequestCount()-before[i])
 		}
 		fmt.Fprintln(w)
-		if p.about != "" {
-			fmt.Fprintf(w, "  (%s)\n", p.about)
+		if p.explanation != "" {
+			fmt.Fprintf(w, "  (%s)\n", p.explanation)
 		}
 	}
 	cancel()
-	running.Wait()
-	broken, words := ledger.Violations(time.Now())
-	fmt.Fprintf(w, "\nThe ledger, kept by the stand-ins, over %d requests:\n", ledger.Totals.Attempts)
-	for rule, what := range []string{"", "every request has one answer, in time", "nothing takes effect twice",
-		"nothing new later than 250 ms after a drain was told", "no cold server is pushed over"} {
+	clients.Wait()
+	violations, descriptions := ledger.Violations(time.Now())
+	fmt.Fprintf(w, "\nInvariants, checked at the stand-ins over %d requests:\n", ledger.Totals.Attempts)
+	for rule, description := range []string{"", "every request has one answer, in time", "nothing takes effect twice",
+		"no new request later than 250 ms after notice of a drain", "no server in slow start is overloaded"} {
 		if rule == 0 {
 			continue
 		}
-		verdict := "kept"
-		if broken[rule] > 0 {
-			verdict = fmt.Sprintf("BROKEN %d times", broken[rule])
+		result := "holds"
+		if violations[rule] > 0 {
+			result = fmt.Sprintf("VIOLATED %d times", violations[rule])
 		}
-		fmt.Fprintf(w, "  rule %d, %s: %s\n", rule, what, verdict)
+		fmt.Fprintf(w, "  rule %d, %s: %s\n", rule, description, result)
 	}
-	if len(words) > 0 {
-		return fmt.Errorf("demo: %s", strings.Join(words, "; "))
+	if len(descriptions) > 0 {
+		return fmt.Errorf("demo: %s", strings.Join(descriptions, "; "))
 	}
 	return nil
 }
 
-// tally counts how operations ended.
-type tally struct {
-	mu sync.Mutex
-	n  [3]int
+// outcomeCounts counts operations by outcome.
+type outcomeCounts struct {
+	mu     sync.Mutex
+	counts [3]int
 }
 
-func (t *tally) add(v lab.Outcome) {
+func (t *outcomeCounts) add(outcome lab.Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.n[v]++
+	t.counts[outcome]++
 }
 
-func (t *tally) reset() {
+func (t *outcomeCounts) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.n = [3]int{}
+	t.counts = [3]int{}
 }
 
-func (t *tally) read() (served, refused, failed int) {
+func (t *outcomeCounts) read() (served, rejected, failed int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.n[lab.Served], t.n[lab.Rejected], t.n[lab.Failed]
+	return t.counts[lab.Served], t.counts[lab.Rejected], t.counts[lab.Failed]
 }
 
-// portal is one thread of the application: an operation every 25 ms or so.
-func portal(ctx context.Context, c *lab.Client, i int, count *tally) {
-	t := time.NewTicker(25 * time.Millisecond)
-	defer t.Stop()
+// runClient sends an operation about every 25 ms until ctx ends.
+func runClient(ctx context.Context, c *lab.Client, i int, counts *outcomeCounts) {
+	ticker := time.NewTicker(25 * time.Millisecond)
+	defer ticker.Stop()
 	classes := []struct {
-		name   string
-		effect lab.Effect
-		within time.Duration
+		name    string
+		effect  lab.Effect
+		timeout time.Duration
 	}{{"read", lab.Idempotent, 800 * time.Millisecond}, {"send", lab.IdempotentByKey, 600 * time.Millisecond}, {"order", lab.NonIdempotent, 1200 * time.Millisecond}}
 	for n := 0; ; n++ {
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		k := classes[(n+i)%3]
-		count.add(c.Do(context.WithoutCancel(ctx), fmt.Sprintf("%s-%d-%d", k.name, i, n), k.name, k.effect, fmt.Sprintf("%016x", (n*7+i)%211+1), k.within))
+		class := classes[(n+i)%3]
+		counts.add(c.Do(context.WithoutCancel(ctx), fmt.Sprintf("%s-%d-%d", class.name, i, n), class.name, class.effect, fmt.Sprintf("%016x", (n*7+i)%211+1), class.timeout))
 	}
 }
 
-// startAgent starts the product's agent in this process.
-func startAgent(roster *lab.DiscoveryService, known []membership.Entry) (addr string, stop func(), err error) {
+// startAgent starts the product's agent in this process and waits until it is ready.
+func startAgent(discovery *lab.DiscoveryService, known []membership.Entry) (addr string, stop func(), err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
 	}
 	addr = ln.Addr().String()
-	text, err := json.Marshal(map[string]any{"name": "demo", "listen": addr, "discovery": roster.Addr, "seed": "7",
+	text, err := json.Marshal(map[string]any{"name": "demo", "listen": addr, "discovery": discovery.Addr, "seed": "7",
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known":    membership.List{Revision: 1, Full: true, Entries: known},
 		"settings": json.RawMessage(service.Settings)})
@@ -233,7 +232,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil))) // its log would run through the table
+	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil))) // log lines would interrupt the printed table
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- agent.Run(ctx, make(chan os.Signal), nil, cfg, ln) }()
--- a/internal/lab/ledger.go
+++ b/internal/lab/ledger.go
@@ -109,8 +109,8 @@
 	l.server(server).Zone = zone
 }
 
-// NotifiedDraining records that the proxies were notified that a server is draining or gone. InService reverts
-// it.
+// NotifiedDraining records that the proxies were notified that a server is draining or gone. InService
+// reverts it.
 func (l *Ledger) NotifiedDraining(server string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/roster.go
+++ b/internal/lab/roster.go
@@ -1,7 +1,7 @@
-// Package lab has the stand-ins of the tests, the demo and the acceptance tests: a discovery service, backends,
-// scripted clients and an xDS proxy, and the ledger that checks the four invariants. All of them listen on
-// loopback, on ports that the kernel chooses. The package is not part of the product, and results never come
-// from the product's own counters: the ledger counts at the stand-ins.
+// Package lab has the stand-ins of the tests, the demo and the acceptance tests: a discovery service,
+// backends, scripted clients and an xDS proxy, and the ledger that checks the four invariants. All of them
+// listen on loopback, on ports that the kernel chooses. The package is not part of the product, and results
+// never come from the product's own counters: the ledger counts at the stand-ins.
 package lab
 
 import (
@@ -185,7 +185,8 @@
 	r.wakeWatches()
 }
 
-// Update changes, adds or (those with the state Removed) removes several entries in one revision, and returns it.
+// Update changes, adds or (those with the state Removed) removes several entries in one revision, and returns
+// it.
 func (r *DiscoveryService) Update(entries ...membership.Entry) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/server.go
+++ b/internal/lab/server.go
@@ -53,12 +53,12 @@
 	onRequest atomic.Pointer[func(op string, received time.Time)]
 }
 
-// OnRequest sets a function that is called for each complete request, with its operation and the time at which
-// its first byte arrived.
+// OnRequest sets a function that is called for each complete request, with its operation and the time at
+// which its first byte arrived.
 func (s *Backend) OnRequest(f func(op string, received time.Time)) { s.onRequest.Store(&f) }
 
-// maxHeadBytesBeforeReset bounds after how many bytes of a request ResetAtEachByte resets the connection. Every
-// request is longer, so that none is complete.
+// maxHeadBytesBeforeReset bounds after how many bytes of a request ResetAtEachByte resets the connection.
+// Every request is longer, so that none is complete.
 const maxHeadBytesBeforeReset = 120
 
 // NewBackend starts a server that takes the time work for each request; ledger may be nil.
--- a/internal/lab/service/service.go
+++ b/internal/lab/service/service.go
@@ -1,5 +1,5 @@
-// Package service starts a control service of the lab: the product's own, in this process, on loopback,
-// beside a stand-in roster.
+// Package service starts the product's control service in this process, on loopback, with a stand-in for the
+// discovery service.
 package service
 
 import (
@@ -18,14 +18,14 @@
 	"ringtrack.example/ringtrack/internal/lab"
 )
 
-// Settings are those of the lab's fleet.
+// Settings is the settings file of the lab's fleet.
 //
 //go:embed settings.json
 var Settings []byte
 
-// Service is one replica.
+// Service is a replica of the control service.
 type Service struct {
-	Addr  string // for proxies
+	Addr  string // that proxies connect to
 	Admin string
 
 	Server *control.Server
@@ -34,9 +34,9 @@
 	file   string
 }
 
-// Config is the configuration of a replica that asks this roster, with what change makes of it. The
-// settings stand in a file of its own, which remove takes away.
-func Config(roster string, change func(*control.Config)) (cfg *control.Config, remove func(), err error) {
+// Config returns the configuration of a replica that uses the discovery service at this address, after change
+// modified it. The settings are in a temporary file, which remove deletes.
+func Config(discoveryAddr string, change func(*control.Config)) (cfg *control.Config, remove func(), err error) {
 	f, err := os.CreateTemp("", "settings-*.json")
 	if err != nil {
 		return nil, nil, err
@@ -48,7 +48,7 @@
 	}
 	cfg = control.DefaultConfig()
 	cfg.Listen, cfg.Admin = "127.0.0.1:1", "127.0.0.1:1" // the kernel chooses
-	cfg.Settings, cfg.Discovery.Addr = f.Name(), roster
+	cfg.Settings, cfg.Discovery.Addr = f.Name(), discoveryAddr
 	cfg.Proxies.StartupHoldMs = 0
 	if change != nil {
 		change(cfg)
@@ -63,9 +63,9 @@
 	return cfg, remove, nil
 }
 
-// Start starts a replica. addr is where it listens; "" lets the kernel choose.
-func Start(addr, roster string, log io.Writer, change func(*control.Config)) (*Service, error) {
-	cfg, remove, err := Config(roster, change)
+// Start starts a replica that listens at addr; "" lets the kernel choose the port.
+func Start(addr, discoveryAddr string, log io.Writer, change func(*control.Config)) (*Service, error) {
+	cfg, remove, err := Config(discoveryAddr, change)
 	if err != nil {
 		return nil, err
 	}
@@ -98,12 +98,12 @@
 	return s, nil
 }
 
-// StartWith is Start beside a roster of the lab.
-func StartWith(r *lab.DiscoveryService, change func(*control.Config)) (*Service, error) {
-	return Start("", r.Addr, nil, change)
+// StartWith starts a replica that uses a stand-in discovery service.
+func StartWith(discovery *lab.DiscoveryService, change func(*control.Config)) (*Service, error) {
+	return Start("", discovery.Addr, nil, change)
 }
 
-// Close ends the replica.
+// Close stops the replica.
 func (s *Service) Close() error {
 	s.cancel()
 	err := <-s.done
@@ -111,7 +111,7 @@
 	return err
 }
 
-// Report is what the admin page tells.
+// Report returns the report of the admin endpoint.
 func (s *Service) Report() (*control.Report, error) {
 	client := http.Client{Timeout: 10 * time.Second}
 	resp, err := client.Get("http://" + s.Admin + "/")
--- a/internal/lab/thriftlab/thriftlab.go
+++ b/internal/lab/thriftlab/thriftlab.go
@@ -1,5 +1,5 @@
-// Package thriftlab has stand-ins that speak Thrift, by the apache library and not by the product's code:
-// an order server whose behaviour is scripted, and a client.
+// Package thriftlab has stand-ins that speak Thrift by the Apache library, not by the product's code: a
+// backend whose behavior is set by a mode, and a client.
 package thriftlab
 
 import (
@@ -16,31 +16,32 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// Encoding is a transport and a protocol.
+// Encoding is a combination of a Thrift transport and protocol.
 type Encoding struct {
 	Name     string
 	Framed   bool
 	Protocol thrift.TProtocolFactory
 }
 
-var conf = &thrift.TConfiguration{MaxFrameSize: 32 << 20, MaxMessageSize: 64 << 20}
+var thriftConfig = &thrift.TConfiguration{MaxFrameSize: 32 << 20, MaxMessageSize: 64 << 20}
 
-// Encodings are those that the product speaks.
+// Encodings returns the encodings that the product supports.
 func Encodings() []Encoding {
-	binary, compact := thrift.NewTBinaryProtocolFactoryConf(conf), thrift.NewTCompactProtocolFactoryConf(conf)
-	old := thrift.NewTBinaryProtocolFactoryConf(&thrift.TConfiguration{TBinaryStrictWrite: thrift.BoolPtr(false), TBinaryStrictRead: thrift.BoolPtr(false)})
+	binary, compact := thrift.NewTBinaryProtocolFactoryConf(thriftConfig), thrift.NewTCompactProtocolFactoryConf(thriftConfig)
+	nonStrict := thrift.NewTBinaryProtocolFactoryConf(&thrift.TConfiguration{TBinaryStrictWrite: thrift.BoolPtr(false), TBinaryStrictRead: thrift.BoolPtr(false)})
 	return []Encoding{{"framed binary", true, binary}, {"framed compact", true, compact}, {"unframed binary", false, binary},
-		{"unframed compact", false, compact}, {"framed old binary", true, old}, {"unframed old binary", false, old}}
+		{"unframed compact", false, compact}, {"framed old binary", true, nonStrict}, {"unframed old binary", false, nonStrict}}
 }
 
 func (e Encoding) transport(t thrift.TTransport) thrift.TTransport {
 	if e.Framed {
-		return thrift.NewTFramedTransportConf(t, conf)
+		return thrift.NewTFramedTransportConf(t, thriftConfig)
 	}
 	return thrift.NewTBufferedTransport(t, 4096)
 }
 
-// Order is what a call has for arguments: the operation, its key, the client's time in ms, and more.
+// Order is the arguments of a call: the operation, its idempotency key, the client's timeout in milliseconds
+// and a list.
 type Order struct {
 	Op, Key string
 	Ms      int32
@@ -99,6 +100,7 @@
 	})
 }
 
+// fields reads a struct and calls each for its fields.
 func fields(ctx context.Context, p thrift.TProtocol, each func(thrift.TType, int16) error) error {
 	if _, err := p.ReadStructBegin(ctx); err != nil {
 		return err
@@ -117,7 +119,7 @@
 	}
 }
 
-// Result is a call's result: the receipt, or a declared exception by its field's id.
+// Result is the result of a call: a receipt, or a declared exception, identified by its field ID.
 type Result struct {
 	Receipt     string
 	ExceptionID int16 // 0: none
@@ -160,19 +162,19 @@
 	})
 }
 
-// Server is a stand-in order server.
+// Server is a stand-in for a backend that speaks Thrift.
 type Server struct {
 	*lab.Acceptor
 	lab.Work
-	ID     string
-	Entry  membership.Entry
-	enc    Encoding
-	ledger *lab.Ledger
-	mode   atomic.Int32
-	begun  atomic.Int64
+	ID       string
+	Entry    membership.Entry
+	enc      Encoding
+	ledger   *lab.Ledger
+	mode     atomic.Int32
+	requests atomic.Int64
 }
 
-// NewServer starts one; ledger may be nil.
+// NewServer starts a server; ledger may be nil.
 func NewServer(id string, enc Encoding, ledger *lab.Ledger) (*Server, error) {
 	s := &Server{ID: id, enc: enc, ledger: ledger}
 	var err error
@@ -183,8 +185,8 @@
 	return s, nil
 }
 
-// RequestCount is the number of calls that began here.
-func (s *Server) RequestCount() int64 { return s.begun.Load() }
+// RequestCount returns the number of calls received.
+func (s *Server) RequestCount() int64 { return s.requests.Load() }
 
 // Set changes the mode.
 func (s *Server) Set(m lab.Mode) { s.mode.Store(int32(m)) }
@@ -198,7 +200,7 @@
 		if err != nil {
 			return
 		}
-		began := time.Now()
+		received := time.Now()
 		var o Order
 		if err := o.Read(ctx, p); err != nil {
 			return
@@ -206,18 +208,18 @@
 		if err := p.ReadMessageEnd(ctx); err != nil {
 			return
 		}
-		s.begun.Add(1)
+		s.requests.Add(1)
 		if s.ledger != nil {
-			s.ledger.RequestReceived(s.ID, began)
+			s.ledger.RequestReceived(s.ID, received)
 		}
 		mode := lab.Mode(s.mode.Load())
-		ran := func() {
+		recordExecution := func() {
 			if s.ledger != nil && o.Op != "" {
 				s.ledger.Executed(s.ID, o.Op, time.Now())
 			}
 		}
 		if kind == thrift.ONEWAY || name == "tell" {
-			ran()
+			recordExecution()
 			continue
 		}
 		s.Do()
@@ -227,7 +229,7 @@
 			io.Copy(io.Discard, c)
 			return
 		case lab.ResetAfterRun:
-			ran()
+			recordExecution()
 			c.(*net.TCPConn).SetLinger(0)
 			return
 		case lab.Rejecting:
@@ -239,12 +241,12 @@
 		case lab.WrongMethodName:
 			name = "other"
 		case lab.WrongProtocol:
-			ran()
+			recordExecution()
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			continue
 		}
 		if mode != lab.Rejecting {
-			ran()
+			recordExecution()
 		}
 		out := thrift.NewTMemoryBuffer()
 		ot := s.enc.transport(out)
@@ -264,18 +266,18 @@
 	}
 }
 
-// Kind is how a call is sent.
+// Kind is the kind of a message that a client sends.
 type Kind uint8
 
 // The kinds.
 const (
 	Call         Kind = iota
-	Oneway            // as the specification has it
-	OnewayAsCall      // as the apache library for Go sends it: of the type CALL, with nobody waiting
-	Reply             // no call at all
+	Oneway            // of the type ONEWAY, by the specification
+	OnewayAsCall      // of the type CALL without waiting for a reply, as the Apache library for Go sends it
+	Reply             // not a call
 )
 
-// Encode is a call as it stands on a connection.
+// Encode returns a message as it is sent on a connection.
 func (e Encoding) Encode(method string, kind Kind, seq int32, o *Order) []byte {
 	ctx := context.Background()
 	out := thrift.NewTMemoryBuffer()
@@ -292,12 +294,12 @@
 // Reader reads the replies on one connection.
 type Reader struct{ p thrift.TProtocol }
 
-// NewReader returns one.
+// NewReader returns a reader of the replies on r.
 func (e Encoding) NewReader(r io.Reader) *Reader {
 	return &Reader{e.Protocol.GetProtocol(e.transport(thrift.NewStreamTransportR(r)))}
 }
 
-// Read reads a reply. The code is that of an application exception, or -1 where there was none.
+// Read reads a reply. code is the type of an application exception, -1 if there is none.
 func (r *Reader) Read() (res Result, seq, code int32, err error) {
 	ctx := context.Background()
 	_, kind, seq, err := r.p.ReadMessageBegin(ctx)
@@ -314,7 +316,7 @@
 			code, res.Text = x.TypeId(), x.Error()
 		}
 	default:
-		err = errors.New("thriftlab: no reply")
+		err = errors.New("thriftlab: the message is not a reply")
 	}
 	if err == nil {
 		err = r.p.ReadMessageEnd(ctx)
--- a/internal/lab/zk/ensemble.go
+++ b/internal/lab/zk/ensemble.go
@@ -1,10 +1,11 @@
 // Package zk is a stand-in for a registry that speaks ZooKeeper's client protocol: an ensemble of scripted
 // servers in one process, on loopback, written from the public protocol and not from the product's client.
 // The ensemble has one committed history; each server has applied it up to some zxid and answers from that.
-// Faults are injected by calls: lag, slow or corrupt answers, half-open connections, loss of the leader, expiry
-// of sessions.
+// Faults are injected by calls: lag, slow or corrupt answers, half-open connections, loss of the leader,
+// expiry of sessions.
 //
-// Not implemented: quorum elections (calls remove and elect the leader), SASL, reconfiguration, containers, TTLs.
+// Not implemented: quorum elections (calls remove and elect the leader), SASL, reconfiguration, containers,
+// TTLs.
 package zk
 
 import (
@@ -156,8 +157,8 @@
 	return x.zxid
 }
 
-// end ends a session and deletes its ephemeral nodes in one transaction. keepConn leaves its connection open. The
-// caller holds e.mu.
+// end ends a session and deletes its ephemeral nodes in one transaction. keepConn leaves its connection open.
+// The caller holds e.mu.
 func (e *Ensemble) end(s *session, keepConn bool) {
 	delete(e.sessions, s.id)
 	var changes []change
@@ -184,8 +185,8 @@
 	Data  []byte // after the change; must not be modified
 }
 
-// OnChange sets a function that is called for each change when it is committed, before any server shows it. The
-// ensemble's lock is held during the call.
+// OnChange sets a function that is called for each change when it is committed, before any server shows it.
+// The ensemble's lock is held during the call.
 func (e *Ensemble) OnChange(f func(Change)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -317,8 +318,8 @@
 	return e.history.zxid
 }
 
-// open opens or resumes a session for a connection. It returns nil if the session has expired. The caller holds
-// e.mu.
+// open opens or resumes a session for a connection. It returns nil if the session has expired. The caller
+// holds e.mu.
 func (e *Ensemble) open(c *zkwire.Connect, nc *conn) *session {
 	if c.Session != 0 {
 		s := e.sessions[c.Session]
--- a/internal/lab/zk/ops.go
+++ b/internal/lab/zk/ops.go
@@ -147,7 +147,8 @@
 	})
 }
 
-// setWatches restores watches after a reconnect and sends events for what changed since the zxid of the request.
+// setWatches restores watches after a reconnect and sends events for what changed since the zxid of the
+// request.
 func (c *conn) setWatches(w *zkwire.SetWatches) {
 	t := c.server.tree
 	for _, p := range w.Data {
--- a/internal/lab/zk/server.go
+++ b/internal/lab/zk/server.go
@@ -31,7 +31,7 @@
 	acceptsNewerClients bool // whose last zxid is above the server's
 	down                bool
 	readOnly            bool
-	slow                atomic.Int64 // mean delay of outgoing frames in nanoseconds, uniformly distributed from 0 to twice that
+	slow                atomic.Int64 // mean delay of outgoing frames in nanoseconds; see SetSlow
 	halfOpen            atomic.Bool
 	corrupt             atomic.Int64 // number of outgoing frames still to be corrupted
 	bytes               atomic.Int64 // sent
@@ -88,15 +88,15 @@
 	s.locked(func() { s.readOnly = readOnly; s.closeConns() })
 }
 
-// SetAcceptsNewerClients makes the server accept clients that have seen a later zxid than it has, which a correct
-// server rejects, and answer a sync without having caught up.
+// SetAcceptsNewerClients makes the server accept clients that have seen a later zxid than it has, which a
+// correct server rejects, and answer a sync without having caught up.
 func (s *Server) SetAcceptsNewerClients(on bool) { s.locked(func() { s.acceptsNewerClients = on }) }
 
 // SetHalfOpen makes connections half-open: nothing is read or written any more, and none is closed.
 func (s *Server) SetHalfOpen(on bool) { s.halfOpen.Store(on) }
 
-// SetSlow delays each outgoing frame by a random time up to twice d. Frames of one connection stay in order;
-// those of different connections may not.
+// SetSlow delays each outgoing frame by a time that is uniformly distributed from 0 to twice d. Frames of one
+// connection stay in order; those of different connections may not.
 func (s *Server) SetSlow(d time.Duration) { s.slow.Store(int64(d)) }
 
 // Corrupt corrupts the bodies of the next n outgoing frames.
@@ -130,8 +130,8 @@
 	}
 }
 
-// catchUp applies the transactions that are older than the lag, and all up to the zxid upTo. The caller holds the
-// lock of the ensemble.
+// catchUp applies the transactions that are older than the lag, and all up to the zxid upTo. The caller holds
+// the lock of the ensemble.
 func (s *Server) catchUp(now time.Time, upTo int64) {
 	for _, x := range s.ensemble.log {
 		if x.zxid <= s.tree.zxid {
@@ -164,8 +164,8 @@
 	s.sendEvents(zkwire.NodeChildrenChanged, parent(c.path), s.child)
 }
 
-// sendEvents sends an event to the connections that watch a path: in the tables, which removes their watches, or
-// with persistent watches.
+// sendEvents sends an event to the connections that watch a path: in the tables, which removes their watches,
+// or with persistent watches.
 func (s *Server) sendEvents(ev zkwire.Event, path string, tables ...watches) {
 	receivers := map[*conn]bool{}
 	for _, w := range tables {
--- a/internal/lab/zk/witness_test.go
+++ b/internal/lab/zk/witness_test.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// A lagging server shows stale data until a sync, and rejects a client that has seen a later zxid. A new leader
-// begins a new epoch.
+// A lagging server shows stale data until a sync, and rejects a client that has seen a later zxid. A new
+// leader begins a new epoch.
 func TestLagAndLeader(t *testing.T) {
 	e := ensemble(t, Options{Servers: 2})
 	e.Servers[0].SetLag(time.Hour)
@@ -196,7 +196,8 @@
 	if ok, _, err := c.Exists("/a"); !ok || err != nil {
 		t.Errorf("after sync %v, %v", ok, err)
 	}
-	// A lagging server closes the connection of a client that has seen a later zxid, and accepts one that has not.
+	// A lagging server closes the connection of a client that has seen a later zxid, and accepts one that has
+	// not.
 	e.Servers[1].SetDown(false)
 	e.Servers[1].SetLag(time.Hour)
 	behind := e.Zxid()
