--- a/internal/lab/world/protocol.go
+++ b/internal/lab/world/protocol.go
@@ -17,17 +17,17 @@
 	"ringtrack.example/ringtrack/internal/lab/thriftlab"
 )
 
-// Protocol is what clients, agent and servers of a world speak.
+// Protocol is the protocol of the clients, the agent and the servers of a world.
 type Protocol struct {
 	Name string
-	// Encoding is Thrift's; nil: HTTP/1.1.
+	// Encoding is the Thrift encoding; nil: HTTP/1.1.
 	Encoding *thriftlab.Encoding
 }
 
 // HTTP is HTTP/1.1.
 var HTTP = Protocol{Name: "HTTP"}
 
-// Protocols are all that the agent speaks.
+// Protocols returns all protocols that the agent supports.
 func Protocols() []Protocol {
 	all := []Protocol{HTTP}
 	for _, e := range thriftlab.Encodings() {
@@ -36,13 +36,13 @@
 	return all
 }
 
-// Thrift tells whether the protocol is one of Thrift's.
+// Thrift reports whether the protocol is Thrift.
 func (p Protocol) Thrift() bool { return p.Encoding != nil }
 
-// Request is one that a client sends.
+// Request is a request of a client.
 type Request struct {
-	Op      string // what the ledger knows it by
-	Method  string // over HTTP its class
+	Op      string // identifies it in the ledger
+	Method  string // over HTTP: the class
 	Effect  lab.Effect
 	Key     string
 	Timeout time.Duration
@@ -50,20 +50,20 @@
 	Seq     int32          // Thrift only
 }
 
-// Answer is one that a client got.
+// Answer is an answer to a client.
 type Answer struct {
 	Outcome     lab.Outcome
-	RetryAfter  time.Duration // refused: when to come back
-	Code        int           // an application exception's type, or an HTTP status; 0 of what was served
+	RetryAfter  time.Duration // of a rejection: how long to wait before a retry
+	Code        int           // application exception type or HTTP status; 0 if the request was served
 	Receipt     string
-	ExceptionID int16 // id of the declared exception
+	ExceptionID int16 // field ID of the declared exception; 0: none
 	Text        string
 	Seq         int32
 }
 
-var lastID atomic.Uint64
+var lastRequestID atomic.Uint64
 
-// Encode is a request as it stands on a connection. An HTTP request has an id of its own each time.
+// Encode returns a request as it is sent on a connection. Each encoded HTTP request has a new request ID.
 func (p Protocol) Encode(r *Request) []byte {
 	if p.Thrift() {
 		return p.Encoding.Encode(r.Method, r.Kind, r.Seq,
@@ -78,7 +78,7 @@
 		fmt.Fprintf(&b, "POST %s HTTP/1.1\r\nContent-Length: %d\r\n", target, len(body))
 	}
 	fmt.Fprintf(&b, "Host: agent\r\nRequest-Id: %016x\r\nRequest-Class: %s\r\nRequest-Timeout-Ms: %d\r\n",
-		lastID.Add(1), r.Method, r.Timeout.Milliseconds())
+		lastRequestID.Add(1), r.Method, r.Timeout.Milliseconds())
 	if r.Effect == lab.IdempotentByKey {
 		fmt.Fprintf(&b, "Idempotency-Key: %s\r\n", r.Op)
 	}
@@ -86,14 +86,14 @@
 	return b.Bytes()
 }
 
-// Client is a connection of a client.
+// Client is a client connection.
 type Client struct {
 	net.Conn
 	br     *bufio.Reader
 	thrift *thriftlab.Reader // nil: HTTP
 }
 
-// Dial connects a client to what listens at addr. All that it does ends with the time-out.
+// Dial connects a client to addr. The timeout bounds everything that is done on the connection.
 func (p Protocol) Dial(addr string, timeout time.Duration) (*Client, error) {
 	nc, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -1,6 +1,7 @@
-// Package world is a whole small world in one process: the product's core with a front and an upstream of
-// one protocol, stand-in servers that speak it, a roster, clients and the ledger of the four rules. The
-// rule tests and the proofs of the agent's side stand on it, so that each runs in every protocol.
+// Package world has a complete small installation in one process: the product's core with the downstream and
+// the upstream of one protocol, stand-in servers of this protocol, a discovery service, clients and the
+// ledger that checks the four invariants. The rule tests and the acceptance tests of the agent use it, so
+// that each can run in every protocol.
 package world
 
 import (
@@ -16,27 +17,27 @@
 	"golang.org/x/sync/semaphore"
 
 	"ringtrack.example/ringtrack/internal/core"
-	httpfront "ringtrack.example/ringtrack/internal/downstream/http"
-	thriftfront "ringtrack.example/ringtrack/internal/downstream/thrift"
+	downhttp "ringtrack.example/ringtrack/internal/downstream/http"
+	downthrift "ringtrack.example/ringtrack/internal/downstream/thrift"
 	"ringtrack.example/ringtrack/internal/lab"
 	"ringtrack.example/ringtrack/internal/lab/thriftlab"
 	"ringtrack.example/ringtrack/internal/membership"
 	"ringtrack.example/ringtrack/internal/membership/ephemeral"
 	"ringtrack.example/ringtrack/internal/thriftwire"
 	"ringtrack.example/ringtrack/internal/upstream/conns"
-	httpup "ringtrack.example/ringtrack/internal/upstream/http"
-	thriftup "ringtrack.example/ringtrack/internal/upstream/thrift"
+	uphttp "ringtrack.example/ringtrack/internal/upstream/http"
+	upthrift "ringtrack.example/ringtrack/internal/upstream/thrift"
 	"ringtrack.example/ringtrack/policy"
 )
 
 const (
-	// patience bounds what a client waits for.
-	patience = 20 * time.Second
-	// memory is that for bodies, room the connections of clients.
-	memory, room = 16 << 20, 512
+	// clientTimeout bounds every wait of a client.
+	clientTimeout = 20 * time.Second
+	// bodyMemory is the budget for bodies in bytes, maxClients the maximum number of client connections.
+	bodyMemory, maxClients = 16 << 20, 512
 )
 
-// Settings are those of a world that says nothing else: one class of each effect, 2 s to answer.
+// Settings returns the default settings of a world: one class per effect, with a client timeout of 2 s.
 func Settings() policy.Settings {
 	return policy.Settings{Classes: []policy.Class{
 		{Name: "read", LatencyObjectiveMs: 1000, ClientTimeoutMs: 2000, Effect: policy.Idempotent, PriorityWeight: 1},
@@ -47,22 +48,22 @@
 		DiscoveryMode: "on_request", Replicas: 1, BatchIntervalMs: 5}
 }
 
-// effects are what methods do; over HTTP they are classes. "stamp" is an order whose exceptions prove
-// nothing, "tell" one that nobody answers, "nobody" is not listed.
+// effects has the effects of the methods, which are classes over HTTP. "stamp" declares no exception that
+// shows that a call never ran, "tell" is one-way, "nobody" is not in the method table.
 var effects = map[string]lab.Effect{"read": lab.Idempotent, "send": lab.IdempotentByKey, "order": lab.NonIdempotent, "stamp": lab.NonIdempotent,
 	"tell": lab.NonIdempotent, "nobody": lab.NonIdempotent}
 
-// Server is a stand-in order server of the world's protocol.
+// Server is a stand-in for a backend that speaks the world's protocol.
 type Server struct {
 	Standin
 	Entry membership.Entry
 }
 
-// Standin is what servers of all protocols do.
+// Standin is the interface of the stand-in servers of all protocols.
 type Standin interface {
 	Set(lab.Mode)
 	SetWork(time.Duration)
-	SetTail(every int64, more time.Duration)
+	SetTail(every int64, extra time.Duration)
 	RequestCount() int64
 	ResetConnections()
 	Close()
@@ -84,38 +85,38 @@
 	return &Server{s, s.Entry}, nil
 }
 
-// Options say what is in a world. The zero value has three servers.
+// Options configure a world. The zero value has three servers.
 type Options struct {
 	Servers        int
-	Entries        []membership.Entry // in place of servers of the world's own
+	Entries        []membership.Entry // listed instead of servers that the world starts
 	Settings       *policy.Settings   // nil: Settings()
 	Zones          []string           // nil: "east"
 	Seed           uint64
-	RejectUnlisted bool // Thrift: methods that are not listed
-	// Registry is the file of a registry of what runs, as the agent is given it; "": there is none.
+	RejectUnlisted bool // Thrift: rejects methods that are not in the table
+	// Registry is the file that configures a registry of ephemeral nodes for the agent; "": no registry.
 	Registry string
 }
 
-// World is one.
+// World is a running installation.
 type World struct {
 	Protocol  Protocol
-	Addr      string // of the front
+	Addr      string // of the downstream listener
 	Loop      *core.EventLoop
 	Ledger    *lab.Ledger
 	Discovery *lab.DiscoveryService
 	Servers   []*Server
 	Pool      *conns.Pool
 
-	budget *semaphore.Weighted
-	down   func() error
-	once   sync.Once
-	ended  error
-	lastOp atomic.Int64
+	budget   *semaphore.Weighted
+	shutdown func() error
+	once     sync.Once
+	stopErr  error
+	lastOp   atomic.Int64
 }
 
 // New starts a world.
 func New(p Protocol, o Options) (w *World, err error) {
-	w = &World{Protocol: p, Ledger: lab.NewLedger(lab.DefaultRules()), budget: semaphore.NewWeighted(memory), down: func() error { return nil },
+	w = &World{Protocol: p, Ledger: lab.NewLedger(lab.DefaultRules()), budget: semaphore.NewWeighted(bodyMemory), shutdown: func() error { return nil },
 		Pool: conns.New(time.Second, time.Minute, 256)}
 	defer func() {
 		if err != nil {
@@ -153,13 +154,13 @@
 	return w, w.start(cfg, o.RejectUnlisted)
 }
 
-// start starts core and front.
-func (w *World) start(cfg core.Config, refuse bool) error {
+// start starts the core and the downstream server.
+func (w *World) start(cfg core.Config, rejectUnlisted bool) error {
 	const linger = 10 * time.Millisecond
 	limits := thriftwire.Limits{Size: 1 << 20, Depth: 32}
-	var upstream core.Upstream = &httpup.Upstream{Pool: w.Pool, Budget: w.budget}
+	var upstream core.Upstream = &uphttp.Upstream{Pool: w.Pool, Budget: w.budget}
 	if w.Protocol.Thrift() {
-		upstream = &thriftup.Upstream{Pool: w.Pool, Budget: w.budget, Limits: limits}
+		upstream = &upthrift.Upstream{Pool: w.Pool, Budget: w.budget, Limits: limits}
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -171,18 +172,18 @@
 	var shutdown func() error
 	ready := func() {}
 	if w.Protocol.Thrift() {
-		table, err := thriftTable(&cfg.Settings, refuse)
+		table, err := thriftTable(&cfg.Settings, rejectUnlisted)
 		if err != nil {
 			cancel()
 			ln.Close()
 			return err
 		}
-		f := &thriftfront.Server{Upstream: upstream, Budget: w.budget, Table: table, Limits: limits, MaxConns: room,
+		f := &downthrift.Server{Upstream: upstream, Budget: w.budget, Table: table, Limits: limits, MaxConns: maxClients,
 			RetryAfterMs: cfg.Settings.Limits.MaxRetryAfterMs, Linger: linger}
 		serve = func() error { f.EventLoop = w.Loop; return f.Serve(ln) }
 		shutdown = func() error { f.Shutdown(ln, 3*time.Second); return nil }
 	} else {
-		f := httpfront.New(&cfg.Settings, w.budget, upstream, room, room)
+		f := downhttp.New(&cfg.Settings, w.budget, upstream, maxClients, maxClients)
 		f.Linger, ready = linger, f.Ready
 		serve = func() error { f.EventLoop = w.Loop; return f.Serve(ln) }
 		shutdown = func() error { return f.Shutdown(3 * time.Second) }
@@ -192,39 +193,40 @@
 		ln.Close()
 		return err
 	}
-	served, ended := make(chan error, 1), make(chan struct{})
-	go func() { defer close(ended); w.Loop.Run() }()
-	go func() { served <- serve() }()
-	w.down = func() error {
-		err := errors.Join(shutdown(), <-served)
+	serveErr, loopEnded := make(chan error, 1), make(chan struct{})
+	go func() { defer close(loopEnded); w.Loop.Run() }()
+	go func() { serveErr <- serve() }()
+	w.shutdown = func() error {
+		err := errors.Join(shutdown(), <-serveErr)
 		cancel()
-		<-ended
+		<-loopEnded
 		return err
 	}
 	return nil
 }
 
-func thriftTable(settings *policy.Settings, refuse bool) (*thriftfront.Table, error) {
-	c := &thriftfront.Config{Listen: "127.0.0.1:1", FrameLimit: 1 << 20, DepthLimit: 32, Unlisted: "unsafe", Class: "order"}
-	if refuse {
+// thriftTable returns the method table of the downstream Thrift server.
+func thriftTable(settings *policy.Settings, rejectUnlisted bool) (*downthrift.Table, error) {
+	c := &downthrift.Config{Listen: "127.0.0.1:1", FrameLimit: 1 << 20, DepthLimit: 32, Unlisted: "unsafe", Class: "order"}
+	if rejectUnlisted {
 		c.Unlisted = "refuse"
 	}
 	for _, name := range []string{"read", "send", "order"} {
-		m := thriftfront.MethodConfig{Name: name, Class: name, Key: "1.3", Deadline: "1.4"}
+		m := downthrift.MethodConfig{Name: name, Class: name, Key: "1.3", Deadline: "1.4"}
 		m.NeverRan.Exceptions = []int16{2}
 		c.Method = append(c.Method, m)
 	}
-	c.Method = append(c.Method, thriftfront.MethodConfig{Name: "stamp", Class: "order"}, thriftfront.MethodConfig{Name: "tell", Class: "order", OneWay: true})
+	c.Method = append(c.Method, downthrift.MethodConfig{Name: "stamp", Class: "order"}, downthrift.MethodConfig{Name: "tell", Class: "order", OneWay: true})
 	return c.Table(settings.Classes)
 }
 
-// Stop ends the front, which lets open calls end, and the core.
+// Stop shuts down the downstream server, which completes the calls in flight, and the core.
 func (w *World) Stop() error {
-	w.once.Do(func() { w.ended = w.down() })
-	return w.ended
+	w.once.Do(func() { w.stopErr = w.shutdown() })
+	return w.stopErr
 }
 
-// Close ends all of it.
+// Close stops the world and its stand-ins.
 func (w *World) Close() error {
 	err := w.Stop()
 	if w.Discovery != nil {
@@ -236,8 +238,9 @@
 	return err
 }
 
-// Leaked tells whether memory for bodies was not given back. It is for the end.
-func (w *World) Leaked() bool { return !w.budget.TryAcquire(memory) }
+// Leaked reports whether memory of the budget for bodies was not released. It is called at the end of a test,
+// as it takes the budget.
+func (w *World) Leaked() bool { return !w.budget.TryAcquire(bodyMemory) }
 
 // Set changes the mode of all servers.
 func (w *World) Set(m lab.Mode) {
@@ -246,7 +249,7 @@
 	}
 }
 
-// RequestCount is the number of requests that began at any server.
+// RequestCount returns the number of requests that all servers received.
 func (w *World) RequestCount() (n int64) {
 	for _, s := range w.Servers {
 		n += s.RequestCount()
@@ -254,53 +257,53 @@
 	return n
 }
 
-// Stats are the core's.
+// Stats returns the statistics of the core.
 func (w *World) Stats() core.Stats {
 	got := make(chan core.Stats, 1)
 	w.Loop.Post(func() { got <- w.Loop.Stats() })
 	return <-got
 }
 
-// Unserved says which rules have ended how many requests.
+// Unserved returns the number of requests that were not served, by reason.
 func (w *World) Unserved() string {
-	var rules []string
+	var counts []string
 	for reason := policy.ReasonNone + 1; reason < policy.NumRejectReasons; reason++ {
 		if n := w.Loop.Counters().Unserved[reason].Load(); n > 0 {
-			rules = append(rules, fmt.Sprintf("%v %d", reason, n))
+			counts = append(counts, fmt.Sprintf("%v %d", reason, n))
 		}
 	}
-	return strings.Join(rules, ", ")
+	return strings.Join(counts, ", ")
 }
 
-// AwaitWatch waits until the roster has been asked for changes.
+// AwaitWatch waits until the agent has sent a watch request to the discovery service.
 func (w *World) AwaitWatch(ctx context.Context) error {
 	select {
 	case <-w.Discovery.WatchIndexes:
 		return nil
-	case <-time.After(patience):
-		return errors.New("world: the roster is not followed")
+	case <-time.After(clientTimeout):
+		return errors.New("world: the agent does not watch the endpoint list")
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Dial connects a client to the front.
-func (w *World) Dial() (*Client, error) { return w.Protocol.Dial(w.Addr, patience) }
+// Dial connects a client to the downstream listener.
+func (w *World) Dial() (*Client, error) { return w.Protocol.Dial(w.Addr, clientTimeout) }
 
-// Request is a new operation.
-func (w *World) Request(method string, within time.Duration) *Request {
+// Request returns a request of a new operation.
+func (w *World) Request(method string, timeout time.Duration) *Request {
 	n := w.lastOp.Add(1)
-	return &Request{Op: fmt.Sprint(method, "-", n), Method: method, Effect: effects[method], Key: "key", Timeout: within, Seq: int32(n)}
+	return &Request{Op: fmt.Sprint(method, "-", n), Method: method, Effect: effects[method], Key: "key", Timeout: timeout, Seq: int32(n)}
 }
 
-// Send sends a request and notes it in the ledger.
+// Send sends a request and records it in the ledger.
 func (w *World) Send(c *Client, r *Request) error {
 	w.Ledger.AttemptStarted(r.Op, r.Effect, r.Op, time.Now().Add(r.Timeout))
 	_, err := c.Write(w.Protocol.Encode(r))
 	return err
 }
 
-// Receive reads the answer to a request and notes it in the ledger.
+// Receive reads the answer to a request and records it in the ledger.
 func (w *World) Receive(c *Client, r *Request) (Answer, error) {
 	a, err := c.Read()
 	switch {
@@ -316,14 +319,14 @@
 	return a, err
 }
 
-// Call makes one call on a connection of its own.
-func (w *World) Call(method string, within time.Duration) (Answer, error) {
+// Call makes one call on a new connection.
+func (w *World) Call(method string, timeout time.Duration) (Answer, error) {
 	c, err := w.Dial()
 	if err != nil {
 		return Answer{}, err
 	}
 	defer c.Close()
-	return w.CallOn(c, w.Request(method, within))
+	return w.CallOn(c, w.Request(method, timeout))
 }
 
 // CallOn makes one call on a connection.
--- a/internal/lab/xdsproxy/call.go
+++ b/internal/lab/xdsproxy/call.go
@@ -70,7 +70,7 @@
 	MayHaveRun bool
 }
 
-// Call forwards one request by the current resources. body names the operation.
+// Call forwards one request, routed by the current table. body names the operation.
 func (p *Proxy) Call(ctx context.Context, class, key, body string) Result {
 	t, _ := p.Table()
 	route := t.Route(class)
--- a/internal/lab/xdsproxy/delta.go
+++ b/internal/lab/xdsproxy/delta.go
@@ -23,7 +23,7 @@
 	return &deltaStream{client: client, proxy: p, node: node, subscribed: map[string]map[string]bool{}}
 }
 
-// subscribe implements stream. The first request of a type names the versions that the proxy holds.
+// subscribe implements stream. The first request of a type has the versions that the proxy has cached.
 func (s *deltaStream) subscribe(typeURL string, names []string) error {
 	request := &discoveryv3.DeltaDiscoveryRequest{TypeUrl: typeURL, Node: s.node}
 	s.node = nil
@@ -43,8 +43,8 @@
 	s.subscribed[typeURL] = next
 	if !known {
 		s.proxy.mu.Lock()
-		if held := s.proxy.state.versions[typeURL]; len(held) > 0 {
-			request.InitialResourceVersions = maps.Clone(held)
+		if cached := s.proxy.state.versions[typeURL]; len(cached) > 0 {
+			request.InitialResourceVersions = maps.Clone(cached)
 		}
 		s.proxy.mu.Unlock()
 	}
--- a/internal/lab/xdsproxy/loadreport.go
+++ b/internal/lab/xdsproxy/loadreport.go
@@ -15,7 +15,7 @@
 // allClustersFeature is the client feature of proxies that report all clusters.
 const allClustersFeature = "envoy.lrs.supports_send_all_clusters"
 
-// serverLoad is what the proxy saw of a server since its last load report.
+// serverLoad counts the requests to a server since the last load report.
 type serverLoad struct{ served, failed, inProgress, issued uint64 }
 
 // load returns the load of an address. The caller holds p.mu.
--- a/internal/lab/xdsproxy/proxy.go
+++ b/internal/lab/xdsproxy/proxy.go
@@ -1,7 +1,7 @@
-// Package xdsproxy is a stand-in for a proxy that takes its configuration over xDS: a small client of ADS, state
-// of the world and incremental, with endpoints in one resource or one by one (LEDS), and a picker that does what
-// the resources say: priorities, draining, weights, a ring. It is written from the xDS protocol's documentation
-// and shares no code with the control service.
+// Package xdsproxy is a stand-in for a proxy that gets its configuration over xDS: a small client of ADS,
+// state of the world and incremental, with endpoints in one resource or one by one (LEDS), and a picker that
+// does what the resources say: priorities, draining, weights, a ring. It is written from the xDS protocol's
+// documentation and shares no code with the control service.
 package xdsproxy
 
 import (
--- a/internal/lab/xdsproxy/ring.go
+++ b/internal/lab/xdsproxy/ring.go
@@ -18,8 +18,8 @@
 	addr string
 }
 
-// buildRing gives each server entries in proportion to its share, as ketama rings do: so many that the smallest
-// share has at least one.
+// buildRing gives each server entries in proportion to its share, as ketama rings do: so many that the
+// smallest share has at least one.
 func (t *Table) buildRing(shares map[string]float64, smallest float64, minSize uint64) (ring []ringEntry) {
 	if len(shares) == 0 {
 		return nil
@@ -53,9 +53,9 @@
 	return x ^ x>>31
 }
 
-// Pick returns the address of the first server from the key's place on the ring that is within its bounded load;
-// inFlight returns how many requests an address has, nil leaves the load unbounded. Addresses in avoid are taken
-// only where there is no other. It returns "" if there is no server.
+// Pick returns the address of the first server from the key's place on the ring that is within its bounded
+// load; inFlight returns how many requests an address has, nil leaves the load unbounded. Addresses in avoid
+// are selected only if there is no other. It returns "" if there is no server.
 func (t *Table) Pick(key string, inFlight func(addr string) int, avoid map[string]bool) string {
 	if t.ring == nil {
 		return ""
--- a/internal/lab/xdsproxy/state.go
+++ b/internal/lab/xdsproxy/state.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// state is the resources that the proxy holds. Proxy.mu protects it.
+// state has the resources that the proxy has cached. Proxy.mu protects it.
 type state struct {
 	hasListener bool
 	clusters    map[string]*clusterv3.Cluster
@@ -38,7 +38,7 @@
 	}
 }
 
-// references returns the names that the held resources refer to, sorted, by type.
+// references returns the names that the cached resources refer to, sorted, by type.
 func (s *state) references() map[string][]string {
 	references := map[string][]string{}
 	add := func(typeURL, name string) {
@@ -65,7 +65,7 @@
 	return references
 }
 
-// update takes over a response, or nothing of it with an error if a resource is not valid.
+// update applies a response, or nothing of it and returns an error if a resource is not valid.
 func (s *state) update(r *response) error {
 	decoded := map[string]proto.Message{}
 	for name, packed := range r.resources {
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// setListener takes the reference to the routes from the API listener; others are ignored.
+// setListener reads the reference to the routes from an API listener and ignores other listeners.
 func (s *state) setListener(l *listenerv3.Listener) {
 	manager := &hcmv3.HttpConnectionManager{}
 	if err := l.GetApiListener().GetApiListener().UnmarshalTo(manager); err != nil {
--- a/internal/lab/xdsproxy/stream.go
+++ b/internal/lab/xdsproxy/stream.go
@@ -72,7 +72,7 @@
 	}
 	subscribed := map[string][]string{}
 	for {
-		// Before the first response, what is held from an earlier stream refers to names already.
+		// Before the first response, resources from an earlier stream already refer to names.
 		if err := p.subscribeReferences(s, subscribed); err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 	}
 }
 
-// subscribeReferences subscribes to the names that the held resources refer to, where they changed.
+// subscribeReferences subscribes to the names that the cached resources refer to, where they changed.
 func (p *Proxy) subscribeReferences(s stream, subscribed map[string][]string) error {
 	p.mu.Lock()
 	references := p.state.references()
--- a/internal/lab/xdsproxy/table.go
+++ b/internal/lab/xdsproxy/table.go
@@ -19,7 +19,7 @@
 	defaultMinRingSize = 1024
 )
 
-// Table is what a proxy selects servers by. It is immutable.
+// Table has the endpoints and routes that a proxy selects servers by. It is immutable.
 type Table struct {
 	Endpoints    []Endpoint // sorted by ID
 	DropFraction float64    // of the requests
@@ -31,7 +31,7 @@
 	shares       map[string]float64 // of the requests, by address, in the priority in use
 }
 
-// Endpoint is a server as the proxy holds it.
+// Endpoint is a server of the table.
 type Endpoint struct {
 	ID, Addr string
 	Zone     string
@@ -94,7 +94,7 @@
 	sum       float64   // of the weights of those that are not draining
 }
 
-// buildTable makes the table of the held resources.
+// buildTable returns the table of the cached resources.
 func (s *state) buildTable() *Table {
 	t := &Table{routes: map[string]Route{}, shares: map[string]float64{}}
 	for _, config := range s.routes {
@@ -174,8 +174,8 @@
 	return read
 }
 
-// addEndpoints adds the endpoints and their shares. The first priority with a server that is not draining gets
-// all requests. It returns the shares by ID and the smallest of them.
+// addEndpoints adds the endpoints and their shares. The first priority with a server that is not draining
+// gets all requests. It returns the shares by ID and the smallest of them.
 func (t *Table) addEndpoints(localities []*locality) (shares map[string]float64, smallest float64) {
 	priority := uint32(math.MaxUint32)
 	for _, l := range localities {
