--- a/cmd/ringtrack-lab/main.go
+++ b/cmd/ringtrack-lab/main.go
@@ -1,6 +1,6 @@
-// Command ringtrack-lab shows the product at work beside stand-ins, proves what its pages claim, and runs
-// experiments on its decisions. It exits 0 where all is well, 1 where something fell short or failed, and 80
-// where the command line can't be used. `ringtrack-lab COMMAND --help` tells a command's flags.
+// Command ringtrack-lab demonstrates the product with stand-ins, runs its acceptance and scale tests, and
+// runs experiments on its policies. It exits with 0 on success, 1 if a result falls short or an error occurs,
+// and 80 if the command line is not valid. `ringtrack-lab COMMAND --help` shows a command's flags.
 package main
 
 import (
@@ -21,26 +21,26 @@
 
 // cli is the command line.
 type cli struct {
-	Demo       struct{}      `cmd:"" help:"A small fleet, a roster, the agent and clients; takes about 15 s."`
-	Prove      proveCmd      `cmd:"" help:"Run a long proof and print its figures; exit 1 where one falls short."`
-	Replay     replayCmd     `cmd:"" help:"Run a schedule of faults again that a run of 'prove agreed' left."`
-	Scale      scaleCmd      `cmd:"" help:"Measure what a size needs: slopes, what they foretell, what is measured."`
-	Experiment experimentCmd `cmd:"" help:"Run scenarios of the emulator under several policies."`
+	Demo       struct{}      `cmd:"" help:"Show the agent with a small fleet, a discovery service and clients; takes about 15 s."`
+	Prove      proveCmd      `cmd:"" help:"Run an acceptance test and print its figures; exit 1 if one falls short."`
+	Replay     replayCmd     `cmd:"" help:"Run a schedule of faults again that 'prove agreed' saved."`
+	Scale      scaleCmd      `cmd:"" help:"Measure the cost by size: slopes, their predictions and the measured values."`
+	Experiment experimentCmd `cmd:"" help:"Run scenarios of the emulator with several policies."`
 }
 
 type proveCmd struct {
-	Name   string  `arg:"" optional:"" help:"Which proof; --list tells them."`
-	List   bool    `help:"All proofs, a line each."`
-	Quick  bool    `help:"The same, scaled to under 40 s on two cores."`
-	Seed   uint64  `help:"Of all that is drawn; 0: by the time."`
-	Scale  float64 `default:"1" help:"Of sizes and counts, above 0 and at most 10."`
+	Name   string  `arg:"" optional:"" help:"Name of the proof; --list shows all."`
+	List   bool    `help:"List all proofs, one per line."`
+	Quick  bool    `help:"Scale the run to under 40 s on two cores."`
+	Seed   uint64  `help:"Seed of all random numbers; 0: from the clock."`
+	Scale  float64 `default:"1" help:"Factor for sizes and counts, above 0 and at most 10."`
 	JSON   bool    `help:"Print the report as JSON."`
-	Defect bool    `help:"Seed the lab's defect, which the proof is to find."`
+	Defect bool    `help:"Seed a defect that the proof must detect."`
 }
 
 type replayCmd struct {
 	File   string `arg:"" type:"existingfile"`
-	Shrink int    `help:"Look for fewer faults that still fall short, with so many runs at the most; they are written to FILE.small."`
+	Shrink int    `help:"Search, with at most this many runs, for fewer faults that still fall short; they are written to FILE.small."`
 }
 
 func (c *replayCmd) run(ctx context.Context) error {
@@ -59,14 +59,14 @@
 		return nil
 	}
 	if c.Shrink > 0 {
-		small := cluster.Shrink(p, c.Shrink, func(less *cluster.Plan) bool {
-			r, err := acceptance.AgreedRun(ctx, o, less)
+		shrunk := cluster.Shrink(p, c.Shrink, func(candidate *cluster.Plan) bool {
+			r, err := acceptance.AgreedRun(ctx, o, candidate)
 			return err == nil && len(r.Short) > 0
 		})
-		if err := small.Save(c.File + ".small"); err != nil {
+		if err := shrunk.Save(c.File + ".small"); err != nil {
 			return err
 		}
-		fmt.Printf("%d faults of %d are in %s.small\n", len(small.Faults), len(p.Faults), c.File)
+		fmt.Printf("%d faults of %d are in %s.small\n", len(shrunk.Faults), len(p.Faults), c.File)
 	}
 	return fmt.Errorf("replay %s: falls short", c.File)
 }
@@ -74,14 +74,14 @@
 type experimentCmd struct {
 	Check struct {
 		File string `arg:"" type:"existingfile"`
-	} `cmd:"" help:"Say whether an experiment's file can be used."`
+	} `cmd:"" help:"Check whether an experiment file is valid."`
 	List struct {
 		File string `arg:"" type:"existingfile"`
-	} `cmd:"" help:"The scenarios of a file, a line each, and all policies."`
+	} `cmd:"" help:"List the scenarios of a file, one per line, and all policies."`
 	Run struct {
 		File string `arg:"" type:"existingfile"`
-		Out  string `required:"" help:"Folder of the results. What it has of this experiment is not run again."`
-	} `cmd:"" help:"Run what the folder has no results of, and print the table."`
+		Out  string `required:"" help:"Directory of the results. Results of this experiment that it has are not run again."`
+	} `cmd:"" help:"Run what the directory has no results for, and print the table."`
 }
 
 func main() {
@@ -100,7 +100,7 @@
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer cancel()
 	var c cli
-	parser, err := kong.New(&c, kong.Name("ringtrack-lab"), kong.Description("Stand-ins, proofs and experiments."))
+	parser, err := kong.New(&c, kong.Name("ringtrack-lab"), kong.Description("Demo, acceptance tests, scale tests and experiments."))
 	if err != nil {
 		return err
 	}
@@ -139,11 +139,11 @@
 	if err != nil {
 		return err
 	}
-	began, last := time.Now(), time.Time{}
-	results, err := e.Run(ctx, c.Experiment.Run.Out, func(done, all int) {
-		if now := time.Now(); now.Sub(last) > 2*time.Second || done == all {
-			last = now
-			fmt.Fprintf(os.Stderr, "%d of %d runs, %.0f s\n", done, all, now.Sub(began).Seconds())
+	started, lastOutput := time.Now(), time.Time{}
+	results, err := e.Run(ctx, c.Experiment.Run.Out, func(done, total int) {
+		if now := time.Now(); now.Sub(lastOutput) > 2*time.Second || done == total {
+			lastOutput = now
+			fmt.Fprintf(os.Stderr, "%d of %d runs, %.0f s\n", done, total, now.Sub(started).Seconds())
 		}
 	})
 	if err != nil {
@@ -154,15 +154,15 @@
 }
 
 type scaleCmd struct {
-	Name  string  `arg:"" optional:"" help:"Which test; --list tells them."`
-	List  bool    `help:"All tests, a line each."`
-	Quick bool    `help:"The same, scaled to under 40 s on two cores."`
-	Seed  uint64  `default:"1" help:"Of all that is drawn."`
-	Scale float64 `default:"1" help:"Of sizes and times, above 0 and at most 10."`
+	Name  string  `arg:"" optional:"" help:"Name of the test; --list shows all."`
+	List  bool    `help:"List all tests, one per line."`
+	Quick bool    `help:"Scale the run to under 40 s on two cores."`
+	Seed  uint64  `default:"1" help:"Seed of all random numbers."`
+	Scale float64 `default:"1" help:"Factor for sizes and times, above 0 and at most 10."`
 	JSON  bool    `help:"Print the report as JSON."`
 
-	SlowDisk bool `help:"Of control: only changes at the aimed size, while all keepers' disks are slow."`
-	Defect   bool `help:"Seed the lab's defect, which the test is to find."`
+	SlowDisk bool `help:"For control: only changes at the target size, while the disks of all replicas of the configuration store are slow."`
+	Defect   bool `help:"Seed a defect that the test must detect."`
 }
 
 func (c *scaleCmd) run(ctx context.Context) error {
@@ -174,16 +174,16 @@
 	}
 	t, ok := scale.Find(c.Name)
 	if !ok {
-		return fmt.Errorf("scale %s: there is no such test; --list tells them", c.Name)
+		return fmt.Errorf("scale %s: no such test; --list shows all", c.Name)
 	}
 	if !(c.Scale > 0 && c.Scale <= 10) {
-		return fmt.Errorf("--scale: must be above 0 and at most 10, is %v", c.Scale)
+		return fmt.Errorf("--scale: %v must be above 0 and at most 10", c.Scale)
 	}
 	if c.SlowDisk && t.Name != "control" {
-		return fmt.Errorf("scale %s: --slow-disk is for control", t.Name)
+		return fmt.Errorf("scale %s: --slow-disk is supported by control only", t.Name)
 	}
 	if c.Defect && t.Defect == "" {
-		return fmt.Errorf("scale %s: --defect: there is none", t.Name)
+		return fmt.Errorf("scale %s: the test has no --defect", t.Name)
 	}
 	if c.Quick {
 		c.Scale *= t.Quick
@@ -212,10 +212,10 @@
 	}
 	p, ok := acceptance.Find(c.Name)
 	if !ok {
-		return fmt.Errorf("prove %s: there is no such proof; --list tells them", c.Name)
+		return fmt.Errorf("prove %s: no such proof; --list shows all", c.Name)
 	}
 	if !(c.Scale > 0 && c.Scale <= 10) {
-		return fmt.Errorf("--scale: must be above 0 and at most 10, is %v", c.Scale)
+		return fmt.Errorf("--scale: %v must be above 0 and at most 10", c.Scale)
 	}
 	if c.Quick {
 		c.Scale *= p.Quick
--- a/cmd/ringtrack-lab/main_test.go
+++ b/cmd/ringtrack-lab/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// What is asked for wrongly is said, and nothing is run.
+// Guards against a command line that is not valid and runs something, or whose error does not name the cause.
 func TestArguments(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("seeds = 0\n[[scenario]]\nname = \"a\"\nseconds = 1\nservers = [{ count = 1, workers = 1 }]"), 0o600); err != nil {
