--- a/internal/lab/work.go
+++ b/internal/lab/work.go
@@ -13,7 +13,8 @@
 // SetWork sets how long each request takes.
 func (w *Work) SetWork(d time.Duration) { w.base.Store(int64(d)) }
 
-// SetTail makes every nth request, by the value of every, take extra time; 0 turns this off.
+// SetTail adds extra time to one request per "every" requests, so that the latency has a tail; 0 turns this
+// off.
 func (w *Work) SetTail(every int64, extra time.Duration) {
 	w.tailExtra.Store(int64(extra))
 	w.tailEvery.Store(every)
