--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -8,16 +8,17 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// cancelDelay is the time from a cancellation to the end of the attempt.
+// cancelDelay is the time from the cancellation of an attempt to its end.
 const cancelDelay = 20 * Microsecond
 
-// Balancer decides for an agent: it is handed events and answers with actions, as internal/core does it.
+// Balancer makes the decisions of an agent: it receives events and returns actions, as in internal/core.
 type Balancer interface {
 	Start(now float64, out []policy.Action) []policy.Action
 	Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action
 }
 
-// agent is core.EventLoop in virtual time: the same events in the same order, the same guard, the same margins.
+// agent is core.EventLoop in virtual time, with the same events in the same order, the same guard and the same
+// timeout margins.
 type agent struct {
 	agentPlacement
 	world            *World
@@ -27,25 +28,25 @@
 	nextID           policy.RequestID
 	requests         map[policy.RequestID]*request
 	openRequests     int
-	pending          []policy.Event  // to be handled after the present one
-	actions          []policy.Action // reused from event to event
+	pending          []policy.Event  // to be handled after the current one
+	actions          []policy.Action // buffer that is reused for each event
 
-	// By server.
+	// By server index.
 	listed          []bool
 	unavailable     []bool   // known to be draining or removed
 	idleConns       []int32  // open connections without a request
-	connIncarnation []uint32 // of the server's process that they lead to
+	connIncarnation []uint32 // incarnation of the server that they are connected to
 
 	watching           bool // a watch of the endpoint list is open or requested
-	subscribed         bool // and was accepted
-	fetching           bool // a fetch of the endpoint list is open
-	lastNotificationAt Time // when the last change that is under way arrives
+	subscribed         bool // the watch was accepted
+	fetching           bool // a fetch of the endpoint list is in flight
+	lastNotificationAt Time // arrival of the last watch event in flight
 
 	guardViolations  int
 	backstopTimeouts int
 }
 
-// request is an attempt of a client, as its agent sees it.
+// request is a client's attempt in its agent.
 type request struct {
 	agent         *agent
 	operation     *operation
@@ -55,14 +56,14 @@
 	attempts      []*attempt
 	inFlight      int
 	mayHaveRun    int
-	firstSentAt   Time            // of the attempts that may have run
-	firstEndpoint policy.Endpoint // where that one was sent
+	firstSentAt   Time            // start of the first attempt that may have run
+	firstEndpoint policy.Endpoint // server of that attempt
 }
 
 // timer is a timer of a balancer.
 type timer struct {
 	agent    *agent
-	balancer Balancer // that set it: a killed agent's timers end with it
+	balancer Balancer // that set it; timers of a killed agent's balancer are ignored
 	token    uint32
 }
 
@@ -73,7 +74,7 @@
 	t.agent.deliver(&policy.Event{Kind: policy.EventTimer, Token: t.token})
 }
 
-// start starts the balancer with the endpoint list of the run's start.
+// start starts the balancer with the endpoint list of the run's start as its cached one.
 func (g *agent) start() {
 	g.execute(g.balancer.Start(g.now(), nil))
 	g.deliver(&policy.Event{
@@ -83,19 +84,19 @@
 	})
 }
 
-// restart kills the agent's process and starts it again with the endpoint list of the run's start. Its
-// clients get no answer to their open requests and retry by themselves.
+// restart kills the agent's process and starts it again with the endpoint list of the run's start. Open requests
+// fail at their clients, which may retry them.
 func (g *agent) restart() {
 	w := g.world
 	lost := make([]*request, 0, len(g.requests))
-	for id := policy.RequestID(1); id <= g.nextID; id++ { // not in the order of the map, which differs by run
+	for id := policy.RequestID(1); id <= g.nextID; id++ { // map iteration order would differ by run
 		if r := g.requests[id]; r != nil {
 			lost = append(lost, r)
 		}
 	}
 	balancer, err := w.policy.New(g.settings(), w.seed^uint64(g.index+1)*hashMultiplier^uint64(w.now))
 	if err != nil {
-		return // cannot be: the same settings were accepted before
+		return // cannot happen: the same settings were accepted before
 	}
 	g.balancer = balancer
 	g.watching = false
@@ -112,7 +113,7 @@
 	g.start()
 }
 
-// abandon ends a request that is lost with the agent's process.
+// abandon fails a request that is lost with the agent's process.
 func (g *agent) abandon(r *request) {
 	for _, a := range r.attempts {
 		a.ended = true
@@ -131,7 +132,7 @@
 	g.execute(g.balancer.Handle(g.now(), ev, g.actions[:0]))
 }
 
-// deliver hands the balancer an event from outside, and those that follow from it.
+// deliver passes an event to the balancer, and then the events that result from its actions.
 func (g *agent) deliver(ev *policy.Event) {
 	g.handle(ev)
 	for len(g.pending) > 0 {
@@ -185,7 +186,7 @@
 	}
 }
 
-// submit takes a client's attempt.
+// submit accepts a client's attempt as a request, or rejects it if too many are open or no time is left.
 func (g *agent) submit(o *operation, remaining Time) {
 	limits := &g.world.settings.Limits
 	g.nextID++
@@ -210,7 +211,7 @@
 	})
 }
 
-// fire is the backstop timeout of a request that the balancer has not answered.
+// fire is the backstop timeout: it fails a request that the balancer has not answered.
 func (r *request) fire(uint8) {
 	if r.answered {
 		return
@@ -240,7 +241,7 @@
 	g.complete(r, invariant.Rejected, retryAfterMs)
 }
 
-// complete answers a request, once.
+// complete answers a request; only the first call has an effect.
 func (g *agent) complete(r *request, outcome invariant.Outcome, retryAfterMs float64) {
 	if r.answered {
 		return
@@ -251,15 +252,15 @@
 	r.operation.answered(outcome, retryAfterMs)
 }
 
-// release forgets a request that is answered and has no attempt in flight.
+// release removes a request that is answered and has no attempt in flight.
 func (g *agent) release(r *request) {
 	if r.answered && r.inFlight == 0 {
 		delete(g.requests, r.id)
 	}
 }
 
-// settings returns the settings of the agent's balancer. The latency objective of a call to a service is the
-// part of the class's that the longest path from that service has in the longest of the graph.
+// settings returns the settings of the agent's balancer. In a graph the latency objectives are scaled for the
+// called service: by the length of its longest path as a fraction of the graph's depth.
 func (g *agent) settings() policy.Settings {
 	out := g.world.scenario.settings(g.replicaIndex, g.zone)
 	out.Replicas = g.replicas
--- a/internal/emulator/arrivals.go
+++ b/internal/emulator/arrivals.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// burstOnFraction is the part of the time in which a burst is on.
+	// burstOnFraction is the mean fraction of time during which a burst is on.
 	burstOnFraction = 0.1
-	// minOffRateFactor and minLoadFactor keep the rate of arrivals above 0.
+	// minOffRateFactor and minLoadFactor keep the arrival rate above 0, by which a wait is divided.
 	minOffRateFactor = 0.01
 	minLoadFactor    = 1e-3
-	// hotKey is the key of the requests that Load.HotKey counts.
+	// hotKey is the key of the requests selected by Load.HotKey.
 	hotKey = 1
 )
 
-// arrivals is the World as the event of a new operation.
+// arrivals is the World as the event that starts a new client operation.
 type arrivals World
 
 func (a *arrivals) fire(uint8) {
@@ -34,7 +34,8 @@
 	o.send()
 }
 
-// thinned tells whether an arrival is dropped: arrivals are drawn at the peak's rate of the day's curve.
+// thinned reports whether an arrival is dropped to follow the daily load curve: arrivals are drawn at the peak
+// rate, and thinning reduces them to the rate of the current time.
 func (w *World) thinned() bool {
 	swing := w.scenario.Load.Swing
 	if swing <= 0 {
@@ -44,7 +45,7 @@
 	return w.clientRng.Float64()*(1+swing) > rate
 }
 
-// newOperation draws the operation of a client. The order of the draws is part of what a seed stands for.
+// newOperation draws a client operation. The order of the draws determines the results of a seed.
 func (w *World) newOperation() *operation {
 	rng := w.clientRng
 	o := &operation{
@@ -76,7 +77,7 @@
 	return o
 }
 
-// drawKey returns the key of a request, 0 for none.
+// drawKey returns the key of a request, or 0 if requests have no key.
 func (w *World) drawKey() uint64 {
 	if w.keys == nil {
 		return 0
@@ -112,7 +113,7 @@
 	w.scheduleBurst()
 }
 
-// scheduleBurst schedules the end of a burst, or the beginning of the next.
+// scheduleBurst schedules the end of the current burst, or the beginning of the next.
 func (w *World) scheduleBurst() {
 	meanMs := max(w.scenario.Load.BurstMs, 1)
 	if !w.burst {
--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -12,7 +12,7 @@
 type attempt struct {
 	request     *request
 	server      *server
-	index       int // among the request's
+	index       int // among the attempts of the request
 	sentAt      Time
 	deadline    Time
 	incarnation uint32 // of the process that it is connected to
@@ -21,7 +21,7 @@
 	status      policy.Status
 	report      [len(reportNames)]float32
 	noReport    bool // the answer has no load report
-	work        Time // of the server
+	work        Time // service time on the server
 }
 
 // The events of an attempt.
@@ -61,13 +61,13 @@
 	}
 }
 
-// timeoutStatus is the status of an attempt that ends at its deadline.
+// timeoutStatus is the status of an attempt that reaches its deadline.
 func (a *attempt) timeoutStatus() policy.Status {
 	switch {
 	case a.connected:
 		return policy.Timeout
 	case a.deadline-a.sentAt < connectTimeoutMs*Millisecond:
-		return policy.NotStarted // there was no time to connect
+		return policy.NotStarted // the deadline came before the connect timeout
 	}
 	return policy.ConnectFailed
 }
@@ -77,7 +77,7 @@
 	a.incarnation = incarnation
 }
 
-// write sends the request, unless its server became unavailable while it connected.
+// write sends the request, unless its server became unavailable during the connect.
 func (a *attempt) write() {
 	g := a.request.agent
 	if g.unavailable[a.server.index] {
@@ -87,7 +87,7 @@
 	a.transmit()
 }
 
-// transmit puts the request on the network.
+// transmit schedules the arrival of the request at its server, unless the network loses it.
 func (a *attempt) transmit() {
 	g := a.request.agent
 	if delay, ok := g.world.delay(g.zone, a.server.zone, false); ok {
@@ -95,7 +95,7 @@
 	}
 }
 
-// end hands the outcome to the agent, once.
+// end reports the outcome to the agent; only the first call has an effect.
 func (a *attempt) end(status policy.Status) {
 	if a.ended {
 		return
@@ -108,7 +108,7 @@
 	g.attemptEnded(a, status)
 }
 
-// answeredByServer tells whether a status comes with an answer, after which the connection can be reused.
+// answeredByServer reports whether the server answered, after which the connection can be reused.
 func answeredByServer(status policy.Status) bool {
 	return status == policy.OK || status == policy.Rejected || status == policy.Error
 }
@@ -154,8 +154,8 @@
 	return a
 }
 
-// guard is the check of internal/core before an attempt. Unguarded balancers are only kept from what cannot
-// be done.
+// guard returns the state that the guard of internal/core checks before an attempt. Unguarded balancers are
+// checked only for what cannot be executed: answered requests, unknown servers, no time, too many attempts.
 func (g *agent) guard(a *attempt) *core.Guard {
 	r := a.request
 	w := g.world
@@ -186,7 +186,8 @@
 	return guard
 }
 
-// block ends an attempt that the guard does not permit. A request whose balancer goes on all the same fails.
+// block ends an attempt that the guard rejects, and notifies the balancer. A request fails if its balancer keeps
+// forwarding it beyond the maximum of forward actions.
 func (g *agent) block(a *attempt, addr policy.Addr, violation core.Violation) {
 	r := a.request
 	g.guardViolations++
@@ -221,19 +222,20 @@
 	if a.request.operation.measured {
 		w.totals.Handshakes++
 	}
-	there, delivered := w.delay(g.zone, s.zone, false)
-	back, answered := w.delay(s.zone, g.zone, false)
+	toServer, delivered := w.delay(g.zone, s.zone, false)
+	fromServer, answered := w.delay(s.zone, g.zone, false)
 	switch {
 	case !delivered || !answered || s.unresponsive:
 		w.after(connectTimeoutMs*Millisecond, a, attemptConnectFailed)
 	case s.stopped:
-		w.after(there+back, a, attemptConnectFailed)
+		w.after(toServer+fromServer, a, attemptConnectFailed)
 	default:
-		w.after(there+back, a, attemptConnected)
+		w.after(toServer+fromServer, a, attemptConnected)
 	}
 }
 
-// attemptEnded takes the outcome of an attempt.
+// attemptEnded handles the outcome of an attempt: it answers the request if it was served, and notifies the
+// balancer.
 func (g *agent) attemptEnded(a *attempt, status policy.Status) {
 	r := a.request
 	r.inFlight--
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// maxClientAttempts is how often a client sends an operation.
+	// maxClientAttempts is the maximum number of times that a client sends an operation.
 	maxClientAttempts = 3
-	// minRemaining is the time that has to be left for a retry.
+	// minRemaining is the minimum time before the deadline at which a client still retries.
 	minRemaining = 20 * Millisecond
-	// failureBackoff is how long a client waits after a failure.
+	// failureBackoff is the delay of a client's retry after a failure.
 	failureBackoff = 10 * Millisecond
-	// noRetry is the wait of a client that does not retry.
+	// noRetry is the result of retryWait when the client does not retry.
 	noRetry Time = -1
 )
 
-// operation is what a client wants done, over all its attempts.
+// operation is a client operation, or a nested call of a server, with all its attempts.
 type operation struct {
 	invariant.Operation
 	world          *World
@@ -31,16 +31,16 @@
 	clientAttempts int
 	serverAttempts int
 	executed       bool // at least once
-	completed      bool // it was executed, and no nested call that it needed failed
+	completed      bool // executed at least once without a failed nested call
 	immediateRetry bool // the client retries at once and ignores Retry-After
-	measured       bool // it began after the warm-up
+	measured       bool // started after the warm-up
 
-	entry  *operation   // of a graph: the client's operation that caused this one
-	hop    int          // of a graph: 1 for the client's operation
-	caller *nestedCalls // of a graph: what waits for the answer; nil for a client
+	entry  *operation   // the client operation that caused this one; itself for a client operation
+	hop    int          // depth in the call tree: 1 for a client operation
+	caller *nestedCalls // waits for the answer; nil for a client operation
 }
 
-// fire sends the operation again after a wait.
+// fire sends the operation again after the retry delay.
 func (o *operation) fire(uint8) { o.send() }
 
 func (o *operation) send() {
@@ -57,7 +57,7 @@
 	o.agent.submit(o, remaining)
 }
 
-// answered takes the answer to a client's attempt, and retries where that is allowed.
+// answered handles the answer to a client's attempt, and schedules a retry if one is allowed.
 func (o *operation) answered(outcome invariant.Outcome, retryAfterMs float64) {
 	w := o.world
 	w.checker.Answered(&o.Operation, outcome, w.time())
@@ -73,7 +73,7 @@
 	}
 }
 
-// retryWait is how long a client waits before its next attempt, or noRetry.
+// retryWait is the delay before a client's next attempt, or noRetry.
 func (o *operation) retryWait(outcome invariant.Outcome, retryAfterMs float64) Time {
 	switch {
 	case outcome == invariant.Served:
--- a/internal/emulator/distribution.go
+++ b/internal/emulator/distribution.go
@@ -7,23 +7,24 @@
 	"sort"
 )
 
-// maxTimeMs is the longest time that is drawn, a day.
+// maxTimeMs bounds drawn times and configured means: one day.
 const maxTimeMs = 86_400_000
 
-// Distribution is a distribution of times, by its mean and a shape.
+// Distribution is a distribution of times, given by its mean and shape.
 type Distribution struct {
-	// Kind is "fixed", "exponential", "lognormal" (Shape: sigma of the logarithm), "pareto" (Shape: the
-	// tail index, above 1) or "bimodal" (Shape: the part that is slow; SlowFactor: how much slower).
+	// Kind is "fixed" (the default), "exponential", "lognormal" (Shape: standard deviation of the logarithm),
+	// "pareto" (Shape: the tail index, above 1) or "bimodal" (Shape: the fraction of slow values; SlowFactor:
+	// the ratio of slow to fast values).
 	Kind       string  `toml:"kind"`
 	MeanMs     float64 `toml:"mean_ms"`
 	Shape      float64 `toml:"shape"`
 	SlowFactor float64 `toml:"times"`
 }
 
-// Check returns an error that names the first unusable key; at is the key of the distribution.
-func (d *Distribution) Check(at string) error {
+// Check returns an error that names the first invalid key; key is the key of the distribution.
+func (d *Distribution) Check(key string) error {
 	if !(d.MeanMs >= 0 && d.MeanMs <= maxTimeMs) {
-		return fmt.Errorf("%s.mean_ms: must be 0 to %d, is %v", at, maxTimeMs, d.MeanMs)
+		return fmt.Errorf("%s.mean_ms: must be 0 to %d, is %v", key, maxTimeMs, d.MeanMs)
 	}
 	ok := false
 	switch d.Kind {
@@ -36,15 +37,15 @@
 	case "bimodal":
 		ok = d.Shape >= 0 && d.Shape <= 1 && d.SlowFactor >= 1 && d.SlowFactor <= 1e6
 	default:
-		return fmt.Errorf("%s.kind: %q is none of fixed, exponential, lognormal, pareto, bimodal", at, d.Kind)
+		return fmt.Errorf("%s.kind: %q is not one of fixed, exponential, lognormal, pareto, bimodal", key, d.Kind)
 	}
 	if !ok {
-		return fmt.Errorf("%s.shape: %v, times %v: out of the range of %s", at, d.Shape, d.SlowFactor, d.Kind)
+		return fmt.Errorf("%s.shape: %v with times %v is out of range for %s", key, d.Shape, d.SlowFactor, d.Kind)
 	}
 	return nil
 }
 
-// draw returns a time in ms.
+// draw returns a random time in ms.
 func (d *Distribution) draw(rng *rand.Rand) float64 {
 	switch d.Kind {
 	case "exponential":
@@ -63,16 +64,16 @@
 	return d.MeanMs
 }
 
-// fromMs converts ms to virtual time, up to a day.
+// fromMs converts ms to virtual time; more than a day counts as a day.
 func fromMs(ms float64) Time { return Time(min(ms, maxTimeMs) * float64(Millisecond)) }
 
 // fromSeconds converts seconds to virtual time.
 func fromSeconds(s float64) Time { return Time(s * float64(Second)) }
 
-// zipf draws ranks from 0 to n-1 with a probability that falls as rank^-s; with s = 0 all are equally likely.
-// Unlike the one of math/rand it also takes s <= 1.
+// zipf draws ranks from 0 to n-1 with a probability proportional to (rank+1)^-s; s = 0 is the uniform
+// distribution. Unlike rand.Zipf it supports s <= 1.
 type zipf struct {
-	cumulative []float64 // weights
+	cumulative []float64 // sums of the weights up to each rank
 }
 
 func newZipf(n int, s float64) *zipf {
@@ -85,7 +86,7 @@
 	return z
 }
 
-// draw returns a rank: the first whose cumulative weight is above a random one.
+// draw returns the first rank whose cumulative weight is above a random one.
 func (z *zipf) draw(rng *rand.Rand) int {
 	last := len(z.cumulative) - 1
 	x := rng.Float64() * z.cumulative[last]
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -1,8 +1,8 @@
-// Package emulator is a discrete-event emulator of agents and what they work with: servers, the network, the
-// discovery service and clients, in virtual time. It has no sockets, reads no clock and starts no goroutine;
-// the same seed gives the same results, to the byte. The decisions are made by the product's balancer or by
-// another one with the same events and actions. Attempts pass the guard of internal/core, and the rules of
-// the contract are checked by internal/invariant.
+// Package emulator is a discrete-event simulator of agents and their environment: servers, the network, the
+// discovery service and clients. It runs in virtual time: it opens no sockets, reads no clock and starts no
+// goroutine. The same seed gives byte-identical results. Decisions are made by the product's balancer or by
+// another one with the same events and actions. The guard of internal/core checks each attempt before it is
+// sent, and internal/invariant checks the rules of the contract.
 package emulator
 
 // Time is virtual time in ns from the start of a run.
@@ -15,12 +15,12 @@
 	Second      Time = 1e9
 )
 
-// event is something that happens at a time; kind tells several events of one object apart.
+// event is called by the engine at its scheduled time. kind distinguishes the events of one object.
 type event interface{ fire(kind uint8) }
 
 type scheduled struct {
 	at   Time
-	seq  uint64 // of two at the same time the one that was scheduled first fires first
+	seq  uint64 // order of scheduling; breaks ties between events at the same time
 	ev   event
 	kind uint8
 }
@@ -29,10 +29,10 @@
 	return s.at < t.at || s.at == t.at && s.seq < t.seq
 }
 
-// heapArity is the number of children of a node of the heap.
+// heapArity is the number of children of a heap node.
 const heapArity = 4
 
-// engine holds the scheduled events in a 4-ary heap.
+// engine is the event queue and the virtual clock. Scheduled events are in a 4-ary heap.
 type engine struct {
 	now   Time
 	seq   uint64
@@ -40,17 +40,17 @@
 	fired uint64
 }
 
-// after schedules an event at a delay from now; a negative one counts as 0.
+// after schedules an event after a delay; a negative delay counts as 0.
 func (e *engine) after(d Time, ev event, kind uint8) { e.at(e.now+max(d, 0), ev, kind) }
 
-// at schedules an event at a time; one in the past counts as now.
+// at schedules an event at a time; a time in the past counts as now.
 func (e *engine) at(t Time, ev event, kind uint8) {
 	e.seq++
 	e.heap = append(e.heap, scheduled{max(t, e.now), e.seq, ev, kind})
 	e.siftUp(len(e.heap) - 1)
 }
 
-// run fires events up to a time, or until there is none left.
+// run fires all events up to and including a time, and advances the clock to it.
 func (e *engine) run(until Time) {
 	for len(e.heap) > 0 && e.heap[0].at <= until {
 		next := e.pop()
@@ -61,12 +61,12 @@
 	e.now = max(e.now, until)
 }
 
-// pop removes the first event.
+// pop removes and returns the earliest event.
 func (e *engine) pop() scheduled {
 	first := e.heap[0]
 	last := len(e.heap) - 1
 	e.heap[0] = e.heap[last]
-	e.heap[last] = scheduled{} // release the event
+	e.heap[last] = scheduled{} // drop the reference to the event
 	e.heap = e.heap[:last]
 	e.siftDown(0)
 	return first
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -40,7 +40,7 @@
 	faultKillAgents:    true,
 }
 
-// faultEvent is the beginning or end of a fault at some servers, or in the network.
+// faultEvent begins or ends a fault.
 type faultEvent struct {
 	world   *World
 	fault   *Fault
@@ -53,7 +53,7 @@
 	faultEnds
 )
 
-// scheduleFault schedules a fault, for all servers at once or for one after the other.
+// scheduleFault schedules a fault, for all its servers at once or one after the other.
 func (w *World) scheduleFault(f *Fault) {
 	candidates := w.faultCandidates(f)
 	targets := candidates[:f.targetCount(len(candidates))]
@@ -73,11 +73,11 @@
 	}
 }
 
-// faultCandidates returns the servers that a fault may hit, in the order in which it takes them.
+// faultCandidates returns the servers that a fault may hit, in the order in which it selects them.
 func (w *World) faultCandidates(f *Fault) []*server {
 	all := w.servers
 	if w.graph != nil {
-		all = w.graph.shuffled // so that a fault hits several services
+		all = w.graph.faultOrder // shuffled, so that a fault hits several services
 	}
 	if f.TargetZone <= 0 && f.TargetService <= 0 && f.TargetRack <= 0 {
 		return all
@@ -98,7 +98,7 @@
 	return zone && service && rack
 }
 
-// targetCount is how many of a number of candidates a fault hits.
+// targetCount is the number of servers or agents that a fault hits, of a number of candidates.
 func (f *Fault) targetCount(candidates int) int {
 	n := f.Count
 	if n == 0 {
@@ -187,20 +187,20 @@
 	}
 }
 
-// setDraining begins or ends a graceful shutdown. Its grace period counts from when the last agent is notified.
+// setDraining begins or ends a graceful shutdown. The drain grace begins when the last agent is notified.
 func (s *server) setDraining(draining bool) {
 	w := s.world
 	s.draining = draining
 	if draining {
-		notified := max(w.discoveryDownUntil-w.now, 0) + fromMs(2*w.scenario.Discovery.LagMs)
-		s.record.DrainPublished(w.time().Add(time.Duration(notified)))
+		lastNotifiedIn := max(w.discoveryDownUntil-w.now, 0) + fromMs(2*w.scenario.Discovery.LagMs)
+		s.record.DrainPublished(w.time().Add(time.Duration(lastNotifiedIn)))
 	} else {
 		s.record.InService()
 	}
 	w.notify(s)
 }
 
-// drawStalls returns the stalls of a fault, with a phase of the server's own.
+// drawStalls returns the stalls of a fault with a random phase, so that servers do not pause together.
 func (s *server) drawStalls(f *Fault) stalls {
 	return stalls{
 		every:  fromMs(f.IntervalS * 1000),
--- a/internal/emulator/fault_test.go
+++ b/internal/emulator/fault_test.go
@@ -8,11 +8,11 @@
 func TestStallsDelayWork(t *testing.T) {
 	s := stalls{every: 1000, length: 300}
 	for _, c := range [][3]Time{{300, 100, 100}, {0, 100, 400}, {950, 100, 400}, {300, 1400, 1700}, {150, 10, 160}} {
-		if got := s.after(c[0], c[1]); got != c[2] {
+		if got := s.duration(c[0], c[1]); got != c[2] {
 			t.Errorf("work of %d from %d takes %d, want %d", c[1], c[0], got, c[2])
 		}
 	}
-	if got := (&stalls{}).after(5, 70); got != 70 {
+	if got := (&stalls{}).duration(5, 70); got != 70 {
 		t.Errorf("no stalls: %d", got)
 	}
 	calm, stalled := overloadScenario(), overloadScenario()
--- a/internal/emulator/graph_run.go
+++ b/internal/emulator/graph_run.go
@@ -11,7 +11,7 @@
 	*Graph
 	world          *World
 	zonesPerRegion int
-	shuffled       []*server // in the order in which faults take them
+	faultOrder     []*server // shuffled; faults select servers in this order
 	hops           []Hop     // from 1
 }
 
@@ -107,7 +107,7 @@
 	newRand(graph.Spec.Seed, "faults", 0).Shuffle(n, func(i, k int) {
 		shuffled[i], shuffled[k] = shuffled[k], shuffled[i]
 	})
-	w.graph.shuffled = shuffled
+	w.graph.faultOrder = shuffled
 }
 
 // agentPlacement is where an agent stands and what it calls. A host that calls several services has an agent
--- a/internal/emulator/key_cache.go
+++ b/internal/emulator/key_cache.go
@@ -1,18 +1,18 @@
 package emulator
 
-// KeyCache is the work that servers save on keys of recent requests.
+// KeyCache describes the cache of a server: requests with a recently seen key take less work.
 type KeyCache struct {
-	SavedFraction float64 `toml:"gain"`   // of the work
-	TTLMs         float64 `toml:"for_ms"` // since the last request with the key
-	KeysPerWorker int     `toml:"keys"`   // maximum that is cached
+	SavedFraction float64 `toml:"gain"`   // fraction of the work that a hit saves
+	TTLMs         float64 `toml:"for_ms"` // counted from the last request with the key
+	KeysPerWorker int     `toml:"keys"`   // maximum number of cached keys
 }
 
-// recentKeys are the keys that a server has cached; the oldest is evicted first.
+// recentKeys is the cache of a server; the least recently used key is evicted first.
 type recentKeys struct {
 	lastSeen map[uint64]Time
 }
 
-// observe records a request and returns the part of its work that has to be done.
+// observe records a request and returns the fraction of its work that remains to be done.
 func (r *recentKeys) observe(cache *KeyCache, workers int, now Time, key uint64) float64 {
 	if cache.SavedFraction <= 0 || key == 0 {
 		return 1
@@ -31,15 +31,15 @@
 	return 1
 }
 
-// evict removes the oldest key, of several the smallest, but not the present one.
-func (r *recentKeys) evict(present uint64) {
-	oldest := present
+// evict removes the least recently used key except current; the smallest if there are several.
+func (r *recentKeys) evict(current uint64) {
+	oldest := current
 	for key, seen := range r.lastSeen {
-		if key == present {
+		if key == current {
 			continue
 		}
 		oldestSeen := r.lastSeen[oldest]
-		if oldest == present || seen < oldestSeen || seen == oldestSeen && key < oldest {
+		if oldest == current || seen < oldestSeen || seen == oldestSeen && key < oldest {
 			oldest = key
 		}
 	}
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -1,6 +1,6 @@
 package emulator
 
-// delay returns how long a message takes from one zone to another, or false if the network loses it.
+// delay returns the one-way delay of a message between two zones, or false if the message is lost.
 func (w *World) delay(from, to int, answer bool) (Time, bool) {
 	network := &w.scenario.Network
 	ms := network.LocalMs
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -1,10 +1,10 @@
 package emulator
 
-// Scenario is what a run plays. All times are virtual.
+// Scenario describes a run: servers, network, load and faults. All times are virtual.
 type Scenario struct {
 	Name        string `toml:"name"`
 	Description string `toml:"about"`
-	// Seconds is the length of a run, WarmUpSeconds the part at its beginning that results leave out.
+	// Seconds is the length of a run. Results leave out its first WarmUpSeconds.
 	Seconds       float64       `toml:"seconds"`
 	WarmUpSeconds float64       `toml:"warm_seconds"`
 	Zones         int           `toml:"zones"`
@@ -16,35 +16,36 @@
 	Faults        []Fault       `toml:"fault"`
 	Classes       []ClassLoad   `toml:"class"`
 	Tenants       []Tenant      `toml:"tenant"`
-	// FirstAgentFraction is the part of the load that is sent to the first agent; 0: all agents get the same.
+	// FirstAgentFraction is the fraction of the load that is sent to the first agent; the rest is spread over
+	// all agents evenly. 0: all agents get the same load.
 	FirstAgentFraction float64 `toml:"one_agent"`
-	// Graph is a graph of services, from which servers, agents and the rate of the load follow.
+	// Graph is a graph of services. It determines servers, agents and the rate of the load.
 	Graph *GraphSpec `toml:"graph"`
 	graph *Graph
 }
 
-// ServerGroup is a number of servers alike, spread over the zones.
+// ServerGroup is a number of identical servers, spread over the zones.
 type ServerGroup struct {
 	Count   int          `toml:"count"`
-	Workers int          `toml:"workers"` // requests that run at a time
-	Queue   int          `toml:"queue"`   // requests that wait; more are rejected
+	Workers int          `toml:"workers"` // requests that a server runs concurrently
+	Queue   int          `toml:"queue"`   // maximum queue length; further requests are rejected
 	Service Distribution `toml:"service"`
 	// LIFO serves the newest request first while the queue is more than half full (adaptive LIFO).
 	LIFO   bool    `toml:"lifo"`
 	Weight float64 `toml:"weight"`
-	// SlowStartMinCapacity is the part of its speed at which a process starts, SlowStartMs how long it takes
-	// to be warm.
+	// SlowStartMinCapacity is the fraction of its full speed at which a process starts, SlowStartMs the time
+	// until it reaches full speed.
 	SlowStartMinCapacity float64 `toml:"cold_from"`
 	SlowStartMs          float64 `toml:"cold_ms"`
-	// OverloadFactor: a server in slow start that gets more than that many times its capacity over a second
-	// restarts; 0: never.
+	// OverloadFactor: a server in slow start restarts if the requests of the last second exceed this multiple of
+	// its capacity; 0: never.
 	OverloadFactor float64  `toml:"fall_multiple"`
 	KeyCache       KeyCache `toml:"warm"`
-	// Report is what servers report of their load: "" (correct, up to 0.1 s old), "late" (up to 1.4 s old),
-	// "none", "some" (every other server), "frozen" (as of the first second), "idle" (utilization 0), "busy"
-	// (1) or "nan".
+	// Report is the kind of load reports that servers send: "" (correct, up to 0.1 s old), "late" (up to 1.4 s
+	// old), "none", "some" (only every other server sends them), "frozen" (not updated after the first second),
+	// "idle" (utilization 0), "busy" (utilization 1) or "nan" (utilization not a number).
 	Report        string  `toml:"report"`
-	nestedCallsMs float64 // a request's calls of other services, which occupy its worker
+	nestedCallsMs float64 // mean time of a request's nested calls, during which its worker is occupied
 }
 
 // Kinds of load reports.
@@ -74,28 +75,29 @@
 type Network struct {
 	LocalMs  float64 `toml:"local_ms"`  // one way inside a zone
 	CrossMs  float64 `toml:"cross_ms"`  // one way between zones
-	JitterMs float64 `toml:"jitter_ms"` // mean of an exponential addition
-	Resets   float64 `toml:"resets"`    // part of requests whose connection is reset after they ran
+	JitterMs float64 `toml:"jitter_ms"` // mean of an exponentially distributed addition
+	Resets   float64 `toml:"resets"`    // fraction of requests whose connection is reset after they ran
 }
 
-// Load is what clients send, in an open loop.
+// Load is the requests of the clients, in an open loop: arrivals do not wait for answers.
 type Load struct {
 	PerS float64 `toml:"per_s"` // over all agents
-	// Burst is the factor on the rate while a burst is on (a Markov-modulated Poisson process); 0 or 1: none.
-	// A burst is on for BurstMs in the mean, and off for as long as keeps the mean rate.
+	// Burst is the factor on the rate during a burst (a Markov-modulated Poisson process); 0 or 1: no bursts.
+	// A burst lasts BurstMs on average. Between bursts the rate is lower, so that the mean is PerS for factors
+	// up to 10.
 	Burst   float64 `toml:"burst"`
 	BurstMs float64 `toml:"burst_ms"`
-	// Swing is the amplitude, 0 to 1, of a day's curve of the rate over the length of the run.
+	// Swing is the relative amplitude, 0 to 1, of a daily load curve: one cosine period over the run.
 	Swing float64 `toml:"swing"`
 	Keys  int     `toml:"keys"` // 0: requests have no key
 	Zipf  float64 `toml:"zipf"` // exponent of the popularity of keys
-	// ImmediateRetry is the part of clients that retry at once and ignore Retry-After.
+	// ImmediateRetry is the fraction of clients that retry at once and ignore Retry-After.
 	ImmediateRetry float64 `toml:"rude"`
-	// HotKey is the part of requests that have the same key.
+	// HotKey is the fraction of requests that have the same key.
 	HotKey float64 `toml:"hot_key"`
 }
 
-// ClassLoad is a class of requests and its part of the load.
+// ClassLoad is a class of requests and its share of the load.
 type ClassLoad struct {
 	Name               string  `toml:"name"`
 	Effect             string  `toml:"effect"` // "safe", "keyed" or "unsafe"
@@ -113,44 +115,43 @@
 	effectUnsafe = "unsafe"
 )
 
-// Discovery is the service that gives agents the endpoint list.
+// Discovery is the discovery service that agents get the endpoint list from.
 type Discovery struct {
-	LagMs float64        `toml:"lag_ms"` // from a change to its watch event, and up to as much again for each agent
+	LagMs float64        `toml:"lag_ms"` // minimum delay of a watch event; each agent adds a random 0 to LagMs
 	Queue DiscoveryQueue `toml:"line"`   // zero: all calls are answered at once
 }
 
-// Fault happens to some servers, or to the network, for a time.
+// Fault is a fault of servers, agents, clients, the network or the discovery service for some time.
 type Fault struct {
 	// Kind is one of:
-	//   - "drain": graceful shutdown, of which agents are notified
+	//   - "drain": graceful shutdown; agents are notified
 	//   - "stop": connections are refused
-	//   - "dark": no answers
+	//   - "dark": servers do not answer
 	//   - "restart": a new process at the same address, with slow start
 	//   - "slow": Factor times slower
-	//   - "slow_some": a Fraction of requests is Factor times slower
-	//   - "errors": a Fraction of requests of Class fails
-	//   - "turn_away": a Fraction of requests is rejected
+	//   - "slow_some": a Fraction of the requests is Factor times slower
+	//   - "errors": a Fraction of the requests of Class fails
+	//   - "turn_away": a Fraction of the requests is rejected
 	//   - "stalls": a pause of DelayMs every IntervalS
 	//   - "partition": Zone is cut off from all others
-	//   - "one_way": the answers from Zone are DelayMs late
+	//   - "one_way": answers from Zone are delayed by DelayMs
 	//   - "roster_down": the discovery service is down
 	//   - "surge": Factor times the load
 	//   - "kill_agents": agents restart at once, with the endpoint list of the run's start
 	Kind           string  `toml:"kind"`
 	StartS         float64 `toml:"at_s"`
 	DurationS      float64 `toml:"for_s"` // 0: to the end of the run
-	ServerFraction float64 `toml:"share"` // of the candidates, from the first on
-	Count          int     `toml:"count"` // in place of ServerFraction
-	// TargetZone, TargetService and TargetRack restrict the candidates; all count from 1, and 0 is no
-	// restriction.
+	ServerFraction float64 `toml:"share"` // fraction of the candidates that is hit, from the first on
+	Count          int     `toml:"count"` // overrides ServerFraction; 0: not set
+	// TargetZone, TargetService and TargetRack restrict the candidates. They count from 1; 0: no restriction.
 	TargetZone    int `toml:"of_zone"`
 	TargetService int `toml:"of_service"`
 	TargetRack    int `toml:"of_rack"`
-	// StaggerS is the time between two servers, as in a rolling update; 0: all are hit at once.
+	// StaggerS is the time from one server to the next, as in a rolling update; 0: all are hit at once.
 	StaggerS  float64 `toml:"every_s"`
 	Factor    float64 `toml:"times"`
 	Fraction  float64 `toml:"part"`
-	Class     string  `toml:"class"` // "": all
+	Class     string  `toml:"class"` // "": all classes
 	Zone      int     `toml:"zone"`  // from 0
 	DelayMs   float64 `toml:"ms"`
 	IntervalS float64 `toml:"pause_s"`
@@ -166,7 +167,7 @@
 	return -1
 }
 
-// drawClass returns the class of a request by a number from 0 to 1.
+// drawClass returns the class that a random number from 0 to 1 selects.
 func (s *Scenario) drawClass(x float64) int {
 	class := 0
 	for class < len(s.Classes)-1 && x >= s.Classes[class].Share {
@@ -185,14 +186,14 @@
 	}
 }
 
-// Capacity is the requests per second that all servers can handle when warm.
+// Capacity is the requests per second that all servers together can handle after slow start.
 func (s *Scenario) Capacity() float64 {
 	work := 0.0
 	for _, c := range s.Classes {
 		work += c.Share * max(c.Work, minWork)
 	}
 	if work == 0 {
-		work = 1 // of the default classes
+		work = 1 // no classes: the same as for the default ones
 	}
 	total := 0.0
 	for _, g := range s.Servers {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -9,32 +9,33 @@
 )
 
 const (
-	// arrivalSlots are the slots of the second over which arrivals are counted for an overload.
+	// arrivalSlots is the number of slots of the sliding window of one second in which arrivals are counted to
+	// detect an overload.
 	arrivalSlots = 10
 	arrivalSlot  = Second / arrivalSlots
-	// overloadAllowance is the number of arrivals in a second that never overload a server.
+	// overloadAllowance is a number of arrivals in a second that never overload a server.
 	overloadAllowance = 4
-	// deduplicatedSpeedup is how much faster an answer is that the server knows by its idempotency key.
+	// deduplicatedSpeedup is the factor by which a repeated request is faster that the server recognizes by its
+	// idempotency key.
 	deduplicatedSpeedup = 10
-	// allClasses is the class of a server's errors that hit all classes.
+	// allClasses as server.errorClass: errors affect all classes.
 	allClasses = -1
-	// minQueueCompaction is the number of served entries at the head of a queue from which on it is compacted.
+	// minQueueCompaction is the number of dequeued entries at the head of a queue above which it is compacted.
 	minQueueCompaction = 64
 
 	reportEvery     = Second / 10
 	lateReportEvery = 1400 * Millisecond
 )
 
-// Positions in a load report, as in reportNames.
+// Indexes in a load report, in the order of reportNames.
 const (
 	reportQPS = iota
 	reportUtilization
 	reportErrorsPerS
 )
 
-// server is a server with workers and a bounded queue before them, and a process that starts slowly. It is a
-// G/G/k queue with rejection (Kleinrock, "Queueing Systems" I); slow start and overload are those of the
-// contract.
+// server is a server with workers, a bounded queue and slow start of its process. It is a G/G/k queue with
+// rejection (Kleinrock, "Queueing Systems" I); slow start and overload follow the contract.
 type server struct {
 	world  *World
 	index  int
@@ -44,34 +45,34 @@
 	rng    *rand.Rand
 	record invariant.Server
 
-	// Of a graph.
+	// Only in a graph of services; otherwise service is the index of the server group.
 	service    int
 	rack       int
-	downstream []*agent // on the server's host, one for each call of the service
+	downstream []*agent // on the server's host, one for each call that the service makes
 
-	stopped      bool // it refuses connections
+	stopped      bool // refuses connections
 	unresponsive bool
 	draining     bool
-	incarnation  uint32 // counts its processes; requests of an earlier one are lost
-	startedAt    Time   // of the present process
-	slowStarting bool   // the process started during the run
-	busy         int    // workers
+	incarnation  uint32 // number of the process; requests of earlier processes are lost
+	startedAt    Time   // start of the current process
+	slowStarting bool   // the current process is in slow start
+	busy         int    // occupied workers
 	queue        []*attempt
-	queueHead    int               // index of the first entry that waits
-	arrivals     [arrivalSlots]int // of the last second
-	arrivalSlot  int64             // the last one, counted from the start of the run
+	queueHead    int               // index of the first waiting entry
+	arrivals     [arrivalSlots]int // of the last second, as a ring
+	arrivalSlot  int64             // current slot, counted from the start of the run
 
 	slowFactor         float64 // on the service time of all requests; 0: none
-	slowFraction       float64 // of requests that take slowFractionFactor times longer
+	slowFraction       float64 // fraction of requests that take slowFractionFactor times longer
 	slowFractionFactor float64
-	errorFraction      float64 // of requests of errorClass
-	errorClass         int     // or allClasses
-	rejectFraction     float64
+	errorFraction      float64 // fraction of requests of errorClass that fail
+	errorClass         int     // class index or allClasses
+	rejectFraction     float64 // fraction of requests that are rejected
 	recentKeys         recentKeys
 	stalls             stalls
 
-	work       Time // in all
-	wastedWork Time // for requests that were answered already, or beyond their objective
+	work       Time // total service time
+	wastedWork Time // part of work on requests that had been answered or had missed their latency objective
 	served     int
 	overloads  int
 
@@ -79,7 +80,7 @@
 	reportAt            Time
 	answeredSinceReport int
 	failedSinceReport   int
-	busyIntegral        float64 // of busy workers over ns, since reportAt
+	busyIntegral        float64 // integral of busy over time in ns, since reportAt
 	busyIntegralAt      Time
 }
 
@@ -95,7 +96,7 @@
 	return e
 }
 
-// speed is the present speed of the process as a part of its speed when warm.
+// speed is the current speed of the process as a fraction of its speed after slow start.
 func (s *server) speed() float64 {
 	if !s.slowStarting || s.group.SlowStartMs <= 0 {
 		return 1
@@ -108,7 +109,7 @@
 	return s.group.SlowStartMinCapacity + (1-s.group.SlowStartMinCapacity)*ageMs/s.group.SlowStartMs
 }
 
-// capacity is the requests per second that the server can handle when warm.
+// capacity is the requests per second that the server can handle after slow start.
 func (s *server) capacity() float64 {
 	if s.group.Service.MeanMs <= 0 {
 		return 0
@@ -118,7 +119,7 @@
 
 func (s *server) queueLength() int { return len(s.queue) - s.queueHead }
 
-// arrive takes the last byte of an attempt.
+// arrive handles a request that the server has received completely.
 func (s *server) arrive(a *attempt) {
 	if s.unresponsive {
 		return
@@ -157,7 +158,7 @@
 	s.arrivals[now%arrivalSlots]++
 }
 
-// overloaded tells whether the arrivals of the last second are too many for a process in slow start.
+// overloaded reports whether the arrivals of the last second overload a process in slow start.
 func (s *server) overloaded() bool {
 	speed := s.speed()
 	if s.group.OverloadFactor <= 0 || speed >= 1 {
@@ -170,7 +171,7 @@
 	return float64(arrivals) > overloadAllowance+s.group.OverloadFactor*speed*s.capacity()
 }
 
-// resetProcess begins a new process; the requests of the last one are lost.
+// resetProcess begins a new incarnation; the requests of the previous one are lost.
 func (s *server) resetProcess() {
 	s.incarnation++
 	s.busy = 0
@@ -190,7 +191,7 @@
 	s.world.notify(s)
 }
 
-// start runs an attempt on a worker.
+// start begins the service of an attempt on a free worker.
 func (s *server) start(a *attempt) {
 	s.integrateBusy()
 	s.busy++
@@ -207,10 +208,10 @@
 	}
 	ms *= s.recentKeys.observe(&s.group.KeyCache, s.group.Workers, s.world.now, o.key)
 	a.work = fromMs(ms)
-	s.world.after(s.stalls.after(s.world.now, a.work), a, attemptServiceEnded)
+	s.world.after(s.stalls.duration(s.world.now, a.work), a, attemptServiceEnded)
 }
 
-// serviceEnded ends the server's own work on an attempt. Nested calls go on occupying the worker.
+// serviceEnded ends the server's own work on an attempt. Nested calls keep its worker occupied.
 func (s *server) serviceEnded(a *attempt) {
 	if a.incarnation != s.incarnation {
 		return
@@ -225,7 +226,7 @@
 	s.complete(a, false)
 }
 
-// complete answers an attempt that ran, and starts the next. nestedFailed: a call that it needed has failed.
+// complete answers an attempt that ran, and starts the next one. nestedFailed: one of its nested calls failed.
 func (s *server) complete(a *attempt, nestedFailed bool) {
 	s.integrateBusy()
 	s.busy--
@@ -272,7 +273,8 @@
 	return policy.OK
 }
 
-// dequeue returns the attempt that runs next.
+// dequeue removes and returns the attempt to run next: the newest with LIFO in a queue more than half full,
+// otherwise the oldest.
 func (s *server) dequeue() *attempt {
 	if s.group.LIFO && s.queueLength() > s.group.Queue/2 {
 		last := len(s.queue) - 1
@@ -290,13 +292,14 @@
 	return next
 }
 
-// integrateBusy brings the integral of busy workers up to now; it is called before busy changes.
+// integrateBusy advances the integral of busy workers to the current time. It must be called before busy
+// changes.
 func (s *server) integrateBusy() {
 	s.busyIntegral += float64(s.busy) * float64(s.world.now-s.busyIntegralAt)
 	s.busyIntegralAt = s.world.now
 }
 
-// reply sends an answer with the present load report.
+// reply sends an answer with the current load report.
 func (s *server) reply(a *attempt, status policy.Status) {
 	if s.world.now-s.reportAt >= s.reportInterval() {
 		s.updateReport()
@@ -320,7 +323,7 @@
 	}
 }
 
-// updateReport replaces the load report by that of the time since the last one.
+// updateReport replaces the load report by one of the time since the last update.
 func (s *server) updateReport() {
 	s.integrateBusy()
 	elapsed := s.world.now - s.reportAt
@@ -334,7 +337,7 @@
 	s.busyIntegral = 0
 }
 
-// reportInterval is the minimum time between two load reports.
+// reportInterval is the minimum time between updates of the load report.
 func (s *server) reportInterval() Time {
 	switch {
 	case s.group.Report == reportLate:
--- a/internal/emulator/settings.go
+++ b/internal/emulator/settings.go
@@ -2,13 +2,13 @@
 
 import "ringtrack.example/ringtrack/policy"
 
-// connectTimeoutMs is how long a connect may take.
+// connectTimeoutMs is the timeout of opening a connection.
 const connectTimeoutMs = 150
 
-// reportNames are the values of a load report.
+// reportNames are the names of the values of a load report, in order.
 var reportNames = [...]string{"qps", "util", "eps"}
 
-// settings returns the settings of the balancer of an agent.
+// settings returns the balancer settings of one agent.
 func (s *Scenario) settings(replicaIndex, zone int) policy.Settings {
 	group := &s.Servers[0]
 	out := policy.Settings{
--- a/internal/emulator/stalls.go
+++ b/internal/emulator/stalls.go
@@ -2,20 +2,20 @@
 
 // stalls are the periodic pauses of a server.
 type stalls struct {
-	every  Time // from one beginning to the next
+	every  Time // from the start of one pause to the start of the next
 	length Time
 	phase  Time
 }
 
-// after is how long work takes that begins now, with the pauses that fall into it.
-func (s *stalls) after(now, work Time) Time {
+// duration is the elapsed time of work that begins now, including the pauses that interrupt it.
+func (s *stalls) duration(now, work Time) Time {
 	if s.every <= 0 || s.length <= 0 || s.length >= s.every {
 		return work
 	}
 	elapsed := Time(0)
 	for work > 0 {
 		offset := (now + elapsed + s.phase) % s.every
-		if offset < s.length { // in a pause
+		if offset < s.length { // paused
 			elapsed += s.length - offset
 			continue
 		}
