--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -2,14 +2,14 @@
 
 import "ringtrack.example/ringtrack/policy"
 
-// rejectedCallMs is how long a call of the discovery service takes that fails at once.
+// rejectedCallMs is the duration of a call that the discovery service rejects because of its backlog.
 const rejectedCallMs = 25
 
-// DiscoveryQueue is the capacity of a discovery service that handles calls one after the other; with a rate
-// of 0 it answers at once. A caller that has waited for longer than PatienceMs gets a failure, but its call
-// is still worked off. A call that arrives behind more than MaxBacklogMs of work fails at once, at no cost.
+// DiscoveryQueue is the capacity of a discovery service that handles calls one after the other. With a rate of
+// 0 it answers at once. A call that takes longer than PatienceMs fails for its caller, but is processed all the
+// same. A call that finds a backlog of more than MaxBacklogMs is rejected and takes no capacity.
 type DiscoveryQueue struct {
-	CallsPerS    float64 `toml:"calls_per_s"` // watches; a fetch of the complete endpoint list costs as much as two
+	CallsPerS    float64 `toml:"calls_per_s"` // watches; a fetch of the complete endpoint list counts as two
 	PatienceMs   float64 `toml:"patience_ms"`
 	MaxBacklogMs float64 `toml:"line_ms"`
 }
@@ -17,12 +17,13 @@
 // discoveryQueue is the queue of the discovery service in a run.
 type discoveryQueue struct {
 	DiscoveryQueue
-	freeAt        Time
-	second        int64 // in which callsInSecond is counted
+	freeAt        Time  // end of the backlog
+	second        int64 // of the run, to which callsInSecond belongs
 	callsInSecond int
 }
 
-// admit takes a call and returns after how long it ends, and whether it is answered.
+// admit queues a call. It returns the time until the caller gets an answer or a failure, and whether it is an
+// answer.
 func (q *discoveryQueue) admit(now Time, complete bool, totals *Result) (Time, bool) {
 	q.count(now, totals)
 	cost := fromMs(1000 / q.CallsPerS)
@@ -53,15 +54,16 @@
 	totals.DiscoveryPeakPerS = max(totals.DiscoveryPeakPerS, q.callsInSecond)
 }
 
-// discoveryCall is the answer to an agent's call, on its way back.
+// discoveryCall is an agent's call of the discovery service; it fires when the agent gets the result.
 type discoveryCall struct {
 	agent    *agent
-	balancer Balancer // that made it: a killed agent's calls end with it
+	balancer Balancer // that made the call; calls of a killed agent's balancer are ignored
 	complete bool     // a fetch of the complete endpoint list, not a watch
 	failed   bool
 }
 
-// callDiscovery answers an agent's watch of the endpoint list, or its fetch of the complete list.
+// callDiscovery schedules the result of an agent's watch of the endpoint list, or of its fetch of the complete
+// list.
 func (w *World) callDiscovery(g *agent, complete bool) {
 	call := &discoveryCall{agent: g, balancer: g.balancer, complete: complete}
 	duration := fromMs(2 * w.scenario.Network.LocalMs)
@@ -94,14 +96,14 @@
 	default:
 		g.subscribed = true
 		if w.discoveryQueue.CallsPerS > 0 {
-			ev.Endpoints = g.currentEndpoints() // what changed before the watch
+			ev.Endpoints = g.currentEndpoints() // includes changes from before the watch
 			w.totals.LastSubscribedS = float64(w.now) / float64(Second)
 		}
 	}
 	g.deliver(&ev)
 }
 
-// currentEndpoints is the endpoint list of the discovery service, which the agent takes over.
+// currentEndpoints returns the current endpoint list and updates which servers the agent knows as unavailable.
 func (g *agent) currentEndpoints() []policy.Endpoint {
 	var out []policy.Endpoint
 	for _, s := range g.world.servers {
@@ -114,14 +116,14 @@
 	return out
 }
 
-// endpointChange is a watch event on its way to one agent.
+// endpointChange is a watch event in flight to one agent.
 type endpointChange struct {
 	agent    *agent
 	endpoint policy.Endpoint
 	server   *server
 }
 
-// notify sends a server's present endpoint to each agent, at a time of its own for each.
+// notify sends a server's current endpoint to each agent, with a random delay for each.
 func (w *World) notify(s *server) {
 	lagMs := w.scenario.Discovery.LagMs
 	for _, g := range w.agents {
@@ -129,7 +131,7 @@
 			continue
 		}
 		delay := fromMs(lagMs + lagMs*w.discoveryRng.Float64())
-		// An agent gets changes in the order in which they happened.
+		// Watch events of an agent arrive in order.
 		g.lastNotificationAt = max(g.lastNotificationAt, max(w.now, w.discoveryDownUntil)+delay)
 		w.at(g.lastNotificationAt, &endpointChange{g, s.endpoint(), s}, 0)
 	}
@@ -138,7 +140,7 @@
 func (c *endpointChange) fire(uint8) {
 	g := c.agent
 	if g.world.discoveryQueue.CallsPerS > 0 && !g.subscribed {
-		return // the change comes with the answer to its watch
+		return // the answer to the watch will include the change
 	}
 	ready := c.endpoint.Health == policy.Ready
 	g.unavailable[c.server.index] = !ready
--- a/internal/emulator/nested_calls.go
+++ b/internal/emulator/nested_calls.go
@@ -2,17 +2,17 @@
 
 import "ringtrack.example/ringtrack/internal/invariant"
 
-// nestedCalls is an attempt whose server makes calls of other services, one after the other. It occupies its
-// worker all the while. Its calls have the remaining time of the attempt; if one fails, is rejected or times
-// out, the answer is an error. Calls of a process that ended go on.
+// nestedCalls makes the calls of other services that an attempt needs, one after the other. The attempt occupies
+// its worker until they end. The deadline of a call is that of the attempt. If a call fails, is rejected or times
+// out, the attempt is answered with an error. Calls in flight are not cancelled when the process ends.
 //
-// Left out: a call that is repeated for a retry of an idempotent request is an operation of its own to the
-// invariant checker, so that rule 2 is checked at each hop and not over the complete path; and a server does
-// not notice that its caller has disconnected.
+// Limitations: when an idempotent request is retried, its nested calls are new operations to the invariant
+// checker, so that rule 2 is checked at each hop but not over the complete path. A server does not notice that
+// its caller has disconnected.
 type nestedCalls struct {
 	server   *server
 	attempt  *attempt
-	nextCall int // index in the calls of the service
+	nextCall int // index in Service.Calls
 }
 
 // The events of nested calls.
@@ -21,7 +21,7 @@
 	nestedCallFailed
 )
 
-// next makes the next call, or answers if there is none left.
+// next makes the next call, or answers the attempt if no call is left.
 func (n *nestedCalls) next() {
 	s := n.server
 	calls := s.world.graph.Services[s.service].Calls
@@ -63,8 +63,8 @@
 	}
 }
 
-// fire goes on after the answer to a call. It is an event of its own because an agent must not be entered
-// again while it answers.
+// fire continues after the answer to a call. It is a scheduled event because the agent that answers is not
+// reentrant.
 func (n *nestedCalls) fire(kind uint8) {
 	switch {
 	case n.attempt.incarnation != n.server.incarnation: // the process has ended
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -9,11 +9,11 @@
 const (
 	// recoveredGoodput is the goodput of a second that counts as recovered.
 	recoveredGoodput = 0.95
-	// notRecovered is Result.RecoveryS of a run that ended before.
+	// notRecovered is Result.RecoveryS of a run that ended before goodput recovered.
 	notRecovered = -1
 )
 
-// Result is what a run measured. Operations that began in the warm-up are left out.
+// Result is the measurements of a run. Operations that began in the warm-up are left out.
 type Result struct {
 	Scenario        string  `json:"scenario"`
 	Policy          string  `json:"policy"`
@@ -21,21 +21,21 @@
 	Ops             int     `json:"ops"`
 	Served          int     `json:"served"`  // within the client's timeout
 	WithinObjective int     `json:"in_aim"`  // served within the latency objective of the class
-	Rejected        int     `json:"refused"` // by the last attempt
+	Rejected        int     `json:"refused"` // at the last attempt
 	Failed          int     `json:"failed"`
 	ClientAttempts  int     `json:"tries"`
 	Attempts        int     `json:"attempts"` // sent by agents to servers
-	Goodput         float64 `json:"goodput"`  // served operations as a part of all
-	// WeightedGoodput is the priority weight of operations that were served within their latency objective as a
-	// part of the weight of all. Requests beyond a tenant's quota count a tenth.
+	Goodput         float64 `json:"goodput"`  // served operations as a fraction of all
+	// WeightedGoodput is the priority weight of operations that were served within their latency objective, as
+	// a fraction of the weight of all. Requests that exceed a tenant's quota count with a tenth of their weight.
 	WeightedGoodput float64 `json:"worth"`
 	// Tenants is WeightedGoodput by tenant.
 	Tenants []float64 `json:"tenants,omitempty"`
-	// WastedWork is the part of the servers' work on requests that were answered already, or beyond their
-	// objective.
+	// WastedWork is the fraction of the servers' work that was done for requests that had been answered or had
+	// missed their latency objective.
 	WastedWork float64 `json:"lost"`
-	// RecoveryS is the number of seconds from the end of the last fault until goodput was at 0.95 again; -1 if
-	// that was not before the end of the run.
+	// RecoveryS is the number of seconds from the end of the last fault until goodput was back at 0.95 for two
+	// seconds; -1 if it was not before the end of the run.
 	RecoveryS int     `json:"back_s"`
 	MeanMs    float64 `json:"mean_ms"`
 	P50Ms     float64 `json:"p50_ms"`
@@ -44,7 +44,7 @@
 	// Timeline is the goodput of the operations that began in each second.
 	Timeline       []float64   `json:"timeline"`
 	ByServer       []int       `json:"by_server"`
-	Overloads      int         `json:"falls"` // restarts of servers that were overloaded during slow start
+	Overloads      int         `json:"falls"` // restarts of servers by overload during slow start
 	Violations     map[int]int `json:"breaches,omitempty"`
 	ViolationTexts []string    `json:"words,omitempty"`
 	// GuardViolations counts attempts that the guard of internal/core blocked.
@@ -52,26 +52,26 @@
 	GuardViolationsByReason map[string]int `json:"guards,omitempty"`
 	BackstopTimeouts        int            `json:"backstop"`
 	Events                  uint64         `json:"events"`
-	// Calls of a discovery service with a queue: all, those that failed, the maximum in a second.
+	// Calls of a discovery service with a queue: total, failed, and the maximum in a second.
 	DiscoveryCalls    int `json:"roster_calls,omitempty"`
 	DiscoveryFailures int `json:"roster_failed,omitempty"`
 	DiscoveryPeakPerS int `json:"roster_peak,omitempty"`
-	// LastSubscribedS is when the last agent's watch of the endpoint list was accepted.
+	// LastSubscribedS is the time of the last watch of the endpoint list that was accepted.
 	LastSubscribedS float64 `json:"last_follow_s,omitempty"`
-	LostWithAgent   int     `json:"killed,omitempty"` // client attempts that were open in an agent that was killed
+	LostWithAgent   int     `json:"killed,omitempty"` // client attempts that were open in killed agents
 	Handshakes      int     `json:"handshakes"`       // connections that were opened after the warm-up
-	// MeanConnections and MaxConnections are the connections of a server, idle or in use, over all agents:
-	// the mean over servers and seconds, and the maximum of any server.
+	// MeanConnections and MaxConnections are the connections of a server with all agents, idle or in use: the
+	// mean over servers and seconds, and the maximum of any server in any second.
 	MeanConnections float64 `json:"open_mean"`
 	MaxConnections  int     `json:"open_most"`
 	Path            *Path   `json:"path,omitempty"` // of a graph of services
 }
 
-// recordOperation counts an operation that has its last answer.
+// recordOperation counts an operation after its last answer.
 func (w *World) recordOperation(o *operation, outcome invariant.Outcome) {
 	totals := &w.totals
 	totals.Attempts += o.serverAttempts
-	// While the run goes on, the timeline has two numbers a second: ended and served operations.
+	// During the run the timeline has two counts for each second: ended and served operations.
 	ended := 2 * int(o.startedAt/Second)
 	served := ended + 1
 	for len(totals.Timeline) <= served {
@@ -99,10 +99,10 @@
 	}
 }
 
-// summarize completes the result at the end of a run.
+// summarize completes the result at the end of a run. It must be called only once.
 func (w *World) summarize() *Result {
 	r := &w.totals
-	r.Ops = r.Served + r.Rejected + r.Failed // without the operations that are still open
+	r.Ops = r.Served + r.Rejected + r.Failed // excludes operations that are still open
 	r.Goodput = float64(r.Served) / float64(max(r.Ops, 1))
 	r.MeanMs = w.latencies.Mean() / 1000
 	r.P50Ms = w.latencyMs(50)
@@ -156,7 +156,8 @@
 	r.WastedWork = float64(wasted) / float64(max(work, 1))
 }
 
-// goodputBySecond turns pairs of ended and served operations into goodput; a second without any has 1.
+// goodputBySecond converts the pairs of ended and served operations to goodput; a second without operations has
+// 1.
 func goodputBySecond(counts []float64) []float64 {
 	var out []float64
 	for i := 0; i+1 < len(counts); i += 2 {
@@ -169,8 +170,7 @@
 	return out
 }
 
-// recoveryS is the number of seconds from the end of the last fault until goodput has recovered for two
-// seconds.
+// recoveryS computes Result.RecoveryS; 0 if no fault ends.
 func (s *Scenario) recoveryS(timeline []float64) int {
 	end := 0.0
 	for _, f := range s.Faults {
@@ -190,7 +190,7 @@
 	return notRecovered
 }
 
-// connectionSampler is the World as the event that counts the connections of all servers once a second.
+// connectionSampler is the World as the event that samples the connections of all servers once a second.
 type connectionSampler World
 
 func (c *connectionSampler) fire(uint8) {
--- a/internal/emulator/validate.go
+++ b/internal/emulator/validate.go
@@ -6,41 +6,41 @@
 	"math"
 )
 
-// The bounds of a scenario.
+// The limits of the values of a scenario.
 const (
-	maxServers       = 20_000
-	maxAgents        = 20_000
-	maxZones         = 64
-	maxSeconds       = 86_400
-	maxHourMs        = 3.6e6
-	maxMinuteMs      = 60_000
-	maxRatePerS      = 1e7
-	maxCallsPerS     = 1e6
-	maxFactor        = 1e6
-	maxKeys          = 1e6
-	minWork          = 1e-3
-	classSharesError = 1e-6 // by which the shares of the classes may differ from 1 in sum
+	maxServers          = 20_000
+	maxAgents           = 20_000
+	maxZones            = 64
+	maxSeconds          = 86_400
+	maxHourMs           = 3.6e6
+	maxMinuteMs         = 60_000
+	maxRatePerS         = 1e7
+	maxCallsPerS        = 1e6
+	maxFactor           = 1e6
+	maxKeys             = 1e6
+	minWork             = 1e-3
+	classShareTolerance = 1e-6 // tolerance for the sum of the shares of all classes
 )
 
-// Slow start of a server group that has no setting of its own.
+// Default slow start of a server group.
 const (
 	defaultSlowStartMinCapacity = 0.31
 	defaultSlowStartMs          = 8600
 )
 
-// bound is a number of a scenario and its range.
+// bound is a value of a scenario and its valid range.
 type bound struct {
 	key      string
 	value    float64
 	min, max float64
 }
 
-// check returns an error that names the key if the value is out of its range or NaN.
+// check returns an error that names the key if the value is NaN or out of range.
 func (b *bound) check() error {
 	if b.value >= b.min && b.value <= b.max {
 		return nil
 	}
-	return fmt.Errorf("%s: must be %v to %v, is %v", b.key, b.min, b.max, b.value)
+	return fmt.Errorf("%s: must be from %v to %v, is %v", b.key, b.min, b.max, b.value)
 }
 
 func checkBounds(bounds []bound) error {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// Check sets defaults and returns an error that names the first unusable key.
+// Check sets defaults, draws the graph if there is one, and returns an error that names the first invalid key.
 func (s *Scenario) Check() error {
 	s.setDefaults()
 	if err := s.drawGraph(); err != nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-// bounds are those of all numbers outside of tables.
+// bounds returns the bounds of all numbers outside of arrays of tables.
 func (s *Scenario) bounds() []bound {
 	load := &s.Load
 	queue := &s.Discovery.Queue
@@ -127,7 +127,7 @@
 	}
 }
 
-// checkServers sets defaults of the server groups and returns the bounds of their numbers.
+// checkServers sets defaults of the server groups and returns the bounds of their values.
 func (s *Scenario) checkServers() ([]bound, error) {
 	var bounds []bound
 	servers := 0
@@ -145,7 +145,7 @@
 		servers += group.Count
 	}
 	if servers > maxServers {
-		return nil, fmt.Errorf("servers: %d, at most %d", servers, maxServers)
+		return nil, fmt.Errorf("servers: %d servers, at most %d are supported", servers, maxServers)
 	}
 	return bounds, nil
 }
@@ -175,7 +175,7 @@
 	}
 }
 
-// checkClasses sets defaults of the classes and returns the bounds of their numbers.
+// checkClasses sets defaults of the classes and returns the bounds of their values.
 func (s *Scenario) checkClasses() ([]bound, error) {
 	var bounds []bound
 	sum := 0.0
@@ -186,7 +186,7 @@
 			c.Work = 1
 		}
 		if c.Effect != effectSafe && c.Effect != effectKeyed && c.Effect != effectUnsafe {
-			return nil, fmt.Errorf("%seffect: %q is none of safe, keyed, unsafe", at, c.Effect)
+			return nil, fmt.Errorf("%seffect: %q is not one of safe, keyed, unsafe", at, c.Effect)
 		}
 		bounds = append(bounds,
 			bound{at + "share", c.Share, 0, 1},
@@ -197,13 +197,13 @@
 		)
 		sum += c.Share
 	}
-	if !(math.Abs(sum-1) < classSharesError) {
+	if !(math.Abs(sum-1) < classShareTolerance) {
 		return nil, fmt.Errorf("class: the shares add up to %v, not to 1", sum)
 	}
 	return bounds, nil
 }
 
-// checkFaults returns the bounds of the numbers of all faults.
+// checkFaults checks the kinds and classes of the faults and returns the bounds of their values.
 func (s *Scenario) checkFaults() ([]bound, error) {
 	var bounds []bound
 	for i := range s.Faults {
@@ -213,10 +213,10 @@
 			return nil, fmt.Errorf("%skind: %q is unknown", at, f.Kind)
 		}
 		if f.Kind == faultKillAgents && f.StaggerS > 0 {
-			return nil, fmt.Errorf("%severy_s: agents are killed all at once", at)
+			return nil, fmt.Errorf("%severy_s: must be 0 for this kind, which hits all agents at once", at)
 		}
 		if f.Class != "" && s.classIndex(f.Class) < 0 {
-			return nil, fmt.Errorf("%sclass: there is no class %q", at, f.Class)
+			return nil, fmt.Errorf("%sclass: %q is not a class of the scenario", at, f.Class)
 		}
 		bounds = append(bounds, s.faultBounds(f, at)...)
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// epochMs is the Unix time at which runs begin, in ms.
+	// epochMs is the Unix time of the start of a run, in ms.
 	epochMs = 1.7e12
-	// hashMultiplier is 2^64 divided by the golden ratio: it spreads small numbers over 64 bits.
+	// hashMultiplier is 2^64 divided by the golden ratio. Multiplication by it spreads small numbers over 64
+	// bits (Fibonacci hashing).
 	hashMultiplier = 0x9e3779b97f4a7c15
-	// maxLatencyUs is the longest latency that the histogram records, in microseconds.
+	// maxLatencyUs is the maximum latency that the histogram records, in microseconds.
 	maxLatencyUs = 120_000_000
 	// latencyDigits is the number of significant digits that the histogram keeps.
 	latencyDigits = 3
 )
 
-// Policy creates the balancer of one agent.
+// Policy is a load balancing policy; New creates the balancer of one agent from its settings and a seed.
 type Policy struct {
 	Name string
 	// Unguarded balancers may send attempts that break the contract; the invariant checker counts the
@@ -40,7 +41,7 @@
 	return policy.New(settings, seed)
 }
 
-// World is the state of one run.
+// World is the state of a run.
 type World struct {
 	engine
 	scenario *Scenario
@@ -54,38 +55,38 @@
 
 	checker            invariant.Checker
 	unguarded          bool
-	violationsByReason map[string]int // of the guard
+	violationsByReason map[string]int // attempts that the guard blocked, by violation
 
 	netRng      *rand.Rand
 	partitioned []bool // by zone
-	answerDelay []Time // added to answers, by zone that they leave
+	answerDelay []Time // added to answers, by the zone that they come from
 
 	discoveryRng       *rand.Rand
-	discoveryDownUntil Time // no agent is notified and no call answered before
+	discoveryDownUntil Time // until then no watch event is sent and no call is answered
 	discoveryQueue     discoveryQueue
 
 	clientRng     *rand.Rand
 	keys          *zipf          // nil: requests have no key
 	burst         bool           // a burst is on
-	loadFactor    float64        // on the rate of arrivals, by a surge
+	loadFactor    float64        // on the rate of arrivals, during a surge
 	quotaAccounts []quotaAccount // by tenant
-	operations    uint64         // that arrived
+	operations    uint64         // number of operations that clients started
 
 	totals         Result
 	latencies      *hdrhistogram.Histogram // in microseconds
-	sampledServers int                     // samples in totals.MeanConnections
+	sampledServers int                     // number of samples in totals.MeanConnections
 }
 
-// newRand returns a source of randomness for one part of a run, so that the draws of one part do not shift
-// those of another.
+// newRand returns a random source for one part of a run. Each part has its own, so that its number of draws does
+// not change the results of other parts.
 func newRand(seed uint64, name string, index int) *rand.Rand {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, name, index)
 	return rand.New(rand.NewPCG(seed, hash.Sum64()))
 }
 
-// Run plays a checked scenario under a policy and returns what it measured. It fails if the policy rejects the
-// settings that follow from the scenario.
+// Run runs a scenario under a policy and returns the results. Scenario.Check must have accepted the scenario.
+// It fails if the policy rejects the settings that follow from the scenario.
 func Run(scenario *Scenario, p *Policy, seed uint64) (*Result, error) {
 	w, err := newWorld(scenario, p, seed)
 	if err != nil {
@@ -165,7 +166,7 @@
 	}
 }
 
-// addAgent creates and starts an agent that knows all servers of the service that it calls.
+// addAgent creates and starts an agent whose endpoint list has all servers of the service that it calls.
 func (w *World) addAgent(index int, placement agentPlacement) error {
 	g := &agent{
 		world:           w,
@@ -196,13 +197,13 @@
 	return nil
 }
 
-// unixMs is the time as balancers see it.
+// unixMs is the current time for balancers.
 func (w *World) unixMs() float64 { return epochMs + float64(w.now)/float64(Millisecond) }
 
-// time is the time as the invariant checker sees it.
+// time is the current time for the invariant checker.
 func (w *World) time() time.Time { return time.Unix(0, int64(epochMs)*1e6+w.now) }
 
-// warmedUp tells whether the part of the run that the results leave out is over.
+// warmedUp reports whether the warm-up, which the results leave out, is over.
 func (w *World) warmedUp() bool {
 	return float64(w.now) >= w.scenario.WarmUpSeconds*float64(Second)
 }
