--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -17,8 +17,8 @@
 	Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action
 }
 
-// agent is core.EventLoop in virtual time, with the same events in the same order, the same guard and the same
-// timeout margins.
+// agent is core.EventLoop in virtual time, with the same events in the same order, the same guard and the
+// same timeout margins.
 type agent struct {
 	agentPlacement
 	world            *World
@@ -84,8 +84,8 @@
 	})
 }
 
-// restart kills the agent's process and starts it again with the endpoint list of the run's start. Open requests
-// fail at their clients, which may retry them.
+// restart kills the agent's process and starts it again with the endpoint list of the run's start. Open
+// requests fail at their clients, which may retry them.
 func (g *agent) restart() {
 	w := g.world
 	lost := make([]*request, 0, len(g.requests))
--- a/internal/emulator/arrivals.go
+++ b/internal/emulator/arrivals.go
@@ -34,8 +34,8 @@
 	o.send()
 }
 
-// thinned reports whether an arrival is dropped to follow the daily load curve: arrivals are drawn at the peak
-// rate, and thinning reduces them to the rate of the current time.
+// thinned reports whether an arrival is dropped to follow the daily load curve: arrivals are drawn at the
+// peak rate, and thinning reduces them to the rate of the current time.
 func (w *World) thinned() bool {
 	swing := w.scenario.Load.Swing
 	if swing <= 0 {
--- a/internal/emulator/attempt.go
+++ b/internal/emulator/attempt.go
@@ -186,8 +186,8 @@
 	return guard
 }
 
-// block ends an attempt that the guard rejects, and notifies the balancer. A request fails if its balancer keeps
-// forwarding it beyond the maximum of forward actions.
+// block ends an attempt that the guard rejects, and notifies the balancer. A request fails if its balancer
+// keeps forwarding it beyond the maximum of forward actions.
 func (g *agent) block(a *attempt, addr policy.Addr, violation core.Violation) {
 	r := a.request
 	g.guardViolations++
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -5,9 +5,9 @@
 // rejectedCallMs is the duration of a call that the discovery service rejects because of its backlog.
 const rejectedCallMs = 25
 
-// DiscoveryQueue is the capacity of a discovery service that handles calls one after the other. With a rate of
-// 0 it answers at once. A call that takes longer than PatienceMs fails for its caller, but is processed all the
-// same. A call that finds a backlog of more than MaxBacklogMs is rejected and takes no capacity.
+// DiscoveryQueue is the capacity of a discovery service that handles calls one after the other. With a rate
+// of 0 it answers at once. A call that takes longer than PatienceMs fails for its caller, but is processed
+// all the same. A call that finds a backlog of more than MaxBacklogMs is rejected and takes no capacity.
 type DiscoveryQueue struct {
 	CallsPerS    float64 `toml:"calls_per_s"` // watches; a fetch of the complete endpoint list counts as two
 	PatienceMs   float64 `toml:"patience_ms"`
@@ -62,8 +62,8 @@
 	failed   bool
 }
 
-// callDiscovery schedules the result of an agent's watch of the endpoint list, or of its fetch of the complete
-// list.
+// callDiscovery schedules the result of an agent's watch of the endpoint list, or of its fetch of the
+// complete list.
 func (w *World) callDiscovery(g *agent, complete bool) {
 	call := &discoveryCall{agent: g, balancer: g.balancer, complete: complete}
 	duration := fromMs(2 * w.scenario.Network.LocalMs)
@@ -103,7 +103,8 @@
 	g.deliver(&ev)
 }
 
-// currentEndpoints returns the current endpoint list and updates which servers the agent knows as unavailable.
+// currentEndpoints returns the current endpoint list and updates which servers the agent knows as
+// unavailable.
 func (g *agent) currentEndpoints() []policy.Endpoint {
 	var out []policy.Endpoint
 	for _, s := range g.world.servers {
--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -16,8 +16,8 @@
 	return sc
 }
 
-// Agents that restart together get the endpoint list without a failed call, though the discovery service has a
-// limited rate; their open requests cause no violation, and the same seed gives the same run.
+// Agents that restart together get the endpoint list without a failed call, though the discovery service has
+// a limited rate; their open requests cause no violation, and the same seed gives the same run.
 func TestRestartedAgentsDoNotOverloadDiscovery(t *testing.T) {
 	var first *Result
 	for range 2 {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// Extreme scenarios violate no rule: all servers stopped, restarted or draining, service times of 0 and of a day,
-// one request an hour, 50 times the capacity.
+// Extreme scenarios violate no rule: all servers stopped, restarted or draining, service times of 0 and of a
+// day, one request an hour, 50 times the capacity.
 func TestExtremeScenariosViolateNoRule(t *testing.T) {
 	for name, change := range map[string]func(*Scenario){
 		"all draining": func(sc *Scenario) { sc.Faults = []Fault{{Kind: "drain", ServerFraction: 1}} },
--- a/internal/emulator/graph.go
+++ b/internal/emulator/graph.go
@@ -2,75 +2,76 @@
 
 import "fmt"
 
-// GraphSpec is what a graph of services is drawn from: the same spec gives the same graph. A scenario that
-// has one has no servers of its own. Zero values take the defaults that are given here.
+// GraphSpec is the parameters of a random graph of services; the same spec gives the same graph. A scenario
+// with a graph must not define servers. Zero values take the defaults that the comments give.
 type GraphSpec struct {
 	Seed        uint64 `toml:"seed"`
 	Services    int    `toml:"services"`
-	Depth       int    `toml:"depth"`   // of the longest path, in services
-	Servers     int    `toml:"servers"` // in all; 0: as drawn
-	MinServers  int    `toml:"least"`   // of a service; 3
-	MaxServers  int    `toml:"most"`    // of a service; 12
-	Regions     int    `toml:"regions"` // of equally many zones each; 1
-	Racks       int    `toml:"racks"`   // of a zone; 5
-	ClientHosts int    `toml:"edges"`   // with an agent for each service that clients call; 12
-	// ExtraCalls is the mean number of calls that a service makes beyond those of the tree, each with a
-	// probability; 0.5, and negative: none.
+	Depth       int    `toml:"depth"`   // number of services on the longest path
+	Servers     int    `toml:"servers"` // total number; 0: random between the limits for each service
+	MinServers  int    `toml:"least"`   // of a service; default 3
+	MaxServers  int    `toml:"most"`    // of a service; default 12
+	Regions     int    `toml:"regions"` // each with the same number of zones; default 1
+	Racks       int    `toml:"racks"`   // of a zone; default 5
+	ClientHosts int    `toml:"edges"`   // each with an agent for each service that clients call; default 12
+	// ExtraCalls is the number of calls, as a mean over the services, that are drawn in addition to the tree,
+	// each with a random probability; default 0.5; negative: none.
 	ExtraCalls float64 `toml:"further"`
-	// WorkMs is the mean of the services' own work for a call; each has 0.5 to 1.5 of it; 4.
+	// WorkMs is the mean service time over the services; that of a service is 0.5 to 1.5 times it; default 4.
 	WorkMs float64 `toml:"work_ms"`
-	// CallsPerS is the rate over all services, without retries; the rate of clients follows from it.
+	// CallsPerS is the rate of calls of all services, without retries. It determines the rate of the clients.
 	CallsPerS float64 `toml:"calls_per_s"`
-	// Utilization is the mean part of a server's workers that are occupied without faults; 0.55.
+	// Utilization is the mean fraction of a server's workers that are occupied without faults; default 0.55.
 	Utilization float64 `toml:"busy"`
-	// InterRegionMs is one way between regions; 5.
+	// InterRegionMs is the one-way delay between regions; default 5.
 	InterRegionMs float64 `toml:"far_ms"`
-	// CallAttempts is how often a server sends a call to its agent; 1. A client sends three.
+	// CallAttempts is the maximum number of times that a server sends a call to its agent; default 1. A
+	// client sends an operation up to three times.
 	CallAttempts int `toml:"tries"`
 }
 
-// Graph is services that call services, without cycles: calls go from one layer to a deeper one.
+// Graph is an acyclic graph of services that call each other: calls go from a layer to a deeper one.
 type Graph struct {
 	Spec     GraphSpec
 	Services []Service
-	Entries  []int // services that clients call, all equally often
+	Entries  []int // services that clients call, with equal probability
 }
 
 // Service is a service of a graph.
 type Service struct {
 	Layer      int // from 1
-	Height     int // services on the longest path from this one, itself included
+	Height     int // number of services on the longest path from this one, including itself
 	Placements []Placement
-	Calls      []Call // made one after the other
+	Calls      []Call // made sequentially for each request
 	WorkMs     float64
-	ResponseMs float64 // work and nested calls, without queueing
-	Rate       float64 // calls of the service for each call of a client
+	ResponseMs float64 // mean response time: work and nested calls, without queueing
+	Rate       float64 // mean calls of the service for each call of a client
 	Workers    int     // of each server
 }
 
 // Call is an edge of the graph.
 type Call struct {
 	To          int
-	Probability float64 // with which it is made
+	Probability float64 // that a request makes the call
 }
 
-// Placement is the zone and rack of a server; racks are counted over all zones.
+// Placement is the zone and rack of a server; rack numbers are unique over all zones.
 type Placement struct{ Zone, Rack int }
 
-// Check sets defaults and returns an error that names the first unusable key.
+// Check sets defaults and returns an error that names the first invalid key.
 func (g *GraphSpec) Check(zones int) error {
 	g.setDefaults()
 	if err := checkBounds(g.bounds(zones)); err != nil {
 		return fmt.Errorf("graph.%w", err)
 	}
-	fewest := g.Services * g.MinServers
-	largest := g.Services * g.MaxServers
-	if g.Servers != 0 && (g.Servers < fewest || g.Servers > largest) {
-		return fmt.Errorf("graph.servers: %d services have %d to %d, not %d",
-			g.Services, fewest, largest, g.Servers)
+	minTotal := g.Services * g.MinServers
+	maxTotal := g.Services * g.MaxServers
+	if g.Servers != 0 && (g.Servers < minTotal || g.Servers > maxTotal) {
+		return fmt.Errorf("graph.servers: %d services must have from %d to %d servers, not %d",
+			g.Services, minTotal, maxTotal, g.Servers)
 	}
 	if zones%g.Regions != 0 {
-		return fmt.Errorf("graph.regions: %d zones are not %d regions of equally many", zones, g.Regions)
+		return fmt.Errorf("graph.regions: %d zones can't be divided evenly into %d regions", zones, g.Regions)
 	}
 	return nil
 }
@@ -88,7 +89,7 @@
 	setDefault(&g.InterRegionMs, 5)
 }
 
-// setDefault sets a value that is zero.
+// setDefault sets a value that is zero to its default.
 func setDefault[T int | float64](value *T, defaultValue T) {
 	if *value == 0 {
 		*value = defaultValue
@@ -113,7 +114,7 @@
 	}
 }
 
-// CallsPerEntryCall is the number of calls of all services for one call of a client, without retries.
+// CallsPerEntryCall is the mean number of calls of all services for one call of a client, without retries.
 func (g *Graph) CallsPerEntryCall() float64 {
 	sum := 0.0
 	for i := range g.Services {
@@ -122,14 +123,14 @@
 	return sum
 }
 
-// EntryCallsPerS is the rate of calls of clients.
+// EntryCallsPerS is the rate of the calls of clients.
 func (g *Graph) EntryCallsPerS() float64 { return g.Spec.CallsPerS / g.CallsPerEntryCall() }
 
-// Hops returns the calls at each hop, from 1, for one call of a client, without retries. A service may be
-// called at several hops.
+// Hops returns the mean number of calls at each hop for one call of a client, without retries; index 0 is
+// unused. A service may be called at several hops.
 func (g *Graph) Hops() []float64 {
 	out := make([]float64, g.Spec.Depth+1)
-	rates := make([]float64, len(g.Services)) // at the present hop, by service
+	rates := make([]float64, len(g.Services)) // at the current hop, by service
 	for _, i := range g.Entries {
 		rates[i] = 1 / float64(len(g.Entries))
 	}
@@ -146,7 +147,7 @@
 	return out
 }
 
-// Servers is the number of servers of all services.
+// Servers is the total number of servers.
 func (g *Graph) Servers() int {
 	n := 0
 	for i := range g.Services {
--- a/internal/emulator/graph_draw.go
+++ b/internal/emulator/graph_draw.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// treeCalls is the mean number of calls of the tree that a service makes for a call, at most.
+	// treeCalls is the maximum of the mean number of tree calls that a service makes for a request.
 	treeCalls = 1.5
-	// minGraphWorkers is the minimum of workers of a graph's servers.
+	// minGraphWorkers is the minimum number of workers of a graph's server.
 	minGraphWorkers = 2
 )
 
-// DrawGraph draws the graph of a checked spec. The delays of the network are part of the time for which a call
-// occupies a worker, by which the servers are sized.
+// DrawGraph draws the graph of a spec that Check has accepted. Network delays count for the number of
+// workers, as a nested call occupies its caller's worker during them.
 func DrawGraph(spec *GraphSpec, zones int, network *Network) *Graph {
 	g := &Graph{Spec: *spec, Services: make([]Service, spec.Services)}
 	rng := newRand(spec.Seed, "graph", 0)
@@ -31,7 +31,7 @@
 	return g
 }
 
-// drawLayers puts a service into each layer, and the others into any.
+// drawLayers assigns one service to each layer, and the others to random layers.
 func (g *Graph) drawLayers(rng *rand.Rand) {
 	for i := range g.Services {
 		g.Services[i].Layer = i + 1
@@ -47,25 +47,25 @@
 	}
 }
 
-// drawTree draws a caller from the layer above for each service below the first layer.
+// drawTree draws a caller in the layer above for each service below the first layer.
 func (g *Graph) drawTree(rng *rand.Rand) {
-	var above []int // services of the layer above
-	var layer []int // services of the present layer
-	present := 0
+	var above []int   // services of the layer above
+	var current []int // services of the current layer
+	layer := 0
 	for i := range g.Services {
 		s := &g.Services[i]
-		if s.Layer != present {
-			above = layer
-			layer = nil
-			present = s.Layer
+		if s.Layer != layer {
+			above = current
+			current = nil
+			layer = s.Layer
 		}
-		layer = append(layer, i)
+		current = append(current, i)
 		if len(above) > 0 {
 			caller := &g.Services[above[rng.IntN(len(above))]]
 			caller.Calls = append(caller.Calls, Call{To: i, Probability: 1})
 		}
 	}
-	// If each call made all calls of the tree, their number would grow with the size of the graph.
+	// If each request made all calls of the tree, their number would grow with the size of the graph.
 	for i := range g.Services {
 		calls := g.Services[i].Calls
 		for k := range calls {
@@ -74,7 +74,8 @@
 	}
 }
 
-// drawExtraCalls draws calls into any deeper layer.
+// drawExtraCalls draws calls to services of any deeper layer. Pairs that are not such calls are dropped, so
+// that there are fewer than Spec.ExtraCalls for each service.
 func (g *Graph) drawExtraCalls(rng *rand.Rand) {
 	n := int(math.Round(max(g.Spec.ExtraCalls, 0) * float64(len(g.Services))))
 	for range n {
@@ -93,7 +94,7 @@
 	return slices.ContainsFunc(s.Calls, func(c Call) bool { return c.To == to })
 }
 
-// drawPlacements draws the number of servers of each service, and spreads them over the zones.
+// drawPlacements draws the number of servers of each service, and spreads them evenly over the zones.
 func (g *Graph) drawPlacements(rng *rand.Rand, zones int) {
 	for i, servers := range g.drawServerCounts(rng) {
 		firstZone := rng.IntN(zones)
@@ -105,7 +106,7 @@
 	}
 }
 
-// drawServerCounts draws the number of servers of each service; together they are Spec.Servers, if that is set.
+// drawServerCounts draws the number of servers of each service; their sum is Spec.Servers if that is set.
 func (g *Graph) drawServerCounts(rng *rand.Rand) []int {
 	counts := make([]int, len(g.Services))
 	sum := 0
@@ -127,7 +128,7 @@
 	return counts
 }
 
-// computeResponseTimes computes response time and height of the services, from the deepest layer up.
+// computeResponseTimes computes the response time and height of each service, from the deepest layer up.
 func (g *Graph) computeResponseTimes(roundTripMs float64) {
 	for i := len(g.Services) - 1; i >= 0; i-- {
 		s := &g.Services[i]
@@ -140,7 +141,7 @@
 	}
 }
 
-// computeRates computes how often each service is called for a call of a client, from the first layer down.
+// computeRates computes the calls of each service for one call of a client, from the first layer down.
 func (g *Graph) computeRates() {
 	for _, i := range g.Entries {
 		g.Services[i].Rate = 1 / float64(len(g.Entries))
@@ -152,7 +153,7 @@
 	}
 }
 
-// sizeWorkers computes the workers of each server from the mean number that is occupied.
+// sizeWorkers computes the number of workers of each server from the mean number of occupied workers.
 func (g *Graph) sizeWorkers() {
 	for i := range g.Services {
 		s := &g.Services[i]
@@ -161,7 +162,7 @@
 	}
 }
 
-// meanRoundTripMs is the mean round trip between two zones, each drawn from all.
+// meanRoundTripMs is the mean round trip time over all pairs of zones, including a zone with itself.
 func meanRoundTripMs(spec *GraphSpec, zones int, network *Network) float64 {
 	zonesPerRegion := zones / spec.Regions
 	sum := 0.0
@@ -173,7 +174,7 @@
 	return sum
 }
 
-// oneWayMs is one way through the network without jitter.
+// oneWayMs is the one-way network delay without jitter.
 func oneWayMs(network *Network, interRegionMs float64, zonesPerRegion, from, to int) float64 {
 	switch {
 	case from == to:
--- a/internal/emulator/graph_run.go
+++ b/internal/emulator/graph_run.go
@@ -2,29 +2,30 @@
 
 import "ringtrack.example/ringtrack/internal/invariant"
 
-// allServices is the service of an agent whose scenario has no graph.
+// allServices as agentPlacement.service: the agent calls all servers, as in a scenario without a graph.
 const allServices = -1
 
-// graphRun is a graph of services in a run. Its methods for operations may be called on nil, where there is
-// none.
+// graphRun is the state of a graph of services in a run. Without a graph it is nil: recordRequest,
+// recordAttempt, operationEnded, maxAttempts and summary may be called on nil.
 type graphRun struct {
 	*Graph
 	world          *World
 	zonesPerRegion int
 	faultOrder     []*server // shuffled; faults select servers in this order
-	hops           []Hop     // from 1
+	hops           []Hop     // index 0 is unused
 }
 
-// Path is what a run measured of nested calls. Operations that began in the warm-up are left out.
+// Path is the measurements of nested calls in a run. Client operations that began in the warm-up are left
+// out.
 type Path struct {
-	Hops []Hop `json:"hops"` // the first is the client's call
-	// DeepestAttempts is the number of attempts at the last hop for one call of a client; Amplification is
-	// the same as a multiple of what it is without retries and failures.
+	Hops []Hop `json:"hops"` // the first is the calls of clients
+	// DeepestAttempts is the mean number of attempts at the last hop for one call of a client. Amplification
+	// is its ratio to the value without retries and failures.
 	DeepestAttempts float64 `json:"deepest"`
 	Amplification   float64 `json:"times"`
 }
 
-// Hop is the calls of one hop: operations requested, attempts sent, operations served.
+// Hop counts the calls of one hop: operations requested, attempts sent, operations served.
 type Hop struct {
 	Requested int `json:"asked"`
 	Attempts  int `json:"attempts"`
@@ -43,7 +44,7 @@
 	}
 }
 
-// operationEnded records the last answer to an operation, and wakes the server that waits for it.
+// operationEnded records the last answer to an operation, and notifies the server that waits for it.
 func (g *graphRun) operationEnded(o *operation, outcome invariant.Outcome) {
 	if g == nil {
 		return
@@ -62,7 +63,7 @@
 	g.world.after(0, o.caller, kind)
 }
 
-// maxAttempts is how often the caller of an operation sends it.
+// maxAttempts is the maximum number of times that the caller of an operation sends it.
 func (g *graphRun) maxAttempts(o *operation) int {
 	if g == nil || o.caller == nil {
 		return maxClientAttempts
@@ -86,7 +87,7 @@
 	return oneWayMs(&g.world.scenario.Network, g.Spec.InterRegionMs, g.zonesPerRegion, from, to)
 }
 
-// placeGraph puts the servers of the graph's services into their zones and racks.
+// placeGraph sets the zones and racks of the servers from the graph.
 func (w *World) placeGraph() {
 	graph := w.scenario.graph
 	w.graph = &graphRun{
@@ -110,17 +111,17 @@
 	w.graph.faultOrder = shuffled
 }
 
-// agentPlacement is where an agent stands and what it calls. A host that calls several services has an agent
-// for each, as a balancer knows the servers of one service.
+// agentPlacement is the location of an agent and the service that it calls. A host that calls several
+// services has an agent for each, as a balancer handles the servers of one service.
 type agentPlacement struct {
 	zone         int
 	service      int     // or allServices
-	caller       *server // on whose host it is; nil for a client's
-	replicas     int     // agents that call the same service
-	replicaIndex int     // among those
+	caller       *server // the server on the same host; nil for an agent of clients
+	replicas     int     // number of agents that call the same service
+	replicaIndex int     // index among them
 }
 
-// agentPlacements returns the agents of a run; in a graph those of clients are the first.
+// agentPlacements returns the placements of the agents of a run; in a graph those of clients come first.
 func (w *World) agentPlacements() []agentPlacement {
 	if w.graph == nil {
 		return w.scenario.agentPlacements()
@@ -148,7 +149,7 @@
 	return out
 }
 
-// agentPlacements returns the agents of a scenario without a graph.
+// agentPlacements returns the placements of the agents of a scenario without a graph.
 func (s *Scenario) agentPlacements() []agentPlacement {
 	var out []agentPlacement
 	for i := range s.Agents {
@@ -162,7 +163,7 @@
 	return out
 }
 
-// entryAgents is the number of agents that clients call, which are the first of all.
+// entryAgents is the number of agents that clients call; they come first in World.agents.
 func (w *World) entryAgents() int {
 	if w.graph == nil {
 		return len(w.agents)
--- a/internal/emulator/graph_scenario.go
+++ b/internal/emulator/graph_scenario.go
@@ -3,19 +3,20 @@
 import "errors"
 
 const (
-	// queuePerWorker is the length of the queue of a graph's servers.
+	// queuePerWorker is the queue length of a graph's server, for each of its workers.
 	queuePerWorker = 4
-	// graphOverloadFactor is ServerGroup.OverloadFactor of a graph's servers.
+	// graphOverloadFactor is the ServerGroup.OverloadFactor of a graph's servers.
 	graphOverloadFactor = 2.5
 )
 
-// drawGraph sets servers, agents and load from the graph's spec, if there is one.
+// drawGraph draws the graph, if the scenario has one, and sets servers, agents and load from it. It may be
+// called repeatedly.
 func (s *Scenario) drawGraph() error {
 	if s.Graph == nil {
 		return nil
 	}
 	if s.graph == nil && len(s.Servers) > 0 {
-		return errors.New("servers: they follow from the graph")
+		return errors.New("servers: not allowed with a graph, which determines them")
 	}
 	if err := s.Graph.Check(s.Zones); err != nil {
 		return err
--- a/internal/emulator/graph_test.go
+++ b/internal/emulator/graph_test.go
@@ -126,7 +126,8 @@
 	}
 }
 
-// chain is a scenario of services that each call the next, with one client host; perS is the rate of its calls.
+// chain is a scenario of services that each call the next, with one client host; perS is the rate of its
+// calls.
 func chain(depth, servers int, perS float64) *Scenario {
 	return &Scenario{Name: "chain", Seconds: 6, WarmUpSeconds: 1, Zones: 1,
 		Graph:   &GraphSpec{Seed: 1, Services: depth, Depth: depth, MinServers: servers, MaxServers: servers, ExtraCalls: -1, ClientHosts: 1, CallsPerS: perS * float64(depth)},
--- a/internal/emulator/nested_calls.go
+++ b/internal/emulator/nested_calls.go
@@ -2,13 +2,14 @@
 
 import "ringtrack.example/ringtrack/internal/invariant"
 
-// nestedCalls makes the calls of other services that an attempt needs, one after the other. The attempt occupies
-// its worker until they end. The deadline of a call is that of the attempt. If a call fails, is rejected or times
-// out, the attempt is answered with an error. Calls in flight are not cancelled when the process ends.
+// nestedCalls makes the calls of other services that an attempt needs, one after the other. The attempt
+// occupies its worker until they end. The deadline of a call is that of the attempt. If a call fails, is
+// rejected or times out, the attempt is answered with an error. Calls in flight are not cancelled when the
+// process ends.
 //
 // Limitations: when an idempotent request is retried, its nested calls are new operations to the invariant
-// checker, so that rule 2 is checked at each hop but not over the complete path. A server does not notice that
-// its caller has disconnected.
+// checker, so that rule 2 is checked at each hop but not over the complete path. A server does not notice
+// that its caller has disconnected.
 type nestedCalls struct {
 	server   *server
 	attempt  *attempt
--- a/internal/emulator/peers/outlier.go
+++ b/internal/emulator/peers/outlier.go
@@ -5,8 +5,8 @@
 // maxEjectionMs is Envoy's max_ejection_time.
 const maxEjectionMs = 300_000
 
-// outlierDetection is Envoy's: consecutive_5xx, base_ejection_time and max_ejection_percent, which permits one
-// ejection in any case.
+// outlierDetection is Envoy's: consecutive_5xx, base_ejection_time and max_ejection_percent, which permits
+// one ejection in any case.
 type outlierDetection struct {
 	consecutiveFailures int
 	baseEjectionMs      float64
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -26,16 +26,17 @@
 	ClientAttempts  int     `json:"tries"`
 	Attempts        int     `json:"attempts"` // sent by agents to servers
 	Goodput         float64 `json:"goodput"`  // served operations as a fraction of all
-	// WeightedGoodput is the priority weight of operations that were served within their latency objective, as
-	// a fraction of the weight of all. Requests that exceed a tenant's quota count with a tenth of their weight.
+	// WeightedGoodput is the priority weight of operations that were served within their latency objective,
+	// as a fraction of the weight of all. Requests that exceed a tenant's quota count with a tenth of their
+	// weight.
 	WeightedGoodput float64 `json:"worth"`
 	// Tenants is WeightedGoodput by tenant.
 	Tenants []float64 `json:"tenants,omitempty"`
-	// WastedWork is the fraction of the servers' work that was done for requests that had been answered or had
-	// missed their latency objective.
+	// WastedWork is the fraction of the servers' work that was done for requests that had been answered or
+	// had missed their latency objective.
 	WastedWork float64 `json:"lost"`
-	// RecoveryS is the number of seconds from the end of the last fault until goodput was back at 0.95 for two
-	// seconds; -1 if it was not before the end of the run.
+	// RecoveryS is the number of seconds from the end of the last fault until goodput was back at 0.95 for
+	// two seconds; -1 if it was not before the end of the run.
 	RecoveryS int     `json:"back_s"`
 	MeanMs    float64 `json:"mean_ms"`
 	P50Ms     float64 `json:"p50_ms"`
@@ -156,8 +157,8 @@
 	r.WastedWork = float64(wasted) / float64(max(work, 1))
 }
 
-// goodputBySecond converts the pairs of ended and served operations to goodput; a second without operations has
-// 1.
+// goodputBySecond converts the pairs of ended and served operations to goodput; a second without operations
+// has 1.
 func goodputBySecond(counts []float64) []float64 {
 	var out []float64
 	for i := 0; i+1 < len(counts); i += 2 {
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -37,13 +37,13 @@
 	// until it reaches full speed.
 	SlowStartMinCapacity float64 `toml:"cold_from"`
 	SlowStartMs          float64 `toml:"cold_ms"`
-	// OverloadFactor: a server in slow start restarts if the requests of the last second exceed this multiple of
-	// its capacity; 0: never.
+	// OverloadFactor: a server in slow start restarts if the requests of the last second exceed this multiple
+	// of its capacity; 0: never.
 	OverloadFactor float64  `toml:"fall_multiple"`
 	KeyCache       KeyCache `toml:"warm"`
-	// Report is the kind of load reports that servers send: "" (correct, up to 0.1 s old), "late" (up to 1.4 s
-	// old), "none", "some" (only every other server sends them), "frozen" (not updated after the first second),
-	// "idle" (utilization 0), "busy" (utilization 1) or "nan" (utilization not a number).
+	// Report is the kind of load reports that servers send: "" (correct, up to 0.1 s old), "late" (up to 1.4
+	// s old), "none", "some" (only every other server sends them), "frozen" (not updated after the first
+	// second), "idle" (utilization 0), "busy" (utilization 1) or "nan" (utilization not a number).
 	Report        string  `toml:"report"`
 	nestedCallsMs float64 // mean time of a request's nested calls, during which its worker is occupied
 }
@@ -83,8 +83,8 @@
 type Load struct {
 	PerS float64 `toml:"per_s"` // over all agents
 	// Burst is the factor on the rate during a burst (a Markov-modulated Poisson process); 0 or 1: no bursts.
-	// A burst lasts BurstMs on average. Between bursts the rate is lower, so that the mean is PerS for factors
-	// up to 10.
+	// A burst lasts BurstMs on average. Between bursts the rate is lower, so that the mean is PerS for
+	// factors up to 10.
 	Burst   float64 `toml:"burst"`
 	BurstMs float64 `toml:"burst_ms"`
 	// Swing is the relative amplitude, 0 to 1, of a daily load curve: one cosine period over the run.
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// arrivalSlots is the number of slots of the sliding window of one second in which arrivals are counted to
-	// detect an overload.
+	// arrivalSlots is the number of slots of the sliding window of one second in which arrivals are counted
+	// to detect an overload.
 	arrivalSlots = 10
 	arrivalSlot  = Second / arrivalSlots
 	// overloadAllowance is a number of arrivals in a second that never overload a server.
 	overloadAllowance = 4
-	// deduplicatedSpeedup is the factor by which a repeated request is faster that the server recognizes by its
-	// idempotency key.
+	// deduplicatedSpeedup is the factor by which a repeated request is faster that the server recognizes by
+	// its idempotency key.
 	deduplicatedSpeedup = 10
 	// allClasses as server.errorClass: errors affect all classes.
 	allClasses = -1
-	// minQueueCompaction is the number of dequeued entries at the head of a queue above which it is compacted.
+	// minQueueCompaction is the number of dequeued entries at the head of a queue above which it is
+	// compacted.
 	minQueueCompaction = 64
 
 	reportEvery     = Second / 10
@@ -226,7 +227,8 @@
 	s.complete(a, false)
 }
 
-// complete answers an attempt that ran, and starts the next one. nestedFailed: one of its nested calls failed.
+// complete answers an attempt that ran, and starts the next one. nestedFailed: one of its nested calls
+// failed.
 func (s *server) complete(a *attempt, nestedFailed bool) {
 	s.integrateBusy()
 	s.busy--
--- a/internal/emulator/tenant.go
+++ b/internal/emulator/tenant.go
@@ -14,8 +14,8 @@
 // Tenant is a customer with a quota of the service.
 type Tenant struct {
 	Name string `toml:"name"`
-	// Quota and LoadWeight are relative to those of the other tenants: LoadWeight is the tenant's share of the
-	// load.
+	// Quota and LoadWeight are relative to those of the other tenants: LoadWeight is the tenant's share of
+	// the load.
 	Quota      float64 `toml:"portion"`
 	LoadWeight float64 `toml:"asks"` // 0: same as Quota
 }
--- a/internal/emulator/validate.go
+++ b/internal/emulator/validate.go
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// Check sets defaults, draws the graph if there is one, and returns an error that names the first invalid key.
+// Check sets defaults, draws the graph if there is one, and returns an error that names the first invalid
+// key.
 func (s *Scenario) Check() error {
 	s.setDefaults()
 	if err := s.drawGraph(); err != nil {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -77,8 +77,8 @@
 	sampledServers int                     // number of samples in totals.MeanConnections
 }
 
-// newRand returns a random source for one part of a run. Each part has its own, so that its number of draws does
-// not change the results of other parts.
+// newRand returns a random source for one part of a run. Each part has its own, so that its number of draws
+// does not change the results of other parts.
 func newRand(seed uint64, name string, index int) *rand.Rand {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, name, index)
