--- a/internal/emulator/peers/balancer.go
+++ b/internal/emulator/peers/balancer.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// randomStream keeps the balancer's random numbers apart from others of the same seed.
+	// randomStream separates the balancer's random numbers from others of the same seed.
 	randomStream = 77
-	// rewatchMs is the wait after a failed watch of the endpoint list.
+	// rewatchMs is the delay before the next watch of the endpoint list after a failure.
 	rewatchMs = 1000
-	// retryAfterMs is sent with rejected requests.
+	// retryAfterMs is the Retry-After of rejected requests.
 	retryAfterMs = 100
-	// minRetryTimeMs is the time that has to be left for a retry.
+	// minRetryTimeMs: a request is retried only if more than this time is left before its deadline.
 	minRetryTimeMs = 5
 	// minAttemptTimeMs is the minimum timeout of an attempt.
 	minAttemptTimeMs = 1
 )
 
-// server is what a balancer knows of a server. Times are in ms.
+// server is a balancer's state of a server. Times are in ms.
 type server struct {
 	addr   policy.Addr
 	ready  bool
@@ -45,16 +45,17 @@
 	tried      []*server
 }
 
-// retryPolicy says how often a request is sent again. Retries in flight are limited to a part of the requests
-// in flight, but not below a minimum.
+// retryPolicy limits retries. Retries in flight are limited to a fraction of the requests in flight, but not
+// below a minimum.
 type retryPolicy struct {
-	max         int // of a request
-	budget      float64
-	minInFlight int
+	max         int     // retries of a request
+	budget      float64 // retries in flight as a fraction of the requests in flight
+	minInFlight int     // minimum of the limit
 }
 
-// balancer is what all have in common: it watches the endpoint list, picks a server, retries within a budget,
-// and fails or rejects what it does not retry. It has no queue. One goroutine calls it.
+// balancer is the common part of all balancers: it watches the endpoint list, forwards a request to the
+// server that pick returns, retries within a budget, and fails or rejects what it does not retry. It has no
+// queue. It is not safe for concurrent use.
 type balancer struct {
 	settings policy.Settings
 	rng      *rand.Rand
@@ -64,9 +65,9 @@
 	requests map[policy.RequestID]*request
 	actions  []policy.Action
 
-	// pick returns the server of the next attempt, nil for none.
+	// pick returns the server of the next attempt, or nil to reject the request.
 	pick func(*request) *server
-	// observe takes the outcome of an attempt that was sent; it may be nil.
+	// observe is called with the outcome of each attempt that was sent and not cancelled; it may be nil.
 	observe func(*server, *policy.Event)
 	// endpointsChanged is called after an update of the endpoint list; it may be nil.
 	endpointsChanged func()
@@ -74,7 +75,7 @@
 	retry           retryPolicy
 	retriesInFlight int
 	outlier         *outlierDetection // nil: none
-	// panicThreshold: if a smaller part of the servers is usable, all are used.
+	// panicThreshold: if the fraction of servers that are not ejected is below it, ejections are ignored.
 	panicThreshold float64
 }
 
@@ -97,12 +98,12 @@
 	return b
 }
 
-// Start watches the endpoint list.
+// Start begins to watch the endpoint list.
 func (b *balancer) Start(_ float64, out []policy.Action) []policy.Action {
 	return append(out, policy.Action{Kind: policy.ActionWatchEndpoints})
 }
 
-// Handle takes an event and appends actions to out.
+// Handle handles an event and appends the resulting actions to out.
 func (b *balancer) Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action {
 	b.now = now
 	b.actions = out
@@ -118,16 +119,16 @@
 	case policy.EventClientDisconnected:
 		delete(b.requests, ev.Request)
 	case policy.EventTimer:
-		b.act(policy.Action{Kind: policy.ActionWatchEndpoints})
+		b.emit(policy.Action{Kind: policy.ActionWatchEndpoints})
 	}
 	return b.actions
 }
 
-func (b *balancer) act(a policy.Action) { b.actions = append(b.actions, a) }
+func (b *balancer) emit(a policy.Action) { b.actions = append(b.actions, a) }
 
 func (b *balancer) updateEndpoints(ev *policy.Event) {
 	if ev.Update == policy.UpdateFailed {
-		b.act(policy.Action{Kind: policy.ActionTimer, DurationMs: rewatchMs})
+		b.emit(policy.Action{Kind: policy.ActionTimer, DurationMs: rewatchMs})
 		return
 	}
 	for i := range ev.Endpoints {
@@ -147,7 +148,7 @@
 }
 
 // usable returns the servers that may be picked: those that are ready and not ejected, or all that are ready
-// if the panic threshold says so. Servers of exclude are left out if there are others.
+// if too few are left by the panic threshold. Servers in exclude are left out if there are others.
 func (b *balancer) usable(exclude []*server) []*server {
 	var ready []*server
 	var usable []*server
@@ -173,7 +174,7 @@
 	return usable
 }
 
-// twoRandom draws two usable servers, which may be the same; nil if there are none.
+// twoRandom draws two usable servers, which may be the same; both are nil if there is none.
 func (b *balancer) twoRandom() (first, second *server) {
 	servers := b.usable(nil)
 	if len(servers) == 0 {
@@ -194,7 +195,7 @@
 	r.attempts++
 	r.tried = append(r.tried, s)
 	s.active++
-	b.act(policy.Action{
+	b.emit(policy.Action{
 		Kind:       policy.ActionForward,
 		Request:    id,
 		Server:     s.addr,
@@ -203,12 +204,12 @@
 }
 
 func (b *balancer) reject(id policy.RequestID) {
-	b.act(policy.Action{Kind: policy.ActionReject, Request: id, DurationMs: retryAfterMs})
+	b.emit(policy.Action{Kind: policy.ActionReject, Request: id, DurationMs: retryAfterMs})
 }
 
 func (b *balancer) attemptEnded(ev *policy.Event) {
 	if s := b.byAddr[ev.Server]; s != nil {
-		b.serverAnswered(s, ev)
+		b.recordOutcome(s, ev)
 	}
 	r := b.requests[ev.Request]
 	if r == nil {
@@ -229,13 +230,13 @@
 	}
 	delete(b.requests, ev.Request)
 	if r.mayHaveRun {
-		b.act(policy.Action{Kind: policy.ActionFail, Request: ev.Request})
+		b.emit(policy.Action{Kind: policy.ActionFail, Request: ev.Request})
 	} else {
 		b.reject(ev.Request)
 	}
 }
 
-func (b *balancer) serverAnswered(s *server, ev *policy.Event) {
+func (b *balancer) recordOutcome(s *server, ev *policy.Event) {
 	if s.active > 0 {
 		s.active--
 	}
@@ -248,9 +249,10 @@
 	b.detectOutlier(s, ev.Status)
 }
 
-// mayRetry tells whether a request is sent again. Proxies do not know the effects of requests: they retry
-// connect failures, resets and gateway errors on the routes that say so, as operators commonly configure them
-// ("connect-failure,refused-stream,gateway-error").
+// mayRetry reports whether a request is retried. Other proxies do not know the effects of requests; operators
+// commonly configure retries of connect failures, resets and gateway errors for routes that allow them
+// ("connect-failure,refused-stream,gateway-error"). Here errors and resets are
+// retried unless the class is NonIdempotent, and what never ran is retried for all classes.
 func (b *balancer) mayRetry(r *request, status policy.Status) bool {
 	if r.attempts > b.retry.max || r.deadline-b.now <= minRetryTimeMs {
 		return false
--- a/internal/emulator/peers/gradient.go
+++ b/internal/emulator/peers/gradient.go
@@ -15,22 +15,22 @@
 	limitSmoothing     = 0.2
 	latencyTolerance   = 1.5
 	limitQueueSize     = 4
-	longWindow         = 600  // answers
-	longLatencyDrift   = 0.95 // while the long-term latency is above twice the present one
+	longWindow         = 600  // answers in the long-term average
+	longLatencyDrift   = 0.95 // while the long-term latency is above twice the current one
 	minGradient        = 0.5
 	rejectionDecrease  = 0.9
 	minGradientLatency = 1e-3 // ms
 )
 
-// gradientState is what Gradient knows of a server.
+// gradientState is Gradient's state of a server.
 type gradientState struct {
-	limit         float64 // of active requests; 0: initialLimit
-	longLatencyMs float64 // moving average; 0: no answer yet
+	limit         float64 // of concurrent requests; 0: initialLimit
+	longLatencyMs float64 // long-term moving average; 0: no answer yet
 }
 
-// Gradient is least request under a limit for each server by the gradient of its latency (Netflix,
-// "concurrency-limits", Gradient2Limit with its defaults). A request that finds no server under its limit is
-// rejected.
+// Gradient is least request with a concurrency limit for each server, which follows the gradient of the
+// server's latency (Netflix, "concurrency-limits", Gradient2Limit with its defaults). A request is rejected
+// if all servers are at their limits.
 func Gradient(settings policy.Settings, seed uint64) (emulator.Balancer, error) {
 	b := newEnvoyBalancer(settings, seed)
 	b.observe = func(s *server, ev *policy.Event) {
@@ -52,7 +52,7 @@
 	return g.limit
 }
 
-// observe updates the limit by the latency of an answer.
+// observe updates the limit with the latency of an answer.
 func (g *gradientState) observe(latencyMs float64, active int) {
 	if g.longLatencyMs == 0 {
 		g.longLatencyMs = latencyMs
@@ -62,7 +62,7 @@
 		g.longLatencyMs *= longLatencyDrift
 	}
 	if float64(active) < g.currentLimit()/2 {
-		return // the limit is not what limits
+		return // concurrency is far below the limit: the latency tells nothing about it
 	}
 	gradient := max(minGradient, min(1, latencyTolerance*g.longLatencyMs/max(latencyMs, minGradientLatency)))
 	target := g.limit*gradient + limitQueueSize
@@ -70,7 +70,8 @@
 	g.limit = min(g.limit, maxLimit)
 }
 
-// pickUnderLimit returns the one with fewer active requests of two random servers that are under their limit.
+// pickUnderLimit draws two random servers below their limits and returns the one with fewer active requests,
+// or nil if all are at their limits.
 func (b *balancer) pickUnderLimit(servers []*server) *server {
 	atLimit := func(s *server) bool { return float64(s.active) >= s.gradient.currentLimit() }
 	candidates := slices.DeleteFunc(slices.Clone(servers), atLimit)
--- a/internal/emulator/peers/least_request.go
+++ b/internal/emulator/peers/least_request.go
@@ -7,9 +7,9 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// LeastRequest is Envoy's LEAST_REQUEST with equal weights: of two random servers the one with fewer active
-// requests (Envoy's pages "Supported load balancers", "Outlier detection", "Panic threshold", "Circuit
-// breaking").
+// LeastRequest is Envoy's LEAST_REQUEST with equal weights: it draws two random servers and picks the one
+// with fewer active requests (Envoy's pages "Supported load balancers", "Outlier detection", "Panic
+// threshold", "Circuit breaking").
 func LeastRequest(settings policy.Settings, seed uint64) (emulator.Balancer, error) {
 	b := newEnvoyBalancer(settings, seed)
 	b.pick = func(r *request) *server {
--- a/internal/emulator/peers/outlier.go
+++ b/internal/emulator/peers/outlier.go
@@ -5,15 +5,15 @@
 // maxEjectionMs is Envoy's max_ejection_time.
 const maxEjectionMs = 300_000
 
-// outlierDetection is Envoy's: consecutive_5xx, base_ejection_time and max_ejection_percent, which permits
-// one ejection in any case.
+// outlierDetection is Envoy's: consecutive_5xx, base_ejection_time and max_ejection_percent. One server may
+// be ejected whatever the percentage.
 type outlierDetection struct {
 	consecutiveFailures int
 	baseEjectionMs      float64
 	maxEjectionFraction float64
 }
 
-// detectOutlier ejects a server after too many consecutive failures.
+// detectOutlier counts consecutive failures and ejects the server when they reach the threshold.
 func (b *balancer) detectOutlier(s *server, status policy.Status) {
 	if status == policy.OK {
 		s.consecutiveFailures = 0
--- a/internal/emulator/peers/peak_ewma.go
+++ b/internal/emulator/peers/peak_ewma.go
@@ -11,7 +11,7 @@
 const (
 	// ewmaDecayMs is the time constant of the moving average.
 	ewmaDecayMs = 10_000
-	// unknownLatencyCost is the cost of a server with requests and no answer yet.
+	// unknownLatencyCost is the base cost of a server with active requests and no answer yet.
 	unknownLatencyCost = 1e9
 	// accrualFailures is the number of consecutive failures after which failure accrual ejects a server.
 	accrualFailures     = 5
@@ -19,18 +19,18 @@
 	maxAccrualBackoffMs = 300_000
 )
 
-// ewmaState is what PeakEWMA knows of a server.
+// ewmaState is PeakEWMA's state of a server.
 type ewmaState struct {
 	latencyMs float64 // moving average
 	updatedAt float64 // ms
-	backoffMs float64 // of failure accrual
+	backoffMs float64 // last ejection time of failure accrual, before jitter
 }
 
-// PeakEWMA is Finagle's power of two choices with peak EWMA: of two random servers the one with the lower
-// cost, which is the peak-sensitive moving average of the round trip times the active requests and one more.
-// Failure accrual ejects a server after 5 consecutive failures for 5 to 300 s with equal jitter; the retry
-// budget is 20 %, at least 10. Finagle's aperture is left out: agents here send so little that they would use
-// a few servers only.
+// PeakEWMA is Finagle's power of two choices with peak EWMA: it draws two random servers and picks the one
+// with the lower cost, which is the peak-sensitive moving average of the latency times the number of active
+// requests plus one. Failure accrual ejects a server after 5 consecutive failures for 5 to 300 s with equal
+// jitter. The retry budget is 20 %, at least 10. Finagle's aperture is left out: the rate of an agent is so
+// low here that it would use only a few servers.
 func PeakEWMA(settings policy.Settings, seed uint64) (emulator.Balancer, error) {
 	b := newBalancer(settings, seed)
 	b.retry = retryPolicy{max: 2, budget: 0.2, minInFlight: 10}
@@ -48,7 +48,8 @@
 	return b, nil
 }
 
-// observe moves the average up at once, and down by the time since the last update.
+// observe raises the average to a higher latency at once, and lets it decay towards a lower one with the time
+// since the last update.
 func (e *ewmaState) observe(now, latencyMs float64) {
 	if latencyMs > e.latencyMs {
 		e.latencyMs = latencyMs
@@ -67,7 +68,7 @@
 	return latencyMs * float64(s.active+1)
 }
 
-// accrueFailure ejects a server after consecutive failures, for longer each time.
+// accrueFailure ejects a server after consecutive failures; the ejection time doubles each time.
 func (b *balancer) accrueFailure(s *server, status policy.Status) {
 	if status == policy.OK {
 		s.consecutiveFailures = 0
--- a/internal/emulator/peers/peers.go
+++ b/internal/emulator/peers/peers.go
@@ -1,12 +1,13 @@
-// Package peers has the balancers of other systems, each written from its public description with the
-// documented defaults, with the same events and actions as the product's balancer. They are for experiments
-// only and no part of the product. What a system does beyond that is named at its balancer; none does health
-// checks here.
+// Package peers implements the balancers of other systems, each from its public description and with the
+// documented defaults, with the events and actions of the product's balancer. They are for experiments only
+// and no part of the product. Features that are left out are named at each balancer; health checks are left
+// out of all.
 package peers
 
 import "ringtrack.example/ringtrack/internal/emulator"
 
-// All are the balancers by name. None is bound to the contract; the results have the violations of each.
+// All are all balancers of this package. They do not know the contract and run without the guard; the results
+// count their violations.
 var All = []emulator.Policy{
 	{Name: "random", Unguarded: true, New: Random},
 	{Name: "round_robin", Unguarded: true, New: RoundRobin},
--- a/internal/emulator/peers/ring_hash.go
+++ b/internal/emulator/peers/ring_hash.go
@@ -13,22 +13,22 @@
 	pointsPerServer = 100
 	// balanceFactor is Envoy's hash_balance_factor of 150.
 	balanceFactor = 1.5
-	// pointSpacing is 2^64 divided by the golden ratio; it keeps the hashes of a server's points apart.
+	// pointSpacing is 2^64 divided by the golden ratio; it separates the hash inputs of a server's points.
 	pointSpacing = 0x9e3779b97f4a7c15
 
 	fnvOffset = 1469598103934665603
 	fnvPrime  = 1099511628211
 )
 
-// ringPoint is a server's point on the ring.
+// ringPoint is one of a server's points on the ring.
 type ringPoint struct {
 	hash   uint64
 	server *server
 }
 
-// RingHash is Envoy's RING_HASH with bounded loads: the server of the key's point on a ring, or the next one
-// if the server has more than 1.5 times the mean of active requests (Mirrokni, Thorup and Zadimoghaddam,
-// "Consistent Hashing with Bounded Loads").
+// RingHash is Envoy's RING_HASH with bounded loads: the first server on the ring from the hash of the key on
+// that has at most 1.5 times the mean of active requests (Mirrokni, Thorup and Zadimoghaddam, "Consistent
+// Hashing with Bounded Loads").
 func RingHash(settings policy.Settings, seed uint64) (emulator.Balancer, error) {
 	b := newEnvoyBalancer(settings, seed)
 	var ring []ringPoint
@@ -47,7 +47,7 @@
 	return b, nil
 }
 
-// buildRing appends the points of all servers to ring, in their order.
+// buildRing appends the points of all servers to ring and sorts it by hash.
 func buildRing(ring []ringPoint, servers []*server) []ringPoint {
 	for _, s := range servers {
 		hash := uint64(fnvOffset)
@@ -67,7 +67,8 @@
 	return ring
 }
 
-// pickFromRing returns the first of the servers from a hash on that is below the bound of active requests.
+// pickFromRing returns the first of the servers on the ring from a hash on that is within the bound of active
+// requests.
 func pickFromRing(ring []ringPoint, servers []*server, hash uint64) *server {
 	total := 1
 	for _, s := range servers {
--- a/internal/emulator/peers/round_robin.go
+++ b/internal/emulator/peers/round_robin.go
@@ -5,10 +5,10 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// maxFirstIndex bounds the random beginning of a round robin.
+// maxFirstIndex bounds the random start index of a balancer.
 const maxFirstIndex = 1 << 20
 
-// RoundRobin picks one server after the other.
+// RoundRobin picks the usable servers in turn.
 func RoundRobin(settings policy.Settings, seed uint64) (emulator.Balancer, error) {
 	b := newEnvoyBalancer(settings, seed)
 	next := b.rng.IntN(maxFirstIndex)
--- a/internal/emulator/peers/weighted_round_robin.go
+++ b/internal/emulator/peers/weighted_round_robin.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// blackoutMs is the time from a server's first load report until its weight counts.
+	// blackoutMs is the time from a server's first load report until its weight is used.
 	blackoutMs = 10_000
-	// minWeightedServers is the number of weights below which all servers are alike.
+	// minWeightedServers is the number of servers with a weight below which all servers get the same weight.
 	minWeightedServers = 2
 )
 
-// Positions in a load report.
+// Indexes in a load report.
 const (
 	reportQPS = iota
 	reportUtilization
@@ -20,19 +20,19 @@
 	reportLength
 )
 
-// weightedState is what WeightedRoundRobin knows of a server.
+// weightedState is WeightedRoundRobin's state of a server.
 type weightedState struct {
 	qps           float64 // of the last load report, like utilization and errorsPerS
 	utilization   float64
 	errorsPerS    float64
 	firstReportAt float64 // ms; 0: none
-	current       float64 // of the smooth weighted round robin
+	current       float64 // current weight of the smooth weighted round robin
 }
 
-// WeightedRoundRobin is gRPC's client-side weighted round robin (gRFC A58): the weight is qps by utilization,
-// to which errors by qps are added with the penalty 1.0. A weight counts after a blackout period of 10 s; a
-// server without one gets the mean. gRPC updates weights once a second, this with each load report; outliers
-// are detected as Envoy does.
+// WeightedRoundRobin is gRPC's client-side weighted round robin (gRFC A58): the weight is qps divided by the
+// sum of utilization and error rate (errors per second divided by qps, with the penalty 1.0). A weight is
+// used after a blackout period of 10 s; a server without one gets the mean. gRPC updates weights once a
+// second, this balancer with each load report. Outlier detection is Envoy's.
 func WeightedRoundRobin(settings policy.Settings, seed uint64) (emulator.Balancer, error) {
 	b := newEnvoyBalancer(settings, seed)
 	b.observe = func(s *server, ev *policy.Event) { s.wrr.observe(b.now, ev.Report) }
@@ -52,7 +52,7 @@
 	}
 }
 
-// weight is 0 if it does not count.
+// weight is the weight of a server, or 0 if it has none yet.
 func (w *weightedState) weight(now float64) float64 {
 	if w.firstReportAt == 0 || now-w.firstReportAt < blackoutMs || w.utilization <= 0 || w.qps <= 0 {
 		return 0
@@ -60,7 +60,7 @@
 	return w.qps / (w.utilization + w.errorsPerS/w.qps)
 }
 
-// pickWeighted is a step of a smooth weighted round robin over servers.
+// pickWeighted does one step of smooth weighted round robin.
 func (b *balancer) pickWeighted(servers []*server) *server {
 	mean, weighted := b.meanWeight(servers)
 	total := 0.0
@@ -82,7 +82,7 @@
 	return best
 }
 
-// meanWeight returns the mean of the weights that count, and their number.
+// meanWeight returns the mean weight of the servers that have one, and the number of these servers.
 func (b *balancer) meanWeight(servers []*server) (float64, int) {
 	sum := 0.0
 	weighted := 0
