--- a/internal/emulator/peers/balancer.go
+++ b/internal/emulator/peers/balancer.go
@@ -251,8 +251,8 @@
 
 // mayRetry reports whether a request is retried. Other proxies do not know the effects of requests; operators
 // commonly configure retries of connect failures, resets and gateway errors for routes that allow them
-// ("connect-failure,refused-stream,gateway-error"). Here errors and resets are
-// retried unless the class is NonIdempotent, and what never ran is retried for all classes.
+// ("connect-failure,refused-stream,gateway-error"). Here errors and resets are retried unless
+// the class is NonIdempotent, and what never ran is retried for all classes.
 func (b *balancer) mayRetry(r *request, status policy.Status) bool {
 	if r.attempts > b.retry.max || r.deadline-b.now <= minRetryTimeMs {
 		return false
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment runs scenarios of the emulator under several policies and seeds, on all cores, and
-// compares the policies. Results are appended to a file run by run, so that an experiment that was stopped
-// can be resumed.
+// Package experiment runs scenarios of the emulator under several policies and seeds, in parallel on all
+// cores, and compares the policies. The result of each run is appended to a file, so that a stopped
+// experiment can be resumed.
 package experiment
 
 import (
@@ -19,30 +19,31 @@
 )
 
 const (
-	// maxRuns bounds an experiment.
+	// maxRuns is the maximum number of runs of an experiment.
 	maxRuns = 100_000
-	// maxFileBytes bounds its file.
+	// maxFileBytes is the maximum size of an experiment file.
 	maxFileBytes = 1 << 20
 	maxSeeds     = 1000
 	defaultSeeds = 5
 )
 
-// The values of Experiment.By.
+// Values of Experiment.By.
 const (
 	byGoodput         = "goodput"
 	byWeightedGoodput = "worth"
 )
 
-// Experiment is the contents of a file: scenarios, policies and seeds, each with each.
+// Experiment is the contents of an experiment file. Each scenario is run under each policy with each seed.
 type Experiment struct {
-	Policies  []string `toml:"policies"` // none: all
+	Policies  []string `toml:"policies"` // empty: all
 	Seeds     int      `toml:"seeds"`
 	FirstSeed uint64   `toml:"first_seed"`
-	// By is what policies are compared by: "goodput" (also if it is empty) or "worth", the weighted goodput.
+	// By is the result by which policies are compared: "goodput" (the default) or "worth", the weighted
+	// goodput.
 	By        string              `toml:"by"`
 	Scenarios []emulator.Scenario `toml:"scenario"`
 
-	checksum uint32 // of the file
+	checksum uint32 // CRC-32 of the file
 }
 
 // Policies returns all policies, the product first.
@@ -50,7 +51,7 @@
 	return append([]emulator.Policy{emulator.Product}, peers.All...)
 }
 
-// policyByName returns a policy, or nil.
+// policyByName returns a policy, or nil if there is none of this name.
 func policyByName(name string) *emulator.Policy {
 	for _, p := range Policies() {
 		if p.Name == name {
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// Load reads and checks a file; an error names the key.
+// Load reads and checks an experiment file. The error of an invalid file names the key.
 func Load(file string) (*Experiment, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -83,12 +84,12 @@
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(e)
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
-		return fmt.Errorf("%s: unknown", strings.Join(unknown.Errors[0].Key(), "."))
+		return fmt.Errorf("%s: unknown key", strings.Join(unknown.Errors[0].Key(), "."))
 	}
 	return err
 }
 
-// check sets defaults and returns an error that names the first unusable key.
+// check sets defaults and returns an error that names the first invalid key.
 func (e *Experiment) check() error {
 	if err := e.checkPolicies(); err != nil {
 		return err
@@ -103,7 +104,7 @@
 		return err
 	}
 	if n := len(e.runKeys()); n > maxRuns {
-		return fmt.Errorf("%d runs, at most %d", n, maxRuns)
+		return fmt.Errorf("%d runs, at most %d are supported", n, maxRuns)
 	}
 	return nil
 }
@@ -119,7 +120,7 @@
 			return fmt.Errorf("policies[%d]: %q is unknown", i, name)
 		}
 		if slices.Index(e.Policies, name) < i {
-			return fmt.Errorf("policies[%d]: %q is named twice", i, name)
+			return fmt.Errorf("policies[%d]: %q is listed twice", i, name)
 		}
 	}
 	return nil
@@ -133,7 +134,7 @@
 	for i := range e.Scenarios {
 		s := &e.Scenarios[i]
 		if s.Name == "" || names[s.Name] {
-			return fmt.Errorf("scenario[%d].name: %q is empty or taken", i, s.Name)
+			return fmt.Errorf("scenario[%d].name: %q is empty or already used", i, s.Name)
 		}
 		names[s.Name] = true
 		if err := s.Check(); err != nil {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -14,7 +14,7 @@
 	"ringtrack.example/ringtrack/internal/emulator"
 )
 
-const small = `
+const twoScenarios = `
 seeds = 3
 policies = ["ringtrack", "random"]
 [[scenario]]
@@ -29,7 +29,7 @@
 load = { per_s = 500 }
 `
 
-func load(t *testing.T, text string) (*Experiment, error) {
+func loadText(t *testing.T, text string) (*Experiment, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "e.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -38,10 +38,11 @@
 	return Load(file)
 }
 
-// An experiment whose results are cut off at any byte is resumed: each run has one line, and the results are
-// those of an experiment that was not stopped. Results of something else are left as they are.
+// An experiment is resumed after its results file was cut off at any byte, or after its context was
+// cancelled: each run has exactly one line, and the results equal those of an uninterrupted experiment. A
+// results file of another experiment, of another version or without results is rejected and not changed.
 func TestResumedExperimentHasTheSameResults(t *testing.T) {
-	e, err := load(t, small)
+	e, err := loadText(t, twoScenarios)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,14 +66,14 @@
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 		if got, _ := json.Marshal(resumed); string(got) != string(want) {
-			t.Errorf("cut at %d: other results", cut)
+			t.Errorf("cut at %d: the results differ", cut)
 		}
 		now, _ := os.ReadFile(file)
 		if n := strings.Count(string(now), "\n"); n != 1+len(e.runKeys()) {
 			t.Errorf("cut at %d: %d lines", cut, n)
 		}
 	}
-	// An experiment that is stopped by its context is resumed, too.
+	// Stopped by its context.
 	os.Remove(file)
 	ctx, cancel := context.WithCancel(t.Context())
 	if _, err := e.Run(ctx, dir, func(done, _ int) {
@@ -80,12 +81,12 @@
 			cancel()
 		}
 	}); err == nil {
-		t.Error("a stopped experiment returns no error")
+		t.Error("no error after the context was cancelled")
 	}
 	if resumed, err := e.Run(t.Context(), dir, nil); err != nil {
 		t.Error(err)
 	} else if got, _ := json.Marshal(resumed); string(got) != string(want) {
-		t.Error("other results after a stop")
+		t.Error("the results differ after a cancelled context")
 	}
 	for name, test := range map[string]struct {
 		text    string
@@ -107,13 +108,13 @@
 	}
 }
 
-// An error of Load names the key.
+// Load rejects invalid files with an error that names the key, and accepts the catalogue of experiments.
 func TestLoadErrorNamesTheKey(t *testing.T) {
 	for from, to := range map[string]string{"seeds = 3": "seeds = 0|seeds", `"random"`: `"rand"|policies[1]`, `"random"]`: `"ringtrack"]|policies[1]`,
 		`name = "b"`: `name = "a"|scenario[1].name`, "per_s = 300": "per_s = -1|scenario[0] (a).load.per_s", "per_s = 500": "per_s = nan|scenario[1] (b).load.per_s",
 		"count = 3": "counts = 3|count", "seconds = 1": "seconds = 0|seconds"} {
 		to, key, _ := strings.Cut(to, "|")
-		if _, err := load(t, strings.Replace(small, from, to, 1)); err == nil || !strings.Contains(err.Error(), key) {
+		if _, err := loadText(t, strings.Replace(twoScenarios, from, to, 1)); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", to, err)
 		}
 	}
@@ -122,7 +123,7 @@
 	}
 }
 
-// A table has the means of each policy and what the first is better by.
+// A table has the means of each policy, and the confidence interval of the first policy's lead over it.
 func TestTableComparesWithTheFirstPolicy(t *testing.T) {
 	e := &Experiment{Policies: []string{"x", "y"}, Scenarios: []emulator.Scenario{{Name: "s"}}}
 	var results []*emulator.Result
@@ -135,7 +136,7 @@
 		t.Errorf("%+v", rows)
 	}
 	if r := rows[1]; math.Abs(r.LeadLow-0.1) > 1e-9 || math.Abs(r.LeadHigh-0.1) > 1e-9 {
-		t.Errorf("the lead is 0.1 in each pair, the interval %v to %v", r.LeadLow, r.LeadHigh)
+		t.Errorf("the lead is 0.1 for each seed, but the interval is %v to %v", r.LeadLow, r.LeadHigh)
 	}
 	var b strings.Builder
 	Print(&b, rows)
--- a/internal/lab/experiment/results.go
+++ b/internal/lab/experiment/results.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// resultsFile is the name of the file in the directory of the results.
+	// resultsFile is the name of the results file in the results directory.
 	resultsFile = "results.jsonl"
-	// resultsVersion is the version of its format.
+	// resultsVersion is the version of the format of the results file.
 	resultsVersion = 1
 )
 
-// Errors of a results file that cannot be resumed.
+// Errors for an existing results file that the experiment can't continue.
 var (
 	ErrNoResults       = errors.New("holds no results")
 	ErrResultsVersion  = errors.New("holds results of another version")
-	ErrOtherExperiment = errors.New("holds the results of another experiment, or of an older file of this")
+	ErrOtherExperiment = errors.New("holds the results of another experiment or of an earlier version of this file")
 )
 
-// header is the first line of the results.
+// header is the first line of the results file.
 type header struct {
 	Version    int    `json:"version"`
-	Experiment uint32 `json:"experiment"` // checksum of its file
+	Experiment uint32 `json:"experiment"` // checksum of the experiment file
 }
 
 // check returns an error if the results are of another format or another experiment.
 func (h *header) check(checksum uint32) error {
 	if h.Version != resultsVersion {
-		return fmt.Errorf("%w: version %d, this is %d", ErrResultsVersion, h.Version, resultsVersion)
+		return fmt.Errorf("%w: version %d, expected %d", ErrResultsVersion, h.Version, resultsVersion)
 	}
 	if h.Experiment != checksum {
 		return ErrOtherExperiment
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// appendLine appends a result in one write. A line that is cut off by a crash is dropped when the file is
-// opened.
+// appendLine writes v as a line of JSON in a single write. A line that a crash cuts off is dropped when the
+// file is opened again.
 func appendLine(w io.Writer, v any) error {
 	line, err := json.Marshal(v)
 	if err != nil {
@@ -53,8 +53,8 @@
 	return err
 }
 
-// openResults opens or creates the results, drops an incomplete last line, and returns the results that are
-// there. The file is open for appending. A file that cannot be resumed is left as it is.
+// openResults opens or creates the results file, drops an incomplete last line, and returns the file,
+// positioned for appending, and its results. A file that the experiment can't continue is not changed.
 func (e *Experiment) openResults(name string) (*os.File, []*emulator.Result, error) {
 	file, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return file, results, nil
 }
 
-// readResults returns the results and the length of all complete lines in bytes.
+// readResults returns the results and the length in bytes of all complete lines.
 func (e *Experiment) readResults(r io.Reader) ([]*emulator.Result, int64, error) {
 	var results []*emulator.Result
 	size := int64(0)
@@ -79,7 +79,7 @@
 	for n := 1; ; n++ {
 		line, err := reader.ReadBytes('\n')
 		if err == io.EOF {
-			return results, size, nil // what is left is incomplete
+			return results, size, nil // the rest is an incomplete line
 		}
 		if err != nil {
 			return nil, 0, err
@@ -107,7 +107,7 @@
 	return h.check(e.checksum)
 }
 
-// prepareAppend cuts the file to a size, and writes the header of an empty one.
+// prepareAppend truncates the file to a size, and writes the header if that is 0.
 func (e *Experiment) prepareAppend(file *os.File, size int64) error {
 	if err := file.Truncate(size); err != nil {
 		return err
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -18,7 +18,8 @@
 	seed     uint64
 }
 
-// runKeys returns all runs, seed by seed, so that the results of a stopped experiment cover all scenarios.
+// runKeys returns the keys of all runs, ordered by seed first, so that the results of a stopped experiment
+// cover all scenarios and policies.
 func (e *Experiment) runKeys() []runKey {
 	var out []runKey
 	for k := range e.Seeds {
@@ -42,19 +43,19 @@
 	mu      sync.Mutex
 	file    *os.File
 	results map[runKey]*emulator.Result
-	err     error // the first one
+	err     error // the first error
 }
 
-// Run executes the runs that the directory has no result of, and returns all results in the order of
-// scenarios and policies, seed by seed. progress is called after each run, by one goroutine at a time; it may
-// be nil. A run that was begun is completed when the context is done.
+// Run executes the runs that have no result in dir yet, and returns the results of all runs, ordered by seed,
+// scenario and policy. progress, which may be nil, is called after each run, never concurrently. When the
+// context is done, Run waits for the runs in progress and returns the context's error.
 func (e *Experiment) Run(
 	ctx context.Context, dir string, progress func(done, total int),
 ) ([]*emulator.Result, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("experiment: %w", err)
 	}
-	file, earlier, err := e.openResults(filepath.Join(dir, resultsFile))
+	file, existing, err := e.openResults(filepath.Join(dir, resultsFile))
 	if err != nil {
 		return nil, err
 	}
@@ -68,7 +69,7 @@
 		progress:   progress,
 		cancel:     cancel,
 		file:       file,
-		results:    e.byKey(earlier),
+		results:    e.byKey(existing),
 	}
 	r.runMissing(ctx, keys)
 	if r.err != nil {
@@ -84,7 +85,7 @@
 	return out, nil
 }
 
-// byKey returns results by their run.
+// byKey returns a map of the results by run.
 func (e *Experiment) byKey(results []*emulator.Result) map[runKey]*emulator.Result {
 	scenarios := map[string]int{}
 	for i := range e.Scenarios {
@@ -97,8 +98,8 @@
 	return out
 }
 
-// runMissing executes the runs without a result on all cores until the context is done, and waits for their
-// ends.
+// runMissing executes the runs without a result on all cores. When the context is done it starts no more, and
+// waits for those in progress.
 func (r *runner) runMissing(ctx context.Context, keys []runKey) {
 	var missing []runKey
 	for _, key := range keys {
@@ -120,7 +121,7 @@
 	workers.Wait()
 }
 
-// enqueue sends keys until the context is done.
+// enqueue sends keys to the queue until the context is done.
 func enqueue(ctx context.Context, queue chan<- runKey, keys []runKey) {
 	for _, key := range keys {
 		select {
@@ -131,8 +132,8 @@
 	}
 }
 
-// run executes a run and appends its result to the file; it is called by several goroutines. The first error
-// ends the experiment.
+// run executes a run and appends its result to the file. The first error cancels the experiment. It is safe
+// for concurrent use.
 func (r *runner) run(key runKey) {
 	scenario := &r.experiment.Scenarios[key.scenario]
 	result, err := emulator.Run(scenario, policyByName(key.policy), key.seed)
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// resamples is the number of resamples of a bootstrap.
+	// resamples is the number of bootstrap resamples.
 	resamples = 2000
-	// tailResamples are those outside of a 95 % interval at each end.
+	// tailResamples is the number of resamples below, and above, the 95 % interval.
 	tailResamples = resamples / 40
-	// bootstrapSeed makes tables reproducible.
+	// bootstrapSeed is fixed so that tables are reproducible.
 	bootstrapSeed = 1
 )
 
-// Row is the mean of a policy's results in a scenario.
+// Row is the results of a policy in a scenario: means over all seeds, unless stated otherwise.
 type Row struct {
 	Scenario string
 	Policy   string
 	Goodput  float64
-	// LeadLow and LeadHigh are the 95 % interval of what the first policy is better by, in Experiment.By
-	// (paired bootstrap over seeds).
+	// LeadLow and LeadHigh are the 95 % confidence interval of the mean lead of the first policy over this
+	// one, in the result that Experiment.By names (paired bootstrap over seeds).
 	LeadLow         float64
 	LeadHigh        float64
 	P99Ms           float64
 	WeightedGoodput float64
-	WastedWork      float64 // as a part of the servers' work
-	RecoveryS       float64 // a run that did not recover counts with its length
-	WorstTenant     float64 // served fraction of the tenant that is served worst
+	WastedWork      float64 // as a fraction of the servers' work
+	RecoveryS       float64 // a run without recovery counts with its full length
+	WorstTenant     float64 // lowest weighted goodput of a tenant
 	Violations      int     // sum over all runs
 	Overloads       int     // sum over all runs
-	WithinObjective float64 // part of operations that were served within their latency objective
-	Attempts        float64 // of an operation
-	// Of a graph, see emulator.Path.
+	WithinObjective float64 // fraction of operations that were served within their latency objective
+	Attempts        float64 // for each operation
+	// Only for a graph of services, see emulator.Path.
 	DeepestAttempts float64
 	Amplification   float64
 }
@@ -57,12 +57,12 @@
 		scenario := &e.Scenarios[i]
 		first := byRow[rowKey{scenario.Name, e.Policies[0]}]
 		for _, p := range e.Policies {
-			own := byRow[rowKey{scenario.Name, p}]
+			policyResults := byRow[rowKey{scenario.Name, p}]
 			row := Row{Scenario: scenario.Name, Policy: p}
-			for _, r := range own {
-				row.add(r, float64(len(own)), scenario.Seconds)
+			for _, r := range policyResults {
+				row.add(r, float64(len(policyResults)), scenario.Seconds)
 			}
-			row.LeadLow, row.LeadHigh = bootstrap(e.leads(first, own))
+			row.LeadLow, row.LeadHigh = bootstrap(e.leads(first, policyResults))
 			out = append(out, row)
 		}
 	}
@@ -98,7 +98,7 @@
 	}
 }
 
-// leads returns what the first policy is better by, seed by seed.
+// leads returns the lead of the first policy for each seed.
 func (e *Experiment) leads(first, other []*emulator.Result) []float64 {
 	out := make([]float64, len(other))
 	for i, r := range other {
@@ -107,7 +107,7 @@
 	return out
 }
 
-// score is what policies are compared by.
+// score is the result by which policies are compared.
 func (e *Experiment) score(r *emulator.Result) float64 {
 	if e.By == byWeightedGoodput {
 		return r.WeightedGoodput
@@ -115,7 +115,7 @@
 	return r.Goodput
 }
 
-// bootstrap returns the 95 % interval of the mean of values.
+// bootstrap returns the 95 % bootstrap confidence interval of the mean of values.
 func bootstrap(values []float64) (low, high float64) {
 	rng := rand.New(rand.NewPCG(bootstrapSeed, uint64(len(values))))
 	means := make([]float64, resamples)
@@ -128,7 +128,7 @@
 	return means[tailResamples], means[resamples-1-tailResamples]
 }
 
-// Print writes a table with a line for each policy.
+// Print writes a table for each scenario with a line for each policy.
 func Print(w io.Writer, rows []Row) {
 	scenario := ""
 	for i := range rows {
