--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// restartScenario restarts 70 % of 40 agents at 6 s.
+// restartScenario restarts 70 % of 40 agents at 6 s, with a discovery service of 12 calls per second.
 func restartScenario(t *testing.T) *Scenario {
 	t.Helper()
 	sc := &Scenario{Name: "restart", Seconds: 14, WarmUpSeconds: 1, Zones: 3, Agents: 40,
@@ -41,8 +41,8 @@
 	}
 }
 
-// A call whose caller has given up is still worked off: this is how an overloaded discovery service
-// collapses, until there are fewer calls than it can handle.
+// The discovery service still processes calls whose callers have timed out. An overloaded service therefore
+// answers no calls until their rate falls below its capacity.
 func TestDiscoveryQueueWorksOffAbandonedCalls(t *testing.T) {
 	queue, totals := discoveryQueue{DiscoveryQueue: DiscoveryQueue{CallsPerS: 10, PatienceMs: 1000, MaxBacklogMs: 3000}}, &Result{}
 	ended := func(at Time) bool {
@@ -51,21 +51,21 @@
 	}
 	for i := range 35 {
 		if ok := ended(0); ok != (i < 10) {
-			t.Errorf("call %d at one time: answered %v", i, ok)
+			t.Errorf("call %d of a burst: answered %v", i, ok)
 		}
 	}
 	if totals.DiscoveryFailures != 25 || totals.DiscoveryPeakPerS != 35 {
 		t.Errorf("%d failed, peak %d", totals.DiscoveryFailures, totals.DiscoveryPeakPerS)
 	}
 	if ended(2 * Second) {
-		t.Error("answered with 1.1 s of work ahead, of abandoned calls")
+		t.Error("answered behind 1.1 s of work for abandoned calls")
 	}
 	if !ended(4 * Second) {
-		t.Error("not answered with the queue worked off")
+		t.Error("not answered after the backlog was processed")
 	}
 }
 
-// An error of Check names the key.
+// Check rejects an invalid discovery service or fault with an error that names the key.
 func TestDiscoveryScenarioCheckNamesTheKey(t *testing.T) {
 	for key, invalidate := range map[string]func(*Scenario){
 		"roster.line.calls_per_s": func(s *Scenario) { s.Discovery.Queue.CallsPerS = -1 },
--- a/internal/emulator/distribution_test.go
+++ b/internal/emulator/distribution_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// Drawn times have the configured mean, and with exponent 1 the first key is about 10 times as frequent as
+// the tenth.
 func TestDistributionMeanAndZipfRatio(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, d := range []Distribution{{Kind: "exponential", MeanMs: 3}, {Kind: "lognormal", MeanMs: 3, Shape: 1}, {Kind: "pareto", MeanMs: 3, Shape: 3},
@@ -18,7 +20,7 @@
 			sum += d.draw(rng)
 		}
 		if got := sum / 400_000; math.Abs(got/3-1) > 0.02 {
-			t.Errorf("%+v has a mean of %v", d, got)
+			t.Errorf("%+v has a mean of %v, want 3 within 2 %%", d, got)
 		}
 	}
 	z, count := newZipf(1000, 1), make([]int, 1000)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -7,8 +7,8 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-// allFaults is a scenario with many kinds of faults.
-func allFaults() *Scenario {
+// allFaultsScenario is a scenario with many kinds of faults.
+func allFaultsScenario() *Scenario {
 	return &Scenario{
 		Name:          "all faults",
 		Seconds:       20,
@@ -45,7 +45,7 @@
 	}
 }
 
-// run checks a scenario and plays it.
+// run checks a scenario and runs it.
 func run(t *testing.T, sc *Scenario, p *Policy, seed uint64) *Result {
 	t.Helper()
 	if err := sc.Check(); err != nil {
@@ -58,19 +58,19 @@
 	return r
 }
 
-// The same seed gives the same bytes, another one others; the product violates no rule through all faults,
-// the guard blocks no attempt, and no request runs into the backstop timeout.
+// The same seed gives byte-identical results, another seed different ones. Under all faults the product
+// violates no rule, the guard blocks no attempt, and no request reaches the backstop timeout.
 func TestRunIsReproducibleWithoutViolations(t *testing.T) {
 	var last string
 	for seed := range uint64(3) {
-		r := run(t, allFaults(), &Product, seed)
+		r := run(t, allFaultsScenario(), &Product, seed)
 		a, _ := json.Marshal(r)
-		b, _ := json.Marshal(run(t, allFaults(), &Product, seed))
+		b, _ := json.Marshal(run(t, allFaultsScenario(), &Product, seed))
 		if string(a) != string(b) {
 			t.Errorf("seed %d: two runs differ", seed)
 		}
 		if string(a) == last {
-			t.Error("two seeds give one result")
+			t.Error("two seeds give the same result")
 		}
 		last = string(a)
 		t.Logf("seed %d: goodput %.4f, p99 %.1f ms, %d ops, %d events, violations %v, guard violations %v, overloads %d",
@@ -82,7 +82,7 @@
 	}
 }
 
-// smallScenario is a scenario of two servers, as changed.
+// smallScenario is a scenario of two servers, to which change is applied.
 func smallScenario(change func(*Scenario)) *Scenario {
 	sc := &Scenario{
 		Name:    "small",
@@ -96,7 +96,8 @@
 	return sc
 }
 
-// A balancer that does nothing, or forwards to unknown servers, serves no request and violates no rule.
+// With a balancer that does nothing, or that forwards to unknown servers, no request is served and no rule is
+// violated.
 func TestBrokenBalancersViolateNoRule(t *testing.T) {
 	silent := Policy{Name: "silent", New: func(policy.Settings, uint64) (Balancer, error) { return balancerFunc(nil), nil }}
 	unknownServer := Policy{Name: "unknown server", New: func(policy.Settings, uint64) (Balancer, error) {
@@ -157,7 +158,7 @@
 	}
 }
 
-// The events that are pending at a time are bounded, also at 50 times the capacity.
+// The number of pending events is bounded, even at 50 times the capacity.
 func TestPendingEventsAreBounded(t *testing.T) {
 	sc := smallScenario(func(sc *Scenario) { sc.Load.PerS, sc.Seconds = 50*sc.Capacity(), 3 })
 	if err := sc.Check(); err != nil {
@@ -172,12 +173,13 @@
 		w.run(w.now + 10*Millisecond)
 		maxPending = max(maxPending, len(w.heap))
 	}
-	// Open at a time are the requests that arrived within the longest deadline, with a few events each.
+	// Open requests are at most those of the longest client timeout, with a few events each.
 	if bound := int(6 * 1.2 * sc.Load.PerS); maxPending > bound {
-		t.Errorf("%d events pending at a time, bound %d", maxPending, bound)
+		t.Errorf("%d pending events, bound %d", maxPending, bound)
 	}
 }
 
+// balancerFunc is a balancer without state; nil does nothing.
 type balancerFunc func(*policy.Event) []policy.Action
 
 func BenchmarkRun(b *testing.B) {
@@ -205,6 +207,7 @@
 	b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "requests/s")
 }
 
+// overloadScenario is a scenario with 1.5 times the capacity and two tenants, of which b exceeds its quota.
 func overloadScenario() *Scenario {
 	s := &Scenario{Name: "o", Seconds: 10, WarmUpSeconds: 2, Zones: 1, Agents: 2,
 		Servers: []ServerGroup{{Count: 4, Workers: 2, Queue: 4, Service: Distribution{Kind: "exponential", MeanMs: 20}}},
@@ -214,7 +217,8 @@
 	return s
 }
 
-func play(t *testing.T, s *Scenario) *Result {
+// runProduct checks a scenario and runs it under the product's policy.
+func runProduct(t *testing.T, s *Scenario) *Result {
 	t.Helper()
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
--- a/internal/emulator/engine_test.go
+++ b/internal/emulator/engine_test.go
@@ -5,35 +5,35 @@
 	"testing"
 )
 
-// note is an event that records its number.
-type note struct {
+// recordedEvent appends its number to a slice when it fires.
+type recordedEvent struct {
 	to *[]int
 	n  int
 }
 
-func (x *note) fire(uint8) { *x.to = append(*x.to, x.n) }
+func (x *recordedEvent) fire(uint8) { *x.to = append(*x.to, x.n) }
 
-// Two events at the same time fire in the order in which they were scheduled.
+// Events at the same time fire in the order in which they were scheduled.
 func TestEventsFireInOrder(t *testing.T) {
 	var e engine
 	var got []int
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 1000 {
-		e.at(Time(rng.IntN(5)), &note{&got, i}, 0)
+		e.at(Time(rng.IntN(5)), &recordedEvent{&got, i}, 0)
 	}
 	e.run(Second)
 	if len(got) != 1000 || e.now != Second {
-		t.Fatalf("%d happened, now %d", len(got), e.now)
+		t.Fatalf("%d events fired, want 1000; the clock is at %d, want 1 s", len(got), e.now)
 	}
 	var f engine
 	var one []int
 	for i := range 1000 {
-		f.at(7, &note{&one, i}, 0)
+		f.at(7, &recordedEvent{&one, i}, 0)
 	}
 	f.run(7)
 	for i, n := range one {
 		if i != n {
-			t.Fatalf("number %d happened as %d", n, i)
+			t.Fatalf("event %d fired at position %d", n, i)
 		}
 	}
 }
--- a/internal/emulator/fault_test.go
+++ b/internal/emulator/fault_test.go
@@ -13,22 +13,22 @@
 		}
 	}
 	if got := (&stalls{}).duration(5, 70); got != 70 {
-		t.Errorf("no stalls: %d", got)
+		t.Errorf("work of 70 takes %d without stalls", got)
 	}
-	calm, stalled := overloadScenario(), overloadScenario()
-	calm.Load.PerS, stalled.Load.PerS = 300, 300
+	baseline, stalled := overloadScenario(), overloadScenario()
+	baseline.Load.PerS, stalled.Load.PerS = 300, 300
 	stalled.Faults = []Fault{{Kind: "stalls", StartS: 1, DurationS: 8, ServerFraction: 1, DelayMs: 300, IntervalS: 1}}
-	if a, b := play(t, calm).P99Ms, play(t, stalled).P99Ms; b < a+100 {
+	if a, b := runProduct(t, baseline).P99Ms, runProduct(t, stalled).P99Ms; b < a+100 {
 		t.Errorf("p99 %.0f ms with stalls of 300 ms, %.0f without", b, a)
 	}
 }
 
-// Goodput recovers after a surge, and the time that takes is measured.
+// Goodput recovers after a surge, and Result.RecoveryS is the time until then.
 func TestRecoveryAfterASurge(t *testing.T) {
 	s := overloadScenario()
 	s.Tenants, s.Load.PerS, s.Seconds = nil, 300, 16
 	s.Faults = []Fault{{Kind: "surge", StartS: 5, DurationS: 3, Factor: 4}}
-	r := play(t, s)
+	r := runProduct(t, s)
 	if r.Timeline[6] > 0.9 || r.RecoveryS < 0 || r.RecoveryS > 3 {
 		t.Errorf("goodput by second %.2f; recovered after %d s", r.Timeline, r.RecoveryS)
 	}
@@ -36,6 +36,6 @@
 		t.Errorf("recovered after %d s, want 3", got)
 	}
 	if got := s.recoveryS([]float64{1, 1, 1, 1, 1, 0.5, 0.5, 0.5, 0.5, 0.96}); got != -1 {
-		t.Errorf("not recovered: %d", got)
+		t.Errorf("recovered after %d s, want -1: it did not recover", got)
 	}
 }
--- a/internal/emulator/queueing_test.go
+++ b/internal/emulator/queueing_test.go
@@ -9,20 +9,20 @@
 	"ringtrack.example/ringtrack/policy"
 )
 
-var long = flag.Bool("long", false, "known results within 1 %, which takes a minute of CPU")
+var long = flag.Bool("long", false, "compare with queueing theory within 1 %, which takes a minute of CPU")
 
-// direct forwards each request at once, without a timeout of its own, to the one of d random servers that has
-// the fewest of its requests.
-type direct struct {
+// randomChoicesBalancer forwards each request at once, without an attempt timeout, to the one of d random
+// servers that has the fewest active requests.
+type randomChoicesBalancer struct {
 	rng    *rand.Rand
 	all    []policy.Addr
 	active map[policy.Addr]int
 	d      int
 }
 
-func (b *direct) Start(float64, []policy.Action) []policy.Action { return nil }
+func (b *randomChoicesBalancer) Start(float64, []policy.Action) []policy.Action { return nil }
 
-func (b *direct) Handle(_ float64, ev *policy.Event, out []policy.Action) []policy.Action {
+func (b *randomChoicesBalancer) Handle(_ float64, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.Kind {
 	case policy.EventEndpointUpdate:
 		for _, e := range ev.Endpoints {
@@ -46,20 +46,21 @@
 	return out
 }
 
-func choices(d int) *Policy {
+// randomChoices is the policy of randomChoicesBalancer, without the guard.
+func randomChoices(d int) *Policy {
 	return &Policy{Name: "direct", Unguarded: true, New: func(_ policy.Settings, seed uint64) (Balancer, error) {
-		return &direct{rng: rand.New(rand.NewPCG(seed, 1)), active: map[policy.Addr]int{}, d: d}, nil
+		return &randomChoicesBalancer{rng: rand.New(rand.NewPCG(seed, 1)), active: map[policy.Addr]int{}, d: d}, nil
 	}}
 }
 
-// queue is a scenario without network delay and faults.
-func queue(servers, workers int, service Distribution, perS, seconds float64) *Scenario {
+// queueScenario is a scenario without network delay and faults.
+func queueScenario(servers, workers int, service Distribution, perS, seconds float64) *Scenario {
 	return &Scenario{Seconds: seconds, WarmUpSeconds: seconds / 20, Zones: 1, Agents: 1, Network: Network{LocalMs: 1e-9},
 		Servers: []ServerGroup{{Count: servers, Workers: workers, Queue: 1_000_000, Service: service, Weight: 1, SlowStartMinCapacity: 1}},
 		Classes: []ClassLoad{{Name: "read", Effect: "safe", Share: 1, LatencyObjectiveMs: 60_000, ClientTimeoutMs: 60_000, Work: 1}}, Load: Load{PerS: perS}}
 }
 
-// erlangC is the probability of waiting in M/M/k with a offered Erlangs.
+// erlangC is the probability of waiting in M/M/k with an offered load of a erlangs.
 func erlangC(k int, a float64) float64 {
 	sum, term := 0.0, 1.0
 	for i := range k {
@@ -70,7 +71,7 @@
 	return last / (sum + last)
 }
 
-// Mean response times are those of queueing theory: M/M/1 and M/M/k (Kleinrock, "Queueing Systems" I,
+// Mean response times agree with queueing theory: M/M/1 and M/M/k (Kleinrock, "Queueing Systems" I,
 // 3.2 and 3.5: Erlang C), M/G/1 (5.6: Pollaczek and Khinchine).
 func TestMeanResponseTimeAgreesWithQueueingTheory(t *testing.T) {
 	const mean = 1.0 // ms
@@ -84,39 +85,40 @@
 		"M/M/1 at 0.7":  {1, Distribution{Kind: "exponential", MeanMs: mean}, 0.7, mean / (1 - 0.7)},
 		"M/M/4 at 0.75": {4, Distribution{Kind: "exponential", MeanMs: mean}, 0.75, mean + erlangC(4, 3)*mean/(4*(1-0.75))},
 		"M/D/1 at 0.7":  {1, Distribution{Kind: "fixed", MeanMs: mean}, 0.7, mean + 0.7*mean/(2*(1-0.7))},
-		// Of a lognormal the squared coefficient of variation is exp(sigma^2)-1.
+		// The squared coefficient of variation of a lognormal distribution is exp(sigma^2)-1.
 		"M/G/1 lognormal at 0.6": {1, Distribution{Kind: "lognormal", MeanMs: mean, Shape: 0.8}, 0.6, mean + 0.6*mean*math.Exp(0.64)/(2*(1-0.6))},
 		"M/G/1 bimodal at 0.6":   {1, Distribution{Kind: "bimodal", MeanMs: mean, Shape: 0.1, SlowFactor: 10}, 0.6, mean + 0.6*(0.9+0.1*100)/math.Pow(0.9+0.1*10, 2)*mean/(2*(1-0.6))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			perS := test.rho * float64(test.k) * 1000 / mean
-			got, n, ops, within := 0.0, 1, 60_000.0, 0.06 // as chance may have it with so few
+			got, n, ops, within := 0.0, 1, 60_000.0, 0.06 // tolerance for the random error of few operations
 			if *long {
 				n, ops, within = 6, 400_000, 0.01
 			}
 			for seed := range uint64(n) {
-				r, err := Run(queue(1, test.k, test.service, perS, ops/perS), choices(1), seed+3)
+				r, err := Run(queueScenario(1, test.k, test.service, perS, ops/perS), randomChoices(1), seed+3)
 				if err != nil {
 					t.Fatal(err)
 				}
 				got += r.MeanMs / float64(n)
 			}
 			if math.Abs(got/test.want-1) > within {
-				t.Errorf("%.4f ms, theory has %.4f: %+.2f %%", got, test.want, 100*(got/test.want-1))
+				t.Errorf("%.4f ms, theory gives %.4f: %+.2f %%", got, test.want, 100*(got/test.want-1))
 			}
 		})
 	}
 }
 
-// n balls into n bins that never empty: with one choice the fullest has about ln n / ln ln n, with two
-// ln ln n / ln 2 and a constant (Azar, Broder, Karlin and Upfal, "Balanced Allocations"; Mitzenmacher's
-// thesis has 4 for two choices at n = 2^13 in nearly all of 100 runs, and 7 or 8, seldom 6 or 9, for one).
+// Servers that never finish are bins for n balls: the maximum of n bins is about ln n / ln ln n with one
+// random choice, and ln ln n / ln 2 plus a constant with two (Azar, Broder, Karlin and Upfal, "Balanced
+// Allocations"; Mitzenmacher's thesis has 4 for two choices at n = 2^13 in nearly all of 100 runs, and 7 or
+// 8, seldom 6 or 9, for one).
 func TestMaxLoadOfOneAndTwoChoices(t *testing.T) {
 	const n = 1 << 13
-	maxBusy := func(d int, seed uint64) (worst int) {
-		sc := queue(n, 1000, Distribution{Kind: "fixed", MeanMs: 86_400_000}, 1e5, 60)
-		w, err := newWorld(sc, choices(d), seed)
+	maxBusy := func(d int, seed uint64) (most int) {
+		sc := queueScenario(n, 1000, Distribution{Kind: "fixed", MeanMs: 86_400_000}, 1e5, 60)
+		w, err := newWorld(sc, randomChoices(d), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -124,13 +126,13 @@
 			w.run(w.now + Millisecond)
 		}
 		for _, s := range w.servers {
-			worst = max(worst, s.busy)
+			most = max(most, s.busy)
 		}
-		return worst
+		return most
 	}
 	for seed := range uint64(5) {
 		if one, two := maxBusy(1, seed), maxBusy(2, seed); one < 6 || one > 10 || two < 3 || two > 4 {
-			t.Errorf("seed %d: the fullest has %d with one choice, %d with two", seed, one, two)
+			t.Errorf("seed %d: the maximum is %d with one choice, %d with two", seed, one, two)
 		}
 	}
 }
--- a/internal/emulator/validate_test.go
+++ b/internal/emulator/validate_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// An error of Check names the key.
+// Check rejects an invalid scenario with an error that names the key.
 func TestScenarioCheckNamesTheKey(t *testing.T) {
 	for key, change := range map[string]func(*Scenario){
 		"seconds":                    func(s *Scenario) { s.Seconds = 0 },
@@ -29,7 +29,7 @@
 		},
 		"agents": func(s *Scenario) { s.Agents = -1 },
 	} {
-		sc := allFaults()
+		sc := allFaultsScenario()
 		change(sc)
 		if err := sc.Check(); err == nil || len(err.Error()) < len(key) || err.Error()[:len(key)] != key {
 			t.Errorf("%s: %v", key, err)
@@ -37,7 +37,7 @@
 	}
 }
 
-// An error of Check names the key.
+// Check rejects invalid tenants, load reports, key caches and loads with an error that names the key.
 func TestOverloadScenarioCheckNamesTheKey(t *testing.T) {
 	for key, invalidate := range map[string]func(*Scenario){
 		"tenant[0].portion":    func(s *Scenario) { s.Tenants[0].Quota = 0 },
