--- a/internal/emulator/distribution.go
+++ b/internal/emulator/distribution.go
@@ -24,7 +24,7 @@
 // Check returns an error that names the first invalid key; key is the key of the distribution.
 func (d *Distribution) Check(key string) error {
 	if !(d.MeanMs >= 0 && d.MeanMs <= maxTimeMs) {
-		return fmt.Errorf("%s.mean_ms: must be 0 to %d, is %v", key, maxTimeMs, d.MeanMs)
+		return fmt.Errorf("%s.mean_ms: must be from 0 to %d, is %v", key, maxTimeMs, d.MeanMs)
 	}
 	ok := false
 	switch d.Kind {
--- a/internal/emulator/graph_test.go
+++ b/internal/emulator/graph_test.go
@@ -305,13 +305,13 @@
 	}
 	for name, f := range map[string]Fault{"zone": {Kind: "dark", ServerFraction: 1, TargetZone: 2}, "rack": {Kind: "dark", ServerFraction: 1, TargetRack: 6},
 		"service": {Kind: "dark", ServerFraction: 1, TargetService: 82}, "both": {Kind: "dark", ServerFraction: 1, TargetZone: 2, TargetService: 2}} {
-		list := hit(f)
-		for _, s := range list {
+		hitServers := hit(f)
+		for _, s := range hitServers {
 			if f.TargetZone > 0 && s.zone != 1 || f.TargetRack > 0 && s.rack != 5 || f.TargetService > 0 && s.service != f.TargetService-1 {
 				t.Errorf("%s: hits server %d of service %d in zone %d, rack %d", name, s.index, s.service, s.zone, s.rack)
 			}
 		}
-		if len(list) == 0 && name != "both" {
+		if len(hitServers) == 0 && name != "both" {
 			t.Errorf("%s: hits no server", name)
 		}
 	}
--- a/internal/emulator/tenant.go
+++ b/internal/emulator/tenant.go
@@ -85,7 +85,7 @@
 			return fmt.Errorf("tenant[%d].portion: must be above 0 and at most 1, is %v", i, t.Quota)
 		}
 		if !(t.LoadWeight >= 0 && t.LoadWeight <= maxLoadWeight) {
-			return fmt.Errorf("tenant[%d].asks: must be 0 to %d, is %v", i, maxLoadWeight, t.LoadWeight)
+			return fmt.Errorf("tenant[%d].asks: must be from 0 to %d, is %v", i, maxLoadWeight, t.LoadWeight)
 		}
 	}
 	if len(s.Tenants) > maxTenants {
--- a/internal/emulator/validate.go
+++ b/internal/emulator/validate.go
@@ -134,15 +134,15 @@
 	servers := 0
 	for i := range s.Servers {
 		group := &s.Servers[i]
-		at := fmt.Sprintf("servers[%d].", i)
+		prefix := fmt.Sprintf("servers[%d].", i)
 		group.setDefaults()
-		if err := group.Service.Check(at + "service"); err != nil {
+		if err := group.Service.Check(prefix + "service"); err != nil {
 			return nil, err
 		}
 		if !reportKinds[group.Report] {
-			return nil, fmt.Errorf("%sreport: %q is unknown", at, group.Report)
+			return nil, fmt.Errorf("%sreport: %q is unknown", prefix, group.Report)
 		}
-		bounds = append(bounds, group.bounds(at)...)
+		bounds = append(bounds, group.bounds(prefix)...)
 		servers += group.Count
 	}
 	if servers > maxServers {
@@ -161,18 +161,18 @@
 	}
 }
 
-func (g *ServerGroup) bounds(at string) []bound {
+func (g *ServerGroup) bounds(prefix string) []bound {
 	return []bound{
-		{at + "count", float64(g.Count), 1, maxServers},
-		{at + "workers", float64(g.Workers), 1, 10_000},
-		{at + "queue", float64(g.Queue), 0, 1e6},
-		{at + "weight", g.Weight, 1e-3, 1e6},
-		{at + "cold_from", g.SlowStartMinCapacity, 0.01, 1},
-		{at + "warm.gain", g.KeyCache.SavedFraction, 0, 0.99},
-		{at + "warm.for_ms", g.KeyCache.TTLMs, 0, maxHourMs},
-		{at + "warm.keys", float64(g.KeyCache.KeysPerWorker), 0, 1000},
-		{at + "cold_ms", g.SlowStartMs, 0, maxHourMs},
-		{at + "fall_multiple", g.OverloadFactor, 0, 1000},
+		{prefix + "count", float64(g.Count), 1, maxServers},
+		{prefix + "workers", float64(g.Workers), 1, 10_000},
+		{prefix + "queue", float64(g.Queue), 0, 1e6},
+		{prefix + "weight", g.Weight, 1e-3, 1e6},
+		{prefix + "cold_from", g.SlowStartMinCapacity, 0.01, 1},
+		{prefix + "warm.gain", g.KeyCache.SavedFraction, 0, 0.99},
+		{prefix + "warm.for_ms", g.KeyCache.TTLMs, 0, maxHourMs},
+		{prefix + "warm.keys", float64(g.KeyCache.KeysPerWorker), 0, 1000},
+		{prefix + "cold_ms", g.SlowStartMs, 0, maxHourMs},
+		{prefix + "fall_multiple", g.OverloadFactor, 0, 1000},
 	}
 }
 
@@ -182,19 +182,19 @@
 	sum := 0.0
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		at := fmt.Sprintf("class[%d].", i)
+		prefix := fmt.Sprintf("class[%d].", i)
 		if c.Work == 0 {
 			c.Work = 1
 		}
 		if c.Effect != effectSafe && c.Effect != effectKeyed && c.Effect != effectUnsafe {
-			return nil, fmt.Errorf("%seffect: %q is not one of safe, keyed, unsafe", at, c.Effect)
+			return nil, fmt.Errorf("%seffect: %q is not one of safe, keyed, unsafe", prefix, c.Effect)
 		}
 		bounds = append(bounds,
-			bound{at + "share", c.Share, 0, 1},
-			bound{at + "aim_ms", c.LatencyObjectiveMs, 1, maxMinuteMs},
-			bound{at + "give_up_ms", c.ClientTimeoutMs, c.LatencyObjectiveMs, maxMinuteMs},
-			bound{at + "work", c.Work, minWork, 1e3},
-			bound{at + "worth", c.PriorityWeight, 0, 1e6},
+			bound{prefix + "share", c.Share, 0, 1},
+			bound{prefix + "aim_ms", c.LatencyObjectiveMs, 1, maxMinuteMs},
+			bound{prefix + "give_up_ms", c.ClientTimeoutMs, c.LatencyObjectiveMs, maxMinuteMs},
+			bound{prefix + "work", c.Work, minWork, 1e3},
+			bound{prefix + "worth", c.PriorityWeight, 0, 1e6},
 		)
 		sum += c.Share
 	}
@@ -209,35 +209,35 @@
 	var bounds []bound
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		at := fmt.Sprintf("fault[%d].", i)
+		prefix := fmt.Sprintf("fault[%d].", i)
 		if !faultKinds[f.Kind] {
-			return nil, fmt.Errorf("%skind: %q is unknown", at, f.Kind)
+			return nil, fmt.Errorf("%skind: %q is unknown", prefix, f.Kind)
 		}
 		if f.Kind == faultKillAgents && f.StaggerS > 0 {
-			return nil, fmt.Errorf("%severy_s: must be 0 for this kind, which hits all agents at once", at)
+			return nil, fmt.Errorf("%severy_s: must be 0 for this kind, which hits all agents at once", prefix)
 		}
 		if f.Class != "" && s.classIndex(f.Class) < 0 {
-			return nil, fmt.Errorf("%sclass: %q is not a class of the scenario", at, f.Class)
+			return nil, fmt.Errorf("%sclass: %q is not a class of the scenario", prefix, f.Class)
 		}
-		bounds = append(bounds, s.faultBounds(f, at)...)
+		bounds = append(bounds, s.faultBounds(f, prefix)...)
 	}
 	return bounds, nil
 }
 
-func (s *Scenario) faultBounds(f *Fault, at string) []bound {
+func (s *Scenario) faultBounds(f *Fault, prefix string) []bound {
 	return []bound{
-		{at + "at_s", f.StartS, 0, maxSeconds},
-		{at + "for_s", f.DurationS, 0, maxSeconds},
-		{at + "share", f.ServerFraction, 0, 1},
-		{at + "count", float64(f.Count), 0, maxServers},
-		{at + "every_s", f.StaggerS, 0, maxSeconds},
-		{at + "times", f.Factor, 0, maxFactor},
-		{at + "part", f.Fraction, 0, 1},
-		{at + "zone", float64(f.Zone), 0, float64(s.Zones - 1)},
-		{at + "ms", f.DelayMs, 0, maxMinuteMs},
-		{at + "pause_s", f.IntervalS, 0, maxSeconds},
-		{at + "of_zone", float64(f.TargetZone), 0, float64(s.Zones)},
-		{at + "of_service", float64(f.TargetService), 0, float64(s.services())},
-		{at + "of_rack", float64(f.TargetRack), 0, float64(s.racks())},
+		{prefix + "at_s", f.StartS, 0, maxSeconds},
+		{prefix + "for_s", f.DurationS, 0, maxSeconds},
+		{prefix + "share", f.ServerFraction, 0, 1},
+		{prefix + "count", float64(f.Count), 0, maxServers},
+		{prefix + "every_s", f.StaggerS, 0, maxSeconds},
+		{prefix + "times", f.Factor, 0, maxFactor},
+		{prefix + "part", f.Fraction, 0, 1},
+		{prefix + "zone", float64(f.Zone), 0, float64(s.Zones - 1)},
+		{prefix + "ms", f.DelayMs, 0, maxMinuteMs},
+		{prefix + "pause_s", f.IntervalS, 0, maxSeconds},
+		{prefix + "of_zone", float64(f.TargetZone), 0, float64(s.Zones)},
+		{prefix + "of_service", float64(f.TargetService), 0, float64(s.services())},
+		{prefix + "of_rack", float64(f.TargetRack), 0, float64(s.racks())},
 	}
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -95,7 +95,7 @@
 		return err
 	}
 	if e.Seeds < 1 || e.Seeds > maxSeeds {
-		return fmt.Errorf("seeds: must be 1 to %d, is %d", maxSeeds, e.Seeds)
+		return fmt.Errorf("seeds: must be from 1 to %d, is %d", maxSeeds, e.Seeds)
 	}
 	if e.By != "" && e.By != byGoodput && e.By != byWeightedGoodput {
 		return fmt.Errorf("by: %q is neither %s nor %s", e.By, byGoodput, byWeightedGoodput)
