--- a/internal/emulator/validate.go
+++ b/internal/emulator/validate.go
@@ -6,41 +6,41 @@
 	"math"
 )
 
-// The bounds of a scenario.
+// The limits of the values of a scenario.
 const (
-	maxServers       = 20_000
-	maxAgents        = 20_000
-	maxZones         = 64
-	maxSeconds       = 86_400
-	maxHourMs        = 3.6e6
-	maxMinuteMs      = 60_000
-	maxRatePerS      = 1e7
-	maxCallsPerS     = 1e6
-	maxFactor        = 1e6
-	maxKeys          = 1e6
-	minWork          = 1e-3
-	classSharesError = 1e-6 // by which the shares of the classes may differ from 1 in sum
+	maxServers          = 20_000
+	maxAgents           = 20_000
+	maxZones            = 64
+	maxSeconds          = 86_400
+	maxHourMs           = 3.6e6
+	maxMinuteMs         = 60_000
+	maxRatePerS         = 1e7
+	maxCallsPerS        = 1e6
+	maxFactor           = 1e6
+	maxKeys             = 1e6
+	minWork             = 1e-3
+	classShareTolerance = 1e-6 // tolerance for the sum of the shares of all classes
 )
 
-// Slow start of a server group that has no setting of its own.
+// Default slow start of a server group.
 const (
 	defaultSlowStartMinCapacity = 0.31
 	defaultSlowStartMs          = 8600
 )
 
-// bound is a number of a scenario and its range.
+// bound is a value of a scenario and its valid range.
 type bound struct {
 	key      string
 	value    float64
 	min, max float64
 }
 
-// check returns an error that names the key if the value is out of its range or NaN.
+// check returns an error that names the key if the value is NaN or out of range.
 func (b *bound) check() error {
 	if b.value >= b.min && b.value <= b.max {
 		return nil
 	}
-	return fmt.Errorf("%s: must be %v to %v, is %v", b.key, b.min, b.max, b.value)
+	return fmt.Errorf("%s: must be from %v to %v, is %v", b.key, b.min, b.max, b.value)
 }
 
 func checkBounds(bounds []bound) error {
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// Check sets defaults and returns an error that names the first unusable key.
+// Check sets defaults, draws the graph if there is one, and returns an error that names the first invalid
+// key.
 func (s *Scenario) Check() error {
 	s.setDefaults()
 	if err := s.drawGraph(); err != nil {
@@ -98,7 +99,7 @@
 	}
 }
 
-// bounds are those of all numbers outside of tables.
+// bounds returns the bounds of all numbers outside of arrays of tables.
 func (s *Scenario) bounds() []bound {
 	load := &s.Load
 	queue := &s.Discovery.Queue
@@ -127,25 +128,25 @@
 	}
 }
 
-// checkServers sets defaults of the server groups and returns the bounds of their numbers.
+// checkServers sets defaults of the server groups and returns the bounds of their values.
 func (s *Scenario) checkServers() ([]bound, error) {
 	var bounds []bound
 	servers := 0
 	for i := range s.Servers {
 		group := &s.Servers[i]
-		at := fmt.Sprintf("servers[%d].", i)
+		prefix := fmt.Sprintf("servers[%d].", i)
 		group.setDefaults()
-		if err := group.Service.Check(at + "service"); err != nil {
+		if err := group.Service.Check(prefix + "service"); err != nil {
 			return nil, err
 		}
 		if !reportKinds[group.Report] {
-			return nil, fmt.Errorf("%sreport: %q is unknown", at, group.Report)
+			return nil, fmt.Errorf("%sreport: %q is unknown", prefix, group.Report)
 		}
-		bounds = append(bounds, group.bounds(at)...)
+		bounds = append(bounds, group.bounds(prefix)...)
 		servers += group.Count
 	}
 	if servers > maxServers {
-		return nil, fmt.Errorf("servers: %d, at most %d", servers, maxServers)
+		return nil, fmt.Errorf("servers: %d servers, at most %d are supported", servers, maxServers)
 	}
 	return bounds, nil
 }
@@ -160,83 +161,83 @@
 	}
 }
 
-func (g *ServerGroup) bounds(at string) []bound {
+func (g *ServerGroup) bounds(prefix string) []bound {
 	return []bound{
-		{at + "count", float64(g.Count), 1, maxServers},
-		{at + "workers", float64(g.Workers), 1, 10_000},
-		{at + "queue", float64(g.Queue), 0, 1e6},
-		{at + "weight", g.Weight, 1e-3, 1e6},
-		{at + "cold_from", g.SlowStartMinCapacity, 0.01, 1},
-		{at + "warm.gain", g.KeyCache.SavedFraction, 0, 0.99},
-		{at + "warm.for_ms", g.KeyCache.TTLMs, 0, maxHourMs},
-		{at + "warm.keys", float64(g.KeyCache.KeysPerWorker), 0, 1000},
-		{at + "cold_ms", g.SlowStartMs, 0, maxHourMs},
-		{at + "fall_multiple", g.OverloadFactor, 0, 1000},
+		{prefix + "count", float64(g.Count), 1, maxServers},
+		{prefix + "workers", float64(g.Workers), 1, 10_000},
+		{prefix + "queue", float64(g.Queue), 0, 1e6},
+		{prefix + "weight", g.Weight, 1e-3, 1e6},
+		{prefix + "cold_from", g.SlowStartMinCapacity, 0.01, 1},
+		{prefix + "warm.gain", g.KeyCache.SavedFraction, 0, 0.99},
+		{prefix + "warm.for_ms", g.KeyCache.TTLMs, 0, maxHourMs},
+		{prefix + "warm.keys", float64(g.KeyCache.KeysPerWorker), 0, 1000},
+		{prefix + "cold_ms", g.SlowStartMs, 0, maxHourMs},
+		{prefix + "fall_multiple", g.OverloadFactor, 0, 1000},
 	}
 }
 
-// checkClasses sets defaults of the classes and returns the bounds of their numbers.
+// checkClasses sets defaults of the classes and returns the bounds of their values.
 func (s *Scenario) checkClasses() ([]bound, error) {
 	var bounds []bound
 	sum := 0.0
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		at := fmt.Sprintf("class[%d].", i)
+		prefix := fmt.Sprintf("class[%d].", i)
 		if c.Work == 0 {
 			c.Work = 1
 		}
 		if c.Effect != effectSafe && c.Effect != effectKeyed && c.Effect != effectUnsafe {
-			return nil, fmt.Errorf("%seffect: %q is none of safe, keyed, unsafe", at, c.Effect)
+			return nil, fmt.Errorf("%seffect: %q is not one of safe, keyed, unsafe", prefix, c.Effect)
 		}
 		bounds = append(bounds,
-			bound{at + "share", c.Share, 0, 1},
-			bound{at + "aim_ms", c.LatencyObjectiveMs, 1, maxMinuteMs},
-			bound{at + "give_up_ms", c.ClientTimeoutMs, c.LatencyObjectiveMs, maxMinuteMs},
-			bound{at + "work", c.Work, minWork, 1e3},
-			bound{at + "worth", c.PriorityWeight, 0, 1e6},
+			bound{prefix + "share", c.Share, 0, 1},
+			bound{prefix + "aim_ms", c.LatencyObjectiveMs, 1, maxMinuteMs},
+			bound{prefix + "give_up_ms", c.ClientTimeoutMs, c.LatencyObjectiveMs, maxMinuteMs},
+			bound{prefix + "work", c.Work, minWork, 1e3},
+			bound{prefix + "worth", c.PriorityWeight, 0, 1e6},
 		)
 		sum += c.Share
 	}
-	if !(math.Abs(sum-1) < classSharesError) {
+	if !(math.Abs(sum-1) < classShareTolerance) {
 		return nil, fmt.Errorf("class: the shares add up to %v, not to 1", sum)
 	}
 	return bounds, nil
 }
 
-// checkFaults returns the bounds of the numbers of all faults.
+// checkFaults checks the kinds and classes of the faults and returns the bounds of their values.
 func (s *Scenario) checkFaults() ([]bound, error) {
 	var bounds []bound
 	for i := range s.Faults {
 		f := &s.Faults[i]
-		at := fmt.Sprintf("fault[%d].", i)
+		prefix := fmt.Sprintf("fault[%d].", i)
 		if !faultKinds[f.Kind] {
-			return nil, fmt.Errorf("%skind: %q is unknown", at, f.Kind)
+			return nil, fmt.Errorf("%skind: %q is unknown", prefix, f.Kind)
 		}
 		if f.Kind == faultKillAgents && f.StaggerS > 0 {
-			return nil, fmt.Errorf("%severy_s: agents are killed all at once", at)
+			return nil, fmt.Errorf("%severy_s: must be 0 for this kind, which hits all agents at once", prefix)
 		}
 		if f.Class != "" && s.classIndex(f.Class) < 0 {
-			return nil, fmt.Errorf("%sclass: there is no class %q", at, f.Class)
+			return nil, fmt.Errorf("%sclass: %q is not a class of the scenario", prefix, f.Class)
 		}
-		bounds = append(bounds, s.faultBounds(f, at)...)
+		bounds = append(bounds, s.faultBounds(f, prefix)...)
 	}
 	return bounds, nil
 }
 
-func (s *Scenario) faultBounds(f *Fault, at string) []bound {
+func (s *Scenario) faultBounds(f *Fault, prefix string) []bound {
 	return []bound{
-		{at + "at_s", f.StartS, 0, maxSeconds},
-		{at + "for_s", f.DurationS, 0, maxSeconds},
-		{at + "share", f.ServerFraction, 0, 1},
-		{at + "count", float64(f.Count), 0, maxServers},
-		{at + "every_s", f.StaggerS, 0, maxSeconds},
-		{at + "times", f.Factor, 0, maxFactor},
-		{at + "part", f.Fraction, 0, 1},
-		{at + "zone", float64(f.Zone), 0, float64(s.Zones - 1)},
-		{at + "ms", f.DelayMs, 0, maxMinuteMs},
-		{at + "pause_s", f.IntervalS, 0, maxSeconds},
-		{at + "of_zone", float64(f.TargetZone), 0, float64(s.Zones)},
-		{at + "of_service", float64(f.TargetService), 0, float64(s.services())},
-		{at + "of_rack", float64(f.TargetRack), 0, float64(s.racks())},
+		{prefix + "at_s", f.StartS, 0, maxSeconds},
+		{prefix + "for_s", f.DurationS, 0, maxSeconds},
+		{prefix + "share", f.ServerFraction, 0, 1},
+		{prefix + "count", float64(f.Count), 0, maxServers},
+		{prefix + "every_s", f.StaggerS, 0, maxSeconds},
+		{prefix + "times", f.Factor, 0, maxFactor},
+		{prefix + "part", f.Fraction, 0, 1},
+		{prefix + "zone", float64(f.Zone), 0, float64(s.Zones - 1)},
+		{prefix + "ms", f.DelayMs, 0, maxMinuteMs},
+		{prefix + "pause_s", f.IntervalS, 0, maxSeconds},
+		{prefix + "of_zone", float64(f.TargetZone), 0, float64(s.Zones)},
+		{prefix + "of_service", float64(f.TargetService), 0, float64(s.services())},
+		{prefix + "of_rack", float64(f.TargetRack), 0, float64(s.racks())},
 	}
 }
