--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -13,8 +13,8 @@
 	"strings"
 )
 
-// Within is how far a measured figure may lie from the foretold one, as a part of the latter, before the report says so.
-const Within = 0.2
+// Tolerance is how far a measured figure may lie from the foretold one, as a part of the latter, before the report says so.
+const Tolerance = 0.2
 
 // Options say how a test is run.
 type Options struct {
@@ -75,14 +75,14 @@
 
 // Line is a figure that grows with a size: fitted by least squares to Points, and checked at one further size.
 type Line struct {
-	Name     string  `json:"name"`
-	Unit     string  `json:"unit"`
-	Points   []Point `json:"points"`
-	Slope    float64 `json:"slope"` // Unit for each unit of size
-	Base     float64 `json:"base"`  // Unit at size 0
-	At       float64 `json:"at"`    // the size that is foretold
-	Foretold float64 `json:"foretold"`
-	Measured float64 `json:"measured"` // NaN is not allowed in JSON: -1 where nothing was measured there
+	Name      string  `json:"name"`
+	Unit      string  `json:"unit"`
+	Points    []Point `json:"points"`
+	Slope     float64 `json:"slope"` // Unit for each unit of size
+	Base      float64 `json:"base"`  // Unit at size 0
+	At        float64 `json:"at"`    // the size that is foretold
+	Predicted float64 `json:"foretold"`
+	Measured  float64 `json:"measured"` // NaN is not allowed in JSON: -1 where nothing was measured there
 }
 
 // Fit returns the line through the points and what it foretells for a size.
@@ -98,26 +98,26 @@
 	if n > 0 {
 		l.Base = (sy - l.Slope*sx) / n
 	}
-	l.Foretold = l.Base + l.Slope*at
+	l.Predicted = l.Base + l.Slope*at
 	return l
 }
 
-// Off is how far the measured figure lies from the foretold one, as a part of the latter.
-func (l Line) Off() float64 {
-	if l.Measured < 0 || l.Foretold == 0 {
+// Deviation is how far the measured figure lies from the foretold one, as a part of the latter.
+func (l Line) Deviation() float64 {
+	if l.Measured < 0 || l.Predicted == 0 {
 		return 0
 	}
-	return math.Abs(l.Measured-l.Foretold) / math.Abs(l.Foretold)
+	return math.Abs(l.Measured-l.Predicted) / math.Abs(l.Predicted)
 }
 
 func (l Line) String() string {
-	s := fmt.Sprintf("%s: %.4g + %.4g x size %s, foretold at %g %.4g", l.Name, l.Base, l.Slope, l.Unit, l.At, l.Foretold)
+	s := fmt.Sprintf("%s: %.4g + %.4g x size %s, foretold at %g %.4g", l.Name, l.Base, l.Slope, l.Unit, l.At, l.Predicted)
 	if l.Measured < 0 {
 		return s + ", not measured"
 	}
 	s += fmt.Sprintf(", measured %.4g", l.Measured)
-	if l.Off() > Within {
-		s += fmt.Sprintf(" (off by %.0f %%)", 100*l.Off())
+	if l.Deviation() > Tolerance {
+		s += fmt.Sprintf(" (off by %.0f %%)", 100*l.Deviation())
 	}
 	return s
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -24,13 +24,13 @@
 
 func TestFit(t *testing.T) {
 	l := Fit("calls", "/s", []Point{{10, 25}, {20, 45}, {40, 85}}, 100, 300)
-	if math.Abs(l.Slope-2) > 1e-9 || math.Abs(l.Base-5) > 1e-9 || math.Abs(l.Foretold-205) > 1e-9 {
+	if math.Abs(l.Slope-2) > 1e-9 || math.Abs(l.Base-5) > 1e-9 || math.Abs(l.Predicted-205) > 1e-9 {
 		t.Errorf("%+v", l)
 	}
 	if s := l.String(); !strings.Contains(s, "off by 46 %") {
 		t.Error(s)
 	}
-	if l := Fit("none", "", nil, 1, -1); l.Off() != 0 || !strings.Contains(l.String(), "not measured") {
+	if l := Fit("none", "", nil, 1, -1); l.Deviation() != 0 || !strings.Contains(l.String(), "not measured") {
 		t.Error(l)
 	}
 }
