--- a/internal/lab/scale/admin.go
+++ b/internal/lab/scale/admin.go
@@ -22,32 +22,32 @@
 const (
 	// adminCalls is how many calls of each kind are made at a size, adminQuiet for how long it is left alone before, at
 	// scale 1: a call costs some 0.2 ms, what an agent does by itself some 0.6 % of a core.
-	adminCalls, adminQuiet = 4000, 4 * time.Second
+	adminCalls, adminIdleTime = 4000, 4 * time.Second
 	// adminWarm is the calls of each kind before those that count: the agent's heap has its size by then.
-	adminWarm = 0.1
+	adminWarmUpFraction = 0.1
 	// adminTime is what one of them may take.
-	adminTime = 10 * time.Second
+	adminCallTimeout = 10 * time.Second
 )
 
 var adminTest = Test{Name: "admin", Quick: 0.3, Smallest: 0.01,
 	About: "What a call at an agent's admin endpoint costs it, by backends listed: health, figures, a ban and its lifting.",
 	Run: func(ctx context.Context, o *Options) (*Report, error) {
-		return (&adminEndpoint{o: o, r: &Report{Test: "admin", Seed: o.Seed, Scale: o.Scale}}).run(ctx)
+		return (&adminMeasurement{o: o, r: &Report{Test: "admin", Seed: o.Seed, Scale: o.Scale}}).run(ctx)
 	}}
 
 // adminEndpoint is one run. Each size has an agent of its own, a process of the product's binary as it is delivered, with
 // a folder for its bans and without keepers; nobody calls it as a client does, and nothing is behind its backends'
 // addresses. One operator calls, one call behind the other, each on a connection of its own, as the endpoint has it. What
 // the agent spends by itself is measured before and taken off. Bytes are those of calls and answers, without those of TCP.
-type adminEndpoint struct {
+type adminMeasurement struct {
 	o       *Options
 	r       *Report
 	c       *cluster.Cluster
 	rng     *rand.Rand
-	figures series
+	figures sizedFigures
 }
 
-func (a *adminEndpoint) run(ctx context.Context) (*Report, error) {
+func (a *adminMeasurement) run(ctx context.Context) (*Report, error) {
 	a.rng = rand.New(rand.NewPCG(a.o.Seed, 0))
 	bin, err := cluster.BuildProduct(ctx)
 	if err != nil {
@@ -60,12 +60,12 @@
 	defer os.RemoveAll(dir)
 	a.c = cluster.New(dir, bin, 0)
 	defer a.c.Close()
-	sizes := a.o.listed()
+	sizes := a.o.backendCounts()
 	for i, n := range sizes {
 		if i == len(sizes)-1 {
-			a.figures.foretell(a.o, n)
+			a.figures.logPredictions(a.o, n)
 		}
-		if err := a.size(ctx, n); err != nil {
+		if err := a.measureSize(ctx, n); err != nil {
 			return nil, fmt.Errorf("scale: %d backends listed: %w", n, err)
 		}
 	}
@@ -74,36 +74,36 @@
 }
 
 // size measures the calls of an agent with n backends listed.
-func (a *adminEndpoint) size(ctx context.Context, n int) error {
+func (a *adminMeasurement) measureSize(ctx context.Context, n int) error {
 	a.o.logf("%d backends listed", n)
 	var entries []membership.Entry
 	for i := range n {
-		e := entry(i)
+		e := backendEntry(i)
 		e.Zone = []string{"east", "west", "south"}[i%3] // those of the settings
 		entries = append(entries, e)
 	}
-	roster, err := lab.NewDiscoveryService(entries...)
+	discovery, err := lab.NewDiscoveryService(entries...)
 	if err != nil {
 		return err
 	}
-	defer roster.Close()
+	defer discovery.Close()
 	addrs, err := a.c.Addrs(2)
 	if err != nil {
 		return err
 	}
-	p, err := startAgent(a.c, fmt.Sprint("agent-", n), addrs[0], addrs[1], a.o.Seed, roster)
+	p, err := startAgent(a.c, fmt.Sprint("agent-", n), addrs[0], addrs[1], a.o.Seed, discovery)
 	if err != nil {
 		return err
 	}
 	defer p.Kill()
-	if err := ready(ctx, p); err != nil {
+	if err := awaitReady(ctx, p); err != nil {
 		return err
 	}
 	caller := &adminCaller{addr: p.AdminAddr}
-	if err := caller.expect(n, 0); err != nil {
+	if err := caller.awaitCounts(n, 0); err != nil {
 		return err
 	}
-	kinds := []struct {
+	operations := []struct {
 		name string
 		do   func() error
 	}{
@@ -118,30 +118,30 @@
 		}},
 	}
 	calls := max(100, int(a.o.Scale*adminCalls))
-	for _, of := range kinds {
-		for range int(adminWarm * float64(calls)) {
-			if err := of.do(); err != nil {
+	for _, operation := range operations {
+		for range int(adminWarmUpFraction * float64(calls)) {
+			if err := operation.do(); err != nil {
 				return err
 			}
 		}
 	}
 	pids := []int{p.PID()}
-	quiet, err := spent(ctx, pids, func() error {
-		return sleep(ctx, max(300*time.Millisecond, time.Duration(a.o.Scale*float64(adminQuiet))))
+	idle, err := measureUsage(ctx, pids, func() error {
+		return sleep(ctx, max(300*time.Millisecond, time.Duration(a.o.Scale*float64(adminIdleTime))))
 	})
 	if err != nil {
 		return err
 	}
-	for _, of := range kinds {
-		took := make([]time.Duration, calls)
+	for _, operation := range operations {
+		latencies := make([]time.Duration, calls)
 		caller.bytes = 0
-		used, err := spent(ctx, pids, func() error {
-			for i := range took {
+		used, err := measureUsage(ctx, pids, func() error {
+			for i := range latencies {
 				from := time.Now()
-				if err := of.do(); err != nil {
+				if err := operation.do(); err != nil {
 					return err
 				}
-				if took[i] = time.Since(from); ctx.Err() != nil {
+				if latencies[i] = time.Since(from); ctx.Err() != nil {
 					return ctx.Err()
 				}
 			}
@@ -150,19 +150,19 @@
 		if err != nil {
 			return err
 		}
-		slices.Sort(took)
-		each := func(total float64) float64 { return total / float64(calls) }
-		own := quiet[0].share() * used[0].over.Seconds()
-		a.figures.at(n, of.name+", processor time", each(1e6*(used[0].CPU.Seconds()-own)), "us")
-		a.figures.at(n, of.name+", bytes", each(float64(caller.bytes)), "B")
-		a.figures.at(n, of.name+", time p50", millis(quantile(took, 0.5)), "ms")
-		a.r.add(fmt.Sprintf("%d listed: %s, time p99 of %d", n, of.name, calls), millis(quantile(took, 0.99)), "ms")
+		slices.Sort(latencies)
+		perCall := func(total float64) float64 { return total / float64(calls) }
+		idleCPU := idle[0].cpuShare() * used[0].duration.Seconds()
+		a.figures.record(n, operation.name+", processor time", perCall(1e6*(used[0].CPU.Seconds()-idleCPU)), "us")
+		a.figures.record(n, operation.name+", bytes", perCall(float64(caller.bytes)), "B")
+		a.figures.record(n, operation.name+", time p50", millis(quantile(latencies, 0.5)), "ms")
+		a.r.add(fmt.Sprintf("%d listed: %s, time p99 of %d", n, operation.name, calls), millis(quantile(latencies, 0.99)), "ms")
 	}
 	// What was measured did what it says.
 	if err := caller.call(http.MethodPut, "/admin/cordon?name="+url.QueryEscape(entries[0].ID)); err != nil {
 		return err
 	}
-	return caller.expect(n, 1)
+	return caller.awaitCounts(n, 1)
 }
 
 // adminCaller is an operator, who counts the bytes of calls and answers.
@@ -174,12 +174,12 @@
 
 // call makes a call, which must be answered with 200.
 func (c *adminCaller) call(method, target string) error {
-	nc, err := net.DialTimeout("tcp", c.addr, adminTime)
+	nc, err := net.DialTimeout("tcp", c.addr, adminCallTimeout)
 	if err != nil {
 		return err
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(adminTime))
+	nc.SetDeadline(time.Now().Add(adminCallTimeout))
 	sent, err := fmt.Fprintf(nc, "%s %s HTTP/1.1\r\nHost: %s\r\n\r\n", method, target, c.addr)
 	if err != nil {
 		return err
@@ -198,16 +198,16 @@
 }
 
 // expect waits until the agent tells of so many backends listed and out of rotation.
-func (c *adminCaller) expect(listed, out int) error {
-	over := time.Now().Add(readyTime)
+func (c *adminCaller) awaitCounts(listed, out int) error {
+	deadline := time.Now().Add(readyTimeout)
 	for {
 		if err := c.call(http.MethodGet, "/admin/stats"); err != nil {
 			return err
 		}
-		if has := string(c.body); strings.Contains(has, fmt.Sprintf("app.registry_entries=%d\n", listed)) && strings.Contains(has, fmt.Sprintf("app.out_of_rotation=%d\n", out)) {
+		if stats := string(c.body); strings.Contains(stats, fmt.Sprintf("app.registry_entries=%d\n", listed)) && strings.Contains(stats, fmt.Sprintf("app.out_of_rotation=%d\n", out)) {
 			return nil
 		}
-		if time.Now().After(over) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("%d listed and %d out of rotation are not told: %q", listed, out, c.body)
 		}
 		time.Sleep(5 * time.Millisecond)
--- a/internal/lab/scale/admin_test.go
+++ b/internal/lab/scale/admin_test.go
@@ -9,20 +9,20 @@
 )
 
 // What each call costs is told at each size, and none of it for nothing.
-func TestAdminEndpointIsTold(t *testing.T) {
+func TestAdminReportsAllOperations(t *testing.T) {
 	t.Parallel()
 	r, err := adminTest.Run(t.Context(), &Options{Seed: 3, Scale: adminTest.Smallest})
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := map[string]Line{}
+	lines := map[string]Line{}
 	for _, l := range r.Lines {
-		told[l.Name] = l
+		lines[l.Name] = l
 	}
 	for _, call := range []string{"health", "figures", "a ban and its lifting"} {
 		for _, of := range []string{"processor time", "bytes", "time p50"} {
-			l, ok := told[call+", "+of]
-			if !ok || len(l.Points) != len(listed)-1 || l.Measured <= 0 {
+			l, ok := lines[call+", "+of]
+			if !ok || len(l.Points) != len(backendSizes)-1 || l.Measured <= 0 {
 				t.Errorf("%s, %s: %+v", call, of, l)
 			}
 			for _, p := range l.Points {
@@ -35,7 +35,7 @@
 }
 
 // A call that is answered with anything but 200 is none that counts.
-func TestAdminCallsThatAreRefused(t *testing.T) {
+func TestAdminCallsThatFail(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	defer s.Close()
 	s.Config.SetKeepAlivesEnabled(false)
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -12,44 +12,44 @@
 
 // The aimed size, and what control may use of an agent's machine.
 const (
-	aimAgents    = 470
-	aimChanges   = 280 // a day
-	aimInForce   = 8 * time.Second
-	aimCPU       = 4.9 // % of a core
-	aimMB, aimKB = 32.0, 7.0
+	targetAgents               = 470
+	targetChangesPerDay        = 280 // a day
+	maxInForceTime             = 8 * time.Second
+	maxAgentCPU                = 4.9 // % of a core
+	maxAgentMB, maxAgentKBPerS = 32.0, 7.0
 )
 
 const (
 	// quickScale is the scale under which leases and the spread of first calls are shorter than deployed, so that
 	// waiting for them fits; small is that under which the test only shows that it works: its figures mean nothing.
-	quickScale, small = 0.3, 0.05
+	quickScale, smokeScale = 0.3, 0.05
 )
 
 // times are those of the scale: as deploy/keeper.toml and the contract have them, or shorter.
 func (o *Options) times() controlTimes {
 	switch {
-	case o.Scale < small:
-		return controlTimes{of: 4, askWithinMs: 2000, leaseMs: 400, listMs: 200}
+	case o.Scale < smokeScale:
+		return controlTimes{pollSlots: 4, pollIntervalMs: 2000, leaseMs: 400, serverRulesMs: 200}
 	case o.Scale < quickScale:
-		return controlTimes{of: 4, askWithinMs: 2000, leaseMs: 900, listMs: 900}
+		return controlTimes{pollSlots: 4, pollIntervalMs: 2000, leaseMs: 900, serverRulesMs: 900}
 	}
-	return controlTimes{of: o.scaled(2*aimAgents, 1), askWithinMs: 10_000, leaseMs: 2000, listMs: 3000}
+	return controlTimes{pollSlots: o.scaled(2*targetAgents, 1), pollIntervalMs: 10_000, leaseMs: 2000, serverRulesMs: 3000}
 }
 
 // scaled is n at the scale, and least at the least.
-func (o *Options) scaled(n, least int) int { return max(int(float64(n)*o.Scale), least) }
+func (o *Options) scaled(n, minimum int) int { return max(int(float64(n)*o.Scale), minimum) }
 
 // sizeCost is what was measured at one size: a quiet time, and what one change cost beyond it.
 type sizeCost struct {
 	rate
-	keeperMs, leaderMs float64 // processor time of a change
-	realMs, hollowMs   float64 // of an agent
-	realKB, hollowKB   float64 // bytes of a change, an agent
-	asksEach           float64 // asks during a change, an agent
-	againEach          float64 // those of them that wait for nothing: behind a failed one
-	elections          float64 // of keepers during all the changes
-	took               inForce
-	tools              map[string]toolCost
+	replicaMs, busiestReplicaMs float64 // processor time of a change
+	realMs, hollowMs            float64 // of an agent
+	realKB, hollowKB            float64 // bytes of a change, an agent
+	renewalsPerAgent            float64 // asks during a change, an agent
+	immediatePerAgent           float64 // those of them that wait for nothing: behind a failed one
+	elections                   float64 // of keepers during all the changes
+	latencies                   changeLatencies
+	toolCosts                   map[string]toolCost
 }
 
 // Control measures what the control of a deployment needs: agents, keepers and discovery, quiet and a change, at three
@@ -57,56 +57,56 @@
 // everywhere while parts are gone, and what their return costs.
 func Control(ctx context.Context, o *Options) (*Report, error) {
 	if o.SlowDisk {
-		return slowDisks(ctx, o)
+		return measureSlowDisks(ctx, o)
 	}
 	defect := ""
 	if o.Defect {
-		defect = noWait
+		defect = defectNoWait
 	}
 	r := &Report{Test: "control", Seed: o.Seed, Scale: o.Scale}
 	sizes := []int{o.scaled(60, 7), o.scaled(120, 9), o.scaled(240, 12)}
-	aim, beyond := o.scaled(aimAgents, 18), o.scaled(2*aimAgents, 0)
-	reals := o.scaled(10, 1)
+	target, beyondTarget := o.scaled(targetAgents, 18), o.scaled(2*targetAgents, 0)
+	realAgents := o.scaled(10, 1)
 	rig, err := newControlRig(ctx, o, defect, o.times())
 	if err != nil {
 		return nil, err
 	}
-	defer rig.end()
-	check := []int{aim}
-	if beyond > aim && o.Scale >= small {
-		check = append(check, beyond)
+	defer rig.stop()
+	checkedSizes := []int{target}
+	if beyondTarget > target && o.Scale >= smokeScale {
+		checkedSizes = append(checkedSizes, beyondTarget)
 	}
 	costs, elections := map[int]*sizeCost{}, 0
-	for _, n := range slices.Concat(sizes, check) {
-		if err := rig.grow(ctx, n, reals); err != nil {
-			r.short("at %d agents: %v", n, err)
+	for _, n := range slices.Concat(sizes, checkedSizes) {
+		if err := rig.grow(ctx, n, realAgents); err != nil {
+			r.addShort("at %d agents: %v", n, err)
 			break // what was measured so far is told all the same
 		}
 		changes := o.scaled(10, 1)
-		if n > aim {
+		if n > target {
 			changes = o.scaled(3, 1)
 		}
-		c, err := rig.cost(ctx, changes)
+		c, err := rig.measure(ctx, changes)
 		if err != nil {
-			r.short("at %d agents: %v", n, err)
+			r.addShort("at %d agents: %v", n, err)
 			break
 		}
 		costs[n] = c
-		if c.tools, err = rig.tools(ctx); err != nil {
-			r.short("at %d agents: tools: %v", n, err)
+		if c.toolCosts, err = rig.measureTools(ctx); err != nil {
+			r.addShort("at %d agents: tools: %v", n, err)
 		}
 		o.logf("%d agents: %.1f asks/s, agent %.2f %%, keepers %.1f %%; a change: in force %v, busiest keeper %.0f ms, %.2f asks an agent, %.2f of them behind a failed one; %.0f terms of keepers",
-			n, c.asks, c.realCPU, c.keeperCPU, percentile(c.took.everywhere(), 0.5), c.leaderMs, c.asksEach, c.againEach, c.elections)
-		elections += rig.elections(ctx, fmt.Sprintf("up to %d agents", n))
-		if n == aim {
-			elections += rig.phases(ctx, r, c)
+			n, c.renewals, c.realCPU, c.replicaCPU, percentile(c.latencies.slowestAgent(), 0.5), c.busiestReplicaMs, c.renewalsPerAgent, c.immediatePerAgent, c.elections)
+		elections += rig.logElections(ctx, fmt.Sprintf("up to %d agents", n))
+		if n == target {
+			elections += rig.runPhases(ctx, r, c)
 		}
 	}
-	check = slices.DeleteFunc(check, func(n int) bool { return costs[n] == nil })
-	if len(check) == 0 {
+	checkedSizes = slices.DeleteFunc(checkedSizes, func(n int) bool { return costs[n] == nil })
+	if len(checkedSizes) == 0 {
 		return r, ctx.Err()
 	}
-	for _, at := range check {
+	for _, at := range checkedSizes {
 		for _, l := range slices.Concat(controlLines, toolLines()) {
 			var points []Point
 			for _, n := range sizes {
@@ -115,33 +115,33 @@
 			r.Lines = append(r.Lines, Fit(l.name, l.unit, points, float64(at), l.of(costs[at])))
 		}
 	}
-	c := costs[aim]
-	perDay := func(of float64) float64 { return of * aimChanges }
-	r.add(fmt.Sprintf("%d changes a day (by %d measured), processor of an agent", aimChanges, len(c.took)), perDay(c.realMs)/1000, "s a day")
+	c := costs[target]
+	perDay := func(of float64) float64 { return of * targetChangesPerDay }
+	r.add(fmt.Sprintf("%d changes a day (by %d measured), processor of an agent", targetChangesPerDay, len(c.latencies)), perDay(c.realMs)/1000, "s a day")
 	r.add("bytes of an agent", perDay(c.realKB)/1024, "MB a day")
-	r.add("processor of all keepers", perDay(c.keeperMs)/1000, "s a day")
+	r.add("processor of all keepers", perDay(c.replicaMs)/1000, "s a day")
 	r.add("quiet, by the hour (from a shorter time): processor of an agent", c.realCPU*36, "s an hour")
 	r.add("bytes of an agent", c.rate.realKB*3600/1024, "MB an hour")
-	r.add("processor of all keepers", c.keeperCPU*36, "s an hour")
+	r.add("processor of all keepers", c.replicaCPU*36, "s an hour")
 	r.add("elections that keepers told of, those of keepers that were killed among them", float64(elections), "")
-	r.add("state of a keeper on its disk", c.keeperStateKB, "KB")
-	if o.Scale < small { // a stretch of 0.1 s: one of the 10 ms by which processor time is counted is more than the bound
+	r.add("state of a keeper on its disk", c.replicaStateKB, "KB")
+	if o.Scale < smokeScale { // a stretch of 0.1 s: one of the 10 ms by which processor time is counted is more than the bound
 		c.realCPU, c.hollowCPU = 0, 0
 	}
 	for _, b := range []struct {
 		what        string
 		value, most float64
-	}{{"processor of an agent, % of a core", c.realCPU, aimCPU}, {"memory of an agent, MB", c.realMB, aimMB}, {"bytes of an agent, KB/s", c.rate.realKB, aimKB},
-		{"processor of a hollow agent, % of a core", c.hollowCPU, aimCPU}, {"memory of a hollow agent, MB", c.hollowMB, aimMB},
-		{"bytes of a hollow agent, KB/s", c.rate.hollowKB, aimKB}} {
+	}{{"processor of an agent, % of a core", c.realCPU, maxAgentCPU}, {"memory of an agent, MB", c.realMB, maxAgentMB}, {"bytes of an agent, KB/s", c.rate.realKB, maxAgentKBPerS},
+		{"processor of a hollow agent, % of a core", c.hollowCPU, maxAgentCPU}, {"memory of a hollow agent, MB", c.hollowMB, maxAgentMB},
+		{"bytes of a hollow agent, KB/s", c.rate.hollowKB, maxAgentKBPerS}} {
 		if b.value > b.most {
-			r.short("at %d agents: %s: %.3g, %.3g at the most", aim, b.what, b.value, b.most)
+			r.addShort("at %d agents: %s: %.3g, %.3g at the most", target, b.what, b.value, b.most)
 		}
 	}
-	return r, rig.judge(r)
+	return r, rig.checkConfigs(r)
 }
 
-func (r *Report) short(format string, args ...any) {
+func (r *Report) addShort(format string, args ...any) {
 	r.Short = append(r.Short, fmt.Sprintf(format, args...))
 }
 
@@ -160,16 +160,16 @@
 	{"hollow agent, bytes", "KB/s", func(c *sizeCost) float64 { return c.rate.hollowKB }},
 	{"discovery, calls", "/s", func(c *sizeCost) float64 { return c.discoveryCalls }},
 	{"discovery, bytes", "KB/s", func(c *sizeCost) float64 { return c.discoveryKB }},
-	{"keepers, asks", "/s", func(c *sizeCost) float64 { return c.asks }},
-	{"keepers, processor of all 5", "% of a core", func(c *sizeCost) float64 { return c.keeperCPU }},
-	{"keeper, processor of the busiest", "% of a core", func(c *sizeCost) float64 { return c.leaderCPU }},
-	{"keeper, memory of the largest", "MB", func(c *sizeCost) float64 { return c.keeperMB }},
-	{"keepers, bytes with agents", "KB/s", func(c *sizeCost) float64 { return c.agentsToKeeperKB }},
-	{"keepers, bytes among them", "KB/s", func(c *sizeCost) float64 { return c.keeperKB }},
-	{"a change, processor of all 5 keepers", "ms", func(c *sizeCost) float64 { return c.keeperMs }},
-	{"a change, processor of the busiest keeper", "ms", func(c *sizeCost) float64 { return c.leaderMs }},
-	{"a change, asks of an agent", "", func(c *sizeCost) float64 { return c.asksEach }},
-	{"a change, asks of an agent behind a failed one", "", func(c *sizeCost) float64 { return c.againEach }},
+	{"keepers, asks", "/s", func(c *sizeCost) float64 { return c.renewals }},
+	{"keepers, processor of all 5", "% of a core", func(c *sizeCost) float64 { return c.replicaCPU }},
+	{"keeper, processor of the busiest", "% of a core", func(c *sizeCost) float64 { return c.busiestReplicaCPU }},
+	{"keeper, memory of the largest", "MB", func(c *sizeCost) float64 { return c.replicaMB }},
+	{"keepers, bytes with agents", "KB/s", func(c *sizeCost) float64 { return c.agentReplicaKB }},
+	{"keepers, bytes among them", "KB/s", func(c *sizeCost) float64 { return c.replicaKB }},
+	{"a change, processor of all 5 keepers", "ms", func(c *sizeCost) float64 { return c.replicaMs }},
+	{"a change, processor of the busiest keeper", "ms", func(c *sizeCost) float64 { return c.busiestReplicaMs }},
+	{"a change, asks of an agent", "", func(c *sizeCost) float64 { return c.renewalsPerAgent }},
+	{"a change, asks of an agent behind a failed one", "", func(c *sizeCost) float64 { return c.immediatePerAgent }},
 	{"changes, terms of keepers that began meanwhile", "", func(c *sizeCost) float64 { return c.elections }},
 	{"a change, processor of an agent", "ms", func(c *sizeCost) float64 { return c.realMs }},
 	{"a change, processor of a hollow agent", "ms", func(c *sizeCost) float64 { return c.hollowMs }},
@@ -177,71 +177,71 @@
 }
 
 // cost measures a stretch in which nothing changes, and then some changes.
-func (r *controlRig) cost(ctx context.Context, changes int) (*sizeCost, error) {
-	a := r.usage()
+func (r *controlRig) measure(ctx context.Context, changes int) (*sizeCost, error) {
+	idleBegan := r.takeSnapshot()
 	select {
 	case <-time.After(time.Duration(max(8*r.o.Scale, 0.1) * float64(time.Second))):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	b, before := r.usage(), r.term(ctx)
-	took, err := r.changes(ctx, changes, r.Replicas, r.names(nil))
+	idleEnded, before := r.takeSnapshot(), r.term(ctx)
+	latencies, err := r.publishChanges(ctx, changes, r.Replicas, r.names(nil))
 	if err != nil {
 		return nil, err
 	}
-	d, elections := r.usage(), r.term(ctx)-before
+	changesEnded, elections := r.takeSnapshot(), r.term(ctx)-before
 	// What hollow agents hold is counted behind a collection: of a process with many of them, what is not yet collected
 	// says nothing of one.
-	b.hollowRSS = 0
+	idleEnded.hollowRSS = 0
 	for _, z := range r.zones {
-		if err := r.call(z, http.MethodPost, "/collect", nil); err != nil {
+		if err := r.callZone(z, http.MethodPost, "/collect", nil); err != nil {
 			return nil, err
 		}
-		b.hollowRSS += z.p.RSS() - z.bare
+		idleEnded.hollowRSS += z.p.RSS() - z.baseRSS
 	}
-	c := &sizeCost{rate: r.rate(&a, &b), took: took, elections: elections}
-	with := r.rate(&b, &d)
+	c := &sizeCost{rate: r.rate(&idleBegan, &idleEnded), latencies: latencies, elections: elections}
+	during := r.rate(&idleEnded, &changesEnded)
 	// Of a percent of a core over so many seconds, and of KB a second: what one change took beyond the quiet time.
-	each := with.span / float64(changes)
+	spanPerChange := during.span / float64(changes)
 	// 0 is less than the clock's 10 ms tell.
-	beyond := func(with, quiet, unit float64) float64 { return max(unit*each*(with-quiet), 0) }
-	c.keeperMs, c.leaderMs = beyond(with.keeperCPU, c.keeperCPU, 10), beyond(with.leaderCPU, c.leaderCPU, 10)
-	c.realMs, c.hollowMs = beyond(with.realCPU, c.realCPU, 10), beyond(with.hollowCPU, c.hollowCPU, 10)
-	c.asksEach, c.againEach = float64(d.asks-b.asks)/float64(changes*r.n), float64(d.again-b.again)/float64(changes*r.n)
-	c.realKB, c.hollowKB = beyond(with.realKB, c.rate.realKB, 1), beyond(with.hollowKB, c.rate.hollowKB, 1)
+	beyond := func(during, idle, unit float64) float64 { return max(unit*spanPerChange*(during-idle), 0) }
+	c.replicaMs, c.busiestReplicaMs = beyond(during.replicaCPU, c.replicaCPU, 10), beyond(during.busiestReplicaCPU, c.busiestReplicaCPU, 10)
+	c.realMs, c.hollowMs = beyond(during.realCPU, c.realCPU, 10), beyond(during.hollowCPU, c.hollowCPU, 10)
+	c.renewalsPerAgent, c.immediatePerAgent = float64(changesEnded.renewals-idleEnded.renewals)/float64(changes*r.n), float64(changesEnded.immediateRenewals-idleEnded.immediateRenewals)/float64(changes*r.n)
+	c.realKB, c.hollowKB = beyond(during.realKB, c.rate.realKB, 1), beyond(during.hollowKB, c.rate.hollowKB, 1)
 	return c, nil
 }
 
 // judge tells whether every book that a hollow agent's data path was given is the one that was published, and whether
 // all the rest came to them.
-func (r *controlRig) judge(rep *Report) error {
+func (r *controlRig) checkConfigs(rep *Report) error {
 	for _, z := range r.zones {
 		s, err := r.state(z)
 		if err != nil {
 			return err
 		}
-		for stage, digests := range s.Books {
+		for epoch, digests := range s.Configs {
 			for digest, n := range digests {
-				if stage%2 == 0 && digest != bookOf(stage/2).Digest() {
-					rep.short("%s: %d agents were given %s as version %d", z.p.Name, n, digest, stage/2)
+				if epoch%2 == 0 && digest != configOf(epoch/2).Digest() {
+					rep.addShort("%s: %d agents were given %s as version %d", z.p.Name, n, digest, epoch/2)
 				}
 			}
 		}
-		if n := s.Books[sharedconfig.EpochOf(r.version)]; len(n) != 1 {
-			rep.short("%s: the last version came to its agents as %v", z.p.Name, n)
+		if n := s.Configs[sharedconfig.EpochOf(r.version)]; len(n) != 1 {
+			rep.addShort("%s: the last version came to its agents as %v", z.p.Name, n)
 		}
 	}
 	return nil
 }
 
 // lapses is how many leases were renewed behind their end, of hollow agents since their last start.
-func (r *controlRig) lapses() (n int, err error) {
+func (r *controlRig) leaseExpiries() (n int, err error) {
 	for _, z := range r.zones {
 		s, err := r.state(z)
 		if err != nil {
 			return 0, err
 		}
-		n += s.Lapses
+		n += s.Expiries
 	}
 	return n, nil
 }
--- a/internal/lab/scale/control_test.go
+++ b/internal/lab/scale/control_test.go
@@ -21,27 +21,27 @@
 }
 
 // The witness reads who has which stage out of the asks as they go by, whole heads or several asks in one piece.
-func TestAskWitness(t *testing.T) {
-	w, from := newAskWitness(), time.Now()
-	w.saw([]byte("POST /v1/renew HTTP/1.1\r\nHost: x\r\n\r\n" + `{"name":"a1","inc":"9","has":0,"wait_ms":500}`))
-	w.saw([]byte(`{"name":"a1","inc":"9","has":0,"wait_ms":500}{"name":"a2","inc":"8","has":12,"wait_ms":0}`))
-	w.saw([]byte("GET /api/targets?index=4 HTTP/1.1\r\n\r\n"))
-	w.saw([]byte(`{"name":"a3","inc":"9","ha`))
-	if n, again := w.count(); n != 3 || again != 1 {
-		t.Errorf("%d asks, %d behind a failed one; 3 and 1 were seen", n, again)
+func TestRenewalObserver(t *testing.T) {
+	observer, from := newRenewalObserver(), time.Now()
+	observer.observe([]byte("POST /v1/renew HTTP/1.1\r\nHost: x\r\n\r\n" + `{"name":"a1","inc":"9","has":0,"wait_ms":500}`))
+	observer.observe([]byte(`{"name":"a1","inc":"9","has":0,"wait_ms":500}{"name":"a2","inc":"8","has":12,"wait_ms":0}`))
+	observer.observe([]byte("GET /api/targets?index=4 HTTP/1.1\r\n\r\n"))
+	observer.observe([]byte(`{"name":"a3","inc":"9","ha`))
+	if n, immediate := observer.count(); n != 3 || immediate != 1 {
+		t.Errorf("%d asks, %d behind a failed one; 3 and 1 were seen", n, immediate)
 	}
-	times, missing := w.took([]string{"a1", "a2", "a3"}, 11, from)
+	times, missing := observer.latencies([]string{"a1", "a2", "a3"}, 11, from)
 	if len(times) != 1 || !slices.Equal(missing, []string{"a1", "a3"}) {
 		t.Errorf("%v, missing %v", times, missing)
 	}
-	w.saw([]byte(`{"name":"a1","inc":"9","has":11}`))
-	if _, missing = w.took([]string{"a1"}, 11, from); len(missing) > 0 {
+	observer.observe([]byte(`{"name":"a1","inc":"9","has":11}`))
+	if _, missing = observer.latencies([]string{"a1"}, 11, from); len(missing) > 0 {
 		t.Error("a1 has it")
 	}
-	if w.forget([]string{"a1"}); w.peak(from) < 3 {
-		t.Errorf("%d asks in 100 ms", w.peak(from))
+	if observer.forget([]string{"a1"}); observer.peak(from) < 3 {
+		t.Errorf("%d asks in 100 ms", observer.peak(from))
 	}
-	if _, missing = w.took([]string{"a1"}, 1, from); len(missing) != 1 {
+	if _, missing = observer.latencies([]string{"a1"}, 1, from); len(missing) != 1 {
 		t.Error("a1 was forgotten")
 	}
 }
--- a/internal/lab/scale/controlphases.go
+++ b/internal/lab/scale/controlphases.go
@@ -13,33 +13,33 @@
 
 // controlPhase is a day, compressed to seconds.
 type controlPhase struct {
-	name  string
-	least float64 // the scale from which on it is run
-	run   func(*controlRig, context.Context, *Report, *sizeCost) error
+	name     string
+	minScale float64 // the scale from which on it is run
+	run      func(*controlRig, context.Context, *Report, *sizeCost) error
 }
 
 // controlPhases are the ordinary and the rare days of the aimed size.
 var controlPhases = []controlPhase{
-	{"zone", 0, (*controlRig).zoneGone},
-	{"dead agents", small, (*controlRig).deadAgents},
-	{"region", small, (*controlRig).regionCut},
-	{"start", small, (*controlRig).startAll},
-	{"keepers", small, (*controlRig).keepersLost},
+	{"zone", 0, (*controlRig).loseZone},
+	{"dead agents", smokeScale, (*controlRig).killAgents},
+	{"region", smokeScale, (*controlRig).partitionRegions},
+	{"start", smokeScale, (*controlRig).restartAll},
+	{"keepers", smokeScale, (*controlRig).loseReplicas},
 }
 
 // phases runs the days. One that does not come to its end falls short. It returns how many elections there were.
-func (r *controlRig) phases(ctx context.Context, rep *Report, quiet *sizeCost) (elections int) {
-	r.report(rep, "healthy", quiet.took)
+func (r *controlRig) runPhases(ctx context.Context, rep *Report, idle *sizeCost) (elections int) {
+	r.reportLatencies(rep, "healthy", idle.latencies)
 	for _, p := range controlPhases {
-		if r.o.Scale < p.least {
+		if r.o.Scale < p.minScale {
 			continue
 		}
 		from := time.Now()
-		if err := p.run(r, ctx, rep, quiet); err != nil {
-			rep.short("%s: %v", p.name, err)
+		if err := p.run(r, ctx, rep, idle); err != nil {
+			rep.addShort("%s: %v", p.name, err)
 		}
 		r.o.logf("%s: %v", p.name, time.Since(from).Round(time.Millisecond))
-		elections += r.elections(ctx, p.name)
+		elections += r.logElections(ctx, p.name)
 	}
 	return elections
 }
@@ -48,19 +48,19 @@
 
 // report adds how long changes took until they were in force everywhere. With ticks longer than deployed that means
 // nothing, and is not judged.
-func (r *controlRig) report(rep *Report, phase string, took inForce) {
-	all := took.everywhere()
+func (r *controlRig) reportLatencies(rep *Report, phase string, latencies changeLatencies) {
+	all := latencies.slowestAgent()
 	rep.add(fmt.Sprintf("%s: in force everywhere, %d changes, p50", phase, len(all)), ms(percentile(all, 0.5)), "ms")
 	rep.add("p99", ms(percentile(all, 0.99)), "ms")
 	rep.add("max", ms(percentile(all, 1)), "ms")
-	rep.add("at an agent p50", ms(percentile(took.agents(), 0.5)), "ms")
-	if most := percentile(all, 1); most > aimInForce && r.times.tickMs == 0 {
-		rep.short("%s: a change was in force everywhere after %v, %v at the most", phase, most.Round(time.Millisecond), aimInForce)
+	rep.add("at an agent p50", ms(percentile(latencies.perAgent(), 0.5)), "ms")
+	if longest := percentile(all, 1); longest > maxInForceTime && r.times.tickMs == 0 {
+		rep.addShort("%s: a change was in force everywhere after %v, %v at the most", phase, longest.Round(time.Millisecond), maxInForceTime)
 	}
 }
 
 // realsIn are the product's processes in zones.
-func (r *controlRig) realsIn(in func(zone int) bool) (ps []*cluster.Process) {
+func (r *controlRig) realAgentsIn(in func(zone int) bool) (ps []*cluster.Process) {
 	for i, p := range r.Agents {
 		if in(i % len(zoneNames)) {
 			ps = append(ps, p)
@@ -70,141 +70,141 @@
 }
 
 // zoneGone has a zone vanish, a sixth of all, agents and backends; a change comes meanwhile; and it returns at once.
-func (r *controlRig) zoneGone(ctx context.Context, rep *Report, quiet *sizeCost) error {
-	gone := int(r.o.Seed % uint64(len(zoneNames)))
-	in := func(zone int) bool { return zone == gone }
-	z, reals := r.zones[gone], r.realsIn(in)
-	names, rest := r.names(in), r.names(func(zone int) bool { return zone != gone })
-	var out, back []membership.Entry
-	for _, e := range r.roster.List().Entries {
-		if e.Zone == zoneNames[gone] {
-			back = append(back, e)
+func (r *controlRig) loseZone(ctx context.Context, rep *Report, idle *sizeCost) error {
+	lostZone := int(r.o.Seed % uint64(len(zoneNames)))
+	inLostZone := func(zone int) bool { return zone == lostZone }
+	z, realAgents := r.zones[lostZone], r.realAgentsIn(inLostZone)
+	names, rest := r.names(inLostZone), r.names(func(zone int) bool { return zone != lostZone })
+	var removed, restored []membership.Entry
+	for _, e := range r.discovery.List().Entries {
+		if e.Zone == zoneNames[lostZone] {
+			restored = append(restored, e)
 			e.State = membership.Removed
-			out = append(out, e)
+			removed = append(removed, e)
 		}
 	}
 	z.p.Kill()
-	for _, p := range reals {
+	for _, p := range realAgents {
 		p.Kill()
 	}
-	r.roster.Update(out...)
-	took, err := r.changes(ctx, 2, r.Replicas, rest)
+	r.discovery.Update(removed...)
+	latencies, err := r.publishChanges(ctx, 2, r.Replicas, rest)
 	if err != nil {
 		return err
 	}
-	r.report(rep, fmt.Sprintf("a zone of %d gone", len(names)), took)
-	r.asks.forget(names)
-	before := r.usage()
-	for _, p := range append(reals, z.p) {
+	r.reportLatencies(rep, fmt.Sprintf("a zone of %d gone", len(names)), latencies)
+	r.renewals.forget(names)
+	before := r.takeSnapshot()
+	for _, p := range append(realAgents, z.p) {
 		if err := p.Start(); err != nil {
 			return err
 		}
 	}
-	r.roster.Update(back...)
-	times, err := r.held(ctx, names, sharedconfig.EpochOf(r.version), before.at, 60*time.Second)
+	r.discovery.Update(restored...)
+	times, err := r.awaitEpoch(ctx, names, sharedconfig.EpochOf(r.version), before.at, 60*time.Second)
 	if err != nil {
 		return err
 	}
-	return r.returned(ctx, rep, "the zone's return", times, before, quiet)
+	return r.reportReturn(ctx, rep, "the zone's return", times, before, idle)
 }
 
 // returned adds what a return of agents took and cost, until all follow discovery again.
-func (r *controlRig) returned(ctx context.Context, rep *Report, phase string, times []time.Duration, before counted, quiet *sizeCost) error {
+func (r *controlRig) reportReturn(ctx context.Context, rep *Report, phase string, times []time.Duration, before usageSnapshot, idle *sizeCost) error {
 	rep.add(phase+": until an agent holds a lease on the last version, p50", ms(percentile(times, 0.5)), "ms")
 	rep.add("p99", ms(percentile(times, 0.99)), "ms")
 	rep.add("max", ms(percentile(times, 1)), "ms")
-	rep.add("asks in the busiest 100 ms", float64(r.asks.peak(before.at)), "")
-	if err := r.followed(ctx); err != nil {
+	rep.add("asks in the busiest 100 ms", float64(r.renewals.peak(before.at)), "")
+	if err := r.awaitDiscovery(ctx); err != nil {
 		return err
 	}
-	after := r.usage()
+	after := r.takeSnapshot()
 	x := r.rate(&before, &after)
 	rep.add("until all follow discovery", x.span, "s")
-	rep.add("processor of all keepers until then, beyond a quiet time", 10*x.span*(x.keeperCPU-quiet.keeperCPU), "ms")
+	rep.add("processor of all keepers until then, beyond a quiet time", 10*x.span*(x.replicaCPU-idle.replicaCPU), "ms")
 	rep.add("calls at discovery until then", x.discoveryCalls, "/s")
 	rep.add("bytes at discovery until then", float64(after.discoveryBytes-before.discoveryBytes)/1024, "KB")
 	return nil
 }
 
 // deadAgents kills two agents just before a change, so that it waits for the end of their leases.
-func (r *controlRig) deadAgents(ctx context.Context, rep *Report, _ *sizeCost) error {
-	var took inForce
-	dead := r.Agents[max(len(r.Agents)-2, 0):]
+func (r *controlRig) killAgents(ctx context.Context, rep *Report, _ *sizeCost) error {
+	var latencies changeLatencies
+	killed := r.Agents[max(len(r.Agents)-2, 0):]
 	var names []string
-	for _, p := range dead {
+	for _, p := range killed {
 		names = append(names, p.Name)
 	}
 	rest := slices.DeleteFunc(r.names(nil), func(n string) bool { return slices.Contains(names, n) })
 	for range r.o.scaled(4, 2) {
-		for _, p := range dead {
+		for _, p := range killed {
 			p.Kill()
 		}
-		f, err := r.changes(ctx, 1, r.Replicas, rest)
+		one, err := r.publishChanges(ctx, 1, r.Replicas, rest)
 		if err != nil {
 			return err
 		}
-		took = append(took, f...)
-		r.asks.forget(names)
-		for _, p := range dead {
+		latencies = append(latencies, one...)
+		r.renewals.forget(names)
+		for _, p := range killed {
 			if err := p.Start(); err != nil {
 				return err
 			}
 		}
-		if _, err := r.held(ctx, names, sharedconfig.EpochOf(r.version), time.Now(), 30*time.Second); err != nil {
+		if _, err := r.awaitEpoch(ctx, names, sharedconfig.EpochOf(r.version), time.Now(), 30*time.Second); err != nil {
 			return err
 		}
 	}
-	r.report(rep, fmt.Sprintf("%d agents dead", len(dead)), took)
+	r.reportLatencies(rep, fmt.Sprintf("%d agents dead", len(killed)), latencies)
 	return nil
 }
 
 // regionCut has the two regions lose each other: three keepers are in the first, two in the second. Of the hour that it
 // may last, the time in which leases and the word on servers end is played, and the changes of half an hour.
-func (r *controlRig) regionCut(ctx context.Context, rep *Report, quiet *sizeCost) error {
+func (r *controlRig) partitionRegions(ctx context.Context, rep *Report, idle *sizeCost) error {
 	side := func(region int) (ps []*cluster.Process) {
 		for i, z := range r.zones {
 			if regionOf(i) == region {
 				ps = append(ps, z.p)
 			}
 		}
-		ps = append(ps, r.realsIn(func(zone int) bool { return regionOf(zone) == region })...)
+		ps = append(ps, r.realAgentsIn(func(zone int) bool { return regionOf(zone) == region })...)
 		if region == 0 {
 			return append(ps, r.Replicas[:3]...)
 		}
 		return append(ps, r.Replicas[3:]...)
 	}
-	cut := func(m cluster.Mode) {
+	setLinks := func(m cluster.Mode) {
 		for _, p := range side(0) {
 			r.SetLinks(p.Name, side(1), m, m)
 		}
 	}
-	a, b := r.names(func(zone int) bool { return regionOf(zone) == 0 }), r.names(func(zone int) bool { return regionOf(zone) == 1 })
-	lead, _ := r.Leader(ctx)
-	leads := 1.0
-	if lead != nil && slices.Contains(r.Replicas[:3], lead) {
-		leads = 0
+	majorityAgents, minorityAgents := r.names(func(zone int) bool { return regionOf(zone) == 0 }), r.names(func(zone int) bool { return regionOf(zone) == 1 })
+	leader, _ := r.Leader(ctx)
+	leaderRegion := 1.0
+	if leader != nil && slices.Contains(r.Replicas[:3], leader) {
+		leaderRegion = 0
 	}
-	began := r.usage()
+	began := r.takeSnapshot()
 	mode := cluster.Stall
-	if r.times.syncMs > 0 {
+	if r.times.syncDelayMs > 0 {
 		// The cut lasts for longer then, and each ask that is given up on a connection that stalls keeps the lab's
 		// descriptors: 20,000 were gone after 30 s of 470 agents.
 		mode = cluster.Drop
 	}
-	cut(mode)
+	setLinks(mode)
 	// The first change waits for the leases on the other side; of the others one is published behind the other.
-	first, err := r.changes(ctx, 1, r.Replicas[:3], a)
+	first, err := r.publishChanges(ctx, 1, r.Replicas[:3], majorityAgents)
 	if err != nil {
-		cut(cluster.Pass)
+		setLinks(cluster.Pass)
 		return err
 	}
-	rest, err := r.changes(ctx, r.o.scaled(aimChanges/48, 2), r.Replicas[:3], a)
+	rest, err := r.publishChanges(ctx, r.o.scaled(targetChangesPerDay/48, 2), r.Replicas[:3], majorityAgents)
 	if err != nil {
-		cut(cluster.Pass)
+		setLinks(cluster.Pass)
 		return err
 	}
 	// Both leases and words on servers of the side without a majority are over by now: the first change waited for that.
-	refusing, hollows, lists := 0, 0, time.Time{}
+	rejecting, hollows, rulesEnd := 0, 0, time.Time{}
 	for i, z := range r.zones {
 		if regionOf(i) == 0 {
 			continue
@@ -213,39 +213,39 @@
 		if err != nil {
 			return err
 		}
-		refusing, hollows = refusing+s.Refusing, hollows+len(z.names)
-		if s.ListsEnd.After(lists) {
-			lists = s.ListsEnd
+		rejecting, hollows = rejecting+s.Rejecting, hollows+len(z.names)
+		if s.ServerRulesEnd.After(rulesEnd) {
+			rulesEnd = s.ServerRulesEnd
 		}
 	}
-	during := r.usage()
+	during := r.takeSnapshot()
 	last := r.version
 	from := time.Now()
-	cut(cluster.Pass)
-	back, err := r.held(ctx, b, sharedconfig.EpochOf(last), from, 30*time.Second)
+	setLinks(cluster.Pass)
+	back, err := r.awaitEpoch(ctx, minorityAgents, sharedconfig.EpochOf(last), from, 30*time.Second)
 	if err != nil {
 		return err
 	}
-	rep.add("regions cut: region of the keeper that led (0: with the majority)", leads, "")
-	r.report(rep, "regions cut, side with the majority, first change", first)
-	r.report(rep, "regions cut, side with the majority, further changes", rest)
-	rep.add("regions cut, other side: refuses behind the cut after", ms(lists.Sub(began.at)), "ms")
-	rep.add("hollow agents there that refuse", float64(refusing), fmt.Sprintf("of %d", hollows))
+	rep.add("regions cut: region of the keeper that led (0: with the majority)", leaderRegion, "")
+	r.reportLatencies(rep, "regions cut, side with the majority, first change", first)
+	r.reportLatencies(rep, "regions cut, side with the majority, further changes", rest)
+	rep.add("regions cut, other side: refuses behind the cut after", ms(rulesEnd.Sub(began.at)), "ms")
+	rep.add("hollow agents there that refuse", float64(rejecting), fmt.Sprintf("of %d", hollows))
 	x := r.rate(&began, &during)
-	rep.add("asks of both sides while cut", x.asks, "/s")
-	rep.add("processor of all keepers while cut", x.keeperCPU, "% of a core")
-	r.report(rep, "regions joined again, other side, the last version", inForce{back})
-	if refusing != hollows {
-		rep.short("regions cut: %d of %d hollow agents without a majority refuse", refusing, hollows)
+	rep.add("asks of both sides while cut", x.renewals, "/s")
+	rep.add("processor of all keepers while cut", x.replicaCPU, "% of a core")
+	r.reportLatencies(rep, "regions joined again, other side, the last version", changeLatencies{back})
+	if rejecting != hollows {
+		rep.addShort("regions cut: %d of %d hollow agents without a majority refuse", rejecting, hollows)
 	}
-	if most := time.Duration((r.times.leaseMs + r.times.listMs + 250) * float64(time.Millisecond)); lists.Sub(began.at) > most {
-		rep.short("regions cut: the other side went by the old word for %v, %v at the most", lists.Sub(began.at), most)
+	if limit := time.Duration((r.times.leaseMs + r.times.serverRulesMs + 250) * float64(time.Millisecond)); rulesEnd.Sub(began.at) > limit {
+		rep.addShort("regions cut: the other side went by the old word for %v, %v at the most", rulesEnd.Sub(began.at), limit)
 	}
 	return nil
 }
 
 // startAll ends all agents and starts them at once.
-func (r *controlRig) startAll(ctx context.Context, rep *Report, quiet *sizeCost) error {
+func (r *controlRig) restartAll(ctx context.Context, rep *Report, idle *sizeCost) error {
 	for _, z := range r.zones {
 		z.p.Kill()
 	}
@@ -253,8 +253,8 @@
 		p.Kill()
 	}
 	names := r.names(nil)
-	r.asks.forget(names)
-	before := r.usage()
+	r.renewals.forget(names)
+	before := r.takeSnapshot()
 	for _, z := range r.zones {
 		if err := z.p.Start(); err != nil {
 			return err
@@ -265,63 +265,63 @@
 			return err
 		}
 	}
-	times, err := r.held(ctx, names, sharedconfig.EpochOf(r.version), before.at, 60*time.Second)
+	times, err := r.awaitEpoch(ctx, names, sharedconfig.EpochOf(r.version), before.at, 60*time.Second)
 	if err != nil {
 		return err
 	}
-	return r.returned(ctx, rep, fmt.Sprintf("%d agents started at once", len(names)), times, before, quiet)
+	return r.reportReturn(ctx, rep, fmt.Sprintf("%d agents started at once", len(names)), times, before, idle)
 }
 
 // keepersLost kills the keeper that leads, and a second one with it, publishes, and starts them again.
-func (r *controlRig) keepersLost(ctx context.Context, rep *Report, _ *sizeCost) error {
+func (r *controlRig) loseReplicas(ctx context.Context, rep *Report, _ *sizeCost) error {
 	for _, n := range []int{1, 2} {
-		var lead *cluster.Process
-		if err := cluster.Until(ctx, "a keeper leads", 20*time.Second, func() bool { lead, _ = r.Leader(ctx); return lead != nil }); err != nil {
+		var leader *cluster.Process
+		if err := cluster.Until(ctx, "a keeper leads", 20*time.Second, func() bool { leader, _ = r.Leader(ctx); return leader != nil }); err != nil {
 			return err
 		}
-		lost := []*cluster.Process{lead}
+		lost := []*cluster.Process{leader}
 		var rest []*cluster.Process
-		for _, k := range r.Replicas {
+		for _, replica := range r.Replicas {
 			switch {
-			case k == lead:
+			case replica == leader:
 			case len(lost) < n:
-				lost = append(lost, k)
+				lost = append(lost, replica)
 			default:
-				rest = append(rest, k)
+				rest = append(rest, replica)
 			}
 		}
-		lapses, err := r.lapses()
+		leaseExpiries, err := r.leaseExpiries()
 		if err != nil {
 			return err
 		}
 		from := time.Now()
-		for _, k := range lost {
-			k.Kill()
+		for _, replica := range lost {
+			replica.Kill()
 		}
-		took, err := r.changes(ctx, 1, rest, r.names(nil))
+		first, err := r.publishChanges(ctx, 1, rest, r.names(nil))
 		if err != nil {
 			return err
 		}
-		peak := r.asks.peak(from)
-		more, err := r.changes(ctx, 3, rest, r.names(nil))
+		peak := r.renewals.peak(from)
+		further, err := r.publishChanges(ctx, 3, rest, r.names(nil))
 		if err != nil {
 			return err
 		}
 		phase := fmt.Sprintf("%d keepers lost, the leader among them", n)
-		r.report(rep, phase+", first change", took)
-		r.report(rep, phase+", further changes", more)
+		r.reportLatencies(rep, phase+", first change", first)
+		r.reportLatencies(rep, phase+", further changes", further)
 		rep.add("asks in the busiest 100 ms", float64(peak), "")
-		after, err := r.lapses()
+		after, err := r.leaseExpiries()
 		if err != nil {
 			return err
 		}
-		rep.add("leases renewed behind their end, of hollow agents", float64(after-lapses), "")
-		for _, k := range lost {
-			if err := k.Start(); err != nil {
+		rep.add("leases renewed behind their end, of hollow agents", float64(after-leaseExpiries), "")
+		for _, replica := range lost {
+			if err := replica.Start(); err != nil {
 				return err
 			}
 		}
-		if err := cluster.Until(ctx, "the keepers are back", 30*time.Second, func() bool { return r.up(ctx, lost, sharedconfig.EpochOf(r.version)) }); err != nil {
+		if err := cluster.Until(ctx, "the keepers are back", 30*time.Second, func() bool { return r.replicasReached(ctx, lost, sharedconfig.EpochOf(r.version)) }); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/scale/controlslow.go
+++ b/internal/lab/scale/controlslow.go
@@ -24,30 +24,30 @@
 // in force while each sync of each keeper is slow, and tells for each how long they took and how many terms of keepers
 // began. Nobody is dead for a slow disk alone, so where no keeper is lost or cut off no term begins. The processes are of
 // the lab's build; its defect is the keepers' loop as it was before there was a writer beside it.
-func slowDisks(ctx context.Context, o *Options) (*Report, error) {
+func measureSlowDisks(ctx context.Context, o *Options) (*Report, error) {
 	r := &Report{Test: "control, slow disks", Seed: o.Seed, Scale: o.Scale}
 	times, defect := o.times(), ""
-	times.syncMs = slowSyncMs
-	if o.Scale < small {
-		times.tickMs, times.syncMs = smallTickMs, smallSyncMs
+	times.syncDelayMs = slowSyncMs
+	if o.Scale < smokeScale {
+		times.tickMs, times.syncDelayMs = smallTickMs, smallSyncMs
 	}
 	if o.Defect {
-		defect = loopWaits
+		defect = defectLoopWaits
 	}
 	rig, err := newControlRig(ctx, o, defect, times)
 	if err != nil {
 		return nil, err
 	}
-	defer rig.end()
-	n := o.scaled(aimAgents, 18)
+	defer rig.stop()
+	n := o.scaled(targetAgents, 18)
 	if err := rig.grow(ctx, n, o.scaled(10, 1)); err != nil {
 		return nil, err
 	}
-	rig.elections(ctx, fmt.Sprintf("up to %d agents, disks not slow", n))
-	if err := rig.disks(true); err != nil {
+	rig.logElections(ctx, fmt.Sprintf("up to %d agents, disks not slow", n))
+	if err := rig.setSlowDisks(true); err != nil {
 		return nil, err
 	}
-	quiet, err := rig.quiet(ctx)
+	idle, err := rig.measureIdle(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -55,36 +55,36 @@
 		if p.name == "start" { // it brings no change
 			continue
 		}
-		before, err := rig.lastTerm(ctx)
+		before, err := rig.highestTerm(ctx)
 		if err != nil {
 			return nil, err
 		}
-		phase, stop := ctx, func() {}
-		if o.Scale < small {
-			phase, stop = rig.untilTerm(ctx, before)
+		phase, stopWatch := ctx, func() {}
+		if o.Scale < smokeScale {
+			phase, stopWatch = rig.cancelOnNewTerm(ctx, before)
 		}
-		failed, from := p.run(rig, phase, r, quiet), time.Now()
-		stop()
-		if failed != nil {
-			r.short("%s: %v", p.name, failed)
+		runErr, from := p.run(rig, phase, r, idle), time.Now()
+		stopWatch()
+		if runErr != nil {
+			r.addShort("%s: %v", p.name, runErr)
 		}
-		after, err := rig.lastTerm(ctx)
+		after, err := rig.highestTerm(ctx)
 		if err != nil {
 			return nil, err
 		}
-		told := rig.elections(ctx, p.name)
+		electionCount := rig.logElections(ctx, p.name)
 		r.add(p.name+": terms of keepers that began", after-before, "")
-		r.add("elections that keepers told of", float64(told), "")
+		r.add("elections that keepers told of", float64(electionCount), "")
 		if after > before && p.name != "region" && p.name != "keepers" {
-			r.short("%s: %.0f terms of keepers began, and none was dead", p.name, after-before)
+			r.addShort("%s: %.0f terms of keepers began, and none was dead", p.name, after-before)
 		}
-		if o.Scale < small {
+		if o.Scale < smokeScale {
 			break
 		}
-		if failed != nil {
-			if err := rig.recover(ctx); err != nil {
-				r.short("behind %s: %v", p.name, err)
-				rig.elections(ctx, "behind "+p.name)
+		if runErr != nil {
+			if err := rig.restore(ctx); err != nil {
+				r.addShort("behind %s: %v", p.name, err)
+				rig.logElections(ctx, "behind "+p.name)
 				break // what was measured so far is told all the same
 			}
 			r.add("until all was well again, disks not slow meanwhile", time.Since(from).Seconds(), "s")
@@ -94,12 +94,12 @@
 }
 
 // untilTerm is a context that ends with a term behind the given one: the smallest form is over then.
-func (r *controlRig) untilTerm(ctx context.Context, before float64) (context.Context, func()) {
+func (r *controlRig) cancelOnNewTerm(ctx context.Context, before float64) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var watch sync.WaitGroup
 	watch.Go(func() {
 		for ctx.Err() == nil {
-			if now, err := r.lastTerm(ctx); err == nil && now > before {
+			if now, err := r.highestTerm(ctx); err == nil && now > before {
 				cancel()
 			}
 			sleep(ctx, 50*time.Millisecond)
@@ -109,48 +109,48 @@
 }
 
 // quiet measures a stretch in which nothing changes.
-func (r *controlRig) quiet(ctx context.Context) (*sizeCost, error) {
-	a := r.usage()
+func (r *controlRig) measureIdle(ctx context.Context) (*sizeCost, error) {
+	a := r.takeSnapshot()
 	if err := sleep(ctx, time.Duration(max(8*r.o.Scale, 0.1)*float64(time.Second))); err != nil {
 		return nil, err
 	}
-	b := r.usage()
+	b := r.takeSnapshot()
 	return &sizeCost{rate: r.rate(&a, &b)}, nil
 }
 
 // healthy has some changes come in force while nothing is gone.
 func (r *controlRig) healthy(ctx context.Context, rep *Report, _ *sizeCost) error {
-	took, err := r.changes(ctx, r.o.scaled(10, 1), r.Replicas, r.names(nil))
-	if len(took) > 0 {
-		r.report(rep, "healthy", took)
+	latencies, err := r.publishChanges(ctx, r.o.scaled(10, 1), r.Replicas, r.names(nil))
+	if len(latencies) > 0 {
+		r.reportLatencies(rep, "healthy", latencies)
 	}
 	return err
 }
 
 // disks has the keepers' disks be slow from now on, or not.
-func (r *controlRig) disks(slow bool) error {
-	words := ""
+func (r *controlRig) setSlowDisks(slow bool) error {
+	fault := ""
 	if slow {
-		words = fmt.Sprintf("sync-ms %d", r.times.syncMs)
+		fault = fmt.Sprintf("sync-ms %d", r.times.syncDelayMs)
 	}
 	var errs []error
-	for _, k := range r.Replicas {
-		errs = append(errs, k.SetDiskFault(words))
+	for _, replica := range r.Replicas {
+		errs = append(errs, replica.SetDiskFault(fault))
 	}
 	return errors.Join(errs...)
 }
 
 // recover brings all that is gone or cut off back while disks are not slow, until all agents have the last version, and
 // then has the disks be slow again.
-func (r *controlRig) recover(ctx context.Context) error {
+func (r *controlRig) restore(ctx context.Context) error {
 	if err := r.Heal(); err != nil {
 		return err
 	}
-	if err := cluster.Until(ctx, "the keepers are back", 30*time.Second, func() bool { return r.up(ctx, r.Replicas, sharedconfig.EpochOf(r.version)) }); err != nil {
+	if err := cluster.Until(ctx, "the keepers are back", 30*time.Second, func() bool { return r.replicasReached(ctx, r.Replicas, sharedconfig.EpochOf(r.version)) }); err != nil {
 		return err
 	}
-	if _, err := r.held(ctx, r.names(nil), sharedconfig.EpochOf(r.version), time.Now(), 60*time.Second); err != nil {
+	if _, err := r.awaitEpoch(ctx, r.names(nil), sharedconfig.EpochOf(r.version), time.Now(), 60*time.Second); err != nil {
 		return err
 	}
-	return r.disks(true)
+	return r.setSlowDisks(true)
 }
--- a/internal/lab/scale/controltools.go
+++ b/internal/lab/scale/controltools.go
@@ -15,7 +15,7 @@
 )
 
 // toolNames are the operators' calls that are measured, each a process of the product.
-var toolNames = []string{"holders", "show", "publish"}
+var measuredTools = []string{"holders", "show", "publish"}
 
 // toolCost is what one run of a tool used.
 type toolCost struct {
@@ -24,18 +24,18 @@
 
 // tools runs each tool once, a few times where it changes nothing, and returns the cheapest run by processor time: what
 // else the machine did is in all of them.
-func (r *controlRig) tools(ctx context.Context) (map[string]toolCost, error) {
+func (r *controlRig) measureTools(ctx context.Context) (map[string]toolCost, error) {
 	var addrs []string
-	for _, k := range r.Replicas {
-		addr, err := r.ProxyAddr("tools", k.Name, k.Addr)
+	for _, replica := range r.Replicas {
+		addr, err := r.ProxyAddr("tools", replica.Name, replica.Addr)
 		if err != nil {
 			return nil, err
 		}
 		addrs = append(addrs, addr)
 	}
 	bytes := func() (sum int64) {
-		for _, k := range r.Replicas {
-			sum += r.BytesSent("tools", k.Name) + r.BytesSent(k.Name, "tools")
+		for _, replica := range r.Replicas {
+			sum += r.BytesSent("tools", replica.Name) + r.BytesSent(replica.Name, "tools")
 		}
 		return sum
 	}
@@ -50,15 +50,15 @@
 		if err := cmd.Start(); err != nil {
 			return c, "", err
 		}
-		most, ended := make(chan float64, 1), make(chan struct{})
-		go func() { most <- mostMemory(cmd.Process.Pid, ended) }()
+		peak, ended := make(chan float64, 1), make(chan struct{})
+		go func() { peak <- peakMemory(cmd.Process.Pid, ended) }()
 		err = cmd.Wait()
 		close(ended)
 		if err != nil {
 			return c, "", fmt.Errorf("%v: %w: %s", args, err, tail(text.String(), 300))
 		}
 		c = toolCost{ms: ms(time.Since(from)), kb: float64(bytes()-before) / 1024, cpuMs: ms(cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime())}
-		c.mb = <-most
+		c.mb = <-peak
 		return c, text.String(), nil
 	}
 	costs := map[string]toolCost{}
@@ -77,7 +77,7 @@
 		}
 	}
 	next := r.version + 1
-	text, err := toml.Marshal(bookOf(next))
+	text, err := toml.Marshal(configOf(next))
 	if err != nil {
 		return nil, err
 	}
@@ -90,23 +90,23 @@
 		return nil, err
 	}
 	r.version, costs["publish"] = next, c
-	_, err = r.held(ctx, r.names(nil), sharedconfig.EpochOf(next), time.Now(), 30*time.Second)
+	_, err = r.awaitEpoch(ctx, r.names(nil), sharedconfig.EpochOf(next), time.Now(), 30*time.Second)
 	return costs, err
 }
 
 // mostMemory is the most MB that a process had, as it was seen each half millisecond until it ended: what the kernel tells
 // of a process that has ended counts in who started it.
-func mostMemory(pid int, ended chan struct{}) (mb float64) {
+func peakMemory(pid int, ended chan struct{}) (peak float64) {
 	for {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 		if _, rest, ok := strings.Cut(string(text), "VmHWM:"); ok && err == nil {
 			var kb float64
 			fmt.Sscan(rest, &kb)
-			mb = max(mb, kb/1024)
+			peak = max(peak, kb/1024)
 		}
 		select {
 		case <-ended:
-			return mb
+			return peak
 		case <-time.After(500 * time.Microsecond):
 		}
 	}
@@ -114,13 +114,13 @@
 
 // toolLines are the tools' costs as figures of a size.
 func toolLines() (lines []controlLine) {
-	for _, name := range toolNames {
+	for _, name := range measuredTools {
 		for _, x := range []struct {
 			what, unit string
 			of         func(toolCost) float64
 		}{{"processor", "ms", func(c toolCost) float64 { return c.cpuMs }}, {"memory", "MB", func(c toolCost) float64 { return c.mb }},
 			{"bytes", "KB", func(c toolCost) float64 { return c.kb }}, {"time", "ms", func(c toolCost) float64 { return c.ms }}} {
-			lines = append(lines, controlLine{"ringtrack-configstore " + name + ", " + x.what, x.unit, func(c *sizeCost) float64 { return x.of(c.tools[name]) }})
+			lines = append(lines, controlLine{"ringtrack-configstore " + name + ", " + x.what, x.unit, func(c *sizeCost) float64 { return x.of(c.toolCosts[name]) }})
 		}
 	}
 	return lines
--- a/internal/lab/scale/datapath.go
+++ b/internal/lab/scale/datapath.go
@@ -28,40 +28,40 @@
 	callsPerS, changesPerS = 120, 10
 	// warmPerS is the rate before that, warmCalls the calls for each backend: connections are open by then, as they are
 	// where calls have come for longer than a run lasts. What is opened later was idle for keptFor.
-	warmPerS, warmCalls = 1500, 2
+	warmUpCallsPerS, warmUpCallsPerBackend = 1500, 2
 	// wayClients is the connections that share a way's calls.
-	wayClients = 4
+	routeClients = 4
 	// addedAim is what an agent may add to 99 calls in 100.
-	addedAim = 570 * time.Microsecond
+	maxAddedLatency = 570 * time.Microsecond
 	// mostTimesPlain bounds what the agent's fastest calls take, one in twenty, by what the plain proxy's do in the same
 	// run. What else the machine does falls on both ways, and on these calls least: on a machine with 64 threads for 8
 	// cores quartiles were no measure of either.
-	mostTimesPlain, fastest = 4, 0.05
+	maxRatioToPlain, fastestQuantile = 4, 0.05
 	// judgedScale is the scale from which the aim is judged: below there are too few calls for 99 in 100 of them.
-	judgedScale = 0.1
+	minJudgedScale = 0.1
 	// callTime is what a call may take: far more than it should, so that a slow machine fails none.
-	callTime = 5 * time.Second
+	callTimeout = 5 * time.Second
 	// keptFor is how long the agent keeps an idle connection to a backend: half of keepaliveMs.
-	keptFor = 15 * time.Second
+	backendIdleTimeout = 15 * time.Second
 	// readyTime is for a process to come up.
-	readyTime = 20 * time.Second
+	readyTimeout = 20 * time.Second
 	// mostIdle is for how long a client's connection may idle to be used again: the agent closes it after 10 s.
-	mostIdle = 5 * time.Second
+	maxClientIdle = 5 * time.Second
 	// chained is the agents in a chain.
-	chained = 6
+	chainLength = 6
 	// idleTime, callsTime and changesTime are for each size, chainTime for the chains, at scale 1.
 	idleTime, callsTime, changesTime, chainTime = 7 * time.Second, 18 * time.Second, 6 * time.Second, 20 * time.Second
 )
 
 // listed are the backends listed: a line is fitted to all but the last, which it foretells.
-var listed = []int{chained, 100, 470, 940}
+var backendSizes = []int{chainLength, 100, 470, 940}
 
 var dataPathTest = Test{Name: "data-path", Quick: 0.18, Smallest: 0.01, Defect: "each agent's backends take 20 ms more",
 	About: "What the agent adds to a call beside a plain proxy, and what it uses, by backends listed; six in a chain.",
 	Run: func(ctx context.Context, o *Options) (*Report, error) {
 		d := &dataPath{o: o, r: &Report{Test: "data-path", Seed: o.Seed, Scale: o.Scale}}
 		if o.Defect {
-			d.late = 20 * time.Millisecond
+			d.defectDelay = 20 * time.Millisecond
 		}
 		return d.run(ctx)
 	}}
@@ -74,41 +74,41 @@
 	o *Options
 	r *Report
 	// late is the seeded defect: backends take so much longer behind the agent.
-	late time.Duration
+	defectDelay time.Duration
 
 	c       *cluster.Cluster
 	rng     *rand.Rand
 	servers []*lab.Backend
-	figures series
+	figures sizedFigures
 }
 
 // The ways on which calls go. An operation's name begins with its way's, by which a backend knows on which it came.
 const (
-	byAgent = iota
-	byPlain
-	byItself
-	ways
+	viaAgent = iota
+	viaPlain
+	viaNone
+	routeCount
 )
 
-var wayNames = [ways]string{"agent", "plain", "direct"}
+var routeNames = [routeCount]string{"agent", "plain", "direct"}
 
 // way is one of them.
-type way struct {
-	addrs  []string        // where clients connect
-	pid    int             // of the process on the way; 0: none
-	took   []time.Duration // from the first byte written to the last one read
-	calm   []time.Duration // that, of the half of the calls in which threads waited least for a core
-	waited []time.Duration // for how long those of the process, of client and of backends did in each call
-	ran    []time.Duration // what the process's threads had of cores meanwhile
-	late   []time.Duration // when a call began, after it was due: the client's and the machine's part
-	mu     sync.Mutex
-	failed []string // what calls that were not served were answered
+type route struct {
+	addrs         []string        // where clients connect
+	pid           int             // of the process on the way; 0: none
+	latencies     []time.Duration // from the first byte written to the last one read
+	calmLatencies []time.Duration // that, of the half of the calls in which threads waited least for a core
+	coreWaits     []time.Duration // for how long those of the process, of client and of backends did in each call
+	cpuTimes      []time.Duration // what the process's threads had of cores meanwhile
+	sendDelays    []time.Duration // when a call began, after it was due: the client's and the machine's part
+	mu            sync.Mutex
+	failures      []string // what calls that were not served were answered
 }
 
 // dial opens a way's connections.
-func (w *way) dial() (clients []*world.Client, err error) {
-	for i := range wayClients {
-		c, err := world.HTTP.Dial(w.addrs[i%len(w.addrs)], 10*time.Minute)
+func (r *route) dial() (clients []*world.Client, err error) {
+	for i := range routeClients {
+		c, err := world.HTTP.Dial(r.addrs[i%len(r.addrs)], 10*time.Minute)
 		if err != nil {
 			return clients, err
 		}
@@ -118,30 +118,30 @@
 }
 
 // request is the i-th of a way: each class of effects in turn.
-func request(way, i int, key string) *world.Request {
+func request(route, i int, key string) *world.Request {
 	classes := []struct {
 		name   string
 		effect lab.Effect
 	}{{"read", lab.Idempotent}, {"send", lab.IdempotentByKey}, {"order", lab.NonIdempotent}}
 	class := classes[i%len(classes)]
-	return &world.Request{Op: fmt.Sprintf("%s-%d", wayNames[way], lastOp.Add(1)), Method: class.name, Effect: class.effect, Key: key, Timeout: callTime}
+	return &world.Request{Op: fmt.Sprintf("%s-%d", routeNames[route], lastOp.Add(1)), Method: class.name, Effect: class.effect, Key: key, Timeout: callTimeout}
 }
 
 // lastOp numbers operations.
 var lastOp atomic.Int64
 
 // cores is what the process on the way had of cores, and what it, client and backends waited for them.
-func (w *way) cores() (cpu, wait time.Duration, err error) {
-	if _, wait, err = cores(os.Getpid()); err != nil || w.pid == 0 {
+func (r *route) schedulerTimes() (cpu, wait time.Duration, err error) {
+	if _, wait, err = schedulerTimes(os.Getpid()); err != nil || r.pid == 0 {
 		return 0, wait, err
 	}
-	cpu, own, err := cores(w.pid)
+	cpu, own, err := schedulerTimes(r.pid)
 	return cpu, wait + own, err
 }
 
 // call makes the j-th call of a way.
-func (w *way) call(j int, c *world.Client, text []byte) (a world.Answer, err error) {
-	cpu, wait, err := w.cores()
+func (r *route) call(j int, c *world.Client, text []byte) (a world.Answer, err error) {
+	cpu, wait, err := r.schedulerTimes()
 	if err != nil {
 		return a, err
 	}
@@ -150,82 +150,82 @@
 		return a, err
 	}
 	a, err = c.Read()
-	w.took[j] = time.Since(from)
+	r.latencies[j] = time.Since(from)
 	if err != nil {
 		return a, err
 	}
-	cpuThen, waitThen, err := w.cores()
-	w.ran[j], w.waited[j] = cpuThen-cpu, waitThen-wait
+	cpuThen, waitThen, err := r.schedulerTimes()
+	r.cpuTimes[j], r.coreWaits[j] = cpuThen-cpu, waitThen-wait
 	return a, err
 }
 
 // settle sorts what a series of calls brought.
-func (w *way) settle() {
-	order := make([]int, len(w.took))
+func (r *route) sortResults() {
+	order := make([]int, len(r.latencies))
 	for j := range order {
 		order[j] = j
 	}
-	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(w.waited[a], w.waited[b]) })
-	w.calm = nil
+	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(r.coreWaits[a], r.coreWaits[b]) })
+	r.calmLatencies = nil
 	for _, j := range order[:(len(order)+1)/2] {
-		w.calm = append(w.calm, w.took[j])
+		r.calmLatencies = append(r.calmLatencies, r.latencies[j])
 	}
-	for _, times := range [][]time.Duration{w.took, w.calm, w.waited, w.ran, w.late} {
+	for _, times := range [][]time.Duration{r.latencies, r.calmLatencies, r.coreWaits, r.cpuTimes, r.sendDelays} {
 		slices.Sort(times)
 	}
 }
 
 // calls sends n calls on each way at the rate, on new connections, in an open loop; the ways take turns within each
 // period.
-func (d *dataPath) calls(ctx context.Context, all *[ways]*way, n int, perS time.Duration) error {
+func (d *dataPath) sendCalls(ctx context.Context, all *[routeCount]*route, n int, perS time.Duration) error {
 	period := time.Second / perS
-	turn := d.rng.Perm(ways)
-	var clients [ways][]*world.Client
+	position := d.rng.Perm(routeCount)
+	var clients [routeCount][]*world.Client
 	defer func() {
 		for _, c := range slices.Concat(clients[:]...) {
 			c.Close()
 		}
 	}()
-	for i, w := range all {
+	for i, rt := range all {
 		var err error
-		if clients[i], err = w.dial(); err != nil {
+		if clients[i], err = rt.dial(); err != nil {
 			return err
 		}
 	}
 	began := time.Now().Add(period)
-	errs := make([]error, ways*wayClients)
+	errs := make([]error, routeCount*routeClients)
 	var senders sync.WaitGroup
-	for i, w := range all {
-		for _, times := range []*[]time.Duration{&w.took, &w.waited, &w.ran, &w.late} {
+	for i, rt := range all {
+		for _, times := range []*[]time.Duration{&rt.latencies, &rt.coreWaits, &rt.cpuTimes, &rt.sendDelays} {
 			*times = make([]time.Duration, n)
 		}
-		w.failed = nil
+		rt.failures = nil
 		key := fmt.Sprint(d.rng.IntN(211))
 		for k, c := range clients[i] {
 			senders.Go(func() {
-				for j := k; j < n && ctx.Err() == nil; j += wayClients {
-					due := began.Add(time.Duration(j)*period + time.Duration(turn[i])*period/ways)
+				for j := k; j < n && ctx.Err() == nil; j += routeClients {
+					due := began.Add(time.Duration(j)*period + time.Duration(position[i])*period/routeCount)
 					r := request(i, j, key+fmt.Sprint(j%31))
 					text := world.HTTP.Encode(r)
 					time.Sleep(time.Until(due))
-					w.late[j] = time.Since(due)
-					a, err := w.call(j, c, text)
+					rt.sendDelays[j] = time.Since(due)
+					a, err := rt.call(j, c, text)
 					if err != nil {
-						errs[i*wayClients+k] = fmt.Errorf("scale: %s: %w", r.Op, err)
+						errs[i*routeClients+k] = fmt.Errorf("scale: %s: %w", r.Op, err)
 						return
 					}
 					if a.Outcome != lab.Served {
-						w.mu.Lock()
-						w.failed = append(w.failed, fmt.Sprintf("%s: %d %q", r.Op, a.Code, a.Text))
-						w.mu.Unlock()
+						rt.mu.Lock()
+						rt.failures = append(rt.failures, fmt.Sprintf("%s: %d %q", r.Op, a.Code, a.Text))
+						rt.mu.Unlock()
 					}
 				}
 			})
 		}
 	}
 	senders.Wait()
-	for _, w := range all {
-		w.settle()
+	for _, rt := range all {
+		rt.sortResults()
 	}
 	return errors.Join(append(errs, ctx.Err())...)
 }
@@ -241,24 +241,24 @@
 func millis(t time.Duration) float64 { return t.Seconds() * 1e3 }
 
 // times is a span at this scale.
-func (d *dataPath) times(t time.Duration) time.Duration {
+func (d *dataPath) scaledTime(t time.Duration) time.Duration {
 	return time.Duration(d.o.Scale * float64(t))
 }
 
 // count is the calls or changes of a span at this scale.
-func (d *dataPath) count(perS float64, t time.Duration, least int) int {
-	return max(least, int(perS*d.times(t).Seconds()))
+func (d *dataPath) scaledCount(perS float64, t time.Duration, minimum int) int {
+	return max(minimum, int(perS*d.scaledTime(t).Seconds()))
 }
 
 // listed are the backends listed at this scale; times shrink first.
-func (o *Options) listed() (out []int) {
-	for i, n := range listed {
-		out = append(out, max(listed[0]+3*i, int(min(1, 10*o.Scale)*float64(n))))
+func (o *Options) backendCounts() (out []int) {
+	for i, n := range backendSizes {
+		out = append(out, max(backendSizes[0]+3*i, int(min(1, 10*o.Scale)*float64(n))))
 	}
 	return out
 }
 
-func (d *dataPath) short(format string, args ...any) {
+func (d *dataPath) addShort(format string, args ...any) {
 	d.r.Short = append(d.r.Short, fmt.Sprintf(format, args...))
 }
 
@@ -280,38 +280,38 @@
 			s.Close()
 		}
 	}()
-	sizes := d.o.listed()
+	sizes := d.o.backendCounts()
 	last := sizes[len(sizes)-1]
-	if err := d.serve(last); err != nil {
+	if err := d.addBackends(last); err != nil {
 		return nil, err
 	}
 	for i, n := range sizes {
 		if i == len(sizes)-1 {
-			d.figures.foretell(d.o, n)
+			d.figures.logPredictions(d.o, n)
 		}
-		if err := d.size(ctx, n); err != nil {
+		if err := d.measureSize(ctx, n); err != nil {
 			return nil, err
 		}
 	}
 	d.r.Lines = d.figures.lines()
-	if err := d.chain(ctx); err != nil {
+	if err := d.measureChain(ctx); err != nil {
 		return nil, err
 	}
 	return d.r, nil
 }
 
 // serve starts n backends more, in the zones of the settings.
-func (d *dataPath) serve(n int) error {
+func (d *dataPath) addBackends(n int) error {
 	for range n {
 		i := len(d.servers)
 		s, err := lab.NewBackend(fmt.Sprintf("s-%04d", i), []string{"east", "west", "south"}[i%3], 0, nil)
 		if err != nil {
 			return err
 		}
-		if d.late > 0 {
+		if d.defectDelay > 0 {
 			s.OnRequest(func(op string, _ time.Time) {
-				if strings.HasPrefix(op, wayNames[byAgent]) {
-					time.Sleep(d.late)
+				if strings.HasPrefix(op, routeNames[viaAgent]) {
+					time.Sleep(d.defectDelay)
 				}
 			})
 		}
@@ -322,55 +322,55 @@
 
 // settings are the rig's, with a list that is followed, connections that are kept, and time for each call and connect: on
 // a machine that is busy none fails, and none is refused because others were late.
-func settings() (json.RawMessage, error) {
+func dataPathSettings() (json.RawMessage, error) {
 	var s map[string]any
 	if err := json.Unmarshal([]byte(cluster.Settings), &s); err != nil {
 		return nil, err
 	}
 	s["membershipMode"] = "pushed"
 	limits := s["limits"].(map[string]any)
-	limits["keepaliveMs"], limits["connectTimeoutMs"] = 2*keptFor.Milliseconds(), callTime.Milliseconds()
+	limits["keepaliveMs"], limits["connectTimeoutMs"] = 2*backendIdleTimeout.Milliseconds(), callTimeout.Milliseconds()
 	for _, c := range s["classes"].([]any) {
 		class := c.(map[string]any)
-		class["aimMs"], class["giveUpMs"] = callTime.Milliseconds(), callTime.Milliseconds()
+		class["aimMs"], class["giveUpMs"] = callTimeout.Milliseconds(), callTimeout.Milliseconds()
 	}
 	return json.Marshal(s)
 }
 
 // agent starts an agent that follows a roster.
-func (d *dataPath) agent(name, addr string, roster *lab.DiscoveryService) (*cluster.Process, error) {
-	return startAgent(d.c, name, addr, "", d.o.Seed, roster)
+func (d *dataPath) runAgent(name, addr string, discovery *lab.DiscoveryService) (*cluster.Process, error) {
+	return startAgent(d.c, name, addr, "", d.o.Seed, discovery)
 }
 
 // startAgent starts an agent that follows a roster and has its admin endpoint at door; "": none.
-func startAgent(c *cluster.Cluster, name, addr, door string, seed uint64, roster *lab.DiscoveryService) (*cluster.Process, error) {
+func startAgent(c *cluster.Cluster, name, addr, adminAddr string, seed uint64, discovery *lab.DiscoveryService) (*cluster.Process, error) {
 	p, err := c.AddProcess(name, addr, false, nil, "ringtrack")
 	if err != nil {
 		return nil, err
 	}
-	own, err := settings()
+	settingsJSON, err := dataPathSettings()
 	if err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(map[string]any{"name": name, "listen": addr, "discovery": roster.Addr, "seed": fmt.Sprintf("%x", seed), "admin_addr": door,
-		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 4096}, "known": roster.List(), "settings": own})
+	text, err := json.Marshal(map[string]any{"name": name, "listen": addr, "discovery": discovery.Addr, "seed": fmt.Sprintf("%x", seed), "admin_addr": adminAddr,
+		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 4096}, "known": discovery.List(), "settings": settingsJSON})
 	if err != nil {
 		return nil, err
 	}
 	if err := os.WriteFile(filepath.Join(p.Dir, "config.json"), text, 0o600); err != nil {
 		return nil, err
 	}
-	p.AdminAddr, p.Env = door, []string{"PROXY_CONFIG=config.json", "TMPDIR=" + p.Dir}
+	p.AdminAddr, p.Env = adminAddr, []string{"PROXY_CONFIG=config.json", "TMPDIR=" + p.Dir}
 	return p, p.Start()
 }
 
 // plain starts a plain proxy.
-func (d *dataPath) plain(name, addr string, backends []string) (*cluster.Process, error) {
+func (d *dataPath) startPlainProxy(name, addr string, backends []string) (*cluster.Process, error) {
 	dir := filepath.Join(d.c.Dir, name)
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		return nil, err
 	}
-	p, err := newPlain(dir, addr, backends)
+	p, err := newPlainProxy(dir, addr, backends)
 	if err != nil {
 		return nil, err
 	}
@@ -378,9 +378,9 @@
 }
 
 // ready waits until all of these serve.
-func ready(ctx context.Context, all ...*cluster.Process) error {
+func awaitReady(ctx context.Context, all ...*cluster.Process) error {
 	for _, p := range all {
-		if err := cluster.AwaitReady(ctx, p, readyTime); err != nil {
+		if err := cluster.AwaitReady(ctx, p, readyTimeout); err != nil {
 			return err
 		}
 	}
@@ -388,7 +388,7 @@
 }
 
 // dials is the connections to backends that a plain proxy has opened.
-func dials(p *cluster.Process) (n int64, err error) {
+func connectionsOpened(p *cluster.Process) (n int64, err error) {
 	resp, err := http.Get("http://" + p.Addr + "/-/dials")
 	if err != nil {
 		return 0, err
@@ -402,14 +402,14 @@
 }
 
 // accepted and begun are the connections and the requests that backends have taken.
-func (d *dataPath) accepted() (n int64) {
+func (d *dataPath) connectionsAccepted() (n int64) {
 	for _, s := range d.servers {
 		n += s.Accepted()
 	}
 	return n
 }
 
-func (d *dataPath) begun() (n int64) {
+func (d *dataPath) requestsBegun() (n int64) {
 	for _, s := range d.servers {
 		n += s.RequestCount()
 	}
@@ -417,7 +417,7 @@
 }
 
 // size measures an agent with n backends listed: idle, called, and while the list changes.
-func (d *dataPath) size(ctx context.Context, n int) error {
+func (d *dataPath) measureSize(ctx context.Context, n int) error {
 	d.o.logf("%d backends listed", n)
 	var entries []membership.Entry
 	var direct []string
@@ -425,87 +425,87 @@
 		entries = append(entries, s.Entry)
 		direct = append(direct, s.Entry.Addr)
 	}
-	roster, err := lab.NewDiscoveryService(entries...)
+	discovery, err := lab.NewDiscoveryService(entries...)
 	if err != nil {
 		return err
 	}
-	defer roster.Close()
+	defer discovery.Close()
 	addrs, err := d.c.Addrs(2)
 	if err != nil {
 		return err
 	}
-	agent, err := d.agent(fmt.Sprint("agent-", n), addrs[byAgent], roster)
+	agent, err := d.runAgent(fmt.Sprint("agent-", n), addrs[viaAgent], discovery)
 	if err != nil {
 		return err
 	}
 	defer agent.Kill()
-	plain, err := d.plain(fmt.Sprint("plain-", n), addrs[byPlain], direct)
+	plain, err := d.startPlainProxy(fmt.Sprint("plain-", n), addrs[viaPlain], direct)
 	if err != nil {
 		return err
 	}
 	defer plain.Kill()
-	if err := ready(ctx, agent, plain); err != nil {
+	if err := awaitReady(ctx, agent, plain); err != nil {
 		return err
 	}
 	pids := []int{agent.PID(), plain.PID()}
-	all := [ways]*way{byAgent: {addrs: []string{agent.Addr}, pid: pids[byAgent]}, byPlain: {addrs: []string{plain.Addr}, pid: pids[byPlain]},
-		byItself: {addrs: direct}}
-	if err := d.calls(ctx, &all, warmCalls*n, warmPerS); err != nil {
+	all := [routeCount]*route{viaAgent: {addrs: []string{agent.Addr}, pid: pids[viaAgent]}, viaPlain: {addrs: []string{plain.Addr}, pid: pids[viaPlain]},
+		viaNone: {addrs: direct}}
+	if err := d.sendCalls(ctx, &all, warmUpCallsPerBackend*n, warmUpCallsPerS); err != nil {
 		return err
 	}
 	// Idle.
-	idle, err := spent(ctx, pids, func() error { return sleep(ctx, d.times(idleTime)) })
+	idle, err := measureUsage(ctx, pids, func() error { return sleep(ctx, d.scaledTime(idleTime)) })
 	if err != nil {
 		return err
 	}
-	d.figures.at(n, "idle", 100*idle[byAgent].share(), "% of a core")
-	d.figures.at(n, "idle bytes", float64(idle[byAgent].Bytes)/idle[byAgent].over.Seconds(), "B/s")
+	d.figures.record(n, "idle", 100*idle[viaAgent].cpuShare(), "% of a core")
+	d.figures.record(n, "idle bytes", float64(idle[viaAgent].Bytes)/idle[viaAgent].duration.Seconds(), "B/s")
 
 	// Called.
-	calls := d.count(callsPerS, callsTime, 16)
-	accepted, begun := d.accepted(), d.begun()
-	dialled, err := dials(plain)
+	calls := d.scaledCount(callsPerS, callsTime, 16)
+	accepted, begun := d.connectionsAccepted(), d.requestsBegun()
+	dialled, err := connectionsOpened(plain)
 	if err != nil {
 		return err
 	}
-	called, err := spent(ctx, pids, func() error { return d.calls(ctx, &all, calls, callsPerS) })
+	called, err := measureUsage(ctx, pids, func() error { return d.sendCalls(ctx, &all, calls, callsPerS) })
 	if err != nil {
 		return err
 	}
-	now, err := dials(plain)
+	now, err := connectionsOpened(plain)
 	if err != nil {
 		return err
 	}
 	prefix := fmt.Sprintf("%d listed: ", n)
-	d.judge(prefix, &all, 1)
-	through, straight := all[byAgent], all[byItself]
+	d.reportLatencies(prefix, &all, 1)
+	agentRoute, directRoute := all[viaAgent], all[viaNone]
 	for _, q := range []float64{0.5, 0.99} {
-		d.figures.at(n, fmt.Sprintf("added p%.0f", 100*q), millis(quantile(through.took, q)-quantile(straight.took, q)), "ms")
-		d.figures.at(n, fmt.Sprintf("added p%.0f, calmer half", 100*q), millis(quantile(through.calm, q)-quantile(straight.calm, q)), "ms")
+		d.figures.record(n, fmt.Sprintf("added p%.0f", 100*q), millis(quantile(agentRoute.latencies, q)-quantile(directRoute.latencies, q)), "ms")
+		d.figures.record(n, fmt.Sprintf("added p%.0f, calmer half", 100*q), millis(quantile(agentRoute.calmLatencies, q)-quantile(directRoute.calmLatencies, q)), "ms")
 	}
-	d.r.add(prefix+"attempts a call, all ways", float64(d.begun()-begun)/float64(ways*calls), "")
-	d.r.add(prefix+"agent, connections opened a call", float64(d.accepted()-accepted-(now-dialled))/float64(calls), "")
+	d.r.add(prefix+"attempts a call, all ways", float64(d.requestsBegun()-begun)/float64(routeCount*calls), "")
+	d.r.add(prefix+"agent, connections opened a call", float64(d.connectionsAccepted()-accepted-(now-dialled))/float64(calls), "")
 	d.r.add(prefix+"plain, connections opened a call", float64(now-dialled)/float64(calls), "")
-	d.cost(prefix, called, calls)
-	d.figures.at(n, "called at 120/s", 100*called[byAgent].share(), "% of a core")
-	d.figures.at(n, "bytes a call", float64(called[byAgent].Bytes)/float64(calls), "B")
+	d.reportCost(prefix, called, calls)
+	d.figures.record(n, "called at 120/s", 100*called[viaAgent].cpuShare(), "% of a core")
+	d.figures.record(n, "bytes a call", float64(called[viaAgent].Bytes)/float64(calls), "B")
 
 	// The list changes.
-	changes := d.count(changesPerS, changesTime, 1)
-	changed, err := spent(ctx, pids, func() error { return d.change(ctx, roster, entries, changes) })
+	changes := d.scaledCount(changesPerS, changesTime, 1)
+	changed, err := measureUsage(ctx, pids, func() error { return d.changeList(ctx, discovery, entries, changes) })
 	if err != nil {
 		return err
 	}
-	d.figures.at(n, "10 changes a second", 100*changed[byAgent].share(), "% of a core")
-	d.figures.at(n, "bytes a change", float64(changed[byAgent].Bytes)/float64(changes), "B")
-	d.figures.at(n, "memory", float64(changed[byAgent].RSS)/1024, "MB")
+	d.figures.record(n, "10 changes a second", 100*changed[viaAgent].cpuShare(), "% of a core")
+	d.figures.record(n, "bytes a change", float64(changed[viaAgent].Bytes)/float64(changes), "B")
+	d.figures.record(n, "memory", float64(changed[viaAgent].RSS)/1024, "MB")
 	return nil
 }
 
 // change changes the list, an entry at a time, and returns once the agent has asked for what comes after the last.
-func (d *dataPath) change(ctx context.Context, roster *lab.DiscoveryService, entries []membership.Entry, n int) error {
-	for len(roster.WatchIndexes) > 0 {
-		<-roster.WatchIndexes
+func (d *dataPath) changeList(ctx context.Context, discovery *lab.DiscoveryService, entries []membership.Entry, n int) error {
+	for len(discovery.WatchIndexes) > 0 {
+		<-discovery.WatchIndexes
 	}
 	var revision uint64
 	began := time.Now()
@@ -515,16 +515,16 @@
 		}
 		e := &entries[d.rng.IntN(len(entries))]
 		e.Weight = 3 - e.Weight // 1 and 2 in turn
-		revision = roster.Set(*e)
+		revision = discovery.Set(*e)
 	}
-	over := time.After(readyTime)
+	timeout := time.After(readyTimeout)
 	for {
 		select {
-		case index := <-roster.WatchIndexes:
+		case index := <-discovery.WatchIndexes:
 			if index >= revision {
 				return nil
 			}
-		case <-over:
+		case <-timeout:
 			return fmt.Errorf("scale: the list at %d is not followed", revision)
 		case <-ctx.Done():
 			return ctx.Err()
@@ -533,121 +533,121 @@
 }
 
 // judge reports what the ways took, and what of it falls short; hops is the agents that a call passes.
-func (d *dataPath) judge(prefix string, all *[ways]*way, hops int) {
-	var added [ways]time.Duration
-	for i, w := range all {
+func (d *dataPath) reportLatencies(prefix string, all *[routeCount]*route, hops int) {
+	var added [routeCount]time.Duration
+	for i, rt := range all {
 		for _, q := range []float64{0.5, 0.99} {
-			name := fmt.Sprintf("%s%s p%.0f", prefix, wayNames[i], 100*q)
-			d.r.add(name, millis(quantile(w.took, q)), "ms")
-			if i != byItself {
-				added[i] = quantile(w.took, q) - quantile(all[byItself].took, q)
+			name := fmt.Sprintf("%s%s p%.0f", prefix, routeNames[i], 100*q)
+			d.r.add(name, millis(quantile(rt.latencies, q)), "ms")
+			if i != viaNone {
+				added[i] = quantile(rt.latencies, q) - quantile(all[viaNone].latencies, q)
 				d.r.add(name+" added", millis(added[i]), "ms")
 			}
-			if w.pid != 0 {
-				d.r.add(name+" added, calmer half", millis(quantile(w.calm, q)-quantile(all[byItself].calm, q)), "ms")
-				d.r.add(name+" of processor time during a call", millis(quantile(w.ran, q)), "ms")
+			if rt.pid != 0 {
+				d.r.add(name+" added, calmer half", millis(quantile(rt.calmLatencies, q)-quantile(all[viaNone].calmLatencies, q)), "ms")
+				d.r.add(name+" of processor time during a call", millis(quantile(rt.cpuTimes, q)), "ms")
 			}
-			d.r.add(fmt.Sprintf("%s%s, the client late p%.0f", prefix, wayNames[i], 100*q), millis(quantile(w.late, q)), "ms")
+			d.r.add(fmt.Sprintf("%s%s, the client late p%.0f", prefix, routeNames[i], 100*q), millis(quantile(rt.sendDelays, q)), "ms")
 		}
-		if n := len(w.failed); n > 0 {
-			d.short("%s%s: %d of %d calls not served, the first: %s", prefix, wayNames[i], n, len(w.took), w.failed[0])
+		if n := len(rt.failures); n > 0 {
+			d.addShort("%s%s: %d of %d calls not served, the first: %s", prefix, routeNames[i], n, len(rt.latencies), rt.failures[0])
 		}
 	}
-	ratio := float64(quantile(all[byAgent].took, fastest)) / float64(max(1, quantile(all[byPlain].took, fastest)))
+	ratio := float64(quantile(all[viaAgent].latencies, fastestQuantile)) / float64(max(1, quantile(all[viaPlain].latencies, fastestQuantile)))
 	d.r.add(prefix+"agent by plain, fastest calls", ratio, "")
-	if ratio > mostTimesPlain {
-		d.short("%sthe agent's fastest calls take %.1f times the plain proxy's, %d allowed", prefix, ratio, mostTimesPlain)
+	if ratio > maxRatioToPlain {
+		d.addShort("%sthe agent's fastest calls take %.1f times the plain proxy's, %d allowed", prefix, ratio, maxRatioToPlain)
 	}
-	d.r.add(prefix+"added p99, agent by plain", float64(added[byAgent])/float64(max(1, added[byPlain])), "")
-	aim := time.Duration(hops) * addedAim
-	d.r.add(prefix+"added p99 by the aim", float64(added[byAgent])/float64(aim), "")
-	if d.o.Scale >= judgedScale && added[byAgent] > aim {
-		d.short("%sadded p99 %.2f ms, aim %.2f ms; the plain proxy adds %.2f ms", prefix, millis(added[byAgent]), millis(aim), millis(added[byPlain]))
+	d.r.add(prefix+"added p99, agent by plain", float64(added[viaAgent])/float64(max(1, added[viaPlain])), "")
+	bound := time.Duration(hops) * maxAddedLatency
+	d.r.add(prefix+"added p99 by the aim", float64(added[viaAgent])/float64(bound), "")
+	if d.o.Scale >= minJudgedScale && added[viaAgent] > bound {
+		d.addShort("%sadded p99 %.2f ms, aim %.2f ms; the plain proxy adds %.2f ms", prefix, millis(added[viaAgent]), millis(bound), millis(added[viaPlain]))
 	}
 }
 
 // cost reports what agent and plain proxy needed for a call, n in all.
-func (d *dataPath) cost(prefix string, used []spending, n int) {
+func (d *dataPath) reportCost(prefix string, used []intervalUsage, n int) {
 	for i, u := range used {
-		d.r.add(prefix+wayNames[i]+", processor time a call", u.CPU.Seconds()*1e6/float64(n), "us")
-		d.r.add(prefix+wayNames[i]+", wait for a core a call", u.Wait.Seconds()*1e6/float64(n), "us")
+		d.r.add(prefix+routeNames[i]+", processor time a call", u.CPU.Seconds()*1e6/float64(n), "us")
+		d.r.add(prefix+routeNames[i]+", wait for a core a call", u.Wait.Seconds()*1e6/float64(n), "us")
 	}
 }
 
 // chain measures agents one behind another: each backend calls the next agent, the next plain proxy or the next backend,
 // as it was called itself.
-func (d *dataPath) chain(ctx context.Context) error {
-	const each = chained // backends of an agent
+func (d *dataPath) measureChain(ctx context.Context) error {
+	const backendsPerAgent = chainLength // backends of an agent
 	first := len(d.servers)
-	if err := d.serve(chained * each); err != nil {
+	if err := d.addBackends(chainLength * backendsPerAgent); err != nil {
 		return err
 	}
-	addrs, err := d.c.Addrs(2 * chained)
+	addrs, err := d.c.Addrs(2 * chainLength)
 	if err != nil {
 		return err
 	}
-	next := nextHop{idle: map[string][]kept{}}
+	next := nextHop{idle: map[string][]idleConn{}}
 	defer next.close()
 	var started []*cluster.Process // an agent and a plain proxy in turn
 	var pids []int
-	var all [ways]*way
-	for hop := range chained {
-		servers := d.servers[first+hop*each:][:each]
+	var all [routeCount]*route
+	for hop := range chainLength {
+		servers := d.servers[first+hop*backendsPerAgent:][:backendsPerAgent]
 		var entries []membership.Entry
 		var backends []string
 		for i, s := range servers {
 			entries = append(entries, s.Entry)
 			backends = append(backends, s.Entry.Addr)
-			var to [ways]string
-			if hop+1 < chained {
-				to = [ways]string{addrs[hop+1], addrs[chained+hop+1], d.servers[first+(hop+1)*each+i].Entry.Addr}
+			var to [routeCount]string
+			if hop+1 < chainLength {
+				to = [routeCount]string{addrs[hop+1], addrs[chainLength+hop+1], d.servers[first+(hop+1)*backendsPerAgent+i].Entry.Addr}
 			}
-			s.OnRequest(func(op string, _ time.Time) { next.call(op, &to, d.late) })
+			s.OnRequest(func(op string, _ time.Time) { next.callNext(op, &to, d.defectDelay) })
 		}
 		if hop == 0 {
-			all = [ways]*way{byAgent: {addrs: addrs[:1]}, byPlain: {addrs: addrs[chained : chained+1]}, byItself: {addrs: backends}}
+			all = [routeCount]*route{viaAgent: {addrs: addrs[:1]}, viaPlain: {addrs: addrs[chainLength : chainLength+1]}, viaNone: {addrs: backends}}
 		}
-		roster, err := lab.NewDiscoveryService(entries...)
+		discovery, err := lab.NewDiscoveryService(entries...)
 		if err != nil {
 			return err
 		}
-		defer roster.Close()
-		a, err := d.agent(fmt.Sprint("chain-", hop), addrs[hop], roster)
+		defer discovery.Close()
+		a, err := d.runAgent(fmt.Sprint("chain-", hop), addrs[hop], discovery)
 		if err != nil {
 			return err
 		}
 		defer a.Kill()
-		p, err := d.plain(fmt.Sprint("chain-plain-", hop), addrs[chained+hop], backends)
+		p, err := d.startPlainProxy(fmt.Sprint("chain-plain-", hop), addrs[chainLength+hop], backends)
 		if err != nil {
 			return err
 		}
 		defer p.Kill()
 		pids, started = append(pids, a.PID(), p.PID()), append(started, a, p)
 	}
-	if err := ready(ctx, started...); err != nil {
+	if err := awaitReady(ctx, started...); err != nil {
 		return err
 	}
-	if err := d.calls(ctx, &all, warmCalls*each, warmPerS); err != nil {
+	if err := d.sendCalls(ctx, &all, warmUpCallsPerBackend*backendsPerAgent, warmUpCallsPerS); err != nil {
 		return err
 	}
-	calls := d.count(callsPerS, chainTime, 16)
-	used, err := spent(ctx, pids, func() error { return d.calls(ctx, &all, calls, callsPerS) })
+	calls := d.scaledCount(callsPerS, chainTime, 16)
+	used, err := measureUsage(ctx, pids, func() error { return d.sendCalls(ctx, &all, calls, callsPerS) })
 	if err != nil {
 		return err
 	}
-	prefix := fmt.Sprintf("chain of %d: ", chained)
-	d.judge(prefix, &all, chained)
+	prefix := fmt.Sprintf("chain of %d: ", chainLength)
+	d.reportLatencies(prefix, &all, chainLength)
 	prefix += "a hop, "
-	var sum [byItself]spending
+	var sum [viaNone]intervalUsage
 	for i, u := range used {
-		sum[i%byItself].CPU += u.CPU
-		sum[i%byItself].Wait += u.Wait
+		sum[i%viaNone].CPU += u.CPU
+		sum[i%viaNone].Wait += u.Wait
 	}
-	d.cost(prefix, sum[:], chained*calls)
+	d.reportCost(prefix, sum[:], chainLength*calls)
 	next.mu.Lock()
 	defer next.mu.Unlock()
 	if n := len(next.failed); n > 0 {
-		d.short("chain of %d: %d calls of backends not served, the first: %v", chained, n, next.failed[0])
+		d.addShort("chain of %d: %d calls of backends not served, the first: %v", chainLength, n, next.failed[0])
 	}
 	return nil
 }
@@ -655,24 +655,24 @@
 // nextHop is the backends' side of a chain: kept connections to what they call.
 type nextHop struct {
 	mu     sync.Mutex
-	idle   map[string][]kept
+	idle   map[string][]idleConn
 	failed []error
 }
 
 // kept is a connection that is kept, since when.
-type kept struct {
+type idleConn struct {
 	*world.Client
 	since time.Time
 }
 
 // call calls what stands behind a backend on the way of an operation; nothing stands behind the last.
-func (h *nextHop) call(op string, to *[ways]string, late time.Duration) {
-	i := slices.IndexFunc(wayNames[:], func(name string) bool { return strings.HasPrefix(op, name) })
+func (h *nextHop) callNext(op string, to *[routeCount]string, delay time.Duration) {
+	i := slices.IndexFunc(routeNames[:], func(name string) bool { return strings.HasPrefix(op, name) })
 	if i < 0 {
 		return
 	}
-	if i == byAgent {
-		time.Sleep(late)
+	if i == viaAgent {
+		time.Sleep(delay)
 	}
 	if to[i] == "" {
 		return
@@ -684,14 +684,14 @@
 	}
 }
 
-func (h *nextHop) forward(way int, addr string) error {
+func (h *nextHop) forward(route int, addr string) error {
 	h.mu.Lock()
-	var c kept
+	var c idleConn
 	if list := h.idle[addr]; len(list) > 0 {
 		c, h.idle[addr] = list[len(list)-1], list[:len(list)-1]
 	}
 	h.mu.Unlock()
-	if c.Client != nil && time.Since(c.since) > mostIdle {
+	if c.Client != nil && time.Since(c.since) > maxClientIdle {
 		c.Close()
 		c.Client = nil
 	}
@@ -702,7 +702,7 @@
 		}
 	}
 	n := int(lastOp.Load())
-	_, err := c.Write(world.HTTP.Encode(request(way, n, fmt.Sprint(n%211))))
+	_, err := c.Write(world.HTTP.Encode(request(route, n, fmt.Sprint(n%211))))
 	var a world.Answer
 	if err == nil {
 		a, err = c.Read()
@@ -732,20 +732,20 @@
 }
 
 // spending is what a process used over a span.
-type spending struct {
+type intervalUsage struct {
 	usage
-	over time.Duration
+	duration time.Duration
 }
 
 // share is that of a core.
-func (s spending) share() float64 { return s.CPU.Seconds() / s.over.Seconds() }
+func (s intervalUsage) cpuShare() float64 { return s.CPU.Seconds() / s.duration.Seconds() }
 
 // spent is what processes use while f runs.
-func spent(ctx context.Context, pids []int, f func() error) ([]spending, error) {
+func measureUsage(ctx context.Context, pids []int, f func() error) ([]intervalUsage, error) {
 	before := make([]usage, len(pids))
 	var err error
 	for i, pid := range pids {
-		if before[i], err = usageOf(pid); err != nil {
+		if before[i], err = readUsage(pid); err != nil {
 			return nil, err
 		}
 	}
@@ -753,13 +753,13 @@
 	if err := f(); err != nil {
 		return nil, err
 	}
-	out := make([]spending, len(pids))
+	out := make([]intervalUsage, len(pids))
 	for i, pid := range pids {
-		now, err := usageOf(pid)
+		now, err := readUsage(pid)
 		if err != nil {
 			return nil, err
 		}
-		out[i] = spending{now.since(before[i]), time.Since(from)}
+		out[i] = intervalUsage{now.since(before[i]), time.Since(from)}
 	}
 	return out, ctx.Err()
 }
--- a/internal/lab/scale/datapath_test.go
+++ b/internal/lab/scale/datapath_test.go
@@ -21,29 +21,29 @@
 			found++
 		}
 	}
-	if want := len(o.listed()) + 1; found != want || len(r.Short) != want {
+	if want := len(o.backendCounts()) + 1; found != want || len(r.Short) != want {
 		t.Errorf("%d found, want %d and nothing else: %v", found, want, r.Short)
 	}
 }
 
 // What a process has used is told, and grows.
 func TestUsage(t *testing.T) {
-	before, err := usageOf(os.Getpid())
+	before, err := readUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
-	over := time.Now().Add(20 * time.Millisecond)
-	for time.Now().Before(over) {
+	deadline := time.Now().Add(20 * time.Millisecond)
+	for time.Now().Before(deadline) {
 		os.ReadFile("/proc/self/status")
 	}
-	after, err := usageOf(os.Getpid())
+	after, err := readUsage(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if used := after.since(before); used.CPU <= 0 || used.Bytes <= 0 || used.RSS <= 0 {
 		t.Errorf("%+v", used)
 	}
-	if _, err := usageOf(-1); err == nil {
+	if _, err := readUsage(-1); err == nil {
 		t.Error("a process that is none")
 	}
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -26,33 +26,33 @@
 
 // hollowSpec says what a process of hollow agents is. It starts those that it has not started yet.
 type hollowSpec struct {
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Keepers   []string        `json:"keepers"`
-	Known     membership.List `json:"known"`
-	Agents    []hollowAgent   `json:"agents"`
-	Defect    string          `json:"defect,omitempty"`
-
-	AskWithinMs float64 `json:"ask_within_ms"`
+	Listen          string            `json:"listen"`
+	Discovery       string            `json:"discovery"`
+	Replicas        []string          `json:"keepers"`
+	CachedEndpoints membership.List   `json:"known"`
+	Agents          []hollowAgentSpec `json:"agents"`
+	Defect          string            `json:"defect,omitempty"`
+
+	PollIntervalMs float64 `json:"ask_within_ms"`
 }
 
-type hollowAgent struct {
-	Name  string `json:"name"`
-	Index int    `json:"index"` // its turn among of
-	Of    int    `json:"of"`
+type hollowAgentSpec struct {
+	Name      string `json:"name"`
+	PollSlot  int    `json:"index"` // its turn among of
+	PollSlots int    `json:"of"`
 }
 
 // hollowState is what the stand-ins of data paths in a process were told.
 type hollowState struct {
-	Books    map[uint64]map[string]int `json:"books"`       // how many were given a book of this content, by stage
-	Lapses   int                       `json:"lapses"`      // leases that were renewed after their end
-	ListsEnd time.Time                 `json:"lists_end"`   // when the last word on servers of any of them ends
-	Refusing int                       `json:"refusing"`    // those whose word on servers is over now
-	Known    int                       `json:"known_least"` // the fewest backends that one of them counts
+	Configs        map[uint64]map[string]int `json:"books"`       // how many were given a book of this content, by stage
+	Expiries       int                       `json:"lapses"`      // leases that were renewed after their end
+	ServerRulesEnd time.Time                 `json:"lists_end"`   // when the last word on servers of any of them ends
+	Rejecting      int                       `json:"refusing"`    // those whose word on servers is over now
+	MinListed      int                       `json:"known_least"` // the fewest backends that one of them counts
 }
 
 // hollowChild runs the process as hollow agents, if its environment says so, and does not return then.
-func hollowChild() {
+func runHollowChild() {
 	path := os.Getenv(hollowEnv)
 	if path == "" {
 		return
@@ -72,55 +72,55 @@
 // backends and its sweep; what requests make the module do, among it the whole list that it asks for again after
 // failures, at the most once in AskWithinMs x agents/8; the admin endpoint; the folder shared with another process;
 // the relay of peers' asks; the file and its reload; and each agent's own Go runtime, of which a process has one.
-type hollows struct {
-	ctx  context.Context
-	mu   sync.Mutex
-	all  map[string]*hollow
-	told hollowState
+type hollowAgents struct {
+	ctx    context.Context
+	mu     sync.Mutex
+	byName map[string]*hollowAgent
+	state  hollowState
 }
 
 // hollow is one of them: the stand-in for its data path, which notes what rules it is given and until when.
-type hollow struct {
-	h            *hollows
-	loop         *core.EventLoop
-	until, lists time.Time // under h.mu
+type hollowAgent struct {
+	process                  *hollowAgents
+	loop                     *core.EventLoop
+	leaseEnd, serverRulesEnd time.Time // under h.mu
 }
 
 // Adopt implements link.Target as the agent does, and notes the book's content.
-func (a *hollow) Adopt(ctx context.Context, stage uint64, book *sharedconfig.Config, until, lists time.Time) error {
-	if err := a.do(ctx, func() { a.loop.AdoptConfig(stage, book, until, lists) }); err != nil {
+func (a *hollowAgent) Adopt(ctx context.Context, epoch uint64, config *sharedconfig.Config, leaseEnd, serverRulesEnd time.Time) error {
+	if err := a.runInLoop(ctx, func() { a.loop.AdoptConfig(epoch, config, leaseEnd, serverRulesEnd) }); err != nil {
 		return err
 	}
 	digest := ""
-	if book != nil {
-		digest = book.Digest()
+	if config != nil {
+		digest = config.Digest()
 	}
-	a.note(until, lists)
-	a.h.mu.Lock()
-	defer a.h.mu.Unlock()
-	if a.h.told.Books[stage] == nil {
-		a.h.told.Books[stage] = map[string]int{}
+	a.recordLease(leaseEnd, serverRulesEnd)
+	a.process.mu.Lock()
+	defer a.process.mu.Unlock()
+	if a.process.state.Configs[epoch] == nil {
+		a.process.state.Configs[epoch] = map[string]int{}
 	}
-	a.h.told.Books[stage][digest]++
+	a.process.state.Configs[epoch][digest]++
 	return nil
 }
 
 // Renew implements link.Target.
-func (a *hollow) Renew(ctx context.Context, until, lists time.Time) {
-	a.do(ctx, func() { a.loop.RenewLease(until, lists) })
-	a.note(until, lists)
+func (a *hollowAgent) Renew(ctx context.Context, leaseEnd, serverRulesEnd time.Time) {
+	a.runInLoop(ctx, func() { a.loop.RenewLease(leaseEnd, serverRulesEnd) })
+	a.recordLease(leaseEnd, serverRulesEnd)
 }
 
-func (a *hollow) note(until, lists time.Time) {
-	a.h.mu.Lock()
-	defer a.h.mu.Unlock()
-	if !a.until.IsZero() && time.Now().After(a.until) {
-		a.h.told.Lapses++
+func (a *hollowAgent) recordLease(leaseEnd, serverRulesEnd time.Time) {
+	a.process.mu.Lock()
+	defer a.process.mu.Unlock()
+	if !a.leaseEnd.IsZero() && time.Now().After(a.leaseEnd) {
+		a.process.state.Expiries++
 	}
-	a.until, a.lists = until, lists
+	a.leaseEnd, a.serverRulesEnd = leaseEnd, serverRulesEnd
 }
 
-func (a *hollow) do(ctx context.Context, f func()) error {
+func (a *hollowAgent) runInLoop(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	a.loop.Post(func() { f(); close(done) })
 	select {
@@ -134,7 +134,7 @@
 func runHollow(path string) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	debug.SetGCPercent(100) // as agent.Main
-	h := &hollows{ctx: context.Background(), all: map[string]*hollow{}, told: hollowState{Books: map[uint64]map[string]int{}}}
+	h := &hollowAgents{ctx: context.Background(), byName: map[string]*hollowAgent{}, state: hollowState{Configs: map[uint64]map[string]int{}}}
 	spec, err := h.start(path)
 	if err != nil {
 		return err
@@ -150,12 +150,12 @@
 		}
 	})
 	mux.HandleFunc("POST /collect", func(http.ResponseWriter, *http.Request) { debug.FreeOSMemory() })
-	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(h.state()) })
+	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(h.snapshot()) })
 	return http.Serve(ln, mux)
 }
 
 // start starts all agents of the file that do not run yet, at once.
-func (h *hollows) start(path string) (*hollowSpec, error) {
+func (h *hollowAgents) start(path string) (*hollowSpec, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -165,67 +165,67 @@
 		return nil, err
 	}
 	for i := range spec.Agents {
-		if err := h.one(spec, &spec.Agents[i]); err != nil {
+		if err := h.startAgent(spec, &spec.Agents[i]); err != nil {
 			return nil, err
 		}
 	}
 	return spec, nil
 }
 
-func (h *hollows) one(spec *hollowSpec, of *hollowAgent) error {
+func (h *hollowAgents) startAgent(spec *hollowSpec, agent *hollowAgentSpec) error {
 	h.mu.Lock()
-	there := h.all[of.Name] != nil
+	exists := h.byName[agent.Name] != nil
 	h.mu.Unlock()
-	if there {
+	if exists {
 		return nil
 	}
-	settings, err := wire.ParseSettings(agentSettings(of.Index, of.Of, spec.AskWithinMs))
+	settings, err := wire.ParseSettings(agentSettings(agent.PollSlot, agent.PollSlots, spec.PollIntervalMs))
 	if err != nil {
 		return err
 	}
-	cfg := core.Config{Discovery: spec.Discovery, CachedEndpoints: spec.Known, Settings: settings, Seed: uint64(of.Index), Zones: zoneNames, MachineTypes: kindNames,
+	cfg := core.Config{Discovery: spec.Discovery, CachedEndpoints: spec.CachedEndpoints, Settings: settings, Seed: uint64(agent.PollSlot), Zones: zoneNames, MachineTypes: kindNames,
 		SharedConfig: &core.SharedConfig{RejectOnExpiry: true}}
-	a := &hollow{h: h}
+	a := &hollowAgent{process: h}
 	if a.loop, err = core.New(h.ctx, cfg, semaphore.NewWeighted(1<<20), nil, func() {}); err != nil {
 		return err
 	}
 	h.mu.Lock()
-	h.all[of.Name] = a
+	h.byName[agent.Name] = a
 	h.mu.Unlock()
-	keepers := &client.Config{Replicas: spec.Keepers, CallMs: 400, WaitMs: 500, OnExpiry: client.OnExpiryReject} // as deploy/agreed.toml
-	if spec.Defect == noWait {
-		keepers.WaitMs = 0
+	clientConfig := &client.Config{Replicas: spec.Replicas, CallMs: 400, WaitMs: 500, OnExpiry: client.OnExpiryReject} // as deploy/agreed.toml
+	if spec.Defect == defectNoWait {
+		clientConfig.WaitMs = 0
 	}
-	l := client.New(keepers, of.Name, a)
+	storeClient := client.New(clientConfig, agent.Name, a)
 	go a.loop.Run()
-	go l.Run(h.ctx)
+	go storeClient.Run(h.ctx)
 	return nil
 }
 
-func (h *hollows) state() *hollowState {
-	least := -1
+func (h *hollowAgents) snapshot() *hollowState {
+	minListed := -1
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := h.told
-	out.Books = map[uint64]map[string]int{}
-	for stage, digests := range h.told.Books {
-		out.Books[stage] = map[string]int{}
+	out := h.state
+	out.Configs = map[uint64]map[string]int{}
+	for epoch, digests := range h.state.Configs {
+		out.Configs[epoch] = map[string]int{}
 		for d, n := range digests {
-			out.Books[stage][d] = n
+			out.Configs[epoch][d] = n
 		}
 	}
 	now := time.Now()
-	for _, a := range h.all {
-		if n := a.loop.Rotation().Listed; least < 0 || n < least {
-			least = n
+	for _, a := range h.byName {
+		if n := a.loop.Rotation().Listed; minListed < 0 || n < minListed {
+			minListed = n
 		}
-		if a.lists.After(out.ListsEnd) {
-			out.ListsEnd = a.lists
+		if a.serverRulesEnd.After(out.ServerRulesEnd) {
+			out.ServerRulesEnd = a.serverRulesEnd
 		}
-		if !now.Before(a.lists) {
-			out.Refusing++
+		if !now.Before(a.serverRulesEnd) {
+			out.Rejecting++
 		}
 	}
-	out.Known = least
+	out.MinListed = minListed
 	return &out
 }
--- a/internal/lab/scale/paths.go
+++ b/internal/lab/scale/paths.go
@@ -11,31 +11,31 @@
 // paths measures what calls inside calls cost, in the emulator: over the hops of a chain of services, and over the number
 // of services of a graph. Scale is of times and rates, not of depths and services. What falls with the power of the
 // hops is measured as its logarithm, whose line is straight; attempts at the last hop are not linear: room and time bound them.
-var paths = Test{Name: "paths", About: "services that call services: attempts, failures and time over 1 to 6 hops, and 20 to 82 services",
+var pathsTest = Test{Name: "paths", About: "services that call services: attempts, failures and time over 1 to 6 hops, and 20 to 82 services",
 	Quick: 0.15, Smallest: 0.02, Run: runPaths}
 
 // The aimed size, and the rate of calls of its services.
 const (
-	aimedServices, aimedServers, aimedDepth = 82, 470, 6
-	aimedCallsPerS                          = 56_000.0
+	targetServices, targetServers, targetDepth = 82, 470, 6
+	targetCallsPerS                            = 56_000.0
 	// calmLeast is what a graph without trouble serves at least; the smallest form counts some hundred calls.
-	calmLeast = 0.95
+	minFaultFreeGoodput = 0.95
 )
 
 func runPaths(ctx context.Context, o *Options) (*Report, error) {
 	r := &Report{Test: "paths", Seed: o.Seed, Scale: o.Scale}
-	if err := o.hops(ctx, r); err != nil {
+	if err := o.measureChains(ctx, r); err != nil {
 		return nil, err
 	}
-	if err := o.services(ctx, r); err != nil {
+	if err := o.measureGraphs(ctx, r); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
 // warmUp and seconds are the lengths of a run's beginning, which is not counted, and of what is.
-func (o *Options) warmUp() float64  { return min(max(20*o.Scale, 0.5), 3) }
-func (o *Options) seconds() float64 { return max(10*o.Scale, 0.6) }
+func (o *Options) warmUpSeconds() float64   { return min(max(20*o.Scale, 0.5), 3) }
+func (o *Options) measuredSeconds() float64 { return max(10*o.Scale, 0.6) }
 
 // emulate runs a scenario under the product's module, and says where a rule was broken.
 func (o *Options) emulate(ctx context.Context, r *Report, sc *emulator.Scenario) (*emulator.Result, error) {
@@ -60,45 +60,45 @@
 }
 
 // hops measures chains of services of six servers each, whose answers are right, or errors for half of them at each hop.
-func (o *Options) hops(ctx context.Context, r *Report) error {
-	var p99, served, attempts, inAim []Point
-	for depth := 1; depth <= aimedDepth; depth++ {
-		at := func(list []Point, v float64) []Point { return append(list, Point{float64(depth), v}) }
-		for _, part := range []float64{0, 0.5} {
-			sc := &emulator.Scenario{Name: fmt.Sprintf("chain of %d, errors %v", depth, part), Seconds: o.warmUp() + o.seconds(), WarmUpSeconds: o.warmUp(), Zones: 3,
+func (o *Options) measureChains(ctx context.Context, r *Report) error {
+	var p99, served, attempts, withinObjective []Point
+	for depth := 1; depth <= targetDepth; depth++ {
+		appendPoint := func(list []Point, v float64) []Point { return append(list, Point{float64(depth), v}) }
+		for _, errorFraction := range []float64{0, 0.5} {
+			sc := &emulator.Scenario{Name: fmt.Sprintf("chain of %d, errors %v", depth, errorFraction), Seconds: o.warmUpSeconds() + o.measuredSeconds(), WarmUpSeconds: o.warmUpSeconds(), Zones: 3,
 				Classes: []emulator.ClassLoad{{Name: "read", Effect: "safe", Share: 1, LatencyObjectiveMs: 200, ClientTimeoutMs: 800}},
 				Graph: &emulator.GraphSpec{Seed: o.Seed, Services: depth, Depth: depth, MinServers: 6, MaxServers: 6, ExtraCalls: -1, ClientHosts: 60, Utilization: 0.5,
 					CallsPerS: float64(depth) * 500 * min(1, max(o.Scale*4, 0.4))}}
-			if part > 0 {
-				sc.Faults = []emulator.Fault{{Kind: "errors", ServerFraction: 1, Fraction: part}}
+			if errorFraction > 0 {
+				sc.Faults = []emulator.Fault{{Kind: "errors", ServerFraction: 1, Fraction: errorFraction}}
 			}
 			res, err := o.emulate(ctx, r, sc)
 			if err != nil {
 				return err
 			}
-			if part == 0 {
-				p99 = at(p99, res.P99Ms)
-				if res.Goodput < calmLeast {
-					r.Short = append(r.Short, fmt.Sprintf("%s: served %.4f, at least %v", sc.Name, res.Goodput, calmLeast))
+			if errorFraction == 0 {
+				p99 = appendPoint(p99, res.P99Ms)
+				if res.Goodput < minFaultFreeGoodput {
+					r.Short = append(r.Short, fmt.Sprintf("%s: served %.4f, at least %v", sc.Name, res.Goodput, minFaultFreeGoodput))
 				}
 				continue
 			}
 			// Half an operation where there is none, for the logarithm.
 			ops := float64(res.Ops)
-			served = at(served, -math.Log(max(float64(res.Served), 0.5)/ops))
-			inAim = at(inAim, -math.Log(max(float64(res.WithinObjective), 0.5)/ops))
-			attempts = at(attempts, res.Path.DeepestAttempts)
+			served = appendPoint(served, -math.Log(max(float64(res.Served), 0.5)/ops))
+			withinObjective = appendPoint(withinObjective, -math.Log(max(float64(res.WithinObjective), 0.5)/ops))
+			attempts = appendPoint(attempts, res.Path.DeepestAttempts)
 			r.add(fmt.Sprintf("half errors at each of %d hops: served", depth), res.Goodput, "of calls at the top")
 			r.add(fmt.Sprintf("half errors at each of %d hops: attempts at the last", depth), res.Path.DeepestAttempts, "for a call at the top")
 		}
 	}
 	for _, l := range []struct {
 		name, unit string
-		p          []Point
+		points     []Point
 	}{{"p99 without trouble over hops", "ms", p99}, {"half errors at each hop: minus ln of served", "", served},
-		{"half errors at each hop: minus ln of served in aim", "", inAim},
+		{"half errors at each hop: minus ln of served in aim", "", withinObjective},
 		{"half errors at each hop: attempts at the last for a call at the top", "", attempts}} {
-		r.Lines = append(r.Lines, fitLast(l.name, l.unit, l.p))
+		r.Lines = append(r.Lines, fitLast(l.name, l.unit, l.points))
 	}
 	return nil
 }
@@ -110,26 +110,26 @@
 }
 
 // services measures graphs of more and more services, six deep, at one rate for each server.
-func (o *Options) services(ctx context.Context, r *Report) error {
-	var missed, p99, events, times []Point
-	for _, n := range []int{20, 40, 60, aimedServices} {
-		at := func(list []Point, v float64) []Point { return append(list, Point{float64(n), v}) }
-		servers := aimedServers * n / aimedServices
-		rate := aimedCallsPerS * float64(n) / aimedServices * min(1, max(o.Scale*4, 0.05))
-		sc := &emulator.Scenario{Name: fmt.Sprintf("graph of %d services, %d servers", n, servers), Seconds: o.warmUp() + o.seconds(), WarmUpSeconds: o.warmUp(), Zones: 6,
-			Graph: &emulator.GraphSpec{Seed: o.Seed, Services: n, Depth: aimedDepth, Servers: servers, Regions: 2, CallsPerS: rate}}
+func (o *Options) measureGraphs(ctx context.Context, r *Report) error {
+	var unserved, p99, events, amplification []Point
+	for _, n := range []int{20, 40, 60, targetServices} {
+		appendPoint := func(list []Point, v float64) []Point { return append(list, Point{float64(n), v}) }
+		servers := targetServers * n / targetServices
+		rate := targetCallsPerS * float64(n) / targetServices * min(1, max(o.Scale*4, 0.05))
+		sc := &emulator.Scenario{Name: fmt.Sprintf("graph of %d services, %d servers", n, servers), Seconds: o.warmUpSeconds() + o.measuredSeconds(), WarmUpSeconds: o.warmUpSeconds(), Zones: 6,
+			Graph: &emulator.GraphSpec{Seed: o.Seed, Services: n, Depth: targetDepth, Servers: servers, Regions: 2, CallsPerS: rate}}
 		res, err := o.emulate(ctx, r, sc)
 		if err != nil {
 			return err
 		}
-		if res.Goodput < calmLeast {
-			r.Short = append(r.Short, fmt.Sprintf("%s: served %.4f, at least %v", sc.Name, res.Goodput, calmLeast))
+		if res.Goodput < minFaultFreeGoodput {
+			r.Short = append(r.Short, fmt.Sprintf("%s: served %.4f, at least %v", sc.Name, res.Goodput, minFaultFreeGoodput))
 		}
-		missed = at(missed, 1000*(1-res.Goodput))
-		p99 = at(p99, res.P99Ms)
-		events = at(events, float64(res.Events)/sc.Seconds)
-		times = at(times, res.Path.Amplification)
-		if n == aimedServices {
+		unserved = appendPoint(unserved, 1000*(1-res.Goodput))
+		p99 = appendPoint(p99, res.P99Ms)
+		events = appendPoint(events, float64(res.Events)/sc.Seconds)
+		amplification = appendPoint(amplification, res.Path.Amplification)
+		if n == targetServices {
 			r.add("calls at the top, aimed size", sc.Load.PerS, "/s")
 			r.add("calls of all services, aimed size", rate, "/s")
 			r.add("served in aim, aimed size", float64(res.WithinObjective)/float64(res.Ops), "of calls at the top")
@@ -138,10 +138,10 @@
 	}
 	for _, l := range []struct {
 		name, unit string
-		p          []Point
-	}{{"not served, over services", "of 1,000", missed}, {"p99 over services", "ms", p99}, {"events of the emulator over services", "/s", events},
-		{"attempts at the last hop, of those without trouble, over services", "times", times}} {
-		r.Lines = append(r.Lines, fitLast(l.name, l.unit, l.p))
+		points     []Point
+	}{{"not served, over services", "of 1,000", unserved}, {"p99 over services", "ms", p99}, {"events of the emulator over services", "/s", events},
+		{"attempts at the last hop, of those without trouble, over services", "times", amplification}} {
+		r.Lines = append(r.Lines, fitLast(l.name, l.unit, l.points))
 	}
 	return nil
 }
--- a/internal/lab/scale/plainproxy.go
+++ b/internal/lab/scale/plainproxy.go
@@ -18,7 +18,7 @@
 )
 
 // childEnv makes a process of the lab a plain proxy: it names the file of its configuration.
-const childEnv = "RINGTRACK_SCALE_PLAIN_PROXY"
+const plainProxyEnv = "RINGTRACK_SCALE_PLAIN_PROXY"
 
 // plainConfig is where a plain proxy listens and the backends behind it.
 type plainConfig struct {
@@ -27,16 +27,16 @@
 }
 
 // plainChild runs the process as a plain proxy, if the environment says so, and does not return then.
-func plainChild() {
-	path := os.Getenv(childEnv)
+func runPlainProxyChild() {
+	path := os.Getenv(plainProxyEnv)
 	if path == "" {
 		return
 	}
-	log.Fatalln("plain proxy:", servePlain(path))
+	log.Fatalln("plain proxy:", servePlainProxy(path))
 }
 
 // newPlain makes the process of a plain proxy in a folder, which is not started. It has one core, as the agent has.
-func newPlain(dir, addr string, backends []string) (*cluster.Process, error) {
+func newPlainProxy(dir, addr string, backends []string) (*cluster.Process, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -47,14 +47,14 @@
 	}
 	path := filepath.Join(dir, "plain.json")
 	p := &cluster.Process{Name: filepath.Base(dir), Dir: dir, Args: []string{self}, Addr: addr,
-		Env: []string{childEnv + "=" + path, "GOMAXPROCS=1", "GORACE=atexit_sleep_ms=0"}}
+		Env: []string{plainProxyEnv + "=" + path, "GOMAXPROCS=1", "GORACE=atexit_sleep_ms=0"}}
 	return p, os.WriteFile(path, text, 0o600)
 }
 
 // servePlain is what stands beside the agent for comparison: net/http/httputil's reverse proxy over net/http's
 // transport, any backend for each call, connections kept for as long as the agent keeps them. It decides nothing, tries
 // nothing twice and follows no list.
-func servePlain(path string) error {
+func servePlainProxy(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -64,8 +64,8 @@
 		return err
 	}
 	var dials atomic.Int64
-	dialer := net.Dialer{Timeout: callTime}
-	transport := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: keptFor, DisableCompression: true,
+	dialer := net.Dialer{Timeout: callTimeout}
+	transport := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: backendIdleTimeout, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			dials.Add(1)
 			return dialer.DialContext(ctx, network, addr)
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -47,14 +47,14 @@
 	{"control", "470 agents, hollow and real, 5 keepers, discovery: what control needs, quiet and under changes and faults", 0.15, 0.02,
 		"hollow agents that ask again at once; with slow disks, keepers whose loop waits for its disk", Control},
 	dataPathTest,
-	paths,
+	pathsTest,
 }
 
 // Child runs the process as hollow agents or as a plain proxy, if its environment says so, and does not return then. A
 // program that runs scale tests calls it first.
 func Child() {
-	hollowChild()
-	plainChild()
+	runHollowChild()
+	runPlainProxyChild()
 }
 
 // Find returns the test of a name.
@@ -123,38 +123,38 @@
 }
 
 // sized is a figure at each size.
-type sized struct {
+type sizedFigure struct {
 	name, unit string
 	points     []Point
 }
 
 // series are figures at sizes that are measured one after the other, in the order of their lines.
-type series []sized
+type sizedFigures []sizedFigure
 
 // at notes a figure of a size.
-func (s *series) at(size int, name string, value float64, unit string) {
+func (s *sizedFigures) record(size int, name string, value float64, unit string) {
 	p := Point{float64(size), value}
 	for i := range *s {
-		if of := &(*s)[i]; of.name == name {
-			of.points = append(of.points, p)
+		if figure := &(*s)[i]; figure.name == name {
+			figure.points = append(figure.points, p)
 			return
 		}
 	}
-	*s = append(*s, sized{name, unit, []Point{p}})
+	*s = append(*s, sizedFigure{name, unit, []Point{p}})
 }
 
 // foretell tells what the sizes so far foretell for one that was not measured yet.
-func (s series) foretell(o *Options, size int) {
-	for _, of := range s {
-		o.logf("foretold: %s", Fit(of.name, of.unit, of.points, float64(size), -1))
+func (s sizedFigures) logPredictions(o *Options, size int) {
+	for _, figure := range s {
+		o.logf("foretold: %s", Fit(figure.name, figure.unit, figure.points, float64(size), -1))
 	}
 }
 
 // lines are fitted to all sizes but the last, and checked there.
-func (s series) lines() (all []Line) {
-	for _, of := range s {
-		last := len(of.points) - 1
-		all = append(all, Fit(of.name, of.unit, of.points[:last], of.points[last].Size, of.points[last].Value))
+func (s sizedFigures) lines() (all []Line) {
+	for _, figure := range s {
+		last := len(figure.points) - 1
+		all = append(all, Fit(figure.name, figure.unit, figure.points[:last], figure.points[last].Size, figure.points[last].Value))
 	}
 	return all
 }
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -21,7 +21,7 @@
 
 // cores reads what a process's threads had of cores and waited for them, from schedstat, in ns: the 10 ms ticks of stat
 // are too coarse for a process that idles. A thread that ends takes its part along; those of Go's runtime stay.
-func cores(pid int) (cpu, wait time.Duration, err error) {
+func schedulerTimes(pid int) (cpu, wait time.Duration, err error) {
 	dir := fmt.Sprintf("/proc/%d/task", pid)
 	threads, err := os.ReadDir(dir)
 	if err != nil {
@@ -45,8 +45,8 @@
 }
 
 // usageOf reads a process's usage.
-func usageOf(pid int) (u usage, err error) {
-	if u.CPU, u.Wait, err = cores(pid); err != nil {
+func readUsage(pid int) (u usage, err error) {
+	if u.CPU, u.Wait, err = schedulerTimes(pid); err != nil {
 		return u, err
 	}
 	var read, written int64
