--- a/internal/lab/scale/admin.go
+++ b/internal/lab/scale/admin.go
@@ -20,25 +20,28 @@
 )
 
 const (
-	// adminCalls is how many calls of each kind are made at a size, adminQuiet for how long it is left alone before, at
-	// scale 1: a call costs some 0.2 ms, what an agent does by itself some 0.6 % of a core.
+	// adminCalls is the number of calls of each kind at each size, adminIdleTime how long the agent is idle
+	// before them, both at scale 1. A call costs about 0.2 ms of processor time, an idle agent about 0.6 % of
+	// a core.
 	adminCalls, adminIdleTime = 4000, 4 * time.Second
-	// adminWarm is the calls of each kind before those that count: the agent's heap has its size by then.
+	// adminWarmUpFraction is the fraction of uncounted calls of each kind that let the agent's heap reach its
+	// size first.
 	adminWarmUpFraction = 0.1
-	// adminTime is what one of them may take.
+	// adminCallTimeout is the timeout of a call.
 	adminCallTimeout = 10 * time.Second
 )
 
 var adminTest = Test{Name: "admin", Quick: 0.3, Smallest: 0.01,
-	About: "What a call at an agent's admin endpoint costs it, by backends listed: health, figures, a ban and its lifting.",
+	About: "Cost of a call at an agent's admin endpoint by number of listed backends: health, statistics, cordon and uncordon.",
 	Run: func(ctx context.Context, o *Options) (*Report, error) {
 		return (&adminMeasurement{o: o, r: &Report{Test: "admin", Seed: o.Seed, Scale: o.Scale}}).run(ctx)
 	}}
 
-// adminEndpoint is one run. Each size has an agent of its own, a process of the product's binary as it is delivered, with
-// a folder for its bans and without keepers; nobody calls it as a client does, and nothing is behind its backends'
-// addresses. One operator calls, one call behind the other, each on a connection of its own, as the endpoint has it. What
-// the agent spends by itself is measured before and taken off. Bytes are those of calls and answers, without those of TCP.
+// adminMeasurement is one run of the test. Each size has its own agent, a process of the released binary with
+// a directory for its cordons and without replicas. It gets no requests of clients, and nothing listens at
+// its backends' addresses. One operator makes the calls sequentially, each on a new connection, as the
+// endpoint serves one call per connection. The agent's idle usage is measured first and subtracted. Bytes are
+// those of HTTP requests and responses, without the overhead of TCP.
 type adminMeasurement struct {
 	o       *Options
 	r       *Report
@@ -73,13 +76,13 @@
 	return a.r, nil
 }
 
-// size measures the calls of an agent with n backends listed.
+// measureSize measures the calls at an agent with n backends listed.
 func (a *adminMeasurement) measureSize(ctx context.Context, n int) error {
 	a.o.logf("%d backends listed", n)
 	var entries []membership.Entry
 	for i := range n {
 		e := backendEntry(i)
-		e.Zone = []string{"east", "west", "south"}[i%3] // those of the settings
+		e.Zone = []string{"east", "west", "south"}[i%3] // the zones in the settings
 		entries = append(entries, e)
 	}
 	discovery, err := lab.NewDiscoveryService(entries...)
@@ -158,21 +161,21 @@
 		a.figures.record(n, operation.name+", time p50", millis(quantile(latencies, 0.5)), "ms")
 		a.r.add(fmt.Sprintf("%d listed: %s, time p99 of %d", n, operation.name, calls), millis(quantile(latencies, 0.99)), "ms")
 	}
-	// What was measured did what it says.
+	// Check that the calls had their effect: a cordon takes one backend out of rotation.
 	if err := caller.call(http.MethodPut, "/admin/cordon?name="+url.QueryEscape(entries[0].ID)); err != nil {
 		return err
 	}
 	return caller.awaitCounts(n, 1)
 }
 
-// adminCaller is an operator, who counts the bytes of calls and answers.
+// adminCaller makes calls as an operator does and counts the bytes of requests and responses.
 type adminCaller struct {
 	addr  string
 	bytes int64
-	body  []byte // of the last answer
+	body  []byte // of the last response
 }
 
-// call makes a call, which must be answered with 200.
+// call makes a call and returns an error unless the status is 200.
 func (c *adminCaller) call(method, target string) error {
 	nc, err := net.DialTimeout("tcp", c.addr, adminCallTimeout)
 	if err != nil {
@@ -184,20 +187,20 @@
 	if err != nil {
 		return err
 	}
-	answer, err := io.ReadAll(nc) // one call to a connection
+	answer, err := io.ReadAll(nc) // the endpoint closes the connection after a call
 	if err != nil {
 		return err
 	}
 	c.bytes += int64(sent + len(answer))
 	head, body, _ := bytes.Cut(answer, []byte("\r\n\r\n"))
 	if !bytes.HasPrefix(head, []byte("HTTP/1.1 200 ")) {
-		return fmt.Errorf("%s %s: answered %q", method, target, answer)
+		return fmt.Errorf("%s %s: unexpected response %q", method, target, answer)
 	}
 	c.body = body
 	return nil
 }
 
-// expect waits until the agent tells of so many backends listed and out of rotation.
+// awaitCounts waits until the agent reports the given numbers of backends listed and out of rotation.
 func (c *adminCaller) awaitCounts(listed, out int) error {
 	deadline := time.Now().Add(readyTimeout)
 	for {
@@ -208,7 +211,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d listed and %d out of rotation are not told: %q", listed, out, c.body)
+			return fmt.Errorf("the agent does not report %d backends listed and %d out of rotation: %q", listed, out, c.body)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/lab/scale/admin_test.go
+++ b/internal/lab/scale/admin_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// What each call costs is told at each size, and none of it for nothing.
+// The report has a line for each kind of call and figure, and all values are positive.
 func TestAdminReportsAllOperations(t *testing.T) {
 	t.Parallel()
 	r, err := adminTest.Run(t.Context(), &Options{Seed: 3, Scale: adminTest.Smallest})
@@ -34,7 +34,7 @@
 	}
 }
 
-// A call that is answered with anything but 200 is none that counts.
+// A call without a response of status 200 is an error, not a measurement.
 func TestAdminCallsThatFail(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	defer s.Close()
@@ -50,6 +50,6 @@
 	c.addr = ln.Addr().String()
 	ln.Close()
 	if err := c.call(http.MethodGet, "/admin/health"); err == nil {
-		t.Error("nobody listens")
+		t.Error("no error although nothing listens")
 	}
 }
--- a/internal/lab/scale/control.go
+++ b/internal/lab/scale/control.go
@@ -10,7 +10,7 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// The aimed size, and what control may use of an agent's machine.
+// The target size, and the limits of what the control plane may use of an agent's machine.
 const (
 	targetAgents               = 470
 	targetChangesPerDay        = 280 // a day
@@ -20,12 +20,13 @@
 )
 
 const (
-	// quickScale is the scale under which leases and the spread of first calls are shorter than deployed, so that
-	// waiting for them fits; small is that under which the test only shows that it works: its figures mean nothing.
+	// Below quickScale, leases and the interval of first discovery polls are shorter than deployed, so that
+	// waiting for them fits into the run. Below smokeScale the test only shows that it works, and its figures
+	// mean nothing.
 	quickScale, smokeScale = 0.3, 0.05
 )
 
-// times are those of the scale: as deploy/keeper.toml and the contract have them, or shorter.
+// times returns the times for the scale: as in deploy/keeper.toml and in the contract's settings, or shorter.
 func (o *Options) times() controlTimes {
 	switch {
 	case o.Scale < smokeScale:
@@ -36,25 +37,26 @@
 	return controlTimes{pollSlots: o.scaled(2*targetAgents, 1), pollIntervalMs: 10_000, leaseMs: 2000, serverRulesMs: 3000}
 }
 
-// scaled is n at the scale, and least at the least.
+// scaled returns n at the scale, but at least the minimum.
 func (o *Options) scaled(n, minimum int) int { return max(int(float64(n)*o.Scale), minimum) }
 
-// sizeCost is what was measured at one size: a quiet time, and what one change cost beyond it.
+// sizeCost is what was measured at one size: an idle interval, and what a change used in addition.
 type sizeCost struct {
 	rate
-	replicaMs, busiestReplicaMs float64 // processor time of a change
-	realMs, hollowMs            float64 // of an agent
-	realKB, hollowKB            float64 // bytes of a change, an agent
-	renewalsPerAgent            float64 // asks during a change, an agent
-	immediatePerAgent           float64 // those of them that wait for nothing: behind a failed one
-	elections                   float64 // of keepers during all the changes
+	replicaMs, busiestReplicaMs float64 // processor time per change
+	realMs, hollowMs            float64 // per change and agent
+	realKB, hollowKB            float64 // bytes per change and agent
+	renewalsPerAgent            float64 // renewals per change and agent
+	immediatePerAgent           float64 // renewals without waiting, as after a failed one
+	elections                   float64 // new terms of replicas during all changes
 	latencies                   changeLatencies
 	toolCosts                   map[string]toolCost
 }
 
-// Control measures what the control of a deployment needs: agents, keepers and discovery, quiet and a change, at three
-// sizes, then at the aimed one and at twice that; and at the aimed one, how long a change takes until it is in force
-// everywhere while parts are gone, and what their return costs.
+// Control measures what the control plane of a deployment uses. It measures agents, replicas and discovery,
+// idle and during changes, at three sizes, at the target size and at twice that. At the target size it also
+// measures how long a change takes to be in force everywhere while parts of the deployment are down, and what
+// their return costs.
 func Control(ctx context.Context, o *Options) (*Report, error) {
 	if o.SlowDisk {
 		return measureSlowDisks(ctx, o)
@@ -80,7 +82,7 @@
 	for _, n := range slices.Concat(sizes, checkedSizes) {
 		if err := rig.grow(ctx, n, realAgents); err != nil {
 			r.addShort("at %d agents: %v", n, err)
-			break // what was measured so far is told all the same
+			break // report what was measured so far
 		}
 		changes := o.scaled(10, 1)
 		if n > target {
@@ -95,9 +97,9 @@
 		if c.toolCosts, err = rig.measureTools(ctx); err != nil {
 			r.addShort("at %d agents: tools: %v", n, err)
 		}
-		o.logf("%d agents: %.1f asks/s, agent %.2f %%, keepers %.1f %%; a change: in force %v, busiest keeper %.0f ms, %.2f asks an agent, %.2f of them behind a failed one; %.0f terms of keepers",
+		o.logf("%d agents: %.1f renewals/s, agent %.2f %%, replicas %.1f %%; per change: in force after %v, busiest replica %.0f ms, %.2f renewals per agent, %.2f of them without waiting; %.0f new terms",
 			n, c.renewals, c.realCPU, c.replicaCPU, percentile(c.latencies.slowestAgent(), 0.5), c.busiestReplicaMs, c.renewalsPerAgent, c.immediatePerAgent, c.elections)
-		elections += rig.logElections(ctx, fmt.Sprintf("up to %d agents", n))
+		elections += rig.logElections(ctx, fmt.Sprintf("growth to %d agents", n))
 		if n == target {
 			elections += rig.runPhases(ctx, r, c)
 		}
@@ -125,7 +127,7 @@
 	r.add("processor of all keepers", c.replicaCPU*36, "s an hour")
 	r.add("elections that keepers told of, those of keepers that were killed among them", float64(elections), "")
 	r.add("state of a keeper on its disk", c.replicaStateKB, "KB")
-	if o.Scale < smokeScale { // a stretch of 0.1 s: one of the 10 ms by which processor time is counted is more than the bound
+	if o.Scale < smokeScale { // the interval is 0.1 s: a single 10 ms tick of processor time exceeds the limit
 		c.realCPU, c.hollowCPU = 0, 0
 	}
 	for _, b := range []struct {
@@ -135,7 +137,7 @@
 		{"processor of a hollow agent, % of a core", c.hollowCPU, maxAgentCPU}, {"memory of a hollow agent, MB", c.hollowMB, maxAgentMB},
 		{"bytes of a hollow agent, KB/s", c.rate.hollowKB, maxAgentKBPerS}} {
 		if b.value > b.most {
-			r.addShort("at %d agents: %s: %.3g, %.3g at the most", target, b.what, b.value, b.most)
+			r.addShort("at %d agents: %s: %.3g, limit %.3g", target, b.what, b.value, b.most)
 		}
 	}
 	return r, rig.checkConfigs(r)
@@ -176,7 +178,7 @@
 	{"a change, bytes of a hollow agent", "KB", func(c *sizeCost) float64 { return c.hollowKB }},
 }
 
-// cost measures a stretch in which nothing changes, and then some changes.
+// measure measures an interval without changes, and then some changes.
 func (r *controlRig) measure(ctx context.Context, changes int) (*sizeCost, error) {
 	idleBegan := r.takeSnapshot()
 	select {
@@ -190,8 +192,8 @@
 		return nil, err
 	}
 	changesEnded, elections := r.takeSnapshot(), r.term(ctx)-before
-	// What hollow agents hold is counted behind a collection: of a process with many of them, what is not yet collected
-	// says nothing of one.
+	// Hollow agents' memory is measured after a garbage collection: in a process with many agents the
+	// uncollected memory says nothing about one agent.
 	idleEnded.hollowRSS = 0
 	for _, z := range r.zones {
 		if err := r.callZone(z, http.MethodPost, "/collect", nil); err != nil {
@@ -201,9 +203,9 @@
 	}
 	c := &sizeCost{rate: r.rate(&idleBegan, &idleEnded), latencies: latencies, elections: elections}
 	during := r.rate(&idleEnded, &changesEnded)
-	// Of a percent of a core over so many seconds, and of KB a second: what one change took beyond the quiet time.
+	// Converts percent of a core or KB/s during the changes to what one change used beyond the idle rate.
 	spanPerChange := during.span / float64(changes)
-	// 0 is less than the clock's 10 ms tell.
+	// Negative differences are within the 10 ms resolution of the processor times, and count as 0.
 	beyond := func(during, idle, unit float64) float64 { return max(unit*spanPerChange*(during-idle), 0) }
 	c.replicaMs, c.busiestReplicaMs = beyond(during.replicaCPU, c.replicaCPU, 10), beyond(during.busiestReplicaCPU, c.busiestReplicaCPU, 10)
 	c.realMs, c.hollowMs = beyond(during.realCPU, c.realCPU, 10), beyond(during.hollowCPU, c.hollowCPU, 10)
@@ -212,8 +214,8 @@
 	return c, nil
 }
 
-// judge tells whether every book that a hollow agent's data path was given is the one that was published, and whether
-// all the rest came to them.
+// checkConfigs reports hollow agents that received a configuration other than the published one, and zones
+// whose agents received none, or several, of the last version.
 func (r *controlRig) checkConfigs(rep *Report) error {
 	for _, z := range r.zones {
 		s, err := r.state(z)
@@ -223,18 +225,19 @@
 		for epoch, digests := range s.Configs {
 			for digest, n := range digests {
 				if epoch%2 == 0 && digest != configOf(epoch/2).Digest() {
-					rep.addShort("%s: %d agents were given %s as version %d", z.p.Name, n, digest, epoch/2)
+					rep.addShort("%s: %d agents received configuration %s as version %d", z.p.Name, n, digest, epoch/2)
 				}
 			}
 		}
 		if n := s.Configs[sharedconfig.EpochOf(r.version)]; len(n) != 1 {
-			rep.addShort("%s: the last version came to its agents as %v", z.p.Name, n)
+			rep.addShort("%s: agents by digest received as the last version: %v", z.p.Name, n)
 		}
 	}
 	return nil
 }
 
-// lapses is how many leases were renewed behind their end, of hollow agents since their last start.
+// leaseExpiries returns how many leases of hollow agents were renewed after their expiry since their last
+// start.
 func (r *controlRig) leaseExpiries() (n int, err error) {
 	for _, z := range r.zones {
 		s, err := r.state(z)
--- a/internal/lab/scale/controlphases.go
+++ b/internal/lab/scale/controlphases.go
@@ -11,14 +11,14 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// controlPhase is a day, compressed to seconds.
+// controlPhase is an event in a deployment's operation, such as the loss of a zone.
 type controlPhase struct {
 	name     string
-	minScale float64 // the scale from which on it is run
+	minScale float64 // smallest scale at which the phase runs
 	run      func(*controlRig, context.Context, *Report, *sizeCost) error
 }
 
-// controlPhases are the ordinary and the rare days of the aimed size.
+// controlPhases are the frequent and rare events that are measured at the target size.
 var controlPhases = []controlPhase{
 	{"zone", 0, (*controlRig).loseZone},
 	{"dead agents", smokeScale, (*controlRig).killAgents},
@@ -27,7 +27,7 @@
 	{"keepers", smokeScale, (*controlRig).loseReplicas},
 }
 
-// phases runs the days. One that does not come to its end falls short. It returns how many elections there were.
+// runPhases runs the phases and returns the number of elections. A phase that fails is reported.
 func (r *controlRig) runPhases(ctx context.Context, rep *Report, idle *sizeCost) (elections int) {
 	r.reportLatencies(rep, "healthy", idle.latencies)
 	for _, p := range controlPhases {
@@ -46,8 +46,8 @@
 
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// report adds how long changes took until they were in force everywhere. With ticks longer than deployed that means
-// nothing, and is not judged.
+// reportLatencies adds how long changes took until they were in force everywhere. With election ticks that
+// are longer than deployed this is not compared with the limit.
 func (r *controlRig) reportLatencies(rep *Report, phase string, latencies changeLatencies) {
 	all := latencies.slowestAgent()
 	rep.add(fmt.Sprintf("%s: in force everywhere, %d changes, p50", phase, len(all)), ms(percentile(all, 0.5)), "ms")
@@ -55,11 +55,11 @@
 	rep.add("max", ms(percentile(all, 1)), "ms")
 	rep.add("at an agent p50", ms(percentile(latencies.perAgent(), 0.5)), "ms")
 	if longest := percentile(all, 1); longest > maxInForceTime && r.times.tickMs == 0 {
-		rep.addShort("%s: a change was in force everywhere after %v, %v at the most", phase, longest.Round(time.Millisecond), maxInForceTime)
+		rep.addShort("%s: a change was in force everywhere after %v, limit %v", phase, longest.Round(time.Millisecond), maxInForceTime)
 	}
 }
 
-// realsIn are the product's processes in zones.
+// realAgentsIn returns the processes of real agents in zones.
 func (r *controlRig) realAgentsIn(in func(zone int) bool) (ps []*cluster.Process) {
 	for i, p := range r.Agents {
 		if in(i % len(zoneNames)) {
@@ -69,7 +69,8 @@
 	return ps
 }
 
-// zoneGone has a zone vanish, a sixth of all, agents and backends; a change comes meanwhile; and it returns at once.
+// loseZone kills a zone, a sixth of all agents and backends, publishes changes meanwhile, and starts the zone
+// again all at once.
 func (r *controlRig) loseZone(ctx context.Context, rep *Report, idle *sizeCost) error {
 	lostZone := int(r.o.Seed % uint64(len(zoneNames)))
 	inLostZone := func(zone int) bool { return zone == lostZone }
@@ -108,7 +109,7 @@
 	return r.reportReturn(ctx, rep, "the zone's return", times, before, idle)
 }
 
-// returned adds what a return of agents took and cost, until all follow discovery again.
+// reportReturn adds how long returning agents took and what they used until all follow discovery again.
 func (r *controlRig) reportReturn(ctx context.Context, rep *Report, phase string, times []time.Duration, before usageSnapshot, idle *sizeCost) error {
 	rep.add(phase+": until an agent holds a lease on the last version, p50", ms(percentile(times, 0.5)), "ms")
 	rep.add("p99", ms(percentile(times, 0.99)), "ms")
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// deadAgents kills two agents just before a change, so that it waits for the end of their leases.
+// killAgents kills two agents just before a change, which has to wait for the expiry of their leases.
 func (r *controlRig) killAgents(ctx context.Context, rep *Report, _ *sizeCost) error {
 	var latencies changeLatencies
 	killed := r.Agents[max(len(r.Agents)-2, 0):]
@@ -158,8 +159,9 @@
 	return nil
 }
 
-// regionCut has the two regions lose each other: three keepers are in the first, two in the second. Of the hour that it
-// may last, the time in which leases and the word on servers end is played, and the changes of half an hour.
+// partitionRegions cuts the links between the two regions; the first has three replicas, the second two. A
+// real partition may last an hour. The test covers the time until leases and server rules have expired and
+// the changes of half an hour.
 func (r *controlRig) partitionRegions(ctx context.Context, rep *Report, idle *sizeCost) error {
 	side := func(region int) (ps []*cluster.Process) {
 		for i, z := range r.zones {
@@ -187,12 +189,12 @@
 	began := r.takeSnapshot()
 	mode := cluster.Stall
 	if r.times.syncDelayMs > 0 {
-		// The cut lasts for longer then, and each ask that is given up on a connection that stalls keeps the lab's
-		// descriptors: 20,000 were gone after 30 s of 470 agents.
+		// With slow disks the partition lasts longer, and each renewal that is abandoned on a stalled
+		// connection keeps descriptors of the lab open: 20,000 were in use after 30 s with 470 agents.
 		mode = cluster.Drop
 	}
 	setLinks(mode)
-	// The first change waits for the leases on the other side; of the others one is published behind the other.
+	// The first change waits for the leases of the minority; the others are published one after another.
 	first, err := r.publishChanges(ctx, 1, r.Replicas[:3], majorityAgents)
 	if err != nil {
 		setLinks(cluster.Pass)
@@ -203,7 +205,7 @@
 		setLinks(cluster.Pass)
 		return err
 	}
-	// Both leases and words on servers of the side without a majority are over by now: the first change waited for that.
+	// Leases and server rules of the minority side have expired by now, as the first change waited for that.
 	rejecting, hollows, rulesEnd := 0, 0, time.Time{}
 	for i, z := range r.zones {
 		if regionOf(i) == 0 {
@@ -236,15 +238,15 @@
 	rep.add("processor of all keepers while cut", x.replicaCPU, "% of a core")
 	r.reportLatencies(rep, "regions joined again, other side, the last version", changeLatencies{back})
 	if rejecting != hollows {
-		rep.addShort("regions cut: %d of %d hollow agents without a majority refuse", rejecting, hollows)
+		rep.addShort("regions cut: %d of %d hollow agents without a majority reject requests", rejecting, hollows)
 	}
 	if limit := time.Duration((r.times.leaseMs + r.times.serverRulesMs + 250) * float64(time.Millisecond)); rulesEnd.Sub(began.at) > limit {
-		rep.addShort("regions cut: the other side went by the old word for %v, %v at the most", rulesEnd.Sub(began.at), limit)
+		rep.addShort("regions cut: the minority side used its last server rules for %v, limit %v", rulesEnd.Sub(began.at), limit)
 	}
 	return nil
 }
 
-// startAll ends all agents and starts them at once.
+// restartAll kills all agents and starts them at once.
 func (r *controlRig) restartAll(ctx context.Context, rep *Report, idle *sizeCost) error {
 	for _, z := range r.zones {
 		z.p.Kill()
@@ -272,11 +274,11 @@
 	return r.reportReturn(ctx, rep, fmt.Sprintf("%d agents started at once", len(names)), times, before, idle)
 }
 
-// keepersLost kills the keeper that leads, and a second one with it, publishes, and starts them again.
+// loseReplicas kills the leader, and in a second round another replica too, publishes, and restarts them.
 func (r *controlRig) loseReplicas(ctx context.Context, rep *Report, _ *sizeCost) error {
 	for _, n := range []int{1, 2} {
 		var leader *cluster.Process
-		if err := cluster.Until(ctx, "a keeper leads", 20*time.Second, func() bool { leader, _ = r.Leader(ctx); return leader != nil }); err != nil {
+		if err := cluster.Until(ctx, "a replica leads", 20*time.Second, func() bool { leader, _ = r.Leader(ctx); return leader != nil }); err != nil {
 			return err
 		}
 		lost := []*cluster.Process{leader}
@@ -321,7 +323,7 @@
 				return err
 			}
 		}
-		if err := cluster.Until(ctx, "the keepers are back", 30*time.Second, func() bool { return r.replicasReached(ctx, lost, sharedconfig.EpochOf(r.version)) }); err != nil {
+		if err := cluster.Until(ctx, "the restarted replicas are up to date", 30*time.Second, func() bool { return r.replicasReached(ctx, lost, sharedconfig.EpochOf(r.version)) }); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/scale/controlrig.go
+++ b/internal/lab/scale/controlrig.go
@@ -23,14 +23,14 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// zoneNames are the six zones of two regions, three each; kindNames the kinds of machines.
+// zoneNames are six zones, three in each of two regions; kindNames are the machine types.
 var zoneNames, kindNames = []string{"a1", "a2", "a3", "b1", "b2", "b3"}, []string{"fast"}
 
-// regionOf is the region of a zone by its number.
+// regionOf returns the region of the zone with an index.
 func regionOf(zone int) int { return zone / (len(zoneNames) / 2) }
 
-// agentSettings are those of the agent whose turn is index among of: three classes of its own service, lists asked for
-// from a discovery that all share, the contract's times.
+// agentSettings returns the settings of the agent with a discovery poll slot: three classes of its own
+// service, endpoint lists polled from one shared discovery service, and the deployed times.
 func agentSettings(pollSlot, pollSlots int, pollIntervalMs float64) json.RawMessage {
 	return fmt.Appendf(nil, `{"classes":[
 {"name":"svc-00","aimMs":200,"giveUpMs":800,"effect":"free","credit":1,"lateShare":0.2},
@@ -42,11 +42,11 @@
 "index":%d,"replicasOfMe":%d,"roundMs":5,"weights":"nominal","worthBy":"request"}`, pollIntervalMs, pollSlot, pollSlots)
 }
 
-// services is how many services' classes the book of rules has.
+// services is the number of services with a class in the shared configuration.
 const services = 82
 
-// bookOf is the book of a version: a class each service, a mark that differs from version to version, and for every
-// other version another ban, so that its word on servers differs too.
+// configOf returns the configuration of a version: a class per service, an overload factor that differs
+// between versions, and another cordon in every second version, so that the server rules change too.
 func configOf(version uint64) *sharedconfig.Config {
 	b := &sharedconfig.Config{Classes: map[string]sharedconfig.Class{}, OverloadFactor: 1 + float64(version)/1000}
 	for i := range services {
@@ -58,13 +58,13 @@
 	return b
 }
 
-// askWitness sees agents' asks on their ways to the keepers: it reads who has which stage, and counts. What it sees is the
-// word of each agent as it leaves the agent.
+// renewalObserver counts agents' renewals on the links to the replicas and records which epoch each agent
+// has. It sees the renewals as the agents send them.
 type renewalObserver struct {
 	mu        sync.Mutex
 	calls     int64
-	immediate int64         // those that wait for nothing, as one behind a failed one does
-	per100ms  map[int64]int // asks in each 100 ms of Unix time
+	immediate int64         // renewals that do not wait for a change, as after a failed one
+	per100ms  map[int64]int // renewals in each 100 ms of Unix time
 	epochs    map[string][]epochAt
 }
 
@@ -77,7 +77,7 @@
 	return &renewalObserver{epochs: map[string][]epochAt{}, per100ms: map[int64]int{}}
 }
 
-// saw takes a piece of what was sent. An ask is one write of under 4 KB, so one piece.
+// observe parses a chunk of sent bytes. A renewal is sent in one write of less than 4 KB, hence in one chunk.
 func (o *renewalObserver) observe(b []byte) {
 	at := time.Now()
 	for {
@@ -122,7 +122,7 @@
 	return o.calls, o.immediate
 }
 
-// peak is the most asks that came in 100 ms since from.
+// peak returns the largest number of renewals in 100 ms since from.
 func (o *renewalObserver) peak(from time.Time) (highest int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -134,7 +134,7 @@
 	return highest
 }
 
-// forget forgets what agents have: they are started anew.
+// forget removes the epochs of agents that are restarted.
 func (o *renewalObserver) forget(names []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -143,8 +143,8 @@
 	}
 }
 
-// took is how long behind from each of the agents first said that it has the stage or a later one, but for those that
-// are missing.
+// latencies returns how long after from each agent first reported the epoch or a later one, and the agents
+// that have not done so.
 func (o *renewalObserver) latencies(names []string, epoch uint64, from time.Time) (times []time.Duration, missing []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -159,57 +159,57 @@
 	return times, missing
 }
 
-// controlTimes are the times by which the parts of a rig go, ms.
+// controlTimes are the times with which a rig is configured.
 type controlTimes struct {
-	pollSlots      int     // agents among which each has its turn at discovery
-	pollIntervalMs float64 // the contract's time for a list, over which agents spread their first calls
+	pollSlots      int     // number of slots in which agents poll discovery
+	pollIntervalMs float64 // interval of discovery polls, over which agents spread their first ones
 	leaseMs        float64
 	serverRulesMs  float64
-	tickMs         float64 // of keepers; 0: their default
-	syncDelayMs    int     // what a sync takes more while keepers' disks are slow; 0: they never are
+	tickMs         float64 // tick of replicas; 0: their default
+	syncDelayMs    int     // added to each sync while replicas' disks are slow; 0: they never are
 }
 
-// publishTime is for one keeper to answer a publish: it waits for some syncs, one behind the other.
+// publishTime is the timeout of a publish at one replica. A publish waits for several sequential syncs.
 func (t *controlTimes) publishTime() time.Duration {
 	return time.Second + 4*time.Duration(t.syncDelayMs)*time.Millisecond
 }
 
-// controlRig is keepers, hollow and real agents and a stand-in discovery, every way between them through the lab's own
-// process, heartbeats of keepers too: on a machine without a core to spare that delays them, so terms of keepers are
-// counted beside the time that changes take.
+// controlRig runs replicas, hollow and real agents, and a stand-in for discovery. All connections between
+// them, including heartbeats of replicas, pass through the lab's process. On a machine without a spare core
+// that delays them, so new terms of replicas are counted in addition to the latencies of changes.
 type controlRig struct {
 	*cluster.Cluster
 	o               *Options
 	dir             string
 	discovery       *lab.DiscoveryService
 	renewals        *renewalObserver
-	lastElectionLog map[string]string // by keeper: the time of the last election that it told of
+	lastElectionLog map[string]string // by replica: time of its last log line about an election
 	zones           []*hollowZone
-	realAgents      []string // names of agents that are processes of the product; those of the cluster's, in order
+	realAgents      []string // names of real agents, in the order of Agents
 	times           controlTimes
-	n               int    // agents, and backends, there are
-	extraBackends   int    // backends beside those, which were told to see who hears it
-	version         uint64 // the last that was published
+	n               int    // number of agents and of backends
+	extraBackends   int    // backends added by awaitDiscovery
+	version         uint64 // last published version
 	defect          string
 	client          *http.Client
 }
 
-// hollowZone is a process of the hollow agents of a zone.
+// hollowZone is the process with the hollow agents of a zone.
 type hollowZone struct {
 	p       *cluster.Process
 	spec    hollowSpec
-	baseRSS int64 // RSS without agents
+	baseRSS int64 // RSS before any agent was started
 	names   []string
 }
 
-// The defects that the lab can seed: hollow agents that ask again at once; keepers whose loop waits for its disk, as it did
-// before there was a writer beside it.
+// The defects that can be injected: hollow agents that renew without waiting, and replicas whose event loop
+// waits for the disk, as it did before writes moved to a goroutine of their own.
 const defectNoWait, defectLoopWaits = "no-wait", "loop-waits"
 
 func newControlRig(ctx context.Context, o *Options, defect string, times controlTimes) (r *controlRig, err error) {
 	build := cluster.BuildProduct
 	if times.syncDelayMs > 0 {
-		build = cluster.Build // its disks can be slow
+		build = cluster.Build // only the lab build can slow disks down
 	}
 	bin, err := build(ctx)
 	if err != nil {
@@ -222,7 +222,7 @@
 	r = &controlRig{Cluster: cluster.New(dir, bin, times.leaseMs), o: o, dir: dir, renewals: newRenewalObserver(), lastElectionLog: map[string]string{}, times: times, defect: defect,
 		client: &http.Client{Timeout: 10 * time.Second}}
 	r.ServerRulesMs, r.TickMs = times.serverRulesMs, times.tickMs
-	rig := r // r is nil where an error is returned
+	rig := r // r is nil when the deferred function runs after an error
 	defer func() {
 		if err != nil {
 			rig.stop()
@@ -275,11 +275,11 @@
 		}
 		r.zones = append(r.zones, z)
 	}
-	if err := cluster.Until(ctx, "a keeper leads", 20*time.Second, func() bool { p, _ := r.Leader(ctx); return p != nil }); err != nil {
+	if err := cluster.Until(ctx, "a replica leads", 20*time.Second, func() bool { p, _ := r.Leader(ctx); return p != nil }); err != nil {
 		return nil, err
 	}
 	for _, z := range r.zones {
-		if err := cluster.Until(ctx, z.p.Name+" answers", 20*time.Second, func() bool { return r.callZone(z, http.MethodGet, "/state", nil) == nil }); err != nil {
+		if err := cluster.Until(ctx, z.p.Name+" responds", 20*time.Second, func() bool { return r.callZone(z, http.MethodGet, "/state", nil) == nil }); err != nil {
 			return nil, fmt.Errorf("%w: %s", err, z.p.Log())
 		}
 		if err := r.callZone(z, http.MethodPost, "/collect", nil); err != nil {
@@ -287,7 +287,8 @@
 		}
 		z.baseRSS = z.p.RSS()
 	}
-	// The first version is there before any agent: whoever holds a lease says a stage above 0.
+	// Publish the first version before any agent starts, so that an agent with a lease always reports an
+	// epoch above 0.
 	if _, err := r.publish(ctx, r.Replicas); err != nil {
 		return nil, err
 	}
@@ -330,23 +331,23 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// state is what the hollow agents' data paths of a zone were told.
+// state returns what the hollow agents of a zone received.
 func (r *controlRig) state(z *hollowZone) (*hollowState, error) {
 	s := &hollowState{}
 	return s, r.callZone(z, http.MethodGet, "/state", s)
 }
 
-// entry is the i-th backend; nobody sends to it.
+// backendEntry returns the entry of the i-th backend. Nothing is sent to it.
 func backendEntry(i int) membership.Entry {
 	return membership.Entry{ID: fmt.Sprintf("b-%04d", i), Addr: fmt.Sprintf("127.0.%d.%d:9", 1+i/250, 1+i%250), Zone: zoneNames[i%len(zoneNames)],
 		Kind: kindNames[0], State: membership.Up, Weight: 1, Cell: i}
 }
 
-// turn is the i-th agent's index, spread evenly however many there are so far.
+// pollSlot returns the poll slot of the i-th agent. Slots are spread evenly for any number of agents.
 func (r *controlRig) pollSlot(i int) int { return i * 617 % r.times.pollSlots }
 
-// grow brings the deployment to n agents and as many backends, reals of them processes of the product, and waits until
-// each holds a lease on the last version.
+// grow extends the deployment to n agents and n backends and waits until each agent holds a lease on the last
+// version. realAgents of the agents are processes of the product.
 func (r *controlRig) grow(ctx context.Context, n, realAgents int) error {
 	var added []membership.Entry
 	for i := r.n; i < n; i++ {
@@ -360,10 +361,12 @@
 		if err != nil {
 			return err
 		}
-		if err := r.AddAgents(realAgents, &cluster.AgentConfig{SettingsOf: func(i int) json.RawMessage {
-			return agentSettings(r.pollSlot(i), r.times.pollSlots, r.times.pollIntervalMs)
-		}, Discovery: discoveryAddr,
-			InitialEndpoints: endpoints, OnExpiry: "refuse"}); err != nil {
+		if err := r.AddAgents(realAgents, &cluster.AgentConfig{
+			SettingsOf: func(i int) json.RawMessage {
+				return agentSettings(r.pollSlot(i), r.times.pollSlots, r.times.pollIntervalMs)
+			},
+			Discovery: discoveryAddr, InitialEndpoints: endpoints, OnExpiry: "refuse",
+		}); err != nil {
 			return err
 		}
 		for _, a := range r.Agents {
@@ -399,8 +402,9 @@
 	return r.awaitDiscovery(ctx)
 }
 
-// followed waits until every hollow agent follows discovery: each begins to in its turn, long after it knows the list
-// that came with its start. So one more entry is told, a backend that drains, until all count it.
+// awaitDiscovery waits until every hollow agent follows discovery. An agent starts to do so in its poll slot,
+// long after it has the list it was started with. So this adds a draining backend and waits until every agent
+// lists it.
 func (r *controlRig) awaitDiscovery(ctx context.Context) error {
 	e := backendEntry(r.n + r.extraBackends)
 	e.ID, e.State = fmt.Sprintf("more-%d", r.extraBackends), membership.Draining
@@ -418,16 +422,16 @@
 			}
 			return minListed >= r.n+r.extraBackends
 		}); err != nil {
-			return fmt.Errorf("%w: one knows %d backends of %d; the end of its log: %s", err, minListed, r.n+r.extraBackends, tail(z.p.Log(), 1000))
+			return fmt.Errorf("%w: an agent lists %d of %d backends; end of the log: %s", err, minListed, r.n+r.extraBackends, tail(z.p.Log(), 1000))
 		}
 	}
 	return nil
 }
 
-// tail is the end of a text.
+// tail returns the end of a text, at most limit bytes.
 func tail(text string, limit int) string { return text[max(len(text)-limit, 0):] }
 
-// names are those of all agents of the zones for which in is true; nil: of all.
+// names returns the names of the agents in the zones for which in returns true; nil: of all agents.
 func (r *controlRig) names(in func(zone int) bool) (names []string) {
 	for i, n := range r.realAgents {
 		if in == nil || in(i%len(zoneNames)) {
@@ -442,7 +446,7 @@
 	return names
 }
 
-// term is that of the keeper that leads, 0 where none says that it does.
+// term returns the term of the leader, 0 if no replica reports itself as leader.
 func (r *controlRig) term(ctx context.Context) float64 {
 	if _, s := r.Leader(ctx); s != nil {
 		return float64(s.Term)
@@ -450,10 +454,10 @@
 	return 0
 }
 
-// lastTerm is the last term that any keeper knows of. Unlike term it waits for keepers that are slow to answer.
+// highestTerm returns the highest term known to any replica. Unlike term it waits for slow replicas.
 func (r *controlRig) highestTerm(ctx context.Context) (float64, error) {
 	var last atomic.Uint64
-	err := cluster.Until(ctx, "a keeper tells its term", 30*time.Second, func() bool {
+	err := cluster.Until(ctx, "a replica reports its term", 30*time.Second, func() bool {
 		var calls sync.WaitGroup
 		for _, replica := range r.Replicas {
 			calls.Go(func() {
@@ -473,9 +477,9 @@
 	return float64(last.Load()), err
 }
 
-// elections tells what the keepers say of those that began since it was last called, and what held them up; it returns
-// how many keepers began one, or led no more. It is their own word, for a reader who looks for a cause; what is judged is
-// counted elsewhere.
+// logElections logs what the replicas report about elections since the last call and about delays, and
+// returns how many elections were started or leaderships given up. This is the replicas' own report, which
+// helps to find causes; the test's checks rely on other counts.
 func (r *controlRig) logElections(ctx context.Context, when string) (n int) {
 	for _, replica := range r.Replicas {
 		newest := ""
@@ -495,7 +499,7 @@
 			for kind, ms := range s.Loop.LongestMs {
 				longest[kind] = int(ms)
 			}
-			r.o.logf("  %s, %s: leader %s, term %d, %d ticks lost, %d elections begun, stepped down %d times, queue at most %d; longest ms since its start: %v",
+			r.o.logf("  %s, %s: leader %s, term %d, %d ticks lost, %d elections started, stepped down %d times, queue at most %d; longest steps since its start, ms: %v",
 				when, replica.Name, s.Leader, s.Term, s.Loop.LostTicks, s.Loop.Elections, s.Loop.SteppedDown, s.Loop.Queue, longest)
 		}
 		cancel()
@@ -503,7 +507,7 @@
 	return n
 }
 
-// up tells whether keepers answer and have a stage.
+// replicasReached reports whether the replicas respond and have reached an epoch.
 func (r *controlRig) replicasReached(ctx context.Context, replicas []*cluster.Process, epoch uint64) bool {
 	for _, replica := range replicas {
 		s := &client.Status{}
@@ -517,27 +521,27 @@
 	return true
 }
 
-// held waits until all the agents have said that they have a stage, and returns after what time behind from, sorted.
+// awaitEpoch waits until all agents have reported an epoch, and returns their sorted latencies since from.
 func (r *controlRig) awaitEpoch(ctx context.Context, agents []string, epoch uint64, from time.Time, within time.Duration) ([]time.Duration, error) {
 	var times []time.Duration
 	var missing []string
-	err := cluster.Until(ctx, fmt.Sprintf("all of %d agents have stage %d", len(agents), epoch), within, func() bool {
+	err := cluster.Until(ctx, fmt.Sprintf("all %d agents have epoch %d", len(agents), epoch), within, func() bool {
 		times, missing = r.renewals.latencies(agents, epoch, from)
 		return len(missing) == 0
 	})
 	if err != nil {
-		return nil, fmt.Errorf("%w: %d are missing, %v first", err, len(missing), missing[:min(len(missing), 3)])
+		return nil, fmt.Errorf("%w: %d agents do not, among them %v", err, len(missing), missing[:min(len(missing), 3)])
 	}
 	slices.Sort(times)
 	return times, nil
 }
 
-// publish publishes the next version at one of the keepers, one after the other until one takes it, and returns when
-// that began.
+// publish publishes the next version, trying the replicas in turn until one accepts it, and returns the time
+// at which it started.
 func (r *controlRig) publish(ctx context.Context, at []*cluster.Process) (from time.Time, err error) {
 	from = time.Now()
 	next := r.version + 1
-	err = cluster.Until(ctx, "a publish is taken", 30*time.Second, func() bool {
+	err = cluster.Until(ctx, "a publish is accepted", 30*time.Second, func() bool {
 		for _, replica := range at {
 			callCtx, cancel := context.WithTimeout(ctx, r.times.publishTime())
 			out, err := r.Publish(callCtx, replica, fmt.Sprintf("v%d", next), r.version, configOf(next))
@@ -552,8 +556,8 @@
 	return from, err
 }
 
-// changes publishes versions, one behind the other, and waits each time until the agents have it; the times are each
-// agent's, change by change, sorted; with an error those of the changes before the one that failed.
+// publishChanges publishes n versions, each once the agents have reported the one before. It returns each
+// agent's latencies, sorted per change; with an error, those of the changes before the failed one.
 func (r *controlRig) publishChanges(ctx context.Context, n int, at []*cluster.Process, names []string) (latencies changeLatencies, err error) {
 	for range n {
 		from, err := r.publish(ctx, at)
@@ -569,10 +573,10 @@
 	return latencies, nil
 }
 
-// inForce is how long changes took until each of the agents had them, a sorted list a change.
+// changeLatencies are the sorted latencies of all agents, for each change.
 type changeLatencies [][]time.Duration
 
-// everywhere are the times until the last agent had it, sorted.
+// slowestAgent returns, sorted, the latency of the slowest agent for each change.
 func (l changeLatencies) slowestAgent() (all []time.Duration) {
 	for _, times := range l {
 		all = append(all, times[len(times)-1])
@@ -581,14 +585,14 @@
 	return all
 }
 
-// agents are the times of all agents and changes, sorted.
+// perAgent returns the sorted latencies of all agents and changes.
 func (l changeLatencies) perAgent() []time.Duration {
 	all := slices.Concat(l...)
 	slices.Sort(all)
 	return all
 }
 
-// percentile of sorted times; 0 where there are none.
+// percentile returns the percentile of sorted times, 0 if there are none.
 func percentile(sorted []time.Duration, p float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -596,14 +600,14 @@
 	return sorted[min(int(p*float64(len(sorted))), len(sorted)-1)]
 }
 
-// counted is what was counted by a moment.
+// usageSnapshot is the cumulative usage at one time.
 type usageSnapshot struct {
 	at                                time.Time
 	realCPU, hollowCPU, replicaCPU    time.Duration
 	cpuByReplica                      []time.Duration
-	realBytes, hollowBytes            int64 // to and from discovery and keepers
+	realBytes, hollowBytes            int64 // to and from discovery and replicas
 	discoveryBytes                    int64
-	replicaBytes                      int64 // among keepers
+	replicaBytes                      int64 // between replicas
 	discoveryCalls                    int
 	renewals, immediateRenewals       int64
 	realRSS, hollowRSS, maxReplicaRSS int64
@@ -645,7 +649,7 @@
 	return u
 }
 
-// folder is how many bytes the files of a folder have.
+// directorySize returns the total size of the files in a directory, in bytes.
 func directorySize(dir string) (sum int64) {
 	filepath.WalkDir(dir, func(_ string, d fs.DirEntry, err error) error {
 		if err == nil && d.Type().IsRegular() {
@@ -658,15 +662,15 @@
 	return sum
 }
 
-// rate is what a stretch of time used, a second, of a fleet.
+// rate is the usage of the deployment during an interval, per second.
 type rate struct {
 	span                                                  float64 // s
-	realCPU, hollowCPU                                    float64 // % of a core, an agent
-	realKB, hollowKB                                      float64 // KB/s, an agent
-	realMB, hollowMB                                      float64 // an agent
-	replicaCPU, busiestReplicaCPU                         float64 // % of a core: all keepers, the busiest
+	realCPU, hollowCPU                                    float64 // % of a core per agent
+	realKB, hollowKB                                      float64 // KB/s per agent
+	realMB, hollowMB                                      float64 // per agent
+	replicaCPU, busiestReplicaCPU                         float64 // % of a core: all replicas, the busiest one
 	replicaMB, replicaStateKB, replicaKB                  float64
-	discoveryCalls, discoveryKB, renewals, agentReplicaKB float64 // a second
+	discoveryCalls, discoveryKB, renewals, agentReplicaKB float64 // per second
 }
 
 func (r *controlRig) rate(a, b *usageSnapshot) (x rate) {
--- a/internal/lab/scale/controlslow.go
+++ b/internal/lab/scale/controlslow.go
@@ -13,17 +13,20 @@
 )
 
 const (
-	// slowSyncMs is what each sync of a keeper takes, ms. Longest writes of 0.41 s were seen on a machine at load 45.
+	// slowSyncMs is what is added to each sync of a replica. On a machine at load 45 the longest writes seen
+	// took 0.41 s.
 	slowSyncMs = 300
-	// smallTickMs and smallSyncMs are those of the smallest form: beside CI's other work a keeper may be without a core
-	// for 0.4 s, so its election times (16 to 32 ticks) are longer, and a sync is longer than all but the longest of them.
+	// smallTickMs and smallSyncMs are used below smokeScale. Next to CI's other work a replica may be without
+	// a core for 0.4 s, so its election timeouts (16 to 32 ticks) are longer, and a sync is longer than all
+	// but the longest of these timeouts.
 	smallTickMs, smallSyncMs = 40, 28 * smallTickMs
 )
 
-// slowDisks has the changes of a healthy deployment of the aimed size, and of those of its days that bring changes, come
-// in force while each sync of each keeper is slow, and tells for each how long they took and how many terms of keepers
-// began. Nobody is dead for a slow disk alone, so where no keeper is lost or cut off no term begins. The processes are of
-// the lab's build; its defect is the keepers' loop as it was before there was a writer beside it.
+// measureSlowDisks publishes changes while each sync of each replica is slow: in a healthy deployment of the
+// target size, and in the phases that publish changes. It reports how long the changes took and how many new
+// terms began. A slow disk alone must not make a replica appear dead, so no term may begin in phases that
+// neither kill nor partition replicas. The processes are of the lab build; the defect is a replica whose
+// event loop waits for the disk, as it did before writes moved to a goroutine of their own.
 func measureSlowDisks(ctx context.Context, o *Options) (*Report, error) {
 	r := &Report{Test: "control, slow disks", Seed: o.Seed, Scale: o.Scale}
 	times, defect := o.times(), ""
@@ -43,7 +46,7 @@
 	if err := rig.grow(ctx, n, o.scaled(10, 1)); err != nil {
 		return nil, err
 	}
-	rig.logElections(ctx, fmt.Sprintf("up to %d agents, disks not slow", n))
+	rig.logElections(ctx, fmt.Sprintf("growth to %d agents, disks not slow", n))
 	if err := rig.setSlowDisks(true); err != nil {
 		return nil, err
 	}
@@ -52,7 +55,7 @@
 		return nil, err
 	}
 	for _, p := range slices.Concat([]controlPhase{{"healthy", 0, (*controlRig).healthy}}, controlPhases) {
-		if p.name == "start" { // it brings no change
+		if p.name == "start" { // publishes no changes
 			continue
 		}
 		before, err := rig.highestTerm(ctx)
@@ -76,16 +79,16 @@
 		r.add(p.name+": terms of keepers that began", after-before, "")
 		r.add("elections that keepers told of", float64(electionCount), "")
 		if after > before && p.name != "region" && p.name != "keepers" {
-			r.addShort("%s: %.0f terms of keepers began, and none was dead", p.name, after-before)
+			r.addShort("%s: %.0f new terms began although no replica was down", p.name, after-before)
 		}
 		if o.Scale < smokeScale {
 			break
 		}
 		if runErr != nil {
 			if err := rig.restore(ctx); err != nil {
-				r.addShort("behind %s: %v", p.name, err)
-				rig.logElections(ctx, "behind "+p.name)
-				break // what was measured so far is told all the same
+				r.addShort("after %s: %v", p.name, err)
+				rig.logElections(ctx, "after "+p.name)
+				break // report what was measured so far
 			}
 			r.add("until all was well again, disks not slow meanwhile", time.Since(from).Seconds(), "s")
 		}
@@ -93,7 +96,7 @@
 	return r, ctx.Err()
 }
 
-// untilTerm is a context that ends with a term behind the given one: the smallest form is over then.
+// cancelOnNewTerm returns a context that is cancelled when a later term begins, which ends the smallest form.
 func (r *controlRig) cancelOnNewTerm(ctx context.Context, before float64) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var watch sync.WaitGroup
@@ -108,7 +111,7 @@
 	return ctx, func() { cancel(); watch.Wait() }
 }
 
-// quiet measures a stretch in which nothing changes.
+// measureIdle measures an interval without changes.
 func (r *controlRig) measureIdle(ctx context.Context) (*sizeCost, error) {
 	a := r.takeSnapshot()
 	if err := sleep(ctx, time.Duration(max(8*r.o.Scale, 0.1)*float64(time.Second))); err != nil {
@@ -118,7 +121,7 @@
 	return &sizeCost{rate: r.rate(&a, &b)}, nil
 }
 
-// healthy has some changes come in force while nothing is gone.
+// healthy publishes some changes while all parts run.
 func (r *controlRig) healthy(ctx context.Context, rep *Report, _ *sizeCost) error {
 	latencies, err := r.publishChanges(ctx, r.o.scaled(10, 1), r.Replicas, r.names(nil))
 	if len(latencies) > 0 {
@@ -127,7 +130,7 @@
 	return err
 }
 
-// disks has the keepers' disks be slow from now on, or not.
+// setSlowDisks makes the disks of all replicas slow, or normal again.
 func (r *controlRig) setSlowDisks(slow bool) error {
 	fault := ""
 	if slow {
@@ -140,13 +143,13 @@
 	return errors.Join(errs...)
 }
 
-// recover brings all that is gone or cut off back while disks are not slow, until all agents have the last version, and
-// then has the disks be slow again.
+// restore undoes all faults, including slow disks, waits until all agents have the last version, and makes
+// the disks slow again.
 func (r *controlRig) restore(ctx context.Context) error {
 	if err := r.Heal(); err != nil {
 		return err
 	}
-	if err := cluster.Until(ctx, "the keepers are back", 30*time.Second, func() bool { return r.replicasReached(ctx, r.Replicas, sharedconfig.EpochOf(r.version)) }); err != nil {
+	if err := cluster.Until(ctx, "the replicas are up to date", 30*time.Second, func() bool { return r.replicasReached(ctx, r.Replicas, sharedconfig.EpochOf(r.version)) }); err != nil {
 		return err
 	}
 	if _, err := r.awaitEpoch(ctx, r.names(nil), sharedconfig.EpochOf(r.version), time.Now(), 60*time.Second); err != nil {
--- a/internal/lab/scale/controlslow_test.go
+++ b/internal/lab/scale/controlslow_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// While all keepers' disks are slow changes come in force and no term of keepers begins; with the loop that waits for its
-// disk, as it was, that is not so.
+// With slow disks at all replicas, changes come into force and no new term begins. With replicas whose event
+// loop waits for the disk, new terms begin.
 func TestSlowDisks(t *testing.T) {
 	for _, defect := range []bool{false, true} {
 		t.Run(map[bool]string{false: "as it is", true: "the loop waits"}[defect], func(t *testing.T) {
@@ -18,10 +18,10 @@
 			}
 			t.Log(r)
 			if !defect && len(r.Short) > 0 {
-				t.Errorf("short of %v", r.Short)
+				t.Errorf("bounds not met: %v", r.Short)
 			}
-			if defect && !slices.ContainsFunc(r.Short, func(s string) bool { return strings.Contains(s, "terms of keepers began") }) {
-				t.Errorf("short of %v", r.Short)
+			if defect && !slices.ContainsFunc(r.Short, func(s string) bool { return strings.Contains(s, "new terms began although no replica was down") }) {
+				t.Errorf("bounds not met: %v", r.Short)
 			}
 		})
 	}
--- a/internal/lab/scale/controltools.go
+++ b/internal/lab/scale/controltools.go
@@ -14,16 +14,16 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// toolNames are the operators' calls that are measured, each a process of the product.
+// measuredTools are the measured commands of ringtrack-configstore.
 var measuredTools = []string{"holders", "show", "publish"}
 
-// toolCost is what one run of a tool used.
+// toolCost is the usage of one run of a command.
 type toolCost struct {
-	cpuMs, mb, kb, ms float64 // kb is to and from keepers, ms from its start to its end
+	cpuMs, mb, kb, ms float64 // kb: to and from replicas; ms: wall time
 }
 
-// tools runs each tool once, a few times where it changes nothing, and returns the cheapest run by processor time: what
-// else the machine did is in all of them.
+// measureTools runs each command, those that change nothing three times, and returns the run with the least
+// processor time: other load on the machine adds to all runs.
 func (r *controlRig) measureTools(ctx context.Context) (map[string]toolCost, error) {
 	var addrs []string
 	for _, replica := range r.Replicas {
@@ -69,7 +69,7 @@
 				return nil, err
 			}
 			if n := strings.Count(out, " stage "); name == "holders" && n < r.n {
-				return nil, fmt.Errorf("holders tells of %d, there are %d", n, r.n)
+				return nil, fmt.Errorf("holders lists %d agents, want %d", n, r.n)
 			}
 			if i == 0 || c.cpuMs < costs[name].cpuMs {
 				costs[name] = c
@@ -94,8 +94,9 @@
 	return costs, err
 }
 
-// mostMemory is the most MB that a process had, as it was seen each half millisecond until it ended: what the kernel tells
-// of a process that has ended counts in who started it.
+// peakMemory returns the largest resident size of a process in MB, polled every half millisecond until the
+// process has ended. The rusage of an ended process is no substitute: its peak includes the memory of the
+// parent that forked it.
 func peakMemory(pid int, ended chan struct{}) (peak float64) {
 	for {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -112,7 +113,7 @@
 	}
 }
 
-// toolLines are the tools' costs as figures of a size.
+// toolLines returns the commands' costs as figures that grow with the size.
 func toolLines() (lines []controlLine) {
 	for _, name := range measuredTools {
 		for _, x := range []struct {
--- a/internal/lab/scale/datapath.go
+++ b/internal/lab/scale/datapath.go
@@ -24,40 +24,43 @@
 )
 
 const (
-	// callsPerS is the rate at which each way is called, changesPerS that of the list's changes.
+	// callsPerS is the rate of calls on each route, changesPerS the rate of changes of the endpoint list.
 	callsPerS, changesPerS = 120, 10
-	// warmPerS is the rate before that, warmCalls the calls for each backend: connections are open by then, as they are
-	// where calls have come for longer than a run lasts. What is opened later was idle for keptFor.
+	// warmUpCallsPerS and warmUpCallsPerBackend are the rate and the number per backend of the calls before
+	// the measurement. They open the connections, which in a deployment were opened by calls long before.
+	// Connections opened later replace ones that were idle for backendIdleTimeout.
 	warmUpCallsPerS, warmUpCallsPerBackend = 1500, 2
-	// wayClients is the connections that share a way's calls.
+	// routeClients is the number of connections that share a route's calls.
 	routeClients = 4
-	// addedAim is what an agent may add to 99 calls in 100.
+	// maxAddedLatency bounds what an agent may add to the 99th percentile.
 	maxAddedLatency = 570 * time.Microsecond
-	// mostTimesPlain bounds what the agent's fastest calls take, one in twenty, by what the plain proxy's do in the same
-	// run. What else the machine does falls on both ways, and on these calls least: on a machine with 64 threads for 8
-	// cores quartiles were no measure of either.
+	// maxRatioToPlain bounds the latency of the agent's fastest calls, the quantile fastestQuantile, relative
+	// to that of the plain proxy in the same run. Other load on the machine affects both, and these calls
+	// least: on a machine with 64 threads for 8 cores quartiles were too noisy.
 	maxRatioToPlain, fastestQuantile = 4, 0.05
-	// judgedScale is the scale from which the aim is judged: below there are too few calls for 99 in 100 of them.
+	// minJudgedScale is the smallest scale at which maxAddedLatency is checked; below it there are too few
+	// calls for a p99.
 	minJudgedScale = 0.1
-	// callTime is what a call may take: far more than it should, so that a slow machine fails none.
+	// callTimeout is the timeout of a call, far above the expected latency so that a slow machine fails none.
 	callTimeout = 5 * time.Second
-	// keptFor is how long the agent keeps an idle connection to a backend: half of keepaliveMs.
+	// backendIdleTimeout is the time for which the agent keeps idle connections to backends: half of
+	// keepaliveMs.
 	backendIdleTimeout = 15 * time.Second
-	// readyTime is for a process to come up.
+	// readyTimeout is the timeout for a process to become ready.
 	readyTimeout = 20 * time.Second
-	// mostIdle is for how long a client's connection may idle to be used again: the agent closes it after 10 s.
+	// maxClientIdle is how long an idle connection of a client may be reused: the agent closes it after 10 s.
 	maxClientIdle = 5 * time.Second
-	// chained is the agents in a chain.
+	// chainLength is the number of agents in a chain.
 	chainLength = 6
-	// idleTime, callsTime and changesTime are for each size, chainTime for the chains, at scale 1.
+	// idleTime, callsTime and changesTime apply to each size, chainTime to the chain, at scale 1.
 	idleTime, callsTime, changesTime, chainTime = 7 * time.Second, 18 * time.Second, 6 * time.Second, 20 * time.Second
 )
 
-// listed are the backends listed: a line is fitted to all but the last, which it foretells.
+// backendSizes are the numbers of listed backends. Lines are fitted to all but the last, which they predict.
 var backendSizes = []int{chainLength, 100, 470, 940}
 
-var dataPathTest = Test{Name: "data-path", Quick: 0.18, Smallest: 0.01, Defect: "each agent's backends take 20 ms more",
-	About: "What the agent adds to a call beside a plain proxy, and what it uses, by backends listed; six in a chain.",
+var dataPathTest = Test{Name: "data-path", Quick: 0.18, Smallest: 0.01, Defect: "backends behind agents respond 20 ms later",
+	About: "Latency the agent adds compared with a plain proxy, and its usage, by number of listed backends; a chain of six agents.",
 	Run: func(ctx context.Context, o *Options) (*Report, error) {
 		d := &dataPath{o: o, r: &Report{Test: "data-path", Seed: o.Seed, Scale: o.Scale}}
 		if o.Defect {
@@ -66,14 +69,15 @@
 		return d.run(ctx)
 	}}
 
-// dataPath is one run. Each size, and then the chain, has processes of the product's own binary (built with the tag
-// lab, which changes nothing of an agent without the lab's variables), called at a steady rate in turns with a plain
-// proxy in a process of its own and with the backends themselves: what the machine and the client cost falls on all
-// three alike. Client, backends and roster are the lab's own process.
+// dataPath is one run of the test. Each size, and the chain, has its own processes of the product (built with
+// the tag lab, which does not change an agent without the lab's environment variables). Calls are made at a
+// steady rate, alternately through the agent, through a plain proxy in its own process, and directly to the
+// backends, so that the cost of the machine and the client affects all three alike. Clients, backends and
+// discovery run in the lab's process.
 type dataPath struct {
 	o *Options
 	r *Report
-	// late is the seeded defect: backends take so much longer behind the agent.
+	// defectDelay is the injected defect: the additional response time of backends behind the agent.
 	defectDelay time.Duration
 
 	c       *cluster.Cluster
@@ -82,7 +86,8 @@
 	figures sizedFigures
 }
 
-// The ways on which calls go. An operation's name begins with its way's, by which a backend knows on which it came.
+// The routes of calls. The identifier of an operation starts with the name of its route, so that a backend
+// knows the route.
 const (
 	viaAgent = iota
 	viaPlain
@@ -92,20 +97,20 @@
 
 var routeNames = [routeCount]string{"agent", "plain", "direct"}
 
-// way is one of them.
+// route is a route and the measurements of its calls.
 type route struct {
-	addrs         []string        // where clients connect
-	pid           int             // of the process on the way; 0: none
-	latencies     []time.Duration // from the first byte written to the last one read
-	calmLatencies []time.Duration // that, of the half of the calls in which threads waited least for a core
-	coreWaits     []time.Duration // for how long those of the process, of client and of backends did in each call
-	cpuTimes      []time.Duration // what the process's threads had of cores meanwhile
-	sendDelays    []time.Duration // when a call began, after it was due: the client's and the machine's part
+	addrs         []string        // addresses that clients connect to
+	pid           int             // of the process on the route; 0: none
+	latencies     []time.Duration // from the first byte written to the last byte read
+	calmLatencies []time.Duration // latencies of the half of the calls with the lowest coreWaits
+	coreWaits     []time.Duration // time for which threads of process, client and backends waited for a core during a call
+	cpuTimes      []time.Duration // processor time of the process during a call
+	sendDelays    []time.Duration // delay from the due time of a call to its start, caused by client and machine
 	mu            sync.Mutex
-	failures      []string // what calls that were not served were answered
+	failures      []string // responses to calls that were not served
 }
 
-// dial opens a way's connections.
+// dial opens a route's connections.
 func (r *route) dial() (clients []*world.Client, err error) {
 	for i := range routeClients {
 		c, err := world.HTTP.Dial(r.addrs[i%len(r.addrs)], 10*time.Minute)
@@ -117,7 +122,7 @@
 	return clients, nil
 }
 
-// request is the i-th of a way: each class of effects in turn.
+// request returns the i-th request of a route. Requests cycle through the classes of effects.
 func request(route, i int, key string) *world.Request {
 	classes := []struct {
 		name   string
@@ -127,10 +132,11 @@
 	return &world.Request{Op: fmt.Sprintf("%s-%d", routeNames[route], lastOp.Add(1)), Method: class.name, Effect: class.effect, Key: key, Timeout: callTimeout}
 }
 
-// lastOp numbers operations.
+// lastOp is the number of the last operation.
 var lastOp atomic.Int64
 
-// cores is what the process on the way had of cores, and what it, client and backends waited for them.
+// schedulerTimes returns the processor time of the route's process, and the time that its threads and those
+// of client and backends waited for a core.
 func (r *route) schedulerTimes() (cpu, wait time.Duration, err error) {
 	if _, wait, err = schedulerTimes(os.Getpid()); err != nil || r.pid == 0 {
 		return 0, wait, err
@@ -139,7 +145,7 @@
 	return cpu, wait + own, err
 }
 
-// call makes the j-th call of a way.
+// call makes the j-th call of a route.
 func (r *route) call(j int, c *world.Client, text []byte) (a world.Answer, err error) {
 	cpu, wait, err := r.schedulerTimes()
 	if err != nil {
@@ -159,7 +165,7 @@
 	return a, err
 }
 
-// settle sorts what a series of calls brought.
+// sortResults sorts the measurements, and selects those of the calmer half of the calls.
 func (r *route) sortResults() {
 	order := make([]int, len(r.latencies))
 	for j := range order {
@@ -175,8 +181,8 @@
 	}
 }
 
-// calls sends n calls on each way at the rate, on new connections, in an open loop; the ways take turns within each
-// period.
+// sendCalls sends n calls on each route at the rate, on new connections, in an open loop. Within each period
+// the routes take their turns in random order.
 func (d *dataPath) sendCalls(ctx context.Context, all *[routeCount]*route, n int, perS time.Duration) error {
 	period := time.Second / perS
 	position := d.rng.Perm(routeCount)
@@ -230,7 +236,7 @@
 	return errors.Join(append(errs, ctx.Err())...)
 }
 
-// quantile is that of sorted times; 0 of none.
+// quantile returns the quantile of sorted times, 0 if there are none.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -240,17 +246,17 @@
 
 func millis(t time.Duration) float64 { return t.Seconds() * 1e3 }
 
-// times is a span at this scale.
+// scaledTime returns a duration at the scale.
 func (d *dataPath) scaledTime(t time.Duration) time.Duration {
 	return time.Duration(d.o.Scale * float64(t))
 }
 
-// count is the calls or changes of a span at this scale.
+// scaledCount returns the number of calls or changes in a duration at the scale.
 func (d *dataPath) scaledCount(perS float64, t time.Duration, minimum int) int {
 	return max(minimum, int(perS*d.scaledTime(t).Seconds()))
 }
 
-// listed are the backends listed at this scale; times shrink first.
+// backendCounts returns the numbers of listed backends at the scale. They shrink only below a scale of 0.1.
 func (o *Options) backendCounts() (out []int) {
 	for i, n := range backendSizes {
 		out = append(out, max(backendSizes[0]+3*i, int(min(1, 10*o.Scale)*float64(n))))
@@ -300,7 +306,7 @@
 	return d.r, nil
 }
 
-// serve starts n backends more, in the zones of the settings.
+// addBackends starts n more backends, in the zones of the settings.
 func (d *dataPath) addBackends(n int) error {
 	for range n {
 		i := len(d.servers)
@@ -320,8 +326,9 @@
 	return nil
 }
 
-// settings are the rig's, with a list that is followed, connections that are kept, and time for each call and connect: on
-// a machine that is busy none fails, and none is refused because others were late.
+// dataPathSettings returns the cluster package's settings, changed so that the endpoint list is watched,
+// connections are kept alive, and calls and connects have ample time: on a busy machine none fails, and none
+// is rejected because others were late.
 func dataPathSettings() (json.RawMessage, error) {
 	var s map[string]any
 	if err := json.Unmarshal([]byte(cluster.Settings), &s); err != nil {
@@ -337,12 +344,13 @@
 	return json.Marshal(s)
 }
 
-// agent starts an agent that follows a roster.
+// runAgent starts an agent that watches a discovery service and has no admin endpoint.
 func (d *dataPath) runAgent(name, addr string, discovery *lab.DiscoveryService) (*cluster.Process, error) {
 	return startAgent(d.c, name, addr, "", d.o.Seed, discovery)
 }
 
-// startAgent starts an agent that follows a roster and has its admin endpoint at door; "": none.
+// startAgent starts an agent that watches a discovery service and has its admin endpoint at adminAddr; "": it
+// has none.
 func startAgent(c *cluster.Cluster, name, addr, adminAddr string, seed uint64, discovery *lab.DiscoveryService) (*cluster.Process, error) {
 	p, err := c.AddProcess(name, addr, false, nil, "ringtrack")
 	if err != nil {
@@ -364,7 +372,7 @@
 	return p, p.Start()
 }
 
-// plain starts a plain proxy.
+// startPlainProxy starts a plain proxy.
 func (d *dataPath) startPlainProxy(name, addr string, backends []string) (*cluster.Process, error) {
 	dir := filepath.Join(d.c.Dir, name)
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -377,7 +385,7 @@
 	return p, p.Start()
 }
 
-// ready waits until all of these serve.
+// awaitReady waits until all processes are ready.
 func awaitReady(ctx context.Context, all ...*cluster.Process) error {
 	for _, p := range all {
 		if err := cluster.AwaitReady(ctx, p, readyTimeout); err != nil {
@@ -387,7 +395,7 @@
 	return nil
 }
 
-// dials is the connections to backends that a plain proxy has opened.
+// connectionsOpened returns the number of connections that a plain proxy has opened to backends.
 func connectionsOpened(p *cluster.Process) (n int64, err error) {
 	resp, err := http.Get("http://" + p.Addr + "/-/dials")
 	if err != nil {
@@ -401,7 +409,8 @@
 	return n, err
 }
 
-// accepted and begun are the connections and the requests that backends have taken.
+// connectionsAccepted and requestsBegun return the numbers of connections and requests that the backends have
+// received.
 func (d *dataPath) connectionsAccepted() (n int64) {
 	for _, s := range d.servers {
 		n += s.Accepted()
@@ -416,7 +425,7 @@
 	return n
 }
 
-// size measures an agent with n backends listed: idle, called, and while the list changes.
+// measureSize measures an agent with n backends listed: idle, during calls, and while the list changes.
 func (d *dataPath) measureSize(ctx context.Context, n int) error {
 	d.o.logf("%d backends listed", n)
 	var entries []membership.Entry
@@ -453,7 +462,7 @@
 	if err := d.sendCalls(ctx, &all, warmUpCallsPerBackend*n, warmUpCallsPerS); err != nil {
 		return err
 	}
-	// Idle.
+	// Measure the agent idle.
 	idle, err := measureUsage(ctx, pids, func() error { return sleep(ctx, d.scaledTime(idleTime)) })
 	if err != nil {
 		return err
@@ -461,7 +470,7 @@
 	d.figures.record(n, "idle", 100*idle[viaAgent].cpuShare(), "% of a core")
 	d.figures.record(n, "idle bytes", float64(idle[viaAgent].Bytes)/idle[viaAgent].duration.Seconds(), "B/s")
 
-	// Called.
+	// Measure the agent during calls.
 	calls := d.scaledCount(callsPerS, callsTime, 16)
 	accepted, begun := d.connectionsAccepted(), d.requestsBegun()
 	dialled, err := connectionsOpened(plain)
@@ -490,7 +499,7 @@
 	d.figures.record(n, "called at 120/s", 100*called[viaAgent].cpuShare(), "% of a core")
 	d.figures.record(n, "bytes a call", float64(called[viaAgent].Bytes)/float64(calls), "B")
 
-	// The list changes.
+	// Measure the agent while the list changes.
 	changes := d.scaledCount(changesPerS, changesTime, 1)
 	changed, err := measureUsage(ctx, pids, func() error { return d.changeList(ctx, discovery, entries, changes) })
 	if err != nil {
@@ -502,7 +511,8 @@
 	return nil
 }
 
-// change changes the list, an entry at a time, and returns once the agent has asked for what comes after the last.
+// changeList changes n entries of the list one by one, and returns once the agent has watched beyond the last
+// change.
 func (d *dataPath) changeList(ctx context.Context, discovery *lab.DiscoveryService, entries []membership.Entry, n int) error {
 	for len(discovery.WatchIndexes) > 0 {
 		<-discovery.WatchIndexes
@@ -514,7 +524,7 @@
 			return err
 		}
 		e := &entries[d.rng.IntN(len(entries))]
-		e.Weight = 3 - e.Weight // 1 and 2 in turn
+		e.Weight = 3 - e.Weight // alternates between 1 and 2
 		revision = discovery.Set(*e)
 	}
 	timeout := time.After(readyTimeout)
@@ -525,14 +535,15 @@
 				return nil
 			}
 		case <-timeout:
-			return fmt.Errorf("scale: the list at %d is not followed", revision)
+			return fmt.Errorf("scale: the agent does not watch beyond revision %d of the endpoint list", revision)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// judge reports what the ways took, and what of it falls short; hops is the agents that a call passes.
+// reportLatencies reports the routes' latencies and checks them against the bounds. hops is the number of
+// agents that a call passes.
 func (d *dataPath) reportLatencies(prefix string, all *[routeCount]*route, hops int) {
 	var added [routeCount]time.Duration
 	for i, rt := range all {
@@ -562,11 +573,11 @@
 	bound := time.Duration(hops) * maxAddedLatency
 	d.r.add(prefix+"added p99 by the aim", float64(added[viaAgent])/float64(bound), "")
 	if d.o.Scale >= minJudgedScale && added[viaAgent] > bound {
-		d.addShort("%sadded p99 %.2f ms, aim %.2f ms; the plain proxy adds %.2f ms", prefix, millis(added[viaAgent]), millis(bound), millis(added[viaPlain]))
+		d.addShort("%sadded p99 %.2f ms, limit %.2f ms; the plain proxy adds %.2f ms", prefix, millis(added[viaAgent]), millis(bound), millis(added[viaPlain]))
 	}
 }
 
-// cost reports what agent and plain proxy needed for a call, n in all.
+// reportCost reports what agent and plain proxy used per call, for n calls.
 func (d *dataPath) reportCost(prefix string, used []intervalUsage, n int) {
 	for i, u := range used {
 		d.r.add(prefix+routeNames[i]+", processor time a call", u.CPU.Seconds()*1e6/float64(n), "us")
@@ -574,10 +585,10 @@
 	}
 }
 
-// chain measures agents one behind another: each backend calls the next agent, the next plain proxy or the next backend,
-// as it was called itself.
+// measureChain measures a chain of agents. Each backend calls the next agent, plain proxy or backend,
+// depending on the route of the call it serves.
 func (d *dataPath) measureChain(ctx context.Context) error {
-	const backendsPerAgent = chainLength // backends of an agent
+	const backendsPerAgent = chainLength // backends of each agent
 	first := len(d.servers)
 	if err := d.addBackends(chainLength * backendsPerAgent); err != nil {
 		return err
@@ -588,7 +599,7 @@
 	}
 	next := nextHop{idle: map[string][]idleConn{}}
 	defer next.close()
-	var started []*cluster.Process // an agent and a plain proxy in turn
+	var started []*cluster.Process // alternately an agent and a plain proxy
 	var pids []int
 	var all [routeCount]*route
 	for hop := range chainLength {
@@ -652,20 +663,20 @@
 	return nil
 }
 
-// nextHop is the backends' side of a chain: kept connections to what they call.
+// nextHop makes the calls of the backends in a chain, over pooled connections.
 type nextHop struct {
 	mu     sync.Mutex
 	idle   map[string][]idleConn
 	failed []error
 }
 
-// kept is a connection that is kept, since when.
+// idleConn is an idle connection, and since when it is idle.
 type idleConn struct {
 	*world.Client
 	since time.Time
 }
 
-// call calls what stands behind a backend on the way of an operation; nothing stands behind the last.
+// callNext calls the next hop on the route of an operation; the last backend has none.
 func (h *nextHop) callNext(op string, to *[routeCount]string, delay time.Duration) {
 	i := slices.IndexFunc(routeNames[:], func(name string) bool { return strings.HasPrefix(op, name) })
 	if i < 0 {
@@ -716,7 +727,7 @@
 	h.idle[addr] = append(h.idle[addr], c)
 	h.mu.Unlock()
 	if a.Outcome != lab.Served {
-		return fmt.Errorf("answered %d %q", a.Code, a.Text)
+		return fmt.Errorf("response %d %q", a.Code, a.Text)
 	}
 	return nil
 }
@@ -731,16 +742,16 @@
 	}
 }
 
-// spending is what a process used over a span.
+// intervalUsage is what a process used in an interval.
 type intervalUsage struct {
 	usage
 	duration time.Duration
 }
 
-// share is that of a core.
+// cpuShare returns the processor time as a share of a core.
 func (s intervalUsage) cpuShare() float64 { return s.CPU.Seconds() / s.duration.Seconds() }
 
-// spent is what processes use while f runs.
+// measureUsage returns what processes use while f runs.
 func measureUsage(ctx context.Context, pids []int, f func() error) ([]intervalUsage, error) {
 	before := make([]usage, len(pids))
 	var err error
@@ -764,7 +775,7 @@
 	return out, ctx.Err()
 }
 
-// sleep sleeps, or until ctx ends.
+// sleep waits until the time has passed or ctx is done.
 func sleep(ctx context.Context, t time.Duration) error {
 	select {
 	case <-time.After(t):
--- a/internal/lab/scale/datapath_test.go
+++ b/internal/lab/scale/datapath_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// An agent that takes 20 ms too long is found, at each size and in the chain.
+// TestDataPathDefect checks that a delay of 20 ms behind the agent is detected at each size and in the chain.
 func TestDataPathDefect(t *testing.T) {
 	o := &Options{Seed: 1, Scale: dataPathTest.Smallest, Defect: true}
 	r, err := dataPathTest.Run(t.Context(), o)
@@ -22,11 +22,11 @@
 		}
 	}
 	if want := len(o.backendCounts()) + 1; found != want || len(r.Short) != want {
-		t.Errorf("%d found, want %d and nothing else: %v", found, want, r.Short)
+		t.Errorf("%d detections, want %d and no other bound exceeded: %v", found, want, r.Short)
 	}
 }
 
-// What a process has used is told, and grows.
+// The usage of a process grows, and reading that of a process that does not exist fails.
 func TestUsage(t *testing.T) {
 	before, err := readUsage(os.Getpid())
 	if err != nil {
@@ -44,6 +44,6 @@
 		t.Errorf("%+v", used)
 	}
 	if _, err := readUsage(-1); err == nil {
-		t.Error("a process that is none")
+		t.Error("no error for a process that does not exist")
 	}
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -21,10 +21,11 @@
 	"ringtrack.example/ringtrack/internal/wire"
 )
 
-// hollowEnv makes a process of the lab one that holds hollow agents: the name of the file that says which.
+// hollowEnv names the specification file of a process of hollow agents; a process that has it set runs as
+// one.
 const hollowEnv = "RINGTRACK_LAB_HOLLOW"
 
-// hollowSpec says what a process of hollow agents is. It starts those that it has not started yet.
+// hollowSpec specifies a process of hollow agents. POST /start starts agents added to the file since.
 type hollowSpec struct {
 	Listen          string            `json:"listen"`
 	Discovery       string            `json:"discovery"`
@@ -38,20 +39,20 @@
 
 type hollowAgentSpec struct {
 	Name      string `json:"name"`
-	PollSlot  int    `json:"index"` // its turn among of
+	PollSlot  int    `json:"index"` // its discovery poll slot, of PollSlots
 	PollSlots int    `json:"of"`
 }
 
-// hollowState is what the stand-ins of data paths in a process were told.
+// hollowState summarizes what the hollow agents of a process received.
 type hollowState struct {
-	Configs        map[uint64]map[string]int `json:"books"`       // how many were given a book of this content, by stage
-	Expiries       int                       `json:"lapses"`      // leases that were renewed after their end
-	ServerRulesEnd time.Time                 `json:"lists_end"`   // when the last word on servers of any of them ends
-	Rejecting      int                       `json:"refusing"`    // those whose word on servers is over now
-	MinListed      int                       `json:"known_least"` // the fewest backends that one of them counts
+	Configs        map[uint64]map[string]int `json:"books"`       // number of agents that received a configuration, by epoch and digest
+	Expiries       int                       `json:"lapses"`      // leases that were renewed after they had expired
+	ServerRulesEnd time.Time                 `json:"lists_end"`   // latest end of the agents' server rules
+	Rejecting      int                       `json:"refusing"`    // agents whose server rules have expired
+	MinListed      int                       `json:"known_least"` // smallest number of backends that an agent has listed
 }
 
-// hollowChild runs the process as hollow agents, if its environment says so, and does not return then.
+// runHollowChild runs the process as hollow agents and does not return, if the environment says so.
 func runHollowChild() {
 	path := os.Getenv(hollowEnv)
 	if path == "" {
@@ -64,14 +65,16 @@
 	os.Exit(0)
 }
 
-// hollows are the hollow agents of a process: of the product's own parts the client of discovery (membership/roster),
-// the link to the keepers with its lease (agree/link, rulebook), the loop with table, counters and what is agreed on
-// (core) and the decision module (policy), each agent with all of these for itself, as agent.Run wires them.
+// hollowAgents are the hollow agents of one process. Each agent has its own instance of these parts of the
+// product, connected as agent.Run connects them: the discovery client (membership/discovery), the client of
+// the configuration store with its lease (configstore/client, sharedconfig), the event loop with the endpoint
+// table, counters and shared configuration (core), and the decision module (policy).
 //
-// Left out: fronts and upstreams, so requests, their time-outs, retries and memory, probes, the pool of connections to
-// backends and its sweep; what requests make the module do, among it the whole list that it asks for again after
-// failures, at the most once in AskWithinMs x agents/8; the admin endpoint; the folder shared with another process;
-// the relay of peers' asks; the file and its reload; and each agent's own Go runtime, of which a process has one.
+// Hollow agents lack the downstream and upstream sides, hence requests with their timeouts, retries and
+// memory, health checks, and the connection pool of backends with its sweep; what requests make the decision
+// module do, such as fetching the complete endpoint list after failures (at most once per PollIntervalMs x
+// agents/8); the admin endpoint; the directory shared with another process; the relay of peers' renewals; the
+// configuration file and its reload; and a Go runtime per agent, as a process has just one.
 type hollowAgents struct {
 	ctx    context.Context
 	mu     sync.Mutex
@@ -79,14 +82,15 @@
 	state  hollowState
 }
 
-// hollow is one of them: the stand-in for its data path, which notes what rules it is given and until when.
+// hollowAgent is one hollow agent. In place of a data path it records which configurations it receives and
+// until when they are valid.
 type hollowAgent struct {
 	process                  *hollowAgents
 	loop                     *core.EventLoop
-	leaseEnd, serverRulesEnd time.Time // under h.mu
+	leaseEnd, serverRulesEnd time.Time // guarded by process.mu
 }
 
-// Adopt implements link.Target as the agent does, and notes the book's content.
+// Adopt implements client.Applier as the agent does, and records the digest of the configuration.
 func (a *hollowAgent) Adopt(ctx context.Context, epoch uint64, config *sharedconfig.Config, leaseEnd, serverRulesEnd time.Time) error {
 	if err := a.runInLoop(ctx, func() { a.loop.AdoptConfig(epoch, config, leaseEnd, serverRulesEnd) }); err != nil {
 		return err
@@ -105,7 +109,7 @@
 	return nil
 }
 
-// Renew implements link.Target.
+// Renew implements client.Applier.
 func (a *hollowAgent) Renew(ctx context.Context, leaseEnd, serverRulesEnd time.Time) {
 	a.runInLoop(ctx, func() { a.loop.RenewLease(leaseEnd, serverRulesEnd) })
 	a.recordLease(leaseEnd, serverRulesEnd)
@@ -133,7 +137,7 @@
 
 func runHollow(path string) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
-	debug.SetGCPercent(100) // as agent.Main
+	debug.SetGCPercent(100) // as in agent.Main
 	h := &hollowAgents{ctx: context.Background(), byName: map[string]*hollowAgent{}, state: hollowState{Configs: map[uint64]map[string]int{}}}
 	spec, err := h.start(path)
 	if err != nil {
@@ -154,7 +158,7 @@
 	return http.Serve(ln, mux)
 }
 
-// start starts all agents of the file that do not run yet, at once.
+// start starts all agents of the file that are not running yet, without pauses.
 func (h *hollowAgents) start(path string) (*hollowSpec, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -192,7 +196,7 @@
 	h.mu.Lock()
 	h.byName[agent.Name] = a
 	h.mu.Unlock()
-	clientConfig := &client.Config{Replicas: spec.Replicas, CallMs: 400, WaitMs: 500, OnExpiry: client.OnExpiryReject} // as deploy/agreed.toml
+	clientConfig := &client.Config{Replicas: spec.Replicas, CallMs: 400, WaitMs: 500, OnExpiry: client.OnExpiryReject} // as in deploy/agreed.toml
 	if spec.Defect == defectNoWait {
 		clientConfig.WaitMs = 0
 	}
--- a/internal/lab/scale/paths.go
+++ b/internal/lab/scale/paths.go
@@ -8,17 +8,19 @@
 	"ringtrack.example/ringtrack/internal/emulator"
 )
 
-// paths measures what calls inside calls cost, in the emulator: over the hops of a chain of services, and over the number
-// of services of a graph. Scale is of times and rates, not of depths and services. What falls with the power of the
-// hops is measured as its logarithm, whose line is straight; attempts at the last hop are not linear: room and time bound them.
-var pathsTest = Test{Name: "paths", About: "services that call services: attempts, failures and time over 1 to 6 hops, and 20 to 82 services",
+// pathsTest measures in the emulator what nested calls cost, by the number of hops of a chain of services and
+// by the number of services of a graph. The scale applies to times and rates, not to depths and numbers of
+// services. A figure that decays exponentially with the hops is measured as its logarithm, which is linear.
+// The attempts at the last hop are not linear: capacity and time bound them.
+var pathsTest = Test{Name: "paths", About: "Services that call services: attempts, failures and latency over 1 to 6 hops and 20 to 82 services.",
 	Quick: 0.15, Smallest: 0.02, Run: runPaths}
 
-// The aimed size, and the rate of calls of its services.
+// The target size, and the call rate of all its services.
 const (
 	targetServices, targetServers, targetDepth = 82, 470, 6
 	targetCallsPerS                            = 56_000.0
-	// calmLeast is what a graph without trouble serves at least; the smallest form counts some hundred calls.
+	// minFaultFreeGoodput bounds what a graph without faults serves; the smallest form counts some hundred
+	// calls.
 	minFaultFreeGoodput = 0.95
 )
 
@@ -33,11 +35,11 @@
 	return r, nil
 }
 
-// warmUp and seconds are the lengths of a run's beginning, which is not counted, and of what is.
+// warmUpSeconds and measuredSeconds are the lengths of the uncounted start of a run and of the counted rest.
 func (o *Options) warmUpSeconds() float64   { return min(max(20*o.Scale, 0.5), 3) }
 func (o *Options) measuredSeconds() float64 { return max(10*o.Scale, 0.6) }
 
-// emulate runs a scenario under the product's module, and says where a rule was broken.
+// emulate runs a scenario with the product's decision module and reports violated invariants.
 func (o *Options) emulate(ctx context.Context, r *Report, sc *emulator.Scenario) (*emulator.Result, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -50,16 +52,17 @@
 		return nil, fmt.Errorf("%s: %w", sc.Name, err)
 	}
 	if len(res.Violations) > 0 {
-		r.Short = append(r.Short, fmt.Sprintf("%s: rules broken: %v", sc.Name, res.ViolationTexts))
+		r.Short = append(r.Short, fmt.Sprintf("%s: invariants violated: %v", sc.Name, res.ViolationTexts))
 	}
 	if res.Ops == 0 {
-		return nil, fmt.Errorf("%s: nothing was asked for", sc.Name)
+		return nil, fmt.Errorf("%s: no calls were made", sc.Name)
 	}
-	o.logf("%s: %d at the top, %.4f served, p99 %.0f ms, %.3f attempts at the deepest", sc.Name, res.Ops, res.Goodput, res.P99Ms, res.Path.DeepestAttempts)
+	o.logf("%s: %d top-level calls, %.4f served, p99 %.0f ms, %.3f attempts at the deepest hop per top-level call", sc.Name, res.Ops, res.Goodput, res.P99Ms, res.Path.DeepestAttempts)
 	return res, nil
 }
 
-// hops measures chains of services of six servers each, whose answers are right, or errors for half of them at each hop.
+// measureChains measures chains of services with six servers each, without faults and with errors for half of
+// the calls at each hop.
 func (o *Options) measureChains(ctx context.Context, r *Report) error {
 	var p99, served, attempts, withinObjective []Point
 	for depth := 1; depth <= targetDepth; depth++ {
@@ -79,11 +82,11 @@
 			if errorFraction == 0 {
 				p99 = appendPoint(p99, res.P99Ms)
 				if res.Goodput < minFaultFreeGoodput {
-					r.Short = append(r.Short, fmt.Sprintf("%s: served %.4f, at least %v", sc.Name, res.Goodput, minFaultFreeGoodput))
+					r.Short = append(r.Short, fmt.Sprintf("%s: served %.4f, at least %v required", sc.Name, res.Goodput, minFaultFreeGoodput))
 				}
 				continue
 			}
-			// Half an operation where there is none, for the logarithm.
+			// A count of 0 is replaced by 0.5, as 0 has no logarithm.
 			ops := float64(res.Ops)
 			served = appendPoint(served, -math.Log(max(float64(res.Served), 0.5)/ops))
 			withinObjective = appendPoint(withinObjective, -math.Log(max(float64(res.WithinObjective), 0.5)/ops))
@@ -103,13 +106,13 @@
 	return nil
 }
 
-// fitLast foretells the last point from those before it.
+// fitLast fits a line to all points but the last and checks it at the last.
 func fitLast(name, unit string, p []Point) Line {
 	last := len(p) - 1
 	return Fit(name, unit, p[:last], p[last].Size, p[last].Value)
 }
 
-// services measures graphs of more and more services, six deep, at one rate for each server.
+// measureGraphs measures graphs of increasing numbers of services, six deep, at a constant rate per server.
 func (o *Options) measureGraphs(ctx context.Context, r *Report) error {
 	var unserved, p99, events, amplification []Point
 	for _, n := range []int{20, 40, 60, targetServices} {
@@ -123,7 +126,7 @@
 			return err
 		}
 		if res.Goodput < minFaultFreeGoodput {
-			r.Short = append(r.Short, fmt.Sprintf("%s: served %.4f, at least %v", sc.Name, res.Goodput, minFaultFreeGoodput))
+			r.Short = append(r.Short, fmt.Sprintf("%s: served %.4f, at least %v required", sc.Name, res.Goodput, minFaultFreeGoodput))
 		}
 		unserved = appendPoint(unserved, 1000*(1-res.Goodput))
 		p99 = appendPoint(p99, res.P99Ms)
--- a/internal/lab/scale/plainproxy.go
+++ b/internal/lab/scale/plainproxy.go
@@ -17,16 +17,16 @@
 	"ringtrack.example/ringtrack/internal/lab/cluster"
 )
 
-// childEnv makes a process of the lab a plain proxy: it names the file of its configuration.
+// plainProxyEnv names the configuration file of a plain proxy; a process that has it set runs as one.
 const plainProxyEnv = "RINGTRACK_SCALE_PLAIN_PROXY"
 
-// plainConfig is where a plain proxy listens and the backends behind it.
+// plainConfig configures a plain proxy.
 type plainConfig struct {
 	Listen   string
 	Backends []string
 }
 
-// plainChild runs the process as a plain proxy, if the environment says so, and does not return then.
+// runPlainProxyChild runs the process as a plain proxy and does not return, if the environment says so.
 func runPlainProxyChild() {
 	path := os.Getenv(plainProxyEnv)
 	if path == "" {
@@ -35,7 +35,7 @@
 	log.Fatalln("plain proxy:", servePlainProxy(path))
 }
 
-// newPlain makes the process of a plain proxy in a folder, which is not started. It has one core, as the agent has.
+// newPlainProxy returns the process of a plain proxy without starting it. Like the agent it has one core.
 func newPlainProxy(dir, addr string, backends []string) (*cluster.Process, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -51,9 +51,9 @@
 	return p, os.WriteFile(path, text, 0o600)
 }
 
-// servePlain is what stands beside the agent for comparison: net/http/httputil's reverse proxy over net/http's
-// transport, any backend for each call, connections kept for as long as the agent keeps them. It decides nothing, tries
-// nothing twice and follows no list.
+// servePlainProxy serves as the baseline that the agent is compared with: net/http/httputil's reverse proxy
+// over net/http's transport. It picks a random backend for each call, keeps idle connections as long as the
+// agent does, makes no retries and follows no endpoint list.
 func servePlainProxy(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,7 +1,8 @@
-// Package scale measures how what the product needs grows with the size of the deployment: a slope from three sizes
-// or more, the figure that it foretells at a further size, and the figure that is measured there. It counts processor
-// time, bytes and memory of processes, and wall time only as a ratio within one run. `ringtrack-lab scale NAME` runs it;
-// docs/CAPACITY.md holds what came out. It never asks the code under test how it did.
+// Package scale measures how the resource usage of the product grows with the size of a deployment. A test
+// measures each figure at three or more sizes, fits a line, and compares the line's prediction for one more
+// size with what is measured there. It counts processor time, bytes and memory of processes; wall time counts
+// only as a ratio within one run. It does not rely on what the code under test reports about itself. Run it
+// with `ringtrack-lab scale NAME`; docs/CAPACITY.md holds the results.
 package scale
 
 import (
@@ -13,17 +14,18 @@
 	"strings"
 )
 
-// Tolerance is how far a measured figure may lie from the foretold one, as a part of the latter, before the report says so.
+// Tolerance is the relative deviation of a measured figure from the predicted one above which the report
+// mentions it.
 const Tolerance = 0.2
 
-// Options say how a test is run.
+// Options configure a run of a test.
 type Options struct {
 	Seed  uint64
-	Scale float64   // of sizes and times; 1 is the whole test
-	Log   io.Writer // progress; nil: none
+	Scale float64   // scales sizes and times; 1 is the full test
+	Log   io.Writer // receives the progress; nil: none
 
-	SlowDisk bool // of control: changes at the aimed size while all keepers' disks are slow, and nothing else
-	Defect   bool // the lab's defect is seeded, which the test is to find
+	SlowDisk bool // control only: just the changes at the target size, with slow disks at all replicas
+	Defect   bool // injects the defect that the test has to detect
 }
 
 func (o *Options) logf(format string, args ...any) {
@@ -35,29 +37,29 @@
 // Test is one scale test.
 type Test struct {
 	Name, About string
-	Quick       float64 // the scale at which it takes under 40 s
-	Smallest    float64 // the scale at which CI runs it
-	Defect      string  // what Options.Defect seeds; "": there is none
+	Quick       float64 // scale at which it takes less than 40 s
+	Smallest    float64 // scale at which CI runs it
+	Defect      string  // what Options.Defect injects; "": nothing
 	Run         func(ctx context.Context, o *Options) (*Report, error)
 }
 
-// All are the tests by their names' order.
+// All lists the tests, sorted by name.
 var All = []Test{
 	adminTest,
-	{"control", "470 agents, hollow and real, 5 keepers, discovery: what control needs, quiet and under changes and faults", 0.15, 0.02,
-		"hollow agents that ask again at once; with slow disks, keepers whose loop waits for its disk", Control},
+	{"control", "Usage of 470 real and hollow agents, 5 replicas and discovery: idle, during changes, and during faults.", 0.15, 0.02,
+		"hollow agents that renew their leases without waiting; with slow disks, replicas whose event loop waits for the disk", Control},
 	dataPathTest,
 	pathsTest,
 }
 
-// Child runs the process as hollow agents or as a plain proxy, if its environment says so, and does not return then. A
-// program that runs scale tests calls it first.
+// Child runs the process as hollow agents or as a plain proxy and does not return, if the environment says
+// so. A program that runs scale tests has to call it first.
 func Child() {
 	runHollowChild()
 	runPlainProxyChild()
 }
 
-// Find returns the test of a name.
+// Find returns the test with a name.
 func Find(name string) (Test, bool) {
 	for _, t := range All {
 		if t.Name == name {
@@ -67,25 +69,26 @@
 	return Test{}, false
 }
 
-// Point is a figure at a size.
+// Point is the value of a figure at one size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// Line is a figure that grows with a size: fitted by least squares to Points, and checked at one further size.
+// Line is a figure that grows with the size, fitted to Points by least squares and checked at one further
+// size.
 type Line struct {
 	Name      string  `json:"name"`
 	Unit      string  `json:"unit"`
 	Points    []Point `json:"points"`
-	Slope     float64 `json:"slope"` // Unit for each unit of size
-	Base      float64 `json:"base"`  // Unit at size 0
-	At        float64 `json:"at"`    // the size that is foretold
+	Slope     float64 `json:"slope"` // Unit per unit of size
+	Base      float64 `json:"base"`  // in Unit, at size 0
+	At        float64 `json:"at"`    // the size of the prediction
 	Predicted float64 `json:"foretold"`
-	Measured  float64 `json:"measured"` // NaN is not allowed in JSON: -1 where nothing was measured there
+	Measured  float64 `json:"measured"` // -1: not measured; JSON has no NaN
 }
 
-// Fit returns the line through the points and what it foretells for a size.
+// Fit returns the line through the points and its prediction for a size.
 func Fit(name, unit string, points []Point, at, measured float64) Line {
 	l := Line{Name: name, Unit: unit, Points: points, At: at, Measured: measured}
 	n, sx, sy, sxx, sxy := float64(len(points)), 0.0, 0.0, 0.0, 0.0
@@ -102,7 +105,7 @@
 	return l
 }
 
-// Deviation is how far the measured figure lies from the foretold one, as a part of the latter.
+// Deviation returns the relative deviation of the measured figure from the predicted one.
 func (l Line) Deviation() float64 {
 	if l.Measured < 0 || l.Predicted == 0 {
 		return 0
@@ -111,7 +114,7 @@
 }
 
 func (l Line) String() string {
-	s := fmt.Sprintf("%s: %.4g + %.4g x size %s, foretold at %g %.4g", l.Name, l.Base, l.Slope, l.Unit, l.At, l.Predicted)
+	s := fmt.Sprintf("%s: %.4g + %.4g x size %s, predicted at %g: %.4g", l.Name, l.Base, l.Slope, l.Unit, l.At, l.Predicted)
 	if l.Measured < 0 {
 		return s + ", not measured"
 	}
@@ -122,16 +125,16 @@
 	return s
 }
 
-// sized is a figure at each size.
+// sizedFigure is a figure measured at several sizes.
 type sizedFigure struct {
 	name, unit string
 	points     []Point
 }
 
-// series are figures at sizes that are measured one after the other, in the order of their lines.
+// sizedFigures are figures measured at increasing sizes, in the order of the report's lines.
 type sizedFigures []sizedFigure
 
-// at notes a figure of a size.
+// record adds the value of a figure at a size.
 func (s *sizedFigures) record(size int, name string, value float64, unit string) {
 	p := Point{float64(size), value}
 	for i := range *s {
@@ -143,14 +146,14 @@
 	*s = append(*s, sizedFigure{name, unit, []Point{p}})
 }
 
-// foretell tells what the sizes so far foretell for one that was not measured yet.
+// logPredictions logs what the sizes measured so far predict for another size.
 func (s sizedFigures) logPredictions(o *Options, size int) {
 	for _, figure := range s {
-		o.logf("foretold: %s", Fit(figure.name, figure.unit, figure.points, float64(size), -1))
+		o.logf("predicted: %s", Fit(figure.name, figure.unit, figure.points, float64(size), -1))
 	}
 }
 
-// lines are fitted to all sizes but the last, and checked there.
+// lines returns a line for each figure, fitted to all sizes but the last and checked at the last.
 func (s sizedFigures) lines() (all []Line) {
 	for _, figure := range s {
 		last := len(figure.points) - 1
@@ -159,28 +162,28 @@
 	return all
 }
 
-// Figure is a thing measured once, at one size.
+// Figure is a value measured once, at one size.
 type Figure struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit,omitempty"`
 }
 
-// Report is what a test found.
+// Report is the result of a test.
 type Report struct {
 	Test    string   `json:"test"`
 	Seed    uint64   `json:"seed"`
 	Scale   float64  `json:"scale"`
 	Lines   []Line   `json:"lines"`
 	Figures []Figure `json:"figures"`
-	Short   []string `json:"short,omitempty"` // what fell short of its bound
+	Short   []string `json:"short,omitempty"` // bounds that were not met
 }
 
 func (r *Report) add(name string, value float64, unit string) {
 	r.Figures = append(r.Figures, Figure{name, value, unit})
 }
 
-// JSON is the report for programs.
+// JSON returns the report as JSON.
 func (r *Report) JSON() string {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -189,7 +192,7 @@
 	return string(text)
 }
 
-// String is the report for people: the lines, the figures, what fell short.
+// String returns the report as text: the lines, the figures, and the bounds that were not met.
 func (r *Report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, seed %d, scale %g\n", r.Test, r.Seed, r.Scale)
@@ -200,7 +203,7 @@
 		fmt.Fprintf(&b, "  %s: %.4g %s\n", f.Name, f.Value, f.Unit)
 	}
 	for _, s := range r.Short {
-		fmt.Fprintln(&b, "  SHORT:", s)
+		fmt.Fprintln(&b, "  FAILED:", s)
 	}
 	return b.String()
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Each test in its smallest form says its lines, what they foretell and what was measured, and falls short of nothing.
+// TestSmallestForms runs each test at its smallest scale. Each has to report lines with predictions and
+// measurements, and to meet all its bounds.
 func TestSmallestForms(t *testing.T) {
 	for _, s := range All {
 		t.Run(s.Name, func(t *testing.T) {
@@ -16,7 +17,7 @@
 			}
 			t.Log(r)
 			if len(r.Short) > 0 || len(r.Lines) == 0 {
-				t.Errorf("%d lines, short of %v", len(r.Lines), r.Short)
+				t.Errorf("%d lines, bounds not met: %v", len(r.Lines), r.Short)
 			}
 		})
 	}
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -11,16 +11,17 @@
 	"time"
 )
 
-// usage is what a process has used since its start, as /proc has it.
+// usage is what a process has used since its start, as /proc reports it.
 type usage struct {
-	CPU   time.Duration // on a core, all threads
-	Wait  time.Duration // ready to run and without a core: the machine's part and not the process's
-	Bytes int64         // read and written, sockets and files
-	RSS   int64         // now, in KiB
+	CPU   time.Duration // processor time of all threads
+	Wait  time.Duration // runnable without a core: caused by the machine's load, not by the process
+	Bytes int64         // read and written, of sockets and files
+	RSS   int64         // current, in KiB
 }
 
-// cores reads what a process's threads had of cores and waited for them, from schedstat, in ns: the 10 ms ticks of stat
-// are too coarse for a process that idles. A thread that ends takes its part along; those of Go's runtime stay.
+// schedulerTimes sums the processor time of a process's threads and the time they were runnable without a
+// core. It reads schedstat, which counts in ns: the 10 ms ticks of /proc/PID/stat are too coarse for an idle
+// process. The times of a thread that ended are lost, but the threads of Go's runtime stay alive.
 func schedulerTimes(pid int) (cpu, wait time.Duration, err error) {
 	dir := fmt.Sprintf("/proc/%d/task", pid)
 	threads, err := os.ReadDir(dir)
@@ -30,7 +31,7 @@
 	for _, t := range threads {
 		text, err := os.ReadFile(filepath.Join(dir, t.Name(), "schedstat"))
 		if errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ESRCH) {
-			continue // it has just ended
+			continue // the thread has ended
 		}
 		var ran, waited time.Duration
 		if err == nil {
@@ -44,7 +45,7 @@
 	return cpu, wait, nil
 }
 
-// usageOf reads a process's usage.
+// readUsage reads the usage of a process.
 func readUsage(pid int) (u usage, err error) {
 	if u.CPU, u.Wait, err = schedulerTimes(pid); err != nil {
 		return u, err
@@ -68,7 +69,7 @@
 	return u, nil
 }
 
-// since is what was used after an earlier reading; RSS is that of now.
+// since returns what was used after an earlier reading; RSS is the current one.
 func (u usage) since(earlier usage) usage {
 	return usage{u.CPU - earlier.CPU, u.Wait - earlier.Wait, u.Bytes - earlier.Bytes, u.RSS}
 }
