--- a/internal/lab/scale/admin_test.go
+++ b/internal/lab/scale/admin_test.go
@@ -8,21 +8,21 @@
 	"testing"
 )
 
-// What each call costs is told at each size, and none of it for nothing.
-func TestAdminEndpointIsTold(t *testing.T) {
+// The report has a line for each kind of call and figure, and all values are positive.
+func TestAdminReportsAllOperations(t *testing.T) {
 	t.Parallel()
 	r, err := adminTest.Run(t.Context(), &Options{Seed: 3, Scale: adminTest.Smallest})
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := map[string]Line{}
+	lines := map[string]Line{}
 	for _, l := range r.Lines {
-		told[l.Name] = l
+		lines[l.Name] = l
 	}
 	for _, call := range []string{"health", "figures", "a ban and its lifting"} {
 		for _, of := range []string{"processor time", "bytes", "time p50"} {
-			l, ok := told[call+", "+of]
-			if !ok || len(l.Points) != len(listed)-1 || l.Measured <= 0 {
+			l, ok := lines[call+", "+of]
+			if !ok || len(l.Points) != len(backendSizes)-1 || l.Measured <= 0 {
 				t.Errorf("%s, %s: %+v", call, of, l)
 			}
 			for _, p := range l.Points {
@@ -34,8 +34,8 @@
 	}
 }
 
-// A call that is answered with anything but 200 is none that counts.
-func TestAdminCallsThatAreRefused(t *testing.T) {
+// A call without a response of status 200 is an error, not a measurement.
+func TestAdminCallsThatFail(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	defer s.Close()
 	s.Config.SetKeepAlivesEnabled(false)
@@ -50,6 +50,6 @@
 	c.addr = ln.Addr().String()
 	ln.Close()
 	if err := c.call(http.MethodGet, "/admin/health"); err == nil {
-		t.Error("nobody listens")
+		t.Error("no error although nothing listens")
 	}
 }
--- a/internal/lab/scale/controltools.go
+++ b/internal/lab/scale/controltools.go
@@ -14,28 +14,28 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// toolNames are the operators' calls that are measured, each a process of the product.
-var toolNames = []string{"holders", "show", "publish"}
+// measuredTools are the measured commands of ringtrack-configstore.
+var measuredTools = []string{"holders", "show", "publish"}
 
-// toolCost is what one run of a tool used.
+// toolCost is the usage of one run of a command.
 type toolCost struct {
-	cpuMs, mb, kb, ms float64 // kb is to and from keepers, ms from its start to its end
+	cpuMs, mb, kb, ms float64 // kb: to and from replicas; ms: wall time
 }
 
-// tools runs each tool once, a few times where it changes nothing, and returns the cheapest run by processor time: what
-// else the machine did is in all of them.
-func (r *controlRig) tools(ctx context.Context) (map[string]toolCost, error) {
+// measureTools runs each command, those that change nothing three times, and returns the run with the least
+// processor time: other load on the machine adds to all runs.
+func (r *controlRig) measureTools(ctx context.Context) (map[string]toolCost, error) {
 	var addrs []string
-	for _, k := range r.Replicas {
-		addr, err := r.ProxyAddr("tools", k.Name, k.Addr)
+	for _, replica := range r.Replicas {
+		addr, err := r.ProxyAddr("tools", replica.Name, replica.Addr)
 		if err != nil {
 			return nil, err
 		}
 		addrs = append(addrs, addr)
 	}
 	bytes := func() (sum int64) {
-		for _, k := range r.Replicas {
-			sum += r.BytesSent("tools", k.Name) + r.BytesSent(k.Name, "tools")
+		for _, replica := range r.Replicas {
+			sum += r.BytesSent("tools", replica.Name) + r.BytesSent(replica.Name, "tools")
 		}
 		return sum
 	}
@@ -50,15 +50,15 @@
 		if err := cmd.Start(); err != nil {
 			return c, "", err
 		}
-		most, ended := make(chan float64, 1), make(chan struct{})
-		go func() { most <- mostMemory(cmd.Process.Pid, ended) }()
+		peak, ended := make(chan float64, 1), make(chan struct{})
+		go func() { peak <- peakMemory(cmd.Process.Pid, ended) }()
 		err = cmd.Wait()
 		close(ended)
 		if err != nil {
 			return c, "", fmt.Errorf("%v: %w: %s", args, err, tail(text.String(), 300))
 		}
 		c = toolCost{ms: ms(time.Since(from)), kb: float64(bytes()-before) / 1024, cpuMs: ms(cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime())}
-		c.mb = <-most
+		c.mb = <-peak
 		return c, text.String(), nil
 	}
 	costs := map[string]toolCost{}
@@ -69,7 +69,7 @@
 				return nil, err
 			}
 			if n := strings.Count(out, " stage "); name == "holders" && n < r.n {
-				return nil, fmt.Errorf("holders tells of %d, there are %d", n, r.n)
+				return nil, fmt.Errorf("holders lists %d agents, want %d", n, r.n)
 			}
 			if i == 0 || c.cpuMs < costs[name].cpuMs {
 				costs[name] = c
@@ -77,7 +77,7 @@
 		}
 	}
 	next := r.version + 1
-	text, err := toml.Marshal(bookOf(next))
+	text, err := toml.Marshal(configOf(next))
 	if err != nil {
 		return nil, err
 	}
@@ -90,37 +90,38 @@
 		return nil, err
 	}
 	r.version, costs["publish"] = next, c
-	_, err = r.held(ctx, r.names(nil), sharedconfig.EpochOf(next), time.Now(), 30*time.Second)
+	_, err = r.awaitEpoch(ctx, r.names(nil), sharedconfig.EpochOf(next), time.Now(), 30*time.Second)
 	return costs, err
 }
 
-// mostMemory is the most MB that a process had, as it was seen each half millisecond until it ended: what the kernel tells
-// of a process that has ended counts in who started it.
-func mostMemory(pid int, ended chan struct{}) (mb float64) {
+// peakMemory returns the largest resident size of a process in MB, polled every half millisecond until the
+// process has ended. The rusage of an ended process is no substitute: its peak includes the memory of the
+// parent that forked it.
+func peakMemory(pid int, ended chan struct{}) (peak float64) {
 	for {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 		if _, rest, ok := strings.Cut(string(text), "VmHWM:"); ok && err == nil {
 			var kb float64
 			fmt.Sscan(rest, &kb)
-			mb = max(mb, kb/1024)
+			peak = max(peak, kb/1024)
 		}
 		select {
 		case <-ended:
-			return mb
+			return peak
 		case <-time.After(500 * time.Microsecond):
 		}
 	}
 }
 
-// toolLines are the tools' costs as figures of a size.
+// toolLines returns the commands' costs as figures that grow with the size.
 func toolLines() (lines []controlLine) {
-	for _, name := range toolNames {
+	for _, name := range measuredTools {
 		for _, x := range []struct {
 			what, unit string
 			of         func(toolCost) float64
 		}{{"processor", "ms", func(c toolCost) float64 { return c.cpuMs }}, {"memory", "MB", func(c toolCost) float64 { return c.mb }},
 			{"bytes", "KB", func(c toolCost) float64 { return c.kb }}, {"time", "ms", func(c toolCost) float64 { return c.ms }}} {
-			lines = append(lines, controlLine{"ringtrack-configstore " + name + ", " + x.what, x.unit, func(c *sizeCost) float64 { return x.of(c.tools[name]) }})
+			lines = append(lines, controlLine{"ringtrack-configstore " + name + ", " + x.what, x.unit, func(c *sizeCost) float64 { return x.of(c.toolCosts[name]) }})
 		}
 	}
 	return lines
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -21,38 +21,39 @@
 	"ringtrack.example/ringtrack/internal/wire"
 )
 
-// hollowEnv makes a process of the lab one that holds hollow agents: the name of the file that says which.
+// hollowEnv names the specification file of a process of hollow agents; a process that has it set runs as
+// one.
 const hollowEnv = "RINGTRACK_LAB_HOLLOW"
 
-// hollowSpec says what a process of hollow agents is. It starts those that it has not started yet.
+// hollowSpec specifies a process of hollow agents. POST /start starts agents added to the file since.
 type hollowSpec struct {
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Keepers   []string        `json:"keepers"`
-	Known     membership.List `json:"known"`
-	Agents    []hollowAgent   `json:"agents"`
-	Defect    string          `json:"defect,omitempty"`
-
-	AskWithinMs float64 `json:"ask_within_ms"`
+	Listen          string            `json:"listen"`
+	Discovery       string            `json:"discovery"`
+	Replicas        []string          `json:"keepers"`
+	CachedEndpoints membership.List   `json:"known"`
+	Agents          []hollowAgentSpec `json:"agents"`
+	Defect          string            `json:"defect,omitempty"`
+
+	PollIntervalMs float64 `json:"ask_within_ms"`
 }
 
-type hollowAgent struct {
-	Name  string `json:"name"`
-	Index int    `json:"index"` // its turn among of
-	Of    int    `json:"of"`
+type hollowAgentSpec struct {
+	Name      string `json:"name"`
+	PollSlot  int    `json:"index"` // its discovery poll slot, of PollSlots
+	PollSlots int    `json:"of"`
 }
 
-// hollowState is what the stand-ins of data paths in a process were told.
+// hollowState summarizes what the hollow agents of a process received.
 type hollowState struct {
-	Books    map[uint64]map[string]int `json:"books"`       // how many were given a book of this content, by stage
-	Lapses   int                       `json:"lapses"`      // leases that were renewed after their end
-	ListsEnd time.Time                 `json:"lists_end"`   // when the last word on servers of any of them ends
-	Refusing int                       `json:"refusing"`    // those whose word on servers is over now
-	Known    int                       `json:"known_least"` // the fewest backends that one of them counts
+	Configs        map[uint64]map[string]int `json:"books"`       // number of agents that received a configuration, by epoch and digest
+	Expiries       int                       `json:"lapses"`      // leases that were renewed after they had expired
+	ServerRulesEnd time.Time                 `json:"lists_end"`   // latest end of the agents' server rules
+	Rejecting      int                       `json:"refusing"`    // agents whose server rules have expired
+	MinListed      int                       `json:"known_least"` // smallest number of backends that an agent has listed
 }
 
-// hollowChild runs the process as hollow agents, if its environment says so, and does not return then.
-func hollowChild() {
+// runHollowChild runs the process as hollow agents and does not return, if the environment says so.
+func runHollowChild() {
 	path := os.Getenv(hollowEnv)
 	if path == "" {
 		return
@@ -64,63 +65,66 @@
 	os.Exit(0)
 }
 
-// hollows are the hollow agents of a process: of the product's own parts the client of discovery (membership/roster),
-// the link to the keepers with its lease (agree/link, rulebook), the loop with table, counters and what is agreed on
-// (core) and the decision module (policy), each agent with all of these for itself, as agent.Run wires them.
+// hollowAgents are the hollow agents of one process. Each agent has its own instance of these parts of the
+// product, connected as agent.Run connects them: the discovery client (membership/discovery), the client of
+// the configuration store with its lease (configstore/client, sharedconfig), the event loop with the endpoint
+// table, counters and shared configuration (core), and the decision module (policy).
 //
-// Left out: fronts and upstreams, so requests, their time-outs, retries and memory, probes, the pool of connections to
-// backends and its sweep; what requests make the module do, among it the whole list that it asks for again after
-// failures, at the most once in AskWithinMs x agents/8; the admin endpoint; the folder shared with another process;
-// the relay of peers' asks; the file and its reload; and each agent's own Go runtime, of which a process has one.
-type hollows struct {
-	ctx  context.Context
-	mu   sync.Mutex
-	all  map[string]*hollow
-	told hollowState
+// Hollow agents lack the downstream and upstream sides, hence requests with their timeouts, retries and
+// memory, health checks, and the connection pool of backends with its sweep; what requests make the decision
+// module do, such as fetching the complete endpoint list after failures (at most once per PollIntervalMs x
+// agents/8); the admin endpoint; the directory shared with another process; the relay of peers' renewals; the
+// configuration file and its reload; and a Go runtime per agent, as a process has just one.
+type hollowAgents struct {
+	ctx    context.Context
+	mu     sync.Mutex
+	byName map[string]*hollowAgent
+	state  hollowState
 }
 
-// hollow is one of them: the stand-in for its data path, which notes what rules it is given and until when.
-type hollow struct {
-	h            *hollows
-	loop         *core.EventLoop
-	until, lists time.Time // under h.mu
+// hollowAgent is one hollow agent. In place of a data path it records which configurations it receives and
+// until when they are valid.
+type hollowAgent struct {
+	process                  *hollowAgents
+	loop                     *core.EventLoop
+	leaseEnd, serverRulesEnd time.Time // guarded by process.mu
 }
 
-// Adopt implements link.Target as the agent does, and notes the book's content.
-func (a *hollow) Adopt(ctx context.Context, stage uint64, book *sharedconfig.Config, until, lists time.Time) error {
-	if err := a.do(ctx, func() { a.loop.AdoptConfig(stage, book, until, lists) }); err != nil {
+// Adopt implements client.Applier as the agent does, and records the digest of the configuration.
+func (a *hollowAgent) Adopt(ctx context.Context, epoch uint64, config *sharedconfig.Config, leaseEnd, serverRulesEnd time.Time) error {
+	if err := a.runInLoop(ctx, func() { a.loop.AdoptConfig(epoch, config, leaseEnd, serverRulesEnd) }); err != nil {
 		return err
 	}
 	digest := ""
-	if book != nil {
-		digest = book.Digest()
+	if config != nil {
+		digest = config.Digest()
 	}
-	a.note(until, lists)
-	a.h.mu.Lock()
-	defer a.h.mu.Unlock()
-	if a.h.told.Books[stage] == nil {
-		a.h.told.Books[stage] = map[string]int{}
+	a.recordLease(leaseEnd, serverRulesEnd)
+	a.process.mu.Lock()
+	defer a.process.mu.Unlock()
+	if a.process.state.Configs[epoch] == nil {
+		a.process.state.Configs[epoch] = map[string]int{}
 	}
-	a.h.told.Books[stage][digest]++
+	a.process.state.Configs[epoch][digest]++
 	return nil
 }
 
-// Renew implements link.Target.
-func (a *hollow) Renew(ctx context.Context, until, lists time.Time) {
-	a.do(ctx, func() { a.loop.RenewLease(until, lists) })
-	a.note(until, lists)
+// Renew implements client.Applier.
+func (a *hollowAgent) Renew(ctx context.Context, leaseEnd, serverRulesEnd time.Time) {
+	a.runInLoop(ctx, func() { a.loop.RenewLease(leaseEnd, serverRulesEnd) })
+	a.recordLease(leaseEnd, serverRulesEnd)
 }
 
-func (a *hollow) note(until, lists time.Time) {
-	a.h.mu.Lock()
-	defer a.h.mu.Unlock()
-	if !a.until.IsZero() && time.Now().After(a.until) {
-		a.h.told.Lapses++
+func (a *hollowAgent) recordLease(leaseEnd, serverRulesEnd time.Time) {
+	a.process.mu.Lock()
+	defer a.process.mu.Unlock()
+	if !a.leaseEnd.IsZero() && time.Now().After(a.leaseEnd) {
+		a.process.state.Expiries++
 	}
-	a.until, a.lists = until, lists
+	a.leaseEnd, a.serverRulesEnd = leaseEnd, serverRulesEnd
 }
 
-func (a *hollow) do(ctx context.Context, f func()) error {
+func (a *hollowAgent) runInLoop(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	a.loop.Post(func() { f(); close(done) })
 	select {
@@ -133,8 +137,8 @@
 
 func runHollow(path string) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
-	debug.SetGCPercent(100) // as agent.Main
-	h := &hollows{ctx: context.Background(), all: map[string]*hollow{}, told: hollowState{Books: map[uint64]map[string]int{}}}
+	debug.SetGCPercent(100) // as in agent.Main
+	h := &hollowAgents{ctx: context.Background(), byName: map[string]*hollowAgent{}, state: hollowState{Configs: map[uint64]map[string]int{}}}
 	spec, err := h.start(path)
 	if err != nil {
 		return err
@@ -150,12 +154,12 @@
 		}
 	})
 	mux.HandleFunc("POST /collect", func(http.ResponseWriter, *http.Request) { debug.FreeOSMemory() })
-	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(h.state()) })
+	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(h.snapshot()) })
 	return http.Serve(ln, mux)
 }
 
-// start starts all agents of the file that do not run yet, at once.
-func (h *hollows) start(path string) (*hollowSpec, error) {
+// start starts all agents of the file that are not running yet, without pauses.
+func (h *hollowAgents) start(path string) (*hollowSpec, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -165,67 +169,67 @@
 		return nil, err
 	}
 	for i := range spec.Agents {
-		if err := h.one(spec, &spec.Agents[i]); err != nil {
+		if err := h.startAgent(spec, &spec.Agents[i]); err != nil {
 			return nil, err
 		}
 	}
 	return spec, nil
 }
 
-func (h *hollows) one(spec *hollowSpec, of *hollowAgent) error {
+func (h *hollowAgents) startAgent(spec *hollowSpec, agent *hollowAgentSpec) error {
 	h.mu.Lock()
-	there := h.all[of.Name] != nil
+	exists := h.byName[agent.Name] != nil
 	h.mu.Unlock()
-	if there {
+	if exists {
 		return nil
 	}
-	settings, err := wire.ParseSettings(agentSettings(of.Index, of.Of, spec.AskWithinMs))
+	settings, err := wire.ParseSettings(agentSettings(agent.PollSlot, agent.PollSlots, spec.PollIntervalMs))
 	if err != nil {
 		return err
 	}
-	cfg := core.Config{Discovery: spec.Discovery, CachedEndpoints: spec.Known, Settings: settings, Seed: uint64(of.Index), Zones: zoneNames, MachineTypes: kindNames,
+	cfg := core.Config{Discovery: spec.Discovery, CachedEndpoints: spec.CachedEndpoints, Settings: settings, Seed: uint64(agent.PollSlot), Zones: zoneNames, MachineTypes: kindNames,
 		SharedConfig: &core.SharedConfig{RejectOnExpiry: true}}
-	a := &hollow{h: h}
+	a := &hollowAgent{process: h}
 	if a.loop, err = core.New(h.ctx, cfg, semaphore.NewWeighted(1<<20), nil, func() {}); err != nil {
 		return err
 	}
 	h.mu.Lock()
-	h.all[of.Name] = a
+	h.byName[agent.Name] = a
 	h.mu.Unlock()
-	keepers := &client.Config{Replicas: spec.Keepers, CallMs: 400, WaitMs: 500, OnExpiry: client.OnExpiryReject} // as deploy/agreed.toml
-	if spec.Defect == noWait {
-		keepers.WaitMs = 0
+	clientConfig := &client.Config{Replicas: spec.Replicas, CallMs: 400, WaitMs: 500, OnExpiry: client.OnExpiryReject} // as in deploy/agreed.toml
+	if spec.Defect == defectNoWait {
+		clientConfig.WaitMs = 0
 	}
-	l := client.New(keepers, of.Name, a)
+	storeClient := client.New(clientConfig, agent.Name, a)
 	go a.loop.Run()
-	go l.Run(h.ctx)
+	go storeClient.Run(h.ctx)
 	return nil
 }
 
-func (h *hollows) state() *hollowState {
-	least := -1
+func (h *hollowAgents) snapshot() *hollowState {
+	minListed := -1
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := h.told
-	out.Books = map[uint64]map[string]int{}
-	for stage, digests := range h.told.Books {
-		out.Books[stage] = map[string]int{}
+	out := h.state
+	out.Configs = map[uint64]map[string]int{}
+	for epoch, digests := range h.state.Configs {
+		out.Configs[epoch] = map[string]int{}
 		for d, n := range digests {
-			out.Books[stage][d] = n
+			out.Configs[epoch][d] = n
 		}
 	}
 	now := time.Now()
-	for _, a := range h.all {
-		if n := a.loop.Rotation().Listed; least < 0 || n < least {
-			least = n
+	for _, a := range h.byName {
+		if n := a.loop.Rotation().Listed; minListed < 0 || n < minListed {
+			minListed = n
 		}
-		if a.lists.After(out.ListsEnd) {
-			out.ListsEnd = a.lists
+		if a.serverRulesEnd.After(out.ServerRulesEnd) {
+			out.ServerRulesEnd = a.serverRulesEnd
 		}
-		if !now.Before(a.lists) {
-			out.Refusing++
+		if !now.Before(a.serverRulesEnd) {
+			out.Rejecting++
 		}
 	}
-	out.Known = least
+	out.MinListed = minListed
 	return &out
 }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Each test in its smallest form says its lines, what they foretell and what was measured, and falls short of nothing.
+// TestSmallestForms runs each test at its smallest scale. Each has to report lines with predictions and
+// measurements, and to meet all its bounds.
 func TestSmallestForms(t *testing.T) {
 	for _, s := range All {
 		t.Run(s.Name, func(t *testing.T) {
@@ -16,7 +17,7 @@
 			}
 			t.Log(r)
 			if len(r.Short) > 0 || len(r.Lines) == 0 {
-				t.Errorf("%d lines, short of %v", len(r.Lines), r.Short)
+				t.Errorf("%d lines, bounds not met: %v", len(r.Lines), r.Short)
 			}
 		})
 	}
@@ -24,13 +25,13 @@
 
 func TestFit(t *testing.T) {
 	l := Fit("calls", "/s", []Point{{10, 25}, {20, 45}, {40, 85}}, 100, 300)
-	if math.Abs(l.Slope-2) > 1e-9 || math.Abs(l.Base-5) > 1e-9 || math.Abs(l.Foretold-205) > 1e-9 {
+	if math.Abs(l.Slope-2) > 1e-9 || math.Abs(l.Base-5) > 1e-9 || math.Abs(l.Predicted-205) > 1e-9 {
 		t.Errorf("%+v", l)
 	}
 	if s := l.String(); !strings.Contains(s, "off by 46 %") {
 		t.Error(s)
 	}
-	if l := Fit("none", "", nil, 1, -1); l.Off() != 0 || !strings.Contains(l.String(), "not measured") {
+	if l := Fit("none", "", nil, 1, -1); l.Deviation() != 0 || !strings.Contains(l.String(), "not measured") {
 		t.Error(l)
 	}
 }
