--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -108,19 +108,19 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel() // a signal during the start
 	if _, err := StartConfig(ctx, func(name string) string { return map[string]string{"PROXY_CONFIG": path}[name] }); !errors.Is(err, errIncompleteFile) {
-		t.Errorf("stopped: %v", err)
+		t.Errorf("start stopped by a signal: error %v, want %v", err, errIncompleteFile)
 	}
 }
 
-// The connections of all sides and the reserved descriptors together stay within the limit. With the large
-// limits of the deployment page only a fixed fraction is reserved.
+// The connections of all sides and the reserved descriptors together stay within the limit. From 1024
+// descriptors on, as deployments have them, only a fixed fraction is reserved.
 func TestConnectionLimitsFitDescriptors(t *testing.T) {
 	for sockets := minSockets; sockets <= 4096; sockets++ {
 		for _, c := range []Config{{}, {AdminAddr: "x"}, {ThriftFile: "x"}, {AdminAddr: "x", ThriftFile: "x"}, {SharedConfig: &client.Config{}},
 			{AdminAddr: "x", ThriftFile: "x", SharedConfig: &client.Config{}, Registry: &ephemeral.Config{}}} {
 			c.Sockets = sockets
 			if n := c.maxBackendConnections() + c.downstreams()*c.maxClientConnections() + c.reservedDescriptors(); n > sockets && c.connectionsPerSide() > minConnections {
-				t.Fatalf("%d of %d descriptors, %d of them reserved", n, sockets, c.reservedDescriptors())
+				t.Fatalf("%d descriptors used of %d, %d of them reserved", n, sockets, c.reservedDescriptors())
 			}
 			if c.maxBackendConnections() < minConnections || c.maxClientConnections() < 2 || c.maxIdleClients() > c.maxClientConnections() {
 				t.Fatalf("with %d descriptors: %d connections to backends, %d idle and %d clients", sockets, c.maxBackendConnections(), c.maxIdleClients(), c.maxClientConnections())
@@ -132,9 +132,9 @@
 	}
 	c := &Config{Sockets: 1024}
 	if c.limitDescriptors(4096); c.Sockets != 1024 {
-		t.Errorf("with a higher process limit: %d", c.Sockets)
+		t.Errorf("with a higher process limit: %d descriptors, want 1024", c.Sockets)
 	}
 	if c.limitDescriptors(100); c.Sockets != 100 {
-		t.Errorf("with a lower process limit: %d", c.Sockets)
+		t.Errorf("with a lower process limit: %d descriptors, want 100", c.Sockets)
 	}
 }
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -12,8 +12,7 @@
 	"time"
 )
 
-// disconnectBound is the time after a client has disconnected from which on its request must not be forwarded
-// (mass page).
+// disconnectBound is how long after a client has disconnected its request may still be forwarded.
 const disconnectBound = 300 * time.Millisecond
 
 // The queued request of a client that disconnects, in whatever way, is dropped: it is not forwarded when a
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// updateDeadline is the time within which the agent has to know a change at discovery, whichever calls
-	// failed before (mass page).
+	// updateDeadline is the time within which a change at discovery has to reach the agent, whichever calls
+	// failed before.
 	updateDeadline = 6 * time.Second
 	// maxQueueWait is the part of updateDeadline for which a call may wait in discovery's queue.
 	maxQueueWait = 2 * time.Second
--- a/internal/agent/healthcheck_test.go
+++ b/internal/agent/healthcheck_test.go
@@ -41,7 +41,8 @@
 			a := startAgent(t, d, func(c *Config) {
 				c.Settings.Limits.HealthChecks = true
 				for i := range c.Settings.Classes {
-					c.Settings.Classes[i].LatencyObjectiveMs = 20 // short, so that the backend is checked soon
+					// Short, so that the backend is checked soon.
+					c.Settings.Classes[i].LatencyObjectiveMs = 20
 				}
 			})
 			timeout := time.After(testTimeout)
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -42,14 +42,14 @@
 			continue
 		}
 		retry.Stop()
-		logNeedsRestart(old, c)
-		slog.Info("configuration read again", "discovery", c.Discovery)
+		logRestartRequired(old, c)
+		slog.Info("configuration reloaded", "discovery", c.Discovery)
 		useDiscovery(c.Discovery)
 	}
 }
 
-// logNeedsRestart logs the changed fields that take effect only after a restart.
-func logNeedsRestart(old, c *Config) {
+// logRestartRequired logs the changed fields that take effect only after a restart.
+func logRestartRequired(old, c *Config) {
 	unchanged := map[string]bool{
 		"name":   c.Name == old.Name,
 		"listen": c.Listen == old.Listen,
@@ -59,7 +59,7 @@
 	}
 	for field, same := range unchanged {
 		if !same {
-			slog.Warn("changed in the configuration, but used only after a restart", "field", field)
+			slog.Warn("configuration change takes effect only after a restart", "field", field)
 		}
 	}
 }
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -4,7 +4,7 @@
 
 const (
 	// killGrace and maxKillDelay determine when SIGKILL may follow SIGTERM: killGrace after the longest
-	// client timeout, of which at most maxKillDelay counts (protocol page, "Figures").
+	// client timeout, of which at most maxKillDelay counts. The platform sets these times.
 	killGrace    = 700 * time.Millisecond
 	maxKillDelay = 3 * time.Second
 	// killMargin is how long before that SIGKILL every request has to be answered. For the first
--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -32,7 +32,7 @@
 	LastDrain   *DrainReport                  `json:"last_drain,omitempty"`
 	Counts      map[string]int64              `json:"counts"`
 	Evidence    assign.EvidenceCounts         `json:"evidence"`
-	Assignments map[string]*assign.Assignment `json:"assignments"` // by zone; "": for proxies without a known zone
+	Assignments map[string]*assign.Assignment `json:"assignments"` // by zone; "": for proxies of unknown zone
 }
 
 // ServerReport describes the balancer's view of one server.
--- a/internal/control/ads.go
+++ b/internal/control/ads.go
@@ -104,7 +104,8 @@
 
 	requests := make(chan *request, maxQueuedRequests)
 	failed := make(chan error, 1)
-	go func() { failed <- st.receiveRecovered(ctx, first, requests, receive) }() // returns when ctx ends, at the latest
+	// It returns when ctx ends, at the latest.
+	go func() { failed <- st.receiveRecovered(ctx, first, requests, receive) }()
 	return streamError(st.serve(ctx, requests, failed))
 }
 
--- a/internal/control/assign/assigner.go
+++ b/internal/control/assign/assigner.go
@@ -102,7 +102,8 @@
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
-	cfg.Settings.Limits.HealthChecks = false // the service itself sends no requests; those of proxies show a server's health
+	// The service itself sends no requests; those of proxies show a server's health.
+	cfg.Settings.Limits.HealthChecks = false
 	// The seed has no effect: the balancer uses random numbers only to select a server.
 	balancer, err := policy.New(cfg.Settings, 1)
 	if err != nil {
--- a/internal/control/assign/evidence.go
+++ b/internal/control/assign/evidence.go
@@ -41,7 +41,7 @@
 type EvidenceCounts struct {
 	Reports      uint64 `json:"reports"`
 	Invalid      uint64 `json:"absurd"`       // loads with a value out of range
-	Late         uint64 `json:"late"`         // loads of a window that began before the server became Unhealthy
+	Late         uint64 `json:"late"`         // loads of a window that began before the ejection
 	Contradicted uint64 `json:"contradicted"` // loads with failures that the majority of proxies did not see
 	Unknown      uint64 `json:"unknown"`      // loads of unlisted servers, reports of unknown proxies
 }
--- a/internal/control/auth_test.go
+++ b/internal/control/auth_test.go
@@ -147,7 +147,8 @@
 func TestProxyCertificateExpires(t *testing.T) {
 	a := newAuthority(t)
 	f, _ := newTLSFixture(t, a, time.Hour)
-	r := openSotW(t, connect(t, f.Addr, a.proxy(3*time.Second, "edge-1"))) // expiry times have a resolution of 1 s
+	// Expiry times have a resolution of 1 s.
+	r := openSotW(t, connect(t, f.Addr, a.proxy(3*time.Second, "edge-1")))
 	r.send(edsRequest("edge-1", "orders"))
 	r.receive()
 	r.expectEnd(codes.Unavailable)
--- a/internal/control/certificates_test.go
+++ b/internal/control/certificates_test.go
@@ -19,7 +19,8 @@
 	if err := os.WriteFile(files.Cert, []byte("half-written"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(2500 * time.Millisecond) // until the certificate has expired and the invalid file has been read
+	// By then the certificate has expired and the invalid file has been read.
+	time.Sleep(2500 * time.Millisecond)
 	conn := connect(t, f.Addr, a.proxy(time.Hour, "edge-2"))
 	if r, err := tryOpenSotW(t, conn); err == nil {
 		r.expectEnd(codes.Unavailable)
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -24,7 +24,7 @@
 	Service   string          `toml:"service"`  // name of the listener, route and endpoint resources
 	Settings  string          `toml:"settings"` // file with the platform's settings object
 	Discovery DiscoveryConfig `toml:"roster"`
-	Ephemeral string          `toml:"ephemeral"` // configuration file of the instance registry; "": discovery only
+	Ephemeral string          `toml:"ephemeral"` // file that configures the registry; "": discovery only
 	Evidence  EvidenceConfig  `toml:"evidence"`
 	Proxies   ProxiesConfig   `toml:"proxies"`
 	XDS       XDSConfig       `toml:"xds"`
@@ -39,7 +39,7 @@
 // DiscoveryConfig configures the service discovery that lists the servers.
 type DiscoveryConfig struct {
 	Addr         string  `toml:"addr"`           // host:port
-	StaleAfterMs float64 `toml:"stale_after_ms"` // time without updates after which the endpoint list is reported as stale
+	StaleAfterMs float64 `toml:"stale_after_ms"` // without updates for this long, the list is reported stale
 }
 
 // EvidenceConfig configures the evaluation of load reports.
@@ -50,19 +50,20 @@
 
 // ProxiesConfig configures limits and timeouts for proxies.
 type ProxiesConfig struct {
-	MaxStreams        int     `toml:"most"`           // maximum number of ADS streams
-	MaxNames          int     `toml:"names_most"`     // maximum number of resource names in one subscription
-	DisconnectGraceMs float64 `toml:"linger_ms"`      // how long a disconnected proxy is assumed to send requests
-	StartupHoldMs     float64 `toml:"settle_ms"`      // how long after startup servers in slow start get no requests
-	DebounceMs        float64 `toml:"debounce_ms"`    // delay of non-urgent updates, to batch them
-	AckTimeoutMs      float64 `toml:"stall_after_ms"` // time to acknowledge an urgent update
-	StreamClosesPerS  float64 `toml:"ends_per_s"`     // streams closed per second for missing acknowledgements
-	HeartbeatS        int     `toml:"heartbeat_s"`    // TTL of endpoint resources; 0: none
+	MaxStreams        int     `toml:"most"`       // maximum number of ADS streams
+	MaxNames          int     `toml:"names_most"` // maximum number of resource names in one subscription
+	DisconnectGraceMs float64 `toml:"linger_ms"`  // how long a disconnected proxy may still send
+	// StartupHoldMs is how long after startup servers in slow start get no requests.
+	StartupHoldMs    float64 `toml:"settle_ms"`
+	DebounceMs       float64 `toml:"debounce_ms"`    // delay of non-urgent updates, to batch them
+	AckTimeoutMs     float64 `toml:"stall_after_ms"` // time to acknowledge an urgent update
+	StreamClosesPerS float64 `toml:"ends_per_s"`     // streams closed per second for missing ACKs
+	HeartbeatS       int     `toml:"heartbeat_s"`    // TTL of endpoint resources; 0: none
 }
 
 // XDSConfig configures the listener, route and cluster resources.
 type XDSConfig struct {
-	Listen         string `toml:"listen"`          // host:port on which proxies listen; "": no socket listener
+	Listen         string `toml:"listen"`          // host:port where proxies listen; "": no listener
 	Balancer       string `toml:"balancer"`        // "ring_hash" or "maglev"
 	AffinityHeader string `toml:"affinity_header"` // request header with the affinity key; "": none
 }
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -128,7 +128,8 @@
 	f.eventually("the drain", drained)
 	x := fetchAll(f.Addr)
 	var y [][]byte
-	for end := time.Now().Add(testTimeout); time.Now().Before(end); { // the other replica may not have received its endpoint list yet
+	// The other replica may not have received its endpoint list yet.
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		if y = fetchAll(other.Addr); slices.EqualFunc(x, y, bytes.Equal) {
 			return
 		}
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -55,9 +55,9 @@
 	subscriptions map[string]*subscription // by type URL
 
 	// Written by the stream's goroutine and read by the publisher.
-	subscribedMs atomic.Uint64 // time of the first subscription to endpoints, as math.Float64bits of ms; 0: none yet
-	ackedSeq     atomic.Uint64 // the newest publication whose endpoints the proxy has
-	nackedSeq    atomic.Uint64 // the newest publication whose endpoints the proxy rejected
+	subscribedMs atomic.Uint64 // first subscription to endpoints, as math.Float64bits of ms; 0: none yet
+	ackedSeq     atomic.Uint64 // newest publication whose endpoints the proxy has
+	nackedSeq    atomic.Uint64 // newest publication whose endpoints the proxy rejected
 
 	mu    sync.Mutex // protects stats
 	stats streamStats
@@ -67,7 +67,7 @@
 type streamStats struct {
 	Acked      map[string]string `json:"acked"`              // version by type
 	Rejected   map[string]string `json:"rejected,omitempty"` // version and reason by type
-	DrainAckMs float64           `json:"drain_ack_ms"`       // from publication to ACK of the last drain; -1: none yet
+	DrainAckMs float64           `json:"drain_ack_ms"`       // publication to ACK of the last drain; -1: none
 	Sent       int64             `json:"sent_bytes"`
 	Responses  int64             `json:"responses"`
 }
--- a/internal/control/stream_test.go
+++ b/internal/control/stream_test.go
@@ -29,7 +29,8 @@
 	f.awaitReady(stalled)
 	stalled.Pause(true)
 	f.drain(0)
-	f.await(others[0], "the first drain", usable("s-000", false)) // one more response may be read before the pause takes effect
+	// The stalled proxy may read one more response before the pause takes effect.
+	f.await(others[0], "the first drain", usable("s-000", false))
 	for i := 3; i < 30; i += 3 {
 		published := time.Now()
 		f.drain(i)
--- a/internal/downstream/clientrules_test.go
+++ b/internal/downstream/clientrules_test.go
@@ -41,7 +41,8 @@
 		}
 		waitFor(t, "no call arrived", func() bool { return w.RequestCount() > 0 })
 		c.Close()
-		w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // for the ledger: it disconnected and expects no answer
+		// Records in the ledger that the client has disconnected and expects no answer.
+		w.Ledger.Answered(r.Op, lab.Failed, time.Now())
 		waitFor(t, "the disconnect is not detected", func() bool { return w.Stats().Disconnected == 1 })
 	}},
 	{name: "a client that disconnects after pipelined calls", run: func(t *testing.T, w *world.World) {
@@ -57,7 +58,8 @@
 		}
 		disconnectedAt := time.Now()
 		c.Close()
-		w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // for the ledger: it disconnected and expects no answer
+		// Records in the ledger that the client has disconnected and expects no answer.
+		w.Ledger.Answered(r.Op, lab.Failed, time.Now())
 		waitFor(t, "the disconnect is not detected", func() bool { f := w.Stats(); return f.Disconnected+f.Failed == 1 })
 		if f := w.Stats(); f.Disconnected != 1 || f.Accepted != 1 {
 			t.Errorf("detected only at its deadline, %v later: %+v", time.Since(disconnectedAt), f)
--- a/internal/downstream/harness_test.go
+++ b/internal/downstream/harness_test.go
@@ -23,7 +23,8 @@
 	thrift bool // for Thrift only
 	opts   world.Options
 	run    func(*testing.T, *world.World)
-	timed  func(*world.World) (late, wrong error) // instead of run, for a rule that compares answers with real time; see retryWhenHostStalled
+	// timed replaces run for a rule that compares answers with real time; see retryWhenHostStalled.
+	timed func(*world.World) (late, wrong error)
 }
 
 const (
--- a/internal/lease/blockers.go
+++ b/internal/lease/blockers.go
@@ -6,10 +6,11 @@
 //
 //	a. Every holder that acts on a lower epoch, or uses the server rules of one, is a candidate. Any other
 //	   holder can only become one by a Grant, which adds it.
-//	b. No holder is a candidate twice, and no removed holder is one: there are at most MaxHolders candidates.
-//	c. The candidates before next did not block the epoch when they were last examined, since next was last 0;
-//	   nothing is known of the others. So during an epoch that all holders adopt, each holder is examined one
-//	   or two times, in any order.
+//	b. No holder is a candidate twice, and no removed holder is one, so there are at most MaxHolders
+//	   candidates.
+//	c. Since next was last 0, each candidate before next has been examined and did not block the epoch;
+//	   the others have not been examined. So during an epoch that all holders adopt, each holder is
+//	   examined one or two times, in any order.
 //
 // A candidate does not necessarily block the epoch: its lease may have expired while its server rules are
 // still in use, which block only if they change. This is checked each time, as the result of
--- a/internal/thriftwire/reader_test.go
+++ b/internal/thriftwire/reader_test.go
@@ -84,7 +84,8 @@
 	w.p.WriteStructBegin(ctx, "")
 	for range n {
 		t := w.randomType(depth)
-		w.p.WriteFieldBegin(ctx, "", t, []int16{1, 2, 3, 16, 500, -3, int16(w.rng.Int())}[w.rng.IntN(7)]) // ids need not ascend
+		// Ids need not ascend.
+		w.p.WriteFieldBegin(ctx, "", t, []int16{1, 2, 3, 16, 500, -3, int16(w.rng.Int())}[w.rng.IntN(7)])
 		w.value(t, depth)
 		w.p.WriteFieldEnd(ctx)
 	}
--- a/policy/overload_simulation_test.go
+++ b/policy/overload_simulation_test.go
@@ -19,11 +19,11 @@
 	seconds         float64
 	keys            int
 	hotKeyShare     float64                                            // share of one key in the traffic
-	oneBusyAgent    bool                                               // one agent has nine tenths of the traffic
+	oneBusyAgent    bool                                               // one agent gets 90% of the traffic
 	surge           func(at float64) float64                           // load factor, by fraction of the run
 	speed           func(server int, at float64) float64               // speed factor of a server
 	report          func(server int, util, inflight float64) []float32 // nil: the true values of both
-	slowStarting    int                                                // servers that are initially in slow start
+	slowStarting    int                                                // servers in slow start at first
 	seed            uint64
 }
 
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -25,7 +25,8 @@
 func TestUnsentRequestEndsBeforeHalfOfItsTime(t *testing.T) {
 	for _, reached := range []bool{false, true} {
 		set := testSettings()
-		set.Classes[0].LateCredit, set.Classes[0].LatencyObjectiveMs = 0.5, 1000 // so that the queue timeout is later
+		// So that the queue timeout is later.
+		set.Classes[0].LateCredit, set.Classes[0].LatencyObjectiveMs = 0.5, 1000
 		r := newHarness(t, set, 1)
 		srv := r.b.byAddr[addr(0)]
 		srv.limit.Reset(1)
@@ -70,10 +71,12 @@
 	if s == other {
 		other = addr(0)
 	}
-	r.updateEndpoints(UpdateDelta, Endpoint{Server: other, Health: Ready, Weight: 1, Cordoned: true}) // the attempt has nowhere else to go
+	// No other server can take the attempt.
+	r.updateEndpoints(UpdateDelta, Endpoint{Server: other, Health: Ready, Weight: 1, Cordoned: true})
 	r.b.fleet.baselineLatency = 0.05
 	for range 5000 {
-		r.b.queueTimeout.RequestEnded(false) // nearly all are rejected: the timeout of a standing queue is 180 ms
+		// Nearly all are rejected, so the timeout of a standing queue is 180 ms.
+		r.b.queueTimeout.RequestEnded(false)
 	}
 	r.now += 400 // longer than the lowest objective, after which a queue counts as standing
 	if findAction(r.endAttempt(id, 0, s, Rejected, 400), ActionReject) != nil || len(r.b.queued) != 1 {
