--- a/cmd/ringtrack-control/main_test.go
+++ b/cmd/ringtrack-control/main_test.go
@@ -57,10 +57,10 @@
 func TestInvalidConfigEndsTheProgram(t *testing.T) {
 	out, err := program(t, "-config", config(t, "127.0.0.1:1", "service = \"a b\"\n")).CombinedOutput()
 	if err == nil || bytes.Count(out, []byte("\n")) != 1 || !bytes.Contains(out, []byte("service: ")) {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("with an invalid configuration: error %v, output %s", err, out)
 	}
 	if out, err := program(t, "-check", "-config", config(t, "127.0.0.1:1", "")).CombinedOutput(); err != nil {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("check of a valid configuration: error %v, output %s", err, out)
 	}
 }
 
@@ -131,7 +131,7 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != want {
-			t.Errorf("%s: %d", path, resp.StatusCode)
+			t.Errorf("%s: unexpected status %d", path, resp.StatusCode)
 		}
 	}
 	if err := os.WriteFile(file, []byte("listen = 5"), 0o600); err != nil {
@@ -152,6 +152,6 @@
 	for range lines { // until the program closes its output
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the program ended with %v", err)
 	}
 }
--- a/cmd/ringtrack/descriptors_test.go
+++ b/cmd/ringtrack/descriptors_test.go
@@ -199,7 +199,7 @@
 	select {
 	case addr = <-addrs:
 	case <-time.After(testTimeout):
-		t.Fatal("no addresses")
+		t.Fatal("the program did not log its addresses in time")
 	}
 	ids := 0
 	client := http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -216,7 +216,7 @@
 		defer resp.Body.Close()
 		body, err := io.ReadAll(resp.Body)
 		if resp.StatusCode != 200 {
-			err = fmt.Errorf("answered %d", resp.StatusCode)
+			err = fmt.Errorf("unexpected status %d", resp.StatusCode)
 		}
 		return string(body), err
 	}
@@ -265,7 +265,7 @@
 		t.Error("a request to the admin endpoint after idle connections is not answered")
 	}
 	if _, err := request(); err != nil {
-		t.Errorf("while discovery is down: %v", err)
+		t.Errorf("a request while discovery is down: %v", err)
 	}
 
 	version := discovery.Set(fresh)
@@ -281,7 +281,7 @@
 	if took := time.Since(unblocked); took > 6*time.Second {
 		t.Errorf("the change arrived %v after discovery was back", took)
 	} else {
-		t.Logf("arrived after %v", took)
+		t.Logf("the change arrived %v after discovery was back", took)
 	}
 	// A watch makes its next call before it passes a change on: once there is a call after one more change,
 	// the first change is applied.
@@ -290,7 +290,7 @@
 	}
 	for range 3 {
 		if name, err := request(); err != nil || name != "fresh" {
-			t.Errorf("after the change: %q, %v", name, err)
+			t.Errorf("a request after the change: backend %q, error %v", name, err)
 		}
 	}
 }
--- a/cmd/ringtrack/main_test.go
+++ b/cmd/ringtrack/main_test.go
@@ -226,7 +226,7 @@
 		if err == nil {
 			var resp *http.Response
 			if resp, err = http.ReadResponse(bufio.NewReader(c), nil); err == nil && resp.StatusCode != 200 {
-				err = fmt.Errorf("answered %d", resp.StatusCode)
+				err = fmt.Errorf("unexpected status %d", resp.StatusCode)
 			}
 		}
 		long <- err
--- a/cmd/ringtrack/upgrade_test.go
+++ b/cmd/ringtrack/upgrade_test.go
@@ -171,10 +171,10 @@
 	}
 	waitForTraffic()
 	if status, body := adminCall(admin, "PUT", "/admin/cordon?name=s-0"); status != 200 {
-		t.Fatalf("cordon: %d %s", status, body)
+		t.Fatalf("cordon: status %d, body %s", status, body)
 	}
 	if status, _ := adminCall(admin, "PUT", "/admin/cordon?name=s-9"); status != 404 {
-		t.Errorf("cordon of an id that was never listed: %d", status)
+		t.Errorf("cordon of an id that was never listed: status %d, want 404", status)
 	}
 	wantNoRequests := func(i int, what string) {
 		t.Helper()
@@ -192,10 +192,10 @@
 		wantNoRequests(0, "beside the new process")
 		// Cordons at the new process reach the old one.
 		if status, _ := adminCall(nextAdmin, "PUT", "/admin/uncordon?name=s-0"); status != 200 {
-			t.Errorf("uncordon: %d", status)
+			t.Errorf("uncordon: status %d", status)
 		}
 		if status, _ := adminCall(nextAdmin, "PUT", "/admin/cordon?name=s-1"); status != 200 {
-			t.Errorf("cordon: %d", status)
+			t.Errorf("cordon: status %d", status)
 		}
 		wantNoRequests(1, "cordoned at the other process")
 		before := used[0].Load()
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -120,17 +120,17 @@
 	}
 	a.mu.Lock()
 	if a.serving = true; !a.cordoned["s-1"] || a.cordoned["s 2&x"] {
-		t.Errorf("cordoned: %v", a.cordoned)
+		t.Errorf("cordoned backends: %v, want only s-1", a.cordoned)
 	}
 	a.mu.Unlock()
 	if status, _ := call(t, addr, "GET", "/admin/health"); status != 200 {
-		t.Errorf("health of a serving agent: %d", status)
+		t.Errorf("health of a serving agent: status %d, want 200", status)
 	}
 	want := "app.fulfilled.read=812\napp.throttled.read=3\napp.faulted.read=2\n" +
 		"app.fulfilled.order=1\napp.throttled.order=0\napp.faulted.order=0\n" +
 		"app.relayed=900\napp.open_requests=14\napp.registry_entries=12\napp.out_of_rotation=1\napp.recovered_panics=0\n"
 	if status, body := call(t, addr, "GET", "/admin/stats"); status != 200 || body != want {
-		t.Errorf("stats: %d %q", status, body)
+		t.Errorf("stats: status %d, body %q", status, body)
 	}
 }
 
@@ -151,7 +151,7 @@
 		idle = append(idle, c)
 	}
 	if status, _ := call(t, addr, "GET", "/admin/stats"); status != 200 {
-		t.Errorf("with idle connections open: status %d", status)
+		t.Errorf("stats with idle connections open: status %d, want 200", status)
 	}
 	idle[0].SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := idle[0].Read(make([]byte, 1)); err == nil || timedOut(err) {
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -39,7 +39,7 @@
 		t.Errorf("body %q, want %q", body, want)
 	}
 	if header.Get("Content-Length") != fmt.Sprint(len(body)) {
-		t.Errorf("Content-Length %q", header.Get("Content-Length"))
+		t.Errorf("Content-Length %q is not the length of the body", header.Get("Content-Length"))
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -102,10 +102,10 @@
 				t.Errorf("%d arrivals, want %d", b.count(), test.arrivals)
 			}
 			if status == 503 && header.Get("Retry-After") != "0.600" {
-				t.Errorf("rejected with Retry-After %q", header.Get("Retry-After"))
+				t.Errorf("rejected with Retry-After %q, want 0.600", header.Get("Retry-After"))
 			}
 			if f := a.stats(); f.DeadlineExceeded+f.GuardViolations > 0 {
-				t.Errorf("guard violations: %+v", f)
+				t.Errorf("guard violations or missed deadlines: %+v", f)
 			}
 		})
 	}
@@ -158,7 +158,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.arrivals != 3 || b.maxConns != 1 || len(b.ended) != 0 {
-		t.Errorf("%d arrivals, %d connections at once, %d ended", b.arrivals, b.maxConns, len(b.ended))
+		t.Errorf("%d requests arrived over up to %d connections at once, %d connections ended", b.arrivals, b.maxConns, len(b.ended))
 	}
 }
 
@@ -251,7 +251,7 @@
 		wantStatus(t, status, 200)
 	}
 	if old.count() != before || other.count() < 8 {
-		t.Errorf("%d arrivals after the update, %d elsewhere", old.count()-before, other.count())
+		t.Errorf("%d requests arrived at the draining backend after the update, %d at the other", old.count()-before, other.count())
 	}
 	select { // its idle connection is closed
 	case <-old.ended:
@@ -270,7 +270,7 @@
 	status, _, _ = a.roundTrip(newRequest(a.addr, "order", "x"))
 	wantStatus(t, status, 200)
 	if old.count() != 1 || moved.count() != 1 {
-		t.Errorf("%d arrivals at the old address, %d at the new", old.count(), moved.count())
+		t.Errorf("%d requests arrived at the old address, %d at the new one", old.count(), moved.count())
 	}
 }
 
@@ -329,7 +329,7 @@
 		t.Fatal("the attempt was not cancelled")
 	}
 	if f := a.stats(); f.Disconnected != 1 || f.DeadlineExceeded != 0 {
-		t.Errorf("figures %+v", f)
+		t.Errorf("stats %+v", f)
 	}
 }
 
@@ -351,7 +351,7 @@
 		c.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprint(c, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("%v, %v", resp, err)
+			t.Fatalf("response %v, error %v", resp, err)
 		}
 	}
 	close(release)
--- a/internal/agent/bodies_test.go
+++ b/internal/agent/bodies_test.go
@@ -57,13 +57,13 @@
 			}
 		}
 		if b.count() != n {
-			t.Errorf("%d arrivals of %d", b.count(), n)
+			t.Errorf("%d of %d requests arrived at the backend", b.count(), n)
 		}
 		if f := a.stats(); f.Served != n || f.GuardViolations+f.DeadlineExceeded > 0 {
-			t.Errorf("figures %+v", f)
+			t.Errorf("stats %+v", f)
 		}
 		if counters := a.loop.Counters(); counters.Written.Load() != int64(n) || counters.Open.Load() != 0 {
-			t.Errorf("%d attempts written, %d open", counters.Written.Load(), counters.Open.Load())
+			t.Errorf("%d attempts written, %d requests open", counters.Written.Load(), counters.Open.Load())
 		}
 		if short {
 			a.budget.Release(budget)
@@ -94,12 +94,12 @@
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Errorf("%d bytes over %v: %v, %v", size, time.Since(from), resp, err)
+			t.Errorf("%d bytes over %v: response %v, error %v", size, time.Since(from), resp, err)
 		}
 		c.Close()
 	}
 	if f := a.stats(); f.Served != 2 || f.DeadlineExceeded > 0 {
-		t.Errorf("figures %+v", f)
+		t.Errorf("stats %+v", f)
 	}
 }
 
@@ -160,10 +160,10 @@
 				t.Error("rejected without Retry-After")
 			}
 			if n := len(accepted); n != 1 {
-				t.Errorf("%d connections to the backend", n)
+				t.Errorf("%d connections to the backend, want 1", n)
 			}
 			if f := a.stats(); f.GuardViolations+f.DeadlineExceeded+f.Served > 0 {
-				t.Errorf("figures %+v", f)
+				t.Errorf("stats %+v", f)
 			}
 		})
 	}
@@ -223,26 +223,26 @@
 			req.Header.Set("Request-Timeout-Ms", "400")
 			resp, err := testClient.Do(req)
 			if err != nil || resp.StatusCode != 200 {
-				t.Fatalf("%v, %v", resp, err)
+				t.Fatalf("response %v, error %v", resp, err)
 			}
 			head := make([]byte, 1)
 			if _, err := io.ReadFull(resp.Body, head); err != nil {
 				t.Fatal(err)
 			}
 			if open := a.loop.Counters().Open.Load(); open != 1 {
-				t.Errorf("%d open while the response is streamed", open)
+				t.Errorf("%d requests open while the response is streamed, want 1", open)
 			}
 			time.Sleep(500 * time.Millisecond) // longer than the request's timeout
 			close(proceed)
 			got, err := io.ReadAll(resp.Body)
 			if err != nil || string(head)+string(got) != first+rest {
-				t.Errorf("%d bytes came, %v", len(got)+1, err)
+				t.Errorf("%d bytes of the body arrived, error %v", len(got)+1, err)
 			}
 			for end := time.Now().Add(testTimeout); a.loop.Counters().Open.Load() != 0 && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			if c := &a.loop.Counters().Classes[2]; c.Served.Load() != 1 || c.Failed.Load() != 0 {
-				t.Errorf("served %d, failed %d", c.Served.Load(), c.Failed.Load())
+				t.Errorf("%d requests served, %d failed", c.Served.Load(), c.Failed.Load())
 			}
 			// The connection is used for the next request, unless its close delimited the response.
 			status, _, _ := a.roundTrip(newRequest(a.addr, "order", "y"))
@@ -279,7 +279,7 @@
 				t.Fatal(err)
 			}
 			if _, err := io.ReadAll(resp.Body); err == nil {
-				t.Error("the client received it as complete")
+				t.Error("the client received the truncated response as complete")
 			}
 			until := time.Now().Add(testTimeout)
 			c := &a.loop.Counters().Classes[2]
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -34,7 +34,7 @@
 	}
 	if c.Listen != "127.0.0.1:9" || c.Discovery != "127.0.0.1:2" || c.Seed != 0x8c1f30d27a5be964 ||
 		c.CachedEndpoints.Revision != 4 || c.Cores != 0.5 || len(c.Zones) != 2 || len(c.Settings.Classes) != 3 {
-		t.Errorf("read as %+v", c)
+		t.Errorf("the configuration was read as %+v", c)
 	}
 	for _, bad := range []struct{ from, to, want string }{
 		{`"seed":"8c1f30d27a5be964"`, `"seed":"zz"`, "seed"},
@@ -60,7 +60,7 @@
 	for env, want := range map[string]string{"PROXY_THRIFT": "thrift", "PROXY_EPHEMERAL": "ensemble[0]"} {
 		_, err := load(good, map[string]string{env: file})
 		if err == nil || !strings.Contains(err.Error(), env) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", env, err)
+			t.Errorf("%s: the error does not name the variable and the key: %v", env, err)
 		}
 	}
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
@@ -101,7 +101,7 @@
 			}
 			return ""
 		}); err == nil || errors.Is(err, errIncompleteFile) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: want an error at once, got %v", name, err)
 		}
 	}
 	write(good[:100])
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -227,6 +227,6 @@
 		return err == nil && found && stale
 	})
 	if n := calls.Load(); n > 0 {
-		t.Errorf("%d calls came before its poll slot", n)
+		t.Errorf("%d calls came before the process's poll slot", n)
 	}
 }
--- a/internal/agent/handover_test.go
+++ b/internal/agent/handover_test.go
@@ -44,7 +44,7 @@
 				fmt.Fprint(busy, rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\n", ""))
 				resp, err := http.ReadResponse(br, nil)
 				if err != nil || resp.StatusCode != 200 {
-					t.Fatalf("%v, %v", resp, err)
+					t.Fatalf("response %v, error %v", resp, err)
 				}
 				io.Copy(io.Discard, resp.Body)
 				return resp
@@ -70,11 +70,11 @@
 			}
 			idle.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 			if _, err := idle.Read(make([]byte, 1)); !timedOut(err) {
-				t.Errorf("the idle connection: %v", err)
+				t.Errorf("the idle connection does not stay open: %v", err)
 			}
 			if !successor {
 				if status, _, _ := a.roundTrip(newRequest(a.addr, "order", "x")); status != 200 {
-					t.Errorf("a new connection: answered %d", status)
+					t.Errorf("a request on a new connection: status %d", status)
 				}
 			}
 		})
--- a/internal/agent/healthcheck_test.go
+++ b/internal/agent/healthcheck_test.go
@@ -51,15 +51,15 @@
 				select {
 				case path := <-checks:
 					if n++; path != "/-/load" {
-						t.Fatalf("checked at %s", path)
+						t.Fatalf("the health check has the path %s", path)
 					}
 				case <-timeout:
-					t.Fatalf("%d checks", n)
+					t.Fatalf("%d health checks were made", n)
 				case <-time.After(2 * time.Millisecond):
 				}
 			}
 			if f := a.stats(); f.GuardViolations != 0 {
-				t.Errorf("%d guard violations", f.GuardViolations)
+				t.Errorf("%d guard violations, want none", f.GuardViolations)
 			}
 		})
 	}
--- a/internal/agent/registry_test.go
+++ b/internal/agent/registry_test.go
@@ -45,7 +45,7 @@
 	before := one.count()
 	serve(10)
 	if one.count() != before || two.count() < 10 {
-		t.Errorf("%d arrivals at a backend without a node, %d elsewhere", one.count()-before, two.count())
+		t.Errorf("%d requests arrived at a backend without a node, %d at the other", one.count()-before, two.count())
 	}
 	e.Put("/fleet/s-1", node, 0)
 	e.Remove("/fleet/s-2")
@@ -53,7 +53,7 @@
 	before = two.count()
 	serve(10)
 	if two.count() != before || one.count() < 10 {
-		t.Errorf("%d arrivals at a backend without a node, %d elsewhere", two.count()-before, one.count())
+		t.Errorf("%d requests arrived at a backend without a node, %d at the other", two.count()-before, one.count())
 	}
 	for _, s := range e.Servers {
 		s.SetDown(true)
@@ -66,6 +66,6 @@
 	startWithBackend(t, echo)
 	buf := make([]byte, 1<<20)
 	if stacks := string(buf[:runtime.Stack(buf, true)]); strings.Contains(stacks, "membership/ephemeral") {
-		t.Error("the registry's source runs")
+		t.Error("the source of the registry runs although none is configured")
 	}
 }
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -103,7 +103,7 @@
 		select {
 		case d := <-used:
 			if d != "new" || reads.Load() != want {
-				t.Errorf("used %q after %d reads", d, reads.Load())
+				t.Errorf("discovery %q is used after %d reads", d, reads.Load())
 			}
 		case <-time.After(testTimeout):
 			t.Fatal("the valid file is not used")
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -104,7 +104,7 @@
 		})
 	}
 	if n := b.count(); n != 0 {
-		t.Errorf("%d arrivals at the backend", n)
+		t.Errorf("%d requests arrived at the backend, want none", n)
 	}
 	if f := a.stats(); f.Accepted != 0 {
 		t.Errorf("the balancer got %d requests", f.Accepted)
@@ -131,7 +131,7 @@
 		}
 	}
 	if n := b.count(); n != 0 {
-		t.Errorf("%d arrivals at the backend", n)
+		t.Errorf("%d requests arrived at the backend, want none", n)
 	}
 }
 
@@ -153,13 +153,13 @@
 	}
 	close(release)
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("the first request: %v, %v", resp, err)
+		t.Errorf("the first request: response %v, error %v", resp, err)
 	}
 	if b.count() != 1 {
 		t.Errorf("%d arrivals, want 1", b.count())
 	}
 	if f := a.stats(); f.Failed != 1 || f.Served != 1 {
-		t.Errorf("figures %+v", f)
+		t.Errorf("stats %+v, want one failed and one served request", f)
 	}
 }
 
@@ -169,7 +169,7 @@
 	for _, target := range []string{"/api/a%2Fb%7e", "//api//x", "/api/a;b?q=%zz&&=+", "/api/../x?", "/api/%41?a=b|c\"<>"} {
 		got := a.exchange(rawOrder(target, fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\nConnection: close\r\n", ""))
 		if !strings.Contains(got, "POST "+target+" ") {
-			t.Errorf("%q: %.300q", target, got)
+			t.Errorf("request target %q was not forwarded unchanged: %.300q", target, got)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 		t.Errorf("%d arrivals, want 3", b.count())
 	}
 	if f := a.stats(); f.GuardViolations+f.DeadlineExceeded > 0 {
-		t.Errorf("guard violations: %+v", f)
+		t.Errorf("guard violations or missed deadlines: %+v", f)
 	}
 }
 
@@ -213,7 +213,7 @@
 		fmt.Fprint(c, rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\n", ""))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err == nil && resp.StatusCode != 200 {
-			err = fmt.Errorf("answered %d", resp.StatusCode)
+			err = fmt.Errorf("unexpected status %d", resp.StatusCode)
 		}
 		return err
 	}
@@ -224,10 +224,10 @@
 		a.dial()
 	}
 	if err := send(a.dial()); err != nil {
-		t.Errorf("a new connection: %v", err)
+		t.Errorf("a request on a new connection: %v", err)
 	}
 	if err := send(first); err != nil {
-		t.Errorf("the first connection: %v", err)
+		t.Errorf("a request on the first connection: %v", err)
 	}
 }
 
@@ -243,14 +243,14 @@
 		fmt.Fprint(c, rawOrder("/api/a1", fmt.Sprint(lastID.Add(1)), "Content-Length: 0\r\n", ""))
 		br := bufio.NewReader(c)
 		if resp, err := http.ReadResponse(br, nil); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("%v, %v", resp, err)
+			t.Fatalf("response %v, error %v", resp, err)
 		}
 	}
 	// The oldest are closed well before the idle timeout, which closes all of them.
 	for _, c := range conns[:connections/8] {
 		c.SetDeadline(time.Now().Add(5 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Fatalf("an old connection is not closed: %v", err)
+			t.Fatalf("an old idle connection is not closed, reading returned %v", err)
 		}
 	}
 }
@@ -268,6 +268,6 @@
 	<-began
 	c.(*net.TCPConn).CloseWrite()
 	if got, _ := io.ReadAll(c); len(got) > 0 {
-		t.Errorf("answered %q", got)
+		t.Errorf("a half-closed client was answered with %q", got)
 	}
 }
--- a/internal/agent/response_test.go
+++ b/internal/agent/response_test.go
@@ -50,10 +50,10 @@
 			status, _, body := a.roundTrip(newRequest(a.addr, "order", "x"))
 			wantStatus(t, status, 502)
 			if strings.Contains(body, "good") || b.count() != 1 {
-				t.Errorf("body %q, %d arrivals", body, b.count())
+				t.Errorf("body %q, %d requests arrived at the backend", body, b.count())
 			}
 			if took := time.Since(from); took > 2*time.Second { // half of the request's timeout
-				t.Errorf("took %v: the agent waited for the rest", took)
+				t.Errorf("answered after %v: the agent waited for the rest of the response", took)
 			}
 			select {
 			case <-b.ended:
@@ -62,7 +62,7 @@
 			}
 			status, _, body = a.roundTrip(newRequest(a.addr, "order", "y"))
 			if status != 200 || !strings.HasSuffix(body, " y") {
-				t.Errorf("the next request: answered %d, %q", status, body)
+				t.Errorf("the next request: status %d, body %q", status, body)
 			}
 		})
 	}
@@ -90,7 +90,7 @@
 			for range 3 {
 				status, _, body := a.roundTrip(newRequest(a.addr, "order", "x"))
 				if status != 200 || body != "first" {
-					t.Errorf("answered %d, %q", status, body)
+					t.Errorf("status %d, body %q", status, body)
 				}
 				<-came
 			}
@@ -160,7 +160,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if len(last) > conns+1 {
-		t.Errorf("%d new connections for requests without a pause", len(last)-conns)
+		t.Errorf("%d new connections for requests without a pause, want at most 1", len(last)-conns)
 	}
 	if b.count() != 35 {
 		t.Errorf("%d arrivals, want 35", b.count())
@@ -185,7 +185,7 @@
 					t.Errorf("body %.20q, %d arrivals, want %d", body, b.count(), want[1])
 				}
 				if f := a.stats(); f.Served != 0 || f.GuardViolations != 0 {
-					t.Errorf("figures %+v", f)
+					t.Errorf("stats %+v", f)
 				}
 			})
 		}
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -60,7 +60,7 @@
 				t.Errorf("answered %d, want %d", got, want)
 			}
 			if f := a.loop.Stats(); f.DeadlineExceeded != 0 || f.GuardViolations != 0 || f.Failed != 1 {
-				t.Errorf("figures %+v", f)
+				t.Errorf("stats %+v", f)
 			}
 		})
 	}
@@ -163,7 +163,7 @@
 		c.SetReadDeadline(time.Now().Add(testTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: no response: %v", name, err)
 			continue
 		}
 		if resp.StatusCode != http.StatusOK || !resp.Close {
--- a/internal/configstore/transition_cache_test.go
+++ b/internal/configstore/transition_cache_test.go
@@ -140,7 +140,7 @@
 	runtime.ReadMemStats(&after)
 	for _, a := range requests {
 		if g := <-a.answer; g.err != nil || g.grant.Epoch != 3 {
-			t.Fatalf("%+v", g)
+			t.Fatalf("grant %+v, want epoch 3", g)
 		}
 	}
 	if replica.advancing.epoch != 0 {
--- a/internal/control/assign/assignment_test.go
+++ b/internal/control/assign/assignment_test.go
@@ -15,17 +15,17 @@
 	f.connect(4)
 	f.advance(100)
 	if e := f.endpoint("east", 0); e.Tier != Healthy || e.Weight != fullWeight {
-		t.Fatalf("a new server: %+v", e)
+		t.Fatalf("endpoint of a new server: %+v", e)
 	}
 	f.report(0, 4, 1, 0, 20)
 	f.report(0, 4, 0, 20, 0)
 	f.advance(1000)
 	if e := f.endpoint("east", 1); e.Tier != LastResort {
-		t.Errorf("failing: %+v", e)
+		t.Errorf("endpoint of a failing server: %+v", e)
 	}
 	f.advance(6000)
 	if e := f.endpoint("east", 1); e.Tier != Pending {
-		t.Errorf("after the ejection time: %+v", e)
+		t.Errorf("endpoint after the ejection time: %+v", e)
 	}
 	f.advance(6000)
 	if e := f.endpoint("east", 1); e.Tier != Healthy || e.Weight != fullWeight*recoveryWeightFraction {
@@ -48,7 +48,7 @@
 	f.update(2, func(e *membership.Entry) { e.State = membership.Draining })
 	after := f.a.Assignment(f.now, "east")
 	if !f.endpoint("east", 2).Draining || len(after.Endpoints) != len(before.Endpoints) {
-		t.Errorf("draining: %+v", after.Endpoints)
+		t.Errorf("endpoints after the drain: %+v", after.Endpoints)
 	}
 	if before.Endpoints[2].Draining {
 		t.Error("an assignment was modified after it was returned")
@@ -74,7 +74,7 @@
 		t.Errorf("%d servers, want 3", n)
 	}
 	if len(f.a.Problems()) != 1 {
-		t.Errorf("problems %q", f.a.Problems())
+		t.Errorf("problems %q, want one", f.a.Problems())
 	}
 }
 
--- a/internal/control/assign/evidence_test.go
+++ b/internal/control/assign/evidence_test.go
@@ -15,13 +15,13 @@
 	f.report(2, 100, 0, 10, 0)
 	f.advance(1100)
 	if e := f.endpoint("east", 0); e.Tier != Healthy {
-		t.Errorf("2 of 100 report failures: %+v", e)
+		t.Errorf("2 of 100 proxies report failures: endpoint %+v", e)
 	}
 	f.report(0, 1, 0, 0, 10)
 	f.report(1, 2, 0, 10, 0)
 	f.advance(1100)
 	if e := f.endpoint("east", 0); e.Tier != Healthy {
-		t.Errorf("1 of 2 reports failures: %+v", e)
+		t.Errorf("1 of 2 proxies reports failures: endpoint %+v", e)
 	}
 	if n := f.a.Counts().Contradicted; n != 3 {
 		t.Errorf("%d loads contradicted, want 3", n)
@@ -33,7 +33,7 @@
 	}
 	f.advance(1100)
 	if e := f.endpoint("east", 0); e.Tier != LastResort {
-		t.Errorf("60 of 100 report failures: %+v", e)
+		t.Errorf("60 of 100 proxies report failures: endpoint %+v", e)
 	}
 }
 
@@ -52,7 +52,7 @@
 	f.a.Report(f.now, "p-0", &Report{IntervalMs: 1000, Loads: []ServerLoad{{Addr: "10.9.9.9:1", Failed: 10}}})
 	f.advance(1100)
 	if e := f.endpoint("east", 0); e.Tier != Healthy {
-		t.Errorf("invalid reports: %+v", e)
+		t.Errorf("after invalid reports: endpoint %+v", e)
 	}
 	if c := f.a.Counts(); c.Invalid != 16 || c.Unknown != 2 {
 		t.Errorf("counts %+v, want 16 invalid and 2 unknown", c)
@@ -61,12 +61,12 @@
 	f.report(0, 2, 0, 0, 10)
 	f.advance(1000)
 	if e := f.endpoint("east", 0); e.Tier != LastResort {
-		t.Fatalf("failing: %+v", e)
+		t.Fatalf("after reported failures: endpoint %+v", e)
 	}
 	f.a.Report(f.now, "p-0", &Report{IntervalMs: 30_000, Loads: []ServerLoad{{Addr: f.entries[0].Addr, Served: 500}}})
 	f.advance(1000)
 	if e := f.endpoint("east", 0); e.Tier != LastResort || f.a.Counts().Late != 1 {
-		t.Errorf("late report: %+v, counts %+v", e, f.a.Counts())
+		t.Errorf("after a late report: endpoint %+v, counts %+v", e, f.a.Counts())
 	}
 }
 
@@ -77,14 +77,14 @@
 	f.advance(100)
 	for range hungWindows {
 		if e := f.endpoint("east", 0); e.Tier != Healthy {
-			t.Fatalf("before the number of windows: %+v", e)
+			t.Fatalf("before hungWindows have passed: endpoint %+v", e)
 		}
 		f.a.Report(f.now, "p-0", &Report{IntervalMs: 1000, Loads: []ServerLoad{{Addr: f.entries[0].Addr, InProgress: 5}}})
 		f.report(0, 2, 1, 10, 0)
 		f.advance(1000)
 	}
 	if e := f.endpoint("east", 0); e.Tier != LastResort {
-		t.Errorf("hangs: %+v", e)
+		t.Errorf("after hungWindows without an answer: endpoint %+v", e)
 	}
 }
 
--- a/internal/control/assign/routes_test.go
+++ b/internal/control/assign/routes_test.go
@@ -46,7 +46,7 @@
 		s.Classes, s.Limits.MaxAttempts = classes, attempts
 		routes := Routes(&s)
 		if len(routes) != len(classes)+1 {
-			t.Fatalf("%d routes", len(routes))
+			t.Fatalf("%d routes, want one per class and one more", len(routes))
 		}
 		for i, r := range routes {
 			c := policy.Class{Effect: policy.NonIdempotent, ClientTimeoutMs: 600}
--- a/internal/control/assign/slowstart_test.go
+++ b/internal/control/assign/slowstart_test.go
@@ -31,7 +31,7 @@
 	f.connect(10)
 	f.update(4, func(e *membership.Entry) { e.StartedMs = f.now })
 	if e := f.endpoint("east", 4); e.Tier != LastResort || !e.SlowStart {
-		t.Errorf("while proxies use it with its full weight: %+v", e)
+		t.Errorf("while proxies use the server with its full weight: endpoint %+v", e)
 	}
 	f.ackAll(10)
 	last := f.share(4)
@@ -94,12 +94,12 @@
 	f.update(1, func(e *membership.Entry) { e.StartedMs = f.now })
 	f.connect(2)
 	if e := f.endpoint("east", 1); e.Tier != LastResort {
-		t.Errorf("at the start: %+v", e)
+		t.Errorf("right after startup: endpoint %+v", e)
 	}
 	f.advance(3100)
 	f.ackAll(2)
 	if e := f.endpoint("east", 1); e.Tier != Healthy {
-		t.Errorf("after the startup hold: %+v", e)
+		t.Errorf("after the startup hold: endpoint %+v", e)
 	}
 }
 
@@ -136,7 +136,7 @@
 	}
 	f.ackAll(2)
 	if e := f.endpoint("east", 1); !e.SlowStart || e.Weight > fullWeight/3 {
-		t.Errorf("after flapping: %+v", e)
+		t.Errorf("after flapping: endpoint %+v", e)
 	}
 }
 
@@ -150,7 +150,7 @@
 	f.update(0, func(*membership.Entry) {})
 	for i := range f.entries {
 		if e := f.endpoint("east", i); e.Tier != Healthy {
-			t.Errorf("%+v", e)
+			t.Errorf("endpoint %+v, want it in the tier Healthy", e)
 		}
 	}
 }
@@ -222,7 +222,7 @@
 		f.a.Connect(f.now, id, "east", true)
 		f.a.Disconnect(f.now+float64(i), id)
 		if len(f.a.proxies) > MaxProxies {
-			t.Fatalf("%d proxies are tracked", len(f.a.proxies))
+			t.Fatalf("%d proxies are tracked, more than MaxProxies", len(f.a.proxies))
 		}
 	}
 	if f.a.proxies["connected"] == nil {
--- a/internal/control/client_test.go
+++ b/internal/control/client_test.go
@@ -215,7 +215,7 @@
 	}
 	var none []byte
 	if err := s.RecvMsg(&none); status.Code(err) != codes.Internal {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the stream ended with %v, want the status Internal", err)
 	}
 }
 
--- a/internal/control/config_test.go
+++ b/internal/control/config_test.go
@@ -27,7 +27,7 @@
 // The error for an invalid configuration contains the key.
 func TestConfigErrorsNameTheKey(t *testing.T) {
 	if c, err := load(t, validConfig, validSettings); err != nil || c.Proxies.AckTimeoutMs != 200 || c.XDS.Balancer != "ring_hash" {
-		t.Fatalf("%v, %+v", err, c)
+		t.Fatalf("error %v, configuration %+v", err, c)
 	}
 	for key, text := range map[string]string{
 		"listen: ":                  strings.Replace(validConfig, "127.0.0.1:18000", "nowhere", 1),
@@ -62,7 +62,7 @@
 			text, settings = validConfig, strings.Replace(validSettings, `"aimMs":500`, `"aimMs":0`, 1)
 		}
 		if _, err := load(t, text, settings); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("the error does not name %s: %v", key, err)
 		}
 	}
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -123,7 +123,7 @@
 			f.await(p, "all servers", hasServers(6))
 			tab, _ := p.Table()
 			if r := tab.Route("order"); r == nil || r.MaxRetries != 2 {
-				t.Errorf("route of order: %+v", r)
+				t.Errorf("the route of class order is %+v", r)
 			}
 			drains := testEntries(6)[0]
 			drains.State = membership.Draining
--- a/internal/control/delta_test.go
+++ b/internal/control/delta_test.go
@@ -30,7 +30,7 @@
 		globs = append(globs, l.GetLedsClusterLocalityConfig().GetLedsCollectionName())
 	}
 	if len(globs) != 3 {
-		t.Fatalf("collections %q", globs)
+		t.Fatalf("collections %q, want 3", globs)
 	}
 	d.sendDelta(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: resource.LbEndpoint, ResourceNamesSubscribe: append(globs, "xdstp://ringtrack/none/*")})
 	servers, responses := 0, 0
@@ -75,18 +75,18 @@
 	d.sendDelta(req)
 	m := d.receiveDelta()
 	if m.Resources[0].GetTtl().GetSeconds() != 1 || m.Resources[0].Resource == nil {
-		t.Fatalf("%+v", m.Resources[0])
+		t.Fatalf("resource %+v, want a TTL of 1 s", m.Resources[0])
 	}
 	for range 2 {
 		d.sendDelta(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: m.TypeUrl, ResponseNonce: m.Nonce})
 		m = d.receiveDelta()
 		if m.Resources[0].GetTtl().GetSeconds() != 1 || m.Resources[0].Resource != nil {
-			t.Errorf("heartbeat %+v", m.Resources[0])
+			t.Errorf("heartbeat %+v, want a TTL of 1 s and no content", m.Resources[0])
 		}
 	}
 	withoutTTL := openDelta(t, connect(t, f.Addr, nil))
 	withoutTTL.sendDelta(deltaRequest("q", "orders"))
 	if m := withoutTTL.receiveDelta(); m.Resources[0].Ttl != nil {
-		t.Errorf("%+v", m.Resources[0])
+		t.Errorf("resource %+v, want no TTL", m.Resources[0])
 	}
 }
--- a/internal/control/grpc_test.go
+++ b/internal/control/grpc_test.go
@@ -145,7 +145,7 @@
 		in.Close()
 		cmd.Wait()
 		if t.Failed() {
-			t.Logf("the client: %.3000s", log.String())
+			t.Logf("output of the client: %.3000s", log.String())
 		}
 	})
 	answers := bufio.NewScanner(out)
@@ -180,7 +180,7 @@
 		}
 	}
 	if got = call("order", 7, 1); len(got) != 1 {
-		t.Errorf("%v", got)
+		t.Errorf("requests with one key went to %v, want one server", got)
 	}
 	affinityServer := ""
 	for affinityServer = range got {
@@ -197,7 +197,7 @@
 	f.discovery.Set(drained)
 	time.Sleep(250 * time.Millisecond)
 	if got = call("order", 0, 400); got["s-0"] != 0 || got[""] != 0 {
-		t.Errorf("after the drain: %v", got)
+		t.Errorf("requests per server after the drain: %v", got)
 	}
 
 	// All proxies report s-3 as failing, which moves it to the last priority; then the other servers stop.
@@ -231,6 +231,6 @@
 	f.discovery.Set(entries[0])
 	callUntil("requests to s-0 again", func(got map[string]int) bool { return got["s-0"] > 0 && got[""] == 0 })
 	if r, err := f.Report(); err != nil || r.Counts["rejections"] != 0 {
-		t.Errorf("%v, %d rejections", err, r.Counts["rejections"])
+		t.Errorf("report: error %v, %d rejections", err, r.Counts["rejections"])
 	}
 }
--- a/internal/control/lrs_test.go
+++ b/internal/control/lrs_test.go
@@ -26,7 +26,7 @@
 	}
 	answer, err := g.Recv()
 	if err != nil || !answer.ReportEndpointGranularity || len(answer.Clusters) != 4 && !answer.SendAllClusters {
-		t.Fatalf("%v, %+v", err, answer)
+		t.Fatalf("error %v, answer %+v", err, answer)
 	}
 	var done sync.WaitGroup
 	done.Go(func() {
--- a/internal/control/membership_test.go
+++ b/internal/control/membership_test.go
@@ -32,7 +32,7 @@
 	f.discovery.SetDown(true)
 	f.eventually("a stale list with all entries in the report", func(r *control.Report) bool { return r.Membership[0].Stale && r.Membership[0].Entries == 6 })
 	if tab, _ := p.Table(); len(tab.Shares()) != 5 || tab.Usable("s-001") {
-		t.Errorf("the proxy has %+v", tab.Endpoints)
+		t.Errorf("the proxy has the endpoints %+v", tab.Endpoints)
 	}
 	if p.ResponseCount.Load() != n {
 		t.Errorf("%d responses were sent although nothing changed", p.ResponseCount.Load()-n)
@@ -65,7 +65,7 @@
 	}
 	f.discovery.SetDown(true)
 	if err := s.Close(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the service ended with %v", err)
 	}
 	restarted, err := service.Start(s.Addr, f.discovery.Addr, nil, nil)
 	if err != nil {
@@ -89,7 +89,7 @@
 	for _, p := range proxies {
 		f.await(p, "the missed drain", usable("s-003", false))
 		if tab, _ := p.Table(); len(tab.Endpoints) != 6 {
-			t.Errorf("the proxy has %+v", tab.Endpoints)
+			t.Errorf("the proxy has the endpoints %+v", tab.Endpoints)
 		}
 	}
 }
--- a/internal/control/reload_test.go
+++ b/internal/control/reload_test.go
@@ -61,6 +61,6 @@
 		return r != nil && r.Cluster == "orders/booking"
 	})
 	if tab, _ := p.Table(); len(tab.Shares()) != 3 {
-		t.Errorf("the proxy has %+v", tab.Endpoints)
+		t.Errorf("the proxy has the endpoints %+v", tab.Endpoints)
 	}
 }
--- a/internal/control/resource/resource_test.go
+++ b/internal/control/resource/resource_test.go
@@ -75,11 +75,11 @@
 		t.Fatal(err)
 	}
 	if full.VersionInfo != "v1" || full.Nonce != "n1" || full.TypeUrl != Endpoints || len(full.Resources) != 2 {
-		t.Errorf("%+v", &full)
+		t.Errorf("response %+v", &full)
 	}
 	var set endpointv3.ClusterLoadAssignment
 	if err := full.Resources[0].UnmarshalTo(&set); err != nil || set.ClusterName != "orders" {
-		t.Errorf("%v, %+v", err, &set)
+		t.Errorf("error %v, endpoints %+v", err, &set)
 	}
 	for _, c := range []struct {
 		ttl       int
@@ -92,11 +92,11 @@
 			t.Fatal(err)
 		}
 		if d.SystemVersionInfo != "v2" || d.Nonce != "n2" || d.TypeUrl != Endpoints || len(d.Resources) != 2 || !slices.Equal(d.RemovedResources, []string{"x", "y"}) {
-			t.Errorf("%+v", &d)
+			t.Errorf("response %+v", &d)
 		}
 		one := d.Resources[0]
 		if one.Name != "orders" || one.Version != s.Complete.Version || one.GetTtl().GetSeconds() != int64(c.ttl) || (one.Resource == nil) != c.heartbeat {
-			t.Errorf("%v %v: %+v", c.ttl, c.heartbeat, one)
+			t.Errorf("TTL %v, heartbeat %v: resource %+v", c.ttl, c.heartbeat, one)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	a.ShedPercent = 25
 	set := decode(t, render(t, NewRenderer("orders"), a).Complete, &endpointv3.ClusterLoadAssignment{})
 	if set.GetPolicy().GetOverprovisioningFactor().GetValue() != overprovisioningPercent || set.GetPolicy().GetDropOverloads()[0].GetDropPercentage().GetNumerator() != 25 {
-		t.Errorf("policy %+v", set.GetPolicy())
+		t.Errorf("load assignment policy %+v", set.GetPolicy())
 	}
 	type locality struct {
 		priority uint32
@@ -123,7 +123,7 @@
 		for _, e := range l.LbEndpoints {
 			addr := e.GetEndpoint().GetAddress().GetSocketAddress().GetAddress()
 			if draining := e.HealthStatus.String() == "DRAINING"; draining != (addr == "10.0.0.2") {
-				t.Errorf("%s: %v", addr, e.HealthStatus)
+				t.Errorf("%s has the health status %v", addr, e.HealthStatus)
 			}
 		}
 	}
@@ -208,7 +208,7 @@
 		t.Fatal(err)
 	}
 	if len(clusters) != 4 {
-		t.Fatalf("%d clusters", len(clusters))
+		t.Fatalf("%d clusters, want 4", len(clusters))
 	}
 	for _, r := range clusters {
 		c := decode(t, r, &clusterv3.Cluster{})
@@ -223,7 +223,7 @@
 		case c.GetLbPolicy() != clusterv3.Cluster_RING_HASH || c.GetRingHashLbConfig().GetMinimumRingSize().GetValue() != 1024:
 			t.Errorf("%s: not a ring hash of the minimum size", c.Name)
 		case c.GetEdsClusterConfig().GetServiceName() != "orders" || c.GetCircuitBreakers().GetThresholds()[0].GetMaxRequests().GetValue() != 5000:
-			t.Errorf("%s: %+v", c.Name, c)
+			t.Errorf("%s: unexpected service name or request limit: %+v", c.Name, c)
 		}
 	}
 	rc, err := s.RouteConfig()
@@ -238,7 +238,7 @@
 		"connect-failure,refused-stream,retriable-headers", "connect-failure,refused-stream,retriable-headers"} {
 		a := routes[i].GetRoute()
 		if a.RetryPolicy.RetryOn != on || a.RetryPolicy.NumRetries.GetValue() != 2 || a.HedgePolicy != nil || a.RetryPolicy.PerTryTimeout != nil {
-			t.Errorf("route %s: %+v", routes[i].Name, a.RetryPolicy)
+			t.Errorf("route %s has the retry policy %+v", routes[i].Name, a.RetryPolicy)
 		}
 	}
 	ls, err := s.Listeners()
@@ -246,7 +246,7 @@
 		t.Fatal(err)
 	}
 	if l := decode(t, ls[1], &listenerv3.Listener{}); l.GetAddress().GetSocketAddress().GetPortValue() != 8080 {
-		t.Errorf("%+v", l)
+		t.Errorf("listener %+v, want port 8080", l)
 	}
 	s.Balancer = "maglev"
 	maglev, err := s.Clusters(9)
@@ -254,7 +254,7 @@
 		t.Fatal(err)
 	}
 	if c := decode(t, maglev[0], &clusterv3.Cluster{}); c.GetLbPolicy() != clusterv3.Cluster_MAGLEV {
-		t.Errorf("%v", c.GetLbPolicy())
+		t.Errorf("policy %v, want Maglev", c.GetLbPolicy())
 	}
 }
 
@@ -274,11 +274,11 @@
 	a := assignment(func(es []assign.Endpoint) { es[0].ID, es[0].Zone = "a/b*", "ea/st" })
 	for name, set := range render(t, r, a).Collections {
 		if strings.Count(name, "/") != 7 || strings.Count(name, "*") != 1 {
-			t.Errorf("collection %q", name)
+			t.Errorf("the name of collection %q is not escaped", name)
 		}
 		for _, n := range set.Names() {
 			if strings.Count(n, "/") != 7 || strings.Contains(n, "*") {
-				t.Errorf("resource %q", n)
+				t.Errorf("the name of resource %q is not escaped", n)
 			}
 		}
 	}
--- a/internal/control/stream_test.go
+++ b/internal/control/stream_test.go
@@ -45,7 +45,7 @@
 	stalled.Pause(false)
 	f.await(stalled, "the last drain", usable("s-027", false))
 	if stalled.Streams.Load() < 2 {
-		t.Errorf("%d streams", stalled.Streams.Load())
+		t.Errorf("the stalled proxy opened %d streams, want at least 2", stalled.Streams.Load())
 	}
 	f.eventually("no proxy behind", func(r *control.Report) bool {
 		return len(r.Proxies) == 6 && !slices.ContainsFunc(r.Proxies, func(p control.ProxyReport) bool { return p.Behind })
--- a/internal/control/subscription_test.go
+++ b/internal/control/subscription_test.go
@@ -59,7 +59,7 @@
 	r.send(req)
 	m := r.receive()
 	if _, all := draining(t, m); len(all) != 6 {
-		t.Errorf("%d servers", len(all))
+		t.Errorf("%d servers, want 6", len(all))
 	}
 	d := openDelta(t, connect(t, f.Addr, nil))
 	q := deltaRequest("d", "orders")
@@ -68,7 +68,7 @@
 	d.sendDelta(q)
 	dm := d.receiveDelta()
 	if len(dm.Resources) != 1 {
-		t.Errorf("%+v", dm)
+		t.Errorf("response %+v, want one resource", dm)
 	}
 	// A proxy that already has the current version is sent nothing until something changes.
 	e := openDelta(t, connect(t, f.Addr, nil))
@@ -78,7 +78,7 @@
 	e.expectNone(settleTime)
 	f.drain(0)
 	if m := e.receiveDelta(); len(m.Resources) != 1 || m.Resources[0].Version == dm.Resources[0].Version {
-		t.Errorf("%+v", m)
+		t.Errorf("response %+v, want one resource of a new version", m)
 	}
 }
 
@@ -92,7 +92,7 @@
 	d := openDelta(t, connect(t, f.Addr, nil))
 	d.sendDelta(deltaRequest("d", "nothing", "orders"))
 	if m := d.receiveDelta(); len(m.Resources) != 1 || !slices.Equal(m.RemovedResources, []string{"nothing"}) {
-		t.Errorf("%+v", m)
+		t.Errorf("response %+v, want one resource and one removed", m)
 	}
 }
 
--- a/internal/core/cordon_test.go
+++ b/internal/core/cordon_test.go
@@ -25,7 +25,7 @@
 		t.Helper()
 		r := l.Rotation()
 		if got := l.endpoints.getOrCreate(ids[0]).Unavailable(); got != unavailable || r.Unavailable != wantUnavailable {
-			t.Errorf("%s: unavailable %v, %+v", what, got, r)
+			t.Errorf("%s: Unavailable is %v, the rotation %+v", what, got, r)
 		}
 	}
 	check("before the cordon", false, 0)
@@ -41,7 +41,7 @@
 	removed.State = membership.Removed
 	list(false, removed)
 	if r := l.Rotation(); r != (Rotation{Listed: 1}) || !l.Known("s-1") {
-		t.Errorf("removed: %+v", r)
+		t.Errorf("after the removal of s-1: rotation %+v, or s-1 is unknown", r)
 	}
 	back := listedBackend("s-1")
 	back.StartedMs = l.now() - 100
@@ -60,6 +60,6 @@
 	}
 	l.Cordon("s-2", false)
 	if r := l.Rotation(); r != (Rotation{Listed: 2}) {
-		t.Errorf("after the last cordon: %+v", r)
+		t.Errorf("after the last cordon has ended: rotation %+v", r)
 	}
 }
--- a/internal/core/counters_test.go
+++ b/internal/core/counters_test.go
@@ -14,7 +14,7 @@
 	want := map[string]Outcome{"a": Served, "b": Failed, "c": Rejected}
 	for _, id := range []string{"a", "b", "c"} {
 		if a := l.roundTrip(t, newCall(u, id, 2)); a.Outcome != want[id] {
-			t.Errorf("%s: %+v", id, a)
+			t.Errorf("call %s was answered with %+v", id, a)
 		}
 	}
 	c := &l.Counters().Classes[2]
--- a/internal/core/dedup_test.go
+++ b/internal/core/dedup_test.go
@@ -38,7 +38,7 @@
 			first = false
 			a := l.roundTrip(t, newCall(u, "1", c.class))
 			if sent := attempts > before; sent != c.forwarded || !sent && (a.Outcome != Failed || a.Reason != Duplicate) {
-				t.Errorf("sent %v, answered %+v", sent, a)
+				t.Errorf("request sent: %v, answer %+v", sent, a)
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 	for i := range 3 * maxRecentIDs {
 		o.add(now.Add(6*dedupWindow), strconv.Itoa(i))
 		if n := len(o.current) + len(o.previous); n > maxRecentIDs {
-			t.Fatalf("%d ids", n)
+			t.Fatalf("%d ids are stored, more than maxRecentIDs", n)
 		}
 	}
 	if at := now.Add(6 * dedupWindow); !o.contains(at, strconv.Itoa(3*maxRecentIDs-1)) || !o.contains(at, strconv.Itoa(3*maxRecentIDs-maxRecentIDs/2)) {
--- a/internal/core/eventloop_test.go
+++ b/internal/core/eventloop_test.go
@@ -78,7 +78,7 @@
 	case a := <-c.Answer:
 		return a
 	case <-time.After(testTimeout):
-		t.Fatal("no answer")
+		t.Fatal("the call was not answered in time")
 	}
 	return Answer{}
 }
@@ -115,10 +115,10 @@
 			t.Cleanup(func() { <-ended })
 			a := l.roundTrip(t, newCall(u, "1", c.class))
 			if a.Outcome != c.want || a.Reason != c.reason || (c.want == Served || c.reason == BadRequest) != (a.Reply == "reply") {
-				t.Errorf("answered %+v", a)
+				t.Errorf("the call was answered with %+v", a)
 			}
 			if n := len(attempts); c.retried && n < 2 || !c.retried && n != 1 || n > 3 {
-				t.Errorf("%d attempts", n)
+				t.Errorf("%d attempts were made", n)
 			}
 		})
 	}
@@ -135,11 +135,11 @@
 	first := newCall(u, "1", 0)
 	l.Post(func() { l.Submit(first) })
 	if a := l.roundTrip(t, newCall(u, "1", 0)); a.Outcome != Failed || a.Reason != Duplicate {
-		t.Errorf("answered %+v", a)
+		t.Errorf("the second call with the id was answered with %+v", a)
 	}
 	close(release)
 	if a := <-first.Answer; a.Outcome != Served {
-		t.Errorf("the first request: answered %+v", a)
+		t.Errorf("the first call with the id was answered with %+v", a)
 	}
 }
 
@@ -156,6 +156,6 @@
 	}
 	l.complete(r, Answer{Outcome: Served})
 	if len(c.Answer) != 0 || l.stats.DeadlineExceeded != 1 || l.openRequests != 0 || len(l.requests) != 0 {
-		t.Errorf("%d more answers, stats %+v, %d open", len(c.Answer), l.stats, l.openRequests)
+		t.Errorf("after the deadline: %d further answers, stats %+v, %d open requests", len(c.Answer), l.stats, l.openRequests)
 	}
 }
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -49,7 +49,7 @@
 		l.endpoints.apply(&membership.List{Entries: []membership.Entry{c.to}}, false)
 		l.forward(&policy.Action{Kind: policy.ActionForward, Request: 1, Server: l.endpoints.byID[c.to.ID].policyAddr, DurationMs: 1000})
 		if sent := r.inFlight; (sent == 1) != c.want || (l.stats.GuardViolations == 0) != c.want {
-			t.Errorf("%s: %d sent, %d violations", name, sent, l.stats.GuardViolations)
+			t.Errorf("%s: %d attempts sent, %d guard violations", name, sent, l.stats.GuardViolations)
 		}
 		if to := l.endpoints.endpoint(l.endpoints.byID[c.to.ID]); c.mayRun == 0 && (time.Since(r.firstSentAt) > testTimeout || r.firstSentTo.Zone != to.Zone) {
 			t.Errorf("%s: first sent %v ago, to %+v", name, time.Since(r.firstSentAt), r.firstSentTo)
@@ -85,7 +85,7 @@
 	} {
 		test.r.call = &Call{Class: 2}
 		if v := l.violation(&test.r, test.b, now, test.until, time.Time{}); (v == NoViolation) != test.want {
-			t.Errorf("%s: %q", test.name, v)
+			t.Errorf("%s: violation %q", test.name, v)
 		}
 	}
 	// A rejection after an attempt that may have run becomes a failure.
--- a/internal/core/healthcheck_test.go
+++ b/internal/core/healthcheck_test.go
@@ -25,7 +25,7 @@
 		forbid()
 		l.dispatch([]policy.Action{{Kind: policy.ActionHealthCheck, Server: b.policyAddr}})
 		if len(l.pendingEvents) != 1 || l.pendingEvents[0].Kind != policy.EventHealthCheckEnded || l.pendingEvents[0].Server != b.policyAddr || l.pendingEvents[0].Status != policy.NotStarted || checked {
-			t.Errorf("%s: %+v", name, l.pendingEvents)
+			t.Errorf("%s: events %+v, want only a health check that was not started", name, l.pendingEvents)
 		}
 		l.pendingEvents = nil
 	}
--- a/internal/core/log_test.go
+++ b/internal/core/log_test.go
@@ -33,6 +33,6 @@
 		t.Fatal("the loop is blocked by the log")
 	}
 	if a := l.roundTrip(t, newCall(u, "1", 2)); a.Outcome != Served {
-		t.Errorf("answered %+v", a)
+		t.Errorf("the call was answered with %+v", a)
 	}
 }
--- a/internal/core/retrywindow_test.go
+++ b/internal/core/retrywindow_test.go
@@ -49,12 +49,12 @@
 				t.Errorf("%d attempts, want at most %d; answered %+v", n, test.maxAttempts, a)
 			}
 			if a.Outcome == Served || test.status == policy.Reset && test.maxAttempts == 1 && a.Outcome != Failed {
-				t.Errorf("answered %+v", a)
+				t.Errorf("the request was answered with %+v", a)
 			}
 			violations := make(chan int, 1)
 			l.Post(func() { violations <- l.Stats().GuardViolations })
 			if n := <-violations; n != 0 {
-				t.Errorf("%d guard violations", n)
+				t.Errorf("%d guard violations, want none", n)
 			}
 		})
 	}
@@ -65,7 +65,7 @@
 	for _, ms := range []float64{0, 0.1, 1, 5, 9, 40, 700, 8000} {
 		ttl := time.Duration(ms * float64(time.Millisecond))
 		if got := RetryWindow(&policy.Class{IdempotencyWindowMs: ms}); got < 0 || got > ttl || ms > 0 && got == ttl {
-			t.Errorf("%v ms: %v", ms, got)
+			t.Errorf("idempotency window of %v ms: retry window %v is negative or too long", ms, got)
 		}
 	}
 }
--- a/internal/core/rotation_test.go
+++ b/internal/core/rotation_test.go
@@ -38,7 +38,7 @@
 				t.Errorf("publish %v: counted %d times in 10 s, want %d to %d", c.publish, n, c.min, c.max)
 			}
 			if r := l.Rotation(); r.Listed != 1 {
-				t.Errorf("publish %v: %+v", c.publish, r)
+				t.Errorf("publish %v: rotation %+v, want one listed backend", c.publish, r)
 			}
 			cancel()
 			<-ended
--- a/internal/core/sharedconfig_test.go
+++ b/internal/core/sharedconfig_test.go
@@ -44,12 +44,12 @@
 func TestRejectsWithoutValidServerRules(t *testing.T) {
 	l, sent := newSharedConfigLoop(t, true)
 	if _, a := l.submit(t, "1", 0); a == nil || a.Outcome != Rejected || a.RetryAfterMs != 600 {
-		t.Fatalf("before any lease: %+v", a)
+		t.Fatalf("answer before any lease: %+v, want a rejection", a)
 	}
 	now := time.Now()
 	l.AdoptConfig(2, &sharedconfig.Config{}, now.Add(time.Hour), now.Add(2*time.Hour))
 	if _, a := l.submit(t, "2", 0); a != nil {
-		t.Fatalf("with a lease: %+v", a)
+		t.Fatalf("answer with a lease: %+v, want none yet", a)
 	}
 	<-sent
 	l.RenewLease(now.Add(-2*time.Second), now.Add(-time.Second))
@@ -58,7 +58,7 @@
 	}
 	l, sent = newSharedConfigLoop(t, false)
 	if _, a := l.submit(t, "1", 0); a != nil {
-		t.Fatalf("without RejectOnExpiry: %+v", a)
+		t.Fatalf("answer without RejectOnExpiry: %+v, want none yet", a)
 	}
 	<-sent
 	if l.cfg.Settings.Limits.MaxAttempts != 1 || l.cfg.Settings.Classes[0].Effect != policy.NonIdempotent {
@@ -82,7 +82,7 @@
 		l.RenewLease(time.Now().Add(c.left), time.Now().Add(time.Hour))
 		l.forward(&policy.Action{Kind: policy.ActionForward, Request: r.id, Server: l.endpoints.byID["s-1"].policyAddr, DurationMs: 1000})
 		if r.inFlight != c.want || l.stats.GuardViolations != 1-c.want {
-			t.Errorf("%v left: %d retried, %d violations", c.left, r.inFlight, l.stats.GuardViolations)
+			t.Errorf("%v of the lease left: %d retries, %d guard violations", c.left, r.inFlight, l.stats.GuardViolations)
 		}
 		if c.want == 1 {
 			if c := <-sent; c.RetryBefore.IsZero() {
@@ -94,11 +94,11 @@
 	l.AdoptConfig(2, &sharedconfig.Config{}, time.Now().Add(-time.Millisecond), time.Now().Add(time.Hour))
 	l.leaseExpired()
 	if f, _ := l.SharedConfigStats(); !f.Strict || f.Expirations != 1 || l.cfg.Settings.Limits.MaxAttempts != 1 {
-		t.Errorf("expired: %+v", f)
+		t.Errorf("after the lease expired: stats %+v, or retries are still permitted", f)
 	}
 	l.RenewLease(time.Now().Add(time.Hour), time.Now().Add(time.Hour))
 	if f, _ := l.SharedConfigStats(); f.Strict || l.cfg.Settings.Limits.MaxAttempts != 3 || l.cfg.Settings.Classes[1].Effect != policy.IdempotentByKey {
-		t.Errorf("a new lease: %+v, %+v", f, l.cfg.Settings)
+		t.Errorf("with a new lease: stats %+v, settings %+v", f, l.cfg.Settings)
 	}
 }
 
@@ -115,17 +115,17 @@
 	retried.attempts = append(retried.attempts, retried.attempts[0])
 	l.AdoptConfig(3, &sharedconfig.Config{Classes: map[string]sharedconfig.Class{"send": {Effect: policy.IdempotentByKey, DedupScope: policy.ScopeZone, IdempotencyWindowMs: 500}}}, far, far)
 	if k := l.class(first); k.DedupScope != policy.ScopeZone || k.IdempotencyWindowMs != 500 || c.Superseded.Load() {
-		t.Errorf("narrowed to %+v, superseded %v", k, c.Superseded.Load())
+		t.Errorf("the class was narrowed to %+v; superseded: %v", k, c.Superseded.Load())
 	}
 	if !d.Superseded.Load() {
 		t.Error("a retry decided under the previous rules is not superseded")
 	}
 	l.AdoptConfig(4, &sharedconfig.Config{}, far, far)
 	if k := l.class(first); k.DedupScope != policy.ScopeZone || k.IdempotencyWindowMs != 500 {
-		t.Errorf("widened to %+v", k)
+		t.Errorf("the class of an open request was widened to %+v", k)
 	}
 	if now, _ := l.submit(t, "3", 1); l.class(now).IdempotencyWindowMs != 8000 {
-		t.Errorf("a new request has %+v", l.class(now))
+		t.Errorf("the class of a new request is %+v", l.class(now))
 	}
 	l.AdoptConfig(5, &sharedconfig.Config{Classes: map[string]sharedconfig.Class{"read": {Effect: policy.Idempotent}, "order": {Effect: policy.Idempotent}}}, far, far)
 	if l.cfg.Settings.Classes[2].Effect != policy.NonIdempotent {
@@ -165,7 +165,7 @@
 	l.AdoptConfig(3, &sharedconfig.Config{Listed: true, Servers: map[string]sharedconfig.Server{"s-1": {}, "s-2": {Weight: 3}, "s-9": {}}}, far, far)
 	wantUnavailable("not in the shared configuration, and cordoned here", "s-1", "s-3")
 	if e := l.endpoints.endpoint(l.endpoints.byID["s-2"]); e.Weight != 3 {
-		t.Errorf("weight %v", e.Weight)
+		t.Errorf("weight %v, want 3", e.Weight)
 	}
 	l.AdoptConfig(5, &sharedconfig.Config{}, far, far)
 	wantUnavailable("cordon released at the epoch")
--- a/internal/core/sharedids_test.go
+++ b/internal/core/sharedids_test.go
@@ -65,7 +65,7 @@
 			result = policy.OK
 			a := other.roundTrip(t, newCall(u, "1", c.class))
 			if forwarded := sent > before; forwarded != c.forwarded || !forwarded && (a.Outcome != Failed || a.Reason != Duplicate) {
-				t.Errorf("forwarded %v, answered %+v", forwarded, a)
+				t.Errorf("request forwarded: %v, answer %+v", forwarded, a)
 			}
 		})
 	}
--- a/internal/downstream/answerrules_test.go
+++ b/internal/downstream/answerrules_test.go
@@ -17,7 +17,7 @@
 		call(t, w, "order", callTimeout, lab.Failed)
 		w.Set(lab.Rejecting)
 		if a := call(t, w, "order", callTimeout, lab.Rejected); a.RetryAfter != 600*time.Millisecond {
-			t.Errorf("Retry-After %v", a.RetryAfter)
+			t.Errorf("Retry-After %v, want 600ms", a.RetryAfter)
 		}
 	}},
 	{name: "1 a silent server: answered within the deadline", timed: failsWithin(400*time.Millisecond, lab.Silent)},
@@ -37,7 +37,7 @@
 		start := time.Now()
 		a, wrong := w.Call("order", timeout)
 		if took := time.Since(start); took > timeout+20*time.Millisecond {
-			late = fmt.Errorf("took %v of %v", took, timeout)
+			late = fmt.Errorf("the answer took %v with a timeout of %v", took, timeout)
 		}
 		if wrong == nil && a.Outcome != lab.Failed {
 			wrong = fmt.Errorf("answered %+v, want %v", a, lab.Failed)
--- a/internal/downstream/clientrules_test.go
+++ b/internal/downstream/clientrules_test.go
@@ -28,7 +28,7 @@
 		go c.Write(all)
 		for _, r := range sent {
 			if a, err := w.Receive(c, r); err != nil || a.Outcome != lab.Served {
-				t.Fatalf("%+v, %v", a, err)
+				t.Fatalf("answer %+v, error %v", a, err)
 			}
 		}
 	}},
--- a/internal/downstream/close_test.go
+++ b/internal/downstream/close_test.go
@@ -41,7 +41,7 @@
 				}
 				got, err := io.ReadAll(c.Conn)
 				if err != nil || len(got) == 0 {
-					t.Errorf("%d bytes, %v", len(got), err)
+					t.Errorf("read %d bytes before the close, error %v", len(got), err)
 				}
 				if err := <-ended; err != nil {
 					t.Error(err)
@@ -77,13 +77,13 @@
 			w.Set(lab.Serving)
 			late.Write(message[len(message)/2:])
 			if a, err := w.Receive(late, r); err != nil || a.Outcome != lab.Served {
-				t.Errorf("%+v, %v", a, err)
+				t.Errorf("answer %+v, error %v", a, err)
 			}
 			for _, s := range w.Servers {
 				s.ResetConnections()
 			}
 			if _, err := open.Read(); err != nil {
-				t.Errorf("the open call: %v", err)
+				t.Errorf("the open call was not answered: %v", err)
 			}
 			if err := <-ended; err != nil {
 				t.Error(err)
@@ -109,7 +109,7 @@
 			r := w.Request("order", callTimeout)
 			c.Write(p.Encode(r))
 			if a, err := w.Receive(c, r); err != nil || a.Outcome != lab.Served {
-				t.Errorf("%+v, %v", a, err)
+				t.Errorf("answer %+v, error %v", a, err)
 			}
 			if err := <-ended; err != nil {
 				t.Error(err)
--- a/internal/downstream/disconnect_test.go
+++ b/internal/downstream/disconnect_test.go
@@ -128,7 +128,7 @@
 					t.Errorf("%d attempts began, want the first one only (%v until detected)", n, detectedAfter)
 				}
 				if f.Disconnected != 1 || f.Accepted != 1 || f.GuardViolations != 0 {
-					t.Errorf("figures %+v", f)
+					t.Errorf("stats %+v", f)
 				}
 			})
 		}
@@ -181,10 +181,10 @@
 				f := w.Stats()
 				w.Stop() // so that no attempt is in flight
 				if n := next.began.Load(); n != 0 {
-					t.Errorf("%d retries began", n)
+					t.Errorf("%d retries began, want none", n)
 				}
 				if f.Disconnected != 1 || f.Accepted != 1 || f.GuardViolations != 0 {
-					t.Errorf("figures %+v", f)
+					t.Errorf("stats %+v", f)
 				}
 			})
 		}
--- a/internal/downstream/http/disconnect_test.go
+++ b/internal/downstream/http/disconnect_test.go
@@ -46,12 +46,12 @@
 	one := make([]byte, 1) // as net/http's own check reads: the detector starts after the last byte
 	for n := 0; n <= maxReadAheadBytes; n++ {
 		if _, err := c.Read(one); err != nil {
-			t.Fatalf("byte %d: %v", n, err)
+			t.Fatalf("reading byte %d: %v", n, err)
 		}
 	}
 	<-c.disconnect.stopped // it has reached the end
 	if n, err := c.Read(one); n != 0 || err != io.EOF {
-		t.Errorf("after the end: %d, %v", n, err)
+		t.Errorf("after the end: read %d bytes, error %v", n, err)
 	}
 }
 
@@ -69,10 +69,10 @@
 		}
 	}
 	if n, err := c.Read(make([]byte, 2)); n != 2 || err != nil { // the second request
-		t.Fatalf("%d, %v", n, err)
+		t.Fatalf("read %d bytes of the second request, error %v", n, err)
 	}
 	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil { // net/http's check during it
-		t.Fatalf("%d, %v", n, err)
+		t.Fatalf("read %d bytes during the second request, error %v", n, err)
 	}
 	client.Close()
 	select {
@@ -109,7 +109,7 @@
 		got := make([]byte, 100)
 		n, err := nc.Read(got)
 		if want := []string{part, ""}[i]; string(got[:n]) != want || (err == nil) != (i == 0) {
-			t.Errorf("%q, %v", got[:n], err)
+			t.Errorf("read %q, error %v", got[:n], err)
 		}
 	}
 }
--- a/internal/downstream/http/server_test.go
+++ b/internal/downstream/http/server_test.go
@@ -58,7 +58,7 @@
 	}
 	add("new")
 	if got := closed(); len(got) != 0 {
-		t.Fatalf("closed %v below the limit", got)
+		t.Fatalf("connections %v were closed below the limit", got)
 	}
 	for i, want := range []string{"silent", "idle", "", "", "", "", "reading body", "new"} {
 		busy()
@@ -99,11 +99,11 @@
 		br := bufio.NewReader(strings.NewReader(string(c.upstreamCall.Head(time.Second)) + string(c.upstreamCall.Body)))
 		out, err := http.ReadRequest(br)
 		if err != nil {
-			t.Fatalf("forwarded as %q: %v", c.upstreamCall.Head(time.Second), err)
+			t.Fatalf("the request was forwarded as %q, which can't be read: %v", c.upstreamCall.Head(time.Second), err)
 		}
 		body, err := io.ReadAll(out.Body)
 		if err != nil || len(body) != len(c.upstreamCall.Body) || out.RequestURI != c.upstreamCall.Target || out.Header.Get("Request-Id") != c.ID || br.Buffered() > 0 {
-			t.Errorf("%q became %+v", text, out)
+			t.Errorf("request %q was forwarded as %+v", text, out)
 		}
 	})
 }
@@ -128,11 +128,11 @@
 	c.track(y, http.StateNew)
 	c.track(y, http.StateActive)
 	if c.requestRead(ctx) || !c.requestRead(c.connContext(t.Context(), y)) {
-		t.Error("the evicted one is accepted, or the other is not")
+		t.Error("the request of the evicted connection is accepted, or that of the other is not")
 	}
 	c.track(x, http.StateClosed)
 	if c.requestRead(ctx) {
-		t.Error("a closed one is accepted")
+		t.Error("the request of a closed connection is accepted")
 	}
 	z, peer := net.Pipe()
 	c.track(y, http.StateClosed)
@@ -140,11 +140,11 @@
 	c.track(z, http.StateActive)
 	c.limitReads(time.Now().Add(-time.Second))
 	if !c.requestRead(c.connContext(t.Context(), z)) {
-		t.Fatal("not accepted")
+		t.Fatal("the request is not accepted")
 	}
 	go peer.Write([]byte("x"))
 	if _, err := z.Read(make([]byte, 1)); err != nil {
-		t.Errorf("after it was accepted: %v", err)
+		t.Errorf("reading after the request was accepted: %v", err)
 	}
 }
 
@@ -183,9 +183,9 @@
 	}
 	got := make([]byte, 3)
 	if _, err := io.ReadFull(withRequest, got); err != nil || string(got) != "GET" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("read %q, error %v", got, err)
 	}
 	if c.closeIdle(); c.closing != 2 { // once read, it is idle
-		t.Errorf("%d closed", c.closing)
+		t.Errorf("%d connections were closed, want 2", c.closing)
 	}
 }
--- a/internal/downstream/membershiprules_test.go
+++ b/internal/downstream/membershiprules_test.go
@@ -69,7 +69,7 @@
 					r := w.Request("order", callTimeout)
 					r.Key = r.Op
 					if a, err := w.CallOn(c, r); err != nil || a.Outcome == lab.Failed {
-						t.Errorf("%+v, %v", a, err)
+						t.Errorf("answer %+v, error %v", a, err)
 						return
 					}
 				}
@@ -77,7 +77,7 @@
 		}
 		clients.Wait()
 		if w.Servers[1].RequestCount() < 2*capacity {
-			t.Skipf("this host is too slow to overload a server: %d", w.Servers[1].RequestCount())
+			t.Skipf("this host is too slow to overload a server: it got %d requests", w.Servers[1].RequestCount())
 		}
 		t.Logf("calls begun: %d at the server in slow start, %d at another", w.Servers[0].RequestCount(), w.Servers[1].RequestCount())
 	}},
--- a/internal/downstream/otherclients_test.go
+++ b/internal/downstream/otherclients_test.go
@@ -43,14 +43,14 @@
 			io.WriteString(c, test.text)
 			b, err := io.ReadAll(c.Conn)
 			if !strings.HasPrefix(string(b), test.want) || test.want == "" && len(b) > 0 && !strings.HasPrefix(string(b), "HTTP/1.1 4") {
-				t.Errorf("answered %q, %v", b, err)
+				t.Errorf("answer %q, error %v", b, err)
 			}
 			if took := time.Since(start); test.instant && took > time.Second {
 				t.Errorf("disconnected after %v", took)
 			}
 			call(t, w, "order", callTimeout, lab.Served)
 			if f := w.Stats(); f != (core.Stats{Accepted: 1, Served: 1}) {
-				t.Errorf("figures %+v", f)
+				t.Errorf("stats %+v", f)
 			}
 		})
 	}
--- a/internal/downstream/retryrules_test.go
+++ b/internal/downstream/retryrules_test.go
@@ -19,7 +19,7 @@
 			n := w.RequestCount()
 			call(t, w, "order", callTimeout, lab.Failed)
 			if got := w.RequestCount() - n; got != 1 {
-				t.Errorf("mode %d: %d attempts", m, got)
+				t.Errorf("mode %d: %d attempts, want 1", m, got)
 			}
 		}
 		// The next call gets its own answer, whatever arrived on a connection before.
@@ -49,7 +49,7 @@
 			n := w.RequestCount()
 			call(t, w, method, callTimeout, lab.Rejected, lab.Failed)
 			if got := w.RequestCount() - n; got < 2 || got > 3 {
-				t.Errorf("%s: %d attempts", method, got)
+				t.Errorf("%s: %d attempts, want 2 or 3", method, got)
 			}
 		}
 	}},
--- a/internal/downstream/thrift/config_test.go
+++ b/internal/downstream/thrift/config_test.go
@@ -54,7 +54,7 @@
 			"[[method]]\nname = \"b\"\nclass = \"order\"\nkey = \"4\"\ndeadline = \"5\"\n",
 	} {
 		if err := load(text); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("the error does not name %s: %v", key, err)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	}
 	c.Method = append(c.Method, MethodConfig{Name: "Other:*", Class: "read"})
 	if table, err = c.Table(testClasses); err != nil || table.find([]byte("Other:thing")).class != 0 {
-		t.Errorf("a complete service: %v", err)
+		t.Errorf("a table with a complete service: %v", err)
 	}
 }
 
--- a/internal/downstream/thriftrules_test.go
+++ b/internal/downstream/thriftrules_test.go
@@ -32,7 +32,7 @@
 					r := w.Request("order", callTimeout)
 					r.Seq = i
 					if a, err := w.CallOn(c, r); err != nil || a.Outcome != lab.Served {
-						t.Errorf("%+v, %v", a, err)
+						t.Errorf("answer %+v, error %v", a, err)
 					}
 				}
 			})
@@ -42,7 +42,7 @@
 	{name: "a declared exception is an answer", thrift: true, run: func(t *testing.T, w *world.World) {
 		w.Set(lab.DeclaredException)
 		if a := call(t, w, "stamp", callTimeout, lab.Served); a.ExceptionID != 2 || a.Text != "full" {
-			t.Errorf("answered %+v", a)
+			t.Errorf("answered with %+v", a)
 		}
 	}},
 	{name: "one-way: forwarded once and never answered", thrift: true, run: testOneWay(thriftlab.Oneway, "order")},
@@ -67,7 +67,7 @@
 		r.Kind = thriftlab.Reply
 		c.Write(w.Protocol.Encode(r))
 		if a, err := c.Read(); err != nil || a.Code != thrift.CodeInvalidMessageType || a.Seq != r.Seq || w.RequestCount() != 0 {
-			t.Errorf("answered %+v, %v; %d calls were forwarded", a, err, w.RequestCount())
+			t.Errorf("answer %+v, error %v; %d calls were forwarded", a, err, w.RequestCount())
 		}
 	}},
 	{name: "the error of a malformed call speaks of a call", thrift: true, run: func(t *testing.T, w *world.World) {
@@ -80,7 +80,7 @@
 		c.Write(b)
 		a, err := c.Read()
 		if err != nil || a.Code != thrift.CodeMalformed || a.Seq != r.Seq || strings.Contains(a.Text, "reply") || !strings.Contains(a.Text, "call") {
-			t.Errorf("answered %+v, %v", a, err)
+			t.Errorf("answer %+v, error %v", a, err)
 		}
 		if w.RequestCount() != 0 {
 			t.Errorf("%d calls were forwarded", w.RequestCount())
@@ -96,7 +96,7 @@
 			binary.BigEndian.PutUint32(b, uint32(len(b)-2-4+more))
 			c.Write(b)
 			if a, err := c.Read(); err != nil || a.Code != thrift.CodeMalformed || a.Seq != r.Seq {
-				t.Errorf("%+d bytes: answered %+v, %v", more, a, err)
+				t.Errorf("%+d bytes: answer %+v, error %v", more, a, err)
 			}
 			if _, err := c.Read(); err == nil {
 				t.Errorf("%+d bytes: the connection stays open", more)
@@ -109,12 +109,12 @@
 	{name: "an unlisted method is not idempotent", thrift: true, run: func(t *testing.T, w *world.World) {
 		w.Set(lab.ResetAfterRun)
 		if call(t, w, "nobody", callTimeout, lab.Failed); w.RequestCount() != 1 {
-			t.Errorf("%d attempts", w.RequestCount())
+			t.Errorf("%d attempts, want 1", w.RequestCount())
 		}
 	}},
 	{name: "an unlisted method that is rejected", thrift: true, opts: world.Options{RejectUnlisted: true}, run: func(t *testing.T, w *world.World) {
 		if a := call(t, w, "nobody", callTimeout, lab.Failed); a.Code != thrift.CodeUnknownMethod || w.RequestCount() != 0 {
-			t.Errorf("answered %+v, %d attempts", a, w.RequestCount())
+			t.Errorf("answer %+v after %d attempts", a, w.RequestCount())
 		}
 	}},
 }
@@ -131,7 +131,7 @@
 			}
 			// The next answer belongs to the next call.
 			if a, err := w.CallOn(c, w.Request("order", callTimeout)); err != nil || a.Outcome != lab.Served {
-				t.Errorf("call %d: %+v, %v", i, a, err)
+				t.Errorf("call %d: answer %+v, error %v", i, a, err)
 			}
 			waitFor(t, "a one-way call is lost", func() bool { return w.RequestCount() >= 2*(i+1) })
 			w.Ledger.Answered(r.Op, lab.Failed, time.Now()) // for the ledger, as a one-way call has no answer
--- a/internal/lease/blockers_test.go
+++ b/internal/lease/blockers_test.go
@@ -127,7 +127,7 @@
 	}
 	t.Logf("%d steps may advance, %d of them with candidates, %d are blocked, %d epoch jumps", c.advances, c.advancesWithCandidates, c.blocked, c.epochJumps)
 	if min(c.advances, c.blocked, c.advancesWithCandidates, c.epochJumps) < 100 {
-		t.Errorf("%+v: too few cases of one kind", c)
+		t.Errorf("too few cases of one kind: %+v", c)
 	}
 }
 
--- a/internal/membership/discovery/client_test.go
+++ b/internal/membership/discovery/client_test.go
@@ -50,7 +50,7 @@
 	updated := false
 	d.OnUpdate = func(l *membership.List, _ bool, err error) {
 		if updated = true; err != nil || l.Revision != 7 {
-			t.Errorf("%+v, %v", l, err)
+			t.Errorf("update with list %+v, error %v", l, err)
 		}
 	}
 	if d.Fetch(); !updated {
--- a/internal/membership/discovery/watch_test.go
+++ b/internal/membership/discovery/watch_test.go
@@ -45,7 +45,7 @@
 			silences := 0
 			d.OnSilent = func(err error) {
 				if silences++; !errors.Is(err, errSilent) {
-					t.Errorf("%v", err)
+					t.Errorf("OnSilent was called with another error than errSilent: %v", err)
 				}
 			}
 			var updates []string
@@ -99,7 +99,7 @@
 				t.Fatalf("process %d of %d waits %v, the one before %v", i, processes, wait, last)
 			}
 			if last = wait; wait+watchGrace+reopenTime > max(notified, wait+afterWait) {
-				t.Errorf("process %d of %d waits %v", i, processes, wait)
+				t.Errorf("process %d of %d waits %v, too long to notice a silent watch in time", i, processes, wait)
 			}
 		}
 	}
--- a/internal/membership/ephemeral/follow/follow_test.go
+++ b/internal/membership/ephemeral/follow/follow_test.go
@@ -54,7 +54,7 @@
 		f.Connected(renewed, 7)
 		q := takeRequests(f)
 		if q[0].Op != zkwire.OpSync {
-			t.Errorf("starts with %+v", q[0])
+			t.Errorf("the first request is %+v, want a sync", q[0])
 		}
 		for _, r := range q {
 			f.HandleReply(Reply{Request: r, Children: map[bool][]string{true: names(nodes)}[r.Op == zkwire.OpGetChildren2]})
@@ -65,7 +65,7 @@
 		f.Connected(false, 7)
 		reply(f, nodes)
 		if !f.Synced() || f.Size() != 1000 {
-			t.Errorf("synced %v, %d nodes", f.Synced(), f.Size())
+			t.Errorf("synced %v, %d nodes, want 1000", f.Synced(), f.Size())
 		}
 	}
 }
@@ -106,7 +106,7 @@
 					size += len(p) + 4
 				}
 				if size > maxSetWatchesBytes || r.Watches.Zxid != 20_000 {
-					t.Errorf("a batch of %d bytes since %d", size, r.Watches.Zxid)
+					t.Errorf("a batch of watches has %d bytes and restores from zxid %d", size, r.Watches.Zxid)
 				}
 				if len(r.Watches.Child) > 0 {
 					watched[r.Watches.Child[0]] = true
@@ -114,7 +114,7 @@
 			case zkwire.OpGetData:
 				reads++
 				if r.Path != "/fleet/member_0000000007" {
-					t.Errorf("reads %s", r.Path)
+					t.Errorf("unexpected read of %s", r.Path)
 				}
 			}
 			f.HandleReply(Reply{Request: r, Stat: zkwire.Stat{Czxid: 8, Mzxid: 20_001}})
@@ -123,7 +123,7 @@
 			t.Errorf("one-shot %v: %d watched, %d batches, %d reads", oneShot, len(watched), batches, reads)
 		}
 		if c := f.Changes(); len(c) != 1 || c[0].Stat.Mzxid != 20_001 || !f.Synced() {
-			t.Errorf("%d changes", len(c))
+			t.Errorf("%d changes, want that of one node, or it is not synced", len(c))
 		}
 	}
 }
@@ -141,7 +141,7 @@
 	f.HandleEvent(changed)
 	f.HandleEvent(changed)
 	if len(q) != 1 || len(takeRequests(f)) != 0 {
-		t.Errorf("%d reads in flight", len(q))
+		t.Errorf("%d reads in flight, want one", len(q))
 	}
 	f.HandleReply(Reply{Request: q[0], Stat: zkwire.Stat{Czxid: 1}})
 	if q = takeRequests(f); len(q) != 1 {
@@ -156,7 +156,7 @@
 		expired = append(expired, c.Expired)
 	}
 	if fmt.Sprint(expired) != "[false true]" {
-		t.Errorf("expired %v", expired)
+		t.Errorf("Expired of the changes: %v", expired)
 	}
 }
 
@@ -176,7 +176,7 @@
 		}
 	}
 	if c := f.Changes(); len(c) != 1 || c[0].Name != "a" || c[0].Expired || !f.Synced() {
-		t.Fatalf("changes %+v", c)
+		t.Fatalf("changes %+v, want only node a", c)
 	}
 	for _, childrenEventOnly := range []bool{true, false} { // whether there is no event for the node itself
 		f.HandleEvent(zkwire.WatchEvent{Type: zkwire.NodeDeleted, Path: "/fleet/a"})
@@ -228,7 +228,7 @@
 					x.HandleEvent(zkwire.WatchEvent{Type: zkwire.Event(b >> 4 & 7), Path: path})
 				}
 				if len(x.nodes) > 5+1 || len(x.queue) > 100 {
-					t.Fatalf("%d nodes, %d queued", len(x.nodes), len(x.queue))
+					t.Fatalf("%d nodes, %d queued requests", len(x.nodes), len(x.queue))
 				}
 			}
 			exists := map[string]bool{}
@@ -256,7 +256,7 @@
 			f.ReplyReceived()
 		}
 		if c := f.Changes(); len(c) != 3 || !c[2].Expired {
-			t.Fatalf("%+v", c)
+			t.Fatalf("changes %+v, want three with an expiry at the end", c)
 		}
 		f.Connected(true, 7)
 		return f
@@ -280,7 +280,7 @@
 	for n := 0; ; n++ {
 		if reply(f, before); !f.ServerBehind() {
 			if c := f.Changes(); n != maxRejectedConnections || len(c) != 1 || c[0].Expired {
-				t.Errorf("accepted after %d: %+v", n, c)
+				t.Errorf("the server was accepted after %d rejected connections: changes %+v", n, c)
 			}
 			break
 		}
@@ -290,7 +290,7 @@
 	f = afterExpiry(true)
 	for _, r := range takeRequests(f) {
 		if r.Op == zkwire.OpGetData || r.Op == zkwire.OpGetChildren2 {
-			t.Errorf("reads %+v", r)
+			t.Errorf("unexpected read %+v", r)
 		}
 	}
 }
--- a/internal/membership/ephemeral/session_test.go
+++ b/internal/membership/ephemeral/session_test.go
@@ -159,7 +159,7 @@
 	v = startSource(t, testConfig(e, func(c *Config) { c.Auth = "user:wrong" }))
 	v.waitForText("not authorised")
 	if len(v.nodes) > 0 || v.synced > 0 {
-		t.Errorf("%v, synced %d", v.nodes, v.synced)
+		t.Errorf("without authorisation: nodes %v, synced %d times", v.nodes, v.synced)
 	}
 	v.stop()
 	startSource(t, testConfig(e, func(c *Config) { c.Auth = "user:secret" })).waitForNodes("s-1")
--- a/internal/membership/ephemeral/source_test.go
+++ b/internal/membership/ephemeral/source_test.go
@@ -65,7 +65,7 @@
 	v.waitForText("node large")
 	v.waitForText("node port")
 	if a := v.nodes["set"].Entry.Addr; a != "h:7" {
-		t.Errorf("address %q", a)
+		t.Errorf("address %q, want h:7", a)
 	}
 }
 
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -28,7 +28,7 @@
 	m.expireNode("a")
 	m.createNode("a", 4, 0) // a node created after the removal counts
 	if m.reported["a"].Addr != "" {
-		t.Errorf("listed without an address: %+v", m.reported["a"])
+		t.Errorf("an entry without an address is listed: %+v", m.reported["a"])
 	}
 	m.updateDiscovery(false, endpoint("a", Up))
 	m.wantState("a", Draining) // the second return is delayed
@@ -98,7 +98,7 @@
 	m.wantState("b", Draining)
 	m.wantState("c", Up)
 	if m.reported["a"].StartedMs != 1e11 {
-		t.Errorf("started %v", m.reported["a"].StartedMs)
+		t.Errorf("start time %v, want 1e11", m.reported["a"].StartedMs)
 	}
 }
 
@@ -115,7 +115,7 @@
 	m.wantState("a", Up)
 	m.wantState("b", Draining)
 	if s := m.Status(m.now)[1]; !s.Stale || s.Reason != "connection lost" {
-		t.Errorf("status %+v", s)
+		t.Errorf("status %+v of the registry, want stale with the reason", s)
 	}
 	m.advance(2000)
 	m.wantState("b", Draining) // discovery has not responded since
@@ -127,7 +127,7 @@
 	m.updateDiscovery(true) // an empty complete list
 	m.wantState("a", Up)
 	if s := m.Status(m.now)[0]; s.Reason != reasonEmptyList {
-		t.Errorf("status %+v", s)
+		t.Errorf("status %+v of discovery after an empty list", s)
 	}
 }
 
--- a/internal/membership/processstart_test.go
+++ b/internal/membership/processstart_test.go
@@ -53,6 +53,6 @@
 	m.NodeUpdated(m.now, RegistryNode{Name: "b", Czxid: 2, CtimeMs: longAgoMs, Entry: Entry{ID: "b", State: Up}, Owner: 2})
 	m.applyChanges()
 	if a, b := m.reported["a"].StartedMs, m.reported["b"].StartedMs; a != longAgoMs || b != m.now {
-		t.Errorf("started %v and %v", a-1e12, b-1e12)
+		t.Errorf("start times %v and %v, relative to 1e12", a-1e12, b-1e12)
 	}
 }
--- a/internal/membership/set_fuzz_test.go
+++ b/internal/membership/set_fuzz_test.go
@@ -20,12 +20,12 @@
 			last := ""
 			for _, e := range s.Entries() {
 				if e.ID <= last || e.State == Removed || e.State == Up && e.Validate() != nil {
-					t.Errorf("entry %+v after %q", e, last)
+					t.Errorf("invalid entry %+v after id %q", e, last)
 				}
 				last = e.ID
 			}
 			if st := s.Status(float64(i))[0]; len(st.Problems) > maxProblems {
-				t.Errorf("%d problems", len(st.Problems))
+				t.Errorf("%d problems stored, more than maxProblems", len(st.Problems))
 			}
 		}
 	})
--- a/internal/membership/set_test.go
+++ b/internal/membership/set_test.go
@@ -64,15 +64,15 @@
 	s.Update("discovery", 100, completeList(6))
 	wantEntries(t, s, "a:up b:draining")
 	if st := s.Status(200)[0]; st.Stale || st.Reason != reasonEmptyList {
-		t.Errorf("at once: %+v", st)
+		t.Errorf("right after an empty list: status %+v", st)
 	}
 	s.Update("discovery", 900, completeList(7)) // the time of the first empty list counts
 	if st := s.Status(1100)[0]; !st.Stale {
-		t.Errorf("after the bound: %+v", st)
+		t.Errorf("longer than the bound after the first empty list: status %+v, want stale", st)
 	}
 	s.Update("discovery", 1200, completeList(8, upEntry("a")))
 	if st := s.Status(1200)[0]; st.Stale || st.Reason != "" {
-		t.Errorf("listed again: %+v", st)
+		t.Errorf("after a list that is not empty: status %+v", st)
 	}
 	wantEntries(t, s, "a:up")
 	s.Update("discovery", 1300, &List{Revision: 9, Entries: []Entry{{ID: "a", State: Removed}}})
@@ -82,20 +82,20 @@
 func TestSetLostSource(t *testing.T) {
 	s := NewSet(1000, "discovery", "other")
 	if st := s.Status(1)[0]; !st.Stale || st.AgeMs != -1 {
-		t.Errorf("no contact yet: %+v", st)
+		t.Errorf("before the first contact: status %+v", st)
 	}
 	s.Update("discovery", 1, completeList(5, upEntry("a")))
 	s.Lost("discovery", errors.New("connection refused"))
 	wantEntries(t, s, "a:up")
 	if st := s.Status(500)[0]; st.Stale || st.Reason != "connection refused" {
-		t.Errorf("lost: %+v", st)
+		t.Errorf("right after the source was lost: status %+v", st)
 	}
 	if st := s.Status(1001)[0]; !st.Stale {
-		t.Errorf("lost for long: %+v", st)
+		t.Errorf("longer than the bound after the source was lost: status %+v, want stale", st)
 	}
 	s.Alive("discovery", 1500)
 	if st := s.Status(1600)[0]; st.Stale || st.Reason != "" {
-		t.Errorf("back: %+v", st)
+		t.Errorf("after the source has responded again: status %+v", st)
 	}
 }
 
--- a/internal/thriftwire/reader_test.go
+++ b/internal/thriftwire/reader_test.go
@@ -139,10 +139,10 @@
 				r := NewReader(Limits{}, testPaths...)
 				ok, err := r.Read(append(bytes.Clone(msg), "bytes after the message"...))
 				if !ok || err != nil || r.Size != len(msg) {
-					t.Fatalf("seed %d: %v, %v, %d of %d bytes", seed, ok, err, r.Size, len(msg))
+					t.Fatalf("seed %d: complete %v, error %v, size %d of %d bytes", seed, ok, err, r.Size, len(msg))
 				}
 				if r.Protocol != proto || r.Kind != Kind(kind) || string(r.Name) != "Orders:place" || r.Seq != seq || r.FirstFieldID != 1 {
-					t.Fatalf("seed %d: %+v", seed, r.Message)
+					t.Fatalf("seed %d: message %+v", seed, r.Message)
 				}
 				k, n, b := r.Fields[0], r.Fields[1], r.Fields[2]
 				if !k.Found || string(msg[k.Start:k.End]) != key || !n.Found || int64(n.Int) != num || !b.Found || !b.Bool || r.Fields[3].Found {
@@ -152,7 +152,7 @@
 				for i := range msg {
 					ok, err := slow.Read(msg[:i+1])
 					if err != nil || ok != (i == len(msg)-1) {
-						t.Fatalf("seed %d: at byte %d of %d: %v, %v", seed, i, len(msg), ok, err)
+						t.Fatalf("seed %d: at byte %d of %d: complete %v, error %v", seed, i, len(msg), ok, err)
 					}
 				}
 				if fmt.Sprintf("%+v", slow.Message) != fmt.Sprintf("%+v", r.Message) {
@@ -180,11 +180,11 @@
 			err = x.Read(ctx, p)
 		}
 		if err != nil || name != "place" || kind != thrift.EXCEPTION || seq != -5 || x.TypeId() != UnknownMethod || x.Error() != "no such thing" || buf.Len() != 0 {
-			t.Errorf("%v: %v %q %v %d %v", proto, err, name, kind, seq, x)
+			t.Errorf("%v: error %v, name %q, kind %v, sequence id %d, exception %v", proto, err, name, kind, seq, x)
 		}
 		r := NewReader(Limits{}, Path{2})
 		if ok, err := r.Read(msg); !ok || err != nil || int32(r.Fields[0].Int) != UnknownMethod {
-			t.Errorf("%v: %v, %v, %+v", proto, ok, err, r.Message)
+			t.Errorf("%v: complete %v, error %v, message %+v", proto, ok, err, r.Message)
 		}
 	}
 }
@@ -258,7 +258,7 @@
 			for i := 0; i < len(c.msg) && err == nil; i++ {
 				var ok bool
 				if ok, err = r.Read(c.msg[:i+1]); ok {
-					t.Fatal("accepted as complete")
+					t.Fatal("the message was accepted as complete")
 				}
 			}
 			if !errors.Is(err, c.want) {
@@ -269,12 +269,12 @@
 	for _, p := range []Protocol{Binary, OldBinary, Compact} {
 		r := NewReader(Limits{Depth: 100})
 		if ok, err := r.Read(nested(p, 99)); !ok || err != nil {
-			t.Errorf("%v, 99 deep: %v, %v", p, ok, err)
+			t.Errorf("%v, nested 99 deep: complete %v, error %v", p, ok, err)
 		}
 		big := AppendException(nil, p, []byte("m"), 1, 0, strings.Repeat("x", 2000))
 		r.Reset(Limits{Size: 1000})
 		if ok, err := r.Read(big[:100]); ok || !errors.Is(err, ErrTooLarge) {
-			t.Errorf("%v, over the limit: %v, %v", p, ok, err)
+			t.Errorf("%v, over the size limit: complete %v, error %v", p, ok, err)
 		}
 	}
 }
@@ -285,7 +285,7 @@
 		msg := encodeMessage(f, 5, thrift.CALL, 9, "key", 5, 8)
 		for i := range msg {
 			if ok, err := NewReader(Limits{}).Read(msg[:i]); ok || err != nil {
-				t.Fatalf("%v, truncated at %d of %d: %v, %v", proto, i, len(msg), ok, err)
+				t.Fatalf("%v, truncated at %d of %d bytes: complete %v, error %v", proto, i, len(msg), ok, err)
 			}
 		}
 	}
@@ -299,7 +299,7 @@
 			for n := range len(b) {
 				tr, p, ok, err := Detect(b[:n])
 				if err != nil || ok && (tr != transport || p != proto) || n >= DetectBytes && !ok {
-					t.Errorf("%v %v, %d bytes: %v %v %v %v", transport, proto, n, tr, p, ok, err)
+					t.Errorf("%v %v, %d bytes: detected %v %v, complete %v, error %v", transport, proto, n, tr, p, ok, err)
 				}
 			}
 		}
@@ -313,7 +313,7 @@
 	}
 	for text, want := range map[string]error{"\x00\x00\x00\x00": ErrMalformed, "\xff\xff\xff\xff": ErrMalformed, "\x7f\xff\xff\xff": ErrTooLarge, "\x00\x00\x10\x00": nil} {
 		if n, err := FrameSize([]byte(text), 4096); !errors.Is(err, want) || err == nil && n != 4096 {
-			t.Errorf("%q: %d, %v", text, n, err)
+			t.Errorf("frame header %q: size %d, error %v", text, n, err)
 		}
 	}
 }
@@ -334,7 +334,7 @@
 		r := NewReader(limits, testPaths...)
 		ok, err := r.Read(b)
 		if cap(r.stack) > 2*limits.Depth {
-			t.Fatalf("a stack of %d", cap(r.stack))
+			t.Fatalf("the stack has a capacity of %d", cap(r.stack))
 		}
 		slow := NewReader(limits, testPaths...)
 		var slowOK bool
@@ -350,7 +350,7 @@
 		}
 		for _, fd := range r.Fields {
 			if fd.Found && (fd.Start < r.Body || fd.End > r.Size || fd.Start > fd.End) {
-				t.Fatalf("field %+v of %+v", fd, r.Message)
+				t.Fatalf("the bounds of field %+v are outside of message %+v", fd, r.Message)
 			}
 		}
 		buf := thrift.NewTMemoryBuffer()
--- a/internal/upgrade/compatibility_test.go
+++ b/internal/upgrade/compatibility_test.go
@@ -57,13 +57,13 @@
 	}
 	d := join(t, tmp)
 	if s, err := d.SavedEndpoints(); err != nil || !reflect.DeepEqual(*s, wantSavedEndpoints) {
-		t.Errorf("endpoints %+v, %v", s, err)
+		t.Errorf("saved endpoints %+v, error %v", s, err)
 	}
 	if ids, err := d.Cordoned(); err != nil || !slices.Equal(ids, wantCordoned) {
-		t.Errorf("cordoned %v, %v", ids, err)
+		t.Errorf("cordoned ids %v, error %v", ids, err)
 	}
 	if stale, found, err := d.DiscoveryStale(); !stale || !found || err != nil {
-		t.Errorf("discovery stale %v, found %v, %v", stale, found, err)
+		t.Errorf("discovery stale %v, found %v, error %v", stale, found, err)
 	}
 }
 
--- a/internal/upgrade/dir_test.go
+++ b/internal/upgrade/dir_test.go
@@ -83,7 +83,7 @@
 		t.Error("HasSuccessor is wrong once the next process serves")
 	}
 	if n, ok := old.Processes(); n != 2 || !ok {
-		t.Errorf("%d processes with the old one", n)
+		t.Errorf("%d processes counted while two run", n)
 	}
 	next.processFile.Close() // as the kernel does when a process is killed
 	if n, _ := old.Processes(); n != 1 || old.HasSuccessor() {
@@ -91,7 +91,7 @@
 	}
 	third := join(t, tmp)
 	if third.seq <= next.seq || third.First() {
-		t.Errorf("the third process is number %d, after %d", third.seq, next.seq)
+		t.Errorf("the third process has number %d after %d, or is First", third.seq, next.seq)
 	}
 	if err := old.Close(); err != nil {
 		t.Error(err)
@@ -146,7 +146,7 @@
 		}
 	}
 	if ids := wait(99); slices.Contains(ids, "s-0-7") || !slices.IsSorted(ids) {
-		t.Errorf("cordoned %v", ids)
+		t.Errorf("cordoned ids %v contain s-0-7 or are not sorted", ids)
 	}
 	cancel()
 	<-ended
@@ -261,7 +261,7 @@
 	tmp := t.TempDir()
 	a := join(t, tmp)
 	if s, err := a.SavedEndpoints(); s != nil || err != nil {
-		t.Errorf("before the first save %v, %v", s, err)
+		t.Errorf("before the first save: endpoints %v, error %v", s, err)
 	}
 	want := SavedEndpoints{List: membership.List{Revision: 7, Full: true, Entries: []membership.Entry{{ID: "s-1", Addr: "127.0.0.1:1", State: "draining"}}}, Seen: []string{"s-0"}}
 	if err := a.SaveEndpoints(&want); err != nil {
@@ -269,7 +269,7 @@
 	}
 	s, err := join(t, tmp).SavedEndpoints()
 	if err != nil || s.List.Revision != 7 || len(s.List.Entries) != 1 || s.List.Entries[0] != want.List.Entries[0] || !slices.Equal(s.Seen, want.Seen) {
-		t.Errorf("saved %+v, %v", s, err)
+		t.Errorf("after the save: endpoints %+v, error %v", s, err)
 	}
 }
 
@@ -333,11 +333,11 @@
 	}
 	for i, c := range queued {
 		if got := read(c); got != "old" {
-			t.Fatalf("connection %d in the queue: %q", i, got)
+			t.Fatalf("connection %d in the accept queue was answered by %q", i, got)
 		}
 	}
 	if n := <-oldEnded; n != len(queued) {
-		t.Errorf("%d accepted of %d", n, len(queued))
+		t.Errorf("the old listener accepted %d of %d queued connections", n, len(queued))
 	}
 	for range 40 {
 		c, err := net.Dial("tcp", addr)
@@ -345,7 +345,7 @@
 			t.Fatal(err)
 		}
 		if got := read(c); got != "new" {
-			t.Fatalf("after the end: %q", got)
+			t.Fatalf("after the old listener had ended, a connection was answered by %q", got)
 		}
 		c.Close()
 	}
--- a/internal/upgrade/listener_test.go
+++ b/internal/upgrade/listener_test.go
@@ -48,7 +48,7 @@
 					}
 					if err != nil {
 						resets.Add(1)
-						t.Logf("a client while the listener closed: %v", err)
+						t.Logf("a client failed while the listener closed: %v", err)
 						return
 					}
 				}
@@ -113,7 +113,7 @@
 	}
 	to := ln.Addr().(*net.TCPAddr)
 	if err := unix.Connect(fd, &unix.SockaddrInet4{Port: to.Port, Addr: [4]byte(to.IP.To4())}); err != unix.EINPROGRESS {
-		t.Fatalf("the handshake is not in progress: %v", err)
+		t.Fatalf("the handshake is not in progress, connect returned %v", err)
 	}
 	if err := ln.rejectNewConnections(); err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 	}
 	defer c.Close()
 	if err := exchange(c); err != nil {
-		t.Errorf("the handshake in progress: %v", err)
+		t.Errorf("the connection whose handshake was in progress failed: %v", err)
 	}
 	ln.Close()
 	served.Wait()
@@ -163,7 +163,7 @@
 			for range 64 { // by the hash half of them would reach each listener
 				c, err := net.DialTimeout("tcp", addr, testTimeout/10)
 				if err != nil {
-					t.Errorf("ending %v: %v", ending, err)
+					t.Errorf("listener ending %v: a client could not connect: %v", ending, err)
 					break
 				}
 				connections = append(connections, c)
@@ -173,7 +173,7 @@
 		endingListener.Close()
 		for i, c := range connections {
 			if err := exchange(c); err != nil {
-				t.Errorf("ending %v, client %d: %v", ending, i, err)
+				t.Errorf("listener ending %v: client %d failed: %v", ending, i, err)
 			}
 			c.Close()
 		}
--- a/internal/upstream/conns/disconnect_test.go
+++ b/internal/upstream/conns/disconnect_test.go
@@ -97,7 +97,7 @@
 			}
 		}
 		if r := <-done; r.Status != policy.NotStarted || !r.ClientDisconnected || p.Idle(key) != 1 || read.Load() != 0 {
-			t.Errorf("slow connect %v: %+v, %d idle, %d read", slowConnect, r, p.Idle(key), read.Load())
+			t.Errorf("slow connect %v: result %+v, %d connections idle, %d bytes arrived", slowConnect, r, p.Idle(key), read.Load())
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	select {
 	case r := <-done:
 		if !r.Status.NeverRan() || p.Open() != 0 {
-			t.Errorf("%+v, %d open", r, p.Open())
+			t.Errorf("after the disconnect: result %+v, %d connections open", r, p.Open())
 		}
 	case <-time.After(waitTimeout / 4):
 		t.Fatal("the connect does not end")
--- a/internal/upstream/conns/exchange_test.go
+++ b/internal/upstream/conns/exchange_test.go
@@ -40,7 +40,7 @@
 			idle = 0
 		}
 		if r.Status != policy.OK || r.ReservedBytes != 60 || p.Idle(key) != idle || p.Open() != idle {
-			t.Errorf("cancelled %v: %+v, %d idle, %d open", cancelled, r, p.Idle(key), p.Open())
+			t.Errorf("cancelled %v: result %+v, %d connections idle, %d open", cancelled, r, p.Idle(key), p.Open())
 		}
 		budget.Release(r.ReservedBytes)
 		x.ReadResponse = func(_ *Conn, reserve func(int64) error) (core.Result, bool, error) {
@@ -48,7 +48,7 @@
 			return core.Result{}, true, MalformedResponse("empty")
 		}
 		if r := p.Do(t.Context(), &x); r.Status != policy.Error || r.ReservedBytes != 0 || p.Open() != 0 || !budget.TryAcquire(100) {
-			t.Errorf("malformed: %+v, %d open", r, p.Open())
+			t.Errorf("after a malformed response: result %+v, %d connections open", r, p.Open())
 		}
 		cancel()
 	}
@@ -78,7 +78,7 @@
 			x.StartBefore, want = time.Now(), policy.NotStarted
 		}
 		if r := p.Do(t.Context(), &x); r.Status != want || p.Idle(key) != 1 || expired && len(requests) != 0 {
-			t.Errorf("expired %v: %+v, %d idle, %d requests", expired, r, p.Idle(key), len(requests))
+			t.Errorf("expired %v: result %+v, %d connections idle, %d requests arrived", expired, r, p.Idle(key), len(requests))
 		}
 	}
 }
@@ -107,7 +107,7 @@
 	select {
 	case r := <-done:
 		if r.Status != policy.Cancelled || p.Open() != 0 {
-			t.Errorf("%+v, %d open", r, p.Open())
+			t.Errorf("after the cancellation: result %+v, %d connections open", r, p.Open())
 		}
 	case <-time.After(waitTimeout / 4):
 		t.Fatal("the attempt does not end")
@@ -142,7 +142,7 @@
 		t.Fatal("the read does not end")
 	}
 	if stream.Close(true); p.Idle(key) != 0 || p.Open() != 0 {
-		t.Errorf("%d idle, %d open", p.Idle(key), p.Open())
+		t.Errorf("after the stream was closed: %d connections idle, %d open", p.Idle(key), p.Open())
 	}
 	stream.Cancel() // after Close it affects no connection
 }
@@ -176,7 +176,7 @@
 		beforeResponse(c)
 		io.WriteString(c, "answer"+extra)
 		if r := <-done; r.Status != policy.OK {
-			t.Fatalf("%+v", r)
+			t.Fatalf("result %+v, want status OK", r)
 		}
 		return string(got)
 	}
@@ -184,7 +184,7 @@
 	var first net.Conn
 	do("", func(c net.Conn) { first = c })
 	if p.Idle(key) != 1 {
-		t.Fatalf("%d idle", p.Idle(key))
+		t.Fatalf("%d connections idle, want 1", p.Idle(key))
 	}
 	got := do("", func(net.Conn) { io.WriteString(first, "second") }) // after the next request was written
 	if got != "answer" {
--- a/internal/upstream/conns/pool_test.go
+++ b/internal/upstream/conns/pool_test.go
@@ -56,7 +56,7 @@
 	removed.Backend.MarkUnavailable()
 	p.CloseExpired()
 	if p.Open() != 1 || p.Idle(removed) != 0 || p.Idle(successor) != 1 {
-		t.Errorf("%d open, %d and %d idle", p.Open(), p.Idle(removed), p.Idle(successor))
+		t.Errorf("%d connections open, %d idle to the removed backend, %d to its successor", p.Open(), p.Idle(removed), p.Idle(successor))
 	}
 }
 
@@ -118,7 +118,7 @@
 		}, false},
 	} {
 		if got := reused(test.addr, test.change); got != test.want {
-			t.Errorf("%s: reused: %v", name, got)
+			t.Errorf("%s: connection reused: %v", name, got)
 		}
 	}
 }
@@ -132,7 +132,7 @@
 		a.record(ageBucket(time.Second), true)
 	}
 	if !a.usable(time.Millisecond) || a.usable(time.Second) || a.usable(10*time.Second) {
-		t.Errorf("usable after 1 ms %v, 1 s %v, 10 s %v", a.usable(time.Millisecond), a.usable(time.Second), a.usable(10*time.Second))
+		t.Errorf("connections usable after 1 ms %v, 1 s %v, 10 s %v", a.usable(time.Millisecond), a.usable(time.Second), a.usable(10*time.Second))
 	}
 }
 
--- a/internal/upstream/http/upstream_test.go
+++ b/internal/upstream/http/upstream_test.go
@@ -159,7 +159,7 @@
 			return
 		}
 		if len(body.bytes) > maxBufferedBody || resp.StatusCode < 200 {
-			t.Fatalf("%d bytes, status %d", len(body.bytes), resp.StatusCode)
+			t.Fatalf("response with a body of %d bytes and status %d", len(body.bytes), resp.StatusCode)
 		}
 		if body.readMore != nil { // a streamed body, whose end may be malformed
 			rest, err := io.ReadAll(readFunc(body.readMore))
@@ -172,7 +172,7 @@
 		for {
 			other, err := http.ReadResponse(br, nil)
 			if err != nil {
-				t.Fatalf("net/http: %v", err)
+				t.Fatalf("net/http rejects the response: %v", err)
 			}
 			if other.StatusCode < 200 {
 				continue
@@ -218,7 +218,7 @@
 				t.Errorf("%s answered %d %.20q: %+v, id %q; want %v with %d values", path, c.code, c.body, res, id, c.want, report)
 			}
 			if idle := checker.Pool.Idle(conns.Key{Backend: b}); (idle == 1) != (len(c.body) <= unreservedBytes) {
-				t.Errorf("%d %.20q: %d idle connections", c.code, c.body, idle)
+				t.Errorf("status %d, body %.20q: %d connections idle", c.code, c.body, idle)
 			}
 			b.MarkUnavailable()
 			if res := checker.HealthCheck(t.Context(), b, s.Listener.Addr().String(), time.Now(), time.Now().Add(waitTimeout)); res.Status != policy.NotStarted {
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -71,7 +71,7 @@
 	set.Replicas = -1
 	_, err := New(set, 1)
 	if invalid := (*SettingError)(nil); !errors.As(err, &invalid) || invalid.Key != "replicasOfMe" {
-		t.Errorf("-1 replicas: %v", err)
+		t.Errorf("-1 replicas: error %v does not name replicasOfMe", err)
 	}
 }
 
@@ -99,7 +99,7 @@
 	r.updateEndpoints(UpdateOtherSource, entry(true))
 	r.updateEndpoints(UpdateComplete, entry(true), Endpoint{Server: addr(1), Health: Ready, Weight: 1})
 	if to := sent(200); to[0] != 0 || to[1] != 200 {
-		t.Errorf("while cordoned: %v", to)
+		t.Errorf("requests per server while one is cordoned: %v", to)
 	}
 	r.updateEndpoints(UpdateOtherSource, entry(false))
 	s := r.b.byAddr[addr(0)]
@@ -108,7 +108,7 @@
 			s.state, r.b.warmUpFraction(s), s.limit.Size())
 	}
 	if to := sent(400); to[0] == 0 || to[0] >= to[1]/2 {
-		t.Errorf("in the first 4 s after the cordon: %v", to)
+		t.Errorf("requests per server in the first 4 s after the cordon: %v", to)
 	}
 	// The same holds if the endpoint list shows a new start time during the cordon.
 	r.updateEndpoints(UpdateOtherSource, entry(true))
--- a/policy/evidence_test.go
+++ b/policy/evidence_test.go
@@ -74,7 +74,7 @@
 	r.observe(Evidence{Server: addr(0), Served: 1 << 62, Failed: 1})
 	r.wantState(addr(0), Connected)
 	if x := r.b.ShedFraction(); x != 0 {
-		t.Errorf("shed %v", x)
+		t.Errorf("a fraction of %v is shed, want none", x)
 	}
 }
 
@@ -85,13 +85,13 @@
 		r.observe(Evidence{Server: addr(0), Served: 20, Rejected: 180})
 	}
 	if x := r.b.ShedFraction(); x < 0.5 || x > maxShedFraction {
-		t.Errorf("shed %v under overload", x)
+		t.Errorf("a fraction of %v is shed under overload", x)
 	}
 	r.wantState(addr(0), Connected) // an overloaded server is not unhealthy
 	for range 10 {
 		r.observe(Evidence{Server: addr(0), Served: 100})
 	}
 	if x := r.b.ShedFraction(); x != 0 {
-		t.Errorf("shed %v after the overload", x)
+		t.Errorf("a fraction of %v is still shed after the overload", x)
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -122,7 +122,7 @@
 		}
 	}
 	if rejected > 0 {
-		t.Errorf("%d of 600 rejected", rejected)
+		t.Errorf("%d of 600 requests were rejected, want none", rejected)
 	}
 	for _, s := range r.b.servers {
 		if s.ejections > 2 || !r.b.failureRateWithinBaseline(s) { // one may be ejected by chance
@@ -149,7 +149,7 @@
 	id, _ := r.mustForward(1, 7) // not retried
 	r.endAttempt(id, 0, s, Error, 5)
 	if srv.state != Unhealthy || r.b.requests[hangs] == nil {
-		t.Fatalf("state %d", srv.state)
+		t.Fatalf("the server has state %d, or the hanging request was dropped", srv.state)
 	}
 	r.now += 5
 	if _, to := r.mustForward(0, 7); to != s || srv.state != UnhealthyPending {
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -147,7 +147,7 @@
 		c := defaultOverload(6)
 		c.agents, c.slowStarting = agents, 1
 		result := c.run(t)
-		t.Logf("%d agents: at most %.2f times what it could do in a second", agents, result.slowStartOverload)
+		t.Logf("%d agents: the server got at most %.2f times what it could do in a second", agents, result.slowStartOverload)
 		if result.slowStartOverload > testSettings().Contract.OverloadFactor {
 			t.Errorf("%d agents sent a server in slow start %.2f times what it could do",
 				agents, result.slowStartOverload)
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -65,7 +65,7 @@
 	const id = 1
 	a := findAction(r.do(Event{Kind: EventRequest, Request: id, Class: 1, RemainingMs: 5000}), ActionForward)
 	if a == nil {
-		t.Fatal("not sent")
+		t.Fatal("the request was not sent")
 	}
 	s, other := a.Server, addr(1)
 	if s == other {
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -37,7 +37,7 @@
 	}
 	actions := r.do(Event{Kind: EventAttemptEnded, Request: id, Attempt: 0, Server: s, Status: Reset, LatencyMs: 2000, Final: true})
 	if findAction(actions, ActionForward) != nil || findAction(actions, ActionFail) != nil || len(r.b.requests) != 0 {
-		t.Errorf("after a reset stream: %+v, %d requests left", actions, len(r.b.requests))
+		t.Errorf("after a reset stream: actions %+v, %d requests remain, want no retry and none", actions, len(r.b.requests))
 	}
 }
 
@@ -49,7 +49,7 @@
 	id := r.id
 	out := r.do(Event{Kind: EventRequest, Request: id, Class: 1, RemainingMs: 600, StreamedBody: true})
 	if findAction(out, ActionForward) == nil {
-		t.Fatal("not sent")
+		t.Fatal("the request was not sent")
 	}
 	s := r.b.byAddr[addr(0)]
 	for range 100 { // 10 s, with other requests on the server
@@ -62,18 +62,18 @@
 		r.endAttempt(other, 0, addr(0), OK, 20)
 	}
 	if s.state != Connected || len(s.inflight) != 0 || r.b.inflight != 0 {
-		t.Errorf("state %v, %d, %d in flight", s.state, len(s.inflight), r.b.inflight)
+		t.Errorf("state %v, %d attempts in flight on the server, %d in total", s.state, len(s.inflight), r.b.inflight)
 	}
 	r.do(Event{Kind: EventBodyWritten, Request: id, Attempt: 0, RemainingMs: 600})
 	q := r.b.requests[id]
 	if len(s.inflight) != 1 || r.b.inflight != 1 || q.deadline < r.now+590 || q.deadline > r.now+600 || q.objectiveAt != r.now+300 {
-		t.Errorf("written: %d in flight, deadline in %v, objective in %v",
+		t.Errorf("after the body was written: %d in flight, deadline in %v, objective in %v",
 			len(s.inflight), q.deadline-r.now, q.objectiveAt-r.now)
 	}
 	r.do(Event{Kind: EventBodyWritten, Request: id, Attempt: 0, RemainingMs: 600}) // a second time
 	r.endAttempt(id, 0, addr(0), OK, 20)
 	if len(s.inflight) != 0 || r.b.inflight != 0 || len(r.b.requests) != 0 {
-		t.Errorf("in the end %d, %d in flight, %d requests", len(s.inflight), r.b.inflight, len(r.b.requests))
+		t.Errorf("after the answer: %d attempts in flight on the server, %d in total, %d requests", len(s.inflight), r.b.inflight, len(r.b.requests))
 	}
 	// An attempt that ends before its body is sent must not be subtracted from the load.
 	r.id++
@@ -81,7 +81,7 @@
 	r.do(Event{Kind: EventRequest, Request: id, Class: 1, RemainingMs: 600, StreamedBody: true})
 	r.do(Event{Kind: EventAttemptEnded, Request: id, Attempt: 0, Server: addr(0), Status: NotStarted, Final: true})
 	if len(s.inflight) != 0 || r.b.inflight != 0 || len(r.b.requests) != 0 {
-		t.Errorf("not started: %d, %d in flight, %d requests",
+		t.Errorf("after an attempt that was not started: %d in flight on the server, %d in total, %d requests",
 			len(s.inflight), r.b.inflight, len(r.b.requests))
 	}
 }
