--- a/cmd/ringtrack/ready_test.go
+++ b/cmd/ringtrack/ready_test.go
@@ -31,7 +31,7 @@
 	}
 	for name, test := range map[string]struct {
 		known  string                                        // the endpoint list in the configuration
-		fails  int64                                         // calls that fail before discovery answers; -1: all
+		fails  int64                                         // calls that fail before an answer; -1: all
 		fail   func(http.ResponseWriter, *http.Request) bool // false: keep the call open
 		late   bool                                          // the configuration is complete only after 2 s
 		agents int
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -108,7 +108,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel() // a signal during the start
 	if _, err := StartConfig(ctx, func(name string) string { return map[string]string{"PROXY_CONFIG": path}[name] }); !errors.Is(err, errIncompleteFile) {
-		t.Errorf("start stopped by a signal: error %v, want %v", err, errIncompleteFile)
+		t.Errorf("start stopped by a signal: error %v, want errIncompleteFile", err)
 	}
 }
 
--- a/internal/configstore/client/config.go
+++ b/internal/configstore/client/config.go
@@ -27,7 +27,7 @@
 	maxAddresses = 64
 )
 
-// Config is an agent's configuration file, deploy/agreed.toml. The operators' page describes the keys.
+// Config is an agent's configuration file, deploy/agreed.toml. docs/operators/agreed.md describes the keys.
 type Config struct {
 	Replicas []string `toml:"keepers"`  // addresses
 	Peers    []string `toml:"peers"`    // addresses of agents that may relay a renewal
--- a/internal/configstore/client/messages.go
+++ b/internal/configstore/client/messages.go
@@ -34,7 +34,7 @@
 type RenewRequest struct {
 	Name        string  `json:"name"`             // of the agent
 	Incarnation string  `json:"inc"`              // differs for each start of the agent
-	Epoch       uint64  `json:"has"`              // that the agent has adopted
+	Epoch       uint64  `json:"has"`              // the one that the agent has adopted
 	Problem     string  `json:"unable,omitempty"` // why the last granted epoch could not be adopted
 	WaitMs      float64 `json:"wait_ms"`          // how long the replica may wait for a new epoch
 }
--- a/internal/configstore/config.go
+++ b/internal/configstore/config.go
@@ -25,7 +25,8 @@
 	maxTickMs        = 1000
 )
 
-// Config is the configuration file of a replica, deploy/keeper.toml. The operators' page describes the keys.
+// Config is the configuration file of a replica, deploy/keeper.toml. docs/operators/agreed.md describes the
+// keys.
 type Config struct {
 	Name          string            `toml:"name"`
 	Listen        string            `toml:"listen"`
--- a/internal/configstore/raft_test.go
+++ b/internal/configstore/raft_test.go
@@ -122,7 +122,7 @@
 	return to.receive(messages)
 }
 
-// tick runs a tick of all replicas that are not dead, and delivers the messages that they send.
+// tick runs a tick of all replicas that have not ended, and delivers the messages that they send.
 func (s *testCluster) tick() {
 	s.t.Helper()
 	for _, replica := range s.replicas {
--- a/internal/configstore/transition_cache.go
+++ b/internal/configstore/transition_cache.go
@@ -16,7 +16,7 @@
 	known      bool
 	source     history.Source
 	transition *sharedconfig.Transition
-	grant      lease.Grant // that response contains
+	grant      lease.Grant // the one in response
 	response   []byte      // nil: not encoded yet
 }
 
--- a/internal/core/dedup.go
+++ b/internal/core/dedup.go
@@ -9,7 +9,7 @@
 
 const (
 	// dedupWindow is the minimum time for which the id of a request that may have run is remembered: the
-	// longest deadline that a client may set (README, "Limits of the agent").
+	// longest deadline that a client may set.
 	dedupWindow = time.Minute
 	// maxRecentIDs bounds the ids in both generations. With more than maxRecentIDs/2 ids within dedupWindow
 	// the oldest are dropped earlier. An id takes about 20 bytes.
--- a/internal/downstream/thrift/table.go
+++ b/internal/downstream/thrift/table.go
@@ -81,7 +81,7 @@
 
 func (c *Config) checkLimits() error {
 	if _, port, err := net.SplitHostPort(c.Listen); err != nil || port == "" {
-		return fmt.Errorf("thrift: listen: %q is no host:port", c.Listen)
+		return fmt.Errorf("thrift: listen: %q is not host:port", c.Listen)
 	}
 	switch {
 	case c.FrameLimit < minFrameLimit || c.FrameLimit > maxFrameLimit:
@@ -174,7 +174,7 @@
 	for part := range strings.SplitSeq(text, ".") {
 		id, err := strconv.ParseInt(part, 10, 16)
 		if err != nil {
-			return 0, fmt.Errorf("thrift: %s: %q is no path of field ids such as 1.3", key, text)
+			return 0, fmt.Errorf("thrift: %s: %q is not a path of field ids such as 1.3", key, text)
 		}
 		path = append(path, int16(id))
 	}
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -23,7 +23,7 @@
 	epoch        uint64 // the highest that it reported; it acts on no lower one
 	grantedEpoch uint64 // the highest that it was granted
 	current      expiry // of the leases on grantedEpoch
-	previous     expiry // on lower epochs; grants of an epoch that is never adopted do not extend it
+	previous     expiry // of those on lower epochs; grants of an epoch that is never adopted do not extend it
 	problem      string
 	indexed      bool // whether it is in blockers.candidates
 }
--- a/internal/membership/freshness.go
+++ b/internal/membership/freshness.go
@@ -4,7 +4,7 @@
 const (
 	reasonNoContact = "nothing heard yet"
 	reasonSilent    = "silent"
-	reasonEmptyList = "it lists nothing, which is not believed" // as on the operators' page
+	reasonEmptyList = "it lists nothing, which is not believed" // quoted in docs/operators
 )
 
 // Status describes the freshness of a source.
--- a/internal/membership/merge_test.go
+++ b/internal/membership/merge_test.go
@@ -132,7 +132,7 @@
 }
 
 // Under random updates, no server is up if its node expired or discovery says that it drains, no start time
-// is in the future, and unlisted servers are forgotten.
+// is in the future, and servers that no source lists are dropped after a time.
 func TestMergeRandomWalk(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 0))
--- a/internal/upstream/conns/disconnect_test.go
+++ b/internal/upstream/conns/disconnect_test.go
@@ -17,8 +17,7 @@
 )
 
 // listenWithFullQueue listens with a full accept queue, so that a connect blocks until accept is called.
-// accept accepts both
-// connections and returns the number of bytes that arrived on them.
+// accept accepts both connections and returns the number of bytes that arrived on them.
 func listenWithFullQueue(t *testing.T) (addr string, accept func() int64) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/policy/discovery_simulation_test.go
+++ b/policy/discovery_simulation_test.go
@@ -6,7 +6,7 @@
 )
 
 // discoveryServer simulates a discovery service that works through polls in order. A poll that waits too long
-// times out, but its work is done all the same; one that finds the queue too long fails at once. Times are in
+// times out, but causes the same work; one that finds the queue too long fails at once. Times are in
 // ms.
 type discoveryServer struct {
 	callMs                      float64 // cost of a poll for changes; the complete list costs twice as much
