--- a/internal/admin/stats.go
+++ b/internal/admin/stats.go
@@ -34,7 +34,7 @@
 	Epoch       uint64 // 2n: version n; 2n+1: transition, what versions n and n+1 both permit
 	LeaseMs     int64  // remaining time of the lease; 0: nothing is retried
 	Strict      bool   // the strictest form of the settings applies
-	Rejecting   bool   // requests are rejected, since the endpoint list has expired
+	Rejecting   bool   // requests are rejected, since the server rules have expired
 	Expirations int64  // leases that have expired
 	Renewals    int64  // calls to the configuration store
 	Failed      int64  // of these, the calls that failed
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -80,7 +80,7 @@
 	// StartTimeout is how long a start waits for a configuration file that is missing or not valid JSON,
 	// since the file may be in the middle of a write.
 	StartTimeout = 3 * time.Second
-	// incompletePollInterval is how often a start reads such a file again.
+	// incompletePollInterval is how often a start reads an incomplete file again.
 	incompletePollInterval = 50 * time.Millisecond
 )
 
--- a/internal/control/assign/slowstart_test.go
+++ b/internal/control/assign/slowstart_test.go
@@ -104,7 +104,7 @@
 }
 
 // A proxy with an assignment of another process may use a server in slow start with its full weight.
-func TestSlowStartCountsForeignAssignments(t *testing.T) {
+func TestSlowStartCountsUnknownAssignments(t *testing.T) {
 	f := newFixture(t, 10, nil)
 	f.connect(4)
 	f.a.Connect(f.now, "foreign", "east", false)
--- a/internal/upstream/conns/idleages.go
+++ b/internal/upstream/conns/idleages.go
@@ -16,8 +16,8 @@
 	// maxExtraResetRate is how much higher the reset rate of idle connections may be than that of new ones
 	// before opening a new connection is cheaper.
 	maxExtraResetRate = 0.04
-	// minNewConns is the least number of new connections their reset rate is computed with; with fewer, it is
-	// underestimated.
+	// minNewConns is the minimum divisor of the reset rate of new connections: with fewer connections the
+	// rate is underestimated.
 	minNewConns = 10
 	// ageHalfLife is the interval at which all counts are halved.
 	ageHalfLife = 10 * time.Second
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -17,9 +17,9 @@
 	minTenantUsage = 0.02
 	// recentKeyMs is how long after a key was sent its next request is likely to cost the server less.
 	recentKeyMs = 3000.0
-	// maxRecentKeys is the number of such keys that are stored.
+	// maxRecentKeys is the number of recently sent keys that are stored.
 	maxRecentKeys = 2048
-	// recentKeyPriorityFactor multiplies the priority of such a request.
+	// recentKeyPriorityFactor multiplies the priority of a request whose key was sent within recentKeyMs.
 	recentKeyPriorityFactor = 2.0
 	// minLatencyFraction is the fraction of its hinted answer time that a request must have left to be
 	// admitted. It is below 1 because hints are rough, a recent key saves work, and some servers are
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -7,7 +7,7 @@
 
 // A single agent may get fast answers first. Slower answers after that must not count as overload permanently
 // while it has one attempt at a time in flight on each server.
-func TestBaselineRisesForALoneAgent(t *testing.T) {
+func TestBaselineRisesForASingleAgent(t *testing.T) {
 	for _, agents := range []int{1, 5} {
 		set := testSettings()
 		set.Replicas = agents
@@ -128,7 +128,7 @@
 // An agent that sends a server two requests a minute cannot adjust its limit. Instead, a server that rejected
 // an attempt, answered late or reports far more than the mean load is deprioritized for about as long as one
 // request to each server takes, unless that applies to most of its tier.
-func TestOverloadedServerIsInBackoff(t *testing.T) {
+func TestOverloadedServerIsDeprioritized(t *testing.T) {
 	for _, c := range []struct {
 		cause   string
 		skipped bool
--- a/policy/discovery.go
+++ b/policy/discovery.go
@@ -17,7 +17,8 @@
 	// fractions of the poll interval.
 	minFirstPollSpread = 1.0 / 8
 	maxFirstPollSpread = 0.8
-	// pollBackoffFraction is the base of the poll backoff, as a fraction of that time.
+	// pollBackoffFraction is the base of the poll backoff, as a fraction of the time over which all first
+	// polls are spread.
 	pollBackoffFraction = 0.4
 	// updateDeadlineMs is the time after which agents count as notified of a change, even if polls failed.
 	updateDeadlineMs = 6000.0
--- a/policy/keyhash.go
+++ b/policy/keyhash.go
@@ -9,7 +9,8 @@
 const (
 	// maxKeyShare is the fraction of a server's even share that one part of a split key may bring.
 	maxKeyShare = 0.25
-	// keyCountsPerPart is the number of requests counted per such part before all counts are halved.
+	// keyCountsPerPart is the number of requests counted per maxKeyShare of a server before all counts are
+	// halved.
 	keyCountsPerPart = 2.0
 	// minKeyCount is the count below which a key is dropped.
 	minKeyCount = 0.5
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -14,7 +14,7 @@
 	// nearestWaitFraction is the fraction of its time to the objective for which a request waits for one of
 	// the servers nearest its key before it may go to any other.
 	nearestWaitFraction = 0.25
-	// nearestServers is the number of those servers.
+	// nearestServers is the number of servers nearest a key that its requests wait for.
 	nearestServers = 2
 )
 
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -83,8 +83,9 @@
 	return 1
 }
 
-// trafficSparsity returns how few requests this agent sends to such a server, from 0 for heavy traffic to 1
-// for hardly any; an agent with sparse traffic is one of many. It is 0 until a request has been served.
+// trafficSparsity returns how few requests this agent sends to a server of this weight, from 0 for heavy
+// traffic to 1 for hardly any; an agent with sparse traffic is one of many. It is 0 until a request has been
+// served.
 func (b *Balancer) trafficSparsity(s *server) float64 {
 	if b.slowStart.servedWork <= 0 {
 		return 0
