--- a/internal/upgrade/roles.go
+++ b/internal/upgrade/roles.go
@@ -41,7 +41,7 @@
 // Age tells whether another process of the agent joined before or after the caller.
 type Age int
 
-// None: there is no other process.
+// The ages. None means that there is no other process.
 const (
 	None Age = iota
 	Older
