--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -34,7 +34,7 @@
 	}
 	if c.Listen != "127.0.0.1:9" || c.Discovery != "127.0.0.1:2" || c.Seed != 0x8c1f30d27a5be964 ||
 		c.CachedEndpoints.Revision != 4 || c.Cores != 0.5 || len(c.Zones) != 2 || len(c.Settings.Classes) != 3 {
-		t.Errorf("read as %+v", c)
+		t.Errorf("the configuration was read as %+v", c)
 	}
 	for _, bad := range []struct{ from, to, want string }{
 		{`"seed":"8c1f30d27a5be964"`, `"seed":"zz"`, "seed"},
@@ -60,7 +60,7 @@
 	for env, want := range map[string]string{"PROXY_THRIFT": "thrift", "PROXY_EPHEMERAL": "ensemble[0]"} {
 		_, err := load(good, map[string]string{env: file})
 		if err == nil || !strings.Contains(err.Error(), env) || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", env, err)
+			t.Errorf("%s: the error does not name the variable and the key: %v", env, err)
 		}
 	}
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
@@ -101,26 +101,26 @@
 			}
 			return ""
 		}); err == nil || errors.Is(err, errIncompleteFile) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: want an error at once, got %v", name, err)
 		}
 	}
 	write(good[:100])
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel() // a signal during the start
 	if _, err := StartConfig(ctx, func(name string) string { return map[string]string{"PROXY_CONFIG": path}[name] }); !errors.Is(err, errIncompleteFile) {
-		t.Errorf("stopped: %v", err)
+		t.Errorf("start stopped by a signal: error %v, want errIncompleteFile", err)
 	}
 }
 
-// The connections of all sides and the reserved descriptors together stay within the limit. With the large
-// limits of the deployment page only a fixed fraction is reserved.
+// The connections of all sides and the reserved descriptors together stay within the limit. From 1024
+// descriptors on, as deployments have them, only a fixed fraction is reserved.
 func TestConnectionLimitsFitDescriptors(t *testing.T) {
 	for sockets := minSockets; sockets <= 4096; sockets++ {
 		for _, c := range []Config{{}, {AdminAddr: "x"}, {ThriftFile: "x"}, {AdminAddr: "x", ThriftFile: "x"}, {SharedConfig: &client.Config{}},
 			{AdminAddr: "x", ThriftFile: "x", SharedConfig: &client.Config{}, Registry: &ephemeral.Config{}}} {
 			c.Sockets = sockets
 			if n := c.maxBackendConnections() + c.downstreams()*c.maxClientConnections() + c.reservedDescriptors(); n > sockets && c.connectionsPerSide() > minConnections {
-				t.Fatalf("%d of %d descriptors, %d of them reserved", n, sockets, c.reservedDescriptors())
+				t.Fatalf("%d descriptors used of %d, %d of them reserved", n, sockets, c.reservedDescriptors())
 			}
 			if c.maxBackendConnections() < minConnections || c.maxClientConnections() < 2 || c.maxIdleClients() > c.maxClientConnections() {
 				t.Fatalf("with %d descriptors: %d connections to backends, %d idle and %d clients", sockets, c.maxBackendConnections(), c.maxIdleClients(), c.maxClientConnections())
@@ -132,9 +132,9 @@
 	}
 	c := &Config{Sockets: 1024}
 	if c.limitDescriptors(4096); c.Sockets != 1024 {
-		t.Errorf("with a higher process limit: %d", c.Sockets)
+		t.Errorf("with a higher process limit: %d descriptors, want 1024", c.Sockets)
 	}
 	if c.limitDescriptors(100); c.Sockets != 100 {
-		t.Errorf("with a lower process limit: %d", c.Sockets)
+		t.Errorf("with a lower process limit: %d descriptors, want 100", c.Sockets)
 	}
 }
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// updateDeadline is the time within which the agent has to know a change at discovery, whichever calls
-	// failed before (mass page).
+	// updateDeadline is the time within which a change at discovery has to reach the agent, whichever calls
+	// failed before.
 	updateDeadline = 6 * time.Second
 	// maxQueueWait is the part of updateDeadline for which a call may wait in discovery's queue.
 	maxQueueWait = 2 * time.Second
@@ -227,6 +227,6 @@
 		return err == nil && found && stale
 	})
 	if n := calls.Load(); n > 0 {
-		t.Errorf("%d calls came before its poll slot", n)
+		t.Errorf("%d calls came before the process's poll slot", n)
 	}
 }
--- a/internal/control/stream_test.go
+++ b/internal/control/stream_test.go
@@ -29,7 +29,8 @@
 	f.awaitReady(stalled)
 	stalled.Pause(true)
 	f.drain(0)
-	f.await(others[0], "the first drain", usable("s-000", false)) // one more response may be read before the pause takes effect
+	// The stalled proxy may read one more response before the pause takes effect.
+	f.await(others[0], "the first drain", usable("s-000", false))
 	for i := 3; i < 30; i += 3 {
 		published := time.Now()
 		f.drain(i)
@@ -44,7 +45,7 @@
 	stalled.Pause(false)
 	f.await(stalled, "the last drain", usable("s-027", false))
 	if stalled.Streams.Load() < 2 {
-		t.Errorf("%d streams", stalled.Streams.Load())
+		t.Errorf("the stalled proxy opened %d streams, want at least 2", stalled.Streams.Load())
 	}
 	f.eventually("no proxy behind", func(r *control.Report) bool {
 		return len(r.Proxies) == 6 && !slices.ContainsFunc(r.Proxies, func(p control.ProxyReport) bool { return p.Behind })
--- a/internal/upstream/conns/disconnect_test.go
+++ b/internal/upstream/conns/disconnect_test.go
@@ -17,8 +17,7 @@
 )
 
 // listenWithFullQueue listens with a full accept queue, so that a connect blocks until accept is called.
-// accept accepts both
-// connections and returns the number of bytes that arrived on them.
+// accept accepts both connections and returns the number of bytes that arrived on them.
 func listenWithFullQueue(t *testing.T) (addr string, accept func() int64) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -97,7 +96,7 @@
 			}
 		}
 		if r := <-done; r.Status != policy.NotStarted || !r.ClientDisconnected || p.Idle(key) != 1 || read.Load() != 0 {
-			t.Errorf("slow connect %v: %+v, %d idle, %d read", slowConnect, r, p.Idle(key), read.Load())
+			t.Errorf("slow connect %v: result %+v, %d connections idle, %d bytes arrived", slowConnect, r, p.Idle(key), read.Load())
 		}
 	}
 }
@@ -118,7 +117,7 @@
 	select {
 	case r := <-done:
 		if !r.Status.NeverRan() || p.Open() != 0 {
-			t.Errorf("%+v, %d open", r, p.Open())
+			t.Errorf("after the disconnect: result %+v, %d connections open", r, p.Open())
 		}
 	case <-time.After(waitTimeout / 4):
 		t.Fatal("the connect does not end")
