--- a/internal/agent/admin.go
+++ b/internal/agent/admin.go
@@ -17,7 +17,7 @@
 
 var (
 	errBusy       = errors.New("the agent is too busy")
-	errCordonLate = errors.New("the agent is too busy; the cordon takes effect as soon as possible")
+	errCordonLate = errors.New("the agent is too busy, the ban holds in a moment")
 )
 
 // serveAdmin serves the admin endpoint on an address, unless that is empty, until closeAdmin is called.
--- a/internal/agent/sharedconfig.go
+++ b/internal/agent/sharedconfig.go
@@ -82,9 +82,9 @@
 	version, err := s.renewer.Cordon(ctx, id, cordoned)
 	switch {
 	case err != nil && cordoned:
-		return fmt.Errorf("the cordon is in effect at this agent; whether the configuration store has it is unknown, repeat the call: %w", err)
+		return fmt.Errorf("the ban holds at this agent; whether the keepers have it is not known, say it again: %w", err)
 	case err != nil:
-		return fmt.Errorf("whether the configuration store has ended the cordon is unknown, repeat the call: %w", err)
+		return fmt.Errorf("whether the keepers have ended the ban is not known, say it again: %w", err)
 	case s.dir != nil:
 		if err := s.dir.Cordon(id, false); err != nil {
 			return err
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -62,14 +62,14 @@
 	NoViolation               Violation = "" // the attempt is allowed
 	ViolationCompleted        Violation = "attempt for a request that is over"
 	ViolationNotListed        Violation = "attempt to a backend that is not listed"
-	ViolationUnavailable      Violation = "attempt to a backend that is draining, removed or cordoned"
-	ViolationInFlight         Violation = "second attempt while one is in flight"
+	ViolationUnavailable      Violation = "attempt to a backend that drains or is gone"
+	ViolationInFlight         Violation = "second attempt while one is out"
 	ViolationMaxAttempts      Violation = "more attempts than allowed"
-	ViolationLeaseExpired     Violation = "attempt after the configuration lease expired"
+	ViolationLeaseExpired     Violation = "attempt by rules whose lease is over"
 	ViolationNonIdempotent    Violation = "repeat of an unsafe request that may have run"
 	ViolationWindowExpired    Violation = "repeat of a keyed request after its window"
-	ViolationOutsideScope     Violation = "repeat of a keyed request outside its dedup scope"
-	ViolationBodyConsumed     Violation = "repeat of a request whose body is no longer buffered"
+	ViolationOutsideScope     Violation = "repeat of a keyed request outside its group"
+	ViolationBodyConsumed     Violation = "repeat of a request that is not kept"
 	ViolationDeadlineExceeded Violation = "attempt without time"
 
 	// ViolationRejectAfterRun and ViolationHealthCheck concern decisions other than attempts.
--- a/internal/upgrade/cordon.go
+++ b/internal/upgrade/cordon.go
@@ -10,7 +10,7 @@
 const MaxCordoned = 4096
 
 // ErrTooManyCordoned is returned by Cordon if MaxCordoned backends are cordoned already.
-var ErrTooManyCordoned = fmt.Errorf("more than %d cordoned backends", MaxCordoned)
+var ErrTooManyCordoned = fmt.Errorf("more than %d bans", MaxCordoned)
 
 // Cordoned returns the ids of the backends that operators have cordoned, sorted.
 func (d *Dir) Cordoned() (ids []string, err error) {
