--- a/cmd/ringtrack-lab/main.go
+++ b/cmd/ringtrack-lab/main.go
@@ -55,13 +55,13 @@
 		return err
 	}
 	fmt.Println(r.Line())
-	if len(r.Short) == 0 {
+	if len(r.Failures) == 0 {
 		return nil
 	}
 	if c.Shrink > 0 {
 		small := cluster.Shrink(p, c.Shrink, func(less *cluster.Plan) bool {
 			r, err := acceptance.AgreedRun(ctx, o, less)
-			return err == nil && len(r.Short) > 0
+			return err == nil && len(r.Failures) > 0
 		})
 		if err := small.Save(c.File + ".small"); err != nil {
 			return err
@@ -232,7 +232,7 @@
 		fmt.Println(r.JSON())
 	}
 	fmt.Println(r.Line())
-	if len(r.Short) > 0 {
+	if len(r.Failures) > 0 {
 		return fmt.Errorf("prove %s: seed %d: falls short", p.Name, c.Seed)
 	}
 	return nil
--- a/internal/lab/acceptance/agreed.go
+++ b/internal/lab/acceptance/agreed.go
@@ -108,7 +108,7 @@
 	if least := 3; out.Versions < least || out.Attempts < 100 {
 		r.short("too little happened: %d versions, %d acts", out.Versions, out.Attempts)
 	}
-	if len(r.Short) > 0 {
+	if len(r.Failures) > 0 {
 		keep := filepath.Join(os.TempDir(), fmt.Sprintf("ringtrack-agreed-%d.json", p.Seed))
 		if err := p.Save(keep); err == nil {
 			o.logf("the schedule is in %s; --replay runs it again", keep)
--- a/internal/lab/acceptance/keepers.go
+++ b/internal/lab/acceptance/keepers.go
@@ -54,9 +54,9 @@
 	return c, end, nil
 }
 
-// KeeperKills kills keepers under publishing: the log always opens, nothing acknowledged is lost, and the next publish is
+// ReplicaKills kills keepers under publishing: the log always opens, nothing acknowledged is lost, and the next publish is
 // taken soon.
-func KeeperKills(ctx context.Context, o *Options) (*Report, error) {
+func ReplicaKills(ctx context.Context, o *Options) (*Report, error) {
 	defect := ""
 	if o.Defect {
 		defect = "no-sync"
@@ -95,7 +95,7 @@
 			return false
 		})
 	}
-	for n := 0; n < kills && len(r.Short) == 0; n++ {
+	for n := 0; n < kills && len(r.Failures) == 0; n++ {
 		if err := publish(); err != nil {
 			r.short("after %d kills: %v", n, err)
 			break
--- a/internal/lab/acceptance/latency_test.go
+++ b/internal/lab/acceptance/latency_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if t.Log(r.Line()); !strings.Contains(strings.Join(r.Short, "; "), "p99_own") {
+	if t.Log(r.Line()); !strings.Contains(strings.Join(r.Failures, "; "), "p99_own") {
 		t.Error("it is not found")
 	}
 }
@@ -119,7 +119,7 @@
 			slices.Reverse(direct) // the order is nothing
 			r := &Report{}
 			judge(r, direct, through, 100)
-			short := strings.Join(r.Short, "; ")
+			short := strings.Join(r.Failures, "; ")
 			for _, q := range []string{"p50", "p99_own"} {
 				want := strings.Contains(strings.Join(c.short, " "), q)
 				if got := strings.Contains(short, q+" is"); got != want {
--- a/internal/lab/acceptance/prove.go
+++ b/internal/lab/acceptance/prove.go
@@ -37,11 +37,11 @@
 
 // Report is what a proof found.
 type Report struct {
-	Proof   string   `json:"proof"`
-	Seed    uint64   `json:"seed"`
-	Scale   float64  `json:"scale"`
-	Figures []Figure `json:"figures"`
-	Short   []string `json:"short,omitempty"` // what fell short of its bound
+	Proof    string   `json:"proof"`
+	Seed     uint64   `json:"seed"`
+	Scale    float64  `json:"scale"`
+	Figures  []Figure `json:"figures"`
+	Failures []string `json:"short,omitempty"` // what fell short of its bound
 }
 
 // Figure is one thing measured.
@@ -66,7 +66,7 @@
 }
 
 func (r *Report) short(format string, args ...any) {
-	r.Short = append(r.Short, fmt.Sprintf(format, args...))
+	r.Failures = append(r.Failures, fmt.Sprintf(format, args...))
 }
 
 // Line is the report on one line.
@@ -76,10 +76,10 @@
 	for _, f := range r.Figures {
 		fmt.Fprintf(&b, " %s %.4g%s;", f.Name, f.Value, f.Unit)
 	}
-	if len(r.Short) == 0 {
+	if len(r.Failures) == 0 {
 		b.WriteString(" holds")
 	} else {
-		b.WriteString(" FALLS SHORT: " + strings.Join(r.Short, "; "))
+		b.WriteString(" FALLS SHORT: " + strings.Join(r.Failures, "; "))
 	}
 	return b.String()
 }
@@ -104,8 +104,8 @@
 	{"agreed-model", "who may act on which version: every state of a small world, a million random walks of a larger one", 0.01, AgreedModel},
 	{"agreed-size", "10, 300 and 3,000 holders at three keepers: time from a publish to in force, CPU, and no storm as the leader dies", 0.1, AgreedSize},
 	{"agreed-histories", "200 histories of publishes and reads while keepers fail and one disk lies: the book is one register (Porcupine)", 0.05, Histories},
-	{"keeper-kills", "1,000 kills and power cuts of keepers under publishing: the log opens, nothing acknowledged is lost", 0.02, KeeperKills},
-	{"keeper-slow-disk", "60 publishes while disks of keepers take 900 ms for each sync: the leader stays, as nobody is dead", 0.12, KeeperSlowDisk},
+	{"keeper-kills", "1,000 kills and power cuts of keepers under publishing: the log opens, nothing acknowledged is lost", 0.02, ReplicaKills},
+	{"keeper-slow-disk", "60 publishes while disks of keepers take 900 ms for each sync: the leader stays, as nobody is dead", 0.12, ReplicaSlowDisk},
 	{"cold", "100 proxies, one cold server: what all send it stays under its fall budget", 1, Cold},
 	{"crowd", "1,000 proxies, 1,000 servers, one drain: time, bytes and CPU, beside go-control-plane's snapshot cache", 0.2, Crowd},
 	{"drains", "1,000 drains under steady requests and with pushes in flight: nothing new later than 250 ms", 0.4, Drains},
--- a/internal/lab/acceptance/prove_test.go
+++ b/internal/lab/acceptance/prove_test.go
@@ -37,7 +37,7 @@
 					t.Fatal(err)
 				}
 				t.Log(r.Line())
-				if holds := len(r.Short) == 0; holds == defect {
+				if holds := len(r.Failures) == 0; holds == defect {
 					t.Errorf("holds: %v, defect: %v", holds, defect)
 				}
 			})
@@ -59,7 +59,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if t.Log(r.Line()); len(r.Short) > 0 {
+			if t.Log(r.Line()); len(r.Failures) > 0 {
 				t.Error("it falls short")
 			}
 		})
@@ -75,7 +75,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if t.Log(r.Line()); len(r.Short) == 0 {
+			if t.Log(r.Line()); len(r.Failures) == 0 {
 				t.Error("it is not found")
 			}
 		})
--- a/internal/lab/acceptance/slowdisk.go
+++ b/internal/lab/acceptance/slowdisk.go
@@ -10,9 +10,9 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// KeeperSlowDisk publishes while the disks of keepers, in turn that of the leader, of the others and of all, take 36
+// ReplicaSlowDisk publishes while the disks of keepers, in turn that of the leader, of the others and of all, take 36
 // ticks (900 ms) longer for each sync: nobody is dead, so the leader stays, and each publish is taken.
-func KeeperSlowDisk(ctx context.Context, o *Options) (*Report, error) {
+func ReplicaSlowDisk(ctx context.Context, o *Options) (*Report, error) {
 	tick := 25.0
 	if o.Scale < 0.1 { // beside CI's other work a keeper may be without a core for 0.4 s
 		tick = 40
--- a/internal/lab/acceptance/soak.go
+++ b/internal/lab/acceptance/soak.go
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	if err := a.start(ctx); err != nil || len(f.short) > 0 {
-		r.Short = f.short
+		r.Failures = f.short
 		return r, err
 	}
 	defer a.kill()
@@ -129,7 +129,7 @@
 func (s *soak) report(r *Report) {
 	broken, words := s.ledger.Violations(time.Now().Add(heldFor))
 	t := s.ledger.Totals
-	r.Short = s.short
+	r.Failures = s.short
 	r.add("deadline", millis(s.plan.deadline), "ms")
 	r.add("crowd", float64(s.plan.crowd), "")
 	r.add("hanging", float64(s.plan.hanging), "")
--- a/internal/lab/acceptance/wholefleet.go
+++ b/internal/lab/acceptance/wholefleet.go
@@ -187,7 +187,7 @@
 	}
 	defer all(f.agents, func(a *fleetAgent) error { a.kill(); return nil })
 	if err := all(f.agents, func(a *fleetAgent) error { return a.start(ctx) }); err != nil || len(f.short) > 0 {
-		r.Short = f.short
+		r.Failures = f.short
 		return r, err
 	}
 	traffic, quiet := context.WithCancel(ctx)
@@ -238,7 +238,7 @@
 	f.held.Wait()
 	broken, words := f.ledger.Violations(time.Now().Add(heldFor))
 	t := f.ledger.Totals
-	r.Short = f.short
+	r.Failures = f.short
 	r.add("agents", float64(len(f.agents)), "")
 	r.add("starts", float64(f.starts), "")
 	r.add("ends", float64(f.ends), "")
