--- a/internal/lab/acceptance/agentend.go
+++ b/internal/lab/acceptance/agentend.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	// maxCheckLateness is how late the check for an end may be that is decided by what it finds; later, the process may
-	// have ended too late, and counts as if it had.
+	// maxCheckLateness is how late the check of whether a process has ended may run for its finding to count.
+	// A process that is found to have ended in a later check may have ended too late, and counts as overdue.
 	maxCheckLateness = 5 * time.Millisecond
-	// traceTime is how long an overdue process has to write what its goroutines do.
+	// traceTime is how long an overdue process has to write its goroutine dump.
 	traceTime = time.Second
 )
 
-// signalAfter is a signal, and how long after the one before it it comes.
+// signalAfter is a signal and its delay after the previous one in a series.
 type signalAfter struct {
 	after  time.Duration
 	signal syscall.Signal
 }
 
-// agentEnd is the end of one process of an agent.
+// agentEnd tracks the termination of one process of an agent.
 type agentEnd struct {
 	agent    *fleetAgent
 	cmd      *exec.Cmd
-	beganAt  chan time.Time // gets the time of the first signal that asks it to end
-	ended    chan struct{}  // closed once it has
+	beganAt  chan time.Time // receives the time of the first SIGTERM or SIGINT
+	ended    chan struct{}  // closed once the process has ended
 	deadline *time.Timer    // calls check
 	overdue  atomic.Bool
 }
 
-// endBy ends a process with a series of signals, of which one at least asks it to end. It has to have ended, with exit
-// code 0, endWithin after the first that does. The kernel says whether it has: this process may get no core just then.
+// endBy ends a process with a series of signals, which holds at least one SIGTERM or SIGINT. The process has
+// to end with exit code 0 within endWithin after the first of these. Whether it has is read from the kernel's
+// process state and not from Wait, as on a busy machine this process may get no core just then.
 func (a *fleetAgent) endBy(cmd *exec.Cmd, series []signalAfter) {
 	e := &agentEnd{agent: a, cmd: cmd, beganAt: make(chan time.Time, 1), ended: make(chan struct{})}
 	go e.sendSignals(series)
@@ -46,7 +47,7 @@
 	if e.overdue.Load() {
 		a.f.o.logf("%s: %s", e.name(), cmd.Stderr)
 	} else if err != nil {
-		a.f.fails("%s: ended with %v; %s", e.name(), err, lastLine(cmd.Stderr.(*strings.Builder).String()))
+		a.f.fail("%s: ended with %v; %s", e.name(), err, lastLine(cmd.Stderr.(*strings.Builder).String()))
 	}
 	a.f.mu.Lock()
 	defer a.f.mu.Unlock()
@@ -56,22 +57,22 @@
 
 func (e *agentEnd) name() string { return filepath.Base(e.agent.dir) }
 
-// sendSignals sends the series, at once where the process has ended.
+// sendSignals sends the series, without delays once the process has ended.
 func (e *agentEnd) sendSignals(series []signalAfter) {
 	for _, s := range series {
 		select {
 		case <-time.After(s.after):
 		case <-e.ended:
 		}
-		asksToEnd := s.signal == syscall.SIGTERM || s.signal == syscall.SIGINT
-		if asksToEnd && e.deadline == nil {
+		requestsEnd := s.signal == syscall.SIGTERM || s.signal == syscall.SIGINT
+		if requestsEnd && e.deadline == nil {
 			e.begin()
 		}
-		e.cmd.Process.Signal(s.signal) // one that comes after its end finds nobody
+		e.cmd.Process.Signal(s.signal) // fails once the process has ended, which is expected
 	}
 }
 
-// begin begins the time in which the process has to end.
+// begin starts the timer within which the process has to end.
 func (e *agentEnd) begin() {
 	now := time.Now()
 	e.agent.signaled.Store(now.UnixNano())
@@ -79,7 +80,7 @@
 	e.beganAt <- now
 }
 
-// check fails the proof if the process is still there, and has it say what it waits for.
+// check fails the proof if the process still runs, and logs its kernel state and its goroutine dump.
 func (e *agentEnd) check() {
 	f := e.agent.f
 	signaledAt := time.Unix(0, e.agent.signaled.Load())
@@ -88,7 +89,7 @@
 	}
 	e.overdue.Store(true)
 	e.agent.lastKill.Store(math.MaxInt64)
-	f.fails("%s: still there %v after SIGTERM", e.name(), f.endWithin)
+	f.fail("%s: still running %v after SIGTERM", e.name(), f.endWithin)
 	f.o.logf("%s", describeProcess(e.cmd.Process.Pid))
 	f.o.logf("idle processes since SIGTERM: slowest end %v", f.idleExits.longestSince(signaledAt))
 	e.cmd.Process.Signal(syscall.SIGQUIT)
--- a/internal/lab/acceptance/agreed.go
+++ b/internal/lab/acceptance/agreed.go
@@ -11,7 +11,8 @@
 	"ringtrack.example/ringtrack/internal/lab/leasemodel"
 )
 
-// agreedPlan is a run at a scale: 5 keepers, 40 agents and 24 servers in full, 3, 6 and 6 at the least.
+// agreedPlan returns the plan of a run at a scale: 5 replicas, 40 agents and 24 servers at full scale, at
+// least 3, 6 and 6.
 func agreedPlan(o *Options) *cluster.Plan {
 	p := &cluster.Plan{Seed: o.Seed, Replicas: 5, Agents: o.scaled(40, 6), Servers: o.scaled(24, 6), LeaseMs: 600,
 		RunMs: o.scaled(60_000, 3000), Versions: 2000, PauseMs: o.scaled(40, 10)}
@@ -22,11 +23,11 @@
 	return p
 }
 
-// agreedDefects are those that lab builds of the binaries seed, one by the seed.
+// agreedDefects are the defects that lab builds of the binaries can seed; the run's seed selects one.
 var agreedDefects = []string{"wiped-votes", "no-meet", "from-answer", "back-on-start"}
 
-// Agreed runs keepers, agents and traffic under a schedule of faults: no two agents act on rules that contradict each
-// other, and nothing that was acknowledged is lost.
+// Agreed runs replicas, agents and traffic under a schedule of faults: no two agents may act on contradicting
+// configurations, and nothing that was acknowledged may be lost.
 func Agreed(ctx context.Context, o *Options) (*Report, error) {
 	p := agreedPlan(o)
 	if o.Defect {
@@ -36,13 +37,14 @@
 	return agreedRun(ctx, o, p)
 }
 
-// AgreedRun runs a plan, as a replay does.
+// AgreedRun runs a given plan, for replays.
 func AgreedRun(ctx context.Context, o *Options, p *cluster.Plan) (*Report, error) {
 	return agreedRun(ctx, o, p)
 }
 
-// scripted is the scale under which the proof runs a script instead of drawn faults: too little is drawn to find anything.
-const scripted = 0.1
+// scriptScale is the scale below which the proof runs a fixed script of faults: a random schedule that short
+// has too few faults to find anything.
+const scriptScale = 0.1
 
 func agreedRun(ctx context.Context, o *Options, p *cluster.Plan) (*Report, error) {
 	dir, err := os.MkdirTemp("", "ringtrack-agreed")
@@ -51,10 +53,10 @@
 	}
 	defer os.RemoveAll(dir)
 	var out *cluster.Outcome
-	if o.Scale < scripted {
+	if o.Scale < scriptScale {
 		p.Faults = nil
-		for try := range uint64(3) { // a defect is to be found within three seeds; without one there is one try
-			if out, err = cluster.RunScript(ctx, filepath.Join(dir, fmt.Sprint(try)), p.Defect, p.Seed+try); err != nil || p.Defect == "" || out.Failing() {
+		for attempt := range uint64(3) { // a defect has to be found within three seeds; without one there is a single attempt
+			if out, err = cluster.RunScript(ctx, filepath.Join(dir, fmt.Sprint(attempt)), p.Defect, p.Seed+attempt); err != nil || p.Defect == "" || out.Failing() {
 				break
 			}
 		}
@@ -92,26 +94,26 @@
 	r.add("refused", float64(out.Rejected), "")
 	r.add("failed", float64(out.Failed), "")
 	r.add("no answer", float64(out.Unanswered), "")
-	for i, b := range out.Violations {
+	for i, v := range out.Violations {
 		if i == 5 {
-			r.short("and %d more", len(out.Violations)-i)
+			r.fail("and %d more", len(out.Violations)-i)
 			break
 		}
-		r.short("%s (%v late)", b.Text, b.Late.Round(time.Millisecond))
+		r.fail("%s (%v late)", v.Text, v.Late.Round(time.Millisecond))
 	}
 	for _, l := range out.Lost {
-		r.short("%s", l)
+		r.fail("%s", l)
 	}
 	for _, e := range out.Errors {
-		r.short("%s", e)
+		r.fail("%s", e)
 	}
-	if least := 3; out.Versions < least || out.Attempts < 100 {
-		r.short("too little happened: %d versions, %d acts", out.Versions, out.Attempts)
+	if minVersions := 3; out.Versions < minVersions || out.Attempts < 100 {
+		r.fail("too little activity: %d versions, %d attempts", out.Versions, out.Attempts)
 	}
 	if len(r.Failures) > 0 {
-		keep := filepath.Join(os.TempDir(), fmt.Sprintf("ringtrack-agreed-%d.json", p.Seed))
-		if err := p.Save(keep); err == nil {
-			o.logf("the schedule is in %s; --replay runs it again", keep)
+		path := filepath.Join(os.TempDir(), fmt.Sprintf("ringtrack-agreed-%d.json", p.Seed))
+		if err := p.Save(path); err == nil {
+			o.logf("the schedule is in %s; ringtrack-lab replay runs it again", path)
 		}
 		for name, text := range out.Logs {
 			os.WriteFile(filepath.Join(os.TempDir(), fmt.Sprintf("ringtrack-agreed-%d-%s.log", p.Seed, name)), []byte(text), 0o600)
@@ -120,37 +122,37 @@
 	return r, nil
 }
 
-// AgreedModel checks the deciders of agree on a model: all states within bounds, and random walks beyond.
+// AgreedModel checks the lease decisions on a model: all states within bounds, and random walks beyond them.
 func AgreedModel(ctx context.Context, o *Options) (*Report, error) {
 	r := &Report{Proof: "agreed-model", Seed: o.Seed, Scale: o.Scale}
 	d := leasemodel.None
 	if o.Defect {
 		d = leasemodel.NoInheritedWait
 	}
-	found := func(f *leasemodel.Violation) {
+	report := func(f *leasemodel.Violation) {
 		if f != nil {
-			r.short("%s: %v", f.Reason, f.Steps)
+			r.fail("%s: %v", f.Reason, f.Steps)
 		}
 	}
 	for _, b := range []struct {
 		name string
 		leasemodel.Bounds
 	}{{"small", leasemodel.Small}, {"pairs", leasemodel.Pairs}, {"whole", leasemodel.Complete}} {
-		if b.name != "small" && o.Scale < 1 || o.Defect { // a defect the walks find sooner
+		if b.name != "small" && o.Scale < 1 || o.Defect { // the random walks find the defect sooner
 			continue
 		}
-		n, all, f := leasemodel.Exhaust(b.Bounds, d, 12_000_000)
+		n, complete, f := leasemodel.Exhaust(b.Bounds, d, 12_000_000)
 		name := "all states, " + b.name
-		if !all {
+		if !complete {
 			name = "states (not all), " + b.name
 		}
 		r.add(name, float64(n), "")
-		found(f)
+		report(f)
 	}
 	runs := o.scaled(1_000_000, 1000)
-	made, f := leasemodel.Random(leasemodel.Long, d, runs, 150, o.Seed)
+	steps, f := leasemodel.Random(leasemodel.Long, d, runs, 150, o.Seed)
 	r.add("random walks", float64(runs), "")
-	r.add("steps", float64(made), "")
-	found(f)
+	r.add("steps", float64(steps), "")
+	report(f)
 	return r, ctx.Err()
 }
--- a/internal/lab/acceptance/child.go
+++ b/internal/lab/acceptance/child.go
@@ -30,12 +30,13 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// childEnv makes a process of the lab one that serves, so that its CPU time is its own: "ours ROSTER"
-// or "peer SERVERS"; the agent's program, "agent"; or idleChild.
+// childEnv makes a process of the lab run a server, so that its CPU time can be measured on its own: the
+// control service ("ours DISCOVERY_ADDR"), go-control-plane's snapshot cache ("peer SERVERS"), the agent's
+// program ("agent"), or idleChild.
 const childEnv = "RINGTRACK_LAB_CHILD"
 
-// Child runs the process as what the environment says, if it says anything, and does not return then.
-// A program that runs proofs calls it first.
+// Child runs the child role that the environment names and exits; it returns if the environment names none.
+// A program that runs proofs has to call it first.
 func Child() {
 	spec := os.Getenv(childEnv)
 	if spec == "" {
@@ -48,18 +49,18 @@
 	os.Exit(0)
 }
 
-// usage is what a child has used so far.
+// usage is the address of a child, its CPU time so far and its peak memory.
 type usage struct {
 	Addr string  `json:"addr"`
 	CPU  float64 `json:"cpu_s"`
 	RSS  int64   `json:"rss_kb"`
 }
 
-func used() usage {
+func processUsage() usage {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	out := usage{CPU: float64(u.Utime.Sec+u.Stime.Sec) + float64(u.Utime.Usec+u.Stime.Usec)/1e6}
-	// Not the usage's largest: that begins with the parent's.
+	// Not Maxrss of rusage, which starts from the parent's peak.
 	if text, err := os.ReadFile("/proc/self/status"); err == nil {
 		if _, rest, ok := strings.Cut(string(text), "VmHWM:"); ok {
 			fmt.Sscan(rest, &out.RSS)
@@ -69,14 +70,14 @@
 }
 
 func child(spec string) error {
-	word, arg, _ := strings.Cut(spec, " ")
+	role, arg, _ := strings.Cut(spec, " ")
 	var addr string
 	drain := func(string) error { return nil }
-	switch word {
+	switch role {
 	case "agent":
 		return agent.Main()
 	case idleChild:
-		return beIdle()
+		return runIdleChild()
 	case "ours":
 		s, err := service.Start("", arg, nil, func(c *control.Config) { c.Proxies.MaxStreams = 20_000 })
 		if err != nil {
@@ -96,16 +97,16 @@
 		defer p.server.Stop()
 		addr, drain = p.addr, p.drain
 	default:
-		return fmt.Errorf("%s=%q is none", childEnv, spec)
+		return fmt.Errorf("%s=%q is not a child role", childEnv, spec)
 	}
 	out := json.NewEncoder(os.Stdout)
 	out.Encode(usage{Addr: addr})
 	in := bufio.NewScanner(os.Stdin)
-	for in.Scan() { // ends with the parent
+	for in.Scan() { // until the parent closes the pipe or exits
 		cmd, id, _ := strings.Cut(in.Text(), " ")
 		switch cmd {
 		case "usage":
-			out.Encode(used())
+			out.Encode(processUsage())
 		case "gc":
 			runtime.GC()
 		case "drain":
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// peer is go-control-plane's snapshot cache and server with the same servers in it.
+// peer is go-control-plane's xDS server and snapshot cache, which serves the same servers for comparison.
 type peer struct {
 	addr    string
 	server  *grpc.Server
@@ -126,12 +127,12 @@
 	version int
 }
 
-type oneNode struct{}
+type singleNodeHash struct{}
 
-func (oneNode) ID(*corev3.Node) string { return "all" }
+func (singleNodeHash) ID(*corev3.Node) string { return "all" }
 
 func newPeer(n int) (*peer, error) {
-	p := &peer{cache: cache.NewSnapshotCache(true, oneNode{}, nil), entries: paper(n)}
+	p := &peer{cache: cache.NewSnapshotCache(true, singleNodeHash{}, nil), entries: unreachableEntries(n)}
 	if err := p.publish(); err != nil {
 		return nil, err
 	}
@@ -157,14 +158,14 @@
 
 func (p *peer) publish() error {
 	p.version++
-	places := map[string]*endpointv3.LocalityLbEndpoints{}
+	localities := map[string]*endpointv3.LocalityLbEndpoints{}
 	set := &endpointv3.ClusterLoadAssignment{ClusterName: "orders"}
 	for i := range p.entries {
 		e := &p.entries[i]
-		l := places[e.Zone]
+		l := localities[e.Zone]
 		if l == nil {
 			l = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: e.Zone}, LoadBalancingWeight: wrapperspb.UInt32(100)}
-			places[e.Zone] = l
+			localities[e.Zone] = l
 			set.Endpoints = append(set.Endpoints, l)
 		}
 		host, _, _ := net.SplitHostPort(e.Addr)
@@ -184,12 +185,12 @@
 	return p.cache.SetSnapshot(context.Background(), "all", snap)
 }
 
-// process is a child as its parent has it.
+// process is the parent's handle of a child.
 type process struct {
-	cmd *exec.Cmd
-	in  io.WriteCloser
-	out *bufio.Scanner
-	at  usage
+	cmd     *exec.Cmd
+	in      io.WriteCloser
+	out     *bufio.Scanner
+	initial usage
 }
 
 func startChild(spec string) (*process, error) {
@@ -211,7 +212,7 @@
 		return nil, err
 	}
 	p.out = bufio.NewScanner(out)
-	if p.at, err = p.read(); err != nil {
+	if p.initial, err = p.read(); err != nil {
 		p.stop()
 		return nil, err
 	}
@@ -221,24 +222,24 @@
 func (p *process) read() (usage, error) {
 	var u usage
 	if !p.out.Scan() {
-		return u, fmt.Errorf("the child says nothing: %w", p.out.Err())
+		return u, fmt.Errorf("the child closed its output: %w", p.out.Err())
 	}
 	return u, json.Unmarshal(p.out.Bytes(), &u)
 }
 
-func (p *process) say(line string) error {
+func (p *process) send(line string) error {
 	_, err := io.WriteString(p.in, line+"\n")
 	return err
 }
 
 func (p *process) usage() (usage, error) {
-	if err := p.say("usage"); err != nil {
+	if err := p.send("usage"); err != nil {
 		return usage{}, err
 	}
 	return p.read()
 }
 
-// stop ends the child by closing its input, and by force where that is not enough.
+// stop ends the child by closing its input, and kills it if it has not exited 10 s later.
 func (p *process) stop() {
 	p.in.Close()
 	timer := time.AfterFunc(10*time.Second, func() { p.cmd.Process.Kill() })
--- a/internal/lab/acceptance/drains.go
+++ b/internal/lab/acceptance/drains.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	drainEvery = 30 * time.Millisecond
-	// drainServers are enough that those away at a time are no large part of them.
+	drainInterval = 30 * time.Millisecond
+	// drainServers is large enough that the servers draining at a time are a small part of all.
 	drainServers = 60
-	// drainFor is how long a server stays away: long enough to see what comes late.
-	drainFor = 500 * time.Millisecond
+	// drainDuration is how long a server drains: long enough to see requests and updates that come late.
+	drainDuration = 500 * time.Millisecond
 )
 
-// Drains drains servers one after the other while a proxy of each variant passes requests on, with
-// other changes pushed meanwhile. Counted at the servers: requests that began later than 250 ms after
-// the roster was told. The seeded defect is a proxy that uses what it is told 400 ms late.
+// Drains drains servers one after the other while a proxy of each xDS variant forwards requests and other
+// changes are pushed. It counts, at the servers, requests that begin later than 250 ms after the discovery
+// service was notified. The seeded defect is a proxy that applies updates 400 ms late.
 func Drains(ctx context.Context, o *Options) (*Report, error) {
 	return drains(ctx, o, &Report{Proof: "drains", Seed: o.Seed, Scale: o.Scale}, false)
 }
 
-// EphemeralControl is Drains with a registry: a server is told away by the end of its node, which the
-// roster knows nothing of.
+// EphemeralControl is Drains with a registry: the deletion of its node takes a server out of use, while
+// discovery still lists it.
 func EphemeralControl(ctx context.Context, o *Options) (*Report, error) {
 	return drains(ctx, o, &Report{Proof: "ephemeral-control", Seed: o.Seed, Scale: o.Scale}, true)
 }
 
-func drains(ctx context.Context, o *Options, r *Report, nodes bool) (*Report, error) {
+func drains(ctx context.Context, o *Options, r *Report, useRegistry bool) (*Report, error) {
 	rng := o.rng()
 	ledger := lab.NewLedger(lab.DefaultRules())
 	var servers []*lab.Backend
@@ -52,20 +52,20 @@
 		}
 		servers, entries = append(servers, s), append(entries, s.Entry)
 	}
-	roster, err := lab.NewDiscoveryService(entries...)
+	discovery, err := lab.NewDiscoveryService(entries...)
 	if err != nil {
 		return nil, err
 	}
-	defer roster.Close()
-	// away and back tell of a server in the one way or in the other.
-	away := func(s *lab.Backend) {
+	defer discovery.Close()
+	// startDrain and endDrain report a change of a server through discovery or through the registry.
+	startDrain := func(s *lab.Backend) {
 		e := s.Entry
 		e.State = membership.Draining
-		roster.Set(e)
+		discovery.Set(e)
 	}
-	back := func(s *lab.Backend) { roster.Set(s.Entry) }
-	change := func(*control.Config) {}
-	if nodes {
+	endDrain := func(s *lab.Backend) { discovery.Set(s.Entry) }
+	configure := func(*control.Config) {}
+	if useRegistry {
 		reg, err := newRegistry(3, o.Seed, "[flap]\nsettle_ms = 0\nmost_ms = 0\n")
 		if err != nil {
 			return nil, err
@@ -74,11 +74,11 @@
 		for _, s := range servers {
 			reg.put(&s.Entry)
 		}
-		away = func(s *lab.Backend) { reg.remove(s.ID) }
-		back = func(s *lab.Backend) { reg.put(&s.Entry) }
-		change = func(c *control.Config) { c.Ephemeral = reg.file }
+		startDrain = func(s *lab.Backend) { reg.remove(s.ID) }
+		endDrain = func(s *lab.Backend) { reg.put(&s.Entry) }
+		configure = func(c *control.Config) { c.Ephemeral = reg.file }
 	}
-	svc, err := service.StartWith(roster, change)
+	svc, err := service.StartWith(discovery, configure)
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 		}
 		running.Go(func() { p.ReportLoad(ctx) })
 		for w := range 4 {
-			running.Go(func() { steady(ctx, p, ledger, fmt.Sprintf("%s-%d", v.Node, w)) })
+			running.Go(func() { sendSteadily(ctx, p, ledger, fmt.Sprintf("%s-%d", v.Node, w)) })
 		}
 	}
 
@@ -116,12 +116,12 @@
 	defer queue.close()
 	drains := o.scaled(1000, 20)
 	var mu sync.Mutex
-	var lag []time.Duration
-	var slowestLag, slowestWaited time.Duration // and what this process's threads waited for a core in that drain
-	var gone sync.WaitGroup
+	var lags []time.Duration
+	var slowestLag, slowestWaited time.Duration // and how long this process's threads waited for a core during that drain
+	var draining sync.WaitGroup
 	busy := map[int]bool{}
 	free := make(chan int, len(servers))
-	tick := time.NewTicker(drainEvery)
+	tick := time.NewTicker(drainInterval)
 	defer tick.Stop()
 	for n := range drains {
 		for len(free) > 0 {
@@ -133,83 +133,83 @@
 		}
 		busy[i] = true
 		s := servers[i]
-		if n%2 == 0 { // a push that is under way when the drain comes
+		if n%2 == 0 { // an update that is in flight when the drain comes
 			other := servers[(i+1)%len(servers)]
 			if !busy[(i+1)%len(servers)] {
 				e := other.Entry
 				e.Weight = 1 + rng.Float64()
 				other.Entry = e
-				roster.Set(e)
+				discovery.Set(e)
 			}
 		}
-		told, waited := time.Now(), queue.waited()
-		ledger.NotifiedDraining(s.ID, told)
-		away(s)
-		gone.Go(func() {
+		notifiedAt, waited := time.Now(), queue.waited()
+		ledger.NotifiedDraining(s.ID, notifiedAt)
+		startDrain(s)
+		draining.Go(func() {
 			var each sync.WaitGroup
 			for _, p := range proxies {
 				each.Go(func() {
-					ok := p.Await(drainFor, func(t *xdsproxy.Table) bool { return !t.Usable(s.ID) })
+					ok := p.Await(drainDuration, func(t *xdsproxy.Table) bool { return !t.Usable(s.ID) })
 					mu.Lock()
 					defer mu.Unlock()
 					if !ok {
-						lag = append(lag, time.Hour)
+						lags = append(lags, time.Hour)
 						return
 					}
-					took := time.Since(told)
-					lag = append(lag, took)
+					took := time.Since(notifiedAt)
+					lags = append(lags, took)
 					if took > slowestLag {
 						slowestLag, slowestWaited = took, queue.waited()-waited
 					}
 				})
 			}
 			each.Wait()
-			time.Sleep(time.Until(told.Add(drainFor)))
+			time.Sleep(time.Until(notifiedAt.Add(drainDuration)))
 			ledger.InService(s.ID)
-			back(s)
+			endDrain(s)
 			free <- i
 		})
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			gone.Wait()
+			draining.Wait()
 			return nil, ctx.Err()
 		}
 		if n%100 == 99 {
 			o.logf("%d drains", n+1)
 		}
 	}
-	gone.Wait()
+	draining.Wait()
 	cancel()
 	running.Wait()
-	broken, words := ledger.Violations(time.Now())
-	slices.Sort(lag)
+	broken, details := ledger.Violations(time.Now())
+	slices.Sort(lags)
 	t := ledger.Totals
 	r.add("drains", float64(drains), "")
 	r.add("requests", float64(t.Received), "")
 	r.add("begun_later_than_250ms", float64(broken[3]), "")
 	r.add("latest_after_told", millis(t.LatestAfterDrain), "ms")
-	r.add("told_to_applied_p50", millis(percentile(lag, 0.5)), "ms")
-	r.add("p99", millis(percentile(lag, 0.99)), "ms")
-	r.add("max", millis(lag[len(lag)-1]), "ms")
+	r.add("told_to_applied_p50", millis(percentile(lags, 0.5)), "ms")
+	r.add("p99", millis(percentile(lags, 0.99)), "ms")
+	r.add("max", millis(lags[len(lags)-1]), "ms")
 	r.add("waited_at_max", millis(slowestWaited), "ms")
 	if broken[3] > 0 {
-		r.short("%d requests began later than 250 ms after the drain was told: %v", broken[3], words[0])
+		r.fail("%d requests began later than 250 ms after the drain was notified: %v", broken[3], details[0])
 	}
 	if broken[2] > 0 {
-		r.short("rule 2 broken %d times: %v", broken[2], words[0])
+		r.fail("rule 2 broken %d times: %v", broken[2], details[0])
 	}
 	if t.Received < drains {
-		r.short("only %d requests began: the proof says nothing", t.Received)
+		r.fail("only %d requests began: too few to judge", t.Received)
 	}
-	if m := lag[len(lag)-1]; m > 250*time.Millisecond {
-		r.short("a proxy applied a drain %v after it was told", m)
+	if m := lags[len(lags)-1]; m > 250*time.Millisecond {
+		r.fail("a proxy applied a drain %v after it was notified", m)
 	}
 	return r, nil
 }
 
-// steady passes requests through a proxy, one after the other, about 100 a second.
-func steady(ctx context.Context, p *xdsproxy.Proxy, ledger *lab.Ledger, name string) {
+// sendSteadily sends requests through a proxy, one after the other, about 100 a second.
+func sendSteadily(ctx context.Context, p *xdsproxy.Proxy, ledger *lab.Ledger, name string) {
 	t := time.NewTicker(10 * time.Millisecond)
 	defer t.Stop()
 	classes := []struct {
@@ -226,13 +226,13 @@
 		c := classes[n%3]
 		ledger.AttemptStarted(id, c.effect, id, time.Now().Add(2*time.Second))
 		res := p.Call(context.WithoutCancel(ctx), c.name, fmt.Sprint(n%97), id+" ")
-		v := lab.Failed
+		outcome := lab.Failed
 		switch {
 		case res.Status == 200:
-			v = lab.Served
+			outcome = lab.Served
 		case !res.MayHaveRun && (res.Status == 429 || res.Status == 503):
-			v = lab.Rejected
+			outcome = lab.Rejected
 		}
-		ledger.Answered(id, v, time.Now())
+		ledger.Answered(id, outcome, time.Now())
 	}
 }
--- a/internal/lab/acceptance/ephemeralfaults.go
+++ b/internal/lab/acceptance/ephemeralfaults.go
@@ -10,16 +10,16 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// EphemeralFaults plays a random walk of faults on the registry (sessions that end, cuts, lags, half-open and
-// corrupt servers, a lost leader, flaps, all nodes gone at once) and of drains and restarts that the roster
-// tells, under steady requests: the four rules hold, and the agent goes on serving. Rule 3 counts from what
-// the roster tells, which a sick registry must not delay. The seeded defect is a roster that tells drains
-// 400 ms late.
+// EphemeralFaults runs a random walk of registry faults (expired sessions, broken connections, lags,
+// half-open and corrupt servers, a lost leader, flaps, all nodes deleted at once) and of drains and restarts
+// that discovery reports, under steady requests: the four rules hold, and the agent goes on serving. For rule
+// 3 the time counts from the report of discovery, which a faulty registry must not delay. The seeded defect
+// is a discovery service that reports drains 400 ms late.
 func EphemeralFaults(ctx context.Context, o *Options) (*Report, error) {
 	const (
-		servers  = 12
-		capacity = 150 // requests a second, of each
-		step     = 20 * time.Millisecond
+		servers      = 12
+		capacity     = 150 // of each server, requests per second
+		stepInterval = 20 * time.Millisecond
 	)
 	r := &Report{Proof: "ephemeral-faults", Seed: o.Seed, Scale: o.Scale}
 	rng := o.rng()
@@ -40,7 +40,7 @@
 	defer w.Close()
 	for _, s := range w.Servers {
 		s.SetWork(2 * time.Millisecond)
-		s.Entry.StartedMs = longAgo()
+		s.Entry.StartedMs = warmStart()
 		reg.put(&s.Entry)
 		w.Discovery.Set(s.Entry)
 	}
@@ -48,12 +48,12 @@
 		return nil, err
 	}
 	running, stop := context.WithCancel(ctx)
-	client, clients := portals(running, w, 8)
+	client, clients := startClients(running, w, 8)
 	defer client.Close()
 	defer clients.Wait()
 	defer stop()
 
-	heal := func() {
+	clearFaults := func() {
 		for _, s := range reg.Servers {
 			s.SetDown(false)
 			s.SetHalfOpen(false)
@@ -64,7 +64,7 @@
 	}
 	server := func() *zk.Server { return reg.Servers[rng.IntN(len(reg.Servers))] }
 	ms := func(n int) time.Duration { return time.Duration(rng.IntN(n)) * time.Millisecond }
-	faults := []func(){heal, heal, heal,
+	faults := []func(){clearFaults, clearFaults, clearFaults,
 		func() { server().ResetConnections() }, func() { server().SetDown(true) }, func() { server().SetLag(ms(800)) }, func() { server().SetSlow(ms(100)) },
 		func() { server().SetHalfOpen(true) }, func() { server().Corrupt(3) }, func() { reg.LoseLeader(); reg.ElectLeader() },
 		func() {
@@ -72,7 +72,7 @@
 				reg.Expire(ids[rng.IntN(len(ids))], rng.IntN(2) == 0)
 			}
 		},
-		func() { // all at once, and back
+		func() { // deletes all nodes at once and creates them again
 			reg.Remove("/fleet")
 			for _, s := range w.Servers {
 				reg.put(&s.Entry)
@@ -81,72 +81,72 @@
 	drained := map[*world.Server]bool{}
 	missing := map[*world.Server]bool{}
 	restarts, drains, n := 0, 0, o.scaled(3000, 100)
-	var restarted time.Time
-	var late sync.WaitGroup
-	defer late.Wait()
+	var lastRestart time.Time
+	var delayed sync.WaitGroup
+	defer delayed.Wait()
 	for k := range n {
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 		s := w.Servers[rng.IntN(servers)]
-		switch x := rng.IntN(20); {
-		case x < 3 && len(drained) < 4 && !drained[s]:
+		switch draw := rng.IntN(20); {
+		case draw < 3 && len(drained) < 4 && !drained[s]:
 			drained[s] = true
 			drains++
 			e := s.Entry
 			e.State = membership.Draining
 			w.Ledger.NotifiedDraining(e.ID, time.Now())
 			if o.Defect {
-				late.Go(func() { time.Sleep(400 * time.Millisecond); w.Discovery.Set(e) })
+				delayed.Go(func() { time.Sleep(400 * time.Millisecond); w.Discovery.Set(e) })
 			} else {
 				w.Discovery.Set(e)
 			}
-		case x < 6 && drained[s]:
+		case draw < 6 && drained[s]:
 			delete(drained, s)
 			w.Ledger.InService(s.Entry.ID)
 			w.Discovery.Set(s.Entry)
-		case x < 9 && len(missing) < 4 && !missing[s]:
+		case draw < 9 && len(missing) < 4 && !missing[s]:
 			missing[s] = true
 			reg.remove(s.Entry.ID)
-		case x < 12 && missing[s]:
+		case draw < 12 && missing[s]:
 			delete(missing, s)
 			reg.put(&s.Entry)
-		case x == 12 && time.Since(restarted) > time.Second: // one after the other, as roll-outs go
-			restarted = time.Now()
+		case draw == 12 && time.Since(lastRestart) > time.Second: // one at a time, as in a roll-out
+			lastRestart = time.Now()
 			restarts++
-			w.Ledger.Started(s.Entry.ID, restarted, capacity)
-			s.Entry.StartedMs = float64(restarted.UnixMilli())
+			w.Ledger.Started(s.Entry.ID, lastRestart, capacity)
+			s.Entry.StartedMs = float64(lastRestart.UnixMilli())
 			if !drained[s] {
 				w.Discovery.Set(s.Entry)
 			}
 			if reg.remove(s.Entry.ID); !missing[s] {
 				reg.put(&s.Entry)
 			}
-		case x > 15:
+		case draw > 15:
 			faults[rng.IntN(len(faults))]()
 		}
-		time.Sleep(step)
+		time.Sleep(stepInterval)
 		if k%500 == 499 {
 			o.logf("%d steps", k+1)
 		}
 	}
-	late.Wait()
-	heal()
+	delayed.Wait()
+	clearFaults()
 	for _, s := range w.Servers {
 		w.Ledger.InService(s.Entry.ID)
 		w.Discovery.Set(s.Entry)
 		reg.put(&s.Entry)
 	}
-	// Once all is well all are used again.
+	// Once all faults are over, all servers have to be used again.
 	time.Sleep(200 * time.Millisecond)
-	at, idle := map[*world.Server]int64{}, 0
+	countAt, idle := map[*world.Server]int64{}, 0
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		idle = 0
 		for _, s := range w.Servers {
-			if at[s] == 0 {
-				at[s] = s.RequestCount() + 1
+			if countAt[s] == 0 {
+				countAt[s] = s.RequestCount() + 1
 			}
-			if s.RequestCount() < at[s]+5 {
+			if s.RequestCount() < countAt[s]+5 {
 				idle++
 			}
 		}
@@ -159,7 +159,7 @@
 	if err := w.Stop(); err != nil {
 		return nil, err
 	}
-	broken, words := w.Ledger.Violations(time.Now().Add(time.Minute))
+	broken, details := w.Ledger.Violations(time.Now().Add(time.Minute))
 	t := w.Ledger.Totals
 	share := float64(t.Served) / float64(max(t.Served+t.Failed+t.Rejected, 1))
 	r.add("steps", float64(n), "")
@@ -171,13 +171,13 @@
 	r.add("idle_once_well", float64(idle), "")
 	r.add("rules_broken", float64(len(broken)), "")
 	if len(broken) > 0 {
-		r.short("rules broken %v: %v", broken, words[0])
+		r.fail("rules broken %v: %v", broken, details[0])
 	}
 	if share < 0.95 {
-		r.short("%.3f of the tries are served: the registry's faults cost more than it gives", share)
+		r.fail("a share of %.3f of the requests is served, 0.95 wanted: the registry's faults reach the clients", share)
 	}
 	if idle > 0 {
-		r.short("%d servers get nothing 20 s after all is well", idle)
+		r.fail("%d servers get no requests 20 s after all faults are over", idle)
 	}
 	return r, nil
 }
--- a/internal/lab/acceptance/ephemeralsize.go
+++ b/internal/lab/acceptance/ephemeralsize.go
@@ -16,24 +16,24 @@
 	"ringtrack.example/ringtrack/internal/membership/ephemeral"
 )
 
-// changeBytes bounds what a registry may send a follower of one change, however many nodes there are.
-const changeBytes = 2000
+// maxChangeBytes bounds what a registry may send a follower for one change, however many nodes there are.
+const maxChangeBytes = 2000
 
-// follower is a source at work, or the library in its place.
+// follower follows the nodes of a registry: the ephemeral source, or the go-zookeeper library for comparison.
 type follower interface {
 	size() int
 	stop()
 }
 
-type ours struct {
+type sourceFollower struct {
 	n    atomic.Int64
 	stop func()
 }
 
-func (f *ours) size() int { return int(f.n.Load()) }
+func (f *sourceFollower) size() int { return int(f.n.Load()) }
 
-// follow starts a source; each is called with each node that ends.
-func follow(ctx context.Context, e *zk.Ensemble, oneShot bool, gone func()) (*ours, error) {
+// follow starts an ephemeral source; onDelete, unless nil, is called for each deleted node.
+func follow(ctx context.Context, e *zk.Ensemble, oneShot bool, onDelete func()) (*sourceFollower, error) {
 	c := ephemeral.Default()
 	c.Ensemble, c.Path, c.SessionMs = e.Addrs(), "/fleet", 30_000
 	if oneShot {
@@ -42,62 +42,62 @@
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	f := &ours{}
+	f := &sourceFollower{}
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
-	there := map[string]bool{}
+	known := map[string]bool{}
 	go func() {
 		defer close(ended)
 		ephemeral.NewSource(c).Run(ctx, func(u ephemeral.Update) {
 			for _, s := range u.Changes {
 				if s.Expired {
-					delete(there, s.Name)
-					if gone != nil {
-						gone()
+					delete(known, s.Name)
+					if onDelete != nil {
+						onDelete()
 					}
 				} else {
-					there[s.Name] = true
+					known[s.Name] = true
 				}
 			}
-			f.n.Store(int64(len(there)))
+			f.n.Store(int64(len(known)))
 		})
 	}()
 	f.stop = func() { cancel(); <-ended }
 	return f, nil
 }
 
-// library follows a directory as go-zookeeper's pages show it: a watch on the children, and for each child
-// one on its data, with a goroutine that waits for it.
-type library struct {
+// libraryFollower follows a directory as go-zookeeper's documentation shows it: a watch on the children, and
+// for each child a watch on its data, with a goroutine that waits for it.
+type libraryFollower struct {
 	c  *gozk.Conn
 	mu sync.Mutex
-	// there are the nodes that are known, true those whose data is at hand.
-	there map[string]bool
+	// known holds the nodes of the directory, true for those whose data has been read.
+	known map[string]bool
 	wg    sync.WaitGroup
 }
 
-type silent struct{}
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-func followByLibrary(e *zk.Ensemble) (*library, error) {
-	c, events, err := gozk.Connect(e.Addrs(), 30*time.Second, gozk.WithLogger(silent{}))
+func followByLibrary(e *zk.Ensemble) (*libraryFollower, error) {
+	c, events, err := gozk.Connect(e.Addrs(), 30*time.Second, gozk.WithLogger(discardLogger{}))
 	if err != nil {
 		return nil, err
 	}
-	for over := time.After(10 * time.Second); ; {
+	for timeout := time.After(10 * time.Second); ; {
 		select {
 		case ev := <-events:
 			if ev.State != gozk.StateHasSession {
 				continue
 			}
-		case <-over:
+		case <-timeout:
 			c.Close()
-			return nil, errors.New("the library has no session")
+			return nil, errors.New("the library got no session within 10 s")
 		}
 		break
 	}
-	l := &library{c: c, there: map[string]bool{}}
+	l := &libraryFollower{c: c, known: map[string]bool{}}
 	l.wg.Go(func() {
 		for {
 			names, _, ch, err := c.ChildrenW("/fleet")
@@ -106,12 +106,12 @@
 			}
 			for _, name := range names {
 				l.mu.Lock()
-				_, known := l.there[name]
-				if !known {
-					l.there[name] = false // its data is to be read
+				_, found := l.known[name]
+				if !found {
+					l.known[name] = false // its data has not been read yet
 				}
 				l.mu.Unlock()
-				if !known {
+				if !found {
 					l.wg.Go(func() { l.node(name) })
 				}
 			}
@@ -123,29 +123,29 @@
 	return l, nil
 }
 
-func (l *library) node(name string) {
+func (l *libraryFollower) node(name string) {
 	for {
 		_, _, ch, err := l.c.GetW("/fleet/" + name)
 		if err == nil {
 			l.mu.Lock()
-			l.there[name] = true
+			l.known[name] = true
 			l.mu.Unlock()
 			if ev := <-ch; ev.Err == nil && ev.Type == gozk.EventNodeDataChanged {
 				continue
 			}
 		}
 		l.mu.Lock()
-		delete(l.there, name)
+		delete(l.known, name)
 		l.mu.Unlock()
 		return
 	}
 }
 
-func (l *library) size() int {
+func (l *libraryFollower) size() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for _, read := range l.there {
+	for _, read := range l.known {
 		if read {
 			n++
 		}
@@ -153,12 +153,12 @@
 	return n
 }
 
-func (l *library) stop() {
+func (l *libraryFollower) stop() {
 	l.c.Close()
 	l.wg.Wait()
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -166,8 +166,9 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-// EphemeralSize follows 10,000 nodes in three ways, and then has 1,000 followers told of one end. The seeded
-// defect is a registry older than recursive watches, which sends all names with each change.
+// EphemeralSize follows 10,000 nodes by three methods, and then measures how long 1,000 followers take to be
+// notified of one deletion. The seeded defect is a registry that predates recursive watches, which sends all
+// names with each change.
 func EphemeralSize(ctx context.Context, o *Options) (*Report, error) {
 	r := &Report{Proof: "ephemeral-size", Seed: o.Seed, Scale: o.Scale}
 	n := o.scaled(10_000, 200)
@@ -182,74 +183,74 @@
 		e.Put(path(i), data, 0)
 	}
 	s := e.Servers[0]
-	until := func(f follower, want int) (time.Duration, error) {
+	awaitSize := func(f follower, want int) (time.Duration, error) {
 		from := time.Now()
 		for f.size() != want {
 			if time.Since(from) > time.Minute || ctx.Err() != nil {
-				return 0, fmt.Errorf("%d nodes at hand after a minute, want %d", f.size(), want)
+				return 0, fmt.Errorf("%d nodes are known after a minute, want %d", f.size(), want)
 			}
 			time.Sleep(100 * time.Microsecond)
 		}
 		return time.Since(from), nil
 	}
-	for _, way := range []struct {
+	for _, method := range []struct {
 		name  string
 		start func() (follower, error)
 	}{
-		{"recursive", func() (follower, error) { f, err := follow(ctx, e, false, nil); return stopped{f}, err }},
-		{"one_shot", func() (follower, error) { f, err := follow(ctx, e, true, nil); return stopped{f}, err }},
+		{"recursive", func() (follower, error) { f, err := follow(ctx, e, false, nil); return sourceAdapter{f}, err }},
+		{"one_shot", func() (follower, error) { f, err := follow(ctx, e, true, nil); return sourceAdapter{f}, err }},
 		{"library", func() (follower, error) { return followByLibrary(e) }},
 	} {
-		before, sent, routines := heap(), s.Bytes(), runtime.NumGoroutine()
-		f, err := way.start()
+		before, sent, goroutines := heapInUse(), s.Bytes(), runtime.NumGoroutine()
+		f, err := method.start()
 		if err != nil {
 			return nil, err
 		}
-		took, err := until(f, n)
+		took, err := awaitSize(f, n)
 		if err != nil {
 			f.stop()
-			return nil, fmt.Errorf("%s: %w", way.name, err)
+			return nil, fmt.Errorf("%s: %w", method.name, err)
 		}
-		time.Sleep(50 * time.Millisecond) // what is read for its watch only
-		r.add(way.name+"_first_view", millis(took), "ms")
-		r.add(way.name+"_bytes", float64(s.Bytes()-sent)/1e6, "MB")
-		r.add(way.name+"_memory", float64(heap()-before)/1e6, "MB")
-		r.add(way.name+"_goroutines", float64(runtime.NumGoroutine()-routines), "")
+		time.Sleep(50 * time.Millisecond) // until the reads that only set a watch are done
+		r.add(method.name+"_first_view", millis(took), "ms")
+		r.add(method.name+"_bytes", float64(s.Bytes()-sent)/1e6, "MB")
+		r.add(method.name+"_memory", float64(heapInUse()-before)/1e6, "MB")
+		r.add(method.name+"_goroutines", float64(runtime.NumGoroutine()-goroutines), "")
 		const changes = 40
 		sent = s.Bytes()
-		cpu := used().CPU
+		cpu := processUsage().CPU
 		for i := range changes / 2 {
 			e.Remove(path(i))
-			if _, err := until(f, n-1); err != nil {
+			if _, err := awaitSize(f, n-1); err != nil {
 				f.stop()
-				return nil, fmt.Errorf("%s: %w", way.name, err)
+				return nil, fmt.Errorf("%s: %w", method.name, err)
 			}
 			e.Put(path(i), data, 0)
-			if _, err := until(f, n); err != nil {
+			if _, err := awaitSize(f, n); err != nil {
 				f.stop()
-				return nil, fmt.Errorf("%s: %w", way.name, err)
+				return nil, fmt.Errorf("%s: %w", method.name, err)
 			}
 		}
 		each := float64(s.Bytes()-sent) / changes
-		r.add(way.name+"_change_bytes", each, "B")
-		r.add(way.name+"_change_cpu", (used().CPU-cpu)*1e3/changes, "ms")
-		if way.name == "recursive" && each > changeBytes {
-			r.short("a change costs %.0f bytes, at most %d", each, changeBytes)
+		r.add(method.name+"_change_bytes", each, "B")
+		r.add(method.name+"_change_cpu", (processUsage().CPU-cpu)*1e3/changes, "ms")
+		if method.name == "recursive" && each > maxChangeBytes {
+			r.fail("a change costs %.0f bytes, %d allowed", each, maxChangeBytes)
 		}
 		f.stop()
-		o.logf("%s done", way.name)
+		o.logf("%s done", method.name)
 	}
-	return r, watchers(ctx, o, r)
+	return r, measureWatchers(ctx, o, r)
 }
 
-// stopped makes a source a follower.
-type stopped struct{ f *ours }
+// sourceAdapter makes a sourceFollower, whose stop is a field, a follower.
+type sourceAdapter struct{ f *sourceFollower }
 
-func (s stopped) size() int { return s.f.size() }
-func (s stopped) stop()     { s.f.stop() }
+func (s sourceAdapter) size() int { return s.f.size() }
+func (s sourceAdapter) stop()     { s.f.stop() }
 
-// watchers has many followers told of one end.
-func watchers(ctx context.Context, o *Options, r *Report) error {
+// measureWatchers measures how long many followers take to be notified of one deletion.
+func measureWatchers(ctx context.Context, o *Options, r *Report) error {
 	const nodes = 100
 	e, err := zk.New(zk.Options{Servers: 3, Seed: o.Seed, MaxSessionTimeout: time.Minute, Before35: o.Defect})
 	if err != nil {
@@ -261,8 +262,8 @@
 	}
 	n := o.scaled(1000, 30)
 	var mu sync.Mutex
-	var told []time.Time
-	var all []*ours
+	var notifiedTimes []time.Time
+	var all []*sourceFollower
 	defer func() {
 		var each sync.WaitGroup
 		for _, f := range all {
@@ -273,7 +274,7 @@
 	for range n {
 		f, err := follow(ctx, e, false, func() {
 			mu.Lock()
-			told = append(told, time.Now())
+			notifiedTimes = append(notifiedTimes, time.Now())
 			mu.Unlock()
 		})
 		if err != nil {
@@ -292,25 +293,25 @@
 	e.Remove("/fleet/s-7")
 	for end := time.Now().Add(time.Minute); ; time.Sleep(time.Millisecond) {
 		mu.Lock()
-		done := len(told) == n
+		done := len(notifiedTimes) == n
 		mu.Unlock()
 		if done {
 			break
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
-			return fmt.Errorf("%d of %d watchers were told", len(told), n)
+			return fmt.Errorf("%d of %d watchers were notified", len(notifiedTimes), n)
 		}
 	}
-	var lag []time.Duration
-	for _, at := range told {
-		lag = append(lag, at.Sub(from))
+	var lags []time.Duration
+	for _, at := range notifiedTimes {
+		lags = append(lags, at.Sub(from))
 	}
-	slices.Sort(lag)
+	slices.Sort(lags)
 	r.add("watchers", float64(n), "")
-	r.add("told_p50", millis(percentile(lag, 0.5)), "ms")
-	r.add("told_max", millis(lag[n-1]), "ms")
-	if lag[n-1] > 250*time.Millisecond {
-		r.short("the last of %d watchers was told after %v", n, lag[n-1])
+	r.add("told_p50", millis(percentile(lags, 0.5)), "ms")
+	r.add("told_max", millis(lags[n-1]), "ms")
+	if lags[n-1] > 250*time.Millisecond {
+		r.fail("the last of %d watchers was notified after %v", n, lags[n-1])
 	}
 	return nil
 }
--- a/internal/lab/acceptance/fleetagent.go
+++ b/internal/lab/acceptance/fleetagent.go
@@ -18,21 +18,21 @@
 	"time"
 )
 
-// fleetAgent is one agent: a name and an address, and the process of now.
+// fleetAgent is one agent: its directory and address, and its current process.
 type fleetAgent struct {
 	f        *fleet
 	dir      string
 	addr     string
 	mu       sync.Mutex
 	cmd      *exec.Cmd
-	tmp      string       // where it is set, the folder that its processes share
-	lastKill atomic.Int64 // ns; when a process of it was last killed
-	signaled atomic.Int64 // ns; when one was last signaled to end
+	tempDir  string       // if set, the TMPDIR that its processes share; otherwise each has its own
+	lastKill atomic.Int64 // Unix time in ns when a process was last killed; MaxInt64 while one is being killed
+	signaled atomic.Int64 // Unix time in ns when a process was last signaled to end
 }
 
-// config is the agent's file as the platform writes it now.
+// config returns the agent's current configuration file.
 func (a *fleetAgent) config() []byte {
-	r := a.f.rosters[a.f.now.Load()]
+	r := a.f.discoveries[a.f.current.Load()]
 	text, err := json.Marshal(map[string]any{"name": filepath.Base(a.dir), "listen": a.addr, "discovery": r.Addr, "seed": "7",
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 512}, "known": r.List(), "settings": json.RawMessage(a.f.settings())})
 	if err != nil {
@@ -41,57 +41,58 @@
 	return text
 }
 
-func (a *fleetAgent) path() string { return filepath.Join(a.dir, "config.json") }
+func (a *fleetAgent) configPath() string { return filepath.Join(a.dir, "config.json") }
 
-// write writes the file in two parts, in place, and does something between them.
-func (a *fleetAgent) write(between func() error) error {
+// writeConfig writes the file in place in two parts and calls between after the first.
+func (a *fleetAgent) writeConfig(between func() error) error {
 	text := a.config()
-	if err := os.WriteFile(a.path(), text[:len(text)/2], 0o600); err != nil {
+	if err := os.WriteFile(a.configPath(), text[:len(text)/2], 0o600); err != nil {
 		return err
 	}
 	if err := between(); err != nil {
 		return err
 	}
-	if a.f.defect == unwritten {
+	if a.f.defect == halfWritten {
 		return nil
 	}
-	return os.WriteFile(a.path(), text, 0o600)
+	return os.WriteFile(a.configPath(), text, 0o600)
 }
 
-// start starts a process while its file is being written, and returns once it is ready.
+// start starts a process while its configuration is being written, and returns once it is ready.
 func (a *fleetAgent) start(ctx context.Context) error {
-	tmp := a.tmp
-	if tmp == "" {
+	tempDir := a.tempDir
+	if tempDir == "" {
 		var err error
-		if tmp, err = os.MkdirTemp(a.dir, "tmp"); err != nil {
+		if tempDir, err = os.MkdirTemp(a.dir, "tmp"); err != nil {
 			return err
 		}
 	}
-	return a.launch(ctx, tmp, "http://"+a.addr+"/-/ready")
+	return a.launch(ctx, tempDir, "http://"+a.addr+"/-/ready")
 }
 
-// startBeside starts the next process beside the one that serves, and returns once it serves too.
+// startBeside starts the successor of the process that serves, and returns once it serves, too.
 func (a *fleetAgent) startBeside(ctx context.Context) error {
 	addrs, err := freeAddrs(1)
 	if err != nil {
 		return err
 	}
-	return a.launch(ctx, a.tmp, "http://"+addrs[0]+"/admin/health", "PROXY_ADMIN_ADDR="+addrs[0])
+	return a.launch(ctx, a.tempDir, "http://"+addrs[0]+"/admin/health", "PROXY_ADMIN_ADDR="+addrs[0])
 }
 
-// launch starts a process while its file is being written, and returns once this address answers 200.
-func (a *fleetAgent) launch(ctx context.Context, tmp, ready string, env ...string) error {
+// launch starts a process while its configuration is being written, and returns once the URL ready answers
+// 200.
+func (a *fleetAgent) launch(ctx context.Context, tempDir, ready string, env ...string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	cmd := exec.Command(self)
-	cmd.Env = append(os.Environ(), childEnv+"=agent", "PROXY_CONFIG="+a.path(), "TMPDIR="+tmp, "GORACE=atexit_sleep_ms=0")
+	cmd.Env = append(os.Environ(), childEnv+"=agent", "PROXY_CONFIG="+a.configPath(), "TMPDIR="+tempDir, "GORACE=atexit_sleep_ms=0")
 	cmd.Env = append(cmd.Env, env...)
 	cmd.Stderr = new(strings.Builder)
 	from := time.Now()
-	if err := a.write(func() error {
-		defer time.Sleep(50 * time.Millisecond) // until it has looked at the half of it
+	if err := a.writeConfig(func() error {
+		defer time.Sleep(50 * time.Millisecond) // until the process has read the first half
 		return cmd.Start()
 	}); err != nil {
 		return err
@@ -108,7 +109,7 @@
 			}
 		}
 		if time.Since(from) > readyWithin {
-			a.f.fails("%s: not ready %v after its start", filepath.Base(a.dir), readyWithin)
+			a.f.fail("%s: not ready %v after its start", filepath.Base(a.dir), readyWithin)
 			return nil
 		}
 	}
@@ -119,10 +120,10 @@
 	return nil
 }
 
-// end ends the process with SIGTERM, or by force.
+// end ends the process with SIGTERM, or with SIGKILL if force is set.
 func (a *fleetAgent) end(force bool) {
 	if force {
-		a.lastKill.Store(math.MaxInt64) // until it is dead, what comes may die with it
+		a.lastKill.Store(math.MaxInt64) // requests that arrive until it is dead may be lost with it
 		a.cmd.Process.Kill()
 		a.cmd.Wait()
 		a.lastKill.Store(time.Now().UnixNano())
@@ -132,13 +133,13 @@
 		return
 	}
 	series := []signalAfter{{signal: syscall.SIGTERM}}
-	if a.f.defect == stuck {
+	if a.f.defect == stoppedProcess {
 		series = append(series, signalAfter{signal: syscall.SIGSTOP})
 	}
 	a.endBy(a.cmd, series)
 }
 
-// kill ends what is left of the agent.
+// kill kills the agent's process if it still runs.
 func (a *fleetAgent) kill() {
 	if a.cmd != nil && a.cmd.Process != nil && a.cmd.ProcessState == nil {
 		a.cmd.Process.Kill()
@@ -151,23 +152,25 @@
 	return text[strings.LastIndexByte(text, '\n')+1:]
 }
 
-// lowestPort and highestPort bound the ports of agents: below those from which the kernel takes the ports of outgoing
-// connections, one of which could have an agent's while that restarts.
+// lowestPort and highestPort bound the agents' ports. They are below the kernel's ephemeral ports, as an
+// outgoing connection could otherwise get the port of an agent while that restarts.
 const lowestPort, highestPort = 10_000, 32_000
 
-// nextPort is where the next agent's port is looked for: processes that run beside one another begin elsewhere.
+// nextPort is where the search for the next agent's port starts, which differs between processes of the lab
+// that run at the same time.
 var nextPort atomic.Uint32
 
 func init() { nextPort.Store(uint32(os.Getpid()) * 97) }
 
-// freeAddrs are n addresses that nobody listens on: processes started later do.
-// All are held until the last is chosen: agents share an address without a word, as two processes of one may.
+// freeAddrs returns n addresses that nobody listens on, for processes that are started later. All stay bound
+// until the last is chosen: two agents with the same address would share it without an error, as two
+// processes of one agent may.
 func freeAddrs(n int) (addrs []string, err error) {
-	const tries = highestPort - lowestPort
-	for try := 0; len(addrs) < n; try++ {
+	const maxAttempts = highestPort - lowestPort
+	for attempt := 0; len(addrs) < n; attempt++ {
 		port := lowestPort + nextPort.Add(1)%(highestPort-lowestPort)
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
-		if errors.Is(err, syscall.EADDRINUSE) && try < tries {
+		if errors.Is(err, syscall.EADDRINUSE) && attempt < maxAttempts {
 			continue
 		}
 		if err != nil {
--- a/internal/lab/acceptance/histories.go
+++ b/internal/lab/acceptance/histories.go
@@ -17,26 +17,26 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// Histories has clients publish and read at all keepers while one of them fails at a time, and has Porcupine judge
-// whether the book is one register.
+// Histories has clients publish and read at all replicas while one replica at a time fails, and checks with
+// Porcupine whether the configuration store is linearizable as one register.
 func Histories(ctx context.Context, o *Options) (*Report, error) {
 	r := &Report{Proof: "agreed-histories", Seed: o.Seed, Scale: o.Scale}
 	n, ops, unknown := o.scaled(200, 2), 0, 0
 	var mu sync.Mutex
-	lanes := make(chan struct{}, 4)
+	slots := make(chan struct{}, 4)
 	var wg sync.WaitGroup
 	for i := range n {
-		lanes <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-lanes }()
+			defer func() { <-slots }()
 			h, err := history(ctx, o, o.Seed*1000+uint64(i))
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				r.short("history %d: %v", i, err)
+				r.fail("history %d: %v", i, err)
 				return
 			}
-			if o.Defect { // one who is told a version that was never there
+			if o.Defect { // a client reads a version that was never published
 				first := slices.MinFunc(h, func(a, b porcupine.Operation) int { return int(a.Return - b.Return) })
 				h = append(h, porcupine.Operation{ClientId: 99, Input: registerOp{read: true}, Call: first.Call, Output: registerAnswer{number: 1000, id: "never"}, Return: first.Return})
 			}
@@ -47,7 +47,7 @@
 				}
 			}
 			if res := checkRegister(h); res != porcupine.Ok {
-				r.short("history %d (seed %d): %s", i, o.Seed*1000+uint64(i), res)
+				r.fail("history %d (seed %d): %s", i, o.Seed*1000+uint64(i), res)
 			}
 		})
 	}
@@ -58,42 +58,43 @@
 	return r, nil
 }
 
-// history is one: three keepers, three clients, and one fault after the other, lying disks among them.
+// history records one history: three replicas, three clients, and one fault after the other; the disk of one
+// replica lies: its syncs do nothing.
 func history(ctx context.Context, o *Options, seed uint64) ([]porcupine.Operation, error) {
-	c, end, err := keeperRig(ctx, 3, 300, "")
+	c, cleanup, err := startReplicas(ctx, 3, 300, "")
 	if err != nil {
 		return nil, err
 	}
-	defer end()
+	defer cleanup()
 	run, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
 	defer cancel()
-	begun := time.Now()
+	start := time.Now()
 	var mu sync.Mutex
 	var all []porcupine.Operation
 	var wg sync.WaitGroup
-	for proposer := range 3 {
-		rng := rand.New(rand.NewPCG(seed, uint64(proposer)))
+	for clientID := range 3 {
+		rng := rand.New(rand.NewPCG(seed, uint64(clientID)))
 		wg.Go(func() {
-			last := uint64(0)
+			lastSeen := uint64(0)
 			for n := 0; run.Err() == nil; n++ {
-				op := registerOp{read: rng.IntN(2) == 0, id: fmt.Sprintf("c%d-%d", proposer, n), parent: last}
+				op := registerOp{read: rng.IntN(2) == 0, id: fmt.Sprintf("c%d-%d", clientID, n), parent: lastSeen}
 				at := c.Replicas[rng.IntN(3)]
-				from := time.Since(begun)
-				try, stop := context.WithTimeout(ctx, 250*time.Millisecond)
+				called := time.Since(start)
+				callCtx, stop := context.WithTimeout(ctx, 250*time.Millisecond)
 				var out registerAnswer
 				if op.read {
 					v := &sharedconfig.Version{}
-					err := c.Call(try, at, client.PathVersion+"?n=0", nil, v)
+					err := c.Call(callCtx, at, client.PathVersion+"?n=0", nil, v)
 					out = registerAnswer{unknown: err != nil, number: v.Number, id: v.ID}
 				} else {
-					p, err := c.Publish(try, at, op.id, op.parent, &sharedconfig.Config{MaxAttempts: 1 + rng.IntN(3)})
-					var f *client.StatusError
+					p, err := c.Publish(callCtx, at, op.id, op.parent, &sharedconfig.Config{MaxAttempts: 1 + rng.IntN(3)})
+					var statusErr *client.StatusError
 					switch {
 					case err == nil:
 						out.number = p.Number
-					case errors.As(err, &f) && f.Status == http.StatusConflict:
+					case errors.As(err, &statusErr) && statusErr.Status == http.StatusConflict:
 						out.conflict = true
-					case errors.As(err, &f) && f.Status < 500: // too many wait: nothing was done
+					case errors.As(err, &statusErr) && statusErr.Status < 500: // rejected, as too many versions wait: no effect
 						stop()
 						continue
 					default:
@@ -102,53 +103,53 @@
 				}
 				stop()
 				if !out.unknown && (op.read || !out.conflict) {
-					last = out.number
+					lastSeen = out.number
 				}
-				to := time.Since(begun)
+				returned := time.Since(start)
 				if out.unknown && op.read {
 					continue
 				}
 				if out.unknown {
-					to = time.Duration(neverReturns)
+					returned = time.Duration(neverReturns)
 				}
 				mu.Lock()
-				all = append(all, porcupine.Operation{ClientId: proposer, Input: op, Call: int64(from), Output: out, Return: int64(to)})
+				all = append(all, porcupine.Operation{ClientId: clientID, Input: op, Call: int64(called), Output: out, Return: int64(returned)})
 				mu.Unlock()
 				if out.unknown {
-					proposer += 3 // a client has one operation open at a time; this one stays so
+					clientID += 3 // a client has one operation open at a time, and this one stays open
 				}
 				time.Sleep(time.Duration(rng.IntN(30)) * time.Millisecond)
 			}
 		})
 	}
 	rng := rand.New(rand.NewPCG(seed, 99))
-	liar := c.Replicas[rng.IntN(3)]
-	liar.SetDiskFault("lie")
+	lyingReplica := c.Replicas[rng.IntN(3)]
+	lyingReplica.SetDiskFault("lie")
 	for run.Err() == nil {
 		time.Sleep(time.Duration(50+rng.IntN(150)) * time.Millisecond)
-		k := c.Replicas[rng.IntN(3)]
+		replica := c.Replicas[rng.IntN(3)]
 		switch rng.IntN(4) {
 		case 0:
-			k.Freeze()
+			replica.Freeze()
 			time.Sleep(time.Duration(rng.IntN(600)) * time.Millisecond)
-			k.Thaw()
+			replica.Thaw()
 		case 1:
-			c.SetLinks(k.Name, c.Replicas, cluster.Stall, cluster.Pass)
+			c.SetLinks(replica.Name, c.Replicas, cluster.Stall, cluster.Pass)
 			time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
-			c.SetLinks(k.Name, c.Replicas, cluster.Pass, cluster.Pass)
+			c.SetLinks(replica.Name, c.Replicas, cluster.Pass, cluster.Pass)
 		case 2:
-			c.SetLinks(k.Name, c.Replicas, cluster.Pass, cluster.Drop)
+			c.SetLinks(replica.Name, c.Replicas, cluster.Pass, cluster.Drop)
 			time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
-			c.SetLinks(k.Name, c.Replicas, cluster.Pass, cluster.Pass)
+			c.SetLinks(replica.Name, c.Replicas, cluster.Pass, cluster.Pass)
 		case 3:
-			if k == liar { // the power goes for the one whose disk lied: it comes back with less
-				if err := k.PowerCut(nil); err != nil {
+			if replica == lyingReplica { // a power cut, after which it has lost data that its disk did not sync
+				if err := replica.PowerCut(nil); err != nil {
 					return nil, err
 				}
 			} else {
-				k.Kill()
+				replica.Kill()
 			}
-			if err := k.Start(); err != nil {
+			if err := replica.Start(); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/lab/acceptance/idleexit.go
+++ b/internal/lab/acceptance/idleexit.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// idleChild is the child that does nothing until its input ends, idleThreads how many threads it has then: about as
-	// many as an agent.
+	// idleChild is the role of a child that does nothing until its input ends. It has idleThreads threads,
+	// about as many as an agent.
 	idleChild   = "idle"
 	idleThreads = 8
-	// idleExitInterval is how long after the end of one idle process the next one is started, idleTime how long it lives.
+	// idleExitInterval is the pause between the end of one idle process and the start of the next, idleTime
+	// the time for which one runs.
 	idleExitInterval, idleTime = 100 * time.Millisecond, 50 * time.Millisecond
-	// maxIdleExits bounds how many ends are remembered, the newest.
+	// maxIdleExits is how many of the newest exits are kept.
 	maxIdleExits = 64
 )
 
-// beIdle is the child that does nothing: threads that sleep, and an end once its input has ended.
-func beIdle() error {
+// runIdleChild is an idle child: it starts threads that sleep, and returns once its input has ended.
+func runIdleChild() error {
 	for range idleThreads {
 		go func() {
 			runtime.LockOSThread()
@@ -33,24 +34,24 @@
 	return err
 }
 
-// idleExit is one end of an idle process: when its input ended, and when it was gone.
+// idleExit is the exit of an idle process: when its input ended, and when the process had ended.
 type idleExit struct {
-	from, gone time.Time // gone is zero until then
+	inputEnded, ended time.Time // ended is zero until then
 }
 
-// idleExits times how long processes that do nothing take to end: what the machine takes for any end, beside what the
-// program under test takes for its own.
+// idleExits measures how long processes that do nothing take to exit: the time that the machine needs for any
+// exit, apart from what the program under test needs for its own.
 type idleExits struct {
 	mu      sync.Mutex
 	recent  []idleExit
 	longest time.Duration
 }
 
-// watch ends one idle process after the other until ctx ends.
+// watch starts and ends one idle process after the other until ctx ends.
 func (x *idleExits) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := x.endOne(); err != nil {
-			return // processes of this binary are no children: nothing is timed
+			return // this binary does not run as a child: nothing is measured
 		}
 		select {
 		case <-time.After(idleExitInterval):
@@ -75,7 +76,7 @@
 	}
 	time.Sleep(idleTime)
 	x.mu.Lock()
-	x.recent = append(x.recent, idleExit{from: time.Now()})
+	x.recent = append(x.recent, idleExit{inputEnded: time.Now()})
 	if len(x.recent) > maxIdleExits {
 		x.recent = x.recent[1:]
 	}
@@ -85,29 +86,29 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	last := &x.recent[len(x.recent)-1]
-	last.gone = time.Now()
-	x.longest = max(x.longest, last.gone.Sub(last.from))
+	last.ended = time.Now()
+	x.longest = max(x.longest, last.ended.Sub(last.inputEnded))
 	return err
 }
 
-// longestSince is the longest end of an idle process that was not over at this time, as far as it had come by now; 0:
-// there was none.
+// longestSince returns the longest exit of an idle process that was not over at the given time, 0 if there
+// was none. An exit that is still under way counts with the time that it has taken so far.
 func (x *idleExits) longestSince(since time.Time) time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	longest := time.Duration(0)
 	for _, e := range x.recent {
 		switch {
-		case e.gone.IsZero():
-			longest = max(longest, time.Since(e.from))
-		case e.gone.After(since):
-			longest = max(longest, e.gone.Sub(e.from))
+		case e.ended.IsZero():
+			longest = max(longest, time.Since(e.inputEnded))
+		case e.ended.After(since):
+			longest = max(longest, e.ended.Sub(e.inputEnded))
 		}
 	}
 	return longest
 }
 
-// longestEver is the longest of all.
+// longestEver returns the longest exit of all.
 func (x *idleExits) longestEver() time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/lab/acceptance/keepers.go
+++ b/internal/lab/acceptance/keepers.go
@@ -16,26 +16,26 @@
 	"ringtrack.example/ringtrack/internal/sharedconfig"
 )
 
-// keeperRig starts n keepers and waits until one leads.
-func keeperRig(ctx context.Context, n int, leaseMs float64, defect string) (*cluster.Cluster, func(), error) {
-	return keeperRigOf(ctx, n, leaseMs, 0, defect)
+// startReplicas starts n replicas and waits until one leads. The returned function stops and removes them.
+func startReplicas(ctx context.Context, n int, leaseMs float64, defect string) (*cluster.Cluster, func(), error) {
+	return startReplicasWithTick(ctx, n, leaseMs, 0, defect)
 }
 
-// keeperRigOf is keeperRig of keepers with another tick than the default.
-func keeperRigOf(ctx context.Context, n int, leaseMs, tickMs float64, defect string) (*cluster.Cluster, func(), error) {
+// startReplicasWithTick is startReplicas with a tick length, where 0 is the default.
+func startReplicasWithTick(ctx context.Context, n int, leaseMs, tickMs float64, defect string) (*cluster.Cluster, func(), error) {
 	bin, err := cluster.Build(ctx)
 	if err != nil {
 		return nil, nil, err
 	}
-	dir, err := os.MkdirTemp("", "ringtrack-keepers")
+	dir, err := os.MkdirTemp("", "ringtrack-replicas")
 	if err != nil {
 		return nil, nil, err
 	}
 	c := cluster.New(dir, bin, leaseMs)
 	c.TickMs = tickMs
-	end := func() { c.Close(); os.RemoveAll(dir) }
+	cleanup := func() { c.Close(); os.RemoveAll(dir) }
 	if err := c.AddReplicas(n); err != nil {
-		end()
+		cleanup()
 		return nil, nil, err
 	}
 	for _, k := range c.Replicas {
@@ -43,29 +43,29 @@
 			k.Env = append(k.Env, "RINGTRACK_LAB_DEFECT="+defect)
 		}
 		if err := k.Start(); err != nil {
-			end()
+			cleanup()
 			return nil, nil, err
 		}
 	}
-	if err := cluster.Until(ctx, "a keeper leads", 20*time.Second, func() bool { p, _ := c.Leader(ctx); return p != nil }); err != nil {
-		end()
+	if err := cluster.Until(ctx, "a replica leads", 20*time.Second, func() bool { p, _ := c.Leader(ctx); return p != nil }); err != nil {
+		cleanup()
 		return nil, nil, err
 	}
-	return c, end, nil
+	return c, cleanup, nil
 }
 
-// ReplicaKills kills keepers under publishing: the log always opens, nothing acknowledged is lost, and the next publish is
-// taken soon.
+// ReplicaKills kills replicas during publishes: the log always opens, nothing acknowledged is lost, and the
+// next publish is accepted within 20 s.
 func ReplicaKills(ctx context.Context, o *Options) (*Report, error) {
 	defect := ""
 	if o.Defect {
 		defect = "no-sync"
 	}
-	c, end, err := keeperRig(ctx, 3, 300, defect)
+	c, cleanup, err := startReplicas(ctx, 3, 300, defect)
 	if err != nil {
 		return nil, err
 	}
-	defer end()
+	defer cleanup()
 	r := &Report{Proof: "keeper-kills", Seed: o.Seed, Scale: o.Scale}
 	rng := o.rng()
 	kills := o.scaled(1000, 6)
@@ -73,22 +73,22 @@
 	var parent uint64
 	digests := map[uint64]string{}
 	publish := func() error {
-		b := &sharedconfig.Config{Cordoned: []string{fmt.Sprintf("s-%d", parent)}}
+		cfg := &sharedconfig.Config{Cordoned: []string{fmt.Sprintf("s-%d", parent)}}
 		id := fmt.Sprintf("p-%d", parent)
-		return cluster.Until(ctx, "a publish is taken", 20*time.Second, func() bool {
+		return cluster.Until(ctx, "a publish is accepted", 20*time.Second, func() bool {
 			for _, i := range rng.Perm(len(c.Replicas)) {
-				try, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
-				out, err := c.Publish(try, c.Replicas[i], id, parent, b)
+				callCtx, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
+				out, err := c.Publish(callCtx, c.Replicas[i], id, parent, cfg)
 				cancel()
 				if err == nil {
 					if out.Number != parent+1 {
-						r.short("publish %d has number %d", parent+1, out.Number)
+						r.fail("publish %d has number %d", parent+1, out.Number)
 					}
 					parent, digests[out.Number] = out.Number, out.Digest
 					return true
 				}
-				if f := (*client.StatusError)(nil); errors.As(err, &f) && f.Status == http.StatusConflict {
-					r.short("publish behind %d: %v", parent, err)
+				if statusErr := (*client.StatusError)(nil); errors.As(err, &statusErr) && statusErr.Status == http.StatusConflict {
+					r.fail("publish with parent %d: %v", parent, err)
 					return true
 				}
 			}
@@ -97,23 +97,23 @@
 	}
 	for n := 0; n < kills && len(r.Failures) == 0; n++ {
 		if err := publish(); err != nil {
-			r.short("after %d kills: %v", n, err)
+			r.fail("after %d kills: %v", n, err)
 			break
 		}
-		// The one that leads, mostly; and now and then all of them, or the power for all.
+		// Mostly the leader; now and then all replicas at once, some by a power cut.
 		victims := []*cluster.Process{c.Replicas[rng.IntN(3)]}
-		if lead, _ := c.Leader(ctx); lead != nil && rng.IntN(2) == 0 {
-			victims[0] = lead
+		if leader, _ := c.Leader(ctx); leader != nil && rng.IntN(2) == 0 {
+			victims[0] = leader
 		}
 		if rng.IntN(20) == 0 {
 			victims = c.Replicas
 		}
-		// Under publishing: one is on its way as it dies.
-		var on sync.WaitGroup
-		on.Go(func() {
-			try, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
+		// A publish is in flight when the replicas are killed.
+		var inFlight sync.WaitGroup
+		inFlight.Go(func() {
+			callCtx, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 			defer cancel()
-			c.Publish(try, victims[0], fmt.Sprintf("p-%d", parent), parent, &sharedconfig.Config{Cordoned: []string{fmt.Sprintf("s-%d", parent)}})
+			c.Publish(callCtx, victims[0], fmt.Sprintf("p-%d", parent), parent, &sharedconfig.Config{Cordoned: []string{fmt.Sprintf("s-%d", parent)}})
 		})
 		time.Sleep(time.Duration(rng.IntN(3000)) * time.Microsecond)
 		for _, v := range victims {
@@ -126,7 +126,7 @@
 				return nil, err
 			}
 		}
-		on.Wait()
+		inFlight.Wait()
 		from := time.Now()
 		for _, v := range victims {
 			if err := v.Start(); err != nil {
@@ -134,34 +134,34 @@
 			}
 		}
 		if err := publish(); err != nil {
-			r.short("after %d kills: %v", n+1, err)
+			r.fail("after %d kills: %v", n+1, err)
 			break
 		}
 		took = append(took, time.Since(from))
 		for _, k := range c.Replicas {
 			if !k.Runs() {
-				r.short("%s does not run: %s", k.Name, lastLine(k.Log()))
+				r.fail("%s does not run: %s", k.Name, lastLine(k.Log()))
 			}
 		}
 		if n%100 == 99 {
 			o.logf("%d kills, %d versions", n+1, parent)
 		}
 	}
-	var h client.HistoryResponse
-	if err := cluster.Until(ctx, "the history is told", 20*time.Second, func() bool {
-		h = client.HistoryResponse{}
-		lead, _ := c.Leader(ctx)
-		return lead != nil && c.Call(ctx, lead, client.PathHistory, nil, &h) == nil
+	var history client.HistoryResponse
+	if err := cluster.Until(ctx, "the history is readable", 20*time.Second, func() bool {
+		history = client.HistoryResponse{}
+		leader, _ := c.Leader(ctx)
+		return leader != nil && c.Call(ctx, leader, client.PathHistory, nil, &history) == nil
 	}); err != nil {
-		r.short("%v", err)
+		r.fail("%v", err)
 	}
-	for _, v := range h.Versions {
+	for _, v := range history.Versions {
 		if want := digests[v.Number]; want != "" && want != v.Digest {
-			r.short("version %d was acknowledged as %s and is %s", v.Number, want, v.Digest)
+			r.fail("version %d was acknowledged as %s and is %s", v.Number, want, v.Digest)
 		}
 	}
-	if last := h.Dropped + uint64(len(h.Versions)); last < parent {
-		r.short("version %d was acknowledged, the last is %d", parent, last)
+	if last := history.Dropped + uint64(len(history.Versions)); last < parent {
+		r.fail("version %d was acknowledged, the last is %d", parent, last)
 	}
 	slices.Sort(took)
 	r.add("kills", float64(len(took)), "")
@@ -172,17 +172,17 @@
 	return r, nil
 }
 
-// idle is a holder that does nothing.
-type idle struct{ stage atomic.Uint64 }
+// idleHolder is a lease holder that only records the epoch that it has adopted.
+type idleHolder struct{ epoch atomic.Uint64 }
 
-func (i *idle) Adopt(_ context.Context, stage uint64, _ *sharedconfig.Config, _, _ time.Time) error {
-	i.stage.Store(stage)
+func (i *idleHolder) Adopt(_ context.Context, epoch uint64, _ *sharedconfig.Config, _, _ time.Time) error {
+	i.epoch.Store(epoch)
 	return nil
 }
-func (*idle) Renew(context.Context, time.Time, time.Time) {}
+func (*idleHolder) Renew(context.Context, time.Time, time.Time) {}
 
-// AgreedSize measures, with many holders, how long a publish takes until it is in force and what the keepers use; and
-// what comes at the others where the keeper dies that all asked.
+// AgreedSize measures, with many lease holders, how long a publish takes until it is in force, the CPU time
+// of the replicas, and the burst of requests at the others when the leader dies, which all holders polled.
 func AgreedSize(ctx context.Context, o *Options) (*Report, error) {
 	r := &Report{Proof: "agreed-size", Seed: o.Seed, Scale: o.Scale}
 	for _, n := range []int{o.scaled(10, 2), o.scaled(300, 10), o.scaled(3000, 20)} {
@@ -194,36 +194,36 @@
 }
 
 func agreedSize(ctx context.Context, o *Options, r *Report, n int) error {
-	c, end, err := keeperRig(ctx, 3, 2000, "")
+	c, cleanup, err := startReplicas(ctx, 3, 2000, "")
 	if err != nil {
 		return err
 	}
-	defer end()
-	holders, cancel := context.WithCancel(ctx)
+	defer cleanup()
+	holdersCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg sync.WaitGroup
 	defer func() { cancel(); wg.Wait() }()
-	var all []*client.Renewer
-	acts := make([]*idle, n)
+	var renewers []*client.Renewer
+	holders := make([]*idleHolder, n)
 	cfg := &client.Config{CallMs: 400, WaitMs: 500}
 	for _, k := range c.Replicas {
 		cfg.Replicas = append(cfg.Replicas, k.Addr)
 	}
 	for i := range n {
-		acts[i] = &idle{}
-		l := client.New(cfg, fmt.Sprintf("h%d", i), acts[i])
-		all = append(all, l)
-		wg.Go(func() { l.Run(holders) })
+		holders[i] = &idleHolder{}
+		renewer := client.New(cfg, fmt.Sprintf("h%d", i), holders[i])
+		renewers = append(renewers, renewer)
+		wg.Go(func() { renewer.Run(holdersCtx) })
 	}
-	asks := func() (sum int64) {
-		for _, l := range all {
-			sum += l.Stats().Renewals.Load()
+	renewals := func() (sum int64) {
+		for _, renewer := range renewers {
+			sum += renewer.Stats().Renewals.Load()
 		}
 		return sum
 	}
-	if err := cluster.Until(ctx, "all hold", 30*time.Second, func() bool {
-		for _, l := range all {
-			if l.Remaining() == 0 {
+	if err := cluster.Until(ctx, "all hold a lease", 30*time.Second, func() bool {
+		for _, renewer := range renewers {
+			if renewer.Remaining() == 0 {
 				return false
 			}
 		}
@@ -237,27 +237,27 @@
 		}
 		return s
 	}
-	from, before, used := time.Now(), asks(), cpu()
+	from, before, cpuBefore := time.Now(), renewals(), cpu()
 	time.Sleep(time.Duration(o.scaled(5000, 500)) * time.Millisecond)
 	span := time.Since(from).Seconds()
 	name := fmt.Sprintf("%d holders: ", n)
-	r.add(name+"asks", float64(asks()-before)/span, " a s")
-	r.add("CPU of 3 keepers", 100*(cpu()-used)/span, " % of a core")
+	r.add(name+"asks", float64(renewals()-before)/span, " a s")
+	r.add("CPU of 3 keepers", 100*(cpu()-cpuBefore)/span, " % of a core")
 	var took []time.Duration
 	for v := range uint64(o.scaled(40, 3)) {
 		from := time.Now()
 		if _, err := c.Publish(ctx, c.Replicas[0], fmt.Sprintf("v%d", v), v, &sharedconfig.Config{Cordoned: []string{fmt.Sprint("s", v)}}); err != nil {
 			return err
 		}
-		if err := cluster.Until(ctx, "all have it", 20*time.Second, func() bool {
-			for _, a := range acts {
-				if a.stage.Load() < sharedconfig.EpochOf(v+1) {
+		if err := cluster.Until(ctx, "all have adopted it", 20*time.Second, func() bool {
+			for _, a := range holders {
+				if a.epoch.Load() < sharedconfig.EpochOf(v+1) {
 					return false
 				}
 			}
 			return true
 		}); err != nil {
-			r.short("%d holders: %v", n, err)
+			r.fail("%d holders: %v", n, err)
 			return nil
 		}
 		took = append(took, time.Since(from))
@@ -266,23 +266,23 @@
 	r.add("in force p50", millis(percentile(took, 0.5)), " ms")
 	r.add("p99", millis(percentile(took, 0.99)), " ms")
 	if n >= 300 && o.Scale >= 1 && !o.Defect && percentile(took, 0.99) > 2*time.Second {
-		r.short("%d holders: in force after %v at p99", n, percentile(took, 0.99))
+		r.fail("%d holders: in force after %v at p99", n, percentile(took, 0.99))
 	}
-	// The leader dies: the others get all of its holders, spread over their pauses.
-	lead, _ := c.Leader(ctx)
-	if lead == nil {
-		return errors.New("no keeper leads")
+	// The leader dies: all of its holders turn to the others, spread over their retry delays.
+	leader, _ := c.Leader(ctx)
+	if leader == nil {
+		return errors.New("no replica leads")
 	}
-	lead.Kill()
+	leader.Kill()
 	peak := int64(0)
-	for last, at := asks(), time.Now(); time.Since(at) < 2*time.Second; {
+	for last, at := renewals(), time.Now(); time.Since(at) < 2*time.Second; {
 		time.Sleep(100 * time.Millisecond)
-		now := asks()
+		now := renewals()
 		peak, last = max(peak, now-last), now
 	}
 	r.add("asks in the busiest 100 ms behind the leader's end", float64(peak), "")
-	if most := int64(3*n + 20); peak > most || o.Defect {
-		r.short("%d holders: %d asks in 100 ms, %d at the most", n, peak, most)
+	if bound := int64(3*n + 20); peak > bound || o.Defect {
+		r.fail("%d holders: %d requests in 100 ms, %d allowed", n, peak, bound)
 	}
 	return nil
 }
--- a/internal/lab/acceptance/latency.go
+++ b/internal/lab/acceptance/latency.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// latencyRate is the calls a second on a stream, latencyClients the connections that share them.
+	// latencyRate is the calls per second on a stream, latencyClients the number of connections that share
+	// them.
 	latencyRate, latencyClients = 500, 8
-	// latencyTurn is the calls on a stream in a turn.
-	latencyTurn = latencyRate / 50
-	// latencyAgain is how many times as many turns are taken at most where the machine disturbs them.
-	latencyAgain = 6
+	// latencyRoundCalls is the number of calls on a stream in a round.
+	latencyRoundCalls = latencyRate / 50
+	// latencyMaxRepeats bounds the rounds, as a multiple of those wanted, where the machine disturbs them.
+	latencyMaxRepeats = 6
 )
 
 var errNotServed = errors.New("a call was not served")
 
-// stream is one way on which calls are sent: to a server, or to the agent before it.
+// stream sends calls of one protocol to one address: that of a server, or that of the agent in front of it.
 type stream struct {
 	w       *world.World
 	addr    string
@@ -31,11 +32,11 @@
 }
 
 // Latency measures what the agent adds to a call at 500 calls a second, over HTTP and over framed binary
-// Thrift: what it takes through the agent less what it takes straight to a server. The two protocols are called
-// at the same time, a call of one between two of the other, so that what else the machine does falls on both
-// alike; the two ways take turns of 20 ms. Turns that the machine disturbs are taken again, as far as latencyAgain
-// goes, and the calmest are judged. The seeded defects are a Thrift server that behind the agent takes a
-// millisecond (odd seeds), or 5 ms for one call in fifty (even seeds).
+// Thrift: the time through the agent less the time directly to a server. The two protocols are called at the
+// same time, a call of one between two of the other, so that other load on the machine affects both alike;
+// the two paths alternate in rounds of 20 ms. Rounds that the machine disturbs are repeated, within
+// latencyMaxRepeats, and the least disturbed are judged. The seeded defects are a Thrift server that behind
+// the agent takes a millisecond (odd seeds), or 5 ms for one call in fifty (even seeds).
 func Latency(ctx context.Context, o *Options) (*Report, error) {
 	r := &Report{Proof: "latency", Seed: o.Seed, Scale: o.Scale}
 	opts, err := labOptions(o, 3)
@@ -46,20 +47,20 @@
 	defer queue.close()
 	var direct, through []*stream // by protocol
 	for i, p := range []world.Protocol{world.HTTP, world.Protocols()[1]} {
-		for _, behind := range []bool{false, true} {
+		for _, throughAgent := range []bool{false, true} {
 			w, err := world.New(p, opts)
 			if err != nil {
 				return nil, err
 			}
 			defer w.Close()
 			s := &stream{w: w, addr: w.Servers[0].Entry.Addr, queue: queue}
-			if behind {
+			if throughAgent {
 				s.addr = w.Addr
 				through = append(through, s)
 			} else {
 				direct = append(direct, s)
 			}
-			if o.Defect && behind && i == 1 {
+			if o.Defect && throughAgent && i == 1 {
 				for _, server := range w.Servers {
 					if o.Seed%2 == 1 {
 						server.SetWork(time.Millisecond)
@@ -78,49 +79,49 @@
 			}
 		}
 	}
-	ways := []*way{{streams: direct}, {streams: through}}
-	for _, w := range ways {
-		if _, err := w.turn(ctx, queue, 100); err != nil { // warms connections and the module's learning up
+	paths := []*path{{streams: direct}, {streams: through}}
+	for _, p := range paths {
+		if _, err := p.runRound(ctx, queue, 100); err != nil { // warms up the connections and what the policy module learns
 			return nil, err
 		}
 	}
-	need := o.scaled(500, 50)
-	for i := 0; i < need*latencyAgain && (calm(ways[0].turns) < need || calm(ways[1].turns) < need); i++ {
-		for _, w := range ways {
-			t, err := w.turn(ctx, queue, latencyTurn)
+	wanted := o.scaled(500, 50)
+	for i := 0; i < wanted*latencyMaxRepeats && (countCalm(paths[0].rounds) < wanted || countCalm(paths[1].rounds) < wanted); i++ {
+		for _, p := range paths {
+			t, err := p.runRound(ctx, queue, latencyRoundCalls)
 			if err != nil {
 				return nil, err
 			}
-			w.turns = append(w.turns, t)
-			w.odd = !w.odd
+			p.rounds = append(p.rounds, t)
+			p.thriftFirst = !p.thriftFirst
 		}
 	}
-	o.logf("%d calls each way", need*latencyTurn)
-	judge(r, ways[0].turns, ways[1].turns, need)
+	o.logf("%d calls judged on each path", wanted*latencyRoundCalls)
+	judge(r, paths[0].rounds, paths[1].rounds, wanted)
 	return r, nil
 }
 
-// way is one of the two: straight to a server, or through the agent.
-type way struct {
-	streams []*stream // by protocol
-	odd     bool      // Thrift's call comes first
-	turns   []timedTurn
+// path is the streams of both protocols on one path: directly to a server, or through the agent.
+type path struct {
+	streams     []*stream // by protocol
+	thriftFirst bool      // in the next round, Thrift's first call precedes HTTP's
+	rounds      []timedRound
 }
 
-// turn sends n calls on each stream, one stream's between the other's.
-func (w *way) turn(ctx context.Context, queue *runQueue, n int) (t timedTurn, err error) {
-	stole, waited, began := stolen(), queue.waited(), time.Now()
-	errs := make([]error, len(w.streams))
+// runRound sends n calls on each stream, those of one stream between those of the other.
+func (p *path) runRound(ctx context.Context, queue *runQueue, n int) (t timedRound, err error) {
+	stolenBefore, waited, began := stealTime(), queue.waited(), time.Now()
+	errs := make([]error, len(p.streams))
 	var all sync.WaitGroup
-	for i, s := range w.streams {
+	for i, s := range p.streams {
 		first := began
-		if w.odd != (i == 1) {
+		if p.thriftFirst != (i == 1) {
 			first = first.Add(time.Second / latencyRate / 2)
 		}
 		all.Go(func() { t.calls[i], errs[i] = s.send(ctx, first, n) })
 	}
 	all.Wait()
-	t.took, t.waited, t.stolen = time.Since(began), queue.waited()-waited, stolen()-stole
+	t.took, t.waited, t.stolen = time.Since(began), queue.waited()-waited, stealTime()-stolenBefore
 	return t, errors.Join(errs...)
 }
 
--- a/internal/lab/acceptance/light.go
+++ b/internal/lab/acceptance/light.go
@@ -14,7 +14,7 @@
 	"google.golang.org/grpc/backoff"
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/encoding"
-	_ "google.golang.org/grpc/encoding/proto" // the codec that requests are left to
+	_ "google.golang.org/grpc/encoding/proto" // the codec that encodes requests
 	"google.golang.org/grpc/mem"
 	"google.golang.org/protobuf/encoding/protowire"
 )
@@ -22,48 +22,48 @@
 const (
 	edsType  = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 	ledsType = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"
-	fullADS  = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
+	sotwADS  = "/envoy.service.discovery.v3.AggregatedDiscoveryService/StreamAggregatedResources"
 	deltaADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources"
 )
 
-// light is a proxy of a crowd: it reads no more of a response than its type and nonce, and
-// acknowledges it, so that a thousand of them leave the cores to the service. The same one is used
-// for ours and for the peer.
-type light struct {
-	conn   *grpc.ClientConn
-	cancel context.CancelFunc
-	done   chan struct{}
-	stall  atomic.Bool
-	shut   chan struct{} // closed when a stalled one may go on
-	bytes  atomic.Int64
-	acks   atomic.Int64
-	lastAt atomic.Int64 // UnixNano of the first ack since mark
-	marked atomic.Bool
-	lame   atomic.Bool // comes back with nothing that would be let in
-	ends   atomic.Int64
-	turn   *sync.Mutex // the seeded defect of the proof of stalls: all take turns by one lock
+// lightProxy is an xDS client of a crowd. It decodes only the type, version and nonce of a response and
+// acknowledges it, so that a thousand of them leave the cores to the service. The control service and
+// go-control-plane's are measured with the same client.
+type lightProxy struct {
+	conn       *grpc.ClientConn
+	cancel     context.CancelFunc
+	done       chan struct{}
+	stall      atomic.Bool
+	resume     chan struct{} // closed when a stalled proxy may resume
+	bytes      atomic.Int64
+	acks       atomic.Int64
+	ackAt      atomic.Int64 // UnixNano of the first ack after mark; 0: none yet
+	marked     atomic.Bool
+	unnamed    atomic.Bool // reconnects without a node id, which the service rejects
+	streamEnds atomic.Int64
+	sharedLock *sync.Mutex // the seeded defect of the stall proof: all proxies share one lock
 }
 
-type kind int
+type variant int
 
 const (
-	sotw kind = iota
+	sotw variant = iota
 	delta
 	leds
 )
 
-func (k kind) String() string { return [...]string{"sotw", "delta", "leds"}[k] }
+func (k variant) String() string { return [...]string{"sotw", "delta", "leds"}[k] }
 
-// bare is what a light proxy reads of a response.
-type bare struct {
+// responseHeader is the part of a response that a lightProxy decodes.
+type responseHeader struct {
 	typeURL, version, nonce string
 	size                    int
 }
 
-type bareCodec struct{ encoding.CodecV2 }
+type headerCodec struct{ encoding.CodecV2 }
 
-func (c bareCodec) Unmarshal(data mem.BufferSlice, v any) error {
-	b, ok := v.(*bare)
+func (c headerCodec) Unmarshal(data mem.BufferSlice, v any) error {
+	b, ok := v.(*responseHeader)
 	if !ok {
 		return c.CodecV2.Unmarshal(data, v)
 	}
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// collections are the names of the collections of servers, as the operators' page gives them.
+// collections returns the names of the LEDS collections of a service, as the operators' page gives them.
 func collections(service string) []string {
 	var out []string
 	for _, z := range zones {
@@ -109,21 +109,21 @@
 	return out
 }
 
-func dialLight(ctx context.Context, target string, k kind, i int, turn *sync.Mutex) (*light, error) {
+func dialLightProxy(ctx context.Context, target string, k variant, i int, sharedLock *sync.Mutex) (*lightProxy, error) {
 	conn, err := grpc.NewClient(target, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithReadBufferSize(8<<10), grpc.WithWriteBufferSize(1<<10),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: 5 * time.Second,
 			Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.5, MaxDelay: time.Second}}),
-		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(bareCodec{encoding.GetCodecV2("proto")}), grpc.MaxCallRecvMsgSize(64<<20)))
+		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(headerCodec{encoding.GetCodecV2("proto")}), grpc.MaxCallRecvMsgSize(64<<20)))
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	l := &light{turn: turn, conn: conn, cancel: cancel, done: make(chan struct{}), shut: make(chan struct{})}
+	l := &lightProxy{sharedLock: sharedLock, conn: conn, cancel: cancel, done: make(chan struct{}), resume: make(chan struct{})}
 	go func() {
 		defer close(l.done)
 		for ctx.Err() == nil {
 			l.follow(ctx, k, i)
-			l.ends.Add(1)
+			l.streamEnds.Add(1)
 			select {
 			case <-ctx.Done():
 			case <-time.After(20*time.Millisecond + rand.N(30*time.Millisecond)):
@@ -133,22 +133,22 @@
 	return l, nil
 }
 
-func (l *light) close() {
+func (l *lightProxy) close() {
 	l.cancel()
 	l.conn.Close()
 	<-l.done
 }
 
-func (l *light) follow(ctx context.Context, k kind, i int) error {
+func (l *lightProxy) follow(ctx context.Context, k variant, i int) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	node := &corev3.Node{Id: fmt.Sprintf("p-%04d", i), Cluster: "lab", Locality: &corev3.Locality{Zone: zones[i%3]}}
 	method := deltaADS
 	if k == sotw {
-		method = fullADS
+		method = sotwADS
 	}
-	if l.lame.Load() {
-		node.Id = "" // the seeded defect of the proof of storms
+	if l.unnamed.Load() {
+		node.Id = "" // the seeded defect of the storm proof
 	}
 	if k == leds {
 		node.ClientFeatures = []string{"ringtrack.leds"}
@@ -169,27 +169,27 @@
 		return err
 	}
 	for {
-		for l.turn != nil && l.stall.Load() { // hangs with the lock in its hands
-			l.turn.Lock()
+		for l.sharedLock != nil && l.stall.Load() { // stalls while it holds the lock
+			l.sharedLock.Lock()
 			time.Sleep(100 * time.Millisecond)
-			l.turn.Unlock()
+			l.sharedLock.Unlock()
 		}
 		if l.stall.Load() {
 			select {
-			case <-l.shut:
+			case <-l.resume:
 			case <-ctx.Done():
 				return ctx.Err()
 			case <-s.Context().Done():
 				return s.Context().Err()
 			}
 		}
-		var b bare
+		var b responseHeader
 		if err := s.RecvMsg(&b); err != nil {
 			return err
 		}
-		if l.turn != nil {
-			l.turn.Lock()
-			l.turn.Unlock() //lint:ignore SA2001 it only waits for its turn
+		if l.sharedLock != nil {
+			l.sharedLock.Lock()
+			l.sharedLock.Unlock() //lint:ignore SA2001 it only waits for the lock
 		}
 		l.bytes.Add(int64(b.size))
 		if k == sotw {
@@ -201,19 +201,19 @@
 			return err
 		}
 		if l.marked.CompareAndSwap(true, false) {
-			l.lastAt.Store(time.Now().UnixNano())
+			l.ackAt.Store(time.Now().UnixNano())
 		}
 		l.acks.Add(1)
 	}
 }
 
-// crowd is many light proxies.
-type crowd struct{ all []*light }
+// crowd is a group of light proxies.
+type crowd struct{ all []*lightProxy }
 
-func newCrowd(ctx context.Context, target string, k kind, n int, turn *sync.Mutex) (*crowd, error) {
+func newCrowd(ctx context.Context, target string, k variant, n int, sharedLock *sync.Mutex) (*crowd, error) {
 	c := &crowd{}
 	for i := range n {
-		l, err := dialLight(ctx, target, k, i, turn)
+		l, err := dialLightProxy(ctx, target, k, i, sharedLock)
 		if err != nil {
 			c.close()
 			return nil, err
@@ -222,9 +222,9 @@
 	}
 	first := int64(1)
 	if k == leds {
-		first = 4 // servers' set and a collection a zone
+		first = 4 // the cluster's assignment and a collection per zone
 	}
-	if err := c.wait(ctx, 60*time.Second, func(l *light) bool { return l.acks.Load() >= first }); err != nil {
+	if err := c.wait(ctx, 60*time.Second, func(l *lightProxy) bool { return l.acks.Load() >= first }); err != nil {
 		c.close()
 		return nil, fmt.Errorf("%d %s proxies: %w", n, k, err)
 	}
@@ -239,7 +239,7 @@
 	wg.Wait()
 }
 
-func (c *crowd) wait(ctx context.Context, within time.Duration, want func(*light) bool) error {
+func (c *crowd) wait(ctx context.Context, within time.Duration, want func(*lightProxy) bool) error {
 	end := time.Now().Add(within)
 	for {
 		missing := 0
@@ -252,7 +252,7 @@
 		case missing == 0:
 			return nil
 		case time.Now().After(end):
-			return fmt.Errorf("%d of %d did not get there in %v", missing, len(c.all), within)
+			return fmt.Errorf("%d of %d proxies did not catch up within %v", missing, len(c.all), within)
 		case ctx.Err() != nil:
 			return ctx.Err()
 		}
@@ -260,29 +260,29 @@
 	}
 }
 
-// mark makes each proxy note the time of its next ack.
+// mark makes each proxy record the time of its next ack.
 func (c *crowd) mark() {
 	for _, l := range c.all {
-		l.lastAt.Store(0)
+		l.ackAt.Store(0)
 		l.marked.Store(true)
 	}
 }
 
-// lags are told → ack of all that do not stall.
-func (c *crowd) lags(ctx context.Context, told time.Time) ([]time.Duration, error) {
-	if err := c.wait(ctx, 30*time.Second, func(l *light) bool { return l.lastAt.Load() != 0 }); err != nil {
+// lags waits for the next ack of all proxies that do not stall and returns their delays after notifiedAt.
+func (c *crowd) lags(ctx context.Context, notifiedAt time.Time) ([]time.Duration, error) {
+	if err := c.wait(ctx, 30*time.Second, func(l *lightProxy) bool { return l.ackAt.Load() != 0 }); err != nil {
 		return nil, err
 	}
 	var out []time.Duration
 	for _, l := range c.all {
 		if !l.stall.Load() {
-			out = append(out, time.Unix(0, l.lastAt.Load()).Sub(told))
+			out = append(out, time.Unix(0, l.ackAt.Load()).Sub(notifiedAt))
 		}
 	}
 	return out, nil
 }
 
-// acks is how many responses were acknowledged.
+// acks returns how many responses were acknowledged.
 func (c *crowd) acks() int64 {
 	sum := int64(0)
 	for _, l := range c.all {
--- a/internal/lab/acceptance/processstate.go
+++ b/internal/lab/acceptance/processstate.go
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-// maxStackCalls bounds how many calls of a thread's kernel stack are described.
+// maxStackCalls is how many calls of a thread's kernel stack are described at most.
 const maxStackCalls = 12
 
-// describeProcess describes what each thread of a process does as the kernel sees it: its state (R, S, D, Z), the calls
-// in the kernel that it waits in, where these may be read, and its run-queue wait. It says why a process does not end
-// that no longer answers a signal.
+// describeProcess describes each thread of a process as the kernel sees it: its state (R, S, D, Z), its
+// kernel stack where that may be read, and its run-queue wait. It helps to find out why a process that no
+// longer reacts to signals does not end.
 func describeProcess(pid int) string {
 	var out strings.Builder
 	process := fmt.Sprintf("/proc/%d", pid)
@@ -27,7 +27,8 @@
 	return out.String()
 }
 
-// hasEnded reports whether no thread of a child is left: it is gone, or waits to be noticed by this process only.
+// hasEnded reports whether no thread of a child runs any more: it is gone, or a zombie that has not been
+// waited for.
 func hasEnded(pid int) bool {
 	process := fmt.Sprintf("/proc/%d", pid)
 	threads, _ := filepath.Glob(process + "/task/*")
@@ -45,7 +46,8 @@
 	return strings.TrimSpace(state)
 }
 
-// kernelCalls returns the calls on a thread's kernel stack, the innermost first; only root may read them.
+// kernelCalls returns the calls on a thread's kernel stack, innermost first. Only root may read them; for
+// others it returns the kernel function that the thread waits in (wchan).
 func kernelCalls(thread string) string {
 	text, err := os.ReadFile(thread + "/stack")
 	if err != nil {
--- a/internal/lab/acceptance/processstate_test.go
+++ b/internal/lab/acceptance/processstate_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A process has ended once it waits for its parent only, whether or not the parent has noticed; a stopped one has not.
-func TestHasEndedAsksTheKernel(t *testing.T) {
+// A process has ended once it is a zombie, before its parent waits for it; a stopped process has not ended.
+func TestHasEnded(t *testing.T) {
 	cmd := exec.Command("cat")
 	input, err := cmd.StdinPipe()
 	if err != nil {
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	if hasEnded(cmd.Process.Pid) {
-		t.Error("a process that waits for its input has ended")
+		t.Error("a process that waits for its input counts as ended")
 	}
 	if err := cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 		}
 	}
 	if hasEnded(cmd.Process.Pid) {
-		t.Error("a stopped process has ended")
+		t.Error("a stopped process counts as ended")
 	}
 	if text := describeProcess(cmd.Process.Pid); !strings.Contains(text, "T (stopped)") {
 		t.Errorf("described as %s", text)
@@ -49,6 +49,6 @@
 		t.Error(err)
 	}
 	if !hasEnded(cmd.Process.Pid) {
-		t.Error("a process that is gone has not ended")
+		t.Error("a process that is gone does not count as ended")
 	}
 }
--- a/internal/lab/acceptance/prove_test.go
+++ b/internal/lab/acceptance/prove_test.go
@@ -16,7 +16,7 @@
 	os.Exit(code)
 }
 
-// Each proof in its smallest form holds, and finds the defect that is seeded in the lab.
+// Each proof passes at a small scale, and fails with its seeded defect.
 func TestProofs(t *testing.T) {
 	for _, p := range All {
 		for _, defect := range []bool{false, true} {
@@ -26,11 +26,11 @@
 			}
 			t.Run(name, func(t *testing.T) {
 				if strings.HasPrefix(p.Name, "agreed") || strings.HasPrefix(p.Name, "keeper") || p.Name == "soak" {
-					t.Parallel() // processes of their own that mostly wait
+					t.Parallel() // mostly waits for processes of its own
 				}
 				scale := map[string]float64{"agreed": 0.05, "agreed-model": 0.001, "agreed-histories": 0.01, "agreed-size": 0.01, "keeper-kills": 0.004, "keeper-slow-disk": 0.01, "cold": 0.35, "crowd": 0.03, "drains": 0.03, "flat": 0.05, "latency": 0.1, "ephemeral": 0.03, "ephemeral-control": 0.03, "ephemeral-flap": 0.02, "ephemeral-faults": 0.04, "ephemeral-size": 0.03, "soak": 0.1, "stall": 0.05, "storm": 0.05, "thrift-kill": 0.05, "whole-fleet": 0.1}[p.Name]
 				if scale == 0 {
-					t.Fatal("this proof has no smallest form here")
+					t.Fatal("the test has no scale for this proof")
 				}
 				r, err := p.Run(t.Context(), &Options{Seed: 1, Scale: scale, Defect: defect})
 				if err != nil {
@@ -45,12 +45,12 @@
 	}
 }
 
-// Soaks of a few seeds: each draws other deadlines, signals and crowds, and some have a next process beside the one that
-// ends. `ringtrack-lab prove soak --seed N` plays one at full length.
+// Each seed draws other deadlines, signals and crowds, and some have a successor beside the process that
+// ends. `ringtrack-lab prove soak --seed N` runs one at full length.
 func TestSoak(t *testing.T) {
-	const lanes = 3 // more at once would play the machine's load, and not the agent's end
-	busy := make(chan struct{}, lanes)
-	for _, seed := range []uint64{2, 3, 4, 5, 7, 8, 9, 10} { // all crowds, deadlines of 0.3 to 3 s, half with a next process
+	const parallel = 3 // with more at once the machine's load would decide, and not the agent's shutdown
+	busy := make(chan struct{}, parallel)
+	for _, seed := range []uint64{2, 3, 4, 5, 7, 8, 9, 10} { // all crowds, deadlines of 0.3 to 3 s, half with a successor
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
 			busy <- struct{}{}
@@ -60,15 +60,15 @@
 				t.Fatal(err)
 			}
 			if t.Log(r.Line()); len(r.Failures) > 0 {
-				t.Error("it falls short")
+				t.Error("the proof failed")
 			}
 		})
 	}
 }
 
-// Each of the defects that the lab can seed in the whole fleet is found.
+// WholeFleet detects each of its seeded defects.
 func TestWholeFleetDefects(t *testing.T) {
-	for seed := range uint64(defects - 1) {
+	for seed := range uint64(defectCount - 1) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
 			r, err := WholeFleet(t.Context(), &Options{Seed: seed, Scale: 0.1, Defect: true})
@@ -76,7 +76,7 @@
 				t.Fatal(err)
 			}
 			if t.Log(r.Line()); len(r.Failures) == 0 {
-				t.Error("it is not found")
+				t.Error("the defect was not detected")
 			}
 		})
 	}
--- a/internal/lab/acceptance/register.go
+++ b/internal/lab/acceptance/register.go
@@ -8,20 +8,22 @@
 )
 
 const (
-	// checkTimeout bounds the search for an order of a history's operations.
+	// checkTimeout bounds the search for a linearization of a history.
 	checkTimeout = 20 * time.Second
-	// neverReturns is the return of an operation without an answer: it may still take effect.
+	// neverReturns is the return time of an operation without an answer, which may still take effect.
 	neverReturns = int64(time.Hour)
 )
 
-// registerOp is what a client of the configuration store did: a publish behind a parent, or a read of the last version.
+// registerOp is an operation on the configuration store: a publish with a parent, or a read of the last
+// version.
 type registerOp struct {
 	read   bool
-	id     string // of a publish, no other has it
+	id     string // of a publish, unique
 	parent uint64
 }
 
-// registerAnswer is what it was told. unknown: nothing; it may have taken effect, at any time or never.
+// registerAnswer is the answer to an operation. unknown means that there was none: the operation may have
+// taken effect at any time, or never.
 type registerAnswer struct {
 	unknown  bool
 	conflict bool
@@ -29,13 +31,13 @@
 	id       string // of the last version, for a read
 }
 
-// registerState is the register: the last version.
+// registerState is the state of the register: the last version.
 type registerState struct {
 	number uint64
 	id     string
 }
 
-// registerModel is the configuration store as one register that is changed by compare-and-set.
+// registerModel models the configuration store as one register with compare-and-set.
 var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{registerState{}} },
 	Step: func(state, input, output any) []any {
@@ -60,22 +62,23 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// checkRegister checks whether a history is that of one register.
+// checkRegister checks whether a history is linearizable as one register.
 func checkRegister(history []porcupine.Operation) porcupine.CheckResult {
 	return porcupine.CheckOperationsTimeout(registerModel.ToModel(), reduceHistory(history), checkTimeout)
 }
 
-// reduceHistory returns a history with the same verdict and fewer operations that may take effect at any time: the search
-// for an order grows with these beyond any bound. Each number has one version in any order, so that of the publishes
-// without an answer
-//   - one whose id was read took effect, before the first read of it returned;
-//   - one whose number is another's never took effect, and is left out;
-//   - of those with the same parent whose ids nobody read, only one can have taken effect. The one that was called first
-//     can have done so whenever any other can: the others are left out;
-//   - and it, too, where no answer depends on it: none names its number or a later one, or a conflict with its parent.
+// reduceHistory returns a history with the same verdict and fewer operations that may take effect at any
+// time, as the search for a linearization grows without bound with their number. Each number has one version
+// in any linearization, so that of the publishes without an answer
+//   - one whose id was read took effect before the first read of it returned;
+//   - one whose number belongs to another version never took effect, and is left out;
+//   - of those with the same parent whose ids were never read, at most one took effect. The one that was
+//     called first can have done so whenever any other can: the others are left out;
+//   - that one is left out, too, if no answer depends on it: none names its number or a later one, or a
+//     conflict with its parent.
 func reduceHistory(history []porcupine.Operation) []porcupine.Operation {
 	known := knownVersions(history)
-	firstCalled := map[uint64]int64{} // by parent, of the publishes of which nobody knows anything
+	firstCalled := map[uint64]int64{} // by parent, of the undecided publishes
 	for _, op := range history {
 		if in := op.Input.(registerOp); known.undecided(op) {
 			if call, ok := firstCalled[in.parent]; !ok || op.Call < call {
@@ -96,18 +99,18 @@
 			reduced = append(reduced, op)
 		case known.undecided(op) && op.Call == firstCalled[in.parent]:
 			reduced = append(reduced, op)
-			firstCalled[in.parent] = op.Call - 1 // of several at one time one is enough
+			firstCalled[in.parent] = op.Call - 1 // keeps only one of several that were called at the same time
 		}
 	}
 	return reduced
 }
 
-// versionKnowledge is what the answers of a history say of its versions.
+// versionKnowledge is what the answers of a history show of its versions.
 type versionKnowledge struct {
 	firstSeen map[string]int64  // by id, when the first read of it returned
 	ids       map[uint64]string // by number
 	last      uint64            // the highest number in any answer
-	conflicts []uint64          // parents of the publishes that were told of a conflict
+	conflicts []uint64          // parents of the publishes that were answered with a conflict
 }
 
 func knownVersions(history []porcupine.Operation) *versionKnowledge {
@@ -133,7 +136,8 @@
 	return k
 }
 
-// undecided reports whether a publish without an answer may have taken effect or not, and an answer may depend on it.
+// undecided reports whether the history leaves open if a publish without an answer took effect, and an answer
+// may depend on it.
 func (k *versionKnowledge) undecided(op porcupine.Operation) bool {
 	in, out := op.Input.(registerOp), op.Output.(registerAnswer)
 	if in.read || !out.unknown || k.ids[in.parent+1] != "" {
--- a/internal/lab/acceptance/register_test.go
+++ b/internal/lab/acceptance/register_test.go
@@ -9,8 +9,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// The reduced history has the verdict of the whole one, for small histories of any kind: of a register, of a register
-// whose answers were changed, and of answers that were drawn.
+// A reduced history has the verdict of the complete one, for small histories: of a register, of a register
+// with one changed answer, and with random answers.
 func TestReducedHistoriesHaveTheSameVerdict(t *testing.T) {
 	const histories, seed = 6000, 59
 	rng := rand.New(rand.NewPCG(seed, 0))
@@ -36,12 +36,12 @@
 		removed += len(h) - len(reduced)
 	}
 	if verdicts[porcupine.Ok] < histories/4 || verdicts[porcupine.Illegal] < histories/4 || removed < histories/2 {
-		t.Errorf("verdicts %v, %d operations left out: the test says little", verdicts, removed)
+		t.Errorf("verdicts %v, %d operations left out: too few to judge", verdicts, removed)
 	}
 }
 
-// drawHistory plays operations of a few clients on a register. Some get no answer, of which some take no effect, or take
-// it late.
+// drawHistory runs random operations of a few clients on a register. Some get no answer; of these, some have
+// no effect and some take effect late.
 func drawHistory(rng *rand.Rand) []porcupine.Operation {
 	var history []porcupine.Operation
 	var state registerState
@@ -88,7 +88,7 @@
 	return history
 }
 
-// changeAnswer draws the answer of an operation anew.
+// changeAnswer replaces the answer of a random operation.
 func changeAnswer(rng *rand.Rand, history []porcupine.Operation) {
 	op := &history[rng.IntN(len(history))]
 	in, out := op.Input.(registerOp), op.Output.(registerAnswer)
@@ -112,7 +112,7 @@
 	return text
 }
 
-// A history that the search could not decide in its time, with many publishes that have no answer, is decided.
+// Without the reduction the search did not finish in time for a history with many unanswered publishes.
 func TestManyUnansweredPublishesAreDecided(t *testing.T) {
 	var history []porcupine.Operation
 	add := func(from, to int64, in registerOp, out registerAnswer) {
--- a/internal/lab/acceptance/registry.go
+++ b/internal/lab/acceptance/registry.go
@@ -10,13 +10,14 @@
 	"ringtrack.example/ringtrack/internal/membership"
 )
 
-// registry is a stand-in registry of servers' nodes, and the file that names it.
+// registry is a stand-in for the registry of servers' ephemeral nodes, and the configuration file that names
+// it.
 type registry struct {
 	*zk.Ensemble
 	file string
 }
 
-// newRegistry starts one; more is put into the file.
+// newRegistry starts a registry; more is appended to its configuration file.
 func newRegistry(servers int, seed uint64, more string) (*registry, error) {
 	e, err := zk.New(zk.Options{Servers: servers, Seed: seed})
 	if err != nil {
--- a/internal/lab/acceptance/runqueue.go
+++ b/internal/lab/acceptance/runqueue.go
@@ -9,49 +9,49 @@
 	"time"
 )
 
-// runQueue counts how long this process's threads were ready to run and waited for a core, as the kernel
-// counts it for each (schedstat's second figure). Goroutines that wait for a thread are not in it. Where the
-// kernel does not count it stays 0.
+// runQueue sums how long this process's threads were ready to run and waited for a core, from the kernel's
+// count for each thread (the second figure of schedstat). It does not cover goroutines that wait for a
+// thread. It stays 0 where the kernel does not count.
 type runQueue struct {
 	mu      sync.Mutex
-	threads map[string]*queued
+	threads map[string]*threadWait
 	sum     int64 // ns
 	buf     [128]byte
 	stop    chan struct{}
 	ended   sync.WaitGroup
 }
 
-// queued is one thread.
-type queued struct {
+// threadWait is the run-queue wait of one thread.
+type threadWait struct {
 	fd     int
-	waited int64 // ns, when it was last read
+	waited int64 // ns, as last read
 }
 
-// runQueueLook is how often new threads are looked for: until then what they wait for is not counted.
-const runQueueLook = 20 * time.Millisecond
+// runQueueScanInterval is how often new threads are looked for; their waits before that are not counted.
+const runQueueScanInterval = 20 * time.Millisecond
 
 func newRunQueue() *runQueue {
-	q := &runQueue{threads: map[string]*queued{}, stop: make(chan struct{})}
-	q.look()
+	q := &runQueue{threads: map[string]*threadWait{}, stop: make(chan struct{})}
+	q.scanThreads()
 	q.ended.Go(func() {
-		every := time.NewTicker(runQueueLook)
+		every := time.NewTicker(runQueueScanInterval)
 		defer every.Stop()
 		for {
 			select {
 			case <-q.stop:
 				return
 			case <-every.C:
-				q.look()
+				q.scanThreads()
 			}
 		}
 	})
 	return q
 }
 
-// look opens the counts of threads that are new.
-func (q *runQueue) look() {
-	const tasks = "/proc/self/task"
-	entries, err := os.ReadDir(tasks)
+// scanThreads opens the counters of new threads.
+func (q *runQueue) scanThreads() {
+	const taskDir = "/proc/self/task"
+	entries, err := os.ReadDir(taskDir)
 	if err != nil {
 		return // nothing is counted
 	}
@@ -61,11 +61,11 @@
 		if q.threads[e.Name()] != nil {
 			continue
 		}
-		fd, err := syscall.Open(tasks+"/"+e.Name()+"/schedstat", syscall.O_RDONLY|syscall.O_CLOEXEC, 0)
+		fd, err := syscall.Open(taskDir+"/"+e.Name()+"/schedstat", syscall.O_RDONLY|syscall.O_CLOEXEC, 0)
 		if err != nil {
 			continue
 		}
-		t := &queued{fd: fd}
+		t := &threadWait{fd: fd}
 		if t.waited, err = q.read(fd); err != nil {
 			syscall.Close(fd)
 			continue
@@ -84,13 +84,13 @@
 	return strconv.ParseInt(string(waited), 10, 64)
 }
 
-// waited is the sum so far.
+// waited returns the sum so far.
 func (q *runQueue) waited() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for name, t := range q.threads {
 		n, err := q.read(t.fd)
-		if err != nil { // it has ended
+		if err != nil { // the thread has ended
 			syscall.Close(t.fd)
 			delete(q.threads, name)
 			continue
@@ -101,9 +101,9 @@
 	return time.Duration(q.sum)
 }
 
-// stolen is what other guests took of the cores of a virtual machine so far, in all and by the kernel's count, whose
-// step is coarse; 0 where it does not count it.
-func stolen() time.Duration {
+// stealTime returns the time that other guests have taken from all cores of a virtual machine so far, by the
+// kernel's count, which has a coarse resolution; 0 where the kernel does not count it.
+func stealTime() time.Duration {
 	const step = 10 * time.Millisecond // USER_HZ
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
--- a/internal/lab/acceptance/soak.go
+++ b/internal/lab/acceptance/soak.go
@@ -17,32 +17,34 @@
 )
 
 const (
-	// soakRounds is how often the process of a whole soak is ended.
+	// soakRounds is how often the process is ended at full scale.
 	soakRounds = 20
-	// killSlack is how much later than the longest deadline SIGKILL comes, soakLate how late an answer may be: later it
-	// counts as lost (the operators' pages).
-	killSlack, soakLate = 700 * time.Millisecond, 500 * time.Millisecond
-	// soakClients go on using their connections until the kill; half of them also connect anew all the time.
+	// killSlack is how long after the longest deadline SIGKILL comes, soakAnswerSlack how late an answer may
+	// be before it counts as lost (both from the operators' pages).
+	killSlack, soakAnswerSlack = 700 * time.Millisecond, 500 * time.Millisecond
+	// soakClients is the number of clients that go on using their connections until the kill; half of them
+	// open a new connection for each request.
 	soakClients = 8
-	// crowdSize is how many clients more the crowd of a whole soak has: within what an agent with 512 sockets takes.
-	// leastCrowd is the least of a smaller one.
-	crowdSize, leastCrowd = 80, 20
+	// crowdSize is the number of additional clients or connections of a crowd at full scale, within what an
+	// agent with 512 sockets accepts; minCrowdSize is the least at smaller scales.
+	crowdSize, minCrowdSize = 80, 20
 )
 
-// Soak ends one agent's process again and again, as a planned restart does, while clients go on using each connection
-// that stays open, until SIGKILL comes at the earliest that the operators' page allows. Signals come in series; some
-// seeds have a crowd, servers that hang, and a successor beside the process that ends. Counted at clients and stand-ins:
-// rules 1 to 3, connections that are reset as a listener ends, and how and when each process ends. The seeded defect is
-// a process that is stopped at its end.
+// Soak ends one agent's process repeatedly, as a planned restart does, while clients go on using each
+// connection that stays open; SIGKILL follows at the earliest time that the operators' page allows. Signals
+// come in series; some seeds have a crowd of connections, servers that hang, and a successor that runs beside
+// the process that ends. It checks, at clients and stand-ins, rules 1 to 3, connections that are reset when a
+// listener closes, and the exit code and time of each process. The seeded defect is a process that is stopped
+// (SIGSTOP) during its shutdown.
 func Soak(ctx context.Context, o *Options) (*Report, error) {
 	r := &Report{Proof: "soak", Seed: o.Seed, Scale: o.Scale}
 	rng := o.rng()
 	plan := drawSoak(rng)
 	rules := lab.DefaultRules()
-	rules.ByZone, rules.AnswerSlack = true, soakLate
+	rules.ByZone, rules.AnswerSlack = true, soakAnswerSlack
 	f := &fleet{o: o, ledger: lab.NewLedger(rules), deadline: plan.deadline, endWithin: plan.deadline + killSlack}
 	if o.Defect {
-		f.defect = stuck
+		f.defect = stoppedProcess
 	}
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -58,8 +60,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := a.start(ctx); err != nil || len(f.short) > 0 {
-		r.Failures = f.short
+	if err := a.start(ctx); err != nil || len(f.failures) > 0 {
+		r.Failures = f.failures
 		return r, err
 	}
 	defer a.kill()
@@ -71,7 +73,7 @@
 	return r, nil
 }
 
-// newSoakAgent returns the agent of a soak, whose processes are not started yet.
+// newSoakAgent returns the agent of a soak; no process of it runs yet.
 func (f *fleet) newSoakAgent(dir string, plan soakPlan) (*fleetAgent, error) {
 	addrs, err := freeAddrs(1)
 	if err != nil {
@@ -79,29 +81,30 @@
 	}
 	a := &fleetAgent{f: f, dir: dir, addr: addrs[0]}
 	if plan.successors {
-		a.tmp = a.dir
+		a.tempDir = a.dir
 	}
 	return a, os.Mkdir(a.dir, 0o700)
 }
 
-// soak is one run: an agent that is ended again and again, and what is seen meanwhile.
+// soak is the state of one run.
 type soak struct {
 	*fleet
 	agent              *fleetAgent
 	plan               soakPlan
-	connectionsRefused int // as long as there was to be a process
-	lateness           atomic.Int64
+	connectionsRefused int // until the last process was ended
+	maxLateness        atomic.Int64
 }
 
-// run ends the agent's processes beside its clients, and ends the clients and the last process.
+// run ends the agent's processes repeatedly while clients run, then stops the clients and ends the last
+// process.
 func (s *soak) run(ctx context.Context, rng *rand.Rand) error {
-	traffic, stopTraffic := context.WithCancel(ctx)
+	clientsCtx, stopTraffic := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer stopTraffic()
-	s.clients(traffic, &running, s.agent, s.plan.crowd)
-	running.Go(func() { watchLateness(traffic, &s.lateness) })
-	running.Go(func() { s.idleExits.watch(traffic) })
+	s.startClients(clientsCtx, &running, s.agent, s.plan.crowd)
+	running.Go(func() { watchLateness(clientsCtx, &s.maxLateness) })
+	running.Go(func() { s.idleExits.watch(clientsCtx) })
 	for range s.o.scaled(soakRounds, 2) {
 		select {
 		case <-time.After(time.Duration(100+rng.IntN(200)) * time.Millisecond):
@@ -111,25 +114,25 @@
 		if err := s.restart(ctx, s.agent, s.plan, drawSignals(rng, s.endWithin)); err != nil {
 			return err
 		}
-		if len(s.short) > 0 {
-			break // what comes behind a process that had to be killed says nothing
+		if len(s.failures) > 0 {
+			break // after a process had to be killed, later results are not meaningful
 		}
 	}
 	s.mu.Lock()
-	s.connectionsRefused = s.turned
+	s.connectionsRefused = s.refusedConns
 	s.mu.Unlock()
 	stopTraffic()
 	running.Wait()
 	s.agent.end(false)
-	s.held.Wait()
+	s.openAtEnd.Wait()
 	return nil
 }
 
-// report puts what was seen into the report, and judges it.
+// report adds the figures to the report and checks them.
 func (s *soak) report(r *Report) {
-	broken, words := s.ledger.Violations(time.Now().Add(heldFor))
+	broken, details := s.ledger.Violations(time.Now().Add(heldTimeout))
 	t := s.ledger.Totals
-	r.Failures = s.short
+	r.Failures = s.failures
 	r.add("deadline", millis(s.plan.deadline), "ms")
 	r.add("crowd", float64(s.plan.crowd), "")
 	r.add("hanging", float64(s.plan.hanging), "")
@@ -140,43 +143,44 @@
 	r.add("failed", float64(t.Failed), "")
 	r.add("connections_refused", float64(s.connectionsRefused), "")
 	r.add("reset_at_an_end", float64(s.resets), "")
-	r.add("machine_late", millis(time.Duration(s.lateness.Load())), "ms")
+	r.add("machine_late", millis(time.Duration(s.maxLateness.Load())), "ms")
 	r.add("idle_exit", millis(s.idleExits.longestEver()), "ms")
 	r.add("slowest_end", millis(s.slowestEnd), "ms")
 	for rule, n := range broken {
-		r.short("rule %d broken %d times: %s", rule, n, words[0])
+		r.fail("rule %d broken %d times: %s", rule, n, details[0])
 	}
 	if s.resets > 0 {
-		r.short("%d connections reset as a listener ended, over %d ends", s.resets, s.ends)
+		r.fail("%d connections were reset when a listener closed, over %d ends", s.resets, s.ends)
 	}
 	if s.plan.successors && s.connectionsRefused > 0 {
-		r.short("%d connections refused while a next process served", s.connectionsRefused)
+		r.fail("%d connections refused while a successor served", s.connectionsRefused)
 	}
-	if least := 20 * s.ends; t.Served < least {
-		r.short("only %d served: the proof says nothing", t.Served)
+	if minimum := 20 * s.ends; t.Served < minimum {
+		r.fail("only %d served: too few to judge", t.Served)
 	}
 }
 
-// watchLateness notes by how much a goroutine that only sleeps was late at the most: what a busy machine takes.
-func watchLateness(ctx context.Context, most *atomic.Int64) {
-	const nap = time.Millisecond
+// watchLateness records the most by which a sleeping goroutine woke late: the delay that a busy machine
+// causes.
+func watchLateness(ctx context.Context, maxLateness *atomic.Int64) {
+	const sleep = time.Millisecond
 	for ctx.Err() == nil {
 		from := time.Now()
-		time.Sleep(nap)
-		if late := int64(time.Since(from) - nap); late > most.Load() {
-			most.Store(late)
+		time.Sleep(sleep)
+		if late := int64(time.Since(from) - sleep); late > maxLateness.Load() {
+			maxLateness.Store(late)
 		}
 	}
 }
 
-// serve starts stand-in servers, of which some hang, and the rosters that list them.
+// serve starts stand-in servers, of which some hang, and the discovery services that list them.
 func (f *fleet) serve(servers, hanging int) (closeAll func(), err error) {
 	var entries []membership.Entry
 	closeAll = func() {
 		for _, s := range f.servers {
 			s.Close()
 		}
-		for _, r := range f.rosters {
+		for _, r := range f.discoveries {
 			if r != nil {
 				r.Close()
 			}
@@ -189,7 +193,7 @@
 			return nil, err
 		}
 		f.ledger.SetZone(s.ID, s.Entry.Zone)
-		if f.defect == misplaced {
+		if f.defect == wrongZones {
 			s.Entry.Zone = zones[i/len(zones)%len(zones)]
 		}
 		if i < hanging {
@@ -197,8 +201,8 @@
 		}
 		f.servers, entries = append(f.servers, s), append(entries, s.Entry)
 	}
-	for i := range f.rosters {
-		if f.rosters[i], err = lab.NewDiscoveryService(entries...); err != nil {
+	for i := range f.discoveries {
+		if f.discoveries[i], err = lab.NewDiscoveryService(entries...); err != nil {
 			closeAll()
 			return nil, err
 		}
@@ -206,28 +210,29 @@
 	return closeAll, nil
 }
 
-// clients starts the clients of a soak, and its crowd.
-func (f *fleet) clients(ctx context.Context, running *sync.WaitGroup, a *fleetAgent, more crowdKind) {
-	asking, crowd := soakClients, f.o.scaled(crowdSize, leastCrowd)
-	if more == busyCrowd {
-		asking += crowd
+// startClients starts the clients of a soak, and its crowd.
+func (f *fleet) startClients(ctx context.Context, running *sync.WaitGroup, a *fleetAgent, kind crowdKind) {
+	active, crowd := soakClients, f.o.scaled(crowdSize, minCrowdSize)
+	if kind == busyCrowd {
+		active += crowd
 	}
-	for w := range asking {
+	for w := range active {
 		running.Go(func() {
-			c := fleetClient{f: f, a: a, name: fmt.Sprintf("0-%d", w), rng: rand.New(rand.NewPCG(f.o.Seed, uint64(w))), anew: w%2 == 1}
+			c := fleetClient{f: f, a: a, name: fmt.Sprintf("0-%d", w), rng: rand.New(rand.NewPCG(f.o.Seed, uint64(w))), newConnEach: w%2 == 1}
 			c.run(ctx)
 		})
 	}
-	if more != idleCrowd {
+	if kind != idleCrowd {
 		return
 	}
 	for w := range crowd {
-		running.Go(func() { stayIdle(ctx, a.addr, w%2 == 1) })
+		running.Go(func() { holdIdleConnection(ctx, a.addr, w%2 == 1) })
 	}
 }
 
-// stayIdle stays connected and brings nothing, or half a head; it comes back until ctx ends.
-func stayIdle(ctx context.Context, addr string, half bool) {
+// holdIdleConnection keeps a connection open that sends nothing, or half of a request header. It reconnects
+// until ctx ends.
+func holdIdleConnection(ctx context.Context, addr string, halfHeader bool) {
 	const pause = 20 * time.Millisecond
 	for ctx.Err() == nil {
 		c, err := net.DialTimeout("tcp", addr, time.Second)
@@ -235,20 +240,21 @@
 			time.Sleep(pause)
 			continue
 		}
-		if half {
+		if halfHeader {
 			io.WriteString(c, "GET /api/a HTTP/1.1\r\nHost: x\r\n")
 		}
-		over := context.AfterFunc(ctx, func() { c.Close() })
-		io.Copy(io.Discard, c) // until the agent ends it
-		over()
+		stopWatching := context.AfterFunc(ctx, func() { c.Close() })
+		io.Copy(io.Discard, c) // until the agent closes it
+		stopWatching()
 		c.Close()
 		time.Sleep(pause)
 	}
 }
 
-// restart ends the agent's process with these signals, and starts the next one behind it or, with successors, before.
+// restart ends the agent's process with a series of signals. The next process starts after that or, if the
+// plan has successors, before.
 func (f *fleet) restart(ctx context.Context, a *fleetAgent, plan soakPlan, series []signalAfter) error {
-	f.hold(ctx, a)
+	f.startHeldRequest(ctx, a)
 	old := a.cmd
 	if plan.successors {
 		if err := a.startBeside(ctx); err != nil {
--- a/internal/lab/acceptance/thriftkill.go
+++ b/internal/lab/acceptance/thriftkill.go
@@ -13,7 +13,7 @@
 	"ringtrack.example/ringtrack/internal/wire"
 )
 
-// labOptions are a world with the settings of the lab's fleet.
+// labOptions returns the options of a world with the lab's settings.
 func labOptions(o *Options, servers int) (world.Options, error) {
 	out := world.Options{Servers: servers, Seed: o.Seed}
 	settings, err := wire.ParseSettings(service.Settings)
@@ -30,9 +30,8 @@
 	return out, nil
 }
 
-// ThriftKill makes unsafe calls over Thrift while servers' connections are reset at random points. The
-// servers' side counts what ran. The seeded defect is a client
-// that comes back with what has failed.
+// ThriftKill makes non-idempotent calls over Thrift while servers' connections are reset at random points.
+// The servers count what ran. The seeded defect is a client that retries failed calls.
 func ThriftKill(ctx context.Context, o *Options) (*Report, error) {
 	r := &Report{Proof: "thrift-kill", Seed: o.Seed, Scale: o.Scale}
 	rng := o.rng()
@@ -71,7 +70,7 @@
 			}()
 			for ctx.Err() == nil && next.Add(1) <= int64(calls) {
 				r := w.Request("order", 1200*time.Millisecond)
-				for try := range 2 {
+				for attempt := range 2 {
 					if c == nil {
 						var err error
 						if c, err = w.Dial(); err != nil {
@@ -84,7 +83,7 @@
 						c.Close()
 						c = nil
 					}
-					if !o.Defect || err == nil && a.Outcome == lab.Served || try > 0 {
+					if !o.Defect || err == nil && a.Outcome == lab.Served || attempt > 0 {
 						break
 					}
 				}
@@ -100,7 +99,7 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	broken, words := w.Ledger.Violations(time.Now().Add(time.Minute))
+	broken, details := w.Ledger.Violations(time.Now().Add(time.Minute))
 	t := w.Ledger.Totals
 	r.add("calls", float64(calls), "")
 	r.add("resets", float64(kills.Load()), "")
@@ -110,12 +109,12 @@
 	r.add("unanswered", float64(unanswered.Load()), "")
 	r.add("ran_twice", float64(broken[2]), "")
 	r.add("late_or_lost", float64(broken[1]), "")
-	o.logf("in %s", p.Name)
+	o.logf("protocol: %s", p.Name)
 	if len(broken) > 0 {
-		r.short("rules broken %v: %v", broken, words[0])
+		r.fail("rules broken %v: %v", broken, details[0])
 	}
 	if kills.Load() < int64(calls)/500 || t.Served < calls/2 {
-		r.short("%d resets, %d of %d calls served: the proof says little", kills.Load(), t.Served, calls)
+		r.fail("%d resets, %d of %d calls served: too few to judge", kills.Load(), t.Served, calls)
 	}
 	return r, nil
 }
--- a/internal/lab/acceptance/wholefleet.go
+++ b/internal/lab/acceptance/wholefleet.go
@@ -18,7 +18,8 @@
 )
 
 const (
-	// fleetDeadline is that of all classes in fleetSettings, so that a planned end is over 1.3 s after its signal.
+	// fleetDeadline is the deadline of all classes in fleetSettings, so that a graceful shutdown takes at
+	// most 1.3 s.
 	fleetDeadline = 600 * time.Millisecond
 	fleetSettings = `{"classes":[
 {"name":"read","aimMs":200,"giveUpMs":600,"effect":"free","credit":1,"lateShare":0.2},
@@ -28,56 +29,58 @@
 "failureDomains":["east","west","south"],"shapes":["fast"],"clients":{"marksRetry":true},
 "limits":{"cancelling":true,"connectTimeoutMs":150,"keepaliveMs":5000,"maxAttempts":3,"maxRetryAfterMs":100,"retryAfter":true,"openCap":1000},
 "membershipMode":"pushed","objectiveMix":{"whole":1},"replicasOfMe":1,"roundMs":5,"weights":"nominal","worthBy":"request"}`
-	// endWithin is when SIGKILL may follow SIGTERM with these deadlines (protocol page, "Figures"); readyWithin is
-	// for a process of which many start at once.
+	// endWithin is how long after SIGTERM SIGKILL may follow with these deadlines (protocol page, "Figures");
+	// readyWithin bounds the start of a process, of which many start at once.
 	endWithin, readyWithin = 1300 * time.Millisecond, 5 * time.Second
-	// crowdedScale is the scale under which the proof is an ordinary test, beside others on a machine's few cores:
-	// there times are looser, so that its verdict is the program's and not the machine's.
-	crowdedScale, crowdedSlack = 0.15, 500 * time.Millisecond
-	// heldFor is the time that a request gets which is to be open at the signal.
-	heldFor = 20 * time.Second
+	// sharedMachineScale is the scale below which the proof runs as an ordinary test, along with others on
+	// few cores: there the time bounds are looser, so that the result depends on the program and not on the
+	// machine's load.
+	sharedMachineScale, sharedMachineSlack = 0.15, 500 * time.Millisecond
+	// heldTimeout is the timeout of a request that has to be open at the signal.
+	heldTimeout = 20 * time.Second
 )
 
-// fleetDefect is what the lab does wrong where the proof is to find it: which, the seed says.
+// fleetDefect is a defect that the lab can seed, which the proof has to detect; the seed of the run selects
+// it.
 type fleetDefect int
 
 const (
-	sound     fleetDefect = iota
-	lying                 // servers say that nothing ran when it has
-	unwritten             // a configuration stays half written at a start
-	stuck                 // a process is stopped at its end
-	forgetful             // servers drop repeats of a key for 1 ms only
-	misplaced             // the roster tells other zones than servers are in
-	defects
+	noDefect        fleetDefect = iota
+	falseNotStarted             // servers state that nothing ran although the request did
+	halfWritten                 // a configuration file stays half written at a start
+	stoppedProcess              // a process is stopped (SIGSTOP) during its shutdown
+	shortKeyWindow              // servers deduplicate an idempotency key for 1 ms only
+	wrongZones                  // discovery reports wrong zones of servers
+	defectCount
 )
 
-// fleet is what the proof runs.
+// fleet is what a proof of agents runs: discovery, servers and agents, and what was measured.
 type fleet struct {
-	o       *Options
-	defect  fleetDefect
-	ledger  *lab.Ledger
-	rosters [2]*lab.DiscoveryService // of which the second takes over
-	now     atomic.Int32             // the one that new configurations name
-	servers []*lab.Backend
-	agents  []*fleetAgent
-	// endWithin is how long an end may take.
+	o           *Options
+	defect      fleetDefect
+	ledger      *lab.Ledger
+	discoveries [2]*lab.DiscoveryService // the second takes over from the first
+	current     atomic.Int32             // index of the one that new configurations name
+	servers     []*lab.Backend
+	agents      []*fleetAgent
+	// endWithin is how long a shutdown may take.
 	endWithin time.Duration
 	deadline  time.Duration  // of each class and client
-	held      sync.WaitGroup // requests that are to be open at a signal
-	idleExits idleExits      // beside the ends
+	openAtEnd sync.WaitGroup // requests that have to be open at a signal
+	idleExits idleExits      // measured during the shutdowns
 
-	mu                                   sync.Mutex
-	short                                []string
-	slowestEnd, slowestReady             time.Duration
-	starts, ends, kills, repeats, resets int
-	turned                               int // connections that were refused
+	mu                                       sync.Mutex
+	failures                                 []string
+	slowestEnd, slowestReady                 time.Duration
+	starts, ends, kills, repeatedIDs, resets int
+	refusedConns                             int // TCP connections that were refused
 }
 
-func (f *fleet) fails(format string, args ...any) {
+func (f *fleet) fail(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.short) < 10 {
-		f.short = append(f.short, fmt.Sprintf(format, args...))
+	if len(f.failures) < 10 {
+		f.failures = append(f.failures, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -87,22 +90,22 @@
 	return strings.ReplaceAll(fleetSettings, giveUp(fleetDeadline), giveUp(f.deadline))
 }
 
-// told changes an entry at both rosters.
-func (f *fleet) told(change func(*lab.DiscoveryService)) {
-	for _, r := range f.rosters {
+// updateDiscovery applies a change to both discovery services.
+func (f *fleet) updateDiscovery(change func(*lab.DiscoveryService)) {
+	for _, r := range f.discoveries {
 		change(r)
 	}
 }
 
-// replace replaces a server: it drains, and then another id is at its address, or its id in another cell.
+// replace replaces a server: it drains, and returns at the same address with a new id or in another cell.
 func (f *fleet) replace(s *lab.Backend, newID bool) {
 	f.ledger.NotifiedDraining(s.ID, time.Now())
 	e := s.Entry
 	e.State = membership.Draining
-	f.told(func(r *lab.DiscoveryService) { r.Set(e) })
+	f.updateDiscovery(func(r *lab.DiscoveryService) { r.Set(e) })
 	time.Sleep(400 * time.Millisecond)
 	old := s.Entry.ID
-	f.told(func(r *lab.DiscoveryService) { r.Remove(old) })
+	f.updateDiscovery(func(r *lab.DiscoveryService) { r.Remove(old) })
 	s.ResetConnections()
 	if newID {
 		s.Entry.ID += "'"
@@ -111,13 +114,14 @@
 	}
 	s.Entry.StartedMs = float64(time.Now().UnixMilli())
 	f.ledger.InService(s.ID)
-	f.told(func(r *lab.DiscoveryService) { r.Set(s.Entry) })
+	f.updateDiscovery(func(r *lab.DiscoveryService) { r.Set(s.Entry) })
 }
 
-// trouble gives servers a mode each for a moment, and breaks connections, until ctx ends.
-func (f *fleet) trouble(ctx context.Context, rng *rand.Rand) {
+// injectFaults puts random servers into a faulty mode for 20 to 80 ms each and breaks connections, until ctx
+// ends.
+func (f *fleet) injectFaults(ctx context.Context, rng *rand.Rand) {
 	modes := []lab.Mode{lab.Failing, lab.Rejecting, lab.ResetAfterRun, lab.TruncatedAnswer, lab.AnswerTwice, lab.ByteByByte, lab.Silent, lab.WrongProtocol, lab.ResetAtEachByte, lab.ResetAtEachByte}
-	if f.defect == lying {
+	if f.defect == falseNotStarted {
 		modes = []lab.Mode{lab.FalseNotStarted}
 	}
 	for ctx.Err() == nil {
@@ -132,23 +136,24 @@
 	}
 }
 
-// WholeFleet rolls a fleet of agents, each a process, under traffic: restarts by tenths with SIGTERM, some with
-// SIGKILL, each start beside a file that is being written; SIGHUP on a half-written file that moves discovery; six
-// in ten servers replaced; servers that fail, turn away, break off and answer twice; clients that leave early, come
-// back at once and bring an id a second time. Counted at the stand-ins: answers, runs, sends after a drain; and
-// each process's exit code, time to its end and time until it is ready. The seeded defects are the lab's own.
+// WholeFleet restarts a fleet of agents, each a process, under traffic: in tenths with SIGTERM, some with
+// SIGKILL, each start while the configuration file is being written; SIGHUP on a half-written file that moves
+// discovery; six in ten servers replaced; servers that fail, reject, break off and answer twice; clients that
+// disconnect early, retry at once and repeat the id of a finished request. It checks, at the stand-ins,
+// answers, runs and requests after a drain; and each process's exit code, shutdown time and time until ready.
+// The seeded defects are those of fleetDefect.
 func WholeFleet(ctx context.Context, o *Options) (*Report, error) {
 	r := &Report{Proof: "whole-fleet", Seed: o.Seed, Scale: o.Scale}
 	f := &fleet{o: o, endWithin: endWithin, deadline: fleetDeadline}
 	if o.Defect {
-		f.defect = 1 + fleetDefect(o.Seed%uint64(defects-1))
+		f.defect = 1 + fleetDefect(o.Seed%uint64(defectCount-1))
 	}
 	rules := lab.DefaultRules()
 	rules.ByZone = true
-	if o.Scale < crowdedScale {
-		rules.AnswerSlack, f.endWithin = crowdedSlack, 2*endWithin
+	if o.Scale < sharedMachineScale {
+		rules.AnswerSlack, f.endWithin = sharedMachineSlack, 2*endWithin
 	}
-	if f.defect == forgetful {
+	if f.defect == shortKeyWindow {
 		rules.KeyWindow = time.Millisecond
 	}
 	f.ledger = lab.NewLedger(rules)
@@ -186,27 +191,27 @@
 		return errors.Join(errs...)
 	}
 	defer all(f.agents, func(a *fleetAgent) error { a.kill(); return nil })
-	if err := all(f.agents, func(a *fleetAgent) error { return a.start(ctx) }); err != nil || len(f.short) > 0 {
-		r.Failures = f.short
+	if err := all(f.agents, func(a *fleetAgent) error { return a.start(ctx) }); err != nil || len(f.failures) > 0 {
+		r.Failures = f.failures
 		return r, err
 	}
-	traffic, quiet := context.WithCancel(ctx)
+	clientsCtx, stopTraffic := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	defer running.Wait()
-	defer quiet()
+	defer stopTraffic()
 	for i, a := range f.agents {
 		for w := range 3 {
 			running.Go(func() {
 				c := fleetClient{f: f, a: a, name: fmt.Sprintf("%d-%d", i, w), rng: rand.New(rand.NewPCG(o.Seed, uint64(i*100+w)))}
-				c.run(traffic)
+				c.run(clientsCtx)
 			})
 		}
 	}
-	running.Go(func() { f.trouble(traffic, rand.New(rand.NewPCG(o.Seed, 1))) })
+	running.Go(func() { f.injectFaults(clientsCtx, rand.New(rand.NewPCG(o.Seed, 1))) })
 	running.Go(func() { // servers are replaced while agents restart
 		for i := range len(f.servers) * 6 / 10 {
 			f.replace(f.servers[i], i%2 == 0)
-			if traffic.Err() != nil {
+			if clientsCtx.Err() != nil {
 				return
 			}
 		}
@@ -214,9 +219,9 @@
 	tenth := max(len(f.agents)/10, 2)
 	for i := 0; i < len(f.agents) && ctx.Err() == nil; i += tenth {
 		group := f.agents[i:min(i+tenth, len(f.agents))]
-		if i >= len(f.agents)/2 && f.now.CompareAndSwap(0, 1) { // discovery moves
+		if i >= len(f.agents)/2 && f.current.CompareAndSwap(0, 1) { // discovery moves to another address
 			if err := all(f.agents, func(a *fleetAgent) error {
-				return a.write(func() error { return a.cmd.Process.Signal(syscall.SIGHUP) })
+				return a.writeConfig(func() error { return a.cmd.Process.Signal(syscall.SIGHUP) })
 			}); err != nil {
 				return nil, err
 			}
@@ -224,7 +229,7 @@
 		force := rng.IntN(8) == 0
 		if err := all(group, func(a *fleetAgent) error {
 			if !force {
-				f.hold(ctx, a)
+				f.startHeldRequest(ctx, a)
 			}
 			a.end(force)
 			return a.start(ctx)
@@ -232,13 +237,13 @@
 			return nil, err
 		}
 	}
-	quiet()
+	stopTraffic()
 	running.Wait()
-	all(f.agents, func(a *fleetAgent) error { f.hold(ctx, a); a.end(false); return nil })
-	f.held.Wait()
-	broken, words := f.ledger.Violations(time.Now().Add(heldFor))
+	all(f.agents, func(a *fleetAgent) error { f.startHeldRequest(ctx, a); a.end(false); return nil })
+	f.openAtEnd.Wait()
+	broken, details := f.ledger.Violations(time.Now().Add(heldTimeout))
 	t := f.ledger.Totals
-	r.Failures = f.short
+	r.Failures = f.failures
 	r.add("agents", float64(len(f.agents)), "")
 	r.add("starts", float64(f.starts), "")
 	r.add("ends", float64(f.ends), "")
@@ -247,20 +252,20 @@
 	r.add("served", float64(t.Served), "")
 	r.add("refused", float64(t.Rejected), "")
 	r.add("failed", float64(t.Failed), "")
-	r.add("ids_twice", float64(f.repeats), "")
+	r.add("ids_twice", float64(f.repeatedIDs), "")
 	r.add("reset_at_an_end", float64(f.resets), "")
 	r.add("begun", float64(t.Received), "")
 	r.add("latest_after_drain", millis(t.LatestAfterDrain), "ms")
 	r.add("slowest_end", millis(f.slowestEnd), "ms")
 	r.add("slowest_ready", millis(f.slowestReady), "ms")
 	for rule, n := range broken {
-		r.short("rule %d broken %d times: %s", rule, n, words[0])
+		r.fail("rule %d broken %d times: %s", rule, n, details[0])
 	}
 	if f.resets > 0 {
-		r.short("%d connections reset as a listener ended, over %d ends", f.resets, f.ends)
+		r.fail("%d connections were reset when a listener closed, over %d ends", f.resets, f.ends)
 	}
 	if least := 20 * len(f.agents); t.Served < least {
-		r.short("only %d served: the proof says nothing", t.Served)
+		r.fail("only %d served: too few to judge", t.Served)
 	}
 	return r, nil
 }
